--- a/src/main/java/cottonlock/Main.java
+++ b/src/main/java/cottonlock/Main.java
@@ -15,17 +15,22 @@
 /** Starts cottonlock; see README.md. */
 public final class Main {
 
-    private Main() {
-    }
+    private Main() {}
 
-    /** Runs a command: the two that the platform starts directly, all others by the command line. */
+    /**
+     * Runs a command: the two that the platform starts directly, all others by the command line.
+     */
     public static void main(String[] args) {
         String command = args.length == 1 ? args[0] : "";
-        // The command line's library must cost the platform's starts nothing: it is not loaded on this way.
+        // The command line's library must cost the platform's starts nothing: it is not loaded on
+        // this way.
         if (command.equals("serve") && System.getenv("COTTONLOCK_OPERATOR") == null) {
             System.exit(serve(Operator.NONE));
         }
-        System.exit(command.equals("wirehost") ? wireHost() : Cli.run(args, Main::serve, Main::wireHost));
+        System.exit(
+                command.equals("wirehost")
+                        ? wireHost()
+                        : Cli.run(args, Main::serve, Main::wireHost));
     }
 
     private static int wireHost() {
@@ -38,11 +43,15 @@
     }
 
     /**
-     * What signals lead to, from before the proxy serves: left to Java, SIGHUP would end the program and
-     * SIGTERM all that has just been taken. What comes before it serves is carried out as soon as it does.
+     * What signals lead to, from before the proxy serves: left to Java, SIGHUP would end the
+     * program and SIGTERM all that has just been taken. What comes before it serves is carried out
+     * as soon as it does.
      */
     private static final class Signals {
-        /** Seconds: whoever ends the program kills it after little more, and it has taken nothing yet. */
+        /**
+         * Seconds: whoever ends the program kills it after little more, and it has taken nothing
+         * yet.
+         */
         private static final long LONGEST_START = 3;
 
         private final CountDownLatch started = new CountDownLatch(1);
@@ -50,18 +59,27 @@
         private Proxy proxy;
 
         Signals() {
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                long toldAt = System.nanoTime();
-                with(p -> p.drain(toldAt));
-            }));
-            // Ignored from before the start, as under nohup, it is left so by Java, which tells it here.
-            deaf = Signal.handle(new Signal("HUP"), signal -> with(Proxy::reload)) == SignalHandler.SIG_IGN;
+            Runtime.getRuntime()
+                    .addShutdownHook(
+                            new Thread(
+                                    () -> {
+                                        long toldAt = System.nanoTime();
+                                        with(p -> p.drain(toldAt));
+                                    }));
+            // Ignored from before the start, as under nohup, it is left so by Java, which tells it
+            // here.
+            deaf =
+                    Signal.handle(new Signal("HUP"), signal -> with(Proxy::reload))
+                            == SignalHandler.SIG_IGN;
         }
 
         /** Says once what nobody would notice before a new configuration is needed. */
         private void warn() {
-            System.getLogger("cottonlock").log(System.Logger.Level.WARNING, "signals: SIGHUP was ignored"
-                + " before the start, as under nohup: a new configuration will never be taken in");
+            System.getLogger("cottonlock")
+                    .log(
+                            System.Logger.Level.WARNING,
+                            "signals: SIGHUP was ignored"
+                                    + " before the start, as under nohup: a new configuration will never be taken in");
         }
 
         /** The proxy serves, or could not be started: null. */
@@ -99,8 +117,12 @@
             Signals signals = new Signals();
             Proxy proxy = null;
             try {
-                proxy = new Proxy(Path.of(configuration), operator, System.getenv("EDGE_MGMT"),
-                    folder == null || folder.isEmpty() ? null : Path.of(folder));
+                proxy =
+                        new Proxy(
+                                Path.of(configuration),
+                                operator,
+                                System.getenv("EDGE_MGMT"),
+                                folder == null || folder.isEmpty() ? null : Path.of(folder));
             } finally {
                 signals.started(proxy);
             }
--- a/src/main/java/cottonlock/admin/Figures.java
+++ b/src/main/java/cottonlock/admin/Figures.java
@@ -10,15 +10,33 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 
-/** What this process has counted since it started; each count is defined here, and kept where it happens. */
+/**
+ * What this process has counted since it started; each count is defined here, and kept where it
+ * happens.
+ */
 public final class Figures {
     /** How a request ended, as its client saw it. */
-    private enum End { SUCCESS, BUSY, FAILURE }
+    private enum End {
+        SUCCESS,
+        BUSY,
+        FAILURE
+    }
 
-    private final Map<End, Map<String, LongAdder>> ends = Map.of(End.SUCCESS, new ConcurrentSkipListMap<>(),
-        End.BUSY, new ConcurrentSkipListMap<>(), End.FAILURE, new ConcurrentSkipListMap<>());
-    /** Why what was not a success ended so: by category and by tenant, which each add up to all of it. */
+    private final Map<End, Map<String, LongAdder>> ends =
+            Map.of(
+                    End.SUCCESS,
+                    new ConcurrentSkipListMap<>(),
+                    End.BUSY,
+                    new ConcurrentSkipListMap<>(),
+                    End.FAILURE,
+                    new ConcurrentSkipListMap<>());
+
+    /**
+     * Why what was not a success ended so: by category and by tenant, which each add up to all of
+     * it.
+     */
     private final Map<String, Map<Reason, LongAdder>> byCategory = new ConcurrentSkipListMap<>();
+
     private final Map<String, Map<Reason, LongAdder>> byTenant = new ConcurrentSkipListMap<>();
     private final LongAdder attempts = new LongAdder();
     private final AtomicInteger inflight = new AtomicInteger();
@@ -26,6 +44,7 @@
     private final LongAdder filesRefused = new LongAdder();
     private volatile int listed;
     private volatile int avoided;
+
     /** More fields, each behind a comma; null: none. */
     private volatile Supplier<String> more;
 
@@ -53,14 +72,19 @@
         inflight.incrementAndGet();
     }
 
-    /** A request that was taken needs nothing more, whether it was answered or its client has left. */
+    /**
+     * A request that was taken needs nothing more, whether it was answered or its client has left.
+     */
     public void over() {
         inflight.decrementAndGet();
     }
 
     /** A client has been answered, with this status; why it was no success, if it was none. */
     public void answered(String category, String tenant, int status, Reason why) {
-        End end = status == 200 ? End.SUCCESS : status == 503 || status == 429 ? End.BUSY : End.FAILURE;
+        End end =
+                status == 200
+                        ? End.SUCCESS
+                        : status == 503 || status == 429 ? End.BUSY : End.FAILURE;
         ends.get(end).computeIfAbsent(category, n -> new LongAdder()).increment();
         if (end != End.SUCCESS) {
             byCategory.computeIfAbsent(category, n -> zeros()).get(why).increment();
@@ -75,7 +99,10 @@
         attempts.increment();
     }
 
-    /** How many backends the list holds, and how many of these get nothing now, by hand or by choice. */
+    /**
+     * How many backends the list holds, and how many of these get nothing now, by hand or by
+     * choice.
+     */
     public void backends(int inList, int avoidedNow) {
         listed = inList;
         avoided = avoidedNow;
@@ -98,29 +125,56 @@
         counts(json, "success", End.SUCCESS);
         counts(json, "busy", End.BUSY);
         counts(json, "failure", End.FAILURE);
-        return json.append("\"backend_calls\":").append(attempts.sum())
-            .append(",\"inflight\":").append(Math.max(0, inflight.get()))
-            .append(",\"hosts_listed\":").append(listed).append(",\"hosts_down\":").append(avoided)
-            .append(",\"reconfig_ok\":").append(filesTaken.sum())
-            .append(",\"reconfig_failed\":").append(filesRefused.sum())
-            .append(reasons("why_by_category", byCategory)).append(reasons("why_by_tenant", byTenant))
-            .append(more == null ? "" : more.get()).append('}').toString();
+        return json.append("\"backend_calls\":")
+                .append(attempts.sum())
+                .append(",\"inflight\":")
+                .append(Math.max(0, inflight.get()))
+                .append(",\"hosts_listed\":")
+                .append(listed)
+                .append(",\"hosts_down\":")
+                .append(avoided)
+                .append(",\"reconfig_ok\":")
+                .append(filesTaken.sum())
+                .append(",\"reconfig_failed\":")
+                .append(filesRefused.sum())
+                .append(reasons("why_by_category", byCategory))
+                .append(reasons("why_by_tenant", byTenant))
+                .append(more == null ? "" : more.get())
+                .append('}')
+                .toString();
     }
 
     private static String reasons(String field, Map<String, Map<Reason, LongAdder>> counts) {
-        return counts.entrySet().stream().map(named -> '"' + quoted(named.getKey()) + "\":{"
-            + named.getValue().entrySet().stream()
-                .map(e -> '"' + e.getKey().name().toLowerCase(Locale.ROOT) + "\":" + e.getValue().sum())
-                .collect(Collectors.joining(",")) + '}')
-            .collect(Collectors.joining(",", ",\"" + field + "\":{", "}"));
+        return counts.entrySet().stream()
+                .map(
+                        named ->
+                                '"'
+                                        + quoted(named.getKey())
+                                        + "\":{"
+                                        + named.getValue().entrySet().stream()
+                                                .map(
+                                                        e ->
+                                                                '"'
+                                                                        + e.getKey()
+                                                                                .name()
+                                                                                .toLowerCase(
+                                                                                        Locale.ROOT)
+                                                                        + "\":"
+                                                                        + e.getValue().sum())
+                                                .collect(Collectors.joining(","))
+                                        + '}')
+                .collect(Collectors.joining(",", ",\"" + field + "\":{", "}"));
     }
 
     private void counts(StringBuilder json, String name, End end) {
         json.append('"').append(name).append("\":{");
         String comma = "";
         for (Map.Entry<String, LongAdder> count : ends.get(end).entrySet()) {
-            json.append(comma).append('"').append(quoted(count.getKey())).append("\":")
-                .append(count.getValue().sum());
+            json.append(comma)
+                    .append('"')
+                    .append(quoted(count.getKey()))
+                    .append("\":")
+                    .append(count.getValue().sum());
             comma = ",";
         }
         json.append("},");
--- a/src/main/java/cottonlock/admin/Management.java
+++ b/src/main/java/cottonlock/admin/Management.java
@@ -10,16 +10,21 @@
 import java.util.Deque;
 
 /**
- * Answers operators' calls, one line to a connection, on threads and descriptors of its own: it must answer
- * within a second also while everything else is full.
+ * Answers operators' calls, one line to a connection, on threads and descriptors of its own: it
+ * must answer within a second also while everything else is full.
  */
 public final class Management implements Runnable {
-    /** Connections at most: some hold theirs for seconds, and each takes a descriptor and a thread. */
+    /**
+     * Connections at most: some hold theirs for seconds, and each takes a descriptor and a thread.
+     */
     public static final int MOST = 12;
+
     /** Bytes of a call: an id is far shorter. */
     private static final int LONGEST = 512;
+
     /** Milliseconds without a byte until a caller is left. */
     private static final int SILENCE = 5_000;
+
     /** Bytes of a thread's stack: the calls here are shallow. */
     private static final long STACK = 192 << 10;
 
@@ -43,8 +48,10 @@
 
     private final Desk desk;
     private final ServerSocket server = new ServerSocket();
+
     /** Those that have not brought a whole call, the oldest first. */
     private final Deque<Socket> unheard = new ArrayDeque<>();
+
     private int open;
 
     /** Listens from now on, and answers when it is run. */
@@ -55,7 +62,8 @@
             server.bind(address, MOST);
         } catch (IOException e) {
             server.close();
-            throw new IOException("cannot listen for operators on " + address + ": " + e.getMessage(), e);
+            throw new IOException(
+                    "cannot listen for operators on " + address + ": " + e.getMessage(), e);
         }
     }
 
--- a/src/main/java/cottonlock/bench/WireHost.java
+++ b/src/main/java/cottonlock/bench/WireHost.java
@@ -14,10 +14,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts the balancers of the bench: each line read becomes a call, each answer a line of the reply. */
+/**
+ * Hosts the balancers of the bench: each line read becomes a call, each answer a line of the reply.
+ */
 public final class WireHost {
     private static final long MICROS = Settings.MICROS;
     private static final int BUFFERS = 16;
+
     /** Request and attempt numbers stay below this on the wire. */
     private static final int ANY = Integer.MAX_VALUE;
 
@@ -151,14 +154,16 @@
             int zone = in.index("FailureDomain", ANY);
             int kind = in.index("ClassOfHost", ANY);
             int cell = in.index("UnitGroup", ANY);
-            Member.State state = switch (in.word("Lifecycle")) {
-                case "ready" -> Member.State.READY;
-                case "draining" -> Member.State.DRAINING;
-                case "gone" -> Member.State.GONE;
-                default -> throw new Malformed("unknown Lifecycle of " + id);
-            };
+            Member.State state =
+                    switch (in.word("Lifecycle")) {
+                        case "ready" -> Member.State.READY;
+                        case "draining" -> Member.State.DRAINING;
+                        case "gone" -> Member.State.GONE;
+                        default -> throw new Malformed("unknown Lifecycle of " + id);
+                    };
             double size = size(in.word("Size"));
-            // Rounded up: a backend taken for younger than it is gets less, never more, than it can bear.
+            // Rounded up: a backend taken for younger than it is gets less, never more, than it can
+            // bear.
             long startedAt = (in.whole("ReadyAt") + MICROS - 1) / MICROS;
             members.add(new Member(id, zone, kind, cell, state, size, startedAt));
         }
--- a/src/main/java/cottonlock/cli/LogLines.java
+++ b/src/main/java/cottonlock/cli/LogLines.java
@@ -13,16 +13,16 @@
     /** Kept: a logger that nobody holds forgets its level. */
     private static final Logger OURS = Logger.getLogger("cottonlock");
 
-    private LogLines() {
-    }
+    private LogLines() {}
 
     /** Levels are those of the operator's file: info, warning, off. */
     static void install(String format, String level) {
-        OURS.setLevel(switch (level) {
-            case "warning" -> Level.WARNING;
-            case "off" -> Level.OFF;
-            default -> Level.INFO;
-        });
+        OURS.setLevel(
+                switch (level) {
+                    case "warning" -> Level.WARNING;
+                    case "off" -> Level.OFF;
+                    default -> Level.INFO;
+                });
         if (format.equals("json")) {
             for (Handler handler : LogManager.getLogManager().getLogger("").getHandlers()) {
                 handler.setFormatter(new LogLines());
@@ -36,8 +36,16 @@
         int colon = message.indexOf(": ");
         String kind = colon < 0 ? "" : message.substring(0, colon);
         String text = colon < 0 ? message : message.substring(colon + 2);
-        return "{\"time\":\"" + line.getInstant() + "\",\"level\":\"" + line.getLevel() + "\",\"kind\":\""
-            + quoted(kind) + "\",\"text\":\"" + quoted(text) + "\"}" + System.lineSeparator();
+        return "{\"time\":\""
+                + line.getInstant()
+                + "\",\"level\":\""
+                + line.getLevel()
+                + "\",\"kind\":\""
+                + quoted(kind)
+                + "\",\"text\":\""
+                + quoted(text)
+                + "\"}"
+                + System.lineSeparator();
     }
 
     private static String quoted(String text) {
--- a/src/main/java/cottonlock/config/BadFile.java
+++ b/src/main/java/cottonlock/config/BadFile.java
@@ -3,7 +3,8 @@
 import java.util.List;
 
 /**
- * A file, or a value given on the command line, that can't be used, with everything that is wrong with it.
+ * A file, or a value given on the command line, that can't be used, with everything that is wrong
+ * with it.
  */
 public final class BadFile extends Exception {
     private static final long serialVersionUID = 1L;
@@ -21,7 +22,11 @@
     }
 
     static String line(String file, int line, String key, String fault) {
-        return file + (line > 0 ? ":" + line : "") + ": " + (key.isEmpty() ? "" : key + ": ") + fault;
+        return file
+                + (line > 0 ? ":" + line : "")
+                + ": "
+                + (key.isEmpty() ? "" : key + ": ")
+                + fault;
     }
 
     /** Each fault as one line: file, line, key, what was expected. */
--- a/src/main/java/cottonlock/config/Doc.java
+++ b/src/main/java/cottonlock/config/Doc.java
@@ -21,17 +21,21 @@
 import org.tomlj.TomlTable;
 
 /**
- * One value of a file with the line it stands on: a table, a list, a text, a truth, a whole or a decimal
- * number. Line 0 is none: the value was given on the command line.
+ * One value of a file with the line it stands on: a table, a list, a text, a truth, a whole or a
+ * decimal number. Line 0 is none: the value was given on the command line.
  */
 public final class Doc {
-    /** How deep values may lie in each other: far more than any file here, less than a stack holds. */
+    /**
+     * How deep values may lie in each other: far more than any file here, less than a stack holds.
+     */
     private static final int DEEPEST = 64;
+
     /** Characters of a file: a scenario or a list of some thousand backends is well below. */
     private static final long LONGEST = 16 << 20;
 
     final String file;
     final int line;
+
     /** A {@code Map<String, Doc>}, a {@code List<Doc>}, String, Boolean, Long or Double. */
     private Object value;
 
@@ -47,8 +51,15 @@
         TomlParseResult result = Toml.parse(text(file));
         if (result.hasErrors()) {
             List<String> faults = new ArrayList<>();
-            result.errors().forEach(e -> faults.add(name + ":" + e.position().line() + ": "
-                + e.getMessage()));
+            result.errors()
+                    .forEach(
+                            e ->
+                                    faults.add(
+                                            name
+                                                    + ":"
+                                                    + e.position().line()
+                                                    + ": "
+                                                    + e.getMessage()));
             throw new BadFile(faults);
         }
         return table(name, 1, result, 0);
@@ -58,8 +69,11 @@
     public static Doc json(Path file) throws BadFile {
         String name = file.toString();
         String text = text(file);
-        try (JsonParser parser = JsonFactory.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
-                .build().createParser(text)) {
+        try (JsonParser parser =
+                JsonFactory.builder()
+                        .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+                        .build()
+                        .createParser(text)) {
             parser.nextToken();
             Doc doc = json(name, parser, 0);
             if (parser.nextToken() != null) {
@@ -97,8 +111,11 @@
         int line = line(parser);
         JsonToken token = parser.currentToken();
         if (token == null || depth > DEEPEST) {
-            throw BadFile.of(file, line, "", token == null ? "is empty"
-                : "values lie too deep in each other");
+            throw BadFile.of(
+                    file,
+                    line,
+                    "",
+                    token == null ? "is empty" : "values lie too deep in each other");
         }
         switch (token) {
             case START_OBJECT -> {
@@ -165,14 +182,15 @@
             }
             return new Doc(file, line, list);
         }
-        boolean plain = value instanceof String || value instanceof Boolean || value instanceof Number;
+        boolean plain =
+                value instanceof String || value instanceof Boolean || value instanceof Number;
         return new Doc(file, line, plain ? value : value.toString());
     }
 
     /**
-     * Sets the value at a path, as {@code --set path=value} on the command line does: names and places in
-     * lists joined by dots. Tables on the way that are not there yet are made. The value is read as TOML;
-     * what is no TOML value is taken for a text.
+     * Sets the value at a path, as {@code --set path=value} on the command line does: names and
+     * places in lists joined by dots. Tables on the way that are not there yet are made. The value
+     * is read as TOML; what is no TOML value is taken for a text.
      *
      * @throws BadFile where the path leads through a plain value or beyond a list
      */
@@ -183,25 +201,33 @@
             throw BadFile.of(where, 0, "", "expected path=value");
         }
         TomlParseResult read = Toml.parse("v = " + pair.substring(equals + 1));
-        Doc leaf = read.hasErrors() || read.size() != 1 ? new Doc(where, 0, pair.substring(equals + 1))
-            : of(where, 0, read.get("v"), 0);
+        Doc leaf =
+                read.hasErrors() || read.size() != 1
+                        ? new Doc(where, 0, pair.substring(equals + 1))
+                        : of(where, 0, read.get("v"), 0);
         String[] names = pair.substring(0, equals).trim().split("\\.", -1);
         Doc at = this;
         for (int i = 0; i < names.length; i++) {
             boolean last = i == names.length - 1;
             if (at.value instanceof Map<?, ?>) {
                 at = at.step(names[i], last ? leaf : null, where);
-            } else if (at.value instanceof List<?> && names[i].matches("[0-9]{1,6}")
-                && Integer.parseInt(names[i]) < at.list().size()) {
+            } else if (at.value instanceof List<?>
+                    && names[i].matches("[0-9]{1,6}")
+                    && Integer.parseInt(names[i]) < at.list().size()) {
                 int place = Integer.parseInt(names[i]);
                 if (last) {
                     at.list().set(place, leaf);
                 }
                 at = at.list().get(place);
             } else {
-                throw BadFile.of(where, 0, names[i], "leads nowhere: "
-                    + (at.value instanceof List<?> ? "expected a place below " + at.list().size()
-                    : "what it is looked for in is no table"));
+                throw BadFile.of(
+                        where,
+                        0,
+                        names[i],
+                        "leads nowhere: "
+                                + (at.value instanceof List<?>
+                                        ? "expected a place below " + at.list().size()
+                                        : "what it is looked for in is no table"));
             }
         }
     }
@@ -211,7 +237,8 @@
             map().put(name, leaf);
             return leaf;
         }
-        return map().computeIfAbsent(name, n -> new Doc(where, 0, new LinkedHashMap<String, Doc>()));
+        return map().computeIfAbsent(
+                        name, n -> new Doc(where, 0, new LinkedHashMap<String, Doc>()));
     }
 
     /** Whether it is a table that has the key. */
@@ -252,7 +279,8 @@
             return list().stream().map(Doc::toml).collect(Collectors.joining(", ", "[", "]"));
         }
         return value instanceof String text
-            ? '"' + text.replace("\\", "\\\\").replace("\"", "\\\"") + '"' : String.valueOf(value);
+                ? '"' + text.replace("\\", "\\\\").replace("\"", "\\\"") + '"'
+                : String.valueOf(value);
     }
 
     /** What kind of value it is, in words. */
@@ -260,6 +288,8 @@
         if (isMap()) {
             return "a table";
         }
-        return isList() ? "a list" : value instanceof String ? "\"" + value + "\"" : String.valueOf(value);
+        return isList()
+                ? "a list"
+                : value instanceof String ? "\"" + value + "\"" : String.valueOf(value);
     }
 }
--- a/src/main/java/cottonlock/config/Fields.java
+++ b/src/main/java/cottonlock/config/Fields.java
@@ -8,23 +8,25 @@
 import java.util.Set;
 
 /**
- * Reads the fields of one table, and keeps account of what is wrong and of what was never asked for. All
- * tables of a file share one list of faults, which {@link #end} throws at once. A field that is at fault
- * reads as its default, so that reading goes on and finds the next fault too.
+ * Reads the fields of one table, and keeps account of what is wrong and of what was never asked
+ * for. All tables of a file share one list of faults, which {@link #end} throws at once. A field
+ * that is at fault reads as its default, so that reading goes on and finds the next fault too.
  */
 public final class Fields {
     /** The most edits at which a known key is named as the one that was probably meant. */
     private static final int NEAR = 3;
+
     private static final String BYTE = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])";
     private static final String ADDRESS =
-        "(" + BYTE + "(\\." + BYTE + "){3}|\\[[0-9a-fA-F:.]+\\]):[0-9]{1,5}";
+            "(" + BYTE + "(\\." + BYTE + "){3}|\\[[0-9a-fA-F:.]+\\]):[0-9]{1,5}";
     private static final int LAST_PORT = 0xffff;
+
     /** What an address looks like, in words. */
-    public static final String ADDRESS_WORDS = "an address of digits with a port, such as 127.0.0.1:5000";
+    public static final String ADDRESS_WORDS =
+            "an address of digits with a port, such as 127.0.0.1:5000";
 
     /** One fault and the line that it is told of. */
-    private record Fault(int line, String text) {
-    }
+    private record Fault(int line, String text) {}
 
     private final Doc doc;
     private final String path;
@@ -53,11 +55,17 @@
     public void end() throws BadFile {
         for (Fields table : inner) {
             if (!table.open) {
-                table.doc.map().forEach((key, value) -> {
-                    if (!table.asked.contains(key)) {
-                        table.fault(key, value, "unknown key" + nearest(key, table.asked));
-                    }
-                });
+                table.doc
+                        .map()
+                        .forEach(
+                                (key, value) -> {
+                                    if (!table.asked.contains(key)) {
+                                        table.fault(
+                                                key,
+                                                value,
+                                                "unknown key" + nearest(key, table.asked));
+                                    }
+                                });
             }
         }
         if (!faults.isEmpty()) {
@@ -72,9 +80,11 @@
     }
 
     private static String nearest(String key, Set<String> known) {
-        return known.stream().filter(k -> edits(key, k) <= Math.min(NEAR, k.length() - 1))
-            .min(Comparator.comparingInt((String k) -> edits(key, k)))
-            .map(k -> "; did you mean " + k + "?").orElse("; known here: " + String.join(", ", known));
+        return known.stream()
+                .filter(k -> edits(key, k) <= Math.min(NEAR, k.length() - 1))
+                .min(Comparator.comparingInt((String k) -> edits(key, k)))
+                .map(k -> "; did you mean " + k + "?")
+                .orElse("; known here: " + String.join(", ", known));
     }
 
     /** The fewest letters to add, drop or change (Levenshtein). */
@@ -144,7 +154,9 @@
         return otherwise == null ? words[0] : otherwise;
     }
 
-    /** The same, where words have been renamed: an old one is read as its new one, with one warning. */
+    /**
+     * The same, where words have been renamed: an old one is read as its new one, with one warning.
+     */
     public String word(String key, String otherwise, Map<String, String> renamed, String... words) {
         Doc at = doc.map().get(key);
         String now = at == null ? null : renamed.get(String.valueOf(at.plain()));
@@ -152,8 +164,14 @@
             return word(key, otherwise, words);
         }
         asked.add(key);
-        System.getLogger("cottonlock").log(System.Logger.Level.WARNING, BadFile.line(at.file, at.line,
-            path + key, "\"" + at.plain() + "\" is called \"" + now + "\" now"));
+        System.getLogger("cottonlock")
+                .log(
+                        System.Logger.Level.WARNING,
+                        BadFile.line(
+                                at.file,
+                                at.line,
+                                path + key,
+                                "\"" + at.plain() + "\" is called \"" + now + "\" now"));
         return now;
     }
 
@@ -169,14 +187,16 @@
     /** Whether a text is an address of digits with a port. */
     public static boolean isAddress(String text) {
         return text.matches(ADDRESS)
-            && Integer.parseInt(text.substring(text.lastIndexOf(':') + 1)) <= LAST_PORT;
+                && Integer.parseInt(text.substring(text.lastIndexOf(':') + 1)) <= LAST_PORT;
     }
 
     /** An address of digits with a port; a default of "" makes it one that may be left empty. */
     public String address(String key, String otherwise) {
         String text = text(key, otherwise);
-        if (has(key) && doc.map().get(key).plain() instanceof String && !isAddress(text)
-            && !(text.isEmpty() && otherwise != null)) {
+        if (has(key)
+                && doc.map().get(key).plain() instanceof String
+                && !isAddress(text)
+                && !(text.isEmpty() && otherwise != null)) {
             fault(key, "expected " + ADDRESS_WORDS + ", found \"" + text + "\"");
         }
         return text;
@@ -194,7 +214,9 @@
         return otherwise;
     }
 
-    /** A number within bounds, both allowed; a default of NaN makes the key one that must be there. */
+    /**
+     * A number within bounds, both allowed; a default of NaN makes the key one that must be there.
+     */
     public double number(String key, double otherwise, double least, double most) {
         Doc at = get(key);
         if (at == null) {
@@ -228,13 +250,15 @@
     }
 
     private static String range(double least, double most) {
-        return most == Double.MAX_VALUE ? "a number of " + plain(least) + " or more"
-            : "a number from " + plain(least) + " to " + plain(most);
+        return most == Double.MAX_VALUE
+                ? "a number of " + plain(least) + " or more"
+                : "a number from " + plain(least) + " to " + plain(most);
     }
 
     private static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? Long.toString((long) value)
-            : Double.toString(value);
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? Long.toString((long) value)
+                : Double.toString(value);
     }
 
     /** A list of texts. */
@@ -264,7 +288,8 @@
         if (at != null && !at.isMap()) {
             fault(key, at, "expected a table, found " + at.kind());
         }
-        return new Fields(at == null || !at.isMap() ? empty() : at, path + key + ".", faults, inner);
+        return new Fields(
+                at == null || !at.isMap() ? empty() : at, path + key + ".", faults, inner);
     }
 
     /** A list of tables. */
@@ -306,11 +331,13 @@
     /** The table's plain values as lines of TOML, for a file made of it, but for some. */
     public String toml(Set<String> without) {
         StringBuilder lines = new StringBuilder();
-        doc.map().forEach((key, value) -> {
-            if (!without.contains(key)) {
-                lines.append(key).append(" = ").append(value.toml()).append('\n');
-            }
-        });
+        doc.map()
+                .forEach(
+                        (key, value) -> {
+                            if (!without.contains(key)) {
+                                lines.append(key).append(" = ").append(value.toml()).append('\n');
+                            }
+                        });
         return lines.toString();
     }
 
--- a/src/main/java/cottonlock/config/OperatorFile.java
+++ b/src/main/java/cottonlock/config/OperatorFile.java
@@ -12,36 +12,52 @@
  * The operator's file: what the platform's configuration has no place for. {@code
  * deploy/operator.example.toml} has every key with its default, unit and range.
  *
- * @param logFormat {@code text}: a line with level and text; {@code json}: an object a line (RFC 8259)
- * @param logLevel  the lowest level that is written: {@code info}, {@code warning} or {@code off}
- * @param watched   settings, by path, of a module whose decisions are only counted; empty: none is watched
+ * @param logFormat {@code text}: a line with level and text; {@code json}: an object a line (RFC
+ *     8259)
+ * @param logLevel the lowest level that is written: {@code info}, {@code warning} or {@code off}
+ * @param watched settings, by path, of a module whose decisions are only counted; empty: none is
+ *     watched
  * @param membership how the proxies know one another; null: they don't
- * @param rollout    where changes of the settings are learnt of; null: from the platform's file alone
+ * @param rollout where changes of the settings are learnt of; null: from the platform's file alone
  */
-public record OperatorFile(String logFormat, String logLevel, Map<String, String> watched,
-                           MembershipPlan membership, RolloutPlan rollout) {
+public record OperatorFile(
+        String logFormat,
+        String logLevel,
+        Map<String, String> watched,
+        MembershipPlan membership,
+        RolloutPlan rollout) {
     /** Without anybody to learn of changes from. */
-    public OperatorFile(String logFormat, String logLevel, Map<String, String> watched,
-                        MembershipPlan membership) {
+    public OperatorFile(
+            String logFormat,
+            String logLevel,
+            Map<String, String> watched,
+            MembershipPlan membership) {
         this(logFormat, logLevel, watched, membership, null);
     }
 
     /** The settings that a watch may change, as the file names them. */
     private static final Map<String, String> FEES =
-        Map.of("connection_fee", "Fees.Connection", "handshake_fee", "Fees.Handshake");
+            Map.of("connection_fee", "Fees.Connection", "handshake_fee", "Fees.Handshake");
 
     /** Reads and checks it. */
     public static OperatorFile read(Path file) throws BadFile {
         Fields top = Fields.of(Doc.toml(file));
         Fields log = top.table("log");
-        OperatorFile read = new OperatorFile(log.word("format", "text", "text", "json"),
-            log.word("level", "info", "info", "warning", "off"), watched(top.table("watch")),
-            membership(top.table("membership"), file), rollout(top.table("rollout")));
+        OperatorFile read =
+                new OperatorFile(
+                        log.word("format", "text", "text", "json"),
+                        log.word("level", "info", "info", "warning", "off"),
+                        watched(top.table("watch")),
+                        membership(top.table("membership"), file),
+                        rollout(top.table("rollout")));
         top.end();
         return read;
     }
 
-    /** How closely the proxies watch one another by an operator's file, whether or not it has them do so. */
+    /**
+     * How closely the proxies watch one another by an operator's file, whether or not it has them
+     * do so.
+     */
     public static MembershipRules rules(Path file) throws BadFile {
         Fields top = Fields.of(Doc.toml(file));
         top.mayHoldMore();
@@ -77,27 +93,40 @@
         long period = millis(f, "period_ms", usual.period(), 50, 60_000);
         long answer = millis(f, "answer_ms", Math.min(usual.answer(), period * 3 / 10), 10, 60_000);
         if (answer >= period) {
-            f.fault(f.has("answer_ms") ? "answer_ms" : "period_ms", "expected answer_ms to be less than "
-                + "period_ms, found " + answer / 10 + " and " + period / 10);
+            f.fault(
+                    f.has("answer_ms") ? "answer_ms" : "period_ms",
+                    "expected answer_ms to be less than "
+                            + "period_ms, found "
+                            + answer / 10
+                            + " and "
+                            + period / 10);
         }
-        return new MembershipRules(period, answer,
-            f.whole("helpers", usual.helpers(), 0, 16),
-            f.number("suspicion_periods", usual.suspicion(), 0.5, 1_000),
-            f.number("suspicion_longest", usual.longest(), 1, 100),
-            f.whole("confirmations", usual.confirmations(), 0, 16),
-            millis(f, "hung_ms", usual.hung(), 100, 600_000), f.number("repeats", usual.repeats(), 0.5, 20),
-            f.whole("most", usual.most(), 2, 4_096),
-            10_000L * f.whole("forget_s", (int) (usual.forget() / 10_000), 10, 86_400),
-            f.whole("bytes_per_second", usual.bytes(), 1_024, 1 << 20),
-            f.whole("self_doubt", usual.doubts(), 0, 16), millis(f, "join_ms", usual.join(), 100, 60_000),
-            f.whole("contact_periods", usual.contact(), 1, 100));
+        return new MembershipRules(
+                period,
+                answer,
+                f.whole("helpers", usual.helpers(), 0, 16),
+                f.number("suspicion_periods", usual.suspicion(), 0.5, 1_000),
+                f.number("suspicion_longest", usual.longest(), 1, 100),
+                f.whole("confirmations", usual.confirmations(), 0, 16),
+                millis(f, "hung_ms", usual.hung(), 100, 600_000),
+                f.number("repeats", usual.repeats(), 0.5, 20),
+                f.whole("most", usual.most(), 2, 4_096),
+                10_000L * f.whole("forget_s", (int) (usual.forget() / 10_000), 10, 86_400),
+                f.whole("bytes_per_second", usual.bytes(), 1_024, 1 << 20),
+                f.whole("self_doubt", usual.doubts(), 0, 16),
+                millis(f, "join_ms", usual.join(), 100, 60_000),
+                f.whole("contact_periods", usual.contact(), 1, 100));
     }
 
     /** Where changes are learnt of; null where the table does not ask for it. */
     private static RolloutPlan rollout(Fields f) {
         boolean enabled = f.flag("enabled", false);
-        String service = f.formed("service", "", "[A-Za-z0-9._-]{0,64}",
-            "up to 64 letters, digits, dots, dashes and underscores");
+        String service =
+                f.formed(
+                        "service",
+                        "",
+                        "[A-Za-z0-9._-]{0,64}",
+                        "up to 64 letters, digits, dots, dashes and underscores");
         List<String> control = addresses(f, "control");
         List<String> far = addresses(f, "far");
         if (enabled && service.isEmpty()) {
@@ -106,10 +135,14 @@
         if (enabled && control.isEmpty()) {
             f.fault("control", "expected a control machine or more");
         }
-        RolloutPlan plan = new RolloutPlan(service, control, far,
-            millis(f, "call_ms", RolloutPlan.CALL, 50, 2_000),
-            millis(f, "compare_ms", RolloutPlan.COMPARE, 1_000, 60_000),
-            millis(f, "retry_ms", RolloutPlan.RETRY, 500, 60_000));
+        RolloutPlan plan =
+                new RolloutPlan(
+                        service,
+                        control,
+                        far,
+                        millis(f, "call_ms", RolloutPlan.CALL, 50, 2_000),
+                        millis(f, "compare_ms", RolloutPlan.COMPARE, 1_000, 60_000),
+                        millis(f, "retry_ms", RolloutPlan.RETRY, 500, 60_000));
         return enabled ? plan : null;
     }
 
@@ -145,7 +178,9 @@
         Map<String, String> settings = new TreeMap<>();
         if (watch.flag("on", false)) {
             settings.put("Workload", watch.word("workload", "mesh", "mesh", "chain", "proxy"));
-            FEES.forEach((key, path) -> settings.put(path, Double.toString(watch.number(key, 0, 0, 1e6))));
+            FEES.forEach(
+                    (key, path) ->
+                            settings.put(path, Double.toString(watch.number(key, 0, 0, 1e6))));
         } else if (watch.has("workload") || FEES.keySet().stream().anyMatch(watch::has)) {
             watch.word("workload", "mesh", "mesh", "chain", "proxy");
             FEES.keySet().forEach(key -> watch.number(key, 0, 0, 1e6));
--- a/src/main/java/cottonlock/config/PlatformFile.java
+++ b/src/main/java/cottonlock/config/PlatformFile.java
@@ -6,16 +6,15 @@
 import java.util.Set;
 
 /**
- * Checks the platform's JSON ({@code EDGE_CONFIG}) more closely than {@code serve} does, which takes what it
- * can use: a slip that would only show in service is told here. The settings may hold more than a proxy
- * reads.
+ * Checks the platform's JSON ({@code EDGE_CONFIG}) more closely than {@code serve} does, which
+ * takes what it can use: a slip that would only show in service is told here. The settings may hold
+ * more than a proxy reads.
  */
 public final class PlatformFile {
     /** Microseconds: a day, beyond which a time is taken for a slip in its unit. */
     private static final double DAY = 86_400e6;
 
-    private PlatformFile() {
-    }
+    private PlatformFile() {}
 
     /** Throws all that is wrong with it. */
     public static void check(Path file) throws BadFile {
--- a/src/main/java/cottonlock/decision/Averages.java
+++ b/src/main/java/cottonlock/decision/Averages.java
@@ -3,7 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Averages over the recent past, one for each number that comes up (a category, a kind of backend). */
+/**
+ * Averages over the recent past, one for each number that comes up (a category, a kind of backend).
+ */
 final class Averages {
     private static final int BUCKETS = 10;
     private final long span;
--- a/src/main/java/cottonlock/decision/Backend.java
+++ b/src/main/java/cottonlock/decision/Backend.java
@@ -7,43 +7,69 @@
 final class Backend {
     final String id;
     Member member;
+
     /** When this balancer learned that it drains or is gone; -1 while it is ready. */
     long leavingSince = -1;
+
     /** Gone from the list without draining, where that binds nobody. */
     boolean delisted;
+
     int out;
+
     /** Of those, the ones that it has been silent about for too long. */
     int missed;
+
     /** Whose lane it is in; the number of tenants where in none. */
     int lane;
+
     /** Whether a connection may be open to it, and since when nothing has been out on it. */
     boolean connected;
+
     long restsSince;
+
     /** How quickly its kind answers here, against all. */
     double pace = 1;
+
     /** Failures in a row. */
     int streak;
+
     /** Found lost since the other balancers were last told. */
     boolean lost;
+
     /** When it last gave a sign of life, or last went from nothing out to something out. */
     long quietSince;
+
     /** Answers and failures of late: older ones say little of how it is now. */
     final Ring answers;
+
     final Ring failures;
+
     /** Gaps between signs of life while something was out: their number and sum. */
     final Ring gapCount;
+
     final Ring gapSum;
+
     /** What it finished in the time that the rule on cold backends counts over. */
     final Ring finished;
-    /** While cold: when it last got work, the part of the usual gap until the next, and of which start. */
+
+    /**
+     * While cold: when it last got work, the part of the usual gap until the next, and of which
+     * start.
+     */
     long spacedFrom;
+
     double spacing;
     long spacedFor = -1;
+
     /** The requests handed to it and still out, in the order of sending. */
     final Map<Long, Request> held = new LinkedHashMap<>();
 
-    /** In due times: what an answer says of how a backend is now, and what its gaps say of its usual ones. */
+    /**
+     * In due times: what an answer says of how a backend is now, and what its gaps say of its usual
+     * ones.
+     */
     private static final double NOW = 1.28;
+
     private static final double USUAL = 19.2;
 
     Backend(Member member, long fallSpan, long due) {
--- a/src/main/java/cottonlock/decision/Beta.java
+++ b/src/main/java/cottonlock/decision/Beta.java
@@ -4,7 +4,7 @@
 
 /** Draws from the beta distribution, the posterior of a chance of success. */
 final class Beta {
-    private Beta() { }
+    private Beta() {}
 
     static double draw(SplittableRandom random, int a, int b) {
         double x = gamma(random, a);
--- a/src/main/java/cottonlock/decision/Category.java
+++ b/src/main/java/cottonlock/decision/Category.java
@@ -3,15 +3,21 @@
 /**
  * A category of requests. Times are in tenths of a millisecond.
  *
- * @param number       its place among the categories
- * @param dueTime      an answer within this time earns the full credit
- * @param lateCredit   the part of the credit that an answer after the due time earns
- * @param repeat       whether a request may run again
- * @param scope        for keyed ones: the backends that drop each other's repeats
+ * @param number its place among the categories
+ * @param dueTime an answer within this time earns the full credit
+ * @param lateCredit the part of the credit that an answer after the due time earns
+ * @param repeat whether a request may run again
+ * @param scope for keyed ones: the backends that drop each other's repeats
  * @param repeatWindow for keyed ones: how long they do
  */
-public record Category(int number, long dueTime, double credit, double lateCredit,
-                       Repeat repeat, Scope scope, long repeatWindow) {
+public record Category(
+        int number,
+        long dueTime,
+        double credit,
+        double lateCredit,
+        Repeat repeat,
+        Scope scope,
+        long repeatWindow) {
 
     /** The same with another number. */
     public Category numbered(int other) {
@@ -19,11 +25,17 @@
     }
 
     /** Whether a request may run again. */
-    public enum Repeat { SAFE, KEYED, UNSAFE }
+    public enum Repeat {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** The backends that know each other's keys. */
     public enum Scope {
-        ALL, ZONE, CELL;
+        ALL,
+        ZONE,
+        CELL;
 
         /** Whether two backends are in the same group. */
         boolean joins(Member one, Member other) {
--- a/src/main/java/cottonlock/decision/Cold.java
+++ b/src/main/java/cottonlock/decision/Cold.java
@@ -3,10 +3,10 @@
 /**
  * What is known of backends that have just started. Times are in tenths of a millisecond.
  *
- * @param share    the part of its capacity that one starts with, or more
- * @param time     after which it is warm
+ * @param share the part of its capacity that one starts with, or more
+ * @param time after which it is warm
  * @param multiple of its present capacity that pushes it over
- * @param fall     how long it can take that
+ * @param fall how long it can take that
  */
 public record Cold(double share, long time, double multiple, long fall) {
 
--- a/src/main/java/cottonlock/decision/Hash.java
+++ b/src/main/java/cottonlock/decision/Hash.java
@@ -2,7 +2,7 @@
 
 /** The hash of a tenant and a backend, the same on every balancer: FNV-1a, then mixed well. */
 public final class Hash {
-    private Hash() { }
+    private Hash() {}
 
     /** The same as a number above 0 and below 1. */
     static double part(int tenant, String id) {
--- a/src/main/java/cottonlock/decision/Lowest.java
+++ b/src/main/java/cottonlock/decision/Lowest.java
@@ -2,7 +2,10 @@
 
 import java.util.Arrays;
 
-/** The lowest value of the recent past, kept in buckets of fixed length that are used again in a ring. */
+/**
+ * The lowest value of the recent past, kept in buckets of fixed length that are used again in a
+ * ring.
+ */
 final class Lowest {
     private final double[] buckets;
     private final long bucketLength;
--- a/src/main/java/cottonlock/decision/Member.java
+++ b/src/main/java/cottonlock/decision/Member.java
@@ -3,11 +3,16 @@
 /**
  * One line of the list of backends.
  *
- * @param kind      the kind of machine, as a number without meaning
+ * @param kind the kind of machine, as a number without meaning
  * @param startedAt when it last started; 0 for long ago
  */
-public record Member(String id, int zone, int kind, int cell, State state, double size, long startedAt) {
+public record Member(
+        String id, int zone, int kind, int cell, State state, double size, long startedAt) {
 
     /** What the list says of a backend's process. */
-    public enum State { READY, DRAINING, GONE }
+    public enum State {
+        READY,
+        DRAINING,
+        GONE
+    }
 }
--- a/src/main/java/cottonlock/decision/Outcome.java
+++ b/src/main/java/cottonlock/decision/Outcome.java
@@ -2,7 +2,14 @@
 
 /** How an attempt or a probe ended. */
 public enum Outcome {
-    FINISHED, ERROR, TURNED_AWAY, TIMED_OUT, NO_CONNECTION, BROKEN_OFF, RECALLED, NOT_SENT;
+    FINISHED,
+    ERROR,
+    TURNED_AWAY,
+    TIMED_OUT,
+    NO_CONNECTION,
+    BROKEN_OFF,
+    RECALLED,
+    NOT_SENT;
 
     /** Whether the outcome proves that the request never ran on that backend. */
     public boolean neverRan() {
--- a/src/main/java/cottonlock/decision/Outlet.java
+++ b/src/main/java/cottonlock/decision/Outlet.java
@@ -1,18 +1,23 @@
 package cottonlock.decision;
 
-/** What the balancer answers through; each call is carried out at the time of the call that led to it. */
+/**
+ * What the balancer answers through; each call is carried out at the time of the call that led to
+ * it.
+ */
 public interface Outlet {
 
     /**
-     * Hands a request to a backend; it ends with the request's expiry at the latest. Its last byte may
-     * only be written before {@code sendBy}: later, what may have run already would run again.
+     * Hands a request to a backend; it ends with the request's expiry at the latest. Its last byte
+     * may only be written before {@code sendBy}: later, what may have run already would run again.
      */
     void attempt(long req, String backend, long sendBy);
 
     /** Stops waiting for one attempt; what came of it is still reported. */
     void recall(long req, int attempt);
 
-    /** Ends a request: turned away unharmed, with the time after which to come back (0: no advice). */
+    /**
+     * Ends a request: turned away unharmed, with the time after which to come back (0: no advice).
+     */
     void defer(long req, long comeBack, Reason why);
 
     /** Ends a request without promising anything about its effect. */
--- a/src/main/java/cottonlock/decision/Request.java
+++ b/src/main/java/cottonlock/decision/Request.java
@@ -11,27 +11,45 @@
     final boolean repeated;
     final long arrived;
     long expiry;
-    /** The work that it is thought to be, the same for each try of a client; 0 where that is not told. */
+
+    /**
+     * The work that it is thought to be, the same for each try of a client; 0 where that is not
+     * told.
+     */
     final long hint;
+
     /** An answer after this earns the late credit at most. */
     long due;
+
     final List<Attempt> attempts = new ArrayList<>(1);
     boolean overQuota;
+
     /** What it would end by if it ended now. */
     Reason why = Reason.NO_ROOM;
+
     /** Whether it takes up room in its lane. */
     boolean inLane;
+
     /** When it was let in. */
     long enteredAt;
+
     /** Whether it has had its final answer. */
     boolean ended;
+
     /** When it entered the line, while it waits there. */
     long inLineSince;
+
     /** The backends that the lane stage leaves to the pick stage. */
     List<Backend> candidates = List.of();
 
-    Request(long id, Category category, int tenant, boolean repeated, long arrived, long expiry,
-             long hint) {
+    Request(
+            long id,
+            Category category,
+            int tenant,
+            boolean repeated,
+            long arrived,
+            long expiry,
+            long hint) {
         this.id = id;
         this.category = category;
         this.tenant = tenant;
@@ -54,8 +72,10 @@
         final long sentAt;
         boolean out = true;
         boolean recalled;
+
         /** Whether its backend was silent for too long while it was out. */
         boolean missed;
+
         boolean neverRan;
 
         Attempt(Backend backend, long sentAt) {
@@ -65,13 +85,15 @@
     }
 
     /**
-     * By when its next attempt must be written. A repeat of what may have run comes within the window in
-     * which backends know it, with a tenth of that left for its way: they count from when they got the first.
+     * By when its next attempt must be written. A repeat of what may have run comes within the
+     * window in which backends know it, with a tenth of that left for its way: they count from when
+     * they got the first.
      */
     long sendBy() {
         Attempt ran = mayHaveRun();
-        return ran == null || category.repeat() == Category.Repeat.SAFE ? expiry
-            : Math.min(expiry, ran.sentAt + category.repeatWindow() * 9 / 10);
+        return ran == null || category.repeat() == Category.Repeat.SAFE
+                ? expiry
+                : Math.min(expiry, ran.sentAt + category.repeatWindow() * 9 / 10);
     }
 
     /** The attempt made last; there is one at least. */
--- a/src/main/java/cottonlock/decision/Ring.java
+++ b/src/main/java/cottonlock/decision/Ring.java
@@ -18,7 +18,9 @@
         total += amount;
     }
 
-    /** The sum over the span up to now; the oldest bucket counts whole until all of it is too old. */
+    /**
+     * The sum over the span up to now; the oldest bucket counts whole until all of it is too old.
+     */
     long sum(long now) {
         roll(now);
         return total;
--- a/src/main/java/cottonlock/decision/Tenant.java
+++ b/src/main/java/cottonlock/decision/Tenant.java
@@ -6,5 +6,4 @@
  * @param share its part of the service
  * @param quota requests a second, over all balancers, that earn full credit
  */
-public record Tenant(double share, double quota) {
-}
+public record Tenant(double share, double quota) {}
--- a/src/main/java/cottonlock/decision/Tokens.java
+++ b/src/main/java/cottonlock/decision/Tokens.java
@@ -9,7 +9,10 @@
         this.level = level;
     }
 
-    /** Takes one token if at least so many are there; {@code rate} is for each tenth of a millisecond. */
+    /**
+     * Takes one token if at least so many are there; {@code rate} is for each tenth of a
+     * millisecond.
+     */
     boolean take(long now, double rate, double depth, double atLeast) {
         if (filledAt >= 0) {
             level = Math.min(depth, level + rate * (now - filledAt));
--- a/src/main/java/cottonlock/lab/Arrivals.java
+++ b/src/main/java/cottonlock/lab/Arrivals.java
@@ -8,9 +8,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The schedule of a run: when which request comes, drawn from the seed alone before the run begins, so
- * that two runs of one seed are given the same. Each tenant draws from a generator of its own: a change of
- * one tenant's rate moves no arrival of another's.
+ * The schedule of a run: when which request comes, drawn from the seed alone before the run begins,
+ * so that two runs of one seed are given the same. Each tenant draws from a generator of its own: a
+ * change of one tenant's rate moves no arrival of another's.
  */
 @Decides
 final class Arrivals {
@@ -20,23 +20,37 @@
     /**
      * One request that is due to be sent.
      *
-     * @param work   core nanoseconds at speed 1
-     * @param draw   for everything else that its client decides by chance
+     * @param work core nanoseconds at speed 1
+     * @param draw for everything else that its client decides by chance
      * @param leaves the part of its patience after which its client leaves; 1 and more for never
      */
-    record Arrival(long at, int tenant, int category, int room, double work, long draw, double leaves) {
+    record Arrival(
+            long at, int tenant, int category, int room, double work, long draw, double leaves) {
         String line(int number) {
-            return String.format(Locale.ROOT, "%d\t%.3f\t%d\t%d\t%d\t%.3f\t%016x\t%.4f", number, at / 1e6,
-                tenant, category, room, work / 1e6, draw, leaves);
+            return String.format(
+                    Locale.ROOT,
+                    "%d\t%.3f\t%d\t%d\t%d\t%.3f\t%016x\t%.4f",
+                    number,
+                    at / 1e6,
+                    tenant,
+                    category,
+                    room,
+                    work / 1e6,
+                    draw,
+                    leaves);
         }
     }
 
-    private Arrivals() {
-    }
+    private Arrivals() {}
 
-    static List<Arrival> draw(long seed, long length, int rooms, List<Scenario.TenantPlan> tenants,
-                              List<Scenario.CategoryPlan> categories, Scenario.ClientPlan clients,
-                              List<Scenario.Burst> bursts) {
+    static List<Arrival> draw(
+            long seed,
+            long length,
+            int rooms,
+            List<Scenario.TenantPlan> tenants,
+            List<Scenario.CategoryPlan> categories,
+            Scenario.ClientPlan clients,
+            List<Scenario.Burst> bursts) {
         SplittableRandom root = new SplittableRandom(seed);
         List<Arrival> all = new ArrayList<>();
         double rates = tenants.stream().mapToDouble(Scenario.TenantPlan::rate).sum();
@@ -46,9 +60,13 @@
             if (!clients.arrivals().equals("trace")) {
                 double rate = tenants.get(t).rate() / 1e9;
                 String name = tenants.get(t).name();
-                double most = Math.max(1, bursts.stream().mapToDouble(Scenario.Burst::times).max().orElse(1));
+                double most =
+                        Math.max(
+                                1,
+                                bursts.stream().mapToDouble(Scenario.Burst::times).max().orElse(1));
                 boolean even = clients.arrivals().equals("even");
-                // Drawn at the highest rate and thinned out: an arrival before a burst is the same without
+                // Drawn at the highest rate and thinned out: an arrival before a burst is the same
+                // without
                 // it.
                 for (double at = 0; rate > 0; ) {
                     at += even ? 1 / rate / most : -Math.log(1 - random.nextDouble()) / rate / most;
@@ -84,16 +102,22 @@
     private static double times(List<Scenario.Burst> bursts, String tenant, long at) {
         double times = 1;
         for (Scenario.Burst b : bursts) {
-            if (at >= b.at() && at < b.at() + b.length() && (b.tenant().isEmpty()
-                || b.tenant().equals(tenant))) {
+            if (at >= b.at()
+                    && at < b.at() + b.length()
+                    && (b.tenant().isEmpty() || b.tenant().equals(tenant))) {
                 times = b.times();
             }
         }
         return times;
     }
 
-    private static Arrival one(long at, int tenant, int rooms, List<Scenario.CategoryPlan> categories,
-                               Scenario.ClientPlan clients, SplittableRandom random) {
+    private static Arrival one(
+            long at,
+            int tenant,
+            int rooms,
+            List<Scenario.CategoryPlan> categories,
+            Scenario.ClientPlan clients,
+            SplittableRandom random) {
         double weights = categories.stream().mapToDouble(Scenario.CategoryPlan::weight).sum();
         double place = random.nextDouble() * weights;
         int c = 0;
@@ -105,8 +129,14 @@
         // Log-normal with the given mean, whatever the spread is.
         double factor = Math.exp(spread * gauss(random) - spread * spread / 2);
         double leaves = random.nextDouble() < clients.leave() ? random.nextDouble() : 2;
-        return new Arrival(at, tenant, c, random.nextInt(rooms),
-            categories.get(c).work() * Math.min(MOST, factor), random.nextLong(), leaves);
+        return new Arrival(
+                at,
+                tenant,
+                c,
+                random.nextInt(rooms),
+                categories.get(c).work() * Math.min(MOST, factor),
+                random.nextLong(),
+                leaves);
     }
 
     private static double gauss(SplittableRandom random) {
--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -13,14 +13,18 @@
 import java.util.SplittableRandom;
 
 /**
- * The stand-in of one backend: a door for each proxy, a model of what it can do, and calls to the next tier
- * through a proxy of its own.
+ * The stand-in of one backend: a door for each proxy, a model of what it can do, and calls to the
+ * next tier through a proxy of its own.
  */
 final class Backend implements Conn.Owner {
     private static final byte[] NOTHING = new byte[0];
 
     /** Its life as a process. */
-    enum Life { UP, DOWN, FALLEN }
+    enum Life {
+        UP,
+        DOWN,
+        FALLEN
+    }
 
     /** One request from its first byte to its answer. */
     private static final class Job {
@@ -41,7 +45,10 @@
         }
     }
 
-    /** What a connection holds: what has come of a message, and the request that waits for its answer. */
+    /**
+     * What a connection holds: what has come of a message, and the request that waits for its
+     * answer.
+     */
     private static final class State {
         final HttpIn in = new HttpIn();
         long firstByte = -1;
@@ -79,21 +86,36 @@
     private final String sabotage;
     private final Map<Conn, State> conns = new HashMap<>();
     private final Set<Job> running = new HashSet<>();
+
     /** How it reaches the next tier; null in the last. */
     Caller next;
+
     /** Told when it falls or is killed, so that its own proxy goes with it. */
-    Runnable died = () -> { };
+    Runnable died = () -> {};
+
     Life life = Life.UP;
+
     /** When it last started, on the loop's clock; 0 for long ago. */
     long startedAt;
+
     double errors;
     boolean paused;
     private final List<Runnable> held = new ArrayList<>();
     private int calls;
 
-    Backend(String id, int tier, String room, Loop loop, Ledger ledger, Series series, Scenario.Tier plan,
-            Scenario.Rules rules, Map<String, Scenario.CategoryPlan> categories, Map<String, Marks> marks,
-            SplittableRandom random, String sabotage) {
+    Backend(
+            String id,
+            int tier,
+            String room,
+            Loop loop,
+            Ledger ledger,
+            Series series,
+            Scenario.Tier plan,
+            Scenario.Rules rules,
+            Map<String, Scenario.CategoryPlan> categories,
+            Map<String, Marks> marks,
+            SplittableRandom random,
+            String sabotage) {
         this.id = id;
         this.tier = tier;
         this.room = room;
@@ -106,9 +128,15 @@
         this.random = random;
         this.sabotage = sabotage;
         this.path = new Path(random.split());
-        this.model = new BackendModel<>(plan.cores(), plan.speed(), plan.queue(), rules.coldShare(),
-            rules.cold(),
-            rules.fallMultiple(), rules.fall());
+        this.model =
+                new BackendModel<>(
+                        plan.cores(),
+                        plan.speed(),
+                        plan.queue(),
+                        rules.coldShare(),
+                        rules.cold(),
+                        rules.fallMultiple(),
+                        rules.fall());
     }
 
     /** A door for a proxy, before the run begins. */
@@ -122,7 +150,10 @@
         model.slow = factor;
     }
 
-    /** The process stands still, as in a long collection: its sockets stay, nothing is read or answered. */
+    /**
+     * The process stands still, as in a long collection: its sockets stay, nothing is read or
+     * answered.
+     */
     void pause(boolean stands) {
         paused = stands;
         if (!stands) {
@@ -135,11 +166,12 @@
     /** The process dies: its connections are reset, new ones refused, and what it did is gone. */
     void die(boolean fell) {
         life = fell ? Life.FALLEN : Life.DOWN;
-        running.forEach(job -> {
-            if (job.timer != null) {
-                job.timer.cancel();
-            }
-        });
+        running.forEach(
+                job -> {
+                    if (job.timer != null) {
+                        job.timer.cancel();
+                    }
+                });
         running.clear();
         held.clear();
         paused = false;
@@ -200,14 +232,16 @@
         if (paused) {
             byte[] copy = Arrays.copyOf(bytes, length);
             long at = conn.cameAt;
-            held.add(() -> {
-                conn.cameAt = at;
-                came(conn, copy, copy.length);
-            });
+            held.add(
+                    () -> {
+                        conn.cameAt = at;
+                        came(conn, copy, copy.length);
+                    });
             return;
         }
         if (state.firstByte < 0) {
-            // When it left the proxy: what this stand-in or its network holds back is not the proxy's doing.
+            // When it left the proxy: what this stand-in or its network holds back is not the
+            // proxy's doing.
             state.firstByte = conn.cameAt;
         }
         state.in.add(bytes, length);
@@ -256,7 +290,7 @@
         }
         switch (model.take(job)) {
             case BEGINS -> begin(job);
-            case WAITS -> { }
+            case WAITS -> {}
             default -> {
                 series.refused(id, now);
                 answer(job, 503, "X-Not-Processed", NOTHING);
@@ -269,15 +303,21 @@
         running.add(job);
         if (now >= job.until) {
             // Nobody waits for it any more: not begun, it has had no effect.
-            job.timer = loop.after(0, () -> {
-                answer(job, 503, "X-Not-Processed", NOTHING);
-                over(job);
-            });
+            job.timer =
+                    loop.after(
+                            0,
+                            () -> {
+                                answer(job, 503, "X-Not-Processed", NOTHING);
+                                over(job);
+                            });
             return;
         }
-        boolean fresh = !job.category.repeat().equals("keyed")
-            || marks.computeIfAbsent(job.category.scope().equals("room") ? room : "", r -> new Marks())
-                .isNew(tier + " " + job.key, now, job.category.window());
+        boolean fresh =
+                !job.category.repeat().equals("keyed")
+                        || marks.computeIfAbsent(
+                                        job.category.scope().equals("room") ? room : "",
+                                        r -> new Marks())
+                                .isNew(tier + " " + job.key, now, job.category.window());
         if (fresh) {
             ledger.effect(now, job.id, job.category.repeat(), room);
         }
@@ -308,31 +348,46 @@
             running.remove(job);
             return;
         }
-        String inner = id + "-" + Long.toString(++calls, 36) + "-" + Long.toString(random.nextLong() >>> 32,
-            36);
+        String inner =
+                id
+                        + "-"
+                        + Long.toString(++calls, 36)
+                        + "-"
+                        + Long.toString(random.nextLong() >>> 32, 36);
         String chain = job.key + "/" + job.callsLeft;
         job.callsLeft--;
-        next.send(new Caller.Request(inner, job.key == null ? inner : chain, chain, job.category, job.tenant,
-            left,
-            false, job.work), true, -1, result -> {
-                if (!running.contains(job)) {
-                    return;
-                }
-                if (result.end() != Caller.End.FINISHED) {
-                    finish(job, 500);
-                    running.remove(job);
-                } else if (job.callsLeft > 0) {
-                    call(job);
-                } else {
-                    finish(job, 200);
-                    running.remove(job);
-                }
-            });
+        next.send(
+                new Caller.Request(
+                        inner,
+                        job.key == null ? inner : chain,
+                        chain,
+                        job.category,
+                        job.tenant,
+                        left,
+                        false,
+                        job.work),
+                true,
+                -1,
+                result -> {
+                    if (!running.contains(job)) {
+                        return;
+                    }
+                    if (result.end() != Caller.End.FINISHED) {
+                        finish(job, 500);
+                        running.remove(job);
+                    } else if (job.callsLeft > 0) {
+                        call(job);
+                    } else {
+                        finish(job, 200);
+                        running.remove(job);
+                    }
+                });
     }
 
     private void finish(Job job, int status) {
         if (status == 200) {
-            byte[] body = (job.id + " " + job.category.name()).getBytes(StandardCharsets.ISO_8859_1);
+            byte[] body =
+                    (job.id + " " + job.category.name()).getBytes(StandardCharsets.ISO_8859_1);
             ledger.made(job.id, Arrays.hashCode(body));
             series.done(id, loop.now());
             answer(job, 200, null, body);
@@ -366,8 +421,13 @@
         String value = name == null ? null : "1";
         if (plan.reports() && name == null) {
             name = "X-Server-Load";
-            value = "inflight=" + (model.busy() + model.waiting()) + ",queue=" + model.waiting() + ",util="
-                + Math.round(100.0 * model.busy() / model.cores()) / 100.0;
+            value =
+                    "inflight="
+                            + (model.busy() + model.waiting())
+                            + ",queue="
+                            + model.waiting()
+                            + ",util="
+                            + Math.round(100.0 * model.busy() / model.cores()) / 100.0;
         }
         job.conn.answer(HttpIn.answer(status, name, value, body));
     }
--- a/src/main/java/cottonlock/lab/BackendModel.java
+++ b/src/main/java/cottonlock/lab/BackendModel.java
@@ -5,19 +5,23 @@
 import java.util.Deque;
 
 /**
- * What a backend can do, in time that it is given: cores, a queue, a cold start that warms, and a fall when
- * it is pushed too far while cold. Times are nanoseconds; work is core nanoseconds at speed 1.
+ * What a backend can do, in time that it is given: cores, a queue, a cold start that warms, and a
+ * fall when it is pushed too far while cold. Times are nanoseconds; work is core nanoseconds at
+ * speed 1.
  *
  * @param <J> a job
  */
 @Decides
 final class BackendModel<J> {
     /** What becomes of a job that comes. */
-    enum Taken { BEGINS, WAITS, FULL }
-
-    private record Offer(long at, double work) {
+    enum Taken {
+        BEGINS,
+        WAITS,
+        FULL
     }
 
+    private record Offer(long at, double work) {}
+
     private final int cores;
     private final double speed;
     private final int queue;
@@ -30,11 +34,18 @@
     private double offered;
     private int busy;
     private long started = Long.MIN_VALUE / 2;
+
     /** How many times slower than usual it works just now. */
     double slow = 1;
 
-    BackendModel(int cores, double speed, int queue, double coldShare, long cold, double fallMultiple,
-                 long fall) {
+    BackendModel(
+            int cores,
+            double speed,
+            int queue,
+            double coldShare,
+            long cold,
+            double fallMultiple,
+            long fall) {
         this.cores = cores;
         this.speed = speed;
         this.queue = queue;
@@ -59,8 +70,9 @@
     }
 
     /**
-     * Notes work that was sent to it, whether or not it can take it; true when that pushes it over: in the
-     * last {@code fall}, while it was cold, more came than the multiple of what it can do at this moment.
+     * Notes work that was sent to it, whether or not it can take it; true when that pushes it over:
+     * in the last {@code fall}, while it was cold, more came than the multiple of what it can do at
+     * this moment.
      */
     boolean pushedOver(long now, double work) {
         if (now - started >= cold) {
--- a/src/main/java/cottonlock/lab/Caller.java
+++ b/src/main/java/cottonlock/lab/Caller.java
@@ -13,35 +13,67 @@
 import java.util.function.Supplier;
 
 /**
- * Brings requests to one proxy, one at a time on each connection, and tells the ledger. A connection that
- * ends before its answer begins, having been used before, is taken for one that the proxy closed between
- * requests: the request goes once more on a new one (PROTOCOL, Callers to proxies).
+ * Brings requests to one proxy, one at a time on each connection, and tells the ledger. A
+ * connection that ends before its answer begins, having been used before, is taken for one that the
+ * proxy closed between requests: the request goes once more on a new one (PROTOCOL, Callers to
+ * proxies).
  */
 final class Caller implements Conn.Owner {
-    /** How long an answer is waited for beyond the patience, so that late ones are seen as late: in ns. */
+    /**
+     * How long an answer is waited for beyond the patience, so that late ones are seen as late: in
+     * ns.
+     */
     private static final long BEYOND = 500_000_000L;
-    /** Nanoseconds for a connection to come up: on one machine it does at once, or the proxy is stuck. */
+
+    /**
+     * Nanoseconds for a connection to come up: on one machine it does at once, or the proxy is
+     * stuck.
+     */
     private static final long CONNECT = 1_000_000_000L;
 
     /** What came of it. */
-    enum End { FINISHED, DEFERRED, WRITTEN_OFF, NO_ANSWER, NOT_TAKEN, LEFT }
+    enum End {
+        FINISHED,
+        DEFERRED,
+        WRITTEN_OFF,
+        NO_ANSWER,
+        NOT_TAKEN,
+        LEFT
+    }
 
     /** An answer; the come-back time is in nanoseconds, 0 where there was none. */
-    record Result(End end, long comeBack) {
-    }
+    record Result(End end, long comeBack) {}
 
     /** A request as it is written on the wire. */
-    record Request(String id, String chain, String key, Scenario.CategoryPlan category, String tenant,
-        long patience,
-                   boolean retried, double work) {
+    record Request(
+            String id,
+            String chain,
+            String key,
+            Scenario.CategoryPlan category,
+            String tenant,
+            long patience,
+            boolean retried,
+            double work) {
         byte[] bytes(long left) {
             boolean get = category.repeat().equals("safe");
-            String text = (get ? "GET /" : "POST /") + category.name() + "?w=" + (long) (work / 1_000)
-                + " HTTP/1.1\r\nHost: lab\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: " + category.name()
-                + "\r\nX-Tenant-Id: " + tenant + "\r\nX-Timeout-Ms: " + Math.max(1, left / 1_000_000)
-                + (retried ? "\r\nX-Retried: 1" : "")
-                + (category.repeat().equals("keyed") ? "\r\nIdempotency-Key: " + key : "")
-                + (get ? "\r\n\r\n" : "\r\nContent-Length: 4\r\n\r\nbody");
+            String text =
+                    (get ? "GET /" : "POST /")
+                            + category.name()
+                            + "?w="
+                            + (long) (work / 1_000)
+                            + " HTTP/1.1\r\nHost: lab\r\nX-Request-ID: "
+                            + id
+                            + "\r\nX-Priority-Class: "
+                            + category.name()
+                            + "\r\nX-Tenant-Id: "
+                            + tenant
+                            + "\r\nX-Timeout-Ms: "
+                            + Math.max(1, left / 1_000_000)
+                            + (retried ? "\r\nX-Retried: 1" : "")
+                            + (category.repeat().equals("keyed")
+                                    ? "\r\nIdempotency-Key: " + key
+                                    : "")
+                            + (get ? "\r\n\r\n" : "\r\nContent-Length: 4\r\n\r\nbody");
             return text.getBytes(StandardCharsets.ISO_8859_1);
         }
     }
@@ -78,11 +110,18 @@
     private final SplittableRandom chance;
     private final Deque<Conn> resting = new ArrayDeque<>();
     private final Set<Conn> busy = new HashSet<>();
+
     /** The proxy is being killed: what it owes is excused, as long as it has not started again. */
     private boolean dying;
 
-    Caller(Loop loop, Ledger ledger, ByteBuffer buffer, int proxy, Supplier<InetSocketAddress> address,
-           String sabotage, SplittableRandom chance) {
+    Caller(
+            Loop loop,
+            Ledger ledger,
+            ByteBuffer buffer,
+            int proxy,
+            Supplier<InetSocketAddress> address,
+            String sabotage,
+            SplittableRandom chance) {
         this.loop = loop;
         this.ledger = ledger;
         this.buffer = buffer;
@@ -95,13 +134,18 @@
     /**
      * Sends a request; the result comes later, once.
      *
-     * @param keep    whether the connection is used again
+     * @param keep whether the connection is used again
      * @param leaveIn nanoseconds after which the client leaves; negative for never
      */
     void send(Request request, boolean keep, long leaveIn, Consumer<Result> then) {
         long now = loop.now();
-        Call call = new Call(request, now + request.patience(), keep,
-            leaveIn < 0 ? Long.MAX_VALUE : now + leaveIn, then);
+        Call call =
+                new Call(
+                        request,
+                        now + request.patience(),
+                        keep,
+                        leaveIn < 0 ? Long.MAX_VALUE : now + leaveIn,
+                        then);
         Conn conn = resting.pollLast();
         if (conn != null) {
             call.reused = true;
@@ -136,20 +180,31 @@
         busy.add(conn);
         long now = loop.now();
         if (!call.again) {
-            ledger.sent(call.request.id(), call.request.chain(), call.request.category().name(), proxy,
-                call.until);
+            ledger.sent(
+                    call.request.id(),
+                    call.request.chain(),
+                    call.request.category().name(),
+                    proxy,
+                    call.until);
         }
         call.written = true;
         long leave = Math.min(call.until + BEYOND, call.leaveAt);
-        call.timer = loop.at(leave, () -> {
-            boolean left = call.leaveAt < call.until;
-            if (left) {
-                ledger.excused(loop.now(), call.request.id(), false);
-            } else {
-                noAnswer(call, "no answer came before its expiry");
-            }
-            finish(conn, call, new Result(left ? End.LEFT : End.NO_ANSWER, 0), false);
-        });
+        call.timer =
+                loop.at(
+                        leave,
+                        () -> {
+                            boolean left = call.leaveAt < call.until;
+                            if (left) {
+                                ledger.excused(loop.now(), call.request.id(), false);
+                            } else {
+                                noAnswer(call, "no answer came before its expiry");
+                            }
+                            finish(
+                                    conn,
+                                    call,
+                                    new Result(left ? End.LEFT : End.NO_ANSWER, 0),
+                                    false);
+                        });
         conn.write(call.request.bytes(call.until - now));
     }
 
@@ -168,7 +223,8 @@
                 answered(conn, call, message);
             }
         } catch (HttpIn.Unreadable e) {
-            ledger.unanswered(loop.now(), call.request.id(), "its answer can't be read: " + e.getMessage());
+            ledger.unanswered(
+                    loop.now(), call.request.id(), "its answer can't be read: " + e.getMessage());
             finish(conn, call, new Result(End.NO_ANSWER, 0), false);
         }
     }
@@ -183,19 +239,27 @@
         if (sabotage.equals("answer-late") && chance.nextInt(200) == 0) {
             now = call.until + 200_000_000L;
         }
-        int body = Arrays.hashCode(message.body()) + (sabotage.equals("wrong-answer")
-            && chance.nextInt(200) == 0
-            ? 1 : 0);
+        int body =
+                Arrays.hashCode(message.body())
+                        + (sabotage.equals("wrong-answer") && chance.nextInt(200) == 0 ? 1 : 0);
         String status = message.start()[1];
-        End end = status.equals("200") ? End.FINISHED
-            : status.equals("503") || status.equals("429") ? End.DEFERRED : End.WRITTEN_OFF;
+        End end =
+                status.equals("200")
+                        ? End.FINISHED
+                        : status.equals("503") || status.equals("429")
+                                ? End.DEFERRED
+                                : End.WRITTEN_OFF;
         ledger.answered(now, call.request.id(), end == End.FINISHED, body);
         long comeBack = 0;
         String after = message.field("retry-after");
         if (after != null && after.matches("[0-9]{1,6}(\\.[0-9]{1,6})?")) {
             comeBack = (long) (1e9 * Double.parseDouble(after));
         }
-        finish(conn, call, new Result(end, comeBack), call.keep && !message.closes() && call.in.atRest());
+        finish(
+                conn,
+                call,
+                new Result(end, comeBack),
+                call.keep && !message.closes() && call.in.atRest());
     }
 
     private void finish(Conn conn, Call call, Result result, boolean keep) {
--- a/src/main/java/cottonlock/lab/Chart.java
+++ b/src/main/java/cottonlock/lab/Chart.java
@@ -4,7 +4,9 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A line chart over the seconds of a run as inline SVG, with the faults marked behind the lines. */
+/**
+ * A line chart over the seconds of a run as inline SVG, with the faults marked behind the lines.
+ */
 public final class Chart {
     private static final int WIDTH = 860;
     private static final int HEIGHT = 190;
@@ -12,13 +14,16 @@
     private static final int BOTTOM = 26;
     private static final int TOP = 10;
     private static final int RIGHT = 12;
-    /** Told apart also by people who see few colours, and in grey by their order (Okabe and Ito). */
-    private static final String[] COLOURS = {"#0072b2", "#d55e00", "#009e73", "#cc79a7", "#e69f00", "#56b4e9",
-        "#555555"};
+
+    /**
+     * Told apart also by people who see few colours, and in grey by their order (Okabe and Ito).
+     */
+    private static final String[] COLOURS = {
+        "#0072b2", "#d55e00", "#009e73", "#cc79a7", "#e69f00", "#56b4e9", "#555555"
+    };
 
     /** One line: its values by place along the x axis; a negative one is a gap. */
-    private record Line(String name, double[] values) {
-    }
+    private record Line(String name, double[] values) {}
 
     private final String title;
     private final String unit;
@@ -28,12 +33,22 @@
     private final List<Mark> marks;
 
     /** A span of seconds that is marked behind the lines, with words for whoever points at it. */
-    public record Mark(double from, double to, String words) {
-    }
+    public record Mark(double from, double to, String words) {}
 
     Chart(String title, String unit, double[] xs, String xUnit, List<Timeline.Entry> faults) {
-        this(xs, title, unit, xUnit, faults.stream().map(fault -> new Mark(fault.at() / 1e9,
-            (fault.at() + fault.length()) / 1e9, fault.words())).toList());
+        this(
+                xs,
+                title,
+                unit,
+                xUnit,
+                faults.stream()
+                        .map(
+                                fault ->
+                                        new Mark(
+                                                fault.at() / 1e9,
+                                                (fault.at() + fault.length()) / 1e9,
+                                                fault.words()))
+                        .toList());
     }
 
     /** A chart over these places along its x axis. */
@@ -62,43 +77,80 @@
         top = round(top);
         double low = xs.length == 0 ? 0 : Math.min(0, xs[0]);
         double high = xs.length == 0 ? 1 : Math.max(low + 1e-9, xs[xs.length - 1]);
-        StringBuilder s = new StringBuilder("<figure><figcaption>").append(text(title)).append(" <small>")
-            .append(text(unit)).append("</small></figcaption>\n<svg viewBox=\"0 0 ").append(WIDTH).append(' ')
-            .append(HEIGHT).append("\" role=\"img\" aria-label=\"").append(text(title)).append("\">\n");
+        StringBuilder s =
+                new StringBuilder("<figure><figcaption>")
+                        .append(text(title))
+                        .append(" <small>")
+                        .append(text(unit))
+                        .append("</small></figcaption>\n<svg viewBox=\"0 0 ")
+                        .append(WIDTH)
+                        .append(' ')
+                        .append(HEIGHT)
+                        .append("\" role=\"img\" aria-label=\"")
+                        .append(text(title))
+                        .append("\">\n");
         for (Mark mark : marks) {
             double from = x(Math.min(high, mark.from), low, high);
             double to = x(Math.min(high, mark.to), low, high);
-            s.append(String.format(Locale.ROOT, "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" "
-                + "class=\"fault\"><title>%s</title></rect>\n", from, TOP, Math.max(1, to - from),
-                HEIGHT - TOP - BOTTOM, text(mark.words)));
+            s.append(
+                    String.format(
+                            Locale.ROOT,
+                            "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" "
+                                    + "class=\"fault\"><title>%s</title></rect>\n",
+                            from,
+                            TOP,
+                            Math.max(1, to - from),
+                            HEIGHT - TOP - BOTTOM,
+                            text(mark.words)));
         }
         for (int i = 0; i <= 4; i++) {
             double y = y(top * i / 4, top);
-            s.append(String.format(Locale.ROOT,
-                "<line x1=\"%d\" x2=\"%d\" y1=\"%.1f\" y2=\"%.1f\" class=\"grid\"/>"
-                + "<text x=\"%d\" y=\"%.1f\" text-anchor=\"end\">%s</text>\n", LEFT, WIDTH - RIGHT, y, y,
-                LEFT - 6,
-                y + 4, number(top * i / 4)));
+            s.append(
+                    String.format(
+                            Locale.ROOT,
+                            "<line x1=\"%d\" x2=\"%d\" y1=\"%.1f\" y2=\"%.1f\" class=\"grid\"/>"
+                                    + "<text x=\"%d\" y=\"%.1f\" text-anchor=\"end\">%s</text>\n",
+                            LEFT,
+                            WIDTH - RIGHT,
+                            y,
+                            y,
+                            LEFT - 6,
+                            y + 4,
+                            number(top * i / 4)));
         }
         double step = Math.max(round((high - low) / 12), high - low > 5 ? 1 : 0);
         for (double at = Math.ceil(low / step) * step; at <= high * 1.0000001; at += step) {
-            s.append(String.format(Locale.ROOT,
-                "<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\">%s</text>\n", x(at, low, high),
-                HEIGHT - 8, number(at) + (at == 0 ? "" : " " + xUnit)));
+            s.append(
+                    String.format(
+                            Locale.ROOT,
+                            "<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\">%s</text>\n",
+                            x(at, low, high),
+                            HEIGHT - 8,
+                            number(at) + (at == 0 ? "" : " " + xUnit)));
         }
         for (int i = 0; i < lines.size(); i++) {
-            s.append(path(lines.get(i).values, low, high, top, COLOURS[i % COLOURS.length],
-                i >= COLOURS.length));
+            s.append(
+                    path(
+                            lines.get(i).values,
+                            low,
+                            high,
+                            top,
+                            COLOURS[i % COLOURS.length],
+                            i >= COLOURS.length));
         }
         s.append("</svg>\n<p class=\"key\">");
         for (int i = 0; i < lines.size(); i++) {
-            s.append("<span><i style=\"background:").append(COLOURS[i % COLOURS.length]).append("\"></i>")
-                .append(text(lines.get(i).name)).append("</span> ");
+            s.append("<span><i style=\"background:")
+                    .append(COLOURS[i % COLOURS.length])
+                    .append("\"></i>")
+                    .append(text(lines.get(i).name))
+                    .append("</span> ");
         }
         return s.append("</p></figure>\n").toString();
     }
 
-    private String path(double[] values, double low, double high, double top, String colour, boolean dashed) {
+    private String path(
+            double[] values, double low, double high, double top, String colour, boolean dashed) {
         StringBuilder d = new StringBuilder();
         boolean gap = true;
         for (int i = 0; i < Math.min(values.length, xs.length); i++) {
@@ -106,12 +158,22 @@
                 gap = true;
                 continue;
             }
-            d.append(String.format(Locale.ROOT, "%s%.1f %.1f", gap ? "M" : "L", x(xs[i], low, high),
-                y(values[i], top)));
+            d.append(
+                    String.format(
+                            Locale.ROOT,
+                            "%s%.1f %.1f",
+                            gap ? "M" : "L",
+                            x(xs[i], low, high),
+                            y(values[i], top)));
             gap = false;
         }
-        return "<path d=\"" + d + "\" stroke=\"" + colour + "\"" + (dashed ? " stroke-dasharray=\"4 3\"" : "")
-            + "/>\n";
+        return "<path d=\""
+                + d
+                + "\" stroke=\""
+                + colour
+                + "\""
+                + (dashed ? " stroke-dasharray=\"4 3\"" : "")
+                + "/>\n";
     }
 
     private static double x(double at, double low, double high) {
@@ -137,12 +199,16 @@
     }
 
     private static String number(double value) {
-        return value == Math.rint(value) ? Long.toString((long) value)
-            : String.format(Locale.ROOT, Math.abs(value) < 10 ? "%.2f" : "%.1f", value);
+        return value == Math.rint(value)
+                ? Long.toString((long) value)
+                : String.format(Locale.ROOT, Math.abs(value) < 10 ? "%.2f" : "%.1f", value);
     }
 
     /** Text for a page. */
     public static String text(String raw) {
-        return raw.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("\"", "&quot;");
+        return raw.replace("&", "&amp;")
+                .replace("<", "&lt;")
+                .replace(">", "&gt;")
+                .replace("\"", "&quot;");
     }
 }
--- a/src/main/java/cottonlock/lab/Clients.java
+++ b/src/main/java/cottonlock/lab/Clients.java
@@ -5,13 +5,14 @@
 import java.util.SplittableRandom;
 
 /**
- * The clients and the front that deals their connections out among the proxies of their room. Arrivals are
- * open loop: they come when the schedule has them, whatever became of those before. Latency counts from
- * then.
+ * The clients and the front that deals their connections out among the proxies of their room.
+ * Arrivals are open loop: they come when the schedule has them, whatever became of those before.
+ * Latency counts from then.
  */
 final class Clients {
     /** Proxies that are tried for one send when connections don't come up. */
     private static final int TRIES = 3;
+
     /** Nanoseconds before a client sends again when it was given no come-back time, at least. */
     private static final long PAUSE = 50_000_000L;
 
@@ -22,8 +23,12 @@
     private final List<String> tenants;
     private final List<Scenario.CategoryPlan> categories;
     private final List<Caller> callers;
-    /** The room of each proxy, and since when the front knows that it is gone; -1 while it serves. */
+
+    /**
+     * The room of each proxy, and since when the front knows that it is gone; -1 while it serves.
+     */
     private final int[] rooms;
+
     private final long[] goneSince;
     private List<Arrivals.Arrival> arrivals = List.of();
     private int nextArrival;
@@ -32,8 +37,15 @@
     private long sent;
     private boolean ended;
 
-    Clients(Loop loop, Ledger ledger, Series series, Scenario.ClientPlan plan, List<String> tenants,
-            List<Scenario.CategoryPlan> categories, List<Caller> callers, int[] rooms) {
+    Clients(
+            Loop loop,
+            Ledger ledger,
+            Series series,
+            Scenario.ClientPlan plan,
+            List<String> tenants,
+            List<Scenario.CategoryPlan> categories,
+            List<Caller> callers,
+            int[] rooms) {
         this.loop = loop;
         this.ledger = ledger;
         this.series = series;
@@ -55,11 +67,13 @@
     private void next(long from) {
         if (nextArrival < arrivals.size() && !ended) {
             Arrivals.Arrival a = arrivals.get(nextArrival);
-            loop.at(from + a.at(), () -> {
-                int number = nextArrival++;
-                next(from);
-                arrive(a, number, from);
-            });
+            loop.at(
+                    from + a.at(),
+                    () -> {
+                        int number = nextArrival++;
+                        next(from);
+                        arrive(a, number, from);
+                    });
         }
     }
 
@@ -98,8 +112,15 @@
     }
 
     /** One send of a request: the first, or a client's retry of it. */
-    private void send(Arrivals.Arrival a, int number, int tries, int retries, String key, long due, long from,
-                      SplittableRandom chance) {
+    private void send(
+            Arrivals.Arrival a,
+            int number,
+            int tries,
+            int retries,
+            String key,
+            long due,
+            long from,
+            SplittableRandom chance) {
         Scenario.CategoryPlan category = categories.get(a.category());
         long now = loop.now();
         long patience = due + category.expiry() - now;
@@ -109,26 +130,50 @@
             return;
         }
         // Which send this is: an id is new with each (PROTOCOL).
-        String id = Integer.toString(number, 36) + "-" + retries + "-" + tries + "-"
-            + Long.toString(chance.nextLong() >>> 24, 36);
+        String id =
+                Integer.toString(number, 36)
+                        + "-"
+                        + retries
+                        + "-"
+                        + tries
+                        + "-"
+                        + Long.toString(chance.nextLong() >>> 24, 36);
         long leaveIn = a.leaves() < 1 && retries == 0 ? (long) (a.leaves() * patience) : -1;
         sent++;
         retried += retries > 0 && tries == 0 ? 1 : 0;
-        callers.get(proxy).send(new Caller.Request(id, key, key, category, tenants.get(a.tenant()), patience,
-            retries > 0, a.work()), chance.nextDouble() < plan.keep(), leaveIn, result -> {
-                if (result.end() == Caller.End.NOT_TAKEN) {
-                    // Nobody has it: the front tries the next proxy.
-                    sent--;
-                    send(a, number, tries + 1, retries, key, due, from, chance);
-                } else {
-                    ended(a, result, number, retries, key, due, from, chance);
-                }
-            });
+        callers.get(proxy)
+                .send(
+                        new Caller.Request(
+                                id,
+                                key,
+                                key,
+                                category,
+                                tenants.get(a.tenant()),
+                                patience,
+                                retries > 0,
+                                a.work()),
+                        chance.nextDouble() < plan.keep(),
+                        leaveIn,
+                        result -> {
+                            if (result.end() == Caller.End.NOT_TAKEN) {
+                                // Nobody has it: the front tries the next proxy.
+                                sent--;
+                                send(a, number, tries + 1, retries, key, due, from, chance);
+                            } else {
+                                ended(a, result, number, retries, key, due, from, chance);
+                            }
+                        });
     }
 
-    private void ended(Arrivals.Arrival a, Caller.Result result, int number, int retries, String key,
-        long due,
-                       long from, SplittableRandom chance) {
+    private void ended(
+            Arrivals.Arrival a,
+            Caller.Result result,
+            int number,
+            int retries,
+            String key,
+            long due,
+            long from,
+            SplittableRandom chance) {
         long now = loop.now();
         switch (result.end()) {
             case FINISHED -> {
@@ -162,8 +207,10 @@
             series.count(Series.Count.NO_ANSWER, loop.now() - from);
         }
         boolean late = loop.now() - from - a.at() > category.due();
-        double earned = end != Caller.End.FINISHED ? 0 : category.credit() * (late ? category.lateCredit()
-            : 1);
+        double earned =
+                end != Caller.End.FINISHED
+                        ? 0
+                        : category.credit() * (late ? category.lateCredit() : 1);
         series.credit(a.tenant(), a.at(), category.credit(), earned);
     }
 
--- a/src/main/java/cottonlock/lab/Conn.java
+++ b/src/main/java/cottonlock/lab/Conn.java
@@ -11,15 +11,14 @@
 import java.util.Deque;
 
 /**
- * One connection of a stand-in, with the network it goes over. It owns its channel and closes it in one
- * place; {@link Owner#ended} comes exactly once.
+ * One connection of a stand-in, with the network it goes over. It owns its channel and closes it in
+ * one place; {@link Owner#ended} comes exactly once.
  */
 final class Conn implements Loop.Ready {
     /** Whom a connection tells what happens on it. */
     interface Owner {
         /** It has come up; for connections that the stand-in opened. */
-        default void up(Conn conn) {
-        }
+        default void up(Conn conn) {}
 
         /** Bytes have come through the network. */
         void came(Conn conn, byte[] bytes, int length);
@@ -40,14 +39,18 @@
     private SelectionKey key;
     private boolean closeAfterOut;
     private boolean ended;
+
     /** When the last bytes under way get through, each way: what is delayed stays in order. */
     private long inFree;
+
     private long outFree;
+
     /** What its owner knows it by. */
     Object of;
+
     /**
-     * When the bytes that its owner is given left the other side: before the network's delay, if there is
-     * one.
+     * When the bytes that its owner is given left the other side: before the network's delay, if
+     * there is one.
      */
     long cameAt;
 
@@ -64,8 +67,9 @@
     }
 
     /** A connection that a stand-in has accepted. */
-    static Conn accepted(Loop loop, SocketChannel channel, Owner owner, Path path, ByteBuffer buffer)
-        throws IOException {
+    static Conn accepted(
+            Loop loop, SocketChannel channel, Owner owner, Path path, ByteBuffer buffer)
+            throws IOException {
         Conn conn = new Conn(loop, channel, owner, path, buffer);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         conn.key = loop.register(channel, SelectionKey.OP_READ, conn);
@@ -78,7 +82,8 @@
         try {
             channel = SocketChannel.open();
         } catch (IOException e) {
-            // No more descriptors: it never comes up. A run that gets here has fallen far behind, which it
+            // No more descriptors: it never comes up. A run that gets here has fallen far behind,
+            // which it
             // tells.
         }
         Conn conn = new Conn(loop, channel, owner, new Path(null), buffer);
@@ -154,12 +159,14 @@
         }
         byte[] bytes = Arrays.copyOf(buffer.array(), n);
         inFree = Math.max(inFree, loop.now() + path.delay) + path.takes(n);
-        loop.at(inFree, () -> {
-            if (!ended && !path.cut) {
-                cameAt = read;
-                owner.came(this, bytes, bytes.length);
-            }
-        });
+        loop.at(
+                inFree,
+                () -> {
+                    if (!ended && !path.cut) {
+                        cameAt = read;
+                        owner.came(this, bytes, bytes.length);
+                    }
+                });
     }
 
     /** Writes bytes as one piece. */
@@ -191,12 +198,14 @@
             return;
         }
         outFree = Math.max(outFree, now + path.delay + wait) + path.takes(bytes.length);
-        loop.at(outFree, () -> {
-            if (!ended && !path.cut) {
-                out.add(ByteBuffer.wrap(bytes));
-                push();
-            }
-        });
+        loop.at(
+                outFree,
+                () -> {
+                    if (!ended && !path.cut) {
+                        out.add(ByteBuffer.wrap(bytes));
+                        push();
+                    }
+                });
     }
 
     private void push() {
--- a/src/main/java/cottonlock/lab/ControlMachine.java
+++ b/src/main/java/cottonlock/lab/ControlMachine.java
@@ -16,14 +16,21 @@
 import java.util.Map;
 
 /**
- * The stand-in of a control machine: it tells the versions of services' settings as docs/rollout.md has it.
- * It can be killed, lie behind, be overloaded, tell half a version and break off in the middle of a line.
+ * The stand-in of a control machine: it tells the versions of services' settings as docs/rollout.md
+ * has it. It can be killed, lie behind, be overloaded, tell half a version and break off in the
+ * middle of a line.
  */
 public final class ControlMachine implements AutoCloseable {
     private static final long BEAT = 2_000;
 
     /** What it tells besides the truth. */
-    public enum Trouble { NONE, BEHIND, OVERLOADED, HALF, BROKEN_OFF }
+    public enum Trouble {
+        NONE,
+        BEHIND,
+        OVERLOADED,
+        HALF,
+        BROKEN_OFF
+    }
 
     private record Told(long seq, String digest, String base, String settings) {
         String number() {
@@ -32,8 +39,15 @@
 
         String whole(boolean half) {
             String content = half ? settings.substring(0, settings.length() / 2) : settings;
-            return "{\"seq\":" + seq + ",\"whole\":true,\"digest\":\"" + digest + "\",\"base\":\"" + base
-                + "\",\"settings\":\"" + content.replace("\\", "\\\\").replace("\"", "\\\"") + "\"}";
+            return "{\"seq\":"
+                    + seq
+                    + ",\"whole\":true,\"digest\":\""
+                    + digest
+                    + "\",\"base\":\""
+                    + base
+                    + "\",\"settings\":\""
+                    + content.replace("\\", "\\\\").replace("\"", "\\\"")
+                    + "\"}";
         }
 
         boolean outweighs(long otherSeq, String otherDigest) {
@@ -41,8 +55,7 @@
         }
     }
 
-    private record Watch(Socket socket, String service) {
-    }
+    private record Watch(Socket socket, String service) {}
 
     private final int callsPerSecond;
     private final Map<String, Told> held = new LinkedHashMap<>();
@@ -55,7 +68,9 @@
     private int inSecond;
     private int worst;
 
-    /** Listens on a port of loopback that is free. Calls beyond so many in a second are turned away. */
+    /**
+     * Listens on a port of loopback that is free. Calls beyond so many in a second are turned away.
+     */
     public ControlMachine(int callsPerSecond) throws IOException {
         this.callsPerSecond = callsPerSecond;
         start();
@@ -98,7 +113,8 @@
     public synchronized void publish(String service, long seq, String base, String settings) {
         Told told = new Told(seq, digest(settings), base, settings);
         Told before = held.get(service);
-        if (trouble != Trouble.BEHIND && (before == null || told.outweighs(before.seq, before.digest))) {
+        if (trouble != Trouble.BEHIND
+                && (before == null || told.outweighs(before.seq, before.digest))) {
             held.put(service, told);
             for (Watch watch : List.copyOf(watches)) {
                 if (watch.service.equals(service)) {
@@ -111,7 +127,9 @@
     /** The first eight bytes of the text's SHA-256. */
     public static String digest(String text) {
         try {
-            byte[] hash = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
+            byte[] hash =
+                    MessageDigest.getInstance("SHA-256")
+                            .digest(text.getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(hash, 0, 8);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
@@ -134,10 +152,14 @@
     private void serve(Socket socket) {
         try {
             socket.setSoTimeout(5_000);
-            BufferedReader in = new BufferedReader(
-                new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
+            BufferedReader in =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.ISO_8859_1));
             String start = in.readLine();
-            for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
+            for (String line = in.readLine();
+                    line != null && !line.isEmpty();
+                    line = in.readLine()) {
                 // Nothing in the head matters here.
             }
             synchronized (this) {
@@ -159,9 +181,12 @@
             write(socket, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
             close(socket);
         } else if (target.startsWith("/catalog/configuration/version?")) {
-            String body = (told == null ? "{\"seq\":0,\"digest\":\"0000000000000000\"}" : told.number())
-                + "\n";
-            write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+            String body =
+                    (told == null ? "{\"seq\":0,\"digest\":\"0000000000000000\"}" : told.number())
+                            + "\n";
+            write(
+                    socket,
+                    "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             close(socket);
         } else if (target.startsWith("/catalog/configuration?")) {
             write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -15,22 +15,28 @@
 import java.util.function.Consumer;
 
 /**
- * The stand-in of discovery for one tier: the list of its backends with versions, whole and as a watch, at an
- * address of its own for each proxy. It can be down, slow, stale or elsewhere. It tells the ledger when a
- * proxy was told that a backend leaves.
+ * The stand-in of discovery for one tier: the list of its backends with versions, whole and as a
+ * watch, at an address of its own for each proxy. It can be down, slow, stale or elsewhere. It
+ * tells the ledger when a proxy was told that a backend leaves.
  */
 final class Discovery implements Conn.Owner {
     /** Nanoseconds between empty lines of a watch at rest (PROTOCOL, Discovery). */
     private static final long BEAT = 2_000_000_000L;
 
     /** What the list says of a backend. */
-    enum Health { ACTIVE, LEAVING, LEFT }
+    enum Health {
+        ACTIVE,
+        LEAVING,
+        LEFT
+    }
 
     /** One line of the list. */
     private static final class Line {
         final Backend backend;
+
         /** What is so, and what the list says: they differ while it is stale. */
         Health health = Health.ACTIVE;
+
         Health shown = Health.ACTIVE;
         long version;
 
@@ -45,8 +51,10 @@
         final Map<String, InetSocketAddress> dials = new LinkedHashMap<>();
         Door door;
         final Set<Conn> watching = new LinkedHashSet<>();
+
         /** For a plain proxy, which has no socket to discovery: it is told at the same moments. */
         Consumer<List<Backend>> plain;
+
         long askedAt;
 
         Watch(int proxy) {
@@ -61,8 +69,13 @@
     private final String sabotage;
     private final long wallStart;
     private final Map<String, Line> lines = new LinkedHashMap<>();
-    /** The lines that have ever changed, by the version of their last change: a change looks at no other. */
+
+    /**
+     * The lines that have ever changed, by the version of their last change: a change looks at no
+     * other.
+     */
     private final TreeMap<Long, Line> changed = new TreeMap<>();
+
     private final Map<Integer, Watch> watches = new LinkedHashMap<>();
     private final Map<Conn, HttpIn> asking = new LinkedHashMap<>();
     private final Path path = new Path(null);
@@ -71,7 +84,13 @@
     private boolean stale;
     private long slow;
 
-    Discovery(Loop loop, Ledger ledger, ByteBuffer buffer, long askWithin, String sabotage, long wallStart) {
+    Discovery(
+            Loop loop,
+            Ledger ledger,
+            ByteBuffer buffer,
+            long askWithin,
+            String sabotage,
+            long wallStart) {
         this.loop = loop;
         this.ledger = ledger;
         this.buffer = buffer;
@@ -106,7 +125,9 @@
 
     private List<Backend> active() {
         List<Backend> active = new ArrayList<>();
-        lines.values().stream().filter(l -> l.shown == Health.ACTIVE).forEach(l -> active.add(l.backend));
+        lines.values().stream()
+                .filter(l -> l.shown == Health.ACTIVE)
+                .forEach(l -> active.add(l.backend));
         return active;
     }
 
@@ -124,13 +145,25 @@
                 InetSocketAddress dial = watch.dials.get(b.id);
                 boolean hides = sabotage.equals("ignore-drain");
                 boolean hidesStart = sabotage.equals("hide-cold");
-                long born = b.startedAt == 0 || hidesStart ? 0 : wallStart + b.startedAt / 1_000_000;
-                hosts.append(hosts.length() == 0 ? "" : ",").append("{\"host\":\"").append(b.id)
-                    .append("\",\"dial\":\"").append(dial.getHostString()).append(':').append(dial.getPort())
-                    .append("\",\"site\":\"").append(b.room)
-                    .append("\",\"class\":\"std\",\"block\":0,\"health\":\"")
-                    .append((hides ? Health.ACTIVE : l.shown).name().toLowerCase(java.util.Locale.ROOT))
-                    .append("\",\"share\":1.0,\"born_ms\":").append(born).append('}');
+                long born =
+                        b.startedAt == 0 || hidesStart ? 0 : wallStart + b.startedAt / 1_000_000;
+                hosts.append(hosts.length() == 0 ? "" : ",")
+                        .append("{\"host\":\"")
+                        .append(b.id)
+                        .append("\",\"dial\":\"")
+                        .append(dial.getHostString())
+                        .append(':')
+                        .append(dial.getPort())
+                        .append("\",\"site\":\"")
+                        .append(b.room)
+                        .append("\",\"class\":\"std\",\"block\":0,\"health\":\"")
+                        .append(
+                                (hides ? Health.ACTIVE : l.shown)
+                                        .name()
+                                        .toLowerCase(java.util.Locale.ROOT))
+                        .append("\",\"share\":1.0,\"born_ms\":")
+                        .append(born)
+                        .append('}');
             }
         }
         return "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":[" + hosts + "]}";
@@ -172,36 +205,43 @@
         }
     }
 
-    /** Who neither watches nor asks for too long counts as told all the same; a call that fails is asking. */
+    /**
+     * Who neither watches nor asks for too long counts as told all the same; a call that fails is
+     * asking.
+     */
     private void remind(Watch watch) {
-        loop.at(Math.max(loop.now(), watch.askedAt + askWithin), () -> {
-            if (!watch.watching.isEmpty()) {
-                return;
-            }
-            if (down || loop.now() - watch.askedAt < askWithin) {
-                watch.askedAt = down ? loop.now() : watch.askedAt;
-                remind(watch);
-            } else {
-                note(watch);
-            }
-        });
+        loop.at(
+                Math.max(loop.now(), watch.askedAt + askWithin),
+                () -> {
+                    if (!watch.watching.isEmpty()) {
+                        return;
+                    }
+                    if (down || loop.now() - watch.askedAt < askWithin) {
+                        watch.askedAt = down ? loop.now() : watch.askedAt;
+                        remind(watch);
+                    } else {
+                        note(watch);
+                    }
+                });
     }
 
     private void tell(Watch watch) {
         long since = version - 1;
-        Runnable telling = () -> {
-            if (watch.plain != null) {
-                if (!sabotage.equals("ignore-drain")) {
-                    watch.plain.accept(active());
-                }
-            } else {
-                String line = json(watch.proxy, false, since);
-                watch.watching.forEach(conn -> conn.write(chunk(line + "\n")));
-            }
-            // The others were noted when they were told: with all of them, a thousand backends that change in
-            // turn made the loop late.
-            note(watch, since(since));
-        };
+        Runnable telling =
+                () -> {
+                    if (watch.plain != null) {
+                        if (!sabotage.equals("ignore-drain")) {
+                            watch.plain.accept(active());
+                        }
+                    } else {
+                        String line = json(watch.proxy, false, since);
+                        watch.watching.forEach(conn -> conn.write(chunk(line + "\n")));
+                    }
+                    // The others were noted when they were told: with all of them, a thousand
+                    // backends that change in
+                    // turn made the loop late.
+                    note(watch, since(since));
+                };
         if (slow > 0) {
             loop.after(slow, telling);
         } else {
@@ -224,8 +264,8 @@
     }
 
     private static byte[] chunk(String text) {
-        return (Integer.toHexString(text.length()) + "\r\n" + text
-            + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
+        return (Integer.toHexString(text.length()) + "\r\n" + text + "\r\n")
+                .getBytes(StandardCharsets.ISO_8859_1);
     }
 
     private void beat() {
@@ -322,13 +362,18 @@
         }
         watch.askedAt = loop.now();
         if (!target.contains("stream=1")) {
-            conn.write(HttpIn.answer(200, null, null,
-                whole(watch.proxy).getBytes(StandardCharsets.ISO_8859_1)));
+            conn.write(
+                    HttpIn.answer(
+                            200,
+                            null,
+                            null,
+                            whole(watch.proxy).getBytes(StandardCharsets.ISO_8859_1)));
         } else {
             long since = index(target);
             boolean whole = since <= 0 || since > version;
-            conn.write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                .getBytes(StandardCharsets.ISO_8859_1));
+            conn.write(
+                    ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                            .getBytes(StandardCharsets.ISO_8859_1));
             conn.write(chunk(json(watch.proxy, whole, since) + "\n"));
             watch.watching.add(conn);
         }
--- a/src/main/java/cottonlock/lab/Door.java
+++ b/src/main/java/cottonlock/lab/Door.java
@@ -14,13 +14,14 @@
 import java.util.Set;
 
 /**
- * A listening socket on loopback of which one proxy alone knows the address: so a stand-in knows who
- * connects. It can be open, shut (connects are refused, as by a process that has died) or walled up
- * (connects never come up, as with a machine that is cut off).
+ * A listening socket on loopback of which one proxy alone knows the address: so a stand-in knows
+ * who connects. It can be open, shut (connects are refused, as by a process that has died) or
+ * walled up (connects never come up, as with a machine that is cut off).
  */
 final class Door implements Loop.Ready {
     /** As many as a burst brings while the loop is busy elsewhere. */
     private static final int BACKLOG = 256;
+
     /** Connections that fill the queue of a walled-up door of backlog one, with one to spare. */
     private static final int FILLERS = 3;
 
@@ -28,16 +29,20 @@
     private final ByteBuffer buffer;
     private final Conn.Owner owner;
     private final Path path;
+
     /** Which proxy's it is. */
     final int proxy;
+
     private ServerSocketChannel server;
     private final List<SocketChannel> fillers = new ArrayList<>();
     final Set<Conn> conns = new LinkedHashSet<>();
     private InetSocketAddress address;
+
     /** Whom it belongs to. */
     final Object of;
 
-    Door(Loop loop, ByteBuffer buffer, Conn.Owner owner, Path path, int proxy, Object of) throws IOException {
+    Door(Loop loop, ByteBuffer buffer, Conn.Owner owner, Path path, int proxy, Object of)
+            throws IOException {
         this.loop = loop;
         this.buffer = buffer;
         this.owner = owner;
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -21,30 +21,50 @@
 import java.util.function.LongConsumer;
 
 /**
- * One run of a scenario: builds the stand-ins and the proxies, plays the schedule and the faults, and ends
- * all.
+ * One run of a scenario: builds the stand-ins and the proxies, plays the schedule and the faults,
+ * and ends all.
  */
 final class Experiment {
     /** Nanoseconds between the last proxy's start and the first arrival. */
     private static final long LEAD = 300_000_000L;
-    /** Nanoseconds that a planned restart's front still sends to the old process (PROTOCOL, Figures). */
+
+    /**
+     * Nanoseconds that a planned restart's front still sends to the old process (PROTOCOL,
+     * Figures).
+     */
     private static final long FRONT_AFTER_TERM = 300_000_000L;
+
     /** Nanoseconds that a backend is gone at least before it starts again. */
     private static final long GONE = 500_000_000L;
+
     /** Descriptors of the program itself, with room to spare. */
     private static final long OWN_DESCRIPTORS = 300;
-    /** Threads that start and end proxies: each start of a process takes half a core for half a second. */
+
+    /**
+     * Threads that start and end proxies: each start of a process takes half a core for half a
+     * second.
+     */
     private static final int STARTERS = 6;
-    /** Periods after which a view must be right: more than the longest doubt, which is nine by default. */
+
+    /**
+     * Periods after which a view must be right: more than the longest doubt, which is nine by
+     * default.
+     */
     private static final int SETTLED = 14;
+
     /** Nanoseconds: a starved process runs once in each. */
     private static final long SLICE = 100_000_000L;
+
     /** Bytes of a process's log that are kept for its report. */
     private static final long MOST_LOG = 4 << 20;
 
-    /** Requests a second from which a run is warmed up for: below, compiling keeps up by the way. */
+    /**
+     * Requests a second from which a run is warmed up for: below, compiling keeps up by the way.
+     */
     private static final double WARM_UP_FROM = 500;
-    private static final String WARM_UP = """
+
+    private static final String WARM_UP =
+            """
         seconds = 2
         proxy = {policy = "direct", count = 2}
         tier = [{backends = 2, cores = 64}]
@@ -58,8 +78,10 @@
         final Host host;
         final Caller caller;
         volatile boolean serving;
+
         /** Of the first tier, whose proxies clients call. */
         final boolean first;
+
         long starts;
         boolean starves;
 
@@ -84,13 +106,17 @@
     private final List<Timeline.Entry> timeline;
     private final Clients clients;
     private final java.nio.file.Path folder;
+
     /** Where the proxies of the first tier know one another; null where they don't. */
     private PeerNet net;
+
     private MembersJudge judge;
     private MembersWatch watch;
     private Watcher watcher;
+
     /** Faults that wait for a moment, by its name. */
     private final Map<String, List<Timeline.Entry>> waiting = new HashMap<>();
+
     private final Map<String, String> logs = new TreeMap<>();
     private final ExecutorService starters = Executors.newFixedThreadPool(STARTERS);
     private final CountDownLatch over = new CountDownLatch(1);
@@ -98,16 +124,29 @@
     private long from;
     private volatile String fault;
     private volatile boolean interrupted;
-    private LongConsumer eachSecond = second -> { };
+    private LongConsumer eachSecond = second -> {};
 
     /** Builds it; throws where the machine can't hold it. */
     Experiment(Scenario scenario) throws IOException, BadFile {
         this.scenario = scenario;
         descriptors();
-        schedule = Arrivals.draw(scenario.seed, scenario.length, scenario.rooms.size(), scenario.tenants,
-            scenario.categories, scenario.clients, scenario.bursts);
-        timeline = Timeline.draw(scenario.seed, scenario.faults, scenario.random, scenario.rooms,
-            scenario.tiers, scenario.proxies.count());
+        schedule =
+                Arrivals.draw(
+                        scenario.seed,
+                        scenario.length,
+                        scenario.rooms.size(),
+                        scenario.tenants,
+                        scenario.categories,
+                        scenario.clients,
+                        scenario.bursts);
+        timeline =
+                Timeline.draw(
+                        scenario.seed,
+                        scenario.faults,
+                        scenario.random,
+                        scenario.rooms,
+                        scenario.tiers,
+                        scenario.proxies.count());
         ledger = new Ledger(scenario.rules.grace(), scenario.rules.drain());
         series = new Series(scenario.tenants.size(), scenario.categories.size());
         folder = Files.createTempDirectory("cottonlock-lab");
@@ -116,12 +155,30 @@
         scenario.categories.forEach(c -> categories.put(c.name(), c));
         for (int t = 0; t < scenario.tiers.size(); t++) {
             Scenario.Tier plan = scenario.tiers.get(t);
-            discoveries.add(new Discovery(loop, ledger, buffer, scenario.rules.askWithin(), scenario.sabotage,
-                wallStart));
+            discoveries.add(
+                    new Discovery(
+                            loop,
+                            ledger,
+                            buffer,
+                            scenario.rules.askWithin(),
+                            scenario.sabotage,
+                            wallStart));
             Map<String, Backend.Marks> marks = new HashMap<>();
             for (int b = 0; b < plan.backends(); b++) {
-                Backend backend = new Backend(Scenario.backend(t, b), t, room(b), loop, ledger, series, plan,
-                    scenario.rules, categories, marks, chance.split(), scenario.sabotage);
+                Backend backend =
+                        new Backend(
+                                Scenario.backend(t, b),
+                                t,
+                                room(b),
+                                loop,
+                                ledger,
+                                series,
+                                plan,
+                                scenario.rules,
+                                categories,
+                                marks,
+                                chance.split(),
+                                scenario.sabotage);
                 backends.put(backend.id, backend);
                 discoveries.get(t).add(backend);
             }
@@ -152,9 +209,16 @@
                 ownProxies.put(backend.id, node);
             }
         }
-        clients = new Clients(loop, ledger, series, scenario.clients,
-            scenario.tenants.stream().map(Scenario.TenantPlan::name).toList(), scenario.categories, callers,
-            rooms);
+        clients =
+                new Clients(
+                        loop,
+                        ledger,
+                        series,
+                        scenario.clients,
+                        scenario.tenants.stream().map(Scenario.TenantPlan::name).toList(),
+                        scenario.categories,
+                        callers,
+                        rooms);
     }
 
     private String room(int number) {
@@ -177,10 +241,15 @@
         }
         long have = system.getMaxFileDescriptorCount();
         if (needed > have) {
-            throw new BadFile(List.of("this scenario needs some " + needed
-                + " file descriptors, and the process may "
-                + "have " + have + ": fewer proxies or backends, a smaller proxy.sockets, or a higher "
-                + "limit"));
+            throw new BadFile(
+                    List.of(
+                            "this scenario needs some "
+                                    + needed
+                                    + " file descriptors, and the process may "
+                                    + "have "
+                                    + have
+                                    + ": fewer proxies or backends, a smaller proxy.sockets, or a higher "
+                                    + "limit"));
         }
     }
 
@@ -202,41 +271,96 @@
             // No proxy between: what the stand-ins can do by themselves.
             List<InetSocketAddress> doors = List.copyOf(plainDials.values());
             InetSocketAddress only = doors.get(number % doors.size());
-            nodes.add(new Node(number, null, new Caller(loop, ledger, buffer, number, () -> only,
-                scenario.sabotage, chance.split()), tier == 0));
+            nodes.add(
+                    new Node(
+                            number,
+                            null,
+                            new Caller(
+                                    loop,
+                                    ledger,
+                                    buffer,
+                                    number,
+                                    () -> only,
+                                    scenario.sabotage,
+                                    chance.split()),
+                            tier == 0));
             return nodes.get(number);
         }
         if (!scenario.proxies.policy().equals("lanes")) {
-            PlainProxy plain = new PlainProxy(loop, buffer, number, scenario.proxies.policy(),
-                scenario.proxies.maxHandOffs(), scenario.proxies.connectTimeout(), chance.split(),
-                plainDials);
+            PlainProxy plain =
+                    new PlainProxy(
+                            loop,
+                            buffer,
+                            number,
+                            scenario.proxies.policy(),
+                            scenario.proxies.maxHandOffs(),
+                            scenario.proxies.connectTimeout(),
+                            chance.split(),
+                            plainDials);
             discovery.servePlain(number, plain::list);
-            self[0] = new Node(number, null, new Caller(loop, ledger, buffer, number,
-                () -> self[0].serving ? plain.address() : null, scenario.sabotage, chance.split()),
-                tier == 0);
+            self[0] =
+                    new Node(
+                            number,
+                            null,
+                            new Caller(
+                                    loop,
+                                    ledger,
+                                    buffer,
+                                    number,
+                                    () -> self[0].serving ? plain.address() : null,
+                                    scenario.sabotage,
+                                    chance.split()),
+                            tier == 0);
         } else {
             discovery.serve(number, dials);
             long seed = chance.nextLong();
             Host[] at = new Host[1];
             ProxyConfig.Talk[] talk = new ProxyConfig.Talk[1];
-            Host host = new Host(name, scenario.proxies.processes(), folder, start -> {
-                try {
-                    return ProxyConfig.json(name, text(at[0].address()), text(discovery.address(number)),
-                        seed + start,
-                        discovery.whole(number), tier, fleet, scenario.proxies, scenario.rules,
-                        scenario.rooms,
-                        scenario.tenants, scenario.categories,
-                        talk[0] == null ? null : talk[0].calledAt(text(at[0].calledAt())));
-                } catch (IOException e) {
-                    throw new UncheckedIOException(e);
-                }
-            }, tier == 0 && scenario.knowing != null ? operatorsFile() : null);
+            Host host =
+                    new Host(
+                            name,
+                            scenario.proxies.processes(),
+                            folder,
+                            start -> {
+                                try {
+                                    return ProxyConfig.json(
+                                            name,
+                                            text(at[0].address()),
+                                            text(discovery.address(number)),
+                                            seed + start,
+                                            discovery.whole(number),
+                                            tier,
+                                            fleet,
+                                            scenario.proxies,
+                                            scenario.rules,
+                                            scenario.rooms,
+                                            scenario.tenants,
+                                            scenario.categories,
+                                            talk[0] == null
+                                                    ? null
+                                                    : talk[0].calledAt(text(at[0].calledAt())));
+                                } catch (IOException e) {
+                                    throw new UncheckedIOException(e);
+                                }
+                            },
+                            tier == 0 && scenario.knowing != null ? operatorsFile() : null);
             at[0] = host;
             if (tier == 0 && scenario.knowing != null) {
                 talk[0] = talk(number, fleet, host);
             }
-            self[0] = new Node(number, host, new Caller(loop, ledger, buffer, number,
-                () -> self[0].serving ? host.address() : null, scenario.sabotage, chance.split()), tier == 0);
+            self[0] =
+                    new Node(
+                            number,
+                            host,
+                            new Caller(
+                                    loop,
+                                    ledger,
+                                    buffer,
+                                    number,
+                                    () -> self[0].serving ? host.address() : null,
+                                    scenario.sabotage,
+                                    chance.split()),
+                            tier == 0);
         }
         nodes.add(self[0]);
         return self[0];
@@ -260,8 +384,8 @@
         }
         InetSocketAddress real;
         // Not held until then: a second socket on it would get a part of what comes.
-        try (java.net.DatagramSocket free = new java.net.DatagramSocket(
-                new InetSocketAddress("127.0.0.1", 0))) {
+        try (java.net.DatagramSocket free =
+                new java.net.DatagramSocket(new InetSocketAddress("127.0.0.1", 0))) {
             real = (InetSocketAddress) free.getLocalSocketAddress();
         }
         net.listens(number, real);
@@ -289,15 +413,16 @@
 
     /** Plays it; returns when all is over and nothing is left behind. */
     void play() throws IOException, InterruptedException {
-        if (scenario.tenants.stream().mapToDouble(Scenario.TenantPlan::rate).sum() >= WARM_UP_FROM) {
+        if (scenario.tenants.stream().mapToDouble(Scenario.TenantPlan::rate).sum()
+                >= WARM_UP_FROM) {
             warmUp();
         }
         perform();
     }
 
     /**
-     * The stand-ins' code is compiled before it counts: at high rates a slow start alone made runs fall
-     * behind.
+     * The stand-ins' code is compiled before it counts: at high rates a slow start alone made runs
+     * fall behind.
      */
     private static void warmUp() throws IOException, InterruptedException {
         java.nio.file.Path file = Files.createTempFile("warm-up", ".toml");
@@ -312,16 +437,19 @@
     }
 
     private void perform() throws IOException, InterruptedException {
-        Thread stage = new Thread(() -> {
-            try {
-                loop.run();
-            } catch (IOException | RuntimeException | OutOfMemoryError e) {
-                fault = "the lab itself failed: " + e;
-                e.printStackTrace();
-            } finally {
-                over.countDown();
-            }
-        }, "lab");
+        Thread stage =
+                new Thread(
+                        () -> {
+                            try {
+                                loop.run();
+                            } catch (IOException | RuntimeException | OutOfMemoryError e) {
+                                fault = "the lab itself failed: " + e;
+                                e.printStackTrace();
+                            } finally {
+                                over.countDown();
+                            }
+                        },
+                        "lab");
         stage.start();
         try {
             List<Future<?>> starts = new ArrayList<>();
@@ -377,13 +505,18 @@
 
     private void begin() {
         // Until the proxies have found one another nothing is counted.
-        from = loop.now() + LEAD + (scenario.knowing == null ? 0 : SETTLED * scenario.knowing.period());
-        loop.at(from, () -> {
-            loop.late().reset();
-            if (watcher != null) {
-                watcher.reset();
-            }
-        });
+        from =
+                loop.now()
+                        + LEAD
+                        + (scenario.knowing == null ? 0 : SETTLED * scenario.knowing.period());
+        loop.at(
+                from,
+                () -> {
+                    loop.late().reset();
+                    if (watcher != null) {
+                        watcher.reset();
+                    }
+                });
         clients.start(schedule, from);
         for (Timeline.Entry entry : timeline) {
             if (entry.after().isEmpty()) {
@@ -393,24 +526,41 @@
             }
         }
         if (watch != null) {
-            nodes.stream().filter(n -> n.first).forEach(n -> watch.watch(n.host::calledAt, view ->
-                loop.post(() -> judge.sample(n.number, loop.now(), view))));
+            nodes.stream()
+                    .filter(n -> n.first)
+                    .forEach(
+                            n ->
+                                    watch.watch(
+                                            n.host::calledAt,
+                                            view ->
+                                                    loop.post(
+                                                            () ->
+                                                                    judge.sample(
+                                                                            n.number,
+                                                                            loop.now(),
+                                                                            view))));
         }
         tick(1);
         loop.at(from + scenario.length, this::awaitLast);
     }
 
     private void tick(long second) {
-        loop.at(from + second * 1_000_000_000L, () -> {
-            eachSecond.accept(second);
-            if (second * 1_000_000_000L < scenario.length) {
-                tick(second + 1);
-            }
-        });
+        loop.at(
+                from + second * 1_000_000_000L,
+                () -> {
+                    eachSecond.accept(second);
+                    if (second * 1_000_000_000L < scenario.length) {
+                        tick(second + 1);
+                    }
+                });
     }
 
     private void awaitLast() {
-        long longest = scenario.categories.stream().mapToLong(Scenario.CategoryPlan::expiry).max().orElse(0);
+        long longest =
+                scenario.categories.stream()
+                        .mapToLong(Scenario.CategoryPlan::expiry)
+                        .max()
+                        .orElse(0);
         if (clients.allOver() || loop.now() > from + scenario.length + longest + 1_000_000_000L) {
             finish();
         } else {
@@ -442,7 +592,7 @@
         }
         nodes.forEach(node -> node.caller.close());
         for (Backend backend : backends.values()) {
-            backend.died = () -> { };
+            backend.died = () -> {};
             backend.die(false);
         }
         loop.close();
@@ -453,7 +603,8 @@
                     logs.put("n" + node.number, Files.readString(log));
                 }
             }
-            for (java.nio.file.Path file : files.sorted(java.util.Comparator.reverseOrder()).toList()) {
+            for (java.nio.file.Path file :
+                    files.sorted(java.util.Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
             }
         } catch (IOException e) {
@@ -470,23 +621,57 @@
         }
         try {
             switch (entry.kind()) {
-                case "slow" -> hit.forEach(b -> during(end, () -> b.slow(entry.amount()), () -> b.slow(1)));
-                case "errors" -> hit.forEach(b -> during(end, () -> b.errors = entry.amount(),
-                    () -> b.errors = 0));
-                case "pause" -> hit.forEach(b -> during(end, () -> b.pause(true), () -> b.pause(false)));
-                case "delay" -> hit.forEach(b -> during(end,
-                    () -> b.path.delay = (long) (entry.amount() * 1e6),
-                    () -> b.path.delay = 0));
-                case "throttle" -> hit.forEach(b -> during(end,
-                    () -> b.path.bytesPerSecond = Math.max(1, (long) entry.amount()),
-                    () -> b.path.bytesPerSecond = 0));
-                case "resets" -> hit.forEach(b -> during(end, () -> b.path.resets = entry.amount(),
-                    () -> b.path.resets = 0));
-                case "splits" -> hit.forEach(b -> during(end, () -> b.path.splits = entry.amount(),
-                    () -> b.path.splits = 0));
-                case "garble" -> hit.forEach(b -> during(end, () -> b.path.garbles = entry.amount(),
-                    () -> b.path.garbles = 0));
-                case "cut" -> hit.forEach(b -> during(end, () -> cut(b, true), () -> cut(b, false)));
+                case "slow" ->
+                        hit.forEach(
+                                b -> during(end, () -> b.slow(entry.amount()), () -> b.slow(1)));
+                case "errors" ->
+                        hit.forEach(
+                                b ->
+                                        during(
+                                                end,
+                                                () -> b.errors = entry.amount(),
+                                                () -> b.errors = 0));
+                case "pause" ->
+                        hit.forEach(b -> during(end, () -> b.pause(true), () -> b.pause(false)));
+                case "delay" ->
+                        hit.forEach(
+                                b ->
+                                        during(
+                                                end,
+                                                () -> b.path.delay = (long) (entry.amount() * 1e6),
+                                                () -> b.path.delay = 0));
+                case "throttle" ->
+                        hit.forEach(
+                                b ->
+                                        during(
+                                                end,
+                                                () ->
+                                                        b.path.bytesPerSecond =
+                                                                Math.max(1, (long) entry.amount()),
+                                                () -> b.path.bytesPerSecond = 0));
+                case "resets" ->
+                        hit.forEach(
+                                b ->
+                                        during(
+                                                end,
+                                                () -> b.path.resets = entry.amount(),
+                                                () -> b.path.resets = 0));
+                case "splits" ->
+                        hit.forEach(
+                                b ->
+                                        during(
+                                                end,
+                                                () -> b.path.splits = entry.amount(),
+                                                () -> b.path.splits = 0));
+                case "garble" ->
+                        hit.forEach(
+                                b ->
+                                        during(
+                                                end,
+                                                () -> b.path.garbles = entry.amount(),
+                                                () -> b.path.garbles = 0));
+                case "cut" ->
+                        hit.forEach(b -> during(end, () -> cut(b, true), () -> cut(b, false)));
                 case "crash" -> hit.forEach(b -> during(end, () -> b.die(false), () -> restart(b)));
                 case "drain" -> hit.forEach(b -> drain(b, entry));
                 case "proxy-kill" -> proxyKill(nodes.get(entry.proxy()), end);
@@ -497,8 +682,13 @@
                 case "proxy-replace" -> proxyReplace(nodes.get(entry.proxy()));
                 case "proxy-clock" -> nodes.get(entry.proxy()).host.clock((long) entry.amount());
                 case "peer-forge" -> forge(end, (long) (1e9 / Math.max(0.1, entry.amount())));
-                case "peer-cut", "peer-split", "peer-loss", "peer-double", "peer-garble", "peer-delay" ->
-                    between(entry, end);
+                case "peer-cut",
+                        "peer-split",
+                        "peer-loss",
+                        "peer-double",
+                        "peer-garble",
+                        "peer-delay" ->
+                        between(entry, end);
                 default -> discoveryFault(entry, end);
             }
         } catch (IOException e) {
@@ -514,17 +704,24 @@
                     discovery.down(true);
                     loop.at(end, () -> quietly(() -> discovery.down(false)));
                 }
-                case "discovery-slow" -> during(end, () -> discovery.slow((long) (entry.amount() * 1e6)),
-                    () -> discovery.slow(0));
-                case "discovery-stale" -> during(end, () -> discovery.stale(true),
-                    () -> discovery.stale(false));
+                case "discovery-slow" ->
+                        during(
+                                end,
+                                () -> discovery.slow((long) (entry.amount() * 1e6)),
+                                () -> discovery.slow(0));
+                case "discovery-stale" ->
+                        during(end, () -> discovery.stale(true), () -> discovery.stale(false));
                 default -> {
                     discovery.move();
-                    nodes.stream().filter(n -> n.host != null
-                        && n.serving).forEach(n -> starters.submit(() -> {
-                        n.host.reload(n.starts);
-                        return null;
-                    }));
+                    nodes.stream()
+                            .filter(n -> n.host != null && n.serving)
+                            .forEach(
+                                    n ->
+                                            starters.submit(
+                                                    () -> {
+                                                        n.host.reload(n.starts);
+                                                        return null;
+                                                    }));
                 }
             }
         }
@@ -558,11 +755,18 @@
             return;
         }
         Node own = ownProxies.get(backend.id);
-        Runnable up = () -> quietly(() -> {
-            backend.restart();
-            discoveries.get(Integer.parseInt(backend.id.substring(1,
-                backend.id.indexOf('b')))).restarted(backend);
-        });
+        Runnable up =
+                () ->
+                        quietly(
+                                () -> {
+                                    backend.restart();
+                                    discoveries
+                                            .get(
+                                                    Integer.parseInt(
+                                                            backend.id.substring(
+                                                                    1, backend.id.indexOf('b'))))
+                                            .restarted(backend);
+                                });
         if (own == null || own.host == null) {
             if (own != null) {
                 own.caller.dying(false);
@@ -570,27 +774,31 @@
             }
             up.run();
         } else {
-            starters.submit(() -> {
-                start(own);
-                loop.post(() -> {
-                    own.caller.dying(false);
-                    up.run();
-                });
-            });
+            starters.submit(
+                    () -> {
+                        start(own);
+                        loop.post(
+                                () -> {
+                                    own.caller.dying(false);
+                                    up.run();
+                                });
+                    });
         }
     }
 
     private void drain(Backend backend, Timeline.Entry entry) {
-        Discovery discovery = discoveries.get(Integer.parseInt(backend.id.substring(1,
-            backend.id.indexOf('b'))));
+        Discovery discovery =
+                discoveries.get(Integer.parseInt(backend.id.substring(1, backend.id.indexOf('b'))));
         discovery.set(backend, Discovery.Health.LEAVING);
         long left = loop.now() + (long) entry.amount();
-        loop.at(left, () -> {
-            discovery.set(backend, Discovery.Health.LEFT);
-            if (backend.life == Backend.Life.UP) {
-                backend.die(false);
-            }
-        });
+        loop.at(
+                left,
+                () -> {
+                    discovery.set(backend, Discovery.Health.LEFT);
+                    if (backend.life == Backend.Life.UP) {
+                        backend.die(false);
+                    }
+                });
         loop.at(Math.max(loop.now() + entry.length(), left + GONE), () -> restart(backend));
     }
 
@@ -598,34 +806,41 @@
     private void proxyPause(Node node, long end) {
         stands(node, true);
         signal(node, true);
-        loop.at(end, () -> {
-            signal(node, false);
-            stands(node, false);
-        });
+        loop.at(
+                end,
+                () -> {
+                    signal(node, false);
+                    stands(node, false);
+                });
     }
 
-    /** Another process of the proxy takes over while this one serves: to the others nothing happens. */
+    /**
+     * Another process of the proxy takes over while this one serves: to the others nothing happens.
+     */
     private void proxyReplace(Node node) {
-        starters.submit(() -> {
-            try {
-                loop.post(() -> judge.replaced(loop.now()));
-                node.host.replace(node.starts++);
-                loop.post(() -> judge.replaced(loop.now()));
-            } catch (IOException e) {
-                fault = String.valueOf(e.getMessage());
-                loop.post(this::finish);
-            }
-            return null;
-        });
+        starters.submit(
+                () -> {
+                    try {
+                        loop.post(() -> judge.replaced(loop.now()));
+                        node.host.replace(node.starts++);
+                        loop.post(() -> judge.replaced(loop.now()));
+                    } catch (IOException e) {
+                        fault = String.valueOf(e.getMessage());
+                        loop.post(this::finish);
+                    }
+                    return null;
+                });
     }
 
     private void proxyHang(Node node, long end) {
         stands(node, true);
         quietly(() -> node.host.hang(true));
-        loop.at(end, () -> {
-            quietly(() -> node.host.hang(false));
-            stands(node, false);
-        });
+        loop.at(
+                end,
+                () -> {
+                    quietly(() -> node.host.hang(false));
+                    stands(node, false);
+                });
     }
 
     private void stands(Node node, boolean still) {
@@ -663,10 +878,11 @@
     }
 
     private void signal(Node node, boolean stop) {
-        starters.submit(() -> {
-            node.host.stop(stop);
-            return null;
-        });
+        starters.submit(
+                () -> {
+                    node.host.stop(stop);
+                    return null;
+                });
     }
 
     private void forge(long end, long every) {
@@ -676,7 +892,10 @@
         }
     }
 
-    /** Something befalls the ways between proxies: all, those between groups, or from the first group on. */
+    /**
+     * Something befalls the ways between proxies: all, those between groups, or from the first
+     * group on.
+     */
     private void between(Timeline.Entry entry, long end) {
         if (net == null) {
             return;
@@ -692,8 +911,12 @@
             for (int b = 0; b < n; b++) {
                 int from = group(groups, a);
                 int to = group(groups, b);
-                boolean hit = groups.isEmpty() || from >= 0 && to >= 0 && from != to
-                    && (!entry.oneWay() || from == 0);
+                boolean hit =
+                        groups.isEmpty()
+                                || from >= 0
+                                        && to >= 0
+                                        && from != to
+                                        && (!entry.oneWay() || from == 0);
                 if (a != b && hit) {
                     way(entry, a, b, begins);
                 }
@@ -735,10 +958,11 @@
         node.caller.dying(true);
         ledger.startedAnew(node.number);
         if (node.host != null) {
-            starters.submit(() -> {
-                node.host.kill();
-                return null;
-            });
+            starters.submit(
+                    () -> {
+                        node.host.kill();
+                        return null;
+                    });
         }
     }
 
@@ -755,28 +979,32 @@
             loop.after(away, () -> clients.back(node.number));
             return;
         }
-        starters.submit(() -> {
-            node.host.term();
-            loop.post(() -> {
-                node.serving = false;
-                if (judge != null && node.first) {
-                    judge.down(node.number, loop.now());
-                }
-                ledger.startedAnew(node.number);
-                loop.after(away, () -> back(node));
-            });
-            return null;
-        });
+        starters.submit(
+                () -> {
+                    node.host.term();
+                    loop.post(
+                            () -> {
+                                node.serving = false;
+                                if (judge != null && node.first) {
+                                    judge.down(node.number, loop.now());
+                                }
+                                ledger.startedAnew(node.number);
+                                loop.after(away, () -> back(node));
+                            });
+                    return null;
+                });
     }
 
     private void back(Node node) {
-        starters.submit(() -> {
-            start(node);
-            loop.post(() -> {
-                node.caller.dying(false);
-                clients.back(node.number);
-            });
-        });
+        starters.submit(
+                () -> {
+                    start(node);
+                    loop.post(
+                            () -> {
+                                node.caller.dying(false);
+                                clients.back(node.number);
+                            });
+                });
     }
 
     /** The figures that the verdict judges. */
@@ -813,8 +1041,11 @@
     }
 
     Verdict verdict() {
-        return new Verdict(figures(), scenario.bounds, scenario.lateLimit / 1e6,
-            scenario.knowing == null ? Double.MAX_VALUE : scenario.knowing.watchLimitMs());
+        return new Verdict(
+                figures(),
+                scenario.bounds,
+                scenario.lateLimit / 1e6,
+                scenario.knowing == null ? Double.MAX_VALUE : scenario.knowing.watchLimitMs());
     }
 
     /** What each process of a proxy has logged, over its lives. */
@@ -822,7 +1053,9 @@
         return logs;
     }
 
-    /** What proxies knew of one another, held against what was true; null where they know nothing. */
+    /**
+     * What proxies knew of one another, held against what was true; null where they know nothing.
+     */
     MembersJudge judge() {
         return judge;
     }
--- a/src/main/java/cottonlock/lab/Host.java
+++ b/src/main/java/cottonlock/lab/Host.java
@@ -13,13 +13,14 @@
 import java.util.function.LongFunction;
 
 /**
- * Where one proxy runs: in the lab's own process, or in one of its own as {@code deploy/balancer.toml}
- * starts it. It keeps its address over restarts. All of it may wait, so none of it runs on the loop's
- * thread.
+ * Where one proxy runs: in the lab's own process, or in one of its own as {@code
+ * deploy/balancer.toml} starts it. It keeps its address over restarts. All of it may wait, so none
+ * of it runs on the loop's thread.
  */
 final class Host {
     /** Milliseconds for a process to serve. */
     private static final long START = 20_000;
+
     /** Milliseconds for a planned restart to end by itself. */
     private static final long LEAVE = 4_000;
 
@@ -29,19 +30,32 @@
     private final LongFunction<String> configuration;
     private final Socket reserved;
     private final InetSocketAddress address;
-    /** Where operators call it, by turns with each replacement, and the operator's file; null: none. */
+
+    /**
+     * Where operators call it, by turns with each replacement, and the operator's file; null: none.
+     */
     private final Socket[] reservedForCalls;
+
     private volatile int turn;
     private final String operator;
     private final java.nio.file.Path hang;
     private Proxy proxy;
     private Process process;
+
     /** Milliseconds by which the process's clock is wrong when it starts next. */
     private volatile long clockOff;
 
-    /** The configuration is made for the number of the start, from 0; operator's file: null for none. */
-    Host(String name, boolean own, java.nio.file.Path folder, LongFunction<String> configuration,
-         String operator) throws IOException {
+    /**
+     * The configuration is made for the number of the start, from 0; operator's file: null for
+     * none.
+     */
+    Host(
+            String name,
+            boolean own,
+            java.nio.file.Path folder,
+            LongFunction<String> configuration,
+            String operator)
+            throws IOException {
         this.name = name;
         this.own = own;
         this.folder = folder;
@@ -54,9 +68,9 @@
     }
 
     /**
-     * A port that is this proxy's for the whole run, over its restarts. It is bound but not listened on: a
-     * listener that shares addresses, as the proxy's does, can have it all the same, and nobody else is
-     * given it.
+     * A port that is this proxy's for the whole run, over its restarts. It is bound but not
+     * listened on: a listener that shares addresses, as the proxy's does, can have it all the same,
+     * and nobody else is given it.
      */
     private static Socket reserve() throws IOException {
         Socket socket = new Socket();
@@ -91,12 +105,15 @@
     }
 
     /** Waits until it serves. */
-    private void awaited(Process started, BooleanSupplier serves) throws IOException, InterruptedException {
+    private void awaited(Process started, BooleanSupplier serves)
+            throws IOException, InterruptedException {
         long until = System.nanoTime() + START * 1_000_000;
         while (!serves.getAsBoolean()) {
             if (!started.isAlive() || System.nanoTime() > until) {
-                throw new IOException(name + " did not start: "
-                    + Files.readString(folder.resolve(name + ".log")).strip());
+                throw new IOException(
+                        name
+                                + " did not start: "
+                                + Files.readString(folder.resolve(name + ".log")).strip());
             }
             Thread.sleep(10);
         }
@@ -111,15 +128,20 @@
             java.nio.file.Path asked = folder.resolve(name + ".toml");
             Files.writeString(asked, operator);
             builder.environment().put("COTTONLOCK_OPERATOR", asked.toString());
-            builder.environment().put("TMPDIR",
-                Files.createDirectories(folder.resolve(name + ".tmp")).toString());
+            builder.environment()
+                    .put(
+                            "TMPDIR",
+                            Files.createDirectories(folder.resolve(name + ".tmp")).toString());
         }
         File log = folder.resolve(name + ".log").toFile();
         builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log));
         return builder.start();
     }
 
-    /** Another process takes over while this one serves; the old one is told to end once the new one does. */
+    /**
+     * Another process takes over while this one serves; the old one is told to end once the new one
+     * does.
+     */
     void replace(long number) throws IOException, InterruptedException {
         Process old;
         synchronized (this) {
@@ -136,8 +158,13 @@
     }
 
     private List<String> command() throws IOException {
-        return ServeCommand.of(operator != null, operator == null ? List.of()
-            : List.of("-Dcottonlock.test.clock_ms=" + clockOff, "-Dcottonlock.test.hang=" + hang));
+        return ServeCommand.of(
+                operator != null,
+                operator == null
+                        ? List.of()
+                        : List.of(
+                                "-Dcottonlock.test.clock_ms=" + clockOff,
+                                "-Dcottonlock.test.hang=" + hang));
     }
 
     private boolean healthy() {
@@ -145,7 +172,8 @@
             socket.connect(address, 500);
             socket.setSoTimeout(500);
             String ask = "GET /_health HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n";
-            socket.getOutputStream().write(ask.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1));
+            socket.getOutputStream()
+                    .write(ask.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1));
             return new String(socket.getInputStream().readNBytes(12)).equals("HTTP/1.1 200");
         } catch (IOException e) {
             return false;
@@ -189,8 +217,9 @@
     /** Stops the process where it stands, or lets it go on: no signal handler sees either. */
     synchronized void stop(boolean stands) throws IOException, InterruptedException {
         if (process != null) {
-            new ProcessBuilder("kill", stands ? "-STOP" : "-CONT", Long.toString(process.pid())).start()
-                .waitFor();
+            new ProcessBuilder("kill", stands ? "-STOP" : "-CONT", Long.toString(process.pid()))
+                    .start()
+                    .waitFor();
         }
     }
 
--- a/src/main/java/cottonlock/lab/HttpIn.java
+++ b/src/main/java/cottonlock/lab/HttpIn.java
@@ -7,12 +7,14 @@
 import java.util.Map;
 
 /**
- * Takes HTTP/1.1 messages (RFC 9112) out of bytes as they come, in any pieces. It knows what the proxies and
- * the stand-ins write: heads, and bodies with a Content-Length; anything else is a fault of who wrote it.
+ * Takes HTTP/1.1 messages (RFC 9112) out of bytes as they come, in any pieces. It knows what the
+ * proxies and the stand-ins write: heads, and bodies with a Content-Length; anything else is a
+ * fault of who wrote it.
  */
 final class HttpIn {
     /** Bytes of a head and of a body, at most: beyond them something is wrong. */
     private static final int LONGEST_HEAD = 16 << 10;
+
     private static final int LONGEST_BODY = 4 << 20;
 
     /** One message; names of fields are in small letters. */
@@ -100,12 +102,14 @@
             if (colon <= 0) {
                 throw new Unreadable("no field: " + lines[i]);
             }
-            fields.put(lines[i].substring(0, colon).toLowerCase(Locale.ROOT), lines[i].substring(colon
-                + 1).trim());
+            fields.put(
+                    lines[i].substring(0, colon).toLowerCase(Locale.ROOT),
+                    lines[i].substring(colon + 1).trim());
         }
         String length = fields.getOrDefault("content-length", "0");
-        if (!length.matches("[0-9]{1,7}") || Integer.parseInt(length) > LONGEST_BODY
-            || fields.containsKey("transfer-encoding")) {
+        if (!length.matches("[0-9]{1,7}")
+                || Integer.parseInt(length) > LONGEST_BODY
+                || fields.containsKey("transfer-encoding")) {
             throw new Unreadable("a body whose length can't be told");
         }
         body = new byte[Integer.parseInt(length)];
@@ -113,9 +117,16 @@
 
     /** The bytes of an answer; a name of null leaves that field out. */
     static byte[] answer(int status, String name, String value, byte[] body) {
-        String head = "HTTP/1.1 " + status + " " + (status == 200 ? "OK" : "No") + "\r\n"
-            + (name == null ? "" : name + ": " + value + "\r\n")
-            + "Content-Length: " + body.length + "\r\n\r\n";
+        String head =
+                "HTTP/1.1 "
+                        + status
+                        + " "
+                        + (status == 200 ? "OK" : "No")
+                        + "\r\n"
+                        + (name == null ? "" : name + ": " + value + "\r\n")
+                        + "Content-Length: "
+                        + body.length
+                        + "\r\n\r\n";
         byte[] bytes = head.getBytes(StandardCharsets.ISO_8859_1);
         byte[] whole = java.util.Arrays.copyOf(bytes, bytes.length + body.length);
         System.arraycopy(body, 0, whole, bytes.length, body.length);
--- a/src/main/java/cottonlock/lab/Lab.java
+++ b/src/main/java/cottonlock/lab/Lab.java
@@ -15,29 +15,38 @@
 import java.util.Locale;
 import java.util.TreeMap;
 
-/** What the command line and the tests use of the lab. Each call returns the exit status of docs/lab.md. */
+/**
+ * What the command line and the tests use of the lab. Each call returns the exit status of
+ * docs/lab.md.
+ */
 public final class Lab {
     /** The status of a scenario or an argument that can't be used. */
     private static final int UNUSABLE = 2;
+
     /** Milliseconds that an interrupted run has to write its report. */
     private static final long REPORT = 5_000;
 
     private final PrintStream out;
     private final PrintStream err;
     private final boolean progress;
+
     /** Kept: a logger that nobody holds forgets its level. */
-    private final java.util.logging.Logger proxies = java.util.logging.Logger.getLogger("cottonlock");
+    private final java.util.logging.Logger proxies =
+            java.util.logging.Logger.getLogger("cottonlock");
 
     /** Progress: whether the error stream is a terminal. */
     public Lab(PrintStream out, PrintStream err, boolean progress) {
         this.out = out;
         this.err = err;
         this.progress = progress;
-        // Proxies in this process would fill the error stream with what the scenario does to them on purpose.
+        // Proxies in this process would fill the error stream with what the scenario does to them
+        // on purpose.
         proxies.setLevel(java.util.logging.Level.OFF);
     }
 
-    /** Plays how changes of the settings come into force, and writes a file for each size and seed. */
+    /**
+     * Plays how changes of the settings come into force, and writes a file for each size and seed.
+     */
     public int rollout(List<Integer> sizes, List<Long> seeds, String commit, Path folder) {
         try {
             return new RolloutReport(out, commit, folder).play(sizes, seeds) ? 0 : 1;
@@ -50,11 +59,11 @@
     /**
      * Plays one scenario, and prints the verdict as the last line.
      *
-     * @param seed   null for the scenario's own
+     * @param seed null for the scenario's own
      * @param folder where reports go; null for nowhere
      */
     public int run(Path file, Long seed, List<String> sets, Path folder, boolean processes)
-        throws InterruptedException {
+            throws InterruptedException {
         try {
             Verdict verdict = play(file, seed, sets, folder, processes);
             verdict.broken.forEach(out::println);
@@ -69,21 +78,23 @@
     }
 
     private Verdict play(Path file, Long seed, List<String> sets, Path folder, boolean processes)
-        throws IOException, BadFile, InterruptedException {
+            throws IOException, BadFile, InterruptedException {
         List<String> all = new ArrayList<>(sets);
         if (processes) {
             all.add("proxy.processes=true");
         }
         Experiment run = new Experiment(Scenario.read(file, all, seed));
         Thread main = Thread.currentThread();
-        Thread hook = new Thread(() -> {
-            run.interrupt();
-            try {
-                main.join(REPORT);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        Thread hook =
+                new Thread(
+                        () -> {
+                            run.interrupt();
+                            try {
+                                main.join(REPORT);
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        });
         if (progress) {
             run.eachSecond(second -> show(run, second));
         }
@@ -118,12 +129,18 @@
     private void show(Experiment run, long second) {
         int last = (int) second - 1;
         Series series = run.series();
-        err.print(String.format(Locale.ROOT,
-            "\r\u001b[K%3d/%d s  due %d  finished %d  deferred %d  written off %d  "
-            + "service %.3f", second, run.scenario().length / 1_000_000_000L,
-            series.line(Series.Count.DUE).at(last),
-            series.line(Series.Count.FINISHED).at(last), series.line(Series.Count.DEFERRED).at(last),
-            series.line(Series.Count.WRITTEN_OFF).at(last), series.service(last)));
+        err.print(
+                String.format(
+                        Locale.ROOT,
+                        "\r\u001b[K%3d/%d s  due %d  finished %d  deferred %d  written off %d  "
+                                + "service %.3f",
+                        second,
+                        run.scenario().length / 1_000_000_000L,
+                        series.line(Series.Count.DUE).at(last),
+                        series.line(Series.Count.FINISHED).at(last),
+                        series.line(Series.Count.DEFERRED).at(last),
+                        series.line(Series.Count.WRITTEN_OFF).at(last),
+                        series.service(last)));
         err.flush();
     }
 
@@ -155,8 +172,15 @@
             for (String key : keys) {
                 Double left = a.figures().get(key);
                 Double right = b.figures().get(key);
-                out.printf(Locale.ROOT, "%-16s %14s %14s %14s%n", key, shown(left), shown(right),
-                    left == null || right == null ? "" : String.format(Locale.ROOT, "%+.3f", right - left));
+                out.printf(
+                        Locale.ROOT,
+                        "%-16s %14s %14s %14s%n",
+                        key,
+                        shown(left),
+                        shown(right),
+                        left == null || right == null
+                                ? ""
+                                : String.format(Locale.ROOT, "%+.3f", right - left));
             }
             return 0;
         } catch (IOException e) {
@@ -166,40 +190,64 @@
     }
 
     private void row(String name, String left, String right) {
-        out.printf(Locale.ROOT, "%-16s %14s %14s %14s%n", name, left, right, left.equals(right) ? ""
-            : "differs");
+        out.printf(
+                Locale.ROOT,
+                "%-16s %14s %14s %14s%n",
+                name,
+                left,
+                right,
+                left.equals(right) ? "" : "differs");
     }
 
     private static String shown(Double value) {
         if (value == null) {
             return "-";
         }
-        return value == Math.rint(value) ? Long.toString(value.longValue())
-            : String.format(Locale.ROOT, "%.3f", value);
+        return value == Math.rint(value)
+                ? Long.toString(value.longValue())
+                : String.format(Locale.ROOT, "%.3f", value);
     }
 
     /**
-     * Plays a scenario once for each value of one setting and each seed, and prints a line for each value.
-     * With a folder, the curve goes there as sweep.html, and the reports into folders beside it.
+     * Plays a scenario once for each value of one setting and each seed, and prints a line for each
+     * value. With a folder, the curve goes there as sweep.html, and the reports into folders beside
+     * it.
      */
-    public int sweep(Path file, String path, List<String> values, List<Long> seeds, List<String> sets,
-        Path folder)
-        throws InterruptedException {
+    public int sweep(
+            Path file,
+            String path,
+            List<String> values,
+            List<Long> seeds,
+            List<String> sets,
+            Path folder)
+            throws InterruptedException {
         List<String> figures = List.of("service", "worst_s", "p99_ms", "deferred", "written_off");
         double[][] means = new double[figures.size()][values.size()];
         int status = 0;
         try {
             Files.createDirectories(folder == null ? Path.of(".") : folder);
-            out.printf(Locale.ROOT, "%-16s %8s %8s %8s %9s %12s  %s%n", path, "service", "worst_s", "p99_ms",
-                "deferred", "written_off", "verdicts");
+            out.printf(
+                    Locale.ROOT,
+                    "%-16s %8s %8s %8s %9s %12s  %s%n",
+                    path,
+                    "service",
+                    "worst_s",
+                    "p99_ms",
+                    "deferred",
+                    "written_off",
+                    "verdicts");
             for (int v = 0; v < values.size(); v++) {
                 List<String> all = new ArrayList<>(sets);
                 all.add(path + "=" + values.get(v));
                 StringBuilder verdicts = new StringBuilder();
                 for (Long seed : seeds) {
-                    Path own = folder == null ? null
-                        : folder.resolve(values.get(v).replaceAll("[^A-Za-z0-9.-]", "_")
-                        + "-" + seed);
+                    Path own =
+                            folder == null
+                                    ? null
+                                    : folder.resolve(
+                                            values.get(v).replaceAll("[^A-Za-z0-9.-]", "_")
+                                                    + "-"
+                                                    + seed);
                     Verdict verdict = play(file, seed, all, own, false);
                     verdicts.append(' ').append(verdict.word());
                     status = Math.max(status, verdict.kind == Verdict.Kind.NONE ? 3 : 0);
@@ -207,12 +255,20 @@
                         means[f][v] += verdict.figures.get(figures.get(f)) / seeds.size();
                     }
                 }
-                out.printf(Locale.ROOT, "%-16s %8.3f %8.3f %8.1f %9.0f %12.0f %s%n", values.get(v),
-                    means[0][v],
-                    means[1][v], means[2][v], means[3][v], means[4][v], verdicts);
+                out.printf(
+                        Locale.ROOT,
+                        "%-16s %8.3f %8.3f %8.1f %9.0f %12.0f %s%n",
+                        values.get(v),
+                        means[0][v],
+                        means[1][v],
+                        means[2][v],
+                        means[3][v],
+                        means[4][v],
+                        verdicts);
             }
             if (folder != null) {
-                Files.writeString(folder.resolve("sweep.html"), curve(file, path, values, figures, means));
+                Files.writeString(
+                        folder.resolve("sweep.html"), curve(file, path, values, figures, means));
             }
             return status;
         } catch (BadFile e) {
@@ -224,10 +280,17 @@
     }
 
     /** Plays fleets in virtual time; {@link MembersStudy} says what is printed. */
-    public int members(List<Integer> sizes, List<Double> losses, long seed, int deaths, int quiet,
-                       Path operator, Path folder) {
+    public int members(
+            List<Integer> sizes,
+            List<Double> losses,
+            long seed,
+            int deaths,
+            int quiet,
+            Path operator,
+            Path folder) {
         try {
-            MembershipRules rules = operator == null ? MembershipRules.USUAL : OperatorFile.rules(operator);
+            MembershipRules rules =
+                    operator == null ? MembershipRules.USUAL : OperatorFile.rules(operator);
             MembersStudy study = new MembersStudy(sizes, losses, rules);
             study.play(seed, deaths, quiet, out);
             if (folder != null) {
@@ -244,12 +307,22 @@
     }
 
     /** Plays fleets over regions and zones in virtual time, each size with each seed. */
-    public int membersOver(int regions, int zones, List<Integer> sizes, List<Long> seeds, int quiet,
-                           int apart, int known, Path operator, Path folder) {
+    public int membersOver(
+            int regions,
+            int zones,
+            List<Integer> sizes,
+            List<Long> seeds,
+            int quiet,
+            int apart,
+            int known,
+            Path operator,
+            Path folder) {
         try {
-            MembershipRules rules = operator == null ? MembershipRules.USUAL : OperatorFile.rules(operator);
-            MembersRegions study = new MembersRegions(new Topology(regions, zones), quiet, apart, known,
-                rules, out);
+            MembershipRules rules =
+                    operator == null ? MembershipRules.USUAL : OperatorFile.rules(operator);
+            MembersRegions study =
+                    new MembersRegions(
+                            new Topology(regions, zones), quiet, apart, known, rules, out);
             for (int size : sizes) {
                 for (long seed : seeds) {
                     study.play(size, seed, folder);
@@ -264,23 +337,30 @@
         return UNUSABLE;
     }
 
-    private static String curve(Path file, String path, List<String> values, List<String> figures,
-                                double[][] means) {
+    private static String curve(
+            Path file, String path, List<String> values, List<String> figures, double[][] means) {
         double[] xs = new double[values.size()];
         boolean numbers = values.stream().allMatch(v -> v.matches("-?[0-9]+(\\.[0-9]+)?"));
         for (int i = 0; i < xs.length; i++) {
             xs[i] = numbers ? Double.parseDouble(values.get(i)) : i;
         }
-        StringBuilder page = new StringBuilder(Page.HEAD).append("<title>sweep</title>").append(Page.STYLE)
-            .append("</head><body><h1>")
-            .append(Chart.text(file.getFileName() + ": " + path)).append("</h1>\n");
+        StringBuilder page =
+                new StringBuilder(Page.HEAD)
+                        .append("<title>sweep</title>")
+                        .append(Page.STYLE)
+                        .append("</head><body><h1>")
+                        .append(Chart.text(file.getFileName() + ": " + path))
+                        .append("</h1>\n");
         if (!numbers) {
-            page.append("<p>Values along the axis: ").append(Chart.text(String.join(", ",
-                values))).append("</p>\n");
+            page.append("<p>Values along the axis: ")
+                    .append(Chart.text(String.join(", ", values)))
+                    .append("</p>\n");
         }
         for (int f = 0; f < figures.size(); f++) {
-            page.append(new Chart(figures.get(f), "mean over the seeds", xs, "", List.of())
-                .line(figures.get(f), means[f]).svg());
+            page.append(
+                    new Chart(figures.get(f), "mean over the seeds", xs, "", List.of())
+                            .line(figures.get(f), means[f])
+                            .svg());
         }
         return page.append("</body></html>\n").toString();
     }
--- a/src/main/java/cottonlock/lab/Ledger.java
+++ b/src/main/java/cottonlock/lab/Ledger.java
@@ -8,17 +8,24 @@
 import java.util.Map;
 
 /**
- * Sees every message that the stand-ins send and receive, and counts breaches of the four rules by itself:
- * what a proxy says of itself does not come here. It holds the rules' figures and nothing of how proxies
- * decide. Times are nanoseconds.
+ * Sees every message that the stand-ins send and receive, and counts breaches of the four rules by
+ * itself: what a proxy says of itself does not come here. It holds the rules' figures and nothing
+ * of how proxies decide. Times are nanoseconds.
  */
 @Decides
 final class Ledger {
-    /** Lines kept of each kind of breach: the first ones tell the cause, the count tells the rest. */
+    /**
+     * Lines kept of each kind of breach: the first ones tell the cause, the count tells the rest.
+     */
     private static final int LINES = 20;
 
     /** The four rules. */
-    enum Rule { LOST, TWICE, DRAINS, COLD }
+    enum Rule {
+        LOST,
+        TWICE,
+        DRAINS,
+        COLD
+    }
 
     /** One request as its sender knows it. */
     private static final class Entry {
@@ -27,8 +34,10 @@
         final int proxy;
         final long until;
         boolean over;
+
         /** When nothing more may be sent for it; far off while it is owed. */
         long overAt = Long.MAX_VALUE / 2;
+
         int sends;
 
         Entry(String chain, String category, int proxy, long until) {
@@ -40,8 +49,7 @@
     }
 
     /** What has had an effect: where and when first. */
-    private record Effect(String room, long at) {
-    }
+    private record Effect(String room, long at) {}
 
     private final long grace;
     private final long drain;
@@ -49,8 +57,12 @@
     private final Map<String, Effect> effects = new HashMap<>();
     private final Map<String, Integer> made = new HashMap<>();
     private final Map<String, Long> told = new HashMap<>();
-    /** Until when a proxy's process was stopped from outside: what it owed then it could not give. */
+
+    /**
+     * Until when a proxy's process was stopped from outside: what it owed then it could not give.
+     */
     private final Map<Integer, Long> stopped = new HashMap<>();
+
     private final int[] counts = new int[Rule.values().length];
     private final Map<String, Integer> twice = new java.util.TreeMap<>();
     private final List<String> lines = new ArrayList<>();
@@ -65,16 +77,21 @@
     private void breach(Rule rule, long now, String text) {
         int n = ++counts[rule.ordinal()];
         if (n <= LINES) {
-            lines.add(String.format(Locale.ROOT, "%s at %.3f s: %s", rule.name().toLowerCase(Locale.ROOT),
-                now / 1e9, text));
+            lines.add(
+                    String.format(
+                            Locale.ROOT,
+                            "%s at %.3f s: %s",
+                            rule.name().toLowerCase(Locale.ROOT),
+                            now / 1e9,
+                            text));
         }
     }
 
     /**
      * A request's last byte has been written to a proxy.
      *
-     * @param chain what all sends share that may have one effect together: a client's retry after a deferral
-     *              belongs to it, one after a write-off is its client's own risk and begins another
+     * @param chain what all sends share that may have one effect together: a client's retry after a
+     *     deferral belongs to it, one after a write-off is its client's own risk and begins another
      */
     void sent(String id, String chain, String category, int proxy, long until) {
         items.put(id, new Entry(chain, category, proxy, until));
@@ -90,8 +107,14 @@
         e.over = true;
         e.overAt = now;
         if (now > e.until + grace && e.until > stopped.getOrDefault(e.proxy, Long.MIN_VALUE)) {
-            breach(Rule.LOST, now, String.format(Locale.ROOT, "%s was answered %.1f ms after its expiry", id,
-                (now - e.until) / 1e6));
+            breach(
+                    Rule.LOST,
+                    now,
+                    String.format(
+                            Locale.ROOT,
+                            "%s was answered %.1f ms after its expiry",
+                            id,
+                            (now - e.until) / 1e6));
         } else if (finished && made.getOrDefault(id, body + 1) != body) {
             breach(Rule.LOST, now, id + " was served with what no backend made for it");
         }
@@ -122,22 +145,38 @@
         sends++;
         Long since = told.get(proxy + " " + backend);
         if (since != null && firstByte > since + drain + grace) {
-            breach(Rule.DRAINS, now, String.format(Locale.ROOT, "%s went to %s %.0f ms after n%d was told",
-                id,
-                backend, (firstByte - since) / 1e6, proxy));
+            breach(
+                    Rule.DRAINS,
+                    now,
+                    String.format(
+                            Locale.ROOT,
+                            "%s went to %s %.0f ms after n%d was told",
+                            id,
+                            backend,
+                            (firstByte - since) / 1e6,
+                            proxy));
         }
         Entry e = items.get(id);
         if (e == null) {
-            breach(Rule.LOST, now, "an attempt of " + id + ", which no client sent, came to " + backend);
+            breach(
+                    Rule.LOST,
+                    now,
+                    "an attempt of " + id + ", which no client sent, came to " + backend);
             return;
         }
         e.sends++;
         // What waited in a stopped process's sockets bears no time: it can't know how old it is.
         boolean waited = e.until <= stopped.getOrDefault(e.proxy, Long.MIN_VALUE);
         if (firstByte > Math.min(e.overAt, e.until) + grace && !waited) {
-            breach(Rule.LOST, now, String.format(Locale.ROOT,
-                "%s was sent on to %s %.1f ms after it was over", id,
-                backend, (firstByte - Math.min(e.overAt, e.until)) / 1e6));
+            breach(
+                    Rule.LOST,
+                    now,
+                    String.format(
+                            Locale.ROOT,
+                            "%s was sent on to %s %.1f ms after it was over",
+                            id,
+                            backend,
+                            (firstByte - Math.min(e.overAt, e.until)) / 1e6));
         }
     }
 
@@ -150,9 +189,17 @@
         Effect first = effects.putIfAbsent(e.chain, new Effect(room, now));
         if (first != null) {
             twice.merge(e.category + " in " + room, 1, Integer::sum);
-            breach(Rule.TWICE, now, String.format(Locale.ROOT,
-                "%s of %s ran in room %s, and %.0f ms before in %s",
-                id, e.category, room, (now - first.at) / 1e6, first.room));
+            breach(
+                    Rule.TWICE,
+                    now,
+                    String.format(
+                            Locale.ROOT,
+                            "%s of %s ran in room %s, and %.0f ms before in %s",
+                            id,
+                            e.category,
+                            room,
+                            (now - first.at) / 1e6,
+                            first.room));
         }
     }
 
@@ -161,7 +208,9 @@
         made.put(id, body);
     }
 
-    /** A proxy was told, or counts as told, that a backend drains or is gone; the first time counts. */
+    /**
+     * A proxy was told, or counts as told, that a backend drains or is gone; the first time counts.
+     */
     void told(long now, int proxy, String backend) {
         told.putIfAbsent(proxy + " " + backend, now);
     }
--- a/src/main/java/cottonlock/lab/Loop.java
+++ b/src/main/java/cottonlock/lab/Loop.java
@@ -12,14 +12,19 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * One thread on which all stand-ins of a run live: sockets that are ready, tasks whose time has come, and
- * tasks from other threads, in this order. It keeps account of how late tasks ran, for a run on a machine
- * that can't keep up must give no verdict. Times are nanoseconds since the loop was made.
+ * One thread on which all stand-ins of a run live: sockets that are ready, tasks whose time has
+ * come, and tasks from other threads, in this order. It keeps account of how late tasks ran, for a
+ * run on a machine that can't keep up must give no verdict. Times are nanoseconds since the loop
+ * was made.
  */
 public final class Loop {
     /** Microseconds: what is later is as bad as this. */
     private static final long LATEST = 60_000_000;
-    /** Sockets served before the tasks that are due get a turn: with more, arrivals waited behind bursts. */
+
+    /**
+     * Sockets served before the tasks that are due get a turn: with more, arrivals waited behind
+     * bursts.
+     */
     private static final int TURN = 64;
 
     /** A task with its time; a cancelled one stays in the heap until then. */
@@ -86,12 +91,15 @@
         selector.wakeup();
     }
 
-    public SelectionKey register(SelectableChannel channel, int ops, Ready whom) throws IOException {
+    public SelectionKey register(SelectableChannel channel, int ops, Ready whom)
+            throws IOException {
         channel.configureBlocking(false);
         return channel.register(selector, ops, whom);
     }
 
-    /** Lets go of channels that were closed: until then their addresses can't be listened on again. */
+    /**
+     * Lets go of channels that were closed: until then their addresses can't be listened on again.
+     */
     void letGo() throws IOException {
         selector.selectNow();
     }
@@ -122,7 +130,8 @@
             selector.selectedKeys().clear();
             int served = 0;
             for (SelectionKey key : ready) {
-                // What waits in a socket is late too: a loop that only kept its tasks in time looked sound.
+                // What waits in a socket is late too: a loop that only kept its tasks in time
+                // looked sound.
                 late.recordValue(Math.min(LATEST, (now() - selected) / 1_000));
                 serve(key);
                 if (++served % TURN == 0) {
@@ -138,7 +147,9 @@
 
     private void runDue() {
         long now = now();
-        for (Timer next = timers.peek(); next != null && next.at <= now && !stopped; next = timers.peek()) {
+        for (Timer next = timers.peek();
+                next != null && next.at <= now && !stopped;
+                next = timers.peek()) {
             timers.poll();
             if (next.task != null) {
                 late.recordValue(Math.min(LATEST, (now - next.at) / 1_000));
--- a/src/main/java/cottonlock/lab/MembersJudge.java
+++ b/src/main/java/cottonlock/lab/MembersJudge.java
@@ -11,17 +11,24 @@
 import java.util.TreeMap;
 
 /**
- * Holds what proxies believe of one another against what is true: who lives, and who can reach whom. It is
- * told the truth by whoever makes it, and samples of each proxy's view. Times are nanoseconds.
+ * Holds what proxies believe of one another against what is true: who lives, and who can reach
+ * whom. It is told the truth by whoever makes it, and samples of each proxy's view. Times are
+ * nanoseconds.
  */
 @Decides
 final class MembersJudge {
     /** Lines kept for people. */
     private static final int LINES = 20;
+
     private static final long NEVER = Long.MAX_VALUE / 4;
+
     /** Nanoseconds: a failure noticed again so near is the same one. */
     private static final long SAME = 1_000_000_000L;
-    /** Nanoseconds without an untrue view after which all agree: each is asked some ten times a second. */
+
+    /**
+     * Nanoseconds without an untrue view after which all agree: each is asked some ten times a
+     * second.
+     */
     private static final long QUIET = 400_000_000L;
 
     /** What one proxy says of another. */
@@ -38,6 +45,7 @@
         long first = -1;
         long all = -1;
         final Set<Integer> know = new HashSet<>();
+
         /** When it was back; -1: it was not. */
         long back = -1;
 
@@ -48,10 +56,13 @@
     }
 
     private final String[] names;
+
     /** Since when each has been there without a break; NEVER: it is not. */
     private final long[] there;
+
     /** Since when each pair has had a way, if by detours, without a break. */
     private final long[][] connected;
+
     private final boolean[][] cut;
     private final long settled;
     private final List<Death> deaths = new ArrayList<>();
@@ -59,16 +70,28 @@
     private final List<String> lines = new ArrayList<>();
     private final Map<Long, Integer> untrueBy = new TreeMap<>();
     private final boolean[] sampled;
-    /** The last change of what is true, whether it was for the better, and the last untrue view after it. */
+
+    /**
+     * The last change of what is true, whether it was for the better, and the last untrue view
+     * after it.
+     */
     private long changedAt;
+
     private boolean better = true;
     private long untrueAt = -1;
-    /** The longest that views took to be true again after something had come back, and after a loss. */
+
+    /**
+     * The longest that views took to be true again after something had come back, and after a loss.
+     */
     private long agreed;
+
     private long apart;
     private int falseFailed;
 
-    /** Settled: for how long one must have been there and in reach for its failure to be a false one. */
+    /**
+     * Settled: for how long one must have been there and in reach for its failure to be a false
+     * one.
+     */
     MembersJudge(List<String> names, long settled) {
         this.names = names.toArray(String[]::new);
         this.settled = settled;
@@ -108,7 +131,10 @@
         }
     }
 
-    /** Another process serves for a proxy, and may not know the others yet; to these nothing has happened. */
+    /**
+     * Another process serves for a proxy, and may not know the others yet; to these nothing has
+     * happened.
+     */
     void replaced(long now) {
         changed(now, true);
     }
@@ -195,8 +221,11 @@
                 death.know.add(viewer);
                 boolean all = true;
                 for (int p = 0; p < names.length; p++) {
-                    all &= p == proxy || there[p] == NEVER || connected[viewer][p] == NEVER
-                        || death.know.contains(p);
+                    all &=
+                            p == proxy
+                                    || there[p] == NEVER
+                                    || connected[viewer][p] == NEVER
+                                    || death.know.contains(p);
                 }
                 if (all && death.all < 0) {
                     death.all = now - death.at;
@@ -215,8 +244,14 @@
         if (there && connected[viewer][proxy] <= at - settled) {
             falseFailed++;
             if (lines.size() < LINES) {
-                lines.add(String.format(Locale.ROOT, "false_failed at %.3f s: %s called %s failed, "
-                    + "which lived and could be reached", at / 1e9, names[viewer], names[proxy]));
+                lines.add(
+                        String.format(
+                                Locale.ROOT,
+                                "false_failed at %.3f s: %s called %s failed, "
+                                        + "which lived and could be reached",
+                                at / 1e9,
+                                names[viewer],
+                                names[proxy]));
             }
         }
     }
