--- a/src/main/java/cottonlock/lab/MembersRegions.java
+++ b/src/main/java/cottonlock/lab/MembersRegions.java
@@ -17,12 +17,19 @@
 import java.util.Map;
 import java.util.function.LongSupplier;
 
-/** Fleets over regions and zones in virtual time, for each size and seed: lines as played, and files. */
+/**
+ * Fleets over regions and zones in virtual time, for each size and seed: lines as played, and
+ * files.
+ */
 final class MembersRegions implements RegionsStudy.Gauge {
     /** Readings of the processor's clock by which its own cost is found. */
     private static final int READINGS = 200_000;
-    /** Collections after which the heap counts as tidied: the first may leave what the second frees. */
+
+    /**
+     * Collections after which the heap counts as tidied: the first may leave what the second frees.
+     */
     private static final int COLLECTIONS = 2;
+
     private static final List<String> APART = List.of("seconds_virtual", "datagrams_print");
 
     private final Topology topology;
@@ -35,8 +42,13 @@
     private long reading = -1;
 
     /** Known: addresses that each member is told; 0: all. */
-    MembersRegions(Topology topology, int quiet, int apart, int known, MembershipRules rules,
-                   PrintStream out) {
+    MembersRegions(
+            Topology topology,
+            int quiet,
+            int apart,
+            int known,
+            MembershipRules rules,
+            PrintStream out) {
         this.topology = topology;
         this.quiet = quiet;
         this.apart = apart;
@@ -52,36 +64,69 @@
      * @throws IOException where that can't be written
      */
     void play(int size, long seed, Path folder) throws IOException {
-        String command = "lab members --regions " + topology.regions() + " --zones " + topology.zones()
-            + " --sizes " + size + " --seeds " + seed + " --quiet " + quiet + " --apart " + apart
-            + (known > 0 ? " --known " + known : "");
+        String command =
+                "lab members --regions "
+                        + topology.regions()
+                        + " --zones "
+                        + topology.zones()
+                        + " --sizes "
+                        + size
+                        + " --seeds "
+                        + seed
+                        + " --quiet "
+                        + quiet
+                        + " --apart "
+                        + apart
+                        + (known > 0 ? " --known " + known : "");
         out.println(command);
         long from = System.nanoTime();
-        RegionsStudy.Play play = new RegionsStudy.Play(seed, size, topology, quiet, apart,
-            known > 0 ? Math.min(known, size) : size);
+        RegionsStudy.Play play =
+                new RegionsStudy.Play(
+                        seed,
+                        size,
+                        topology,
+                        quiet,
+                        apart,
+                        known > 0 ? Math.min(known, size) : size);
         if (folder != null) {
             Files.createDirectories(folder);
         }
         String commit = commit();
-        RegionsStudy.of(play, rules, this, (name, figures) -> {
-            long seconds = (System.nanoTime() - from) / 1_000_000_000;
-            out.printf("  %6d s  %s=%d%n", seconds, name, figures.get(name));
-            out.flush();
-            // As it goes on: what a play that is cut off has measured is measured.
-            if (folder != null) {
-                try {
-                    write(folder.resolve("members-" + size + "-" + seed + ".json"), play, command, commit,
-                        seconds, figures);
-                } catch (IOException e) {
-                    throw new UncheckedIOException(e);
-                }
-            }
-        });
+        RegionsStudy.of(
+                play,
+                rules,
+                this,
+                (name, figures) -> {
+                    long seconds = (System.nanoTime() - from) / 1_000_000_000;
+                    out.printf("  %6d s  %s=%d%n", seconds, name, figures.get(name));
+                    out.flush();
+                    // As it goes on: what a play that is cut off has measured is measured.
+                    if (folder != null) {
+                        try {
+                            write(
+                                    folder.resolve("members-" + size + "-" + seed + ".json"),
+                                    play,
+                                    command,
+                                    commit,
+                                    seconds,
+                                    figures);
+                        } catch (IOException e) {
+                            throw new UncheckedIOException(e);
+                        }
+                    }
+                });
     }
 
-    private void write(Path file, RegionsStudy.Play play, String command, String commit,
-                       long seconds, Map<String, Long> figures) throws IOException {
-        try (JsonGenerator json = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
+    private void write(
+            Path file,
+            RegionsStudy.Play play,
+            String command,
+            String commit,
+            long seconds,
+            Map<String, Long> figures)
+            throws IOException {
+        try (JsonGenerator json =
+                new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
             json.useDefaultPrettyPrinter();
             json.writeStartObject();
             json.writeStringField("kind", "members");
@@ -93,7 +138,8 @@
             json.writeStringField("commit", commit);
             json.writeNumberField("seconds_virtual", figures.get("seconds_virtual"));
             json.writeNumberField("seconds_real", seconds);
-            json.writeStringField("datagrams_print", Long.toHexString(figures.get("datagrams_print")));
+            json.writeStringField(
+                    "datagrams_print", Long.toHexString(figures.get("datagrams_print")));
             json.writeObjectFieldStart("figures");
             for (Map.Entry<String, Long> figure : figures.entrySet()) {
                 if (!APART.contains(figure.getKey())) {
@@ -109,9 +155,12 @@
     /** The state of the sources that this was built from, where it is run beside them. */
     private static String commit() {
         try {
-            Process git = new ProcessBuilder("git", "describe", "--always", "--dirty", "--exclude", "*")
-                .redirectError(ProcessBuilder.Redirect.DISCARD).start();
-            String text = new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
+            Process git =
+                    new ProcessBuilder("git", "describe", "--always", "--dirty", "--exclude", "*")
+                            .redirectError(ProcessBuilder.Redirect.DISCARD)
+                            .start();
+            String text =
+                    new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
             return git.waitFor() == 0 && !text.isEmpty() ? text : "unknown";
         } catch (IOException e) {
             return "unknown";
--- a/src/main/java/cottonlock/lab/MembersStudy.java
+++ b/src/main/java/cottonlock/lab/MembersStudy.java
@@ -8,7 +8,10 @@
 import java.util.Locale;
 import java.util.function.ToDoubleFunction;
 
-/** What knowing one another costs and brings, for each size and loss: as a table, and as a page of plots. */
+/**
+ * What knowing one another costs and brings, for each size and loss: as a table, and as a page of
+ * plots.
+ */
 final class MembersStudy {
     private static final String AXIS = "log10 of the size";
 
@@ -25,42 +28,70 @@
 
     /** Plays each, and prints a line for it as soon as it is known. */
     void play(long seed, int deaths, int quiet, PrintStream out) {
-        out.println("size  loss  first knows, ms  all know, ms   false failures    bytes/s     joined  heal");
-        out.println("            median  worst    median  worst  an hour   hours   mean worst  ms      ms");
+        out.println(
+                "size  loss  first knows, ms  all know, ms   false failures    bytes/s     joined  heal");
+        out.println(
+                "            median  worst    median  worst  an hour   hours   mean worst  ms      ms");
         for (double loss : losses) {
             for (int size : sizes) {
                 Study.Row r = Study.of(seed, size, loss, deaths, quiet, rules);
                 rows.add(r);
-                out.printf(Locale.ROOT, "%4d  %4.2f  %6d %6d    %6d %6d  %7.1f %7.2f  %5d %5d  %6d  %6d%n",
-                    size, loss, r.first(), r.worstFirst(), r.all(), r.worstAll(), r.falseHour(), r.hours(),
-                    r.mean(), r.worst(), r.joined(), r.heal());
+                out.printf(
+                        Locale.ROOT,
+                        "%4d  %4.2f  %6d %6d    %6d %6d  %7.1f %7.2f  %5d %5d  %6d  %6d%n",
+                        size,
+                        loss,
+                        r.first(),
+                        r.worstFirst(),
+                        r.all(),
+                        r.worstAll(),
+                        r.falseHour(),
+                        r.hours(),
+                        r.mean(),
+                        r.worst(),
+                        r.joined(),
+                        r.heal());
             }
         }
     }
 
     /** The plots, beside what the published formulas give for the same periods. */
     String page() {
-        // SWIM: a first probe after e / (e - 1) periods in the mean. Lifeguard: a doubt that enough confirm
+        // SWIM: a first probe after e / (e - 1) periods in the mean. Lifeguard: a doubt that enough
+        // confirm
         // lasts its shortest time.
         double probe = Math.E / (Math.E - 1) * rules.period() / 10;
-        double[] published = sizes.stream().mapToDouble(n -> probe
-            + rules.suspicion() * Math.max(1, Math.log10(n)) * rules.period() / 10).toArray();
-        return Page.HEAD + "<title>members</title>" + Page.STYLE + "</head><body><h1>Proxies that know one "
-            + "another, in virtual time</h1>\n"
-            + chart("The first knows of a death", "ms, median", Study.Row::first)
-                .line("SWIM and Lifeguard, by their formulas", published).svg()
-            + chart("All know of a death", "ms, median", Study.Row::all).svg()
-            + chart("Sent by one member", "bytes a second, mean", Study.Row::mean).svg()
-            + chart("A split is healed", "ms until all views are right", Study.Row::heal).svg()
-            + "</body></html>\n";
+        double[] published =
+                sizes.stream()
+                        .mapToDouble(
+                                n ->
+                                        probe
+                                                + rules.suspicion()
+                                                        * Math.max(1, Math.log10(n))
+                                                        * rules.period()
+                                                        / 10)
+                        .toArray();
+        return Page.HEAD
+                + "<title>members</title>"
+                + Page.STYLE
+                + "</head><body><h1>Proxies that know one "
+                + "another, in virtual time</h1>\n"
+                + chart("The first knows of a death", "ms, median", Study.Row::first)
+                        .line("SWIM and Lifeguard, by their formulas", published)
+                        .svg()
+                + chart("All know of a death", "ms, median", Study.Row::all).svg()
+                + chart("Sent by one member", "bytes a second, mean", Study.Row::mean).svg()
+                + chart("A split is healed", "ms until all views are right", Study.Row::heal).svg()
+                + "</body></html>\n";
     }
 
     private Chart chart(String title, String unit, ToDoubleFunction<Study.Row> value) {
         double[] xs = sizes.stream().mapToDouble(Math::log10).toArray();
         Chart chart = new Chart(title, unit, xs, AXIS, List.of());
         for (double loss : losses) {
-            chart.line(Math.round(loss * 100) + "% lost",
-                rows.stream().filter(r -> r.loss() == loss).mapToDouble(value).toArray());
+            chart.line(
+                    Math.round(loss * 100) + "% lost",
+                    rows.stream().filter(r -> r.loss() == loss).mapToDouble(value).toArray());
         }
         return chart;
     }
--- a/src/main/java/cottonlock/lab/MembersWatch.java
+++ b/src/main/java/cottonlock/lab/MembersWatch.java
@@ -15,25 +15,31 @@
 final class MembersWatch {
     /** Milliseconds between two questions to one proxy: a fifth of the usual period. */
     private static final int BETWEEN = 100;
+
     private static final int PATIENCE = 1_000;
 
     private final List<Thread> threads = new ArrayList<>();
 
     /** Asks at an address; answers go to whom they are for, on the watch's threads. */
     void watch(Supplier<InetSocketAddress> address, Consumer<Map<String, MembersJudge.Seen>> told) {
-        Thread thread = new Thread(null, () -> {
-            try {
-                while (true) {
-                    Thread.sleep(BETWEEN);
-                    String text = ask(address.get(), "MEMBERS");
-                    if (text != null && text.startsWith("view=")) {
-                        told.accept(read(text));
-                    }
-                }
-            } catch (InterruptedException e) {
-                // The run is over.
-            }
-        }, "watch", 256 << 10);
+        Thread thread =
+                new Thread(
+                        null,
+                        () -> {
+                            try {
+                                while (true) {
+                                    Thread.sleep(BETWEEN);
+                                    String text = ask(address.get(), "MEMBERS");
+                                    if (text != null && text.startsWith("view=")) {
+                                        told.accept(read(text));
+                                    }
+                                }
+                            } catch (InterruptedException e) {
+                                // The run is over.
+                            }
+                        },
+                        "watch",
+                        256 << 10);
         thread.setDaemon(true);
         threads.add(thread);
         thread.start();
@@ -56,7 +62,9 @@
         for (String line : text.split("\n")) {
             String[] words = line.split(" ");
             if (words.length >= 6 && words[3].startsWith("life=")) {
-                view.put(words[0], new MembersJudge.Seen(words[1], number(words[3]), number(words[5])));
+                view.put(
+                        words[0],
+                        new MembersJudge.Seen(words[1], number(words[3]), number(words[5])));
             }
         }
         return view;
--- a/src/main/java/cottonlock/lab/Page.java
+++ b/src/main/java/cottonlock/lab/Page.java
@@ -6,12 +6,17 @@
 import java.util.Map;
 import java.util.function.IntToDoubleFunction;
 
-/** One page with all of a run: the verdict, the faults and plots over time; it opens without a network. */
+/**
+ * One page with all of a run: the verdict, the faults and plots over time; it opens without a
+ * network.
+ */
 public final class Page {
     /** Backends in one plot: more lines than this can't be told apart, the busiest are shown. */
     private static final int MOST_LINES = 12;
+
     /** How pages of the lab look. */
-    public static final String STYLE = """
+    public static final String STYLE =
+            """
         <style>
         body{font:15px/1.45 system-ui,sans-serif;max-width:920px;margin:24px auto;padding:0 16px}
         body{color:#222;background:#fff}
@@ -34,45 +39,82 @@
         """;
 
     /** How they begin. */
-    public static final String HEAD = "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">";
+    public static final String HEAD =
+            "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">";
 
-    private Page() {
-    }
+    private Page() {}
 
     static String of(Experiment run, Verdict verdict) {
         Scenario scenario = run.scenario();
         Series series = run.series();
         int seconds = (int) (scenario.length / 1_000_000_000L);
         List<Timeline.Entry> faults = run.timeline();
-        StringBuilder page = new StringBuilder(HEAD)
-            .append("<meta name=\"viewport\" content=\"width=device-width\"><title>")
-            .append(Chart.text(scenario.name)).append(" - cottonlock lab</title>\n").append(STYLE)
-            .append("</head><body>\n<h1>").append(Chart.text(scenario.name)).append(" <span class=\"verdict ")
-            .append(verdict.word()).append("\">").append(verdict.word()).append("</span></h1>\n<p>")
-            .append(Chart.text(scenario.about)).append("</p>\n<p><small>seed ").append(scenario.seed)
-            .append(", ")
-            .append(seconds).append(" s, policy ").append(scenario.proxies.policy()).append(", ")
-            .append(scenario.proxies.count()).append(" proxies before ")
-            .append(scenario.tiers.get(0).backends()).append(" backends")
-            .append(run.interrupted() ? "; ended early" : "")
-            .append(". Stand-ins on one machine; no measurements of real servers.</small></p>\n");
+        StringBuilder page =
+                new StringBuilder(HEAD)
+                        .append("<meta name=\"viewport\" content=\"width=device-width\"><title>")
+                        .append(Chart.text(scenario.name))
+                        .append(" - cottonlock lab</title>\n")
+                        .append(STYLE)
+                        .append("</head><body>\n<h1>")
+                        .append(Chart.text(scenario.name))
+                        .append(" <span class=\"verdict ")
+                        .append(verdict.word())
+                        .append("\">")
+                        .append(verdict.word())
+                        .append("</span></h1>\n<p>")
+                        .append(Chart.text(scenario.about))
+                        .append("</p>\n<p><small>seed ")
+                        .append(scenario.seed)
+                        .append(", ")
+                        .append(seconds)
+                        .append(" s, policy ")
+                        .append(scenario.proxies.policy())
+                        .append(", ")
+                        .append(scenario.proxies.count())
+                        .append(" proxies before ")
+                        .append(scenario.tiers.get(0).backends())
+                        .append(" backends")
+                        .append(run.interrupted() ? "; ended early" : "")
+                        .append(
+                                ". Stand-ins on one machine; no measurements of real servers.</small></p>\n");
         for (String line : verdict.broken) {
             page.append("<p class=\"bad\">").append(Chart.text(line)).append("</p>\n");
         }
         cards(page, verdict);
-        page.append(over(seconds, "Answers", "a second, when they came", faults, series, List.of(
-            Series.Count.DUE, Series.Count.FINISHED, Series.Count.LATE, Series.Count.DEFERRED,
-            Series.Count.WRITTEN_OFF, Series.Count.NO_ANSWER)));
-        page.append(chart("Latency of what was finished", "ms, from when it was due to be sent", seconds,
-            faults)
-            .line("median", each(seconds, s -> series.latency(s, 50)))
-            .line("90%", each(seconds, s -> series.latency(s, 90)))
-            .line("99%", each(seconds, s -> series.latency(s, 99))).svg());
-        Chart tenants = chart("Service of each tenant", "part of the credit earned, by when it was due",
-            seconds, faults);
+        page.append(
+                over(
+                        seconds,
+                        "Answers",
+                        "a second, when they came",
+                        faults,
+                        series,
+                        List.of(
+                                Series.Count.DUE,
+                                Series.Count.FINISHED,
+                                Series.Count.LATE,
+                                Series.Count.DEFERRED,
+                                Series.Count.WRITTEN_OFF,
+                                Series.Count.NO_ANSWER)));
+        page.append(
+                chart(
+                                "Latency of what was finished",
+                                "ms, from when it was due to be sent",
+                                seconds,
+                                faults)
+                        .line("median", each(seconds, s -> series.latency(s, 50)))
+                        .line("90%", each(seconds, s -> series.latency(s, 90)))
+                        .line("99%", each(seconds, s -> series.latency(s, 99)))
+                        .svg());
+        Chart tenants =
+                chart(
+                        "Service of each tenant",
+                        "part of the credit earned, by when it was due",
+                        seconds,
+                        faults);
         for (int t = 0; t < Math.min(MOST_LINES, scenario.tenants.size()); t++) {
             int tenant = t;
-            tenants.line(scenario.tenants.get(t).name(), each(seconds, s -> series.service(tenant, s)));
+            tenants.line(
+                    scenario.tenants.get(t).name(), each(seconds, s -> series.service(tenant, s)));
         }
         page.append(tenants.svg());
         backends(page, series, seconds, faults);
@@ -84,16 +126,27 @@
     private static void cards(StringBuilder page, Verdict verdict) {
         page.append("<div class=\"cards\">");
         for (String key : verdict.keys) {
-            boolean bad = verdict.broken.stream().anyMatch(l -> l.contains(" " + key + (l.startsWith("rule")
-                ? ":" : " ")));
-            page.append("<div").append(bad ? " class=\"bad\"" : "").append("><b>").append(verdict.shown(key))
-                .append("</b><small>").append(key.replace("_ms", " ms").replace('_',
-                ' ')).append("</small></div>");
+            boolean bad =
+                    verdict.broken.stream()
+                            .anyMatch(
+                                    l ->
+                                            l.contains(
+                                                    " "
+                                                            + key
+                                                            + (l.startsWith("rule") ? ":" : " ")));
+            page.append("<div")
+                    .append(bad ? " class=\"bad\"" : "")
+                    .append("><b>")
+                    .append(verdict.shown(key))
+                    .append("</b><small>")
+                    .append(key.replace("_ms", " ms").replace('_', ' '))
+                    .append("</small></div>");
         }
         page.append("</div>\n");
     }
 
-    private static Chart chart(String title, String unit, int seconds, List<Timeline.Entry> faults) {
+    private static Chart chart(
+            String title, String unit, int seconds, List<Timeline.Entry> faults) {
         return new Chart(title, unit, each(seconds, s -> s + 0.5), "s", faults);
     }
 
@@ -105,43 +158,82 @@
         return values;
     }
 
-    private static String over(int seconds, String title, String unit, List<Timeline.Entry> faults,
-        Series series,
-                               List<Series.Count> counts) {
+    private static String over(
+            int seconds,
+            String title,
+            String unit,
+            List<Timeline.Entry> faults,
+            Series series,
+            List<Series.Count> counts) {
         Chart chart = chart(title, unit, seconds, faults);
         for (Series.Count count : counts) {
-            chart.line(count.name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                each(seconds, s -> series.line(count).at(s)));
+            chart.line(
+                    count.name().toLowerCase(Locale.ROOT).replace('_', ' '),
+                    each(seconds, s -> series.line(count).at(s)));
         }
         return chart.svg();
     }
 
-    private static void backends(StringBuilder page, Series series, int seconds,
-        List<Timeline.Entry> faults) {
+    private static void backends(
+            StringBuilder page, Series series, int seconds, List<Timeline.Entry> faults) {
         Map<String, List<Map.Entry<String, Series.Work>>> tiers = new java.util.TreeMap<>();
-        series.backends().entrySet().forEach(e -> tiers.computeIfAbsent(
-            e.getKey().substring(1, e.getKey().indexOf('b')), t -> new ArrayList<>()).add(e));
-        tiers.forEach((tier, works) -> {
-            works.sort(java.util.Comparator.comparingDouble(
-                (Map.Entry<String, Series.Work> e) -> -total(e.getValue().received, seconds))
-                .thenComparing(Map.Entry::getKey));
-            int shown = Math.min(MOST_LINES, works.size());
-            String which = works.size() > shown ? ", the " + shown + " busiest of " + works.size() : "";
-            Chart received = chart("Attempts that reached backends of tier " + tier, "a second" + which,
-                seconds,
-                faults);
-            works.stream().limit(shown).sorted(Map.Entry.comparingByKey())
-                .forEach(e -> received.line(e.getKey(), each(seconds, s -> e.getValue().received.at(s))));
-            page.append(received.svg());
-            if (works.stream().anyMatch(e -> total(e.getValue().refused, seconds) > 0)) {
-                Chart refused = chart("Turned away by full backends of tier " + tier, "a second" + which,
-                    seconds,
-                    faults);
-                works.stream().limit(shown).sorted(Map.Entry.comparingByKey())
-                    .forEach(e -> refused.line(e.getKey(), each(seconds, s -> e.getValue().refused.at(s))));
-                page.append(refused.svg());
-            }
-        });
+        series.backends()
+                .entrySet()
+                .forEach(
+                        e ->
+                                tiers.computeIfAbsent(
+                                                e.getKey().substring(1, e.getKey().indexOf('b')),
+                                                t -> new ArrayList<>())
+                                        .add(e));
+        tiers.forEach(
+                (tier, works) -> {
+                    works.sort(
+                            java.util.Comparator.comparingDouble(
+                                            (Map.Entry<String, Series.Work> e) ->
+                                                    -total(e.getValue().received, seconds))
+                                    .thenComparing(Map.Entry::getKey));
+                    int shown = Math.min(MOST_LINES, works.size());
+                    String which =
+                            works.size() > shown
+                                    ? ", the " + shown + " busiest of " + works.size()
+                                    : "";
+                    Chart received =
+                            chart(
+                                    "Attempts that reached backends of tier " + tier,
+                                    "a second" + which,
+                                    seconds,
+                                    faults);
+                    works.stream()
+                            .limit(shown)
+                            .sorted(Map.Entry.comparingByKey())
+                            .forEach(
+                                    e ->
+                                            received.line(
+                                                    e.getKey(),
+                                                    each(
+                                                            seconds,
+                                                            s -> e.getValue().received.at(s))));
+                    page.append(received.svg());
+                    if (works.stream().anyMatch(e -> total(e.getValue().refused, seconds) > 0)) {
+                        Chart refused =
+                                chart(
+                                        "Turned away by full backends of tier " + tier,
+                                        "a second" + which,
+                                        seconds,
+                                        faults);
+                        works.stream()
+                                .limit(shown)
+                                .sorted(Map.Entry.comparingByKey())
+                                .forEach(
+                                        e ->
+                                                refused.line(
+                                                        e.getKey(),
+                                                        each(
+                                                                seconds,
+                                                                s -> e.getValue().refused.at(s))));
+                        page.append(refused.svg());
+                    }
+                });
     }
 
     private static double total(Series.Line line, int seconds) {
@@ -156,27 +248,39 @@
         if (faults.isEmpty()) {
             return;
         }
-        page.append("<h2>Faults</h2><table><tr><th class=\"n\">at, s</th><th class=\"n\">for, s</th>"
-            + "<th>what</th></tr>\n");
+        page.append(
+                "<h2>Faults</h2><table><tr><th class=\"n\">at, s</th><th class=\"n\">for, s</th>"
+                        + "<th>what</th></tr>\n");
         for (Timeline.Entry fault : faults) {
-            page.append(String.format(Locale.ROOT, "<tr><td class=\"n\">%.2f</td><td class=\"n\">%.2f</td>"
-                + "<td>%s</td></tr>%n", fault.at() / 1e9, fault.length() / 1e9, Chart.text(fault.words())));
+            page.append(
+                    String.format(
+                            Locale.ROOT,
+                            "<tr><td class=\"n\">%.2f</td><td class=\"n\">%.2f</td>"
+                                    + "<td>%s</td></tr>%n",
+                            fault.at() / 1e9,
+                            fault.length() / 1e9,
+                            Chart.text(fault.words())));
         }
         page.append("</table>\n");
     }
 
     private static void categories(StringBuilder page, Scenario scenario, Series series) {
-        page.append("<h2>Categories</h2><table><tr><th>name</th><th class=\"n\">finished</th>"
-            + "<th class=\"n\">median, ms</th><th class=\"n\">99%, ms</th><th class=\"n\">due, "
-            + "ms</th></tr>\n");
+        page.append(
+                "<h2>Categories</h2><table><tr><th>name</th><th class=\"n\">finished</th>"
+                        + "<th class=\"n\">median, ms</th><th class=\"n\">99%, ms</th><th class=\"n\">due, "
+                        + "ms</th></tr>\n");
         for (int c = 0; c < scenario.categories.size(); c++) {
             org.HdrHistogram.Histogram h = series.category(c);
-            page.append(String.format(Locale.ROOT,
-                "<tr><td>%s</td><td class=\"n\">%d</td><td class=\"n\">%.1f</td>"
-                + "<td class=\"n\">%.1f</td><td class=\"n\">%d</td></tr>%n",
-                Chart.text(scenario.categories.get(c).name()), h.getTotalCount(),
-                h.getValueAtPercentile(50) / 1_000.0,
-                h.getValueAtPercentile(99) / 1_000.0, scenario.categories.get(c).due() / 1_000_000));
+            page.append(
+                    String.format(
+                            Locale.ROOT,
+                            "<tr><td>%s</td><td class=\"n\">%d</td><td class=\"n\">%.1f</td>"
+                                    + "<td class=\"n\">%.1f</td><td class=\"n\">%d</td></tr>%n",
+                            Chart.text(scenario.categories.get(c).name()),
+                            h.getTotalCount(),
+                            h.getValueAtPercentile(50) / 1_000.0,
+                            h.getValueAtPercentile(99) / 1_000.0,
+                            scenario.categories.get(c).due() / 1_000_000));
         }
         page.append("</table>\n");
     }
--- a/src/main/java/cottonlock/lab/Path.java
+++ b/src/main/java/cottonlock/lab/Path.java
@@ -5,25 +5,33 @@
 import java.util.SplittableRandom;
 
 /**
- * The network between the proxies and one backend: what it does to what goes over it just now. Faults set and
- * reset its fields; each may come several times over, the last one set counts.
+ * The network between the proxies and one backend: what it does to what goes over it just now.
+ * Faults set and reset its fields; each may come several times over, the last one set counts.
  */
 final class Path {
-    /** Nanoseconds between two pieces of a split write: more than a proxy needs to read the first. */
+    /**
+     * Nanoseconds between two pieces of a split write: more than a proxy needs to read the first.
+     */
     static final long BETWEEN = 300_000;
 
     /** Nanoseconds that everything takes longer, each way. */
     long delay;
+
     /** Bytes a second each way on each connection; 0 for no limit. */
     long bytesPerSecond;
+
     /** Nothing passes, nothing is told: no FIN, no RST, and no new connection comes up. */
     boolean cut;
+
     /** The chance that an answer is cut off at a random byte by a reset. */
     double resets;
+
     /** The chance that an answer is written in pieces, at random bytes. */
     double splits;
+
     /** The chance that one byte of an answer's head is changed. */
     double garbles;
+
     private final SplittableRandom random;
 
     Path(SplittableRandom random) {
@@ -31,14 +39,14 @@
     }
 
     /** What becomes of one answer on its way to the proxy. */
-    record Passage(List<byte[]> pieces, boolean thenReset) {
-    }
+    record Passage(List<byte[]> pieces, boolean thenReset) {}
 
     Passage answer(byte[] whole) {
         byte[] bytes = whole;
         if (garbles > 0 && random.nextDouble() < garbles) {
             bytes = whole.clone();
-            // The status line and the names of fields: a changed body would pass for a right one anywhere.
+            // The status line and the names of fields: a changed body would pass for a right one
+            // anywhere.
             int at = random.nextInt(Math.min(bytes.length, 24));
             bytes[at] = (byte) (bytes[at] ^ 1 << random.nextInt(7));
         }
--- a/src/main/java/cottonlock/lab/PeerNet.java
+++ b/src/main/java/cottonlock/lab/PeerNet.java
@@ -15,14 +15,17 @@
 import java.util.SplittableRandom;
 
 /**
- * Stands between the proxies of a tier: each is known to the others by an address of the lab's, where what is
- * sent to it comes, and from where what it sends goes on. So each way of each pair can be cut or spoilt, and
- * what passed is known without asking anybody. Lives on the loop's thread.
+ * Stands between the proxies of a tier: each is known to the others by an address of the lab's,
+ * where what is sent to it comes, and from where what it sends goes on. So each way of each pair
+ * can be cut or spoilt, and what passed is known without asking anybody. Lives on the loop's
+ * thread.
  */
 final class PeerNet {
     private static final long SECOND = 1_000_000_000L;
+
     /** Datagrams kept to be sent again as a forger would. */
     private static final int KEPT = 256;
+
     private static final int LONGEST = 2_048;
 
     /** One proxy's address, and what came from it within the last second. */
@@ -127,7 +130,8 @@
         if (kept.size() < KEPT) {
             kept.add(datagram);
         } else {
-            // Any that was ever sent is as likely to be there: old ones come back from former lives.
+            // Any that was ever sent is as likely to be there: old ones come back from former
+            // lives.
             long at = chance.nextLong(seen);
             if (at < KEPT) {
                 kept.set((int) at, datagram);
@@ -135,7 +139,9 @@
         }
     }
 
-    /** Sends what nobody of the fleet has sent: old datagrams, changed ones, and bytes of any kind. */
+    /**
+     * Sends what nobody of the fleet has sent: old datagrams, changed ones, and bytes of any kind.
+     */
     void forge() {
         int from = chance.nextInt(places.size());
         int to = chance.nextInt(places.size());
@@ -165,7 +171,10 @@
 
     /** Bytes a second that one proxy sent over so many nanoseconds, in the mean. */
     double mean(long nanos) {
-        return places.stream().mapToLong(p -> p.total).sum() * 1e9 / Math.max(1, nanos) / places.size();
+        return places.stream().mapToLong(p -> p.total).sum()
+                * 1e9
+                / Math.max(1, nanos)
+                / places.size();
     }
 
     long forgeries() {
--- a/src/main/java/cottonlock/lab/PeerPaths.java
+++ b/src/main/java/cottonlock/lab/PeerPaths.java
@@ -6,8 +6,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The network between proxies: what it does to datagrams on each ordered pair just now. A pair's chance comes
- * from the seed and the pair alone. Faults set and reset its values; the last one set counts.
+ * The network between proxies: what it does to datagrams on each ordered pair just now. A pair's
+ * chance comes from the seed and the pair alone. Faults set and reset its values; the last one set
+ * counts.
  */
 @Decides
 final class PeerPaths {
@@ -15,8 +16,10 @@
     /** One way of one pair. */
     private static final class Way {
         final SplittableRandom chance;
+
         /** By how many faults it is cut. */
         int cuts;
+
         double loss;
         double twice;
         double garble;
@@ -28,8 +31,7 @@
     }
 
     /** A copy of a datagram that gets through, so many nanoseconds later. */
-    record Copy(byte[] bytes, long after) {
-    }
+    record Copy(byte[] bytes, long after) {}
 
     private final Way[][] ways;
 
@@ -37,7 +39,8 @@
         ways = new Way[proxies][proxies];
         for (int from = 0; from < proxies; from++) {
             for (int to = 0; to < proxies; to++) {
-                ways[from][to] = new Way(new SplittableRandom(seed * 1_000_003 + from * 4_099L + to));
+                ways[from][to] =
+                        new Way(new SplittableRandom(seed * 1_000_003 + from * 4_099L + to));
             }
         }
     }
@@ -62,7 +65,9 @@
         ways[from][to].garble = part;
     }
 
-    /** Each datagram takes longer, by a time drawn evenly up to this: so they overtake one another. */
+    /**
+     * Each datagram takes longer, by a time drawn evenly up to this: so they overtake one another.
+     */
     void delay(int from, int to, long most) {
         ways[from][to].delay = most;
     }
--- a/src/main/java/cottonlock/lab/PlainProxy.java
+++ b/src/main/java/cottonlock/lab/PlainProxy.java
@@ -13,9 +13,9 @@
 import java.util.SplittableRandom;
 
 /**
- * A baseline: a proxy that picks a backend from those that the list calls active by a plain policy, sends
- * again only what provably never ran, and knows nothing of lanes, quotas, doubt or cold starts. It shows
- * what the decisions of the real one are worth; no command serves with it.
+ * A baseline: a proxy that picks a backend from those that the list calls active by a plain policy,
+ * sends again only what provably never ran, and knows nothing of lanes, quotas, doubt or cold
+ * starts. It shows what the decisions of the real one are worth; no command serves with it.
  */
 final class PlainProxy implements Conn.Owner {
     /** Nanoseconds before the expiry at which it gives up: the way back. */
@@ -55,11 +55,13 @@
         void write() {
             HttpIn.Message m = item.message;
             StringBuilder head = new StringBuilder(String.join(" ", m.start())).append("\r\n");
-            m.fields().forEach((name, value) -> {
-                if (!name.equals("x-timeout-ms") && !name.equals("connection")) {
-                    head.append(name).append(": ").append(value).append("\r\n");
-                }
-            });
+            m.fields()
+                    .forEach(
+                            (name, value) -> {
+                                if (!name.equals("x-timeout-ms") && !name.equals("connection")) {
+                                    head.append(name).append(": ").append(value).append("\r\n");
+                                }
+                            });
             long left = Math.max(1, (item.until - loop.now()) / 1_000_000);
             head.append("X-Timeout-Ms: ").append(left).append("\r\n\r\n");
             byte[] bytes = head.toString().getBytes(StandardCharsets.ISO_8859_1);
@@ -134,8 +136,16 @@
     private List<Backend> active = List.of();
     private int turn;
 
-    PlainProxy(Loop loop, ByteBuffer buffer, int number, String policy, int most, long connectTimeout,
-               SplittableRandom random, Map<Backend, InetSocketAddress> dials) throws IOException {
+    PlainProxy(
+            Loop loop,
+            ByteBuffer buffer,
+            int number,
+            String policy,
+            int most,
+            long connectTimeout,
+            SplittableRandom random,
+            Map<Backend, InetSocketAddress> dials)
+            throws IOException {
         this.loop = loop;
         this.buffer = buffer;
         this.number = number;
@@ -169,7 +179,8 @@
             if (m == null) {
                 return;
             }
-            long until = loop.now() + 1_000_000L * Long.parseLong(m.field("x-timeout-ms")) - RESERVE;
+            long until =
+                    loop.now() + 1_000_000L * Long.parseLong(m.field("x-timeout-ms")) - RESERVE;
             Item item = new Item(conn, m, until);
             items.put(conn, item);
             item.timer = loop.at(until, () -> give(item, 502));
@@ -212,7 +223,8 @@
         switch (policy) {
             case "least" -> {
                 int least = left.stream().mapToInt(b -> out.getOrDefault(b, 0)).min().orElse(0);
-                List<Backend> idle = left.stream().filter(b -> out.getOrDefault(b, 0) == least).toList();
+                List<Backend> idle =
+                        left.stream().filter(b -> out.getOrDefault(b, 0) == least).toList();
                 return idle.get(random.nextInt(idle.size()));
             }
             case "round" -> {
--- a/src/main/java/cottonlock/lab/ProxyConfig.java
+++ b/src/main/java/cottonlock/lab/ProxyConfig.java
@@ -8,8 +8,7 @@
 
 /** Writes the configuration of one proxy in the platform's form (DEPLOY, What a proxy is told). */
 final class ProxyConfig {
-    private ProxyConfig() {
-    }
+    private ProxyConfig() {}
 
     /** Where operators call, and how it talks to the others of its tier. */
     record Talk(String management, String listen, List<String> peers, int me) {
@@ -23,13 +22,23 @@
      *
      * @param known the list of backends as discovery tells it, as JSON
      * @param fleet how many proxies the tier has
-     * @param talk  null where it talks to nobody
+     * @param talk null where it talks to nobody
      */
-    static String json(String name, String listen, String discovery, long seed, String known, int stage,
-        int fleet,
-                       Scenario.Proxies proxies, Scenario.Rules rules, List<String> rooms,
-                       List<Scenario.TenantPlan> tenants, List<Scenario.CategoryPlan> categories, Talk talk)
-        throws IOException {
+    static String json(
+            String name,
+            String listen,
+            String discovery,
+            long seed,
+            String known,
+            int stage,
+            int fleet,
+            Scenario.Proxies proxies,
+            Scenario.Rules rules,
+            List<String> rooms,
+            List<Scenario.TenantPlan> tenants,
+            List<Scenario.CategoryPlan> categories,
+            Talk talk)
+            throws IOException {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
             json.writeStartObject();
@@ -65,8 +74,11 @@
                 json.writeNumberField("Expiry", c.expiry() / 1_000);
                 json.writeNumberField("Credit", c.credit());
                 json.writeNumberField("LateCredit", c.lateCredit());
-                json.writeStringField("Repeat", c.repeat().equals("safe") ? "safe"
-                    : c.repeat().equals("keyed") ? "keyed" : "unsafe");
+                json.writeStringField(
+                        "Repeat",
+                        c.repeat().equals("safe")
+                                ? "safe"
+                                : c.repeat().equals("keyed") ? "keyed" : "unsafe");
                 json.writeStringField("KeyScope", c.scope().equals("room") ? "zone" : "all");
                 json.writeNumberField("RepeatWindow", c.window() / 1_000);
                 json.writeEndObject();
@@ -102,7 +114,8 @@
         return text.toString();
     }
 
-    private static void strings(JsonGenerator json, String name, List<String> values) throws IOException {
+    private static void strings(JsonGenerator json, String name, List<String> values)
+            throws IOException {
         json.writeArrayFieldStart(name);
         for (String value : values) {
             json.writeString(value);
--- a/src/main/java/cottonlock/lab/Report.java
+++ b/src/main/java/cottonlock/lab/Report.java
@@ -14,14 +14,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** Writes what a run came to into a folder: report.json, report.html, schedule.tsv and ledger.txt. */
+/**
+ * Writes what a run came to into a folder: report.json, report.html, schedule.tsv and ledger.txt.
+ */
 final class Report {
     /** Of report.json: a reader refuses a newer one, and fields are only added within one. */
     static final int VERSION = 1;
+
     private static final double[] PERCENTILES = {50, 90, 99, 99.9};
 
-    private Report() {
-    }
+    private Report() {}
 
     static void write(Path folder, Experiment run, Verdict verdict) throws IOException {
         Files.createDirectories(folder);
@@ -38,7 +40,7 @@
 
     /** What the seed alone decides: alike, byte by byte, in every run of it. */
     static void schedule(Path file, List<Arrivals.Arrival> arrivals, List<Timeline.Entry> faults)
-        throws IOException {
+            throws IOException {
         try (Writer out = Files.newBufferedWriter(file, StandardCharsets.UTF_8)) {
             out.write("# fault: at_ms\tfor_ms\tkind\tbackends\tproxy\tamount\n");
             for (Timeline.Entry fault : faults) {
@@ -55,7 +57,8 @@
         Scenario scenario = run.scenario();
         Series series = run.series();
         int seconds = (int) (scenario.length / 1_000_000_000L);
-        try (JsonGenerator json = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
+        try (JsonGenerator json =
+                new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
             json.useDefaultPrettyPrinter();
             json.writeStartObject();
             json.writeNumberField("version", VERSION);
@@ -97,8 +100,9 @@
             json.writeNumberField("from_s", seconds / 2);
             json.writeNumberField("finished", steady.getTotalCount());
             for (double p : PERCENTILES) {
-                json.writeNumberField("p" + (p == Math.rint(p) ? "" + (int) p : "" + p) + "_ms",
-                    steady.getValueAtPercentile(p) / 1_000.0);
+                json.writeNumberField(
+                        "p" + (p == Math.rint(p) ? "" + (int) p : "" + p) + "_ms",
+                        steady.getValueAtPercentile(p) / 1_000.0);
             }
             json.writeEndObject();
             json.writeObjectFieldStart("per_second");
@@ -110,7 +114,8 @@
                 json.writeEndArray();
             }
             for (double p : PERCENTILES) {
-                json.writeArrayFieldStart("p" + (p == Math.rint(p) ? "" + (int) p : "" + p) + "_ms");
+                json.writeArrayFieldStart(
+                        "p" + (p == Math.rint(p) ? "" + (int) p : "" + p) + "_ms");
                 for (int s = 0; s < seconds; s++) {
                     json.writeNumber(series.latency(s, p));
                 }
@@ -132,8 +137,9 @@
                 json.writeObjectFieldStart(scenario.categories.get(c).name());
                 json.writeNumberField("finished", series.category(c).getTotalCount());
                 for (double p : PERCENTILES) {
-                    json.writeNumberField("p" + (p == Math.rint(p) ? "" + (int) p : "" + p) + "_ms",
-                        series.category(c).getValueAtPercentile(p) / 1_000.0);
+                    json.writeNumberField(
+                            "p" + (p == Math.rint(p) ? "" + (int) p : "" + p) + "_ms",
+                            series.category(c).getValueAtPercentile(p) / 1_000.0);
                 }
                 json.writeEndObject();
             }
@@ -152,7 +158,7 @@
     }
 
     private static void line(JsonGenerator json, String name, Series.Line line, int seconds)
-        throws IOException {
+            throws IOException {
         json.writeArrayFieldStart(name);
         for (int s = 0; s < seconds; s++) {
             json.writeNumber(line.at(s));
@@ -161,9 +167,13 @@
     }
 
     /** What a comparison needs of a report. */
-    record Short(String file, String scenario, String policy, long seed, String verdict, Map<String,
-        Double> figures) {
-    }
+    record Short(
+            String file,
+            String scenario,
+            String policy,
+            long seed,
+            String verdict,
+            Map<String, Double> figures) {}
 
     /** Reads a report, or a folder with one, written by this version or an older one. */
     static Short read(Path path) throws IOException {
@@ -172,7 +182,8 @@
         Map<String, String> texts = new LinkedHashMap<>();
         try (JsonParser json = new JsonFactory().createParser(Files.readString(file))) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new IOException(file + ": expected a report of the lab, found no JSON object");
+                throw new IOException(
+                        file + ": expected a report of the lab, found no JSON object");
             }
             while (json.nextToken() == JsonToken.FIELD_NAME) {
                 String name = json.currentName();
@@ -194,11 +205,19 @@
         }
         String version = texts.getOrDefault("version", "");
         if (!version.matches("[0-9]{1,6}") || Integer.parseInt(version) > VERSION) {
-            throw new IOException(file + ": expected a report of version " + VERSION + " or older, found "
-                + (version.isEmpty() ? "none" : version));
+            throw new IOException(
+                    file
+                            + ": expected a report of version "
+                            + VERSION
+                            + " or older, found "
+                            + (version.isEmpty() ? "none" : version));
         }
-        return new Short(file.toString(), texts.getOrDefault("scenario", "?"), texts.getOrDefault("policy",
-            "?"),
-            Long.parseLong(texts.getOrDefault("seed", "0")), texts.getOrDefault("verdict", "?"), figures);
+        return new Short(
+                file.toString(),
+                texts.getOrDefault("scenario", "?"),
+                texts.getOrDefault("policy", "?"),
+                Long.parseLong(texts.getOrDefault("seed", "0")),
+                texts.getOrDefault("verdict", "?"),
+                figures);
     }
 }
--- a/src/main/java/cottonlock/lab/RolloutReport.java
+++ b/src/main/java/cottonlock/lab/RolloutReport.java
@@ -14,7 +14,10 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** How changes of the settings come into force, by size and seed: a line for each case, and a file of all. */
+/**
+ * How changes of the settings come into force, by size and seed: a line for each case, and a file
+ * of all.
+ */
 final class RolloutReport {
     /** Milliseconds in which a change is to be in force. */
     private static final long PROMISED = 10_000;
@@ -33,8 +36,9 @@
     /** Plays all; whether each case kept to what is promised. */
     boolean play(List<Integer> sizes, List<Long> seeds) throws IOException {
         boolean kept = true;
-        out.println(" size  seed  case            in force, ms: half   99%    all  calls/s  bytes/s  back"
-            + "  harmed  differ");
+        out.println(
+                " size  seed  case            in force, ms: half   99%    all  calls/s  bytes/s  back"
+                        + "  harmed  differ");
         for (int size : sizes) {
             for (long seed : seeds) {
                 RolloutStudy study = new RolloutStudy(size, seed, Habits.USUAL);
@@ -54,16 +58,30 @@
     }
 
     private boolean tell(int size, long seed, String name, Outcome o) {
-        out.printf(Locale.ROOT, "%5d  %4d  %-15s  %16d %5d %6d  %7d  %7d  %4d  %6d  %6d  %s%n", size, seed,
-            name, o.half(), o.most(), o.all(), o.calls(), o.bytes(), o.back(), o.harmed(), o.differ(),
-            o.more());
+        out.printf(
+                Locale.ROOT,
+                "%5d  %4d  %-15s  %16d %5d %6d  %7d  %7d  %4d  %6d  %6d  %s%n",
+                size,
+                seed,
+                name,
+                o.half(),
+                o.most(),
+                o.all(),
+                o.calls(),
+                o.bytes(),
+                o.back(),
+                o.harmed(),
+                o.differ(),
+                o.more());
         return o.all() >= 0 && o.all() <= PROMISED && o.back() + o.harmed() + o.differ() == 0;
     }
 
-    private void write(int size, long seed, Outcome quiet, Map<String, Outcome> events) throws IOException {
+    private void write(int size, long seed, Outcome quiet, Map<String, Outcome> events)
+            throws IOException {
         Files.createDirectories(folder);
         Path file = folder.resolve("rollout-" + size + "-" + seed + ".json");
-        try (JsonGenerator json = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
+        try (JsonGenerator json =
+                new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
             json.useDefaultPrettyPrinter();
             json.writeStartObject();
             json.writeStringField("kind", "rollout");
@@ -72,8 +90,12 @@
             json.writeNumberField("control", RolloutStudy.CONTROL);
             json.writeNumberField("regions", RolloutStudy.REGIONS);
             json.writeNumberField("zones", RolloutStudy.ZONES);
-            json.writeStringField("command", "java -jar target/cottonlock.jar lab rollout --sizes " + size
-                + " --seeds " + seed);
+            json.writeStringField(
+                    "command",
+                    "java -jar target/cottonlock.jar lab rollout --sizes "
+                            + size
+                            + " --seeds "
+                            + seed);
             json.writeStringField("commit", commit);
             json.writeObjectFieldStart("figures");
             json.writeNumberField("in_force_ms_50", quiet.half());
--- a/src/main/java/cottonlock/lab/Scenario.java
+++ b/src/main/java/cottonlock/lab/Scenario.java
@@ -14,73 +14,117 @@
 import java.util.TreeMap;
 
 /**
- * A scenario as read from its file, in parts: each part of the lab is given its own. docs/lab.md lists every
- * key with unit, range and default. Times are nanoseconds here, whatever the file's unit is.
+ * A scenario as read from its file, in parts: each part of the lab is given its own. docs/lab.md
+ * lists every key with unit, range and default. Times are nanoseconds here, whatever the file's
+ * unit is.
  */
 final class Scenario {
     /** What scenarios said for a category's repeat before. */
     private static final Map<String, String> OLD_WORDS =
-        Map.of("rerunnable", "safe", "ticketed", "keyed", "exclusive", "unsafe");
+            Map.of("rerunnable", "safe", "ticketed", "keyed", "exclusive", "unsafe");
+
     private static final double ANY = Double.MAX_VALUE;
     private static final double SECOND = 1e9;
     private static final double MILLI = 1e6;
     private static final String NAME = "[A-Za-z0-9._-]{1,40}";
+
     /** Arrivals of one run, at most: their schedule is held in memory. */
     private static final double MOST_ARRIVALS = 5e6;
 
     /** How the proxies are played. */
-    record Proxies(int count, String policy, boolean processes, int memoryMb, int sockets, int maxHandOffs,
-                   boolean retryAfter, boolean cancel, long connectTimeout, long idle) {
-    }
+    record Proxies(
+            int count,
+            String policy,
+            boolean processes,
+            int memoryMb,
+            int sockets,
+            int maxHandOffs,
+            boolean retryAfter,
+            boolean cancel,
+            long connectTimeout,
+            long idle) {}
 
     /** The figures of the four rules. */
-    record Rules(long grace, long drain, double coldShare, long cold, double fallMultiple, long fall,
-                 long askWithin) {
-    }
+    record Rules(
+            long grace,
+            long drain,
+            double coldShare,
+            long cold,
+            double fallMultiple,
+            long fall,
+            long askWithin) {}
 
     /** One tier of backends. */
-    record Tier(int backends, int cores, double speed, int queue, int connections, int calls,
-                boolean reports) {
-    }
+    record Tier(
+            int backends,
+            int cores,
+            double speed,
+            int queue,
+            int connections,
+            int calls,
+            boolean reports) {}
 
     /** One tenant; rate in first sends a second. */
-    record TenantPlan(String name, double share, double quota, double rate) {
-    }
+    record TenantPlan(String name, double share, double quota, double rate) {}
 
     /** One category; work in core nanoseconds at speed 1. */
-    record CategoryPlan(String name, long due, long expiry, String repeat, String scope, long window,
-                        double credit, double lateCredit, double weight, double work, double spread) {
-    }
+    record CategoryPlan(
+            String name,
+            long due,
+            long expiry,
+            String repeat,
+            String scope,
+            long window,
+            double credit,
+            double lateCredit,
+            double weight,
+            double work,
+            double spread) {}
 
     /** How the clients behave. */
-    record ClientPlan(String arrivals, List<Long> trace, double keep, int retries, double leave,
-        long notice) {
-    }
+    record ClientPlan(
+            String arrivals,
+            List<Long> trace,
+            double keep,
+            int retries,
+            double leave,
+            long notice) {}
 
     /** The rate of a tenant, or of all, is so many times the usual for a while. */
-    record Burst(long at, long length, double times, String tenant) {
-    }
+    record Burst(long at, long length, double times, String tenant) {}
 
     /**
      * Something goes wrong at a time, for a while, with an amount that its kind gives a meaning.
      *
      * @param proxies whom a fault of proxies hits, one {@code every} nanoseconds
-     * @param groups  between which a fault of the ways between proxies acts; none: between all
-     * @param oneWay  whether from the first group to the others only
-     * @param after   the moment that {@code at} counts from; empty: the beginning
+     * @param groups between which a fault of the ways between proxies acts; none: between all
+     * @param oneWay whether from the first group to the others only
+     * @param after the moment that {@code at} counts from; empty: the beginning
      */
-    record Fault(long at, long length, String kind, int tier, String backend, String room,
-                 List<Integer> proxies, int count, double amount, long every, List<List<Integer>> groups,
-                 boolean oneWay, String name, String after) {
-    }
+    record Fault(
+            long at,
+            long length,
+            String kind,
+            int tier,
+            String backend,
+            String room,
+            List<Integer> proxies,
+            int count,
+            double amount,
+            long every,
+            List<List<Integer>> groups,
+            boolean oneWay,
+            String name,
+            String after) {}
 
-    /** How the proxies know one another; text is the table of the operator's file, keyed: with a key. */
-    record Knowing(String toml, boolean keyed, long period, double watchLimitMs) {
-    }
+    /**
+     * How the proxies know one another; text is the table of the operator's file, keyed: with a
+     * key.
+     */
+    record Knowing(String toml, boolean keyed, long period, double watchLimitMs) {}
 
     /** Faults drawn from the seed. */
-    record RandomFaults(int count, List<String> kinds, long from, long to, long length) {
-    }
+    record RandomFaults(int count, List<String> kinds, long from, long to, long length) {}
 
     /** A bound on one figure of the verdict. */
     record Bound(String key, String operator, double value, String text) {
@@ -94,25 +138,54 @@
     }
 
     /** Every kind of fault, with what its amount means; null where it has none. */
-    static final Map<String, String> KINDS = new TreeMap<>(Map.ofEntries(
-        Map.entry("slow", "factor"), Map.entry("errors", "chance"), Map.entry("pause", ""),
-        Map.entry("crash", ""), Map.entry("drain", ""), Map.entry("deploy", ""), Map.entry("delay", "ms"),
-        Map.entry("throttle", "bytes_per_second"), Map.entry("cut", ""), Map.entry("resets", "chance"),
-        Map.entry("splits", "chance"), Map.entry("garble", "chance"), Map.entry("discovery-down", ""),
-        Map.entry("discovery-slow", "ms"), Map.entry("discovery-stale", ""), Map.entry("discovery-moved", ""),
-        Map.entry("proxy-kill", ""), Map.entry("proxy-term", ""), Map.entry("proxy-pause", ""),
-        Map.entry("proxy-hang", ""), Map.entry("proxy-starve", "chance"), Map.entry("proxy-clock", "ms"),
-        Map.entry("proxy-replace", ""),
-        Map.entry("peer-cut", ""), Map.entry("peer-split", ""), Map.entry("peer-loss", "chance"),
-        Map.entry("peer-double", "chance"), Map.entry("peer-garble", "chance"), Map.entry("peer-delay", "ms"),
-        Map.entry("peer-forge", "per_second")));
+    static final Map<String, String> KINDS =
+            new TreeMap<>(
+                    Map.ofEntries(
+                            Map.entry("slow", "factor"),
+                            Map.entry("errors", "chance"),
+                            Map.entry("pause", ""),
+                            Map.entry("crash", ""),
+                            Map.entry("drain", ""),
+                            Map.entry("deploy", ""),
+                            Map.entry("delay", "ms"),
+                            Map.entry("throttle", "bytes_per_second"),
+                            Map.entry("cut", ""),
+                            Map.entry("resets", "chance"),
+                            Map.entry("splits", "chance"),
+                            Map.entry("garble", "chance"),
+                            Map.entry("discovery-down", ""),
+                            Map.entry("discovery-slow", "ms"),
+                            Map.entry("discovery-stale", ""),
+                            Map.entry("discovery-moved", ""),
+                            Map.entry("proxy-kill", ""),
+                            Map.entry("proxy-term", ""),
+                            Map.entry("proxy-pause", ""),
+                            Map.entry("proxy-hang", ""),
+                            Map.entry("proxy-starve", "chance"),
+                            Map.entry("proxy-clock", "ms"),
+                            Map.entry("proxy-replace", ""),
+                            Map.entry("peer-cut", ""),
+                            Map.entry("peer-split", ""),
+                            Map.entry("peer-loss", "chance"),
+                            Map.entry("peer-double", "chance"),
+                            Map.entry("peer-garble", "chance"),
+                            Map.entry("peer-delay", "ms"),
+                            Map.entry("peer-forge", "per_second")));
+
     /** Those that need each proxy in a process of its own. */
-    static final Set<String> OF_PROCESSES = Set.of("proxy-kill", "proxy-pause", "proxy-hang",
-        "proxy-starve", "proxy-clock", "proxy-replace");
+    static final Set<String> OF_PROCESSES =
+            Set.of(
+                    "proxy-kill",
+                    "proxy-pause",
+                    "proxy-hang",
+                    "proxy-starve",
+                    "proxy-clock",
+                    "proxy-replace");
 
     /** What the stand-ins can do to make a sound proxy look like one that breaks a rule. */
-    static final String[] SABOTAGE = {"none", "resend", "ignore-drain", "drop-answer", "wrong-answer",
-        "answer-late", "hide-cold"};
+    static final String[] SABOTAGE = {
+        "none", "resend", "ignore-drain", "drop-answer", "wrong-answer", "answer-late", "hide-cold"
+    };
 
     final String name;
     final String about;
@@ -131,6 +204,7 @@
     final List<Bound> bounds = new ArrayList<>();
     final String sabotage;
     final long lateLimit;
+
     /** Null where they don't. */
     final Knowing knowing;
 
@@ -168,9 +242,14 @@
         names(top);
         clients = clients(top.table("clients"), folder);
         for (Fields f : top.tables("burst")) {
-            Burst burst = new Burst(seconds(f, "at", Double.NaN, 0), seconds(f, "for", Double.NaN, 0.001),
-                f.number("times", Double.NaN, 0, 1_000), f.text("tenant", ""));
-            if (!burst.tenant.isEmpty() && tenants.stream().noneMatch(t -> t.name.equals(burst.tenant))) {
+            Burst burst =
+                    new Burst(
+                            seconds(f, "at", Double.NaN, 0),
+                            seconds(f, "for", Double.NaN, 0.001),
+                            f.number("times", Double.NaN, 0, 1_000),
+                            f.text("tenant", ""));
+            if (!burst.tenant.isEmpty()
+                    && tenants.stream().noneMatch(t -> t.name.equals(burst.tenant))) {
                 f.fault("tenant", "there is no tenant " + burst.tenant);
             }
             bursts.add(burst);
@@ -182,8 +261,12 @@
         double rate = tenants.stream().mapToDouble(TenantPlan::rate).sum();
         double times = Math.max(1, bursts.stream().mapToDouble(Burst::times).max().orElse(1));
         if (rate * times * length / SECOND > MOST_ARRIVALS) {
-            top.fault("seconds", "expected " + (long) MOST_ARRIVALS + " arrivals at most, found some "
-                + (long) (rate * times * length / SECOND));
+            top.fault(
+                    "seconds",
+                    "expected "
+                            + (long) MOST_ARRIVALS
+                            + " arrivals at most, found some "
+                            + (long) (rate * times * length / SECOND));
         }
         Fields expect = top.table("expect");
         for (String key : expect.keys()) {
@@ -201,12 +284,17 @@
     }
 
     private static Proxies proxies(Fields f) {
-        return new Proxies(f.whole("count", 1, 1, 1_000),
-            f.word("policy", "lanes", "lanes", "random", "least", "round", "direct"), f.flag("processes",
-            false),
-            f.whole("memory_mb", 192, 32, 4_096), f.whole("sockets", 1_024, 64, 65_536),
-            f.whole("max_hand_offs", 3, 1, 20), f.flag("retry_after", true), f.flag("cancel", true),
-            millis(f, "connect_timeout_ms", 150, 1), seconds(f, "idle_s", 60, 0.1));
+        return new Proxies(
+                f.whole("count", 1, 1, 1_000),
+                f.word("policy", "lanes", "lanes", "random", "least", "round", "direct"),
+                f.flag("processes", false),
+                f.whole("memory_mb", 192, 32, 4_096),
+                f.whole("sockets", 1_024, 64, 65_536),
+                f.whole("max_hand_offs", 3, 1, 20),
+                f.flag("retry_after", true),
+                f.flag("cancel", true),
+                millis(f, "connect_timeout_ms", 150, 1),
+                seconds(f, "idle_s", 60, 0.1));
     }
 
     private Knowing knowing(Fields top, Path folder) {
@@ -219,17 +307,26 @@
             return null;
         }
         if (!proxies.processes || !proxies.policy.equals("lanes")) {
-            top.fault("membership", "needs proxies in processes of their own: proxy.processes = true");
-        }
-        return new Knowing(f.toml(Set.of("watch_limit_ms", "keyed")), keyed, plan.rules().period() * 100_000,
-            limit);
+            top.fault(
+                    "membership",
+                    "needs proxies in processes of their own: proxy.processes = true");
+        }
+        return new Knowing(
+                f.toml(Set.of("watch_limit_ms", "keyed")),
+                keyed,
+                plan.rules().period() * 100_000,
+                limit);
     }
 
     private static Rules rules(Fields f) {
-        return new Rules(millis(f, "grace_ms", 50, 0), millis(f, "drain_ms", 1_500, 0),
-            f.number("cold_share", 0.35, 0.01, 1), seconds(f, "cold_s", 8.7, 0),
-            f.number("fall_multiple", 3, 1, 1_000), seconds(f, "fall_s", 3, 0.1),
-            seconds(f, "ask_within_s", 10, 0.1));
+        return new Rules(
+                millis(f, "grace_ms", 50, 0),
+                millis(f, "drain_ms", 1_500, 0),
+                f.number("cold_share", 0.35, 0.01, 1),
+                seconds(f, "cold_s", 8.7, 0),
+                f.number("fall_multiple", 3, 1, 1_000),
+                seconds(f, "fall_s", 3, 0.1),
+                seconds(f, "ask_within_s", 10, 0.1));
     }
 
     private void tiers(Fields top) {
@@ -243,9 +340,15 @@
             if (last && calls > 0) {
                 f.fault("calls", "expected 0: there is no tier behind this one");
             }
-            tiers.add(new Tier(f.whole("backends", 1, 1, 2_000), f.whole("cores", 4, 1, 1_024),
-                f.number("speed", 1, 0.001, 1_000), f.whole("queue", 50, 0, 100_000),
-                f.whole("connections", 512, 1, 65_536), calls, f.flag("reports", false)));
+            tiers.add(
+                    new Tier(
+                            f.whole("backends", 1, 1, 2_000),
+                            f.whole("cores", 4, 1, 1_024),
+                            f.number("speed", 1, 0.001, 1_000),
+                            f.whole("queue", 50, 0, 100_000),
+                            f.whole("connections", 512, 1, 65_536),
+                            calls,
+                            f.flag("reports", false)));
         }
     }
 
@@ -253,9 +356,12 @@
         Set<String> seen = new HashSet<>();
         double shares = 0;
         for (Fields f : top.tables("tenant")) {
-            TenantPlan t = new TenantPlan(f.formed("name", null, NAME, "a short name"),
-                f.number("share", 0, 0, 1), f.number("quota", 1e6, 0, 1e9),
-                f.number("rate", Double.NaN, 0, 1e6));
+            TenantPlan t =
+                    new TenantPlan(
+                            f.formed("name", null, NAME, "a short name"),
+                            f.number("share", 0, 0, 1),
+                            f.number("quota", 1e6, 0, 1e9),
+                            f.number("rate", Double.NaN, 0, 1e6));
             if (!seen.add(t.name)) {
                 f.fault("name", "stands twice");
             }
@@ -270,13 +376,19 @@
         }
         seen.clear();
         for (Fields f : top.tables("category")) {
-            CategoryPlan c = new CategoryPlan(f.formed("name", null, NAME, "a short name"),
-                millis(f, "due_ms", Double.NaN, 1), millis(f, "expiry_ms", Double.NaN, 1),
-                f.word("repeat", "safe", OLD_WORDS, "safe", "keyed", "unsafe"),
-                f.word("scope", "all", "all", "room"), seconds(f, "window_s", 10, 0),
-                f.number("credit", 1, 0, 1e6), f.number("late_credit", 0, 0, 1),
-                f.number("weight", 1, 0, 1e6), MILLI * f.number("work_ms", Double.NaN, 0, 60_000),
-                f.number("spread", 0.3, 0, 3));
+            CategoryPlan c =
+                    new CategoryPlan(
+                            f.formed("name", null, NAME, "a short name"),
+                            millis(f, "due_ms", Double.NaN, 1),
+                            millis(f, "expiry_ms", Double.NaN, 1),
+                            f.word("repeat", "safe", OLD_WORDS, "safe", "keyed", "unsafe"),
+                            f.word("scope", "all", "all", "room"),
+                            seconds(f, "window_s", 10, 0),
+                            f.number("credit", 1, 0, 1e6),
+                            f.number("late_credit", 0, 0, 1),
+                            f.number("weight", 1, 0, 1e6),
+                            MILLI * f.number("work_ms", Double.NaN, 0, 60_000),
+                            f.number("spread", 0.3, 0, 3));
             if (!seen.add(c.name)) {
                 f.fault("name", "stands twice");
             }
@@ -286,7 +398,9 @@
             categories.add(c);
         }
         if (categories.stream().mapToDouble(CategoryPlan::weight).sum() <= 0) {
-            top.fault("category", "expected one table [[category]] or more, with weights above 0 together");
+            top.fault(
+                    "category",
+                    "expected one table [[category]] or more, with weights above 0 together");
         }
     }
 
@@ -299,8 +413,13 @@
         } else if (!file.isEmpty()) {
             f.fault("trace", "is read only with arrivals = \"trace\"");
         }
-        return new ClientPlan(arrivals, trace, f.number("keep", 0.9, 0, 1), f.whole("retries", 0, 0, 10),
-            f.number("leave", 0, 0, 1), seconds(f, "notice_s", 2, 0));
+        return new ClientPlan(
+                arrivals,
+                trace,
+                f.number("keep", 0.9, 0, 1),
+                f.whole("retries", 0, 0, 10),
+                f.number("leave", 0, 0, 1),
+                seconds(f, "notice_s", 2, 0));
     }
 
     /** Times of arrival in milliseconds from the start, one a line, in order. */
@@ -313,11 +432,20 @@
                 if (text.isEmpty() || text.startsWith("#")) {
                     continue;
                 }
-                long at = text.matches("[0-9]{1,9}(\\.[0-9]{1,6})?")
-                    ? (long) (MILLI * Double.parseDouble(text)) : -1;
+                long at =
+                        text.matches("[0-9]{1,9}(\\.[0-9]{1,6})?")
+                                ? (long) (MILLI * Double.parseDouble(text))
+                                : -1;
                 if (at < 0 || !times.isEmpty() && at < times.get(times.size() - 1)) {
-                    f.fault("trace", file + ":" + (i + 1) + ": expected a time in milliseconds, no less than "
-                        + "the one before, found \"" + text + "\"");
+                    f.fault(
+                            "trace",
+                            file
+                                    + ":"
+                                    + (i + 1)
+                                    + ": expected a time in milliseconds, no less than "
+                                    + "the one before, found \""
+                                    + text
+                                    + "\"");
                     break;
                 }
                 times.add(at);
@@ -333,14 +461,23 @@
         String amount = KINDS.get(kind);
         double value = 0;
         if (amount != null && !amount.isEmpty()) {
-            value = amount.equals("chance") ? f.number(amount, Double.NaN, 0, 1)
-                : f.number(amount, Double.NaN, kind.equals("proxy-clock") ? -ANY : 0, ANY);
+            value =
+                    amount.equals("chance")
+                            ? f.number(amount, Double.NaN, 0, 1)
+                            : f.number(
+                                    amount, Double.NaN, kind.equals("proxy-clock") ? -ANY : 0, ANY);
         }
         int tier = f.whole("tier", 0, 0, Math.max(0, tiers.size() - 1));
         String backend = f.text("backend", "");
         if (!backend.isEmpty() && !isBackend(backend)) {
-            f.fault("backend", "there is no backend " + backend + "; they are called t0b0 to t"
-                + (tiers.size() - 1) + "b" + (tiers.get(tiers.size() - 1).backends - 1));
+            f.fault(
+                    "backend",
+                    "there is no backend "
+                            + backend
+                            + "; they are called t0b0 to t"
+                            + (tiers.size() - 1)
+                            + "b"
+                            + (tiers.get(tiers.size() - 1).backends - 1));
         }
         String room = f.text("room", "");
         if (!room.isEmpty() && !rooms.contains(room)) {
@@ -352,20 +489,38 @@
             count = Math.max(1, (int) Math.round(part * proxies.count));
         }
         if (OF_PROCESSES.contains(kind) && !proxies.processes) {
-            f.fault("kind", kind + " needs proxies in processes of their own: proxy.processes = true");
+            f.fault(
+                    "kind",
+                    kind + " needs proxies in processes of their own: proxy.processes = true");
         }
         if ((kind.equals("proxy-hang") || kind.equals("proxy-replace")) && knowing == null) {
             f.fault("kind", kind + " needs membership.enabled = true");
         }
-        String after = f.formed("after", "", "[A-Za-z0-9-]{1,40}\\.(begin|end|up)", "the name of a fault or "
-            + "proxy and .begin, .end or .up");
+        String after =
+                f.formed(
+                        "after",
+                        "",
+                        "[A-Za-z0-9-]{1,40}\\.(begin|end|up)",
+                        "the name of a fault or " + "proxy and .begin, .end or .up");
         long at = seconds(f, "at", Double.NaN, 0);
         if (at >= length && f.has("at")) {
             f.fault("at", "expected a time before the end of the run");
         }
-        return new Fault(at, seconds(f, "for", 1, 0), kind, tier, backend, room, hit(f, kind, count), count,
-            value, seconds(f, "every", 0, 0), groups(f, kind), f.flag("one_way", false),
-            f.formed("name", "", "[A-Za-z0-9-]{1,40}", "a short name"), after);
+        return new Fault(
+                at,
+                seconds(f, "for", 1, 0),
+                kind,
+                tier,
+                backend,
+                room,
+                hit(f, kind, count),
+                count,
+                value,
+                seconds(f, "every", 0, 0),
+                groups(f, kind),
+                f.flag("one_way", false),
+                f.formed("name", "", "[A-Za-z0-9-]{1,40}", "a short name"),
+                after);
     }
 
     /** The proxies that a fault of proxies hits; none where they are drawn. */
@@ -388,8 +543,13 @@
             boolean right = part.matches("[0-9]{1,3}(-[0-9]{1,3})?");
             int last = right ? Integer.parseInt(ends[ends.length - 1]) : 0;
             if (!right || last >= proxies.count || Integer.parseInt(ends[0]) > last) {
-                f.fault(key, "expected numbers below " + proxies.count + " such as \"0-2,5\", found \"" + text
-                    + "\"");
+                f.fault(
+                        key,
+                        "expected numbers below "
+                                + proxies.count
+                                + " such as \"0-2,5\", found \""
+                                + text
+                                + "\"");
                 return List.of(0);
             }
             for (int n = Integer.parseInt(ends[0]); n <= last; n++) {
@@ -431,7 +591,8 @@
     private boolean isBackend(String id) {
         for (int t = 0; t < tiers.size(); t++) {
             if (id.matches("t" + t + "b(0|[1-9][0-9]{0,4})")
-                && Integer.parseInt(id.substring(id.indexOf('b') + 1)) < tiers.get(t).backends) {
+                    && Integer.parseInt(id.substring(id.indexOf('b') + 1))
+                            < tiers.get(t).backends) {
                 return true;
             }
         }
@@ -440,37 +601,74 @@
 
     private RandomFaults random(Fields f) {
         List<String> kinds = f.texts("kinds", List.of("slow", "cut", "crash", "delay"));
-        Set<String> drawn = Set.of("slow", "errors", "pause", "crash", "drain", "delay", "throttle", "cut",
-            "resets", "splits", "garble", "discovery-down", "discovery-slow", "proxy-kill", "proxy-pause",
-            "proxy-hang", "peer-cut", "peer-split", "peer-loss", "peer-double", "peer-delay");
+        Set<String> drawn =
+                Set.of(
+                        "slow",
+                        "errors",
+                        "pause",
+                        "crash",
+                        "drain",
+                        "delay",
+                        "throttle",
+                        "cut",
+                        "resets",
+                        "splits",
+                        "garble",
+                        "discovery-down",
+                        "discovery-slow",
+                        "proxy-kill",
+                        "proxy-pause",
+                        "proxy-hang",
+                        "peer-cut",
+                        "peer-split",
+                        "peer-loss",
+                        "peer-double",
+                        "peer-delay");
         for (String kind : kinds) {
             if (!drawn.contains(kind)) {
-                f.fault("kinds", "expected kinds out of " + String.join(", ", new java.util.TreeSet<>(drawn))
-                    + "; found \"" + kind + "\"");
+                f.fault(
+                        "kinds",
+                        "expected kinds out of "
+                                + String.join(", ", new java.util.TreeSet<>(drawn))
+                                + "; found \""
+                                + kind
+                                + "\"");
             }
         }
         for (String kind : kinds) {
             if (OF_PROCESSES.contains(kind) && !proxies.processes) {
-                f.fault("kinds", kind + " needs proxies in processes of their own: proxy.processes = true");
+                f.fault(
+                        "kinds",
+                        kind + " needs proxies in processes of their own: proxy.processes = true");
             }
         }
         double end = length / SECOND;
-        return new RandomFaults(f.whole("count", 0, 0, 1_000), kinds, seconds(f, "from", 0.2 * end, 0),
-            seconds(f, "to", 0.8 * end, 0), seconds(f, "for", 0.2 * end, 0));
+        return new RandomFaults(
+                f.whole("count", 0, 0, 1_000),
+                kinds,
+                seconds(f, "from", 0.2 * end, 0),
+                seconds(f, "to", 0.8 * end, 0),
+                seconds(f, "for", 0.2 * end, 0));
     }
 
     private void bound(Fields f, String key) {
         String text = f.text(key, "").replace(" ", "");
-        String operator = text.startsWith(">=") || text.startsWith("<=") ? text.substring(0, 2)
-            : text.startsWith("=") ? "=" : "";
+        String operator =
+                text.startsWith(">=") || text.startsWith("<=")
+                        ? text.substring(0, 2)
+                        : text.startsWith("=") ? "=" : "";
         String number = text.substring(operator.length());
         if (operator.isEmpty() || !number.matches("-?[0-9]{1,12}(\\.[0-9]{1,9})?")) {
             f.fault(key, "expected a bound such as \">= 0.98\", \"<= 50\" or \"= 0\"");
         } else if (!Verdict.KEYS.contains(key) && !Verdict.MEMBERS.contains(key)) {
-            f.fault(key, "the verdict has no such figure; it has " + String.join(", ", Verdict.KEYS)
-                + (knowing == null ? "" : ", " + String.join(", ", Verdict.MEMBERS)));
+            f.fault(
+                    key,
+                    "the verdict has no such figure; it has "
+                            + String.join(", ", Verdict.KEYS)
+                            + (knowing == null ? "" : ", " + String.join(", ", Verdict.MEMBERS)));
         } else if (knowing != null || !Verdict.MEMBERS.contains(key)) {
-            bounds.add(new Bound(key, operator, Double.parseDouble(number), operator + " " + number));
+            bounds.add(
+                    new Bound(key, operator, Double.parseDouble(number), operator + " " + number));
         }
     }
 
--- a/src/main/java/cottonlock/lab/Series.java
+++ b/src/main/java/cottonlock/lab/Series.java
@@ -12,7 +12,14 @@
     private static final long LONGEST = 3_600_000_000L;
 
     /** The kinds of answers and what else is counted each second, in the order of the report. */
-    enum Count { DUE, FINISHED, LATE, DEFERRED, WRITTEN_OFF, NO_ANSWER }
+    enum Count {
+        DUE,
+        FINISHED,
+        LATE,
+        DEFERRED,
+        WRITTEN_OFF,
+        NO_ANSWER
+    }
 
     /** Counts of each second; they grow as the run goes on. */
     static final class Line {
@@ -45,8 +52,10 @@
     private final Line[] tenantEarned;
     private final Line[] tenantOffered;
     private final Map<String, Work> backends = new LinkedHashMap<>();
+
     /** Microseconds from when a request was due to be sent to its answer, if it was finished. */
     final Histogram latency = new Histogram(LONGEST, 3);
+
     private final List<Histogram> perSecond = new ArrayList<>();
     private final Histogram[] perCategory;
 
@@ -144,7 +153,9 @@
         return all <= 0 ? 1 : got / all;
     }
 
-    /** A percentile of a second's finished requests in milliseconds; negative where there are none. */
+    /**
+     * A percentile of a second's finished requests in milliseconds; negative where there are none.
+     */
     double latency(int second, double percentile) {
         Histogram h = second < perSecond.size() ? perSecond.get(second) : null;
         return h == null ? -1 : h.getValueAtPercentile(percentile) / 1_000.0;
--- a/src/main/java/cottonlock/lab/ServeCommand.java
+++ b/src/main/java/cottonlock/lab/ServeCommand.java
@@ -7,10 +7,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** How the lab starts processes: {@code serve} as deploy/balancer.toml has it, from where the lab runs. */
+/**
+ * How the lab starts processes: {@code serve} as deploy/balancer.toml has it, from where the lab
+ * runs.
+ */
 public final class ServeCommand {
-    private ServeCommand() {
-    }
+    private ServeCommand() {}
 
     /** The JVM that the lab itself runs on. */
     public static String java() {
@@ -21,7 +23,7 @@
      * The command of a process that serves.
      *
      * @param operators whether it reads an operator's file, for which it needs the libraries
-     * @param options   more of the JVM
+     * @param options more of the JVM
      */
     public static List<String> of(boolean operators, List<String> options) throws IOException {
         List<String> command = new ArrayList<>(List.of(java()));
@@ -29,14 +31,24 @@
         if (Files.isRegularFile(deployed)) {
             command.add("@" + deployed);
         } else {
-            command.addAll(List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData",
-                "-Xms24m", "-Xmx64m", "-Xss192k"));
+            command.addAll(
+                    List.of(
+                            "-XX:+UseSerialGC",
+                            "-XX:TieredStopAtLevel=1",
+                            "-XX:-UsePerfData",
+                            "-Xms24m",
+                            "-Xmx64m",
+                            "-Xss192k"));
         }
         Path code = code();
         Path archive = code.resolveSibling("cottonlock.jsa");
         if (code.toString().endsWith(".jar") && Files.exists(archive)) {
-            command.addAll(List.of("-Xshare:auto", "-XX:SharedArchiveFile=" + archive, "-Xlog:cds=off",
-                "-Xlog:cds+dynamic=off"));
+            command.addAll(
+                    List.of(
+                            "-Xshare:auto",
+                            "-XX:SharedArchiveFile=" + archive,
+                            "-Xlog:cds=off",
+                            "-Xlog:cds+dynamic=off"));
         }
         command.addAll(options);
         String path = operators ? System.getProperty("java.class.path") : code.toString();
@@ -47,7 +59,8 @@
     /** The jar or folder that the lab itself runs from. */
     public static Path code() throws IOException {
         try {
-            return Path.of(ServeCommand.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+            return Path.of(
+                    ServeCommand.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         } catch (URISyntaxException e) {
             throw new IOException(e);
         }
--- a/src/main/java/cottonlock/lab/Verdict.java
+++ b/src/main/java/cottonlock/lab/Verdict.java
@@ -7,28 +7,56 @@
 import java.util.TreeMap;
 
 /**
- * What a run comes to: figures by name, and each breach of a rule or a bound as a line. Pure: it is told
- * figures and judges them.
+ * What a run comes to: figures by name, and each breach of a rule or a bound as a line. Pure: it is
+ * told figures and judges them.
  */
 @cottonlock.decision.Decides
 final class Verdict {
     /** The figures in the order of the line; all but the decimal ones are counts. */
-    static final List<String> KEYS = List.of("service", "sent", "finished", "deferred", "written_off", "late",
-        "lost", "twice", "drains", "cold", "p50_ms", "p99_ms", "worst_s", "unanswered", "retried",
-        "sends_per_item",
-        "behind_ms");
+    static final List<String> KEYS =
+            List.of(
+                    "service",
+                    "sent",
+                    "finished",
+                    "deferred",
+                    "written_off",
+                    "late",
+                    "lost",
+                    "twice",
+                    "drains",
+                    "cold",
+                    "p50_ms",
+                    "p99_ms",
+                    "worst_s",
+                    "unanswered",
+                    "retried",
+                    "sends_per_item",
+                    "behind_ms");
+
     /** Further ones, where the proxies know one another. */
-    static final List<String> MEMBERS = List.of("found_ms", "found_all_ms", "false_failed", "agree_ms",
-        "apart_ms",
-        "peer_bytes_s", "peer_mean_s", "unheard", "watch_ms");
+    static final List<String> MEMBERS =
+            List.of(
+                    "found_ms",
+                    "found_all_ms",
+                    "false_failed",
+                    "agree_ms",
+                    "apart_ms",
+                    "peer_bytes_s",
+                    "peer_mean_s",
+                    "unheard",
+                    "watch_ms");
+
     private static final List<String> DECIMAL = List.of("service", "worst_s", "sends_per_item");
     private static final List<String> TENTHS = List.of("p50_ms", "p99_ms", "behind_ms", "watch_ms");
+
     /** The four rules: a breach of one fails any scenario. */
     private static final List<String> RULES = List.of("lost", "twice", "drains", "cold");
 
     /** Whether the run shows anything, and what. */
     enum Kind {
-        PASS(0), FAIL(1), NONE(3);
+        PASS(0),
+        FAIL(1),
+        NONE(3);
 
         final int status;
 
@@ -39,12 +67,17 @@
 
     final Map<String, Double> figures = new TreeMap<>();
     final List<String> broken = new ArrayList<>();
+
     /** The figures in the order of the line. */
     final List<String> keys = new ArrayList<>();
+
     final Kind kind;
 
     /** Judges the figures; a run on a machine that was late by more than a limit has no verdict. */
-    Verdict(Map<String, Double> figures, List<Scenario.Bound> bounds, double lateLimitMs,
+    Verdict(
+            Map<String, Double> figures,
+            List<Scenario.Bound> bounds,
+            double lateLimitMs,
             double watchLimitMs) {
         this.figures.putAll(figures);
         KEYS.forEach(keys::add);
@@ -56,16 +89,34 @@
         }
         for (Scenario.Bound bound : bounds) {
             if (!bound.holds(figures.get(bound.key()))) {
-                broken.add("expected " + bound.key() + " " + bound.text() + ", found " + shown(bound.key()));
+                broken.add(
+                        "expected "
+                                + bound.key()
+                                + " "
+                                + bound.text()
+                                + ", found "
+                                + shown(bound.key()));
             }
         }
         if (figures.get("behind_ms") > lateLimitMs) {
-            broken.add(0, String.format(Locale.ROOT, "the machine ran late by %s ms (99.9%% of all tasks), "
-                + "%.0f ms are the limit: no verdict", shown("behind_ms"), lateLimitMs));
+            broken.add(
+                    0,
+                    String.format(
+                            Locale.ROOT,
+                            "the machine ran late by %s ms (99.9%% of all tasks), "
+                                    + "%.0f ms are the limit: no verdict",
+                            shown("behind_ms"),
+                            lateLimitMs));
             kind = Kind.NONE;
         } else if (figures.getOrDefault("watch_ms", 0.0) > watchLimitMs) {
-            broken.add(0, String.format(Locale.ROOT, "a process that only watches the clock woke %s ms late, "
-                + "%.0f ms are the limit: no verdict", shown("watch_ms"), watchLimitMs));
+            broken.add(
+                    0,
+                    String.format(
+                            Locale.ROOT,
+                            "a process that only watches the clock woke %s ms late, "
+                                    + "%.0f ms are the limit: no verdict",
+                            shown("watch_ms"),
+                            watchLimitMs));
             kind = Kind.NONE;
         } else {
             kind = broken.isEmpty() ? Kind.PASS : Kind.FAIL;
@@ -77,7 +128,9 @@
         if (DECIMAL.contains(key)) {
             return String.format(Locale.ROOT, "%.3f", value);
         }
-        return TENTHS.contains(key) ? String.format(Locale.ROOT, "%.1f", value) : Long.toString((long) value);
+        return TENTHS.contains(key)
+                ? String.format(Locale.ROOT, "%.1f", value)
+                : Long.toString((long) value);
     }
 
     /** The last line on standard output. */
--- a/src/main/java/cottonlock/lab/Watcher.java
+++ b/src/main/java/cottonlock/lab/Watcher.java
@@ -7,11 +7,12 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A process that does nothing but measure its own lateness: so a machine that was late is told from a program
- * that was.
+ * A process that does nothing but measure its own lateness: so a machine that was late is told from
+ * a program that was.
  */
 public final class Watcher {
     private static final long NAP = 5_000_000L;
+
     /** Microseconds: what is later is as bad as this. */
     private static final long LATEST = 600_000_000L;
 
@@ -20,19 +21,37 @@
 
     /** Starts one; its command is the lab's own. */
     public Watcher(java.nio.file.Path code) throws IOException {
-        String command = java.nio.file.Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        process = new ProcessBuilder(command, "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx16m",
-            "-Xss192k", "-cp", code.toString(), "cottonlock.lab.Watcher")
-            .redirectError(ProcessBuilder.Redirect.to(new File("/dev/null"))).start();
-        Thread reader = new Thread(() -> {
-            try (BufferedReader lines = process.inputReader()) {
-                for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                    record(Math.max(0, Math.min(LATEST, Long.parseLong(line.trim()))));
-                }
-            } catch (IOException | NumberFormatException e) {
-                // It has been ended.
-            }
-        }, "watcher");
+        String command =
+                java.nio.file.Path.of(System.getProperty("java.home"), "bin", "java").toString();
+        process =
+                new ProcessBuilder(
+                                command,
+                                "-XX:+UseSerialGC",
+                                "-XX:TieredStopAtLevel=1",
+                                "-Xmx16m",
+                                "-Xss192k",
+                                "-cp",
+                                code.toString(),
+                                "cottonlock.lab.Watcher")
+                        .redirectError(ProcessBuilder.Redirect.to(new File("/dev/null")))
+                        .start();
+        Thread reader =
+                new Thread(
+                        () -> {
+                            try (BufferedReader lines = process.inputReader()) {
+                                for (String line = lines.readLine();
+                                        line != null;
+                                        line = lines.readLine()) {
+                                    record(
+                                            Math.max(
+                                                    0,
+                                                    Math.min(LATEST, Long.parseLong(line.trim()))));
+                                }
+                            } catch (IOException | NumberFormatException e) {
+                                // It has been ended.
+                            }
+                        },
+                        "watcher");
         reader.setDaemon(true);
         reader.start();
     }
@@ -51,7 +70,9 @@
         return tenths.getMaxValue() / 1_000.0;
     }
 
-    /** Milliseconds by which it woke too late at the worst in that part of all tenths of a second. */
+    /**
+     * Milliseconds by which it woke too late at the worst in that part of all tenths of a second.
+     */
     public synchronized double percentileMs(double percentile) {
         return tenths.getValueAtPercentile(percentile) / 1_000.0;
     }
@@ -60,7 +81,10 @@
         process.destroyForcibly();
     }
 
-    /** The process: naps, and writes each tenth of a second by how many microseconds it woke too late. */
+    /**
+     * The process: naps, and writes each tenth of a second by how many microseconds it woke too
+     * late.
+     */
     public static void main(String[] args) throws IOException {
         long late = 0;
         int naps = 0;
--- a/src/main/java/cottonlock/lab/rollout/ControlModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ControlModel.java
@@ -9,18 +9,24 @@
 import java.util.Set;
 
 /**
- * A control machine in virtual time: it tells the highest version that it knows, to watches as it comes and
- * to each call. It does one thing after the other; a call for which too much waits is turned away. How long
- * each takes is assumed, not measured.
+ * A control machine in virtual time: it tells the highest version that it knows, to watches as it
+ * comes and to each call. It does one thing after the other; a call for which too much waits is
+ * turned away. How long each takes is assumed, not measured.
  */
 @Decides
 final class ControlModel {
-    /** Tenths of a millisecond: a call that is answered, one that is turned away, one line to one watch. */
+    /**
+     * Tenths of a millisecond: a call that is answered, one that is turned away, one line to one
+     * watch.
+     */
     private static final long CALL = 50;
+
     private static final long AWAY = 5;
     private static final double LINE = 0.5;
+
     /** So much may wait before calls are turned away. */
     private static final long WAITS = 2_000;
+
     private static final long BEAT = 20_000;
     private static final long SECOND = 10_000;
 
@@ -48,6 +54,7 @@
     private long busyUntil;
     private long second = -1;
     private int inSecond;
+
     /** The most calls of any second since it was last asked. */
     private int worst;
 
@@ -110,7 +117,9 @@
         all.forEach(w -> links.carry(zone, w.zone(), w::ended, w::ended));
     }
 
-    /** A call has come, for a watch that names what it has, or for the number of what is held here. */
+    /**
+     * A call has come, for a watch that names what it has, or for the number of what is held here.
+     */
     void called(Caller caller, Version has, boolean watch) {
         long now = world.now();
         if (now / SECOND != second) {
@@ -126,22 +135,30 @@
             return;
         }
         busyUntil = Math.max(now, busyUntil) + CALL * factor;
-        world.at(busyUntil, () -> {
-            if (down) {
-                links.carry(zone, caller.zone(), caller::ended, caller::ended);
-                return;
-            }
-            if (watch) {
-                watches.add(caller);
-            }
-            tell(caller, held, watch && held.compareTo(has) > 0, 0);
-        });
+        world.at(
+                busyUntil,
+                () -> {
+                    if (down) {
+                        links.carry(zone, caller.zone(), caller::ended, caller::ended);
+                        return;
+                    }
+                    if (watch) {
+                        watches.add(caller);
+                    }
+                    tell(caller, held, watch && held.compareTo(has) > 0, 0);
+                });
     }
 
     private void tell(Caller caller, Version version, boolean whole, long work) {
         busyUntil = Math.max(world.now(), busyUntil) + work;
-        world.at(work == 0 ? world.now() : busyUntil, () -> links.carry(zone, caller.zone(),
-            () -> caller.line(version, whole), () -> left(caller)));
+        world.at(
+                work == 0 ? world.now() : busyUntil,
+                () ->
+                        links.carry(
+                                zone,
+                                caller.zone(),
+                                () -> caller.line(version, whole),
+                                () -> left(caller)));
     }
 
     /** A caller has closed its connection, or can't be reached. */
--- a/src/main/java/cottonlock/lab/rollout/Deployment.java
+++ b/src/main/java/cottonlock/lab/rollout/Deployment.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 
 /**
- * Proxies and control machines over zones and regions, in virtual time. Control machines tell one another
- * what is published: each at once, and each second one that is drawn, for what was missed.
+ * Proxies and control machines over zones and regions, in virtual time. Control machines tell one
+ * another what is published: each at once, and each second one that is drawn, for what was missed.
  */
 @Decides
 final class Deployment {
@@ -22,22 +22,29 @@
     static final int REGIONS = 2;
     static final int ZONES = 7;
     static final int CONTROL = 17;
+
     /** Bytes of a version's line: settings of some twenty request classes. */
     private static final int CONTENT = 4_096;
+
     /** Until another control machine has what was published: from, and up to so much more. */
     private static final long REPLICATED = 100;
+
     private static final long REPLICATED_MORE = 1_900;
 
     final World world;
     final Links links;
     final List<ControlModel> control = new ArrayList<>();
     final List<ProxyModel> proxies = new ArrayList<>();
+
     /** Versions that can't be used, by whoever tries them. */
     final Set<Version> poison = new HashSet<>();
+
     private Version target;
     private long since;
+
     /** How long each proxy took until it held the target; -1: it does not yet. */
     private long[] took;
+
     private long[] startedAt;
 
     Deployment(int size, long seed, Habits habits) {
@@ -50,17 +57,18 @@
         }
         took = new long[size];
         startedAt = new long[size];
-        ProxyModel.Content content = new ProxyModel.Content() {
-            @Override
-            public String fault(Version version) {
-                return poison.contains(version) ? "cannot be used" : null;
-            }
+        ProxyModel.Content content =
+                new ProxyModel.Content() {
+                    @Override
+                    public String fault(Version version) {
+                        return poison.contains(version) ? "cannot be used" : null;
+                    }
 
-            @Override
-            public int bytes(Version version) {
-                return CONTENT;
-            }
-        };
+                    @Override
+                    public int bytes(Version version) {
+                        return CONTENT;
+                    }
+                };
         for (int i = 0; i < size; i++) {
             int zone = i % ZONES;
             List<ControlModel> nearFirst = new ArrayList<>();
@@ -75,9 +83,22 @@
                 }
             }
             int number = i;
-            proxies.add(new ProxyModel(zone, world, links, nearFirst, new RolloutPlan("s", near, far,
-                RolloutPlan.CALL, RolloutPlan.COMPARE, RolloutPlan.RETRY), content, habits,
-                () -> changed(number)));
+            proxies.add(
+                    new ProxyModel(
+                            zone,
+                            world,
+                            links,
+                            nearFirst,
+                            new RolloutPlan(
+                                    "s",
+                                    near,
+                                    far,
+                                    RolloutPlan.CALL,
+                                    RolloutPlan.COMPARE,
+                                    RolloutPlan.RETRY),
+                            content,
+                            habits,
+                            () -> changed(number)));
         }
         for (int i = 0; i < size; i++) {
             start(i);
@@ -104,7 +125,9 @@
         world.at(world.now() + SECOND, () -> agree(number));
     }
 
-    /** A version is published at a control machine; from now on it is the one that is waited for. */
+    /**
+     * A version is published at a control machine; from now on it is the one that is waited for.
+     */
     void publish(int at, Version version) {
         expect(version);
         tell(at, version);
@@ -116,8 +139,9 @@
         origin.hear(version);
         for (ControlModel other : control) {
             if (other != origin && !links.cut(origin.zone, other.zone)) {
-                world.at(world.now() + REPLICATED + world.chance().nextLong(REPLICATED_MORE),
-                    () -> other.hear(version));
+                world.at(
+                        world.now() + REPLICATED + world.chance().nextLong(REPLICATED_MORE),
+                        () -> other.hear(version));
             }
         }
     }
--- a/src/main/java/cottonlock/lab/rollout/Links.java
+++ b/src/main/java/cottonlock/lab/rollout/Links.java
@@ -4,17 +4,21 @@
 import cottonlock.lab.world.World;
 
 /**
- * The ways between zones, in virtual time: how long a message takes, and what is cut. A message is one of a
- * connection that stands: while its way is cut it is sent again, and comes when the cut ends.
+ * The ways between zones, in virtual time: how long a message takes, and what is cut. A message is
+ * one of a connection that stands: while its way is cut it is sent again, and comes when the cut
+ * ends.
  */
 @Decides
 final class Links {
     /** Tenths of a millisecond between two sendings of what was not acknowledged. */
     private static final long AGAIN = 3_000;
+
     /** So long a side goes on sending before it gives its connection up. */
     private static final long GIVEN_UP = 150_000;
+
     /** Within a zone, between zones, and between regions, one way, and how much more by chance. */
     private static final long[] SHORTEST = {2, 5, 300};
+
     private static final long SPREAD = 10;
 
     private final World world;
--- a/src/main/java/cottonlock/lab/rollout/ProxyModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ProxyModel.java
@@ -11,15 +11,20 @@
 import java.util.SplittableRandom;
 
 /**
- * A proxy in virtual time: {@link Rollout} as it serves, carried as {@code cottonlock.net.RolloutActor} does
- * on sockets: one thread, one watch, and a second connection during a comparison.
+ * A proxy in virtual time: {@link Rollout} as it serves, carried as {@code
+ * cottonlock.net.RolloutActor} does on sockets: one thread, one watch, and a second connection
+ * during a comparison.
  */
 @Decides
 final class ProxyModel {
     private static final long SECOND = 10_000;
-    /** Bytes, those of TCP and IP among them, sent and received: a connection's begin and end with the call
-     * and the answer's head; a line that tells a number; an empty line. */
+
+    /**
+     * Bytes, those of TCP and IP among them, sent and received: a connection's begin and end with
+     * the call and the answer's head; a line that tells a number; an empty line.
+     */
     private static final int CALL_BYTES = 7 * 40 + 170 + 70;
+
     private static final int LINE_BYTES = 80 + 75;
     private static final int BEAT_BYTES = 80 + 6;
 
@@ -39,11 +44,15 @@
     private final Content content;
     private final Habits habits;
     private final SplittableRandom chance;
+
     /** Called at each change of what is in force. */
     private final Runnable changed;
+
     private Rollout rollout;
+
     /** On its disk. */
     private Version kept = Version.NONE;
+
     private Version inForce = Version.NONE;
     private boolean alive;
     private boolean paused;
@@ -62,8 +71,15 @@
     private long inSecond;
     private long worst;
 
-    ProxyModel(int zone, World world, Links links, List<ControlModel> nearFirst, RolloutPlan plan,
-               Content content, Habits habits, Runnable changed) {
+    ProxyModel(
+            int zone,
+            World world,
+            Links links,
+            List<ControlModel> nearFirst,
+            RolloutPlan plan,
+            Content content,
+            Habits habits,
+            Runnable changed) {
         this.zone = zone;
         this.world = world;
         this.links = links;
@@ -98,67 +114,82 @@
             Version has = rollout.asks();
             // A first packet is sent again after a second, beyond any limit here.
             if (!links.cut(zone, machine.zone)) {
-                world.at(world.now() + 3 * links.delay(zone, machine.zone),
-                    () -> machine.called(this, has, watches));
+                world.at(
+                        world.now() + 3 * links.delay(zone, machine.zone),
+                        () -> machine.called(this, has, watches));
             }
-            world.at(world.now() + limit, () -> {
-                if (!over && (!watches || lineAt < 0)) {
-                    ended();
-                }
-            });
+            world.at(
+                    world.now() + limit,
+                    () -> {
+                        if (!over && (!watches || lineAt < 0)) {
+                            ended();
+                        }
+                    });
         }
 
         @Override
         public void line(Version version, boolean whole) {
-            inOrder(this, () -> {
-                if (over || watches && version == null && lineAt < 0) {
-                    return;
-                }
-                count(version == null ? BEAT_BYTES : LINE_BYTES + (whole ? content.bytes(version) : 0));
-                if (whole && machine.halves() && habits.tries()) {
-                    // What is told is not what its digest names: no version at all.
-                    ended();
-                    return;
-                }
-                if (watches) {
-                    lineAt = world.now();
-                    silentFrom(lineAt);
-                }
-                if (version != null && watches) {
-                    heard(version, whole, machine.halves());
-                } else if (version != null) {
-                    rollout.compared(world.now(), number, version);
-                }
-                if (watches) {
-                    between();
-                } else {
-                    close();
-                }
-            });
+            inOrder(
+                    this,
+                    () -> {
+                        if (over || watches && version == null && lineAt < 0) {
+                            return;
+                        }
+                        count(
+                                version == null
+                                        ? BEAT_BYTES
+                                        : LINE_BYTES + (whole ? content.bytes(version) : 0));
+                        if (whole && machine.halves() && habits.tries()) {
+                            // What is told is not what its digest names: no version at all.
+                            ended();
+                            return;
+                        }
+                        if (watches) {
+                            lineAt = world.now();
+                            silentFrom(lineAt);
+                        }
+                        if (version != null && watches) {
+                            heard(version, whole, machine.halves());
+                        } else if (version != null) {
+                            rollout.compared(world.now(), number, version);
+                        }
+                        if (watches) {
+                            between();
+                        } else {
+                            close();
+                        }
+                    });
         }
 
         private void silentFrom(long at) {
             long silence = habits.silence(Rollout.SILENCE);
-            world.at(at + silence, () -> inOrder(this, () -> {
-                if (!over && lineAt == at) {
-                    ended();
-                }
-            }));
+            world.at(
+                    at + silence,
+                    () ->
+                            inOrder(
+                                    this,
+                                    () -> {
+                                        if (!over && lineAt == at) {
+                                            ended();
+                                        }
+                                    }));
         }
 
         @Override
         public void ended() {
-            inOrder(this, () -> {
-                if (!over) {
-                    close();
-                    if (watches) {
-                        rollout.ended(world.now());
-                        dial();
-                    } else {
-                        rollout.compareFailed();
-                    }
-                }
-            });
+            inOrder(
+                    this,
+                    () -> {
+                        if (!over) {
+                            close();
+                            if (watches) {
+                                rollout.ended(world.now());
+                                dial();
+                            } else {
+                                rollout.compareFailed();
+                            }
+                        }
+                    });
         }
 
         void close() {
@@ -176,11 +207,12 @@
     private void inOrder(Connection on, Runnable task) {
         int now = life;
         if (paused || compare != null && on.watches) {
-            heldBack.add(() -> {
-                if (life == now) {
-                    inOrder(on, task);
-                }
-            });
+            heldBack.add(
+                    () -> {
+                        if (life == now) {
+                            inOrder(on, task);
+                        }
+                    });
         } else if (alive) {
             task.run();
         }
@@ -238,12 +270,17 @@
         long at = rollout.lookAt();
         if (at > world.now() && at < looksAt) {
             looksAt = at;
-            world.at(at, () -> inOrder(mine, () -> {
-                looksAt = Long.MAX_VALUE;
-                if (watch == mine) {
-                    between();
-                }
-            }));
+            world.at(
+                    at,
+                    () ->
+                            inOrder(
+                                    mine,
+                                    () -> {
+                                        looksAt = Long.MAX_VALUE;
+                                        if (watch == mine) {
+                                            between();
+                                        }
+                                    }));
         }
     }
 
@@ -254,11 +291,13 @@
         Connection mine = new Connection(call.machine(), true);
         watch = mine;
         int now = life;
-        world.at(call.at(), () -> {
-            if (life == now) {
-                inOrder(mine, () -> mine.open(call.limit()));
-            }
-        });
+        world.at(
+                call.at(),
+                () -> {
+                    if (life == now) {
+                        inOrder(mine, () -> mine.open(call.limit()));
+                    }
+                });
     }
 
     void start() {
--- a/src/main/java/cottonlock/lab/rollout/RolloutStudy.java
+++ b/src/main/java/cottonlock/lab/rollout/RolloutStudy.java
@@ -15,14 +15,22 @@
 public final class RolloutStudy {
     /** Control machines, regions and zones of each deployment. */
     public static final int CONTROL = Deployment.CONTROL;
+
     public static final int REGIONS = Deployment.REGIONS;
     public static final int ZONES = Deployment.ZONES;
     private static final long SECOND = Deployment.SECOND;
+
     /** What is not in force by then counts as never. */
     private static final long MOST = 60 * SECOND;
-    /** Changes between which the figures of quiet days are taken, and how far they are apart: 2,100 a day. */
+
+    /**
+     * Changes between which the figures of quiet days are taken, and how far they are apart: 2,100
+     * a day.
+     */
     private static final int CHANGES = 5;
+
     private static final long APART = 41 * SECOND;
+
     /** What an hour's stop costs does not hang on the size of the fleet around it. */
     private static final int AROUND_A_STOP = 100;
 
@@ -40,19 +48,26 @@
     /**
      * What came of one case. Times are milliseconds, -1 where it never came so far.
      *
-     * @param half    until the version was in force at half of those it is asked of
-     * @param most    at 99 of 100
-     * @param all     at all
-     * @param calls   the most calls of a second at one control machine
-     * @param bytes   the most bytes of a second of one proxy, sent and received
-     * @param back    how often a proxy held less than it had held before
-     * @param harmed  proxies at which a version came into force that can't be used
-     * @param differ  proxies that hold another version than most, at the end
-     * @param more    further figures of this case
+     * @param half until the version was in force at half of those it is asked of
+     * @param most at 99 of 100
+     * @param all at all
+     * @param calls the most calls of a second at one control machine
+     * @param bytes the most bytes of a second of one proxy, sent and received
+     * @param back how often a proxy held less than it had held before
+     * @param harmed proxies at which a version came into force that can't be used
+     * @param differ proxies that hold another version than most, at the end
+     * @param more further figures of this case
      */
-    public record Outcome(long half, long most, long all, int calls, long bytes, int back, int harmed,
-                          int differ, Map<String, Long> more) {
-    }
+    public record Outcome(
+            long half,
+            long most,
+            long all,
+            int calls,
+            long bytes,
+            int back,
+            int harmed,
+            int differ,
+            Map<String, Long> more) {}
 
     /** All hard cases, by name, in the order of docs/rollout.md. */
     public Map<String, Supplier<Outcome>> cases() {
@@ -95,7 +110,10 @@
         return outcome(d, times, Map.of("mean", bytes * SECOND / (d.world.now() - from) / size));
     }
 
-    /** A change in the moment in which the regions lose each other; the other one has it after the heal. */
+    /**
+     * A change in the moment in which the regions lose each other; the other one has it after the
+     * heal.
+     */
     Outcome regionSplit() {
         Deployment d = deployment();
         d.links.split(true);
@@ -137,7 +155,10 @@
         return outcome(d, d.times(MOST, five), Map.of("changes_missed", (long) changes));
     }
 
-    /** A zone is cut off for most of each six seconds, for a minute, and a change comes in the middle. */
+    /**
+     * A zone is cut off for most of each six seconds, for a minute, and a change comes in the
+     * middle.
+     */
     Outcome flappingZone() {
         Deployment d = deployment();
         int zone = 2;
@@ -145,7 +166,8 @@
         d.links.flap(zone, 6 * SECOND, SECOND, end);
         d.world.until(d.world.now() + 20 * SECOND);
         d.publish(0, version(2));
-        List<Integer> outside = d.all().stream().filter(i -> d.proxies.get(i).zone != zone).toList();
+        List<Integer> outside =
+                d.all().stream().filter(i -> d.proxies.get(i).zone != zone).toList();
         List<Long> others = d.times(MOST, outside);
         List<Integer> inside = d.all().stream().filter(i -> d.proxies.get(i).zone == zone).toList();
         long within = last(d.times(end - d.world.now(), inside));
@@ -155,7 +177,10 @@
         return outcome(d, others, Map.of("inside_ms_all", within, "after_ms_all", after));
     }
 
-    /** All of control is down for ten minutes and back at once, with a change; times count from then. */
+    /**
+     * All of control is down for ten minutes and back at once, with a change; times count from
+     * then.
+     */
     Outcome controlDown() {
         Deployment d = deployment();
         d.control.forEach(c -> c.down(true));
@@ -198,20 +223,27 @@
         long kept = d.proxies.stream().filter(p -> p.inForce().equals(new Version(1, 1))).count();
         judged = d.proxies.stream().mapToInt(ProxyModel::judged).sum() - judged;
         d.publish(0, version(3));
-        return outcome(d, d.times(MOST, d.all()), Map.of("refused", refused, "kept", kept, "judged",
-            (long) judged));
+        return outcome(
+                d,
+                d.times(MOST, d.all()),
+                Map.of("refused", refused, "kept", kept, "judged", (long) judged));
     }
 
-    /** 350 restarts within a minute, while control is lost for a part of it; a change comes in the middle. */
+    /**
+     * 350 restarts within a minute, while control is lost for a part of it; a change comes in the
+     * middle.
+     */
     Outcome restarts() {
         Deployment d = deployment();
         long from = d.world.now();
         for (int i = 0; i < 350; i++) {
             int which = d.world.chance().nextInt(size);
-            d.world.at(from + i * 60 * SECOND / 350, () -> {
-                d.proxies.get(which).kill();
-                d.start(which);
-            });
+            d.world.at(
+                    from + i * 60 * SECOND / 350,
+                    () -> {
+                        d.proxies.get(which).kill();
+                        d.start(which);
+                    });
         }
         d.world.until(from + 10 * SECOND);
         d.control.forEach(c -> c.down(true));
@@ -223,7 +255,10 @@
         return outcome(d, times, Map.of());
     }
 
-    /** Control machines take four times as long over everything, and have just dropped all their watches. */
+    /**
+     * Control machines take four times as long over everything, and have just dropped all their
+     * watches.
+     */
     Outcome overload() {
         Deployment d = deployment();
         d.control.forEach(c -> c.slow(4));
@@ -245,10 +280,15 @@
         d.proxies.forEach(p -> held.merge(p.inForce(), 1L, Long::sum));
         long same = Collections.max(held.values());
         int n = sorted.size();
-        return new Outcome(sorted.get(n / 2) / 10, sorted.get((n * 99 - 1) / 100) / 10,
-            sorted.get(n - 1) / 10, d.worstCalls(), d.worstBytes(),
-            d.proxies.stream().mapToInt(ProxyModel::wentBack).sum(),
-            (int) d.proxies.stream().filter(ProxyModel::harmed).count(), (int) (d.proxies.size() - same),
-            new java.util.TreeMap<>(more));
+        return new Outcome(
+                sorted.get(n / 2) / 10,
+                sorted.get((n * 99 - 1) / 100) / 10,
+                sorted.get(n - 1) / 10,
+                d.worstCalls(),
+                d.worstBytes(),
+                d.proxies.stream().mapToInt(ProxyModel::wentBack).sum(),
+                (int) d.proxies.stream().filter(ProxyModel::harmed).count(),
+                (int) (d.proxies.size() - same),
+                new java.util.TreeMap<>(more));
     }
 }
--- a/src/main/java/cottonlock/lab/scale/Budget.java
+++ b/src/main/java/cottonlock/lab/scale/Budget.java
@@ -12,40 +12,71 @@
 import java.util.Set;
 
 /**
- * What the operators' design asks and allows, what it leaves open and is assumed, the program's constants
- * that figures are worked out with, and the needs that the page holds against all that; read from
- * {@code budget.toml}. No figure of it stands in code.
+ * What the operators' design asks and allows, what it leaves open and is assumed, the program's
+ * constants that figures are worked out with, and the needs that the page holds against all that;
+ * read from {@code budget.toml}. No figure of it stands in code.
  */
 final class Budget {
     /** The operators' figures that must be there, all above 0. */
-    private static final List<String> OPERATORS = List.of("backends", "services", "calls_s", "depth",
-        "added_ms", "regions", "zones", "changes_day", "in_force_s", "failures_day", "restarts_day",
-        "proxy_cpu_share", "proxy_memory_mb", "proxy_bytes_s", "control_machines");
-    private static final List<String> ASSUMED = List.of("due_ms", "conn_idle_s", "sockets", "cold_share",
-        "fall_multiple", "fall_s", "beat_s", "streak", "list_changes");
+    private static final List<String> OPERATORS =
+            List.of(
+                    "backends",
+                    "services",
+                    "calls_s",
+                    "depth",
+                    "added_ms",
+                    "regions",
+                    "zones",
+                    "changes_day",
+                    "in_force_s",
+                    "failures_day",
+                    "restarts_day",
+                    "proxy_cpu_share",
+                    "proxy_memory_mb",
+                    "proxy_bytes_s",
+                    "control_machines");
+
+    private static final List<String> ASSUMED =
+            List.of(
+                    "due_ms",
+                    "conn_idle_s",
+                    "sockets",
+                    "cold_share",
+                    "fall_multiple",
+                    "fall_s",
+                    "beat_s",
+                    "streak",
+                    "list_changes");
     private static final double MOST = 1e15;
     private static final double LEAST = 1e-9;
-    private static final String SOURCE = "(scale|members|rollout|proxy|latency):[a-z0-9_.]+"
-        + "|worked:[a-z0-9_]+|none:";
+    private static final String SOURCE =
+            "(scale|members|rollout|proxy|latency):[a-z0-9_.]+" + "|worked:[a-z0-9_]+|none:";
     private static final String KEY = "(operators|assumed|constant|worked)\\.[a-z0-9_]+";
     private static final String SIZE = "operators.backends";
 
     /** A constant of the program: its file, its name there, its value. */
-    record Constant(String name, String file, String field, double value) {
-    }
+    record Constant(String name, String file, String field, double value) {}
 
     /**
      * One figure that is needed.
      *
-     * @param part    the role, event or mechanism
-     * @param source  where the figure comes from: KIND:PATH or worked:NAME; "none:" where nothing tells it
-     * @param at      the size that a slope is worked out to, by name
-     * @param slope   whether a slope over sizes says something of it; else it is shown by size alone
-     * @param budget  what it may be, by name; empty where nothing is said
+     * @param part the role, event or mechanism
+     * @param source where the figure comes from: KIND:PATH or worked:NAME; "none:" where nothing
+     *     tells it
+     * @param at the size that a slope is worked out to, by name
+     * @param slope whether a slope over sizes says something of it; else it is shown by size alone
+     * @param budget what it may be, by name; empty where nothing is said
      * @param carried the class that carries it; "nothing" and why where none does
      */
-    record Need(String part, String figure, String source, String at, boolean slope, String unit,
-                String budget, String carried) {
+    record Need(
+            String part,
+            String figure,
+            String source,
+            String at,
+            boolean slope,
+            String unit,
+            String budget,
+            String carried) {
         boolean uncarried() {
             return carried.startsWith("nothing");
         }
@@ -59,28 +90,40 @@
         }
     }
 
-    /** All figures by name: {@code operators.backends}, {@code assumed.due_ms}, {@code constant.retire}. */
+    /**
+     * All figures by name: {@code operators.backends}, {@code assumed.due_ms}, {@code
+     * constant.retire}.
+     */
     final Map<String, Double> given = new LinkedHashMap<>();
+
     final List<Constant> constants = new ArrayList<>();
     final List<Need> needs = new ArrayList<>();
 
-    private Budget() {
-    }
+    private Budget() {}
 
     /** Reads it; every fault is told at once. */
     static Budget read(Path file) throws BadFile {
         Budget budget = new Budget();
         Fields top = Fields.of(Doc.toml(file));
         Fields operators = top.table("operators");
-        OPERATORS.forEach(key ->
-            budget.given.put("operators." + key, operators.number(key, Double.NaN, LEAST, MOST)));
+        OPERATORS.forEach(
+                key ->
+                        budget.given.put(
+                                "operators." + key,
+                                operators.number(key, Double.NaN, LEAST, MOST)));
         Fields assumed = top.table("assumed");
-        ASSUMED.forEach(key ->
-            budget.given.put("assumed." + key, assumed.number(key, Double.NaN, LEAST, MOST)));
+        ASSUMED.forEach(
+                key ->
+                        budget.given.put(
+                                "assumed." + key, assumed.number(key, Double.NaN, LEAST, MOST)));
         Set<String> seen = new HashSet<>();
         for (Fields f : top.tables("constant")) {
-            Constant c = new Constant(f.formed("name", null, "[a-z0-9_]+", "a short name"),
-                f.text("file", null), f.text("field", null), f.number("value", Double.NaN, 0, MOST));
+            Constant c =
+                    new Constant(
+                            f.formed("name", null, "[a-z0-9_]+", "a short name"),
+                            f.text("file", null),
+                            f.text("field", null),
+                            f.number("value", Double.NaN, 0, MOST));
             if (!seen.add(c.name)) {
                 f.fault("name", "stands twice");
             }
@@ -90,11 +133,20 @@
         for (Fields f : top.tables("need")) {
             String key = f.formed("budget", "", KEY, "a name such as operators.backends");
             String at = f.formed("at", SIZE, KEY, "a name such as operators.backends");
-            budget.needs.add(new Need(f.text("part", null), f.text("figure", null),
-                f.formed("source", null, SOURCE, "KIND:PATH, worked:NAME or none:"), at,
-                f.flag("slope", true), f.text("unit", ""), key, f.text("carried", null)));
+            budget.needs.add(
+                    new Need(
+                            f.text("part", null),
+                            f.text("figure", null),
+                            f.formed("source", null, SOURCE, "KIND:PATH, worked:NAME or none:"),
+                            at,
+                            f.flag("slope", true),
+                            f.text("unit", ""),
+                            key,
+                            f.text("carried", null)));
             for (String name : List.of(key, at)) {
-                if (!name.isEmpty() && !name.startsWith("worked.") && !budget.given.containsKey(name)) {
+                if (!name.isEmpty()
+                        && !name.startsWith("worked.")
+                        && !budget.given.containsKey(name)) {
                     f.fault(name.equals(key) ? "budget" : "at", "there is no figure " + name);
                 }
             }
--- a/src/main/java/cottonlock/lab/scale/Calls.java
+++ b/src/main/java/cottonlock/lab/scale/Calls.java
@@ -16,17 +16,20 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients that call one proxy at an even chance in time, and all of its backends: one listener on every
- * address of loopback answers at once for whatever address a backend is listed at. Latency counts from when a
- * call was due to be sent. Threads wait on sockets, as there are few calls at a time.
+ * Clients that call one proxy at an even chance in time, and all of its backends: one listener on
+ * every address of loopback answers at once for whatever address a backend is listed at. Latency
+ * counts from when a call was due to be sent. Threads wait on sockets, as there are few calls at a
+ * time.
  */
 final class Calls implements AutoCloseable {
     private static final int CALLERS = 24;
     private static final long STACK = 192 << 10;
     private static final byte[] ANSWER =
-        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.ISO_8859_1);
+            "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.ISO_8859_1);
+
     /** Microseconds that are told apart at most. */
     private static final long LONGEST = 60_000_000;
+
     private static final int PATIENCE_MS = 2_000;
 
     private final ServerSocket backends;
@@ -95,8 +98,12 @@
     }
 
     private void call(int port) {
-        byte[] ask = ("GET /quote HTTP/1.1\r\nHost: lab\r\nX-Priority-Class: quote\r\nX-Tenant-Id: acme\r\n"
-            + "X-Timeout-Ms: " + PATIENCE_MS + "\r\nX-Request-ID: ").getBytes(StandardCharsets.ISO_8859_1);
+        byte[] ask =
+                ("GET /quote HTTP/1.1\r\nHost: lab\r\nX-Priority-Class: quote\r\nX-Tenant-Id: acme\r\n"
+                                + "X-Timeout-Ms: "
+                                + PATIENCE_MS
+                                + "\r\nX-Request-ID: ")
+                        .getBytes(StandardCharsets.ISO_8859_1);
         Socket socket = null;
         long number = 0;
         while (!over) {
@@ -116,7 +123,8 @@
                 if (ok) {
                     served.incrementAndGet();
                     synchronized (latency) {
-                        latency.recordValue(Math.min(LONGEST, Math.max(0, System.nanoTime() - at) / 1_000));
+                        latency.recordValue(
+                                Math.min(LONGEST, Math.max(0, System.nanoTime() - at) / 1_000));
                     }
                 } else {
                     failed.incrementAndGet();
--- a/src/main/java/cottonlock/lab/scale/Capacity.java
+++ b/src/main/java/cottonlock/lab/scale/Capacity.java
@@ -7,11 +7,16 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What the command line uses of this package for docs/CAPACITY.md. Each call returns an exit status. */
+/**
+ * What the command line uses of this package for docs/CAPACITY.md. Each call returns an exit
+ * status.
+ */
 public final class Capacity {
     private static final int UNUSABLE = 2;
+
     /** As the lab has it: the machine ran late, so there is no verdict. */
     private static final int NO_VERDICT = 3;
+
     private static final String MEASURE = "(proxy|latency)-[0-9]{1,5}-[0-9]{1,9}";
 
     private final PrintStream out;
@@ -24,12 +29,13 @@
     }
 
     /**
-     * Measures one figure's run and writes its result into the folder: {@code proxy-ENTRIES-SEED} or
-     * {@code latency-TIERS-SEED}, which is also the file's name.
+     * Measures one figure's run and writes its result into the folder: {@code proxy-ENTRIES-SEED}
+     * or {@code latency-TIERS-SEED}, which is also the file's name.
      */
     public int measure(Path folder, String what) throws InterruptedException {
         if (!what.matches(MEASURE)) {
-            err.println("expected proxy-ENTRIES-SEED or latency-TIERS-SEED to measure, found " + what);
+            err.println(
+                    "expected proxy-ENTRIES-SEED or latency-TIERS-SEED to measure, found " + what);
             return UNUSABLE;
         }
         String[] parts = what.split("-");
@@ -46,8 +52,10 @@
             String command = "cottonlock lab capacity docs/capacity --measure " + what;
             var given = Budget.read(folder.resolve("budget.toml")).given;
             double rate = given.get("operators.calls_s") / given.get("operators.backends");
-            String verdict = latency ? new LatencyMeasure(size, seed, err).play(result, command, commit())
-                : new ProxyMeasure(size, seed, rate).play(result, command, commit());
+            String verdict =
+                    latency
+                            ? new LatencyMeasure(size, seed, err).play(result, command, commit())
+                            : new ProxyMeasure(size, seed, rate).play(result, command, commit());
             out.println("measured: " + verdict + " " + result);
             return verdict.equals("none") ? NO_VERDICT : verdict.equals("fail") ? 1 : 0;
         } catch (BadFile e) {
@@ -62,7 +70,8 @@
     private static String commit() throws InterruptedException {
         try {
             Process git = new ProcessBuilder("git", "rev-parse", "--short", "HEAD").start();
-            String id = new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
+            String id =
+                    new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
             return git.waitFor() == 0 && !id.isEmpty() ? id : "unknown";
         } catch (IOException e) {
             return "unknown";
--- a/src/main/java/cottonlock/lab/scale/Change.java
+++ b/src/main/java/cottonlock/lab/scale/Change.java
@@ -7,13 +7,20 @@
 /** One change of the list, and when it was in force at each proxy. */
 final class Change {
     final long version;
+
     /** Nanoseconds, by the clock that all processes share, when control was told. */
     final long at;
-    /** For some, it could not come before then: those that were cut off, or not there; 0: nobody. */
+
+    /**
+     * For some, it could not come before then: those that were cut off, or not there; 0: nobody.
+     */
     long reachableAt;
+
     /** Nanoseconds that it took, one for each proxy that has it, and how many have not. */
     final List<Long> took = new ArrayList<>();
+
     int missing;
+
     /** How many had it before it could come to them. */
     int early;
 
--- a/src/main/java/cottonlock/lab/scale/Child.java
+++ b/src/main/java/cottonlock/lab/scale/Child.java
@@ -14,8 +14,8 @@
 import java.util.function.Consumer;
 
 /**
- * A process of the run's that takes orders by lines and answers by lines. It ends when its input does, so
- * none is left when the run itself is killed.
+ * A process of the run's that takes orders by lines and answers by lines. It ends when its input
+ * does, so none is left when the run itself is killed.
  */
 final class Child {
     /** Seconds for an answer, on a machine with no core to spare. */
@@ -28,33 +28,63 @@
     private final LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
     private volatile boolean ending;
 
-    /** Starts one; lines that begin with one of the words of news go to whom, on a thread of their own. */
-    Child(String name, Path folder, int heapMb, Class<?> main, List<String> args, List<String> news,
-          Consumer<String[]> whom) throws IOException {
+    /**
+     * Starts one; lines that begin with one of the words of news go to whom, on a thread of their
+     * own.
+     */
+    Child(
+            String name,
+            Path folder,
+            int heapMb,
+            Class<?> main,
+            List<String> args,
+            List<String> news,
+            Consumer<String[]> whom)
+            throws IOException {
         this.name = name;
         this.log = folder.resolve(name + ".log");
-        List<String> command = new ArrayList<>(List.of(ServeCommand.java(), "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xss192k", "-Xmx" + heapMb + "m",
-            "-XX:+ExitOnOutOfMemoryError", "-cp", System.getProperty("java.class.path"), main.getName()));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                ServeCommand.java(),
+                                "-XX:+UseSerialGC",
+                                "-XX:TieredStopAtLevel=1",
+                                "-XX:-UsePerfData",
+                                "-Xss192k",
+                                "-Xmx" + heapMb + "m",
+                                "-XX:+ExitOnOutOfMemoryError",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                main.getName()));
         command.addAll(args);
-        process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()))
-            .start();
+        process =
+                new ProcessBuilder(command)
+                        .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()))
+                        .start();
         orders = process.outputWriter(StandardCharsets.ISO_8859_1);
-        Thread reader = new Thread(null, () -> {
-            try (BufferedReader lines = process.inputReader(StandardCharsets.ISO_8859_1)) {
-                for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                    String[] words = line.split(" ");
-                    if (news.contains(words[0])) {
-                        whom.accept(words);
-                    } else {
-                        answers.add(line);
-                    }
-                }
-            } catch (IOException e) {
-                // It has been ended.
-            }
-            answers.add("");
-        }, name, 256 << 10);
+        Thread reader =
+                new Thread(
+                        null,
+                        () -> {
+                            try (BufferedReader lines =
+                                    process.inputReader(StandardCharsets.ISO_8859_1)) {
+                                for (String line = lines.readLine();
+                                        line != null;
+                                        line = lines.readLine()) {
+                                    String[] words = line.split(" ");
+                                    if (news.contains(words[0])) {
+                                        whom.accept(words);
+                                    } else {
+                                        answers.add(line);
+                                    }
+                                }
+                            } catch (IOException e) {
+                                // It has been ended.
+                            }
+                            answers.add("");
+                        },
+                        name,
+                        256 << 10);
         reader.setDaemon(true);
         reader.start();
     }
--- a/src/main/java/cottonlock/lab/scale/ConfigurationChannel.java
+++ b/src/main/java/cottonlock/lab/scale/ConfigurationChannel.java
@@ -3,7 +3,10 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** A way by which a change of configuration comes to proxies, and what is known of where it is in force. */
+/**
+ * A way by which a change of configuration comes to proxies, and what is known of where it is in
+ * force.
+ */
 interface ConfigurationChannel {
     /** Its name in reports. */
     String name();
@@ -12,8 +15,8 @@
     void send(long number) throws IOException;
 
     /**
-     * By proxy, when the change of that number was in force first ({@link System#nanoTime}, which all
-     * processes of a machine share); -1: it is not.
+     * By proxy, when the change of that number was in force first ({@link System#nanoTime}, which
+     * all processes of a machine share); -1: it is not.
      */
     Map<Integer, Long> inForceAt(long number);
 }
--- a/src/main/java/cottonlock/lab/scale/ControlStandIn.java
+++ b/src/main/java/cottonlock/lab/scale/ControlStandIn.java
@@ -20,25 +20,30 @@
 import java.util.Set;
 
 /**
- * The stand-in of one machine of control, a process of its own: it tells the list whole and as a watch, takes
- * so many calls a second and lets the others wait their turn, and counts bytes and messages each way for each
- * role. What changed before it started it does not know: whoever held an older list is told the whole.
+ * The stand-in of one machine of control, a process of its own: it tells the list whole and as a
+ * watch, takes so many calls a second and lets the others wait their turn, and counts bytes and
+ * messages each way for each role. What changed before it started it does not know: whoever held an
+ * older list is told the whole.
  *
- * <p>The run tells it by lines on its standard input: {@code entry SEQ ID JSON}, {@code push} (what came
- * since goes to all watches), {@code from SEQ} (what was told is as of then, nothing older is known),
- * {@code open ROLE ADDRESS}. It ends with its input.
+ * <p>The run tells it by lines on its standard input: {@code entry SEQ ID JSON}, {@code push} (what
+ * came since goes to all watches), {@code from SEQ} (what was told is as of then, nothing older is
+ * known), {@code open ROLE ADDRESS}. It ends with its input.
  */
 final class ControlStandIn {
-    /** Nanoseconds between empty lines of a watch at rest, as the machines that it stands for send them. */
+    /**
+     * Nanoseconds between empty lines of a watch at rest, as the machines that it stands for send
+     * them.
+     */
     private static final long BEAT = 2_000_000_000L;
+
     private static final long SECOND = 1_000_000_000L;
     private static final int BACKLOG = 4_096;
-    private static final byte[] HEAD = ascii("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    private static final byte[] HEAD =
+            ascii("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     private static final byte[] EMPTY_LINE = chunk("\n");
 
     /** Changes of the list: what one batch told, as the watches got it. */
-    private record Told(long seq, List<String> ids) {
-    }
+    private record Told(long seq, List<String> ids) {}
 
     /** What passed of one role within the second. */
     private static final class Traffic {
@@ -56,8 +61,10 @@
         final StringBuilder request = new StringBuilder();
         final Deque<ByteBuffer> unsent = new ArrayDeque<>();
         SelectionKey key;
+
         /** Bytes out within the second that has this number. */
         long second;
+
         long bytes;
 
         Connection(SocketChannel channel, Traffic traffic) throws IOException {
@@ -104,7 +111,9 @@
         void answer() {
             int at = request.indexOf("index=");
             int stop = request.indexOf(" ", Math.max(0, at));
-            if (!request.toString().startsWith("GET /catalog/members?stream=1") || at < 0 || stop < 0) {
+            if (!request.toString().startsWith("GET /catalog/members?stream=1")
+                    || at < 0
+                    || stop < 0) {
                 end();
                 return;
             }
@@ -170,8 +179,10 @@
 
     private final Loop loop = new Loop();
     private final ByteBuffer buffer = ByteBuffer.allocate(16 << 10);
+
     /** Nanoseconds between two calls that are answered. */
     private final long apart;
+
     private final Map<String, String> entries = new LinkedHashMap<>();
     private final Deque<Told> changes = new ArrayDeque<>();
     private final Set<Connection> watching = new LinkedHashSet<>();
@@ -200,8 +211,8 @@
     }
 
     private void follow() {
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(System.in,
-                StandardCharsets.ISO_8859_1))) {
+        try (BufferedReader in =
+                new BufferedReader(new InputStreamReader(System.in, StandardCharsets.ISO_8859_1))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String order = line;
                 loop.post(() -> carryOut(order));
@@ -255,14 +266,21 @@
         changes.stream().filter(c -> c.seq > since).forEach(c -> ids.addAll(c.ids));
         List<String> told = new ArrayList<>();
         for (String id : ids) {
-            told.add(entries.getOrDefault(id, "{\"host\":\"" + id
-                + "\",\"dial\":\"\",\"health\":\"left\"}"));
+            told.add(
+                    entries.getOrDefault(
+                            id, "{\"host\":\"" + id + "\",\"dial\":\"\",\"health\":\"left\"}"));
         }
         return text(false, told);
     }
 
     private String text(boolean all, Iterable<String> hosts) {
-        return "{\"seq\":" + seq + ",\"whole\":" + all + ",\"hosts\":[" + String.join(",", hosts) + "]}\n";
+        return "{\"seq\":"
+                + seq
+                + ",\"whole\":"
+                + all
+                + ",\"hosts\":["
+                + String.join(",", hosts)
+                + "]}\n";
     }
 
     private byte[] whole() {
@@ -277,15 +295,17 @@
             return;
         }
         answering = true;
-        loop.at(Math.max(loop.now(), nextAnswer), () -> {
-            answering = false;
-            nextAnswer = loop.now() + apart;
-            Connection next = waiting.poll();
-            if (next != null) {
-                next.answer();
-            }
-            answerNext();
-        });
+        loop.at(
+                Math.max(loop.now(), nextAnswer),
+                () -> {
+                    answering = false;
+                    nextAnswer = loop.now() + apart;
+                    Connection next = waiting.poll();
+                    if (next != null) {
+                        next.answer();
+                    }
+                    answerNext();
+                });
     }
 
     private void open(String role, String address) {
@@ -294,14 +314,20 @@
         try {
             ServerSocketChannel server = ServerSocketChannel.open();
             server.setOption(java.net.StandardSocketOptions.SO_REUSEADDR, true);
-            server.bind(new InetSocketAddress(address.substring(0, colon),
-                Integer.parseInt(address.substring(colon + 1))), BACKLOG);
-            loop.register(server, SelectionKey.OP_ACCEPT, key -> {
-                for (SocketChannel c = server.accept(); c != null; c = server.accept()) {
-                    c.setOption(java.net.StandardSocketOptions.TCP_NODELAY, true);
-                    new Connection(c, traffic);
-                }
-            });
+            server.bind(
+                    new InetSocketAddress(
+                            address.substring(0, colon),
+                            Integer.parseInt(address.substring(colon + 1))),
+                    BACKLOG);
+            loop.register(
+                    server,
+                    SelectionKey.OP_ACCEPT,
+                    key -> {
+                        for (SocketChannel c = server.accept(); c != null; c = server.accept()) {
+                            c.setOption(java.net.StandardSocketOptions.TCP_NODELAY, true);
+                            new Connection(c, traffic);
+                        }
+                    });
             System.out.println("opened " + address);
         } catch (IOException e) {
             System.out.println("fault " + address + ": " + e.getMessage());
@@ -316,16 +342,18 @@
     /** What passed within the second that has just ended. */
     private void tell() {
         long second = System.nanoTime() / SECOND - 1;
-        roles.forEach((role, t) -> {
-            System.out.println("second " + second + " " + role + " " + t.in + " " + t.out + " " + t.calls
-                + " " + t.lines + " " + t.whole + " " + t.worst);
-            t.in = 0;
-            t.out = 0;
-            t.calls = 0;
-            t.lines = 0;
-            t.whole = 0;
-            t.worst = 0;
-        });
+        roles.forEach(
+                (role, t) -> {
+                    System.out.println(
+                            "second " + second + " " + role + " " + t.in + " " + t.out + " "
+                                    + t.calls + " " + t.lines + " " + t.whole + " " + t.worst);
+                    t.in = 0;
+                    t.out = 0;
+                    t.calls = 0;
+                    t.lines = 0;
+                    t.whole = 0;
+                    t.worst = 0;
+                });
         System.out.println("late " + second + " " + loop.late().getValueAtPercentile(99.9));
         loop.late().reset();
         loop.after(SECOND - System.nanoTime() % SECOND, this::tell);
--- a/src/main/java/cottonlock/lab/scale/CountedSocket.java
+++ b/src/main/java/cottonlock/lab/scale/CountedSocket.java
@@ -6,8 +6,9 @@
 import java.net.InetSocketAddress;
 
 /**
- * The socket of a hollow proxy: it counts what passes, and loses what comes from or goes to a zone that its
- * own is cut off from, as a network does. The receiver's side cuts too, for real proxies' sockets don't.
+ * The socket of a hollow proxy: it counts what passes, and loses what comes from or goes to a zone
+ * that its own is cut off from, as a network does. The receiver's side cuts too, for real proxies'
+ * sockets don't.
  */
 final class CountedSocket extends DatagramSocket {
     /** Which zones are cut off from each other; one for all proxies of the process. */
@@ -20,7 +21,11 @@
 
         boolean cut(int one, int other) {
             boolean[][] now = between;
-            return one >= 0 && other >= 0 && one < now.length && other < now.length && now[one][other];
+            return one >= 0
+                    && other >= 0
+                    && one < now.length
+                    && other < now.length
+                    && now[one][other];
         }
     }
 
@@ -55,12 +60,19 @@
     private final int zone;
     private final Cuts cuts;
     private final Traffic own;
+
     /** What passes between hollow proxies and real ones, as the hollow ones see it. */
     private final Traffic real;
+
     private final java.util.Set<java.net.InetAddress> realOnes;
 
-    CountedSocket(InetSocketAddress address, Cuts cuts, Traffic own, Traffic real,
-                  java.util.Set<java.net.InetAddress> realOnes) throws IOException {
+    CountedSocket(
+            InetSocketAddress address,
+            Cuts cuts,
+            Traffic own,
+            Traffic real,
+            java.util.Set<java.net.InetAddress> realOnes)
+            throws IOException {
         super(address);
         this.zone = zone(address);
         this.cuts = cuts;
--- a/src/main/java/cottonlock/lab/scale/HollowHost.java
+++ b/src/main/java/cottonlock/lab/scale/HollowHost.java
@@ -24,16 +24,19 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 
 /**
- * A process of many hollow proxies. Each has the control part alone, by the classes that serve, with sockets
- * and threads of its own: the list's watch and the list that it tells, and what it knows of the others.
+ * A process of many hollow proxies. Each has the control part alone, by the classes that serve,
+ * with sockets and threads of its own: the list's watch and the list that it tells, and what it
+ * knows of the others.
  *
- * <p>The run tells it by lines on its standard input, and it answers {@code held}, {@code times} and
- * {@code views} with one line each. It ends with its input.
+ * <p>The run tells it by lines on its standard input, and it answers {@code held}, {@code times}
+ * and {@code views} with one line each. It ends with its input.
  */
 final class HollowHost {
     private static final long SECOND = 1_000_000_000L;
+
     /** Bytes of a thread's stack, as threads of {@code serve} have them. */
     private static final long STACK = 192 << 10;
+
     /** Versions whose time is kept for each proxy. */
     private static final int KEPT = 1_024;
 
@@ -62,9 +65,21 @@
             if (rules != null) {
                 socket = new CountedSocket(address, cuts, traffic, real, realOnes);
                 MembershipPlan plan = new MembershipPlan("", "", seeds, "", "", rules);
-                members = new MembersActor(plan, socket, name, MembersActor.text(address), seeds, false,
-                    System.currentTimeMillis(), random.split(), HollowHost::tenths, HollowHost::tenths, null,
-                    (from, bytes, length) -> { }, line -> { });
+                members =
+                        new MembersActor(
+                                plan,
+                                socket,
+                                name,
+                                MembersActor.text(address),
+                                seeds,
+                                false,
+                                System.currentTimeMillis(),
+                                random.split(),
+                                HollowHost::tenths,
+                                HollowHost::tenths,
+                                null,
+                                (from, bytes, length) -> {},
+                                line -> {});
                 Thread thread = new Thread(null, members, "members", STACK);
                 thread.setDaemon(true);
                 thread.start();
@@ -124,16 +139,21 @@
         return System.nanoTime() / 100_000;
     }
 
-    /** The process; its arguments: a seed, and the operator's file where the proxies know one another. */
+    /**
+     * The process; its arguments: a seed, and the operator's file where the proxies know one
+     * another.
+     */
     public static void main(String[] args) throws IOException, BadFile {
         java.util.logging.Logger.getLogger("cottonlock").setLevel(java.util.logging.Level.OFF);
-        HollowHost host = new HollowHost(args.length > 1 ? OperatorFile.rules(Path.of(args[1])) : null,
-            Long.parseLong(args[0]));
+        HollowHost host =
+                new HollowHost(
+                        args.length > 1 ? OperatorFile.rules(Path.of(args[1])) : null,
+                        Long.parseLong(args[0]));
         Thread teller = new Thread(host::tell, "teller");
         teller.setDaemon(true);
         teller.start();
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(System.in,
-                StandardCharsets.ISO_8859_1))) {
+        try (BufferedReader in =
+                new BufferedReader(new InputStreamReader(System.in, StandardCharsets.ISO_8859_1))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 host.carryOut(line.split(" "));
             }
@@ -151,8 +171,10 @@
                     realOnes.add(InetAddress.getByName(order[i]));
                 }
             }
-            case "new" -> proxies.put(Integer.parseInt(order[1]),
-                new Proxy(order[2], address(order[3]), address(order[4])));
+            case "new" ->
+                    proxies.put(
+                            Integer.parseInt(order[1]),
+                            new Proxy(order[2], address(order[3]), address(order[4])));
             case "start" -> {
                 for (Proxy proxy : named(order)) {
                     proxy.start();
@@ -162,17 +184,25 @@
             case "cut" -> cuts.set(between(order));
             case "held" -> {
                 long version = Long.parseLong(order[1]);
-                System.out.println("held " + order[1] + " " + living().size() + " "
-                    + living().stream().filter(p -> p.heldAt(version) >= 0).count());
+                System.out.println(
+                        "held "
+                                + order[1]
+                                + " "
+                                + living().size()
+                                + " "
+                                + living().stream().filter(p -> p.heldAt(version) >= 0).count());
             }
             case "times" -> {
                 StringBuilder line = new StringBuilder("times ").append(order[1]);
-                proxies.forEach((number, proxy) -> {
-                    if (proxy.part != null) {
-                        line.append(' ').append(number).append(':')
-                            .append(proxy.heldAt(Long.parseLong(order[1])));
-                    }
-                });
+                proxies.forEach(
+                        (number, proxy) -> {
+                            if (proxy.part != null) {
+                                line.append(' ')
+                                        .append(number)
+                                        .append(':')
+                                        .append(proxy.heldAt(Long.parseLong(order[1])));
+                            }
+                        });
                 System.out.println(line);
             }
             case "views" -> {
@@ -207,7 +237,9 @@
         return named;
     }
 
-    /** Zones in groups, each a word of numbers joined by commas, that are cut off from one another. */
+    /**
+     * Zones in groups, each a word of numbers joined by commas, that are cut off from one another.
+     */
     private boolean[][] between(String[] groups) {
         boolean[][] cut = new boolean[zones.size()][zones.size()];
         int[] group = new int[zones.size()];
@@ -226,10 +258,13 @@
 
     private static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
-        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    /** Each second, what passed: of all hollow proxies, of the one that sent most, and of real ones. */
+    /**
+     * Each second, what passed: of all hollow proxies, of the one that sent most, and of real ones.
+     */
     private void tell() {
         try {
             while (true) {
--- a/src/main/java/cottonlock/lab/scale/LatencyMeasure.java
+++ b/src/main/java/cottonlock/lab/scale/LatencyMeasure.java
@@ -15,21 +15,22 @@
 import java.util.stream.Stream;
 
 /**
- * What a proxy adds to a call over one, two or three tiers: the same schedule is played by the real proxy in
- * processes of its own, by the lab's relay that decides nothing but whose turn it is (policy {@code round}),
- * and with no proxy at all ({@code direct}). Percentiles are those of the second half of each run, when
- * compiling is over. It has a verdict only where all three have one; each is played again, twice at most,
- * where the machine ran late, whatever was measured then.
+ * What a proxy adds to a call over one, two or three tiers: the same schedule is played by the real
+ * proxy in processes of its own, by the lab's relay that decides nothing but whose turn it is
+ * (policy {@code round}), and with no proxy at all ({@code direct}). Percentiles are those of the
+ * second half of each run, when compiling is over. It has a verdict only where all three have one;
+ * each is played again, twice at most, where the machine ran late, whatever was measured then.
  */
 final class LatencyMeasure {
     /** Each policy, and what the result calls it; in this order they are played. */
     private static final List<String> POLICIES = List.of("direct", "round", "lanes");
+
     private static final Map<String, String> NAMES =
-        Map.of("direct", "none", "round", "relay", "lanes", "proxy");
+            Map.of("direct", "none", "round", "relay", "lanes", "proxy");
     private static final int PLAYS = 3;
     private static final int LATE = 3;
-    private static final List<String> FIGURES = List.of("service", "deferred", "lost", "twice", "drains",
-        "cold", "behind_ms");
+    private static final List<String> FIGURES =
+            List.of("service", "deferred", "lost", "twice", "drains", "cold", "behind_ms");
 
     private final int tiers;
     private final long seed;
@@ -42,7 +43,8 @@
     }
 
     /** Plays it and writes the result; returns its verdict. */
-    String play(Path result, String command, String commit) throws IOException, InterruptedException {
+    String play(Path result, String command, String commit)
+            throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("cottonlock-latency");
         Path scenario = Path.of("scenarios", "latency-" + tiers + ".toml");
         Map<String, Map<String, String>> runs = new TreeMap<>();
@@ -54,18 +56,28 @@
                 int plays = 0;
                 while (status == LATE && plays < PLAYS) {
                     plays++;
-                    status = new Lab(err, err, false).run(scenario, seed, List.of("proxy.policy=\"" + policy
-                        + "\""), out, policy.equals("lanes"));
+                    status =
+                            new Lab(err, err, false)
+                                    .run(
+                                            scenario,
+                                            seed,
+                                            List.of("proxy.policy=\"" + policy + "\""),
+                                            out,
+                                            policy.equals("lanes"));
                 }
                 if (!Files.exists(out.resolve("report.json"))) {
                     throw new IOException(scenario + " could not be played with policy " + policy);
                 }
                 runs.put(NAMES.get(policy), flat(out.resolve("report.json")));
                 runs.get(NAMES.get(policy)).put("plays", Integer.toString(plays));
-                verdict = verdict.equals("none") || status == LATE ? "none" : status == 0 ? verdict : "fail";
+                verdict =
+                        verdict.equals("none") || status == LATE
+                                ? "none"
+                                : status == 0 ? verdict : "fail";
             }
             lateness.close();
-            try (JsonGenerator json = new JsonFactory().createGenerator(Files.newBufferedWriter(result))) {
+            try (JsonGenerator json =
+                    new JsonFactory().createGenerator(Files.newBufferedWriter(result))) {
                 json.useDefaultPrettyPrinter();
                 json.writeStartObject();
                 json.writeStringField("kind", "latency");
@@ -94,8 +106,10 @@
                     for (String key : List.of("p50_ms", "p99_ms")) {
                         double proxy = Double.parseDouble(runs.get("proxy").get("steady." + key));
                         double other = Double.parseDouble(runs.get(than).get("steady." + key));
-                        raw(json, "to_" + than + "_" + key, Double.toString(
-                            Math.round((proxy - other) * 1_000) / 1_000.0));
+                        raw(
+                                json,
+                                "to_" + than + "_" + key,
+                                Double.toString(Math.round((proxy - other) * 1_000) / 1_000.0));
                     }
                 }
                 json.writeEndObject();
--- a/src/main/java/cottonlock/lab/scale/Lateness.java
+++ b/src/main/java/cottonlock/lab/scale/Lateness.java
@@ -7,7 +7,9 @@
 import java.util.concurrent.locks.LockSupport;
 import org.HdrHistogram.Histogram;
 
-/** A thread that does nothing but measure by how much it wakes too late while others are measured. */
+/**
+ * A thread that does nothing but measure by how much it wakes too late while others are measured.
+ */
 final class Lateness implements AutoCloseable {
     private static final long NAP = 5_000_000L;
     private static final double MOST = 99.9;
@@ -54,8 +56,10 @@
         json.writeObjectFieldStart("machine");
         json.writeNumberField("cores", Runtime.getRuntime().availableProcessors());
         json.writeNumberField("memory_mb", memory());
-        json.writeNumberField("load_1m", java.lang.management.ManagementFactory.getOperatingSystemMXBean()
-            .getSystemLoadAverage());
+        json.writeNumberField(
+                "load_1m",
+                java.lang.management.ManagementFactory.getOperatingSystemMXBean()
+                        .getSystemLoadAverage());
         json.writeNumberField("late_ms_p999", usual());
         json.writeNumberField("late_ms_worst", worst());
         json.writeEndObject();
--- a/src/main/java/cottonlock/lab/scale/Proc.java
+++ b/src/main/java/cottonlock/lab/scale/Proc.java
@@ -9,8 +9,7 @@
     /** Of a second: the unit of /proc's times on every Linux. */
     static final double TICKS = 100;
 
-    private Proc() {
-    }
+    private Proc() {}
 
     /** Ticks of processor time that it has used; -1 where it is gone. */
     static long cpu(long pid) {
--- a/src/main/java/cottonlock/lab/scale/ProxyMeasure.java
+++ b/src/main/java/cottonlock/lab/scale/ProxyMeasure.java
@@ -17,29 +17,41 @@
 import java.util.SplittableRandom;
 
 /**
- * What one process of {@code serve} costs against the number of backends in its list: memory, threads, the
- * time of its start, its processor time, and the bytes of a whole list on the wire. First nothing is sent
- * through it: what is measured is the list alone. Then calls come at an even chance at the operators' rate,
- * and what they cost is measured too. Discovery is a stand-in that tells the whole list once and then beats
- * as the real one does; {@link Calls} stands in for backends and clients.
+ * What one process of {@code serve} costs against the number of backends in its list: memory,
+ * threads, the time of its start, its processor time, and the bytes of a whole list on the wire.
+ * First nothing is sent through it: what is measured is the list alone. Then calls come at an even
+ * chance at the operators' rate, and what they cost is measured too. Discovery is a stand-in that
+ * tells the whole list once and then beats as the real one does; {@link Calls} stands in for
+ * backends and clients.
  */
 final class ProxyMeasure {
-    /** Milliseconds of lateness above which a start's time says more of the machine than of the start. */
+    /**
+     * Milliseconds of lateness above which a start's time says more of the machine than of the
+     * start.
+     */
     private static final double LATE_LIMIT = 200;
+
     /** Milliseconds: the list is read and compiling is over; then it is watched at rest. */
     private static final long SETTLE = 3_000;
+
     private static final long REST = 6_000;
+
     /** Milliseconds of calls before they count, and while they do. */
     private static final long WARM = 6_000;
+
     private static final long COUNT = 8_000;
     private static final long START = 30_000;
     private static final long BEAT = 2_000;
+
     /** The kernel counts processor time in hundredths of a second. */
     private static final double TICKS = 100;
+
     /** It tells memory in units of 1,024 bytes. */
     private static final double KB = 1_024;
+
     /** The platform's memory for a proxy and its sockets, as deploy/jvm.options is made for. */
     private static final int MEMORY_MB = 128;
+
     private static final int SOCKETS = 1_024;
 
     private final int entries;
@@ -54,7 +66,8 @@
     }
 
     /** Plays it and writes the result; returns its verdict. */
-    String play(Path result, String command, String commit) throws IOException, InterruptedException {
+    String play(Path result, String command, String commit)
+            throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("cottonlock-proxy");
         Process process = null;
         try (ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
@@ -91,8 +104,10 @@
             double busy = (ticks(process) - ticks) / TICKS / ((System.nanoTime() - from) / 1e9);
             calls.close();
             lateness.close();
-            String verdict = lateness.usual() > LATE_LIMIT ? "none" : calls.served() == 0 ? "fail" : "pass";
-            try (JsonGenerator json = new JsonFactory().createGenerator(Files.newBufferedWriter(result))) {
+            String verdict =
+                    lateness.usual() > LATE_LIMIT ? "none" : calls.served() == 0 ? "fail" : "pass";
+            try (JsonGenerator json =
+                    new JsonFactory().createGenerator(Files.newBufferedWriter(result))) {
                 json.useDefaultPrettyPrinter();
                 json.writeStartObject();
                 json.writeStringField("kind", "proxy");
@@ -112,7 +127,8 @@
                 json.writeEndObject();
                 json.writeObjectFieldStart("calls");
                 json.writeNumberField("rate_s", Math.round(rate * 10) / 10.0);
-                json.writeNumberField("rss_mb", Math.round(status(process, "VmRSS") / KB * 10) / 10.0);
+                json.writeNumberField(
+                        "rss_mb", Math.round(status(process, "VmRSS") / KB * 10) / 10.0);
                 json.writeNumberField("threads", status(process, "Threads"));
                 json.writeNumberField("cpu_share", Math.round(busy * 10_000) / 10_000.0);
                 calls.write(json);
@@ -136,10 +152,16 @@
         Path options = Path.of("deploy", "jvm.options");
         Path jar = Path.of("target", "cottonlock.jar");
         if (!Files.isRegularFile(options) || !Files.isRegularFile(jar)) {
-            throw new IOException("expected " + options + " and " + jar + " below the current folder");
+            throw new IOException(
+                    "expected " + options + " and " + jar + " below the current folder");
         }
-        return List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "@" + options,
-            "-cp", jar.toString(), "cottonlock.Main", "serve");
+        return List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "@" + options,
+                "-cp",
+                jar.toString(),
+                "cottonlock.Main",
+                "serve");
     }
 
     /** A whole list as discovery tells it: names, places and addresses of the usual length. */
@@ -147,13 +169,30 @@
         SplittableRandom random = new SplittableRandom(seed);
         List<String> hosts = new ArrayList<>();
         for (int i = 0; i < entries; i++) {
-            hosts.add("{\"host\":\"s" + i % 460 + "-" + Long.toString(random.nextLong() >>> 36, 36) + "-" + i
-                + "\",\"dial\":\"127." + (1 + i / 250 % 250) + "." + i % 250 + ".1:" + port
-                + "\",\"site\":\"" + (char) ('a' + i % 7)
-                + "\",\"class\":\"std\",\"block\":" + i / 20
-                + ",\"health\":\"active\",\"share\":1.0,\"born_ms\":1700000000000}");
+            hosts.add(
+                    "{\"host\":\"s"
+                            + i % 460
+                            + "-"
+                            + Long.toString(random.nextLong() >>> 36, 36)
+                            + "-"
+                            + i
+                            + "\",\"dial\":\"127."
+                            + (1 + i / 250 % 250)
+                            + "."
+                            + i % 250
+                            + ".1:"
+                            + port
+                            + "\",\"site\":\""
+                            + (char) ('a' + i % 7)
+                            + "\",\"class\":\"std\",\"block\":"
+                            + i / 20
+                            + ",\"health\":\"active\",\"share\":1.0,\"born_ms\":1700000000000}");
         }
-        return "{\"seq\":" + (1 + entries) + ",\"whole\":true,\"hosts\":[" + String.join(",", hosts) + "]}";
+        return "{\"seq\":"
+                + (1 + entries)
+                + ",\"whole\":true,\"hosts\":["
+                + String.join(",", hosts)
+                + "]}";
     }
 
     private String configuration(int port, int discovery, String list) throws IOException {
@@ -169,15 +208,18 @@
             json.writeFieldName("known");
             json.writeRawValue(list);
             json.writeFieldName("settings");
-            json.writeRawValue("{\"Stage\":0,\"FleetSize\":" + entries + ",\"MembershipMode\":\"subscribe\","
-                + "\"Zones\":[\"a\",\"b\",\"c\",\"d\",\"e\",\"f\",\"g\"],\"Flavors\":[\"std\"],"
-                + "\"Categories\":[{\"Name\":\"quote\",\"DueTime\":500000,\"Expiry\":2000000,\"Credit\":1,"
-                + "\"LateCredit\":0,\"Repeat\":\"safe\",\"KeyScope\":\"all\",\"RepeatWindow\":10000000}],"
-                + "\"Projects\":[{\"Name\":\"acme\",\"Share\":1,\"QuotaRps\":640000}],"
-                + "\"Limits\":{\"MaxHandOffs\":3,\"Cancel\":true,\"RetryAfter\":true,"
-                + "\"MaxRetryAfter\":2000000,\"ConnectTimeout\":150000,\"ConnIdle\":60000000},"
-                + "\"Obligations\":{\"AskWithin\":10000000,\"ColdShare\":0.35,\"Cold\":8700000,"
-                + "\"FallMultiple\":3,\"Fall\":3000000}}");
+            json.writeRawValue(
+                    "{\"Stage\":0,\"FleetSize\":"
+                            + entries
+                            + ",\"MembershipMode\":\"subscribe\","
+                            + "\"Zones\":[\"a\",\"b\",\"c\",\"d\",\"e\",\"f\",\"g\"],\"Flavors\":[\"std\"],"
+                            + "\"Categories\":[{\"Name\":\"quote\",\"DueTime\":500000,\"Expiry\":2000000,\"Credit\":1,"
+                            + "\"LateCredit\":0,\"Repeat\":\"safe\",\"KeyScope\":\"all\",\"RepeatWindow\":10000000}],"
+                            + "\"Projects\":[{\"Name\":\"acme\",\"Share\":1,\"QuotaRps\":640000}],"
+                            + "\"Limits\":{\"MaxHandOffs\":3,\"Cancel\":true,\"RetryAfter\":true,"
+                            + "\"MaxRetryAfter\":2000000,\"ConnectTimeout\":150000,\"ConnIdle\":60000000},"
+                            + "\"Obligations\":{\"AskWithin\":10000000,\"ColdShare\":0.35,\"Cold\":8700000,"
+                            + "\"FallMultiple\":3,\"Fall\":3000000}}");
             json.writeEndObject();
         }
         return text.toString();
@@ -204,8 +246,11 @@
                 }
                 OutputStream out = watch.getOutputStream();
                 byte[] body = (list + "\n").getBytes(StandardCharsets.UTF_8);
-                byte[] head = ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                    + Integer.toHexString(body.length) + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
+                byte[] head =
+                        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                        + Integer.toHexString(body.length)
+                                        + "\r\n")
+                                .getBytes(StandardCharsets.ISO_8859_1);
                 out.write(head);
                 out.write(body);
                 out.write("\r\n".getBytes(StandardCharsets.ISO_8859_1));
@@ -224,15 +269,16 @@
 
     /** Milliseconds from the start of the process to its first 200 of /_health. */
     private static double firstAnswer(Process process, int port, long before, Path log)
-        throws IOException, InterruptedException {
-        byte[] ask = "GET /_health HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n"
-            .getBytes(StandardCharsets.ISO_8859_1);
+            throws IOException, InterruptedException {
+        byte[] ask =
+                "GET /_health HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n"
+                        .getBytes(StandardCharsets.ISO_8859_1);
         while (true) {
             try (Socket socket = new Socket("127.0.0.1", port)) {
                 socket.setSoTimeout((int) START);
                 socket.getOutputStream().write(ask);
                 if (new String(socket.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
-                    .equals("HTTP/1.1 200")) {
+                        .equals("HTTP/1.1 200")) {
                     return (System.nanoTime() - before) / 1e6;
                 }
             } catch (IOException e) {
--- a/src/main/java/cottonlock/lab/scale/RealHost.java
+++ b/src/main/java/cottonlock/lab/scale/RealHost.java
@@ -1,8 +1,8 @@
 package cottonlock.lab.scale;
 
-import cottonlock.lab.ServeCommand;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
+import cottonlock.lab.ServeCommand;
 import java.io.IOException;
 import java.io.StringWriter;
 import java.net.InetSocketAddress;
@@ -16,21 +16,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A proxy as deploy/balancer.toml starts it, and a thread that asks it as operators do what it holds, while
- * a change is under way.
+ * A proxy as deploy/balancer.toml starts it, and a thread that asks it as operators do what it
+ * holds, while a change is under way.
  */
 final class RealHost {
-    /** Milliseconds for a process to serve, to answer a call, between two calls, and to end by itself. */
+    /**
+     * Milliseconds for a process to serve, to answer a call, between two calls, and to end by
+     * itself.
+     */
     private static final long START = 60_000;
+
     private static final int CALL = 2_000;
     private static final long BETWEEN = 100;
     private static final long LEAVE = 6_000;
+
     /** Characters of its log, the last ones, that are told when it could not be started. */
     private static final int LOG = 600;
 
     /** A change that is waited for: an id that is to be listed, or not to be. */
-    private record Awaited(String id, boolean listed) {
-    }
+    private record Awaited(String id, boolean listed) {}
 
     final int number;
     private final String name;
@@ -43,20 +47,34 @@
     private final long seed;
     private final Map<Long, Awaited> awaited = new ConcurrentHashMap<>();
     private final Map<Long, Long> heldAt = new ConcurrentHashMap<>();
+
     /** How many files it is to have taken, by number of the change, and when it had. */
     private final Map<Long, Long> files = new ConcurrentHashMap<>();
+
     private final Map<Long, Long> takenAt = new ConcurrentHashMap<>();
     private volatile Process process;
     private volatile long taken;
+
     /** The number of the file that it is to have, and whether the process that lives has served. */
     private long wanted;
+
     private boolean serves;
     private volatile boolean ended;
     private int starts;
 
-    /** Operator: the operator's file; null: none. Operators call it one port above where it listens. */
-    RealHost(int number, String name, Path folder, String ip, int port, String discovery,
-             List<String> zones, String operator, long seed) {
+    /**
+     * Operator: the operator's file; null: none. Operators call it one port above where it listens.
+     */
+    RealHost(
+            int number,
+            String name,
+            Path folder,
+            String ip,
+            int port,
+            String discovery,
+            List<String> zones,
+            String operator,
+            long seed) {
         this.number = number;
         this.name = name;
         this.folder = folder;
@@ -94,10 +112,13 @@
             Files.writeString(asked, operator);
             builder.environment().put("COTTONLOCK_OPERATOR", asked.toString());
         }
-        builder.environment().put("TMPDIR", Files.createDirectories(folder.resolve(name + "." + starts++))
-            .toString());
+        builder.environment()
+                .put(
+                        "TMPDIR",
+                        Files.createDirectories(folder.resolve(name + "." + starts++)).toString());
         Path log = folder.resolve(name + ".log");
-        builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
+        builder.redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
         Process started;
         synchronized (this) {
             if (ended) {
@@ -115,16 +136,22 @@
             }
             if (!started.isAlive() || System.nanoTime() > until) {
                 String told = Files.readString(log).strip();
-                throw new IOException(name + (started.isAlive() ? " does not serve: " : " has ended: ")
-                    + told.substring(Math.max(0, told.length() - LOG)));
+                throw new IOException(
+                        name
+                                + (started.isAlive() ? " does not serve: " : " has ended: ")
+                                + told.substring(Math.max(0, told.length() - LOG)));
             }
             Thread.sleep(20);
         }
         synchronized (this) {
             if (process == started) {
                 serves = true;
-                files.keySet().removeIf(change -> change <= read
-                    && takenAt.putIfAbsent(change, System.nanoTime()) == null);
+                files.keySet()
+                        .removeIf(
+                                change ->
+                                        change <= read
+                                                && takenAt.putIfAbsent(change, System.nanoTime())
+                                                        == null);
                 if (wanted > read) {
                     hangUp();
                 }
@@ -172,12 +199,18 @@
 
     /** When it was first seen to hold that change; -1: it was not. */
     long heldAt(long version) {
-        // Whoever holds a later one holds it too, though its id may have left again before it was asked for.
-        return heldAt.entrySet().stream().filter(e -> e.getKey() >= version).mapToLong(Map.Entry::getValue)
-            .min().orElse(-1);
+        // Whoever holds a later one holds it too, though its id may have left again before it was
+        // asked for.
+        return heldAt.entrySet().stream()
+                .filter(e -> e.getKey() >= version)
+                .mapToLong(Map.Entry::getValue)
+                .min()
+                .orElse(-1);
     }
 
-    /** Writes its file anew and tells it by SIGHUP: a process that does not serve yet, once it does. */
+    /**
+     * Writes its file anew and tells it by SIGHUP: a process that does not serve yet, once it does.
+     */
     synchronized void reload(long change) throws IOException {
         wanted = change;
         Files.writeString(folder.resolve(name + ".json"), configuration(change));
@@ -187,7 +220,9 @@
         }
     }
 
-    /** Before the program has a handler for it, SIGHUP ends a JVM: seen in a restart amid a change. */
+    /**
+     * Before the program has a handler for it, SIGHUP ends a JVM: seen in a restart amid a change.
+     */
     private void hangUp() throws IOException {
         files.replaceAll((change, count) -> taken + 1);
         new ProcessBuilder("kill", "-HUP", Long.toString(pid())).start();
@@ -204,7 +239,8 @@
             while (!ended) {
                 Thread.sleep(BETWEEN);
                 for (Map.Entry<Long, Awaited> one : awaited.entrySet()) {
-                    // Takes back what nobody has taken out: changes nothing, and tells whether it is listed.
+                    // Takes back what nobody has taken out: changes nothing, and tells whether it
+                    // is listed.
                     String answer = lives() ? call("ONLINE " + one.getValue().id) : null;
                     if (answer != null && answer.equals("ACK\n") == one.getValue().listed) {
                         heldAt.put(one.getKey(), System.nanoTime());
@@ -213,15 +249,20 @@
                 }
                 if (!files.isEmpty() && lives()) {
                     String figures = call("DUMP");
-                    long now = figures == null || !figures.contains("\"reconfig_ok\":") ? -1
-                        : Long.parseLong(figures.replaceAll("(?s).*\"reconfig_ok\":([0-9]+).*", "$1"));
-                    files.forEach((change, count) -> {
-                        if (count > 0 && now >= count) {
-                            takenAt.put(change, System.nanoTime());
-                            files.remove(change);
-                            taken = now;
-                        }
-                    });
+                    long now =
+                            figures == null || !figures.contains("\"reconfig_ok\":")
+                                    ? -1
+                                    : Long.parseLong(
+                                            figures.replaceAll(
+                                                    "(?s).*\"reconfig_ok\":([0-9]+).*", "$1"));
+                    files.forEach(
+                            (change, count) -> {
+                                if (count > 0 && now >= count) {
+                                    takenAt.put(change, System.nanoTime());
+                                    files.remove(change);
+                                    taken = now;
+                                }
+                            });
                 }
             }
         } catch (InterruptedException e) {
@@ -232,8 +273,9 @@
     /** How many members its view holds that may live; -1 where it does not tell. */
     int alive() {
         String members = call("MEMBERS");
-        return members == null || !members.contains(" alive=") ? -1
-            : Integer.parseInt(members.replaceAll("(?s).*? alive=([0-9]+).*", "$1"));
+        return members == null || !members.contains(" alive=")
+                ? -1
+                : Integer.parseInt(members.replaceAll("(?s).*? alive=([0-9]+).*", "$1"));
     }
 
     private String call(String line) {
--- a/src/main/java/cottonlock/lab/scale/ReloadChannel.java
+++ b/src/main/java/cottonlock/lab/scale/ReloadChannel.java
@@ -4,7 +4,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A file for each real proxy, read again by SIGHUP: nothing carries it to them, the run writes it itself. */
+/**
+ * A file for each real proxy, read again by SIGHUP: nothing carries it to them, the run writes it
+ * itself.
+ */
 final class ReloadChannel implements ConfigurationChannel {
     private final Map<Integer, RealHost> hosts;
     private long sentAt;
