--- a/src/main/java/cottonlock/lab/scale/ResultFile.java
+++ b/src/main/java/cottonlock/lab/scale/ResultFile.java
@@ -17,23 +17,28 @@
 import java.util.stream.Stream;
 
 /**
- * What one run measured, as its file has it: {@code KIND-SIZE-SEED.json}. Every plain value is found by the
- * names that lead to it, joined by dots ({@code roles.control.rss_mb}); a list of plain values is left out.
- * docs/capacity/README.md tells what each kind holds.
+ * What one run measured, as its file has it: {@code KIND-SIZE-SEED.json}. Every plain value is
+ * found by the names that lead to it, joined by dots ({@code roles.control.rss_mb}); a list of
+ * plain values is left out. docs/capacity/README.md tells what each kind holds.
  */
 final class ResultFile {
     /** A value that a run didn't reach, in place of a time: never. */
     private static final double NEVER = -1;
+
     /** A result holds some hundred values; what is much longer is no result. */
     private static final long LONGEST = 1 << 20;
+
     private static final int DEEPEST = 8;
+
     /** What each kind must hold beside its kind, size and seed. */
-    private static final Map<String, List<String>> NEEDED = Map.of(
-        "scale", List.of("command", "commit", "verdict", "machine.late_ms_p999"),
-        "members", List.of("command", "commit", "seconds_virtual"),
-        "rollout", List.of("command", "commit"),
-        "latency", List.of("command", "commit", "verdict", "machine.late_ms_p999"),
-        "proxy", List.of("command", "commit", "verdict", "machine.late_ms_p999"));
+    private static final Map<String, List<String>> NEEDED =
+            Map.of(
+                    "scale", List.of("command", "commit", "verdict", "machine.late_ms_p999"),
+                    "members", List.of("command", "commit", "seconds_virtual"),
+                    "rollout", List.of("command", "commit"),
+                    "latency", List.of("command", "commit", "verdict", "machine.late_ms_p999"),
+                    "proxy", List.of("command", "commit", "verdict", "machine.late_ms_p999"));
+
     private static final List<String> VERDICTS = List.of("pass", "none", "fail");
 
     final String name;
@@ -51,8 +56,10 @@
             if (Files.size(file) > LONGEST) {
                 throw new BadFile(List.of(file + ": is longer than a result of a run can be"));
             }
-            JsonFactory factory = JsonFactory.builder()
-                .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
+            JsonFactory factory =
+                    JsonFactory.builder()
+                            .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+                            .build();
             try (JsonParser json = factory.createParser(Files.readString(file))) {
                 if (json.nextToken() != JsonToken.START_OBJECT) {
                     throw new BadFile(List.of(file + ": expected a JSON object"));
@@ -63,8 +70,13 @@
                 }
             }
         } catch (JsonProcessingException e) {
-            throw new BadFile(List.of(file + ":" + e.getLocation().getLineNr() + ": "
-                + e.getOriginalMessage()));
+            throw new BadFile(
+                    List.of(
+                            file
+                                    + ":"
+                                    + e.getLocation().getLineNr()
+                                    + ": "
+                                    + e.getOriginalMessage()));
         } catch (IOException e) {
             throw new BadFile(List.of(file + ": cannot be read: " + e.getMessage()));
         }
@@ -72,11 +84,17 @@
         return result;
     }
 
-    /** All results of a folder in the order of kind, size and seed; other files in it are left alone. */
+    /**
+     * All results of a folder in the order of kind, size and seed; other files in it are left
+     * alone.
+     */
     static List<ResultFile> all(Path folder) throws BadFile {
         List<Path> files;
         try (Stream<Path> there = Files.list(folder)) {
-            files = there.filter(f -> f.getFileName().toString().endsWith(".json")).sorted().toList();
+            files =
+                    there.filter(f -> f.getFileName().toString().endsWith(".json"))
+                            .sorted()
+                            .toList();
         } catch (IOException e) {
             throw new BadFile(List.of(folder + ": cannot be read: " + e.getMessage()));
         }
@@ -92,12 +110,15 @@
         if (!faults.isEmpty()) {
             throw new BadFile(faults);
         }
-        results.sort(Comparator.comparing(ResultFile::kind).thenComparing(ResultFile::size)
-            .thenComparing(ResultFile::seed));
+        results.sort(
+                Comparator.comparing(ResultFile::kind)
+                        .thenComparing(ResultFile::size)
+                        .thenComparing(ResultFile::seed));
         return results;
     }
 
-    private void object(Path file, JsonParser json, String path, int depth) throws IOException, BadFile {
+    private void object(Path file, JsonParser json, String path, int depth)
+            throws IOException, BadFile {
         if (depth > DEEPEST) {
             throw new BadFile(List.of(file + ": values lie too deep in each other"));
         }
@@ -106,7 +127,8 @@
             switch (json.nextToken()) {
                 case START_OBJECT -> object(file, json, key + ".", depth + 1);
                 case START_ARRAY -> json.skipChildren();
-                case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> numbers.put(key, json.getDoubleValue());
+                case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT ->
+                        numbers.put(key, json.getDoubleValue());
                 case VALUE_STRING, VALUE_TRUE, VALUE_FALSE -> texts.put(key, json.getText());
                 default -> texts.remove(key);
             }
@@ -117,14 +139,24 @@
         List<String> faults = new ArrayList<>();
         String kind = texts.getOrDefault("kind", "");
         if (!NEEDED.containsKey(kind)) {
-            throw new BadFile(List.of(file + ": kind: expected one of " + String.join(", ",
-                new TreeMap<>(NEEDED).keySet()) + ", found \"" + kind + "\""));
+            throw new BadFile(
+                    List.of(
+                            file
+                                    + ": kind: expected one of "
+                                    + String.join(", ", new TreeMap<>(NEEDED).keySet())
+                                    + ", found \""
+                                    + kind
+                                    + "\""));
         }
         for (String key : List.of("size", "seed")) {
             double value = numbers.getOrDefault(key, Double.NaN);
             if (!(value >= 0 && value == Math.rint(value) && value < 1L << 53)) {
-                faults.add(file + ": " + key + ": expected a whole number, found "
-                    + (Double.isNaN(value) ? "none" : value));
+                faults.add(
+                        file
+                                + ": "
+                                + key
+                                + ": expected a whole number, found "
+                                + (Double.isNaN(value) ? "none" : value));
             }
         }
         for (String key : NEEDED.get(kind)) {
@@ -133,17 +165,27 @@
             }
         }
         if (texts.containsKey("verdict") && !VERDICTS.contains(texts.get("verdict"))) {
-            faults.add(file + ": verdict: expected pass, none or fail, found \"" + texts.get("verdict")
-                + "\"");
+            faults.add(
+                    file
+                            + ": verdict: expected pass, none or fail, found \""
+                            + texts.get("verdict")
+                            + "\"");
         }
         if (faults.isEmpty() && !name.equals(kind + "-" + size() + "-" + seed() + ".json")) {
-            faults.add(file + ": expected the name " + kind + "-" + size() + "-" + seed() + ".json");
+            faults.add(
+                    file + ": expected the name " + kind + "-" + size() + "-" + seed() + ".json");
         }
-        numbers.forEach((key, value) -> {
-            if (!Double.isFinite(value) || value < NEVER && !key.startsWith("added.")) {
-                faults.add(file + ": " + key + ": expected a number from -1 (never), found " + value);
-            }
-        });
+        numbers.forEach(
+                (key, value) -> {
+                    if (!Double.isFinite(value) || value < NEVER && !key.startsWith("added.")) {
+                        faults.add(
+                                file
+                                        + ": "
+                                        + key
+                                        + ": expected a number from -1 (never), found "
+                                        + value);
+                    }
+                });
         if (!faults.isEmpty()) {
             throw new BadFile(faults);
         }
@@ -167,8 +209,9 @@
     }
 
     /**
-     * Whether figures may be taken from it: what ran on a late machine shows nothing, and a process that
-     * served nothing has no cost of serving. A fleet that broke a bound has its figures all the same.
+     * Whether figures may be taken from it: what ran on a late machine shows nothing, and a process
+     * that served nothing has no cost of serving. A fleet that broke a bound has its figures all
+     * the same.
      */
     boolean counts() {
         return !verdict().equals("none") && !(kind().equals("proxy") && verdict().equals("fail"));
--- a/src/main/java/cottonlock/lab/scale/Samples.java
+++ b/src/main/java/cottonlock/lab/scale/Samples.java
@@ -4,13 +4,21 @@
 import java.util.TreeMap;
 
 /**
- * What each role used and what passed, by second. Told from any thread; a second's number is that of the
- * clock which all processes of a machine share.
+ * What each role used and what passed, by second. Told from any thread; a second's number is that
+ * of the clock which all processes of a machine share.
  */
 final class Samples {
     /** What is counted; all but the worst are sums over the role. */
     enum What {
-        BYTES_IN, BYTES_OUT, MESSAGES_IN, MESSAGES_OUT, WORST_OUT, CPU, RESIDENT_MB, CALLS, WHOLE_LISTS
+        BYTES_IN,
+        BYTES_OUT,
+        MESSAGES_IN,
+        MESSAGES_OUT,
+        WORST_OUT,
+        CPU,
+        RESIDENT_MB,
+        CALLS,
+        WHOLE_LISTS
     }
 
     private final Map<String, TreeMap<Long, double[]>> roles = new TreeMap<>();
@@ -26,7 +34,7 @@
 
     private double[] row(String role, long second) {
         return roles.computeIfAbsent(role, r -> new TreeMap<>())
-            .computeIfAbsent(second, s -> new double[What.values().length]);
+                .computeIfAbsent(second, s -> new double[What.values().length]);
     }
 
     /** The value of a second; 0 where nothing was told. */
--- a/src/main/java/cottonlock/lab/scale/ScaleEvent.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleEvent.java
@@ -8,10 +8,13 @@
 /** One part of the timeline as it was played. */
 final class ScaleEvent {
     final String name;
+
     /** Seconds of the shared clock. */
     final long from;
+
     long to;
     final List<Change> changes = new ArrayList<>();
+
     /** What else is told of it. */
     final Map<String, Double> figures = new LinkedHashMap<>();
 
@@ -26,7 +29,10 @@
         return to > from;
     }
 
-    /** The worst of its changes, milliseconds; -1 where one was not in force at so many, or none was made. */
+    /**
+     * The worst of its changes, milliseconds; -1 where one was not in force at so many, or none was
+     * made.
+     */
     double worstMs(double part) {
         double worst = -1;
         for (Change change : changes) {
--- a/src/main/java/cottonlock/lab/scale/ScaleFile.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleFile.java
@@ -15,18 +15,20 @@
 /** A scale run as read from its file; docs/lab.md lists every key with unit, range and default. */
 final class ScaleFile {
     /** Every part of the timeline, in the order in which they are played. */
-    static final List<String> EVENTS = List.of("ordinary", "rack", "zone", "regions", "control_killed",
-        "control_restarted");
+    static final List<String> EVENTS =
+            List.of("ordinary", "rack", "zone", "regions", "control_killed", "control_restarted");
+
     private static final String NAME = "[A-Za-z0-9._-]{1,40}";
     private static final double SECOND = 1e9;
 
     /** The proxies: how many, how many of them real, and how they are laid out. */
-    record Fleet(int size, int real, int perJvm, int regions, int zones, int racks, int services) {
-    }
+    record Fleet(int size, int real, int perJvm, int regions, int zones, int racks, int services) {}
 
-    /** The machines of control: calls a second of each; time until another takes a dead one's address. */
-    record Control(int machines, double calls, long takeover) {
-    }
+    /**
+     * The machines of control: calls a second of each; time until another takes a dead one's
+     * address.
+     */
+    record Control(int machines, double calls, long takeover) {}
 
     /** An ordinary day, of which a part is played within a time. */
     record Day(int changes, int restarts, int failures, double part, long over) {
@@ -37,8 +39,7 @@
     }
 
     /** What must hold; infinite where nothing is said. */
-    record Expect(double inForceMs, double cpuShare, double rssMb, double bytes) {
-    }
+    record Expect(double inForceMs, double cpuShare, double rssMb, double bytes) {}
 
     final String name;
     final String about;
@@ -47,20 +48,29 @@
     final Control control;
     final Day day;
     final List<String> events;
+
     /** Nanoseconds: until all hold the list, and for a change to be in force, at most. */
     final long settle;
+
     final long patience;
+
     /** Nanoseconds that something stays lost, and of quiet after each event. */
     final long lost;
+
     final long quiet;
     final double lateLimitMs;
+
     /** Parts of the machine's memory, and processes, at most. */
     final int processes;
+
     final int memoryMb;
+
     /** Null: the proxies don't know one another. */
     final MembershipRules membership;
+
     /** The table of the operator's file. */
     final String membershipToml;
+
     final Expect expect;
 
     /** Reads a file with some of its values set anew; a seed of null is the file's. */
@@ -77,8 +87,9 @@
             doc.set("membership.enabled=true");
         }
         Fields top = Fields.of(doc);
-        ScaleFile read = new ScaleFile(top, String.valueOf(file.getFileName()).replaceAll("\\.toml$", ""),
-            file);
+        ScaleFile read =
+                new ScaleFile(
+                        top, String.valueOf(file.getFileName()).replaceAll("\\.toml$", ""), file);
         top.end();
         return read;
     }
@@ -93,9 +104,15 @@
         about = top.text("about", "");
         seed = (long) top.number("seed", 1, 0, 1L << 53);
         Fields f = top.table("fleet");
-        fleet = new Fleet(f.whole("size", 100, 2, 4_096), f.whole("real", 4, 0, 190),
-            f.whole("per_jvm", 200, 1, 1_000), f.whole("regions", 2, 1, 8), f.whole("zones", 7, 1, 64),
-            f.whole("racks", 4, 1, 64), f.whole("services", 460, 1, 4_096));
+        fleet =
+                new Fleet(
+                        f.whole("size", 100, 2, 4_096),
+                        f.whole("real", 4, 0, 190),
+                        f.whole("per_jvm", 200, 1, 1_000),
+                        f.whole("regions", 2, 1, 8),
+                        f.whole("zones", 7, 1, 64),
+                        f.whole("racks", 4, 1, 64),
+                        f.whole("services", 460, 1, 4_096));
         if (fleet.regions > fleet.zones) {
             f.fault("regions", "expected no more than zones, found " + fleet.regions);
         }
@@ -103,14 +120,22 @@
             f.fault("real", "expected no more than the proxies of one region, found " + fleet.real);
         }
         Fields c = top.table("control");
-        control = new Control(c.whole("machines", 3, 1, 60), c.number("calls_s", 50, 1, 1e6),
-            seconds(c, "takeover_s", 1));
+        control =
+                new Control(
+                        c.whole("machines", 3, 1, 60),
+                        c.number("calls_s", 50, 1, 1e6),
+                        seconds(c, "takeover_s", 1));
         if (control.machines < fleet.regions) {
             c.fault("machines", "expected one for each region at least, found " + control.machines);
         }
         Fields d = top.table("day");
-        day = new Day(d.whole("changes", 2_100, 0, 100_000), d.whole("restarts", 350, 0, 10_000),
-            d.whole("failures", 4, 0, 1_000), d.number("part", 0.01, 0.0001, 1), seconds(d, "over_s", 20));
+        day =
+                new Day(
+                        d.whole("changes", 2_100, 0, 100_000),
+                        d.whole("restarts", 350, 0, 10_000),
+                        d.whole("failures", 4, 0, 1_000),
+                        d.number("part", 0.01, 0.0001, 1),
+                        seconds(d, "over_s", 20));
         events = top.texts("events", EVENTS);
         if (!EVENTS.containsAll(events) || new HashSet<>(events).size() < events.size()) {
             top.fault("events", "expected some of " + String.join(", ", EVENTS) + ", each once");
@@ -129,11 +154,17 @@
         MembershipPlan plan = OperatorFile.membership(m, file);
         membership = plan == null ? null : plan.rules();
         if (membership != null && membership.most() < fleet.size) {
-            m.fault("most", "expected fleet.size (" + fleet.size + ") or more, found " + membership.most());
+            m.fault(
+                    "most",
+                    "expected fleet.size (" + fleet.size + ") or more, found " + membership.most());
         }
         Fields e = top.table("expect");
-        expect = new Expect(bound(e, "in_force_ms"), bound(e, "cpu_share"), bound(e, "rss_mb"),
-            bound(e, "bytes_s"));
+        expect =
+                new Expect(
+                        bound(e, "in_force_ms"),
+                        bound(e, "cpu_share"),
+                        bound(e, "rss_mb"),
+                        bound(e, "bytes_s"));
     }
 
     private static double bound(Fields f, String key) {
--- a/src/main/java/cottonlock/lab/scale/ScaleLab.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleLab.java
@@ -6,9 +6,13 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** What the command line and the tests use of scale runs; the exit status is as the lab's (docs/lab.md). */
+/**
+ * What the command line and the tests use of scale runs; the exit status is as the lab's
+ * (docs/lab.md).
+ */
 public final class ScaleLab {
     private static final int UNUSABLE = 2;
+
     /** Milliseconds that an interrupted run has to write its report. */
     private static final long REPORT = 5_000;
 
@@ -34,7 +38,7 @@
     /**
      * Plays one, and prints the verdict as the last line.
      *
-     * @param seed   null for the file's own
+     * @param seed null for the file's own
      * @param folder where the report goes; null for nowhere
      */
     public int run(Path file, Long seed, List<String> sets, Path folder) {
@@ -65,16 +69,18 @@
     private ScaleReport play(ScaleRun run, String command) throws IOException {
         Thread main = Thread.currentThread();
         boolean[] interrupted = new boolean[1];
-        Thread hook = new Thread(() -> {
-            interrupted[0] = true;
-            run.end();
-            main.interrupt();
-            try {
-                main.join(REPORT);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        Thread hook =
+                new Thread(
+                        () -> {
+                            interrupted[0] = true;
+                            run.end();
+                            main.interrupt();
+                            try {
+                                main.join(REPORT);
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        });
         Runtime.getRuntime().addShutdownHook(hook);
         try {
             run.play();
--- a/src/main/java/cottonlock/lab/scale/ScaleReport.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleReport.java
@@ -17,19 +17,33 @@
 /** What a run came to: the verdict, a line for people and programs, a JSON object and a page. */
 final class ScaleReport {
     /** What a run showed; none where the machine was late or the run was ended. */
-    enum Verdict { PASS, FAIL, NONE }
+    enum Verdict {
+        PASS,
+        FAIL,
+        NONE
+    }
 
-    private static final Map<String, String> ROLES = Map.of(ScaleRun.HOLLOW, "hollow_proxy", ScaleRun.REAL,
-        "real_proxy", ScaleRun.CONTROL, "control");
+    private static final Map<String, String> ROLES =
+            Map.of(
+                    ScaleRun.HOLLOW,
+                    "hollow_proxy",
+                    ScaleRun.REAL,
+                    "real_proxy",
+                    ScaleRun.CONTROL,
+                    "control");
 
     private final ScaleRun run;
     private final ScaleFile file;
+
     /** Those that were played to their end. */
     private final List<ScaleEvent> events;
+
     private final boolean interrupted;
     private final String command;
+
     /** Seconds of the shared clock: of the timeline behind the start, and of its ordinary part. */
     private final long from;
+
     private final long to;
     private final long ordinaryFrom;
     private final long ordinaryTo;
@@ -44,7 +58,8 @@
         this.interrupted = interrupted;
         this.command = command;
         events = run.events().stream().filter(ScaleEvent::whole).toList();
-        ScaleEvent ordinary = events.stream().filter(e -> e.name.equals("ordinary")).findFirst().orElse(null);
+        ScaleEvent ordinary =
+                events.stream().filter(e -> e.name.equals("ordinary")).findFirst().orElse(null);
         from = events.isEmpty() ? 0 : events.get(0).to;
         to = events.isEmpty() ? 0 : events.get(events.size() - 1).to;
         ordinaryFrom = ordinary == null ? from : ordinary.from;
@@ -57,15 +72,26 @@
     private Verdict judge() {
         for (ScaleEvent event : events) {
             if (event.missing() > 0) {
-                broken.add(event.name + ": " + event.missing() + " times a change was not in force within "
-                    + file.patience / 1_000_000 + " ms");
+                broken.add(
+                        event.name
+                                + ": "
+                                + event.missing()
+                                + " times a change was not in force within "
+                                + file.patience / 1_000_000
+                                + " ms");
             } else if (event.changes.stream().anyMatch(c -> c.early > 0)) {
                 broken.add(event.name + ": a change came to proxies that were cut off from it");
             } else if (!event.name.equals("start")) {
-                bound(event.name + ": in force at all after ms", event.worstMs(1), file.expect.inForceMs());
+                bound(
+                        event.name + ": in force at all after ms",
+                        event.worstMs(1),
+                        file.expect.inForceMs());
             }
         }
-        bound("cpu_share of a hollow proxy, mean", mean(ScaleRun.HOLLOW, What.CPU), file.expect.cpuShare());
+        bound(
+                "cpu_share of a hollow proxy, mean",
+                mean(ScaleRun.HOLLOW, What.CPU),
+                file.expect.cpuShare());
         bound("rss_mb of a hollow proxy", resident(ScaleRun.HOLLOW), file.expect.rssMb());
         bound("bytes_s of a hollow proxy, mean of the greater way", bytes(), file.expect.bytes());
         if (interrupted || lateMs > file.lateLimitMs) {
@@ -76,17 +102,21 @@
 
     private void bound(String what, double found, double most) {
         if (found > most) {
-            broken.add(String.format(Locale.ROOT, "%s: expected %s at most, found %.3f", what, most, found));
+            broken.add(
+                    String.format(
+                            Locale.ROOT, "%s: expected %s at most, found %.3f", what, most, found));
         }
     }
 
     private double bytes() {
-        return Math.max(mean(ScaleRun.HOLLOW, What.BYTES_IN), mean(ScaleRun.HOLLOW, What.BYTES_OUT));
+        return Math.max(
+                mean(ScaleRun.HOLLOW, What.BYTES_IN), mean(ScaleRun.HOLLOW, What.BYTES_OUT));
     }
 
     /** For one of the role: over the ordinary part, a second. */
     private double mean(String role, What what) {
-        return run.samples().mean(role, ordinaryFrom, ordinaryTo, what) / Math.max(1, run.count(role));
+        return run.samples().mean(role, ordinaryFrom, ordinaryTo, what)
+                / Math.max(1, run.count(role));
     }
 
     /** For one of the role in the mean: the worst second of the timeline. */
@@ -108,25 +138,41 @@
 
     /** The last line of standard output. */
     String line() {
-        double inForce = events.stream().filter(e -> !e.name.equals("start"))
-            .mapToDouble(e -> e.worstMs(1)).max().orElse(0);
+        double inForce =
+                events.stream()
+                        .filter(e -> !e.name.equals("start"))
+                        .mapToDouble(e -> e.worstMs(1))
+                        .max()
+                        .orElse(0);
         int missing = events.stream().mapToInt(ScaleEvent::missing).sum();
-        return String.format(Locale.ROOT, "verdict: %s size=%d real=%d hollow=%d seed=%d in_force_ms=%.0f "
-            + "missing=%d cpu_share=%.4f rss_mb=%.1f bytes_in_s=%.0f bytes_out_s=%.0f calls_s=%.0f "
-            + "views=%.3f late_ms=%.1f", verdict.name().toLowerCase(Locale.ROOT), file.fleet.size(),
-            file.fleet.real(), run.count(ScaleRun.HOLLOW), file.seed, inForce, missing,
-            mean(ScaleRun.HOLLOW, What.CPU), resident(ScaleRun.HOLLOW), mean(ScaleRun.HOLLOW, What.BYTES_IN),
-            mean(ScaleRun.HOLLOW, What.BYTES_OUT),
-            run.samples().worst(ScaleRun.CONTROL, from, to, What.CALLS),
-            run.viewsShare, lateMs);
+        return String.format(
+                Locale.ROOT,
+                "verdict: %s size=%d real=%d hollow=%d seed=%d in_force_ms=%.0f "
+                        + "missing=%d cpu_share=%.4f rss_mb=%.1f bytes_in_s=%.0f bytes_out_s=%.0f calls_s=%.0f "
+                        + "views=%.3f late_ms=%.1f",
+                verdict.name().toLowerCase(Locale.ROOT),
+                file.fleet.size(),
+                file.fleet.real(),
+                run.count(ScaleRun.HOLLOW),
+                file.seed,
+                inForce,
+                missing,
+                mean(ScaleRun.HOLLOW, What.CPU),
+                resident(ScaleRun.HOLLOW),
+                mean(ScaleRun.HOLLOW, What.BYTES_IN),
+                mean(ScaleRun.HOLLOW, What.BYTES_OUT),
+                run.samples().worst(ScaleRun.CONTROL, from, to, What.CALLS),
+                run.viewsShare,
+                lateMs);
     }
 
     /** Writes scale-SIZE-SEED.json and .html into a folder. */
     void write(Path folder) throws IOException {
         Files.createDirectories(folder);
         String name = "scale-" + file.fleet.size() + "-" + file.seed;
-        try (JsonGenerator json = new JsonFactory().createGenerator(Files.newBufferedWriter(
-                folder.resolve(name + ".json")))) {
+        try (JsonGenerator json =
+                new JsonFactory()
+                        .createGenerator(Files.newBufferedWriter(folder.resolve(name + ".json")))) {
             json.useDefaultPrettyPrinter();
             json(json);
         }
@@ -196,7 +242,8 @@
         figures.put("cpu_share_mean", mean(role, What.CPU));
         figures.put("cpu_share_worst", worst(role, What.CPU));
         figures.put("rss_mb", resident(role));
-        for (What what : List.of(What.BYTES_IN, What.BYTES_OUT, What.MESSAGES_IN, What.MESSAGES_OUT)) {
+        for (What what :
+                List.of(What.BYTES_IN, What.BYTES_OUT, What.MESSAGES_IN, What.MESSAGES_OUT)) {
             String name = what.name().toLowerCase(Locale.ROOT) + "_s_";
             figures.put(name + "mean", mean(role, what));
             figures.put(name + "worst", worst(role, what));
@@ -204,8 +251,9 @@
         if (role.equals(ScaleRun.CONTROL)) {
             figures.put("calls_s_worst", run.samples().worst(role, from, to, What.CALLS));
         } else if (role.equals(ScaleRun.HOLLOW) && file.membership != null) {
-            figures.put("datagram_bytes_out_s_worst_one",
-                run.samples().worst(role, from, to, What.WORST_OUT));
+            figures.put(
+                    "datagram_bytes_out_s_worst_one",
+                    run.samples().worst(role, from, to, What.WORST_OUT));
         }
         return figures;
     }
@@ -216,14 +264,23 @@
         number(json, "in_force_ms_99", event.worstMs(0.99));
         number(json, "in_force_ms_all", event.worstMs(1));
         json.writeNumberField("missing", event.missing());
-        number(json, "bytes_in_s_worst", run.samples().worst(ScaleRun.HOLLOW, event.from, event.to,
-            What.BYTES_IN) / Math.max(1, run.count(ScaleRun.HOLLOW)));
-        number(json, "cpu_share_worst", run.samples().worst(ScaleRun.HOLLOW, event.from, event.to, What.CPU)
-            / Math.max(1, run.count(ScaleRun.HOLLOW)));
-        number(json, "calls_s_worst", run.samples().worst(ScaleRun.CONTROL, event.from, event.to,
-            What.CALLS));
-        json.writeNumberField("whole_lists", (long) run.samples().sum(ScaleRun.CONTROL, event.from, event.to,
-            What.WHOLE_LISTS));
+        number(
+                json,
+                "bytes_in_s_worst",
+                run.samples().worst(ScaleRun.HOLLOW, event.from, event.to, What.BYTES_IN)
+                        / Math.max(1, run.count(ScaleRun.HOLLOW)));
+        number(
+                json,
+                "cpu_share_worst",
+                run.samples().worst(ScaleRun.HOLLOW, event.from, event.to, What.CPU)
+                        / Math.max(1, run.count(ScaleRun.HOLLOW)));
+        number(
+                json,
+                "calls_s_worst",
+                run.samples().worst(ScaleRun.CONTROL, event.from, event.to, What.CALLS));
+        json.writeNumberField(
+                "whole_lists",
+                (long) run.samples().sum(ScaleRun.CONTROL, event.from, event.to, What.WHOLE_LISTS));
         for (Map.Entry<String, Double> figure : event.figures.entrySet()) {
             number(json, figure.getKey(), figure.getValue());
         }
@@ -234,8 +291,10 @@
     private static void number(JsonGenerator json, String name, double value) throws IOException {
         if (value >= 0) {
             json.writeFieldName(name);
-            json.writeRawValue(value == Math.rint(value) ? Long.toString((long) value)
-                : String.format(Locale.ROOT, value < 1 ? "%.5f" : "%.2f", value));
+            json.writeRawValue(
+                    value == Math.rint(value)
+                            ? Long.toString((long) value)
+                            : String.format(Locale.ROOT, value < 1 ? "%.5f" : "%.2f", value));
         }
     }
 
@@ -243,8 +302,10 @@
     private static String commit() throws IOException {
         Process git = null;
         try {
-            git = new ProcessBuilder("git", "rev-parse", "--short", "HEAD")
-                .redirectError(ProcessBuilder.Redirect.DISCARD).start();
+            git =
+                    new ProcessBuilder("git", "rev-parse", "--short", "HEAD")
+                            .redirectError(ProcessBuilder.Redirect.DISCARD)
+                            .start();
             return new String(git.getInputStream().readAllBytes()).strip();
         } catch (IOException e) {
             return "";
@@ -260,18 +321,40 @@
         List<Chart.Mark> marks = new ArrayList<>();
         events.forEach(e -> marks.add(new Chart.Mark(e.from - start(), e.to - start(), e.name)));
         String word = verdict.name().toLowerCase(Locale.ROOT);
-        StringBuilder page = new StringBuilder(Page.HEAD).append("<title>").append(Chart.text(file.name))
-            .append("</title>").append(Page.STYLE).append("</head><body>\n<h1>").append(Chart.text(file.name))
-            .append(" <span class=\"verdict ").append(word).append("\">").append(word)
-            .append("</span></h1>\n<p>").append(Chart.text(file.about)).append("</p>\n<p><small>")
-            .append(Chart.text(line())).append("</small></p>\n");
-        broken.forEach(line -> page.append("<p class=\"bad\">").append(Chart.text(line)).append("</p>\n"));
-        page.append("<table><tr><th>event</th><th class=\"n\">changes</th><th class=\"n\">at half, ms</th>"
-            + "<th class=\"n\">at 99%</th><th class=\"n\">at all</th><th class=\"n\">missing</th></tr>\n");
+        StringBuilder page =
+                new StringBuilder(Page.HEAD)
+                        .append("<title>")
+                        .append(Chart.text(file.name))
+                        .append("</title>")
+                        .append(Page.STYLE)
+                        .append("</head><body>\n<h1>")
+                        .append(Chart.text(file.name))
+                        .append(" <span class=\"verdict ")
+                        .append(word)
+                        .append("\">")
+                        .append(word)
+                        .append("</span></h1>\n<p>")
+                        .append(Chart.text(file.about))
+                        .append("</p>\n<p><small>")
+                        .append(Chart.text(line()))
+                        .append("</small></p>\n");
+        broken.forEach(
+                line -> page.append("<p class=\"bad\">").append(Chart.text(line)).append("</p>\n"));
+        page.append(
+                "<table><tr><th>event</th><th class=\"n\">changes</th><th class=\"n\">at half, ms</th>"
+                        + "<th class=\"n\">at 99%</th><th class=\"n\">at all</th><th class=\"n\">missing</th></tr>\n");
         for (ScaleEvent e : events) {
-            page.append(String.format(Locale.ROOT, "<tr><td>%s</td><td class=\"n\">%d</td><td class=\"n\">"
-                + "%.0f</td><td class=\"n\">%.0f</td><td class=\"n\">%.0f</td><td class=\"n\">%d</td></tr>\n",
-                e.name, e.changes.size(), e.worstMs(0.5), e.worstMs(0.99), e.worstMs(1), e.missing()));
+            page.append(
+                    String.format(
+                            Locale.ROOT,
+                            "<tr><td>%s</td><td class=\"n\">%d</td><td class=\"n\">"
+                                    + "%.0f</td><td class=\"n\">%.0f</td><td class=\"n\">%.0f</td><td class=\"n\">%d</td></tr>\n",
+                            e.name,
+                            e.changes.size(),
+                            e.worstMs(0.5),
+                            e.worstMs(0.99),
+                            e.worstMs(1),
+                            e.missing()));
         }
         page.append("</table>\n");
         chart(page, xs, marks, "processor", "part of a core for each", What.CPU);
@@ -279,9 +362,11 @@
         chart(page, xs, marks, "bytes in", "a second for each", What.BYTES_IN);
         chart(page, xs, marks, "bytes out", "a second for each", What.BYTES_OUT);
         chart(page, xs, marks, "messages in", "a second for each", What.MESSAGES_IN);
-        page.append(new Chart(xs, "calls of control", "a second, all machines", "s", marks)
-            .line("calls", values(xs, ScaleRun.CONTROL, What.CALLS, 1))
-            .line("whole lists", values(xs, ScaleRun.CONTROL, What.WHOLE_LISTS, 1)).svg());
+        page.append(
+                new Chart(xs, "calls of control", "a second, all machines", "s", marks)
+                        .line("calls", values(xs, ScaleRun.CONTROL, What.CALLS, 1))
+                        .line("whole lists", values(xs, ScaleRun.CONTROL, What.WHOLE_LISTS, 1))
+                        .svg());
         return page.append("</body></html>\n").toString();
     }
 
@@ -289,8 +374,13 @@
         return events.isEmpty() ? 0 : events.get(0).from;
     }
 
-    private void chart(StringBuilder page, double[] xs, List<Chart.Mark> marks, String title, String unit,
-                       What what) {
+    private void chart(
+            StringBuilder page,
+            double[] xs,
+            List<Chart.Mark> marks,
+            String title,
+            String unit,
+            What what) {
         Chart chart = new Chart(xs, title, unit, "s", marks);
         for (String role : List.of(ScaleRun.HOLLOW, ScaleRun.REAL)) {
             if (run.count(role) > 0) {
--- a/src/main/java/cottonlock/lab/scale/ScaleRun.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleRun.java
@@ -27,14 +27,19 @@
 /** One scale run: builds the fleet, plays the timeline, and ends all. */
 final class ScaleRun {
     private static final long SECOND = 1_000_000_000L;
+
     /** Threads that start and end real proxies: each start takes half a core for half a second. */
     private static final int STARTERS = 6;
+
     /** Milliseconds between two questions whether a change is in force. */
     private static final long BETWEEN = 100;
+
     /** Addresses at which the others may be found, at most. */
     private static final int SEEDS = 8;
+
     /** Views of each process that are looked at. */
     private static final int VIEWS = 5;
+
     private static final List<String> NEWS = List.of("second", "late");
     static final String HOLLOW = "hollow";
     static final String REAL = "real";
@@ -49,26 +54,35 @@
     private final List<Child> hosts = new CopyOnWriteArrayList<>();
     private final Map<Integer, Child> hostOf = new HashMap<>();
     private final Map<Integer, RealHost> real = new ConcurrentSkipListMap<>();
+
     /** By number; null while it is dead. */
     private final Child[] control;
+
     /** The list: each proxy's backend, by id. */
     private final Map<String, String> entries = new LinkedHashMap<>();
+
     private final int[] replaced;
     private final Set<Integer> dead = new HashSet<>();
+
     /** Machines of control whose changes are kept back, and the orders that wait for them. */
     private final Map<Integer, List<String>> keptBack = new TreeMap<>();
+
     private final ExecutorService starters = Executors.newFixedThreadPool(STARTERS);
     private final Consumer<String> progress;
+
     /** The last second of which each process has told what it counted. */
     private final Map<String, Long> toldUpTo = new ConcurrentHashMap<>();
+
     private Path folder;
     private Watcher watcher;
     private long version;
     private long begun;
     private volatile long controlLate;
     private volatile boolean ended;
+
     /** Seconds until all held the list, and until views agreed as far as they did. */
     double listSettled = -1;
+
     double viewsSettled = -1;
     double viewsShare = -1;
     long wholeBytes;
@@ -109,8 +123,9 @@
     }
 
     int count(String role) {
-        return role.equals(REAL) ? real.size() : role.equals(HOLLOW) ? file.fleet.size() - real.size()
-            : control.length;
+        return role.equals(REAL)
+                ? real.size()
+                : role.equals(HOLLOW) ? file.fleet.size() - real.size() : control.length;
     }
 
     /** Plays it; when this returns or throws, nothing of it is left. */
@@ -160,10 +175,29 @@
             Files.writeString(operatorFile, operator);
         }
         for (int i : topology.real()) {
-            String own = operator == null ? null : operator + "listen = \"" + topology.ip(i) + ":"
-                + bounds.port + "\"\nseeds = [\"" + String.join("\", \"", seeds) + "\"]\n";
-            real.put(i, new RealHost(i, topology.name(i), folder, topology.ip(i), bounds.port,
-                discovery(i), file.zoneNames(), own, file.seed + i));
+            String own =
+                    operator == null
+                            ? null
+                            : operator
+                                    + "listen = \""
+                                    + topology.ip(i)
+                                    + ":"
+                                    + bounds.port
+                                    + "\"\nseeds = [\""
+                                    + String.join("\", \"", seeds)
+                                    + "\"]\n";
+            real.put(
+                    i,
+                    new RealHost(
+                            i,
+                            topology.name(i),
+                            folder,
+                            topology.ip(i),
+                            bounds.port,
+                            discovery(i),
+                            file.zoneNames(),
+                            own,
+                            file.seed + i));
         }
         buildHosts(operatorFile, seeds);
         // First, for a machine on which thousands join at once takes minutes to start a process.
@@ -171,10 +205,12 @@
         List<Future<?>> starts = new ArrayList<>();
         for (RealHost host : real.values()) {
             host.await(version, topology.backend(host.number, 0), true);
-            starts.add(starters.submit(() -> {
-                host.start();
-                return null;
-            }));
+            starts.add(
+                    starters.submit(
+                            () -> {
+                                host.start();
+                                return null;
+                            }));
             Thread thread = new Thread(null, host::follow, "follow", 256 << 10);
             thread.setDaemon(true);
             thread.start();
@@ -214,28 +250,48 @@
             hosts.add(host);
             host.tell("zones " + String.join(" ", file.zoneNames()));
             if (!topology.real().isEmpty()) {
-                host.tell("real " + String.join(" ", topology.real().stream().map(topology::ip).toList()));
+                host.tell(
+                        "real "
+                                + String.join(
+                                        " ", topology.real().stream().map(topology::ip).toList()));
             }
             host.tell("seeds " + String.join(" ", seeds));
             for (int k = h; k < hollow.size(); k += bounds.hosts) {
                 int i = hollow.get(k);
-                host.tell("new " + i + " " + topology.name(i) + " " + topology.ip(i) + ":" + bounds.port
-                    + " " + discovery(i));
+                host.tell(
+                        "new "
+                                + i
+                                + " "
+                                + topology.name(i)
+                                + " "
+                                + topology.ip(i)
+                                + ":"
+                                + bounds.port
+                                + " "
+                                + discovery(i));
                 hostOf.put(i, host);
             }
             host.flush();
         }
     }
 
-    private Child child(String name, int heapMb, Class<?> main, List<String> args) throws IOException {
+    private Child child(String name, int heapMb, Class<?> main, List<String> args)
+            throws IOException {
         synchronized (starters) {
             if (ended) {
                 throw new IOException("ended early");
             }
-            return new Child(name, folder, heapMb, main, args, NEWS, words -> {
-                news(words);
-                toldUpTo.put(name, Long.parseLong(words[1]));
-            });
+            return new Child(
+                    name,
+                    folder,
+                    heapMb,
+                    main,
+                    args,
+                    NEWS,
+                    words -> {
+                        news(words);
+                        toldUpTo.put(name, Long.parseLong(words[1]));
+                    });
         }
     }
 
@@ -256,21 +312,38 @@
     }
 
     private String discovery(int proxy) {
-        return topology.controlIp(topology.control(proxy), topology.isReal(proxy)) + ":" + (bounds.port + 2);
+        return topology.controlIp(topology.control(proxy), topology.isReal(proxy))
+                + ":"
+                + (bounds.port + 2);
     }
 
     /** One line of the list: the backend beside a proxy. */
     private String entry(int proxy, String health) {
         long born = replaced[proxy] == 0 ? 0 : System.currentTimeMillis();
-        return "{\"host\":\"" + topology.backend(proxy, replaced[proxy]) + "\",\"dial\":\""
-            + topology.ip(proxy) + ":" + (bounds.port + 2) + "\",\"site\":\"z" + topology.zone(proxy)
-            + "\",\"class\":\"std\",\"block\":" + topology.rack(proxy) + ",\"health\":\"" + health
-            + "\",\"share\":1.0,\"born_ms\":" + born + "}";
+        return "{\"host\":\""
+                + topology.backend(proxy, replaced[proxy])
+                + "\",\"dial\":\""
+                + topology.ip(proxy)
+                + ":"
+                + (bounds.port + 2)
+                + "\",\"site\":\"z"
+                + topology.zone(proxy)
+                + "\",\"class\":\"std\",\"block\":"
+                + topology.rack(proxy)
+                + ",\"health\":\""
+                + health
+                + "\",\"share\":1.0,\"born_ms\":"
+                + born
+                + "}";
     }
 
     private void startControl(int machine) throws IOException {
-        Child process = child("control" + machine, bounds.controlHeapMb, ControlStandIn.class,
-            List.of(Double.toString(file.control.calls())));
+        Child process =
+                child(
+                        "control" + machine,
+                        bounds.controlHeapMb,
+                        ControlStandIn.class,
+                        List.of(Double.toString(file.control.calls())));
         for (Map.Entry<String, String> entry : entries.entrySet()) {
             process.tell("entry " + version + " " + entry.getKey() + " " + entry.getValue());
         }
@@ -282,8 +355,13 @@
     /** A machine listens at the addresses of one, its own or those that it takes over. */
     private void open(int machine, int addresses) throws IOException, InterruptedException {
         for (boolean byReal : new boolean[] {false, true}) {
-            control[machine].tell("open " + (byReal ? REAL : HOLLOW) + " "
-                + topology.controlIp(addresses, byReal) + ":" + (bounds.port + 2));
+            control[machine].tell(
+                    "open "
+                            + (byReal ? REAL : HOLLOW)
+                            + " "
+                            + topology.controlIp(addresses, byReal)
+                            + ":"
+                            + (bounds.port + 2));
             control[machine].flush();
             String answer = control[machine].answer();
             if (!answer.startsWith("opened")) {
@@ -340,10 +418,17 @@
                         long ticks = Proc.cpu(pid);
                         Long last = before.put(pid, ticks);
                         if (last != null && ticks >= last) {
-                            samples.add(role.getKey(), second, What.CPU, (ticks - last) / Proc.TICKS / span);
+                            samples.add(
+                                    role.getKey(),
+                                    second,
+                                    What.CPU,
+                                    (ticks - last) / Proc.TICKS / span);
                         }
-                        samples.add(role.getKey(), second, What.RESIDENT_MB,
-                            Math.max(0, Proc.residentMb(pid)));
+                        samples.add(
+                                role.getKey(),
+                                second,
+                                What.RESIDENT_MB,
+                                Math.max(0, Proc.residentMb(pid)));
                     }
                 }
                 beforeAt = at;
@@ -375,7 +460,10 @@
         return host.answer().split(" ");
     }
 
-    /** Waits until all that live hold a version, if that is within the time; returns whether they do. */
+    /**
+     * Waits until all that live hold a version, if that is within the time; returns whether they
+     * do.
+     */
     private boolean awaitHeld(long wanted, long patience) throws IOException, InterruptedException {
         long until = System.nanoTime() + patience;
         while (true) {
@@ -401,14 +489,18 @@
         }
     }
 
-    /** Asks everybody when a change was in force; whom: those that count, and those that were late. */
-    private void measure(Change change, Set<Integer> late) throws IOException, InterruptedException {
+    /**
+     * Asks everybody when a change was in force; whom: those that count, and those that were late.
+     */
+    private void measure(Change change, Set<Integer> late)
+            throws IOException, InterruptedException {
         for (Child host : hosts) {
             String[] answer = ask(host, "times " + change.version);
             for (int i = 2; i < answer.length; i++) {
                 int colon = answer[i].indexOf(':');
                 int proxy = Integer.parseInt(answer[i].substring(0, colon));
-                change.inForce(Long.parseLong(answer[i].substring(colon + 1)), late.contains(proxy));
+                change.inForce(
+                        Long.parseLong(answer[i].substring(colon + 1)), late.contains(proxy));
             }
         }
         for (RealHost host : real.values()) {
@@ -433,8 +525,9 @@
                 Thread.sleep(10 * BETWEEN);
             } while (viewsShare < 1 && System.nanoTime() < until);
             viewsSettled = viewsShare >= 1 ? (System.nanoTime() - begun) / 1e9 : -1;
-            progress.accept(String.format(java.util.Locale.ROOT, "  views hold %.3f of the fleet",
-                viewsShare));
+            progress.accept(
+                    String.format(
+                            java.util.Locale.ROOT, "  views hold %.3f of the fleet", viewsShare));
         }
         finish(start);
     }
@@ -474,11 +567,17 @@
         sleepUntil(until + SECOND - until % SECOND + BETWEEN * 1_000_000);
         event.to = System.nanoTime() / SECOND;
         awaitTold(event.to - 1);
-        progress.accept(String.format(java.util.Locale.ROOT,
-            "  %s: %d changes, in force at half after %.0f ms, at 99%% after %.0f, at all after %.0f; "
-                + "%d missing",
-            event.name, event.changes.size(), event.worstMs(0.5), event.worstMs(0.99), event.worstMs(1),
-            event.missing()));
+        progress.accept(
+                String.format(
+                        java.util.Locale.ROOT,
+                        "  %s: %d changes, in force at half after %.0f ms, at 99%% after %.0f, at all after %.0f; "
+                                + "%d missing",
+                        event.name,
+                        event.changes.size(),
+                        event.worstMs(0.5),
+                        event.worstMs(0.99),
+                        event.worstMs(1),
+                        event.missing()));
     }
 
     /** A process that is short of its core tells late what it has counted. */
@@ -491,7 +590,7 @@
         }
         long until = System.nanoTime() + file.patience;
         while (tellers.stream().anyMatch(c -> toldUpTo.getOrDefault(c.name, 0L) < second)
-            && System.nanoTime() < until) {
+                && System.nanoTime() < until) {
             Thread.sleep(BETWEEN / 4);
         }
     }
@@ -532,14 +631,15 @@
         version++;
         Change change = new Change(version, System.nanoTime());
         List<String> orders = new ArrayList<>();
-        changed.forEach((id, json) -> {
-            orders.add("entry " + version + " " + id + " " + json);
-            if (json.contains("\"health\":\"left\"")) {
-                entries.remove(id);
-            } else {
-                entries.put(id, json);
-            }
-        });
+        changed.forEach(
+                (id, json) -> {
+                    orders.add("entry " + version + " " + id + " " + json);
+                    if (json.contains("\"health\":\"left\"")) {
+                        entries.remove(id);
+                    } else {
+                        entries.put(id, json);
+                    }
+                });
         orders.add("push");
         for (int m = 0; m < control.length; m++) {
             if (keptBack.containsKey(m)) {
@@ -580,14 +680,19 @@
         return proxy;
     }
 
-    /** Part of a day: changes of the list, restarts, failures, and one change of the files of real ones. */
+    /**
+     * Part of a day: changes of the list, restarts, failures, and one change of the files of real
+     * ones.
+     */
     private void ordinary(ScaleEvent event) throws IOException, InterruptedException {
         List<Integer> acts = new ArrayList<>();
         int changes = file.day.played(file.day.changes());
         int restarts = file.day.played(file.day.restarts());
         int failures = file.day.played(file.day.failures());
         for (int k = 0; k < changes + restarts + failures; k++) {
-            acts.add(chance.nextInt(acts.size() + 1), k < changes ? 0 : k < changes + restarts ? 1 : 2);
+            acts.add(
+                    chance.nextInt(acts.size() + 1),
+                    k < changes ? 0 : k < changes + restarts ? 1 : 2);
         }
         ConfigurationChannel files = real.isEmpty() ? null : new ReloadChannel(real);
         long from = System.nanoTime();
@@ -627,7 +732,8 @@
         Thread.sleep(Math.max(0, (at - System.nanoTime()) / 1_000_000));
     }
 
-    private void measureAll(ScaleEvent event, Set<Integer> late) throws IOException, InterruptedException {
+    private void measureAll(ScaleEvent event, Set<Integer> late)
+            throws IOException, InterruptedException {
         for (Change change : event.changes) {
             measure(change, late);
         }
@@ -648,19 +754,23 @@
 
     private void start(int proxy, List<Future<?>> starts) throws IOException {
         if (topology.isReal(proxy)) {
-            starts.add(starters.submit(() -> {
-                real.get(proxy).start();
-                return null;
-            }));
+            starts.add(
+                    starters.submit(
+                            () -> {
+                                real.get(proxy).start();
+                                return null;
+                            }));
         } else {
             hostOf.get(proxy).tell("start " + proxy);
             hostOf.get(proxy).flush();
         }
     }
 
-    /** Proxies, their backends and machines of control are lost together, and come back together. */
+    /**
+     * Proxies, their backends and machines of control are lost together, and come back together.
+     */
     private void lose(ScaleEvent event, Set<Integer> proxies, Set<Integer> machines)
-        throws IOException, InterruptedException {
+            throws IOException, InterruptedException {
         event.figures.put("proxies", (double) proxies.size());
         dead.addAll(proxies);
         for (int m : machines) {
@@ -710,7 +820,10 @@
         return change(changed);
     }
 
-    /** The regions do not reach one another; a change made in the first comes to the others when healed. */
+    /**
+     * The regions do not reach one another; a change made in the first comes to the others when
+     * healed.
+     */
     private void regions(ScaleEvent event) throws IOException, InterruptedException {
         List<StringBuilder> groups = new ArrayList<>();
         for (int z = 0; z < file.fleet.zones(); z++) {
@@ -749,10 +862,15 @@
         }
     }
 
-    /** A third of the machines of control are killed; others take over their addresses after a while. */
+    /**
+     * A third of the machines of control are killed; others take over their addresses after a
+     * while.
+     */
     private void controlKilled(ScaleEvent event) throws IOException, InterruptedException {
         List<Integer> killed = new ArrayList<>();
-        for (int m = 0; m < control.length && killed.size() < Math.max(1, control.length / 3); m += 3) {
+        for (int m = 0;
+                m < control.length && killed.size() < Math.max(1, control.length / 3);
+                m += 3) {
             control[m].kill();
             control[m] = null;
             killed.add(m);
@@ -771,7 +889,8 @@
         awaitHeld(version, file.patience);
         measure(while0, Set.of());
         measure(after, Set.of());
-        // The dead machines come back with no address: they are told from the next restart of all on.
+        // The dead machines come back with no address: they are told from the next restart of all
+        // on.
         event.figures.put("takeover_s", file.control.takeover() / 1e9);
     }
 
--- a/src/main/java/cottonlock/lab/scale/Slope.java
+++ b/src/main/java/cottonlock/lab/scale/Slope.java
@@ -7,28 +7,34 @@
 import java.util.TreeMap;
 
 /**
- * How a figure grows with a size: a straight line and a power law, both by least squares over all points,
- * and of the two the one that lies nearer to them. Sizes and figures carry no unit here.
+ * How a figure grows with a size: a straight line and a power law, both by least squares over all
+ * points, and of the two the one that lies nearer to them. Sizes and figures carry no unit here.
  *
- * @param law      "linear" or "power", whichever lies nearer
- * @param base     of the line: its value at size 0; of the power law: its value at size 1
- * @param rise     of the line: its rise for each one of size; of the power law: the exponent
- * @param spread   root mean square of the points' distances from it, as a part of their mean
- * @param seeds    the greatest distance of two seeds of one size, as a part of that size's mean; NaN where no
- *                 size has two
- * @param other    what the other law would say, for the same sizes; null where no power law can be had
- * @param sizes    how many sizes it rests on
- * @param largest  of the sizes
+ * @param law "linear" or "power", whichever lies nearer
+ * @param base of the line: its value at size 0; of the power law: its value at size 1
+ * @param rise of the line: its rise for each one of size; of the power law: the exponent
+ * @param spread root mean square of the points' distances from it, as a part of their mean
+ * @param seeds the greatest distance of two seeds of one size, as a part of that size's mean; NaN
+ *     where no size has two
+ * @param other what the other law would say, for the same sizes; null where no power law can be had
+ * @param sizes how many sizes it rests on
+ * @param largest of the sizes
  */
 @Decides
-record Slope(String law, double base, double rise, double spread, double seeds, Slope other, int sizes,
-             double largest) {
+record Slope(
+        String law,
+        double base,
+        double rise,
+        double spread,
+        double seeds,
+        Slope other,
+        int sizes,
+        double largest) {
     /** A bend shows with four sizes; three can't tell a line from a curve with some spread. */
     static final int LEAST = 4;
 
     /** One run's figure. */
-    record Point(double size, double value) {
-    }
+    record Point(double size, double value) {}
 
     /** Fits both laws; null where there are fewer sizes than the least. */
     static Slope fit(List<Point> points, int least) {
@@ -54,10 +60,20 @@
         if (points.stream().anyMatch(p -> p.size <= 0 || p.value <= 0)) {
             return linear;
         }
-        double[] logs = line(points.stream()
-            .map(p -> new Point(Math.log(p.size), Math.log(p.value))).toList());
-        Slope power = of("power", new double[] {Math.exp(logs[0]), logs[1]}, points, seeds, null,
-            bySize.size(), largest);
+        double[] logs =
+                line(
+                        points.stream()
+                                .map(p -> new Point(Math.log(p.size), Math.log(p.value)))
+                                .toList());
+        Slope power =
+                of(
+                        "power",
+                        new double[] {Math.exp(logs[0]), logs[1]},
+                        points,
+                        seeds,
+                        null,
+                        bySize.size(),
+                        largest);
         return linear.spread <= power.spread ? linear.with(power) : power.with(linear);
     }
 
@@ -65,12 +81,21 @@
         return new Slope(law, base, rise, spread, seeds, second, sizes, largest);
     }
 
-    private static Slope of(String law, double[] fit, List<Point> points, double seeds, Slope other,
-                            int sizes, double largest) {
+    private static Slope of(
+            String law,
+            double[] fit,
+            List<Point> points,
+            double seeds,
+            Slope other,
+            int sizes,
+            double largest) {
         Slope without = new Slope(law, fit[0], fit[1], 0, seeds, other, sizes, largest);
         double mean = points.stream().mapToDouble(Point::value).average().orElse(0);
-        double squares = points.stream().mapToDouble(p -> Math.pow(p.value - without.at(p.size), 2))
-            .average().orElse(0);
+        double squares =
+                points.stream()
+                        .mapToDouble(p -> Math.pow(p.value - without.at(p.size), 2))
+                        .average()
+                        .orElse(0);
         double spread = squares < 1e-24 ? 0 : Math.sqrt(squares) / Math.max(1e-12, Math.abs(mean));
         return new Slope(law, fit[0], fit[1], spread, seeds, other, sizes, largest);
     }
--- a/src/main/java/cottonlock/lab/scale/Topology.java
+++ b/src/main/java/cottonlock/lab/scale/Topology.java
@@ -5,13 +5,17 @@
 import java.util.List;
 
 /**
- * Where each proxy and each machine of control of a run stands, and which addresses are theirs. Zones are
- * dealt out to regions in rows, proxies to zones in turn; the zone can be read off an address.
+ * Where each proxy and each machine of control of a run stands, and which addresses are theirs.
+ * Zones are dealt out to regions in rows, proxies to zones in turn; the zone can be read off an
+ * address.
  */
 @Decides
 final class Topology {
-    /** The second byte of addresses: of control, and of the first zone; all of 127/8 is loopback. */
+    /**
+     * The second byte of addresses: of control, and of the first zone; all of 127/8 is loopback.
+     */
     private static final int CONTROL = 9;
+
     private static final int FIRST_ZONE = 10;
 
     private final ScaleFile.Fleet fleet;
@@ -94,7 +98,10 @@
         return secondByte < FIRST_ZONE ? -1 : secondByte - FIRST_ZONE;
     }
 
-    /** Where a machine of control is asked by proxies of a role; an address each, to tell them apart. */
+    /**
+     * Where a machine of control is asked by proxies of a role; an address each, to tell them
+     * apart.
+     */
     String controlIp(int machine, boolean byReal) {
         return "127." + CONTROL + "." + machine + "." + (byReal ? 2 : 1);
     }
@@ -105,6 +112,10 @@
 
     /** The id of the backend beside a proxy, after so many replacements. */
     String backend(int proxy, int replaced) {
-        return "s" + proxy % fleet.services() + "-b" + proxy + (replaced == 0 ? "" : "-r" + replaced);
+        return "s"
+                + proxy % fleet.services()
+                + "-b"
+                + proxy
+                + (replaced == 0 ? "" : "-r" + replaced);
     }
 }
--- a/src/main/java/cottonlock/lab/scale/WorkedOut.java
+++ b/src/main/java/cottonlock/lab/scale/WorkedOut.java
@@ -5,14 +5,15 @@
 import java.util.Map;
 
 /**
- * Figures that no run measures and that follow from the operators' design, the program's constants and
- * measured slopes. One that rests on something not measured is not a number. Times are in seconds where the
- * name doesn't say otherwise.
+ * Figures that no run measures and that follow from the operators' design, the program's constants
+ * and measured slopes. One that rests on something not measured is not a number. Times are in
+ * seconds where the name doesn't say otherwise.
  */
 @Decides
 final class WorkedOut {
     private static final double DAY = 86_400;
     private static final double MEGA = 1 << 20;
+
     /** Tenths of a millisecond in a second: the module's unit of time. */
     private static final double TENTHS = 10_000;
 
@@ -22,7 +23,7 @@
     /**
      * Works all out.
      *
-     * @param given     the figures of {@link Budget}
+     * @param given the figures of {@link Budget}
      * @param listBytes of one whole list on the wire at the operators' size; NaN where not measured
      */
     WorkedOut(Map<String, Double> given, double listBytes) {
@@ -54,8 +55,9 @@
         figures.put("in_force_ms", 1_000 * g("operators.in_force_s"));
         figures.put("proxy_memory_bytes", MEGA * g("operators.proxy_memory_mb"));
         figures.put("proxy_cpu_us", 1e6 * g("operators.proxy_cpu_share"));
-        double changes = g("operators.restarts_day") * g("assumed.list_changes")
-            + g("operators.failures_day") * (g("assumed.list_changes") - 1);
+        double changes =
+                g("operators.restarts_day") * g("assumed.list_changes")
+                        + g("operators.failures_day") * (g("assumed.list_changes") - 1);
         figures.put("discovery_watches", g("operators.backends"));
         figures.put("discovery_beats_s", g("operators.backends") / g("assumed.beat_s"));
         figures.put("discovery_changes_s", changes * g("operators.backends") / DAY);
@@ -72,7 +74,9 @@
         figures.put("list_rate", bytes / g("operators.in_force_s"));
         figures.put("list_time_s", bytes / g("operators.proxy_bytes_s"));
         figures.put("list_all_bytes", all);
-        figures.put("list_control_rate", all / g("operators.in_force_s") / g("operators.control_machines"));
+        figures.put(
+                "list_control_rate",
+                all / g("operators.in_force_s") / g("operators.control_machines"));
         figures.put("list_zone_bytes", bytes / g("operators.zones"));
     }
 
@@ -94,12 +98,17 @@
         figures.put("quota_got", quota / w("quota_lost"));
     }
 
-    /** Balancer.Fleet.warmEnough: half of what pushes a cold one over, parted by what each gets finished. */
+    /**
+     * Balancer.Fleet.warmEnough: half of what pushes a cold one over, parted by what each gets
+     * finished.
+     */
     private void cold() {
         double sent = g("operators.calls_s") / g("operators.backends") * g("assumed.fall_s");
         double mine = sent / g("operators.backends");
-        double part = Math.max(g("assumed.fall_multiple") / 2 * g("assumed.cold_share") * mine,
-            1 / g("operators.backends"));
+        double part =
+                Math.max(
+                        g("assumed.fall_multiple") / 2 * g("assumed.cold_share") * mine,
+                        1 / g("operators.backends"));
         double over = g("assumed.fall_multiple") * g("assumed.cold_share") * sent;
         figures.put("cold_part", part);
         figures.put("cold_all", part * g("operators.backends"));
@@ -136,7 +145,8 @@
         double sockets = g("assumed.sockets") - g("constant.own_sockets");
         sockets -= Math.floor(sockets / g("constant.for_bodies"));
         figures.put("backend_sockets", Math.floor(sockets * g("constant.to_backends")));
-        figures.put("bounded_reuse", Math.min(kept, w("backend_sockets") / g("operators.backends")));
+        figures.put(
+                "bounded_reuse", Math.min(kept, w("backend_sockets") / g("operators.backends")));
         figures.put("new_connections_s", calls * (1 - w("bounded_reuse")));
     }
 }
--- a/src/main/java/cottonlock/lab/world/Fleet.java
+++ b/src/main/java/cottonlock/lab/world/Fleet.java
@@ -19,27 +19,41 @@
 import java.util.function.LongSupplier;
 
 /**
- * Processes that know one another, in a world: started, killed, paused, hung and cut off from outside, and
- * judged by what is true of them.
+ * Processes that know one another, in a world: started, killed, paused, hung and cut off from
+ * outside, and judged by what is true of them.
  */
 @Decides
 public final class Fleet {
     /** Datagrams that a paused process's socket holds: some 200 KB as the kernel counts them. */
     private static final int HELD = 256;
+
     private static final long SECOND = 10_000;
-    /** Periods within which a change from outside may still lead to a failure that is none by then. */
+
+    /**
+     * Periods within which a change from outside may still lead to a failure that is none by then.
+     */
     private static final int SETTLED = 14;
-    /** One in so many nodes is metered: reading the processor's clock takes as long as a datagram. */
+
+    /**
+     * One in so many nodes is metered: reading the processor's clock takes as long as a datagram.
+     */
     private static final int METERED = 8;
 
     /** One called another failed, which lived and could be reached. */
-    public record False(long at, String viewer, String who, String reason) {
-    }
+    public record False(long at, String viewer, String who, String reason) {}
 
     /** Makes the machine of one process; tests put other ones in its place. */
     public interface Maker {
-        Membership make(MembershipRules rules, Membership.Outlet outlet, String name, String address,
-                        List<String> contacts, boolean closed, long life, int tag, SplittableRandom random);
+        Membership make(
+                MembershipRules rules,
+                Membership.Outlet outlet,
+                String name,
+                String address,
+                List<String> contacts,
+                boolean closed,
+                long life,
+                int tag,
+                SplittableRandom random);
     }
 
     /** One proxy, over its lives. */
@@ -154,24 +168,36 @@
             late = false;
             clock = clockOff;
             int life = ++start;
-            machine = maker.make(rules, new Membership.Outlet() {
-                @Override
-                public void send(String address, byte[] datagram) {
-                    if (life == start) {
-                        Node.this.send(address, datagram);
-                    }
-                }
-
-                @Override
-                public void changed(String who, State state, String reason) {
-                    Node other = named(who);
-                    if (state == State.FAILED && other != null && other != Node.this
-                        && reachable(Node.this, other.number)) {
-                        falseFailures.add(new False(world.now(), name, who, reason));
-                    }
-                }
-            }, name, address, contacts, closed, 1_700_000_000_000L + (world.now() + clock) / 10, 0,
-                new SplittableRandom(world.chance().nextLong()));
+            machine =
+                    maker.make(
+                            rules,
+                            new Membership.Outlet() {
+                                @Override
+                                public void send(String address, byte[] datagram) {
+                                    if (life == start) {
+                                        Node.this.send(address, datagram);
+                                    }
+                                }
+
+                                @Override
+                                public void changed(String who, State state, String reason) {
+                                    Node other = named(who);
+                                    if (state == State.FAILED
+                                            && other != null
+                                            && other != Node.this
+                                            && reachable(Node.this, other.number)) {
+                                        falseFailures.add(
+                                                new False(world.now(), name, who, reason));
+                                    }
+                                }
+                            },
+                            name,
+                            address,
+                            contacts,
+                            closed,
+                            1_700_000_000_000L + (world.now() + clock) / 10,
+                            0,
+                            new SplittableRandom(world.chance().nextLong()));
             progress();
             planned = -1;
             meter(true);
@@ -195,19 +221,21 @@
             paused = true;
             changedAt = world.now() + length;
             int life = start;
-            world.at(world.now() + length, () -> {
-                if (life == start) {
-                    paused = false;
-                    List<Runnable> queue = new ArrayList<>(held);
-                    held.clear();
-                    queue.forEach(Runnable::run);
-                    if (late) {
-                        late = false;
-                        planned = -1;
-                        wakeAt(world.now(), life);
-                    }
-                }
-            });
+            world.at(
+                    world.now() + length,
+                    () -> {
+                        if (life == start) {
+                            paused = false;
+                            List<Runnable> queue = new ArrayList<>(held);
+                            held.clear();
+                            queue.forEach(Runnable::run);
+                            if (late) {
+                                late = false;
+                                planned = -1;
+                                wakeAt(world.now(), life);
+                            }
+                        }
+                    });
         }
 
         public void hang(long length) {
@@ -225,22 +253,30 @@
 
     public final World world;
     public final List<Node> nodes = new ArrayList<>();
+
     /** Who called whom failed while it lived and could be reached. */
     public final List<False> falseFailures = new ArrayList<>();
+
     private final MembershipRules rules;
     private final Maker maker;
     private final List<String> contacts = new ArrayList<>();
     private final Map<String, Node> byName = new HashMap<>();
     private final boolean closed;
+
     /** The side of each node while the fleet is split, and when that was last changed. */
     private final int[] sides;
+
     private boolean split;
     private long splitAt;
+
     /** Whether a failure told within one side of a split counts as a false one, too. */
     private boolean judgesSides;
+
     private long settled;
+
     /** Whose view was not right when all were last asked: it is asked first. */
     private int lastWrong;
+
     private LongSupplier clockOfProcessor;
     private long spent;
     private long readings;
@@ -249,7 +285,10 @@
         this(world, size, rules, maker, size);
     }
 
-    /** Known: how many addresses each is told, evenly spread; where they are all, it takes no other's. */
+    /**
+     * Known: how many addresses each is told, evenly spread; where they are all, it takes no
+     * other's.
+     */
     public Fleet(World world, int size, MembershipRules rules, Maker maker, int known) {
         this.world = world;
         this.rules = rules;
@@ -293,7 +332,10 @@
         readings = 0;
     }
 
-    /** Nanoseconds that the metered nodes have spent since the meter was set, and how many these are. */
+    /**
+     * Nanoseconds that the metered nodes have spent since the meter was set, and how many these
+     * are.
+     */
     public long spent() {
         return spent;
     }
@@ -323,29 +365,44 @@
         world.cut((from, to) -> sides[from] != sides[to]);
     }
 
-    /** Judges failures told within each side of a split, too, once the longest doubt there has ended. */
+    /**
+     * Judges failures told within each side of a split, too, once the longest doubt there has
+     * ended.
+     */
     public void judgeSides() {
         judgesSides = true;
-        double longest = rules.suspicion() * rules.longest() * Math.max(1, Math.log10(nodes.size()));
+        double longest =
+                rules.suspicion() * rules.longest() * Math.max(1, Math.log10(nodes.size()));
         settled = Math.max(SETTLED, Math.round(longest) + 2) * rules.period();
     }
 
-    /** Whether a node has lived, served and been in reach of all for a while: who calls it failed errs. */
+    /**
+     * Whether a node has lived, served and been in reach of all for a while: who calls it failed
+     * errs.
+     */
     public boolean reachable(int number) {
         return !split && settled(nodes.get(number));
     }
 
     private boolean reachable(Node viewer, int number) {
         return split && judgesSides
-            ? sides[viewer.number] == sides[number] && settled(nodes.get(number)) && settled(viewer)
-            : reachable(number);
+                ? sides[viewer.number] == sides[number]
+                        && settled(nodes.get(number))
+                        && settled(viewer)
+                : reachable(number);
     }
 
     private boolean settled(Node n) {
-        return n.up && !n.paused && !n.hung && world.now() - Math.max(n.changedAt, splitAt) > settled;
+        return n.up
+                && !n.paused
+                && !n.hung
+                && world.now() - Math.max(n.changedAt, splitAt) > settled;
     }
 
-    /** How many were called failed wrongly, from an entry on; by several within half a minute is once. */
+    /**
+     * How many were called failed wrongly, from an entry on; by several within half a minute is
+     * once.
+     */
     public int wronged(int from) {
         Set<String> wronged = new TreeSet<>();
         for (False f : falseFailures.subList(from, falseFailures.size())) {
@@ -373,7 +430,10 @@
     }
 
     private boolean isThere(Node node, Node other) {
-        return other.up && !other.hung && !other.paused && sides[other.number] == sides[node.number];
+        return other.up
+                && !other.hung
+                && !other.paused
+                && sides[other.number] == sides[node.number];
     }
 
     /** Whether all views are right, and so alike. */
@@ -383,7 +443,8 @@
 
     /** Whether the views of these nodes are right. */
     public boolean agree(IntPredicate whose) {
-        // Per side: how many are there, and the digest of a view that was found right. Another view with the
+        // Per side: how many are there, and the digest of a view that was found right. Another view
+        // with the
         // same digest has the same members, and need not be compared one by one.
         Map<Integer, Integer> there = new HashMap<>();
         Map<Integer, Long> right = new HashMap<>();
--- a/src/main/java/cottonlock/lab/world/RegionsStudy.java
+++ b/src/main/java/cottonlock/lab/world/RegionsStudy.java
@@ -11,20 +11,29 @@
 import java.util.function.LongSupplier;
 
 /**
- * A fleet over regions and zones in virtual time: all start within a second; a quiet stretch; a rack dies and
- * is back; a zone is cut off and back; regions are apart and meet again; many restart within a minute.
+ * A fleet over regions and zones in virtual time: all start within a second; a quiet stretch; a
+ * rack dies and is back; a zone is cut off and back; regions are apart and meet again; many restart
+ * within a minute.
  */
 @Decides
 public final class RegionsStudy {
     private static final long SECOND = 10_000;
+
     /** Seconds after which views that are not right yet count as never so. */
     private static final long MOST = 900 * SECOND;
+
     /** One member in so many stands in the rack that dies. */
     private static final int RACK = 50;
-    /** Restarts within a minute: of a fleet of 3,000 at work, and of a smaller one no more than half. */
+
+    /**
+     * Restarts within a minute: of a fleet of 3,000 at work, and of a smaller one no more than
+     * half.
+     */
     private static final int RESTARTS = 350;
+
     /** A process that leaves is back after this: a second to end and one to start. */
     private static final long BACK = 2 * SECOND;
+
     /** Seconds that an agreed fleet is left alone between two faults. */
     private static final long REST = 20 * SECOND;
 
@@ -44,12 +53,11 @@
      * What is played.
      *
      * @param quiet seconds of the quiet stretch
-     * @param apart seconds for which regions, and before that a zone for a tenth of them, are cut off; at
-     *              least a minute for the zone
+     * @param apart seconds for which regions, and before that a zone for a tenth of them, are cut
+     *     off; at least a minute for the zone
      * @param known addresses that each member is told; the size: all
      */
-    public record Play(long seed, int size, Topology topology, int quiet, int apart, int known) {
-    }
+    public record Play(long seed, int size, Topology topology, int quiet, int apart, int known) {}
 
     private final Play play;
     private final World world;
@@ -58,8 +66,11 @@
     private final BiConsumer<String, Map<String, Long>> told;
     private final Map<String, Long> figures = new LinkedHashMap<>();
 
-    private RegionsStudy(Play play, MembershipRules rules, Gauge gauge,
-                         BiConsumer<String, Map<String, Long>> told) {
+    private RegionsStudy(
+            Play play,
+            MembershipRules rules,
+            Gauge gauge,
+            BiConsumer<String, Map<String, Long>> told) {
         this.play = play;
         this.gauge = gauge;
         this.told = told;
@@ -74,8 +85,11 @@
      *
      * @return figures by name, in milliseconds, bytes and microseconds; -1 where it never was
      */
-    public static Map<String, Long> of(Play play, MembershipRules rules, Gauge gauge,
-                                       BiConsumer<String, Map<String, Long>> told) {
+    public static Map<String, Long> of(
+            Play play,
+            MembershipRules rules,
+            Gauge gauge,
+            BiConsumer<String, Map<String, Long>> told) {
         return new RegionsStudy(play, rules, gauge, told).play();
     }
 
@@ -92,7 +106,9 @@
 
     private void figure(String name, long value) {
         figures.put(name, value);
-        figures.put("bytes_s_worst", fleet.nodes.stream().mapToLong(n -> n.worstSecond).max().orElse(0));
+        figures.put(
+                "bytes_s_worst",
+                fleet.nodes.stream().mapToLong(n -> n.worstSecond).max().orElse(0));
         figures.put("false_failed", (long) fleet.wronged(0));
         figures.put("seconds_virtual", world.now() / SECOND);
         figures.put("datagrams_print", world.print());
@@ -131,7 +147,9 @@
         fleet.meter(gauge.processor());
     }
 
-    /** Microseconds of processor time a second of one member, over so many tenths of a millisecond. */
+    /**
+     * Microseconds of processor time a second of one member, over so many tenths of a millisecond.
+     */
     private void metered(String name, long time) {
         long nanos = fleet.spent() - fleet.readings() / 2 * gauge.reading();
         figure(name, Math.max(0, nanos) * SECOND / 1_000 / fleet.metered() / time);
@@ -140,7 +158,9 @@
 
     private void rack() {
         List<Fleet.Node> dead = new ArrayList<>();
-        for (int i = 0; dead.size() < Math.max(1, play.size() / RACK); i += play.topology().zones()) {
+        for (int i = 0;
+                dead.size() < Math.max(1, play.size() / RACK);
+                i += play.topology().zones()) {
             dead.add(fleet.nodes.get(i));
         }
         dead.forEach(Fleet.Node::kill);
--- a/src/main/java/cottonlock/lab/world/Study.java
+++ b/src/main/java/cottonlock/lab/world/Study.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * What knowing one another costs and brings at one size and loss, in virtual time: deaths found one after the
- * other, a quiet stretch, a split into halves and its heal.
+ * What knowing one another costs and brings at one size and loss, in virtual time: deaths found one
+ * after the other, a quiet stretch, a split into halves and its heal.
  */
 @Decides
 public final class Study {
@@ -18,28 +18,39 @@
     /**
      * What was found; times in milliseconds, -1 where it never was.
      *
-     * @param first     until the first knows of a death: median and worst
-     * @param all       until all know
-     * @param falseHour members that lived and were called failed, for each hour of the whole fleet's
-     * @param hours     over how long that was counted
-     * @param mean      bytes a second of one member in the mean
-     * @param worst     the most bytes of any member in a second
-     * @param heal      from the end of a split into halves until all views are right
+     * @param first until the first knows of a death: median and worst
+     * @param all until all know
+     * @param falseHour members that lived and were called failed, for each hour of the whole
+     *     fleet's
+     * @param hours over how long that was counted
+     * @param mean bytes a second of one member in the mean
+     * @param worst the most bytes of any member in a second
+     * @param heal from the end of a split into halves until all views are right
      */
-    public record Row(int size, double loss, long first, long worstFirst, long all, long worstAll,
-                      double falseHour, double hours, long mean, long worst, long joined, long heal) {
-    }
+    public record Row(
+            int size,
+            double loss,
+            long first,
+            long worstFirst,
+            long all,
+            long worstAll,
+            double falseHour,
+            double hours,
+            long mean,
+            long worst,
+            long joined,
+            long heal) {}
 
-    private Study() {
-    }
+    private Study() {}
 
     /**
      * Plays it.
      *
      * @param deaths how many are killed, one after the other
-     * @param quiet  seconds without a fault, for false failures and bytes
+     * @param quiet seconds without a fault, for false failures and bytes
      */
-    public static Row of(long seed, int size, double loss, int deaths, int quiet, MembershipRules rules) {
+    public static Row of(
+            long seed, int size, double loss, int deaths, int quiet, MembershipRules rules) {
         World world = new World(seed);
         Fleet fleet = new Fleet(world, size, rules);
         // As between machines of one room: a millisecond or so.
@@ -52,7 +63,10 @@
         long sent = fleet.nodes.stream().mapToLong(n -> n.sent).sum();
         int wrong = fleet.falseFailures.size();
         world.until(world.now() + quiet * SECOND);
-        long mean = (fleet.nodes.stream().mapToLong(n -> n.sent).sum() - sent) / size / Math.max(1, quiet);
+        long mean =
+                (fleet.nodes.stream().mapToLong(n -> n.sent).sum() - sent)
+                        / size
+                        / Math.max(1, quiet);
         double hours = quiet / 3600.0;
         double falseHour = fleet.wronged(wrong) / hours;
         List<Long> first = new ArrayList<>();
@@ -75,8 +89,18 @@
         Collections.sort(first);
         Collections.sort(all);
         long worst = fleet.nodes.stream().mapToLong(n -> n.worstSecond).max().orElse(0);
-        return new Row(size, loss, first.get(deaths / 2) / 10, first.get(deaths - 1) / 10,
-            all.get(deaths / 2) / 10, all.get(deaths - 1) / 10, falseHour, hours, mean, worst,
-            joined < 0 ? -1 : joined / 10, heal < 0 ? -1 : heal / 10);
+        return new Row(
+                size,
+                loss,
+                first.get(deaths / 2) / 10,
+                first.get(deaths - 1) / 10,
+                all.get(deaths / 2) / 10,
+                all.get(deaths - 1) / 10,
+                falseHour,
+                hours,
+                mean,
+                worst,
+                joined < 0 ? -1 : joined / 10,
+                heal < 0 ? -1 : heal / 10);
     }
 }
--- a/src/main/java/cottonlock/lab/world/Topology.java
+++ b/src/main/java/cottonlock/lab/world/Topology.java
@@ -3,15 +3,20 @@
 import cottonlock.decision.Decides;
 
 /**
- * Which zone and region each numbered place is in: zones take places in turn, regions take zones in order.
+ * Which zone and region each numbered place is in: zones take places in turn, regions take zones in
+ * order.
  *
  * @param regions 1 at least
- * @param zones   over all regions; as many as regions at least
+ * @param zones over all regions; as many as regions at least
  */
 @Decides
 public record Topology(int regions, int zones) implements World.Delay {
-    /** Tenths of a millisecond one way: across a room, a town and a continent, and what each varies by. */
+    /**
+     * Tenths of a millisecond one way: across a room, a town and a continent, and what each varies
+     * by.
+     */
     private static final int[] LEAST = {2, 5, 300};
+
     private static final int[] SPREAD = {4, 10, 50};
 
     /** The zone of a place, from 0 on. */
--- a/src/main/java/cottonlock/lab/world/World.java
+++ b/src/main/java/cottonlock/lab/world/World.java
@@ -6,8 +6,9 @@
 import java.util.zip.CRC32;
 
 /**
- * Virtual time, and the way of datagrams between numbered places: what is lost, late, doubled or spoilt, and
- * what is cut. Times are tenths of a millisecond. Tasks of one moment run in the order of their setting.
+ * Virtual time, and the way of datagrams between numbered places: what is lost, late, doubled or
+ * spoilt, and what is cut. Times are tenths of a millisecond. Tasks of one moment run in the order
+ * of their setting.
  */
 @Decides
 public final class World {
@@ -64,7 +65,10 @@
         spoilt = changed;
     }
 
-    /** How long a datagram takes: this at least, and evenly drawn up to so much more, so some overtake. */
+    /**
+     * How long a datagram takes: this at least, and evenly drawn up to so much more, so some
+     * overtake.
+     */
     public void delay(long shortest, long upTo) {
         delay = even(shortest, upTo);
     }
@@ -88,7 +92,10 @@
         };
     }
 
-    /** Of all datagrams so far, with their times and ways, byte by byte: two worlds alike have the same. */
+    /**
+     * Of all datagrams so far, with their times and ways, byte by byte: two worlds alike have the
+     * same.
+     */
     public long print() {
         return print;
     }
@@ -103,7 +110,8 @@
     }
 
     /** Sends a datagram; {@code arrives} is given it when it comes, once, twice or never. */
-    public void send(int from, int to, byte[] datagram, java.util.function.Consumer<byte[]> arrives) {
+    public void send(
+            int from, int to, byte[] datagram, java.util.function.Consumer<byte[]> arrives) {
         sum.reset();
         sum.update(datagram, 0, datagram.length);
         print = (print * 31 + now) * 31 + ((long) from << 44 ^ (long) to << 32 ^ sum.getValue());
@@ -122,11 +130,13 @@
             }
             byte[] carried = bytes;
             long spread = delay.spread(from, to);
-            at(now + delay.least(from, to) + (spread > 0 ? chance.nextLong(spread + 1) : 0), () -> {
-                if (!cut.cuts(from, to)) {
-                    arrives.accept(carried);
-                }
-            });
+            at(
+                    now + delay.least(from, to) + (spread > 0 ? chance.nextLong(spread + 1) : 0),
+                    () -> {
+                        if (!cut.cuts(from, to)) {
+                            arrives.accept(carried);
+                        }
+                    });
         }
     }
 
--- a/src/main/java/cottonlock/membership/Addresses.java
+++ b/src/main/java/cottonlock/membership/Addresses.java
@@ -9,14 +9,17 @@
 import java.util.TreeSet;
 
 /**
- * Where somebody may be found whom nobody here holds for alive: contacts and addresses of the failed at which
- * no living member is known. Kept with each word: looking through all members for it cost more than all else.
+ * Where somebody may be found whom nobody here holds for alive: contacts and addresses of the
+ * failed at which no living member is known. Kept with each word: looking through all members for
+ * it cost more than all else.
  */
 @Decides
 final class Addresses {
     private final Set<String> contacts;
+
     /** How many members that may live, and how many that have failed, have each address. */
     private final Map<String, Integer> living = new HashMap<>();
+
     private final Map<String, Integer> failed = new HashMap<>();
     private final TreeSet<String> open;
 
@@ -36,13 +39,15 @@
     }
 
     private void count(Word w, int by) {
-        Map<String, Integer> which = w.state().lives() ? living : w.state() == State.FAILED ? failed : null;
+        Map<String, Integer> which =
+                w.state().lives() ? living : w.state() == State.FAILED ? failed : null;
         if (which == null) {
             return;
         }
         String address = w.address();
         which.merge(address, by, (a, b) -> a + b == 0 ? null : a + b);
-        if (!living.containsKey(address) && (contacts.contains(address) || failed.containsKey(address))) {
+        if (!living.containsKey(address)
+                && (contacts.contains(address) || failed.containsKey(address))) {
             open.add(address);
         } else {
             open.remove(address);
--- a/src/main/java/cottonlock/membership/Allowance.java
+++ b/src/main/java/cottonlock/membership/Allowance.java
@@ -3,8 +3,8 @@
 import cottonlock.decision.Decides;
 
 /**
- * The bytes that may be sent: in no second more than are allowed. A quarter of them may go at once, three
- * quarters come back in a second.
+ * The bytes that may be sent: in no second more than are allowed. A quarter of them may go at once,
+ * three quarters come back in a second.
  */
 @Decides
 final class Allowance {
--- a/src/main/java/cottonlock/membership/Codec.java
+++ b/src/main/java/cottonlock/membership/Codec.java
@@ -8,34 +8,42 @@
 import java.util.zip.CRC32;
 
 /**
- * Messages as bytes. The first byte begins no UTF-8 text, so that they are told from the module's own
- * datagrams on the same socket; the last four are a check of all before, as UDP's own is short. Numbers are
- * big-endian. docs/membership.md has the layout.
+ * Messages as bytes. The first byte begins no UTF-8 text, so that they are told from the module's
+ * own datagrams on the same socket; the last four are a check of all before, as UDP's own is short.
+ * Numbers are big-endian. docs/membership.md has the layout.
  */
 @Decides
 final class Codec {
     /** The platform's limit for a datagram. */
     static final int LONGEST = 256;
+
     static final int MAGIC = 0xFB;
+
     /** Raised with each change of the layout that an older process would misread. */
     private static final int VERSION = 1;
+
     /** Characters of a name: two words and a head with such names still fit. */
     static final int LONGEST_NAME = 32;
+
     /** An address as text, IPv6 in brackets with a port. */
     static final int LONGEST_ADDRESS = 47;
+
     /** Parts of the names that a view in short has at most. */
     static final int MOST_PARTS = 32;
+
     /** Lives beyond this are nobody's: the year 6429 in milliseconds, with room to raise them. */
     static final long LAST_LIFE = 1L << 47;
+
     private static final int HEARD = 1 << 3;
     private static final int END = 1 << 4;
+
     /** Bytes of the check. */
     private static final int CHECK = 4;
+
     /** Where the flags stand. */
     private static final int FLAGS = 2;
 
-    private Codec() {
-    }
+    private Codec() {}
 
     /** Writes a message's head and its own fields; words may follow. */
     static Writer begin(Message m, int most) {
@@ -78,8 +86,7 @@
                 out.number(m.body.length, 1);
                 out.bytes(m.body);
             }
-            default -> {
-            }
+            default -> {}
         }
         out.words();
         return out;
@@ -88,8 +95,9 @@
     /** Reads a datagram; null for bytes that are none of ours, whatever they are. */
     static Message read(byte[] bytes, int length) {
         int inner = Math.min(length, bytes.length) - CHECK;
-        if (length > LONGEST || inner < 1
-            || new Reader(bytes, inner, CHECK).number(CHECK) != check(bytes, inner)) {
+        if (length > LONGEST
+                || inner < 1
+                || new Reader(bytes, inner, CHECK).number(CHECK) != check(bytes, inner)) {
             return null;
         }
         Reader in = new Reader(bytes, 0, inner);
@@ -98,13 +106,21 @@
         }
         int kind = (int) in.number(1);
         int flags = (int) in.number(1);
-        if (kind >> 4 != VERSION || (kind & 15) >= Kind.values().length || (flags & 7) > 4 || flags > 31) {
+        if (kind >> 4 != VERSION
+                || (kind & 15) >= Kind.values().length
+                || (flags & 7) > 4
+                || flags > 31) {
             return null;
         }
         State state = State.values()[flags & 7];
         Word sender = new Word(in.name(), in.address(), in.life(), in.turn(), state, 0);
-        Message m = new Message(Kind.values()[kind & 15], sender, in.number(4), in.number(8),
-            (int) in.number(2));
+        Message m =
+                new Message(
+                        Kind.values()[kind & 15],
+                        sender,
+                        in.number(4),
+                        in.number(8),
+                        (int) in.number(2));
         m.heard = (flags & HEARD) != 0;
         m.end = (flags & END) != 0;
         switch (m.kind) {
@@ -136,8 +152,7 @@
                 m.topic = (int) in.number(1);
                 m.body = in.bytes((int) in.number(1));
             }
-            default -> {
-            }
+            default -> {}
         }
         int words = (int) in.number(1);
         for (int i = 0; i < words && in.good(); i++) {
@@ -168,6 +183,7 @@
         private final byte[] bytes = new byte[LONGEST];
         private final int most;
         private int at;
+
         /** Where the number of words stands. */
         private int count;
 
@@ -343,8 +359,13 @@
                 return address + ":" + number(2);
             }
             String address = new String(bytes(kind), ISO_8859_1);
-            // Texts alone that are no IPv4: one address has one form, or views could differ for good.
-            expect(kind > 4 && kind <= LONGEST_ADDRESS && isAddress(address) && parts(address) == null);
+            // Texts alone that are no IPv4: one address has one form, or views could differ for
+            // good.
+            expect(
+                    kind > 4
+                            && kind <= LONGEST_ADDRESS
+                            && isAddress(address)
+                            && parts(address) == null);
             return address;
         }
 
--- a/src/main/java/cottonlock/membership/Exchange.java
+++ b/src/main/java/cottonlock/membership/Exchange.java
@@ -13,11 +13,19 @@
  */
 @Decides
 final class Exchange {
-    /** Pages sent at one request, so that a large view takes several requests, and several givers. */
+    /**
+     * Pages sent at one request, so that a large view takes several requests, and several givers.
+     */
     private static final int PAGES = 4;
-    /** Words of news for which it is worth to go on without a longer rest; the longest one, in periods. */
+
+    /**
+     * Words of news for which it is worth to go on without a longer rest; the longest one, in
+     * periods.
+     */
     private static final int WORTH = 2;
+
     private static final int LONGEST_REST = 8;
+
     /** Members of one part of the names, about: what a datagram holds. */
     private static final int PART = 8;
 
@@ -30,12 +38,20 @@
     private final SplittableRandom random;
     private long at = Known.NEVER;
     private long last = Known.NEVER;
+
     /** Between two exchanges, in periods; and what the last one has brought. */
     private int rest = 1;
+
     private int brought;
 
-    Exchange(MembershipRules rules, Table table, Ring ring, Post post, long[] counts, Habits habits,
-             SplittableRandom random) {
+    Exchange(
+            MembershipRules rules,
+            Table table,
+            Ring ring,
+            Post post,
+            long[] counts,
+            Habits habits,
+            SplittableRandom random) {
         this.rules = rules;
         this.table = table;
         this.ring = ring;
@@ -85,8 +101,14 @@
     /** Begins with one of those whose view has differed for long enough. */
     void wake(long now) {
         at = now + pause();
-        List<Known> differing = ring.some(1, table.differing() > 0, k -> k.differs()
-            && now - k.differsSince >= settle() && now - k.heardAt < 4 * rules.period());
+        List<Known> differing =
+                ring.some(
+                        1,
+                        table.differing() > 0,
+                        k ->
+                                k.differs()
+                                        && now - k.differsSince >= settle()
+                                        && now - k.heardAt < 4 * rules.period());
         if (differing.isEmpty() || !habits.mends()) {
             at = now + (table.differing() > 0 ? pause() : 4 * rules.period());
             return;
@@ -124,17 +146,22 @@
         }
     }
 
-    /** Sends the words of one part of the names, in several pages if need be; returns how many it sent. */
+    /**
+     * Sends the words of one part of the names, in several pages if need be; returns how many it
+     * sent.
+     */
     private int page(long now, Known to, int parts, int part, int most) {
         List<Word> words = table.words(parts, part);
-        // Where parts can't get finer they grow beyond what the allowance holds at once, two pages: begun at
+        // Where parts can't get finer they grow beyond what the allowance holds at once, two pages:
+        // begun at
         // the first name each time, the rest would never come.
-        boolean anywhere = parts == Codec.MOST_PARTS && words.size() > PART && habits.beginsAnywhere();
+        boolean anywhere =
+                parts == Codec.MOST_PARTS && words.size() > PART && habits.beginsAnywhere();
         int first = anywhere ? random.nextInt(words.size()) : 0;
         String after = first == 0 ? "" : words.get(first - 1).name();
         int next = first;
         int end = words.size();
-        for (int sent = 0; sent < most;) {
+        for (int sent = 0; sent < most; ) {
             Message m = post.message(Kind.PAGE);
             m.parts = parts;
             m.part = part;
@@ -171,7 +198,8 @@
         List<Word> news = new ArrayList<>();
         for (Known mine : table.between(m.parts, m.part, m.after, last)) {
             Word their = theirs.get(mine.word.name());
-            if (mine != k && (their == null ? mine.word.state().lives() : mine.word.outweighs(their))) {
+            if (mine != k
+                    && (their == null ? mine.word.state().lives() : mine.word.outweighs(their))) {
                 news.add(mine.word);
             }
         }
--- a/src/main/java/cottonlock/membership/Habits.java
+++ b/src/main/java/cottonlock/membership/Habits.java
@@ -2,7 +2,10 @@
 
 import cottonlock.decision.Decides;
 
-/** The choices on which it rests that no view ends in a falsehood; tests put wrong ones in their place. */
+/**
+ * The choices on which it rests that no view ends in a falsehood; tests put wrong ones in their
+ * place.
+ */
 @Decides
 class Habits {
 
@@ -26,10 +29,15 @@
         return s.end();
     }
 
-    /** Whether a failure is taken at another's word: of whoever has been in doubt here for long enough. */
+    /**
+     * Whether a failure is taken at another's word: of whoever has been in doubt here for long
+     * enough.
+     */
     boolean believes(Known k, Word failed, long now) {
-        return k.suspicion != null && k.word.turn() == failed.turn() && k.word.compareLives(failed) == 0
-            && k.suspicion.heard(now);
+        return k.suspicion != null
+                && k.word.turn() == failed.turn()
+                && k.word.compareLives(failed) == 0
+                && k.suspicion.heard(now);
     }
 
     /** Whether it probes a member itself before it calls it failed. */
--- a/src/main/java/cottonlock/membership/Known.java
+++ b/src/main/java/cottonlock/membership/Known.java
@@ -2,39 +2,56 @@
 
 import cottonlock.decision.Decides;
 
-/** One other member as this proxy knows it. Times are tenths of a millisecond; NEVER is before all. */
+/**
+ * One other member as this proxy knows it. Times are tenths of a millisecond; NEVER is before all.
+ */
 @Decides
 final class Known {
     static final long NEVER = Long.MIN_VALUE / 4;
+
     /** Datagrams that may overtake one another; what is older counts as a repetition. */
     private static final int WINDOW = 64;
 
     Word word;
+
     /** Of the word, kept: all are added up often. */
     long mark;
+
     /** Since when it is what it is, and why. */
     long since;
+
     String reason = "";
     final int hash;
+
     /** The last datagram of its own that came here without a detour. */
     long heardAt = NEVER;
+
     /** For how long its module had stood still by then, in hundredths of a second. */
     int lag;
+
     /** The last direct and the last relayed answer to a probe of this proxy. */
     long answeredAt = NEVER;
+
     long relayedAt = NEVER;
+
     /** Whether it said, on the detour, that it hears this proxy directly. */
     boolean hearsMe;
+
     /** Since when its view has differed; NEVER: it does not. */
     long differsSince = NEVER;
+
     /** When it was last told what is held of it. */
     long toldAt = NEVER;
+
     /** While it is in doubt. */
     Suspicion suspicion;
+
     /** Whether others hold it for failed, and it has not been probed from here since. */
     boolean contested;
+
     /** Whether it has been dropped. */
     boolean gone;
+
     private long counter = -1;
     private long seen;
 
@@ -45,7 +62,10 @@
         this.hash = Word.hash(word.name());
     }
 
-    /** Another process under the name: what was heard of the one before says nothing of it, nor its view. */
+    /**
+     * Another process under the name: what was heard of the one before says nothing of it, nor its
+     * view.
+     */
     void startedAnew() {
         heardAt = NEVER;
         answeredAt = NEVER;
--- a/src/main/java/cottonlock/membership/MembersActor.java
+++ b/src/main/java/cottonlock/membership/MembersActor.java
@@ -18,14 +18,18 @@
 import java.util.function.LongSupplier;
 
 /**
- * Carries a {@link Membership} on one UDP socket with one thread. Datagrams that are none of the fleet's go
- * to whoever shares the socket. Its calls may come from any thread.
+ * Carries a {@link Membership} on one UDP socket with one thread. Datagrams that are none of the
+ * fleet's go to whoever shares the socket. Its calls may come from any thread.
  */
 public final class MembersActor implements Runnable {
     /** Milliseconds between looks at whether another process of this proxy has taken over. */
     private static final int LOOK = 100;
-    /** Datagrams that are read before the machine is woken, though its time has come: after a standstill what
-     * has queued up must be heard before anybody is judged, and a flood must not hold it up for good. */
+
+    /**
+     * Datagrams that are read before the machine is woken, though its time has come: after a
+     * standstill what has queued up must be heard before anybody is judged, and a flood must not
+     * hold it up for good.
+     */
     private static final int BACKLOG = 2_048;
 
     /** Who takes the datagrams of others on the same socket. */
@@ -42,8 +46,10 @@
     private final Seal seal;
     private final Membership machine;
     private final String name;
+
     /** Where members are, as sockets need it; bounded, as names come and go. */
     private final Map<String, InetSocketAddress> addresses;
+
     private long wakeAt;
     private volatile boolean closed;
     private boolean standingBy;
@@ -51,20 +57,31 @@
     /**
      * Joins the fleet when it is run.
      *
-     * @param name     this proxy's, the same over its restarts
-     * @param address  where others reach the socket
+     * @param name this proxy's, the same over its restarts
+     * @param address where others reach the socket
      * @param contacts where others may be found
-     * @param closed   whether no other address may belong to one of them
-     * @param life     milliseconds since 1970
-     * @param clock    tenths of a millisecond, never going back
+     * @param closed whether no other address may belong to one of them
+     * @param life milliseconds since 1970
+     * @param clock tenths of a millisecond, never going back
      * @param moduleAt when the module's thread last made progress, by that clock
      * @param replaced whether another process of this proxy serves in its place
      * @throws IOException for a key that can't be had
      */
-    public MembersActor(MembershipPlan plan, DatagramSocket socket, String name, String address,
-                        List<String> contacts, boolean closed, long life, SplittableRandom random,
-                        LongSupplier clock, LongSupplier moduleAt, BooleanSupplier replaced, Others others,
-                        Consumer<String> log) throws IOException {
+    public MembersActor(
+            MembershipPlan plan,
+            DatagramSocket socket,
+            String name,
+            String address,
+            List<String> contacts,
+            boolean closed,
+            long life,
+            SplittableRandom random,
+            LongSupplier clock,
+            LongSupplier moduleAt,
+            BooleanSupplier replaced,
+            Others others,
+            Consumer<String> log)
+            throws IOException {
         this.socket = socket;
         this.clock = clock;
         this.moduleAt = moduleAt;
@@ -80,16 +97,27 @@
         }
         this.seal = keys.isEmpty() ? null : new Seal(keys);
         int most = plan.rules().most() * 2;
-        this.addresses = new LinkedHashMap<>() {
-            private static final long serialVersionUID = 1L;
+        this.addresses =
+                new LinkedHashMap<>() {
+                    private static final long serialVersionUID = 1L;
 
-            @Override
-            protected boolean removeEldestEntry(Map.Entry<String, InetSocketAddress> eldest) {
-                return size() > most;
-            }
-        };
-        this.machine = new Membership(plan.rules(), new Sending(), name, address, contacts, closed, life,
-            seal == null ? 0 : Seal.TAG, random);
+                    @Override
+                    protected boolean removeEldestEntry(
+                            Map.Entry<String, InetSocketAddress> eldest) {
+                        return size() > most;
+                    }
+                };
+        this.machine =
+                new Membership(
+                        plan.rules(),
+                        new Sending(),
+                        name,
+                        address,
+                        contacts,
+                        closed,
+                        life,
+                        seal == null ? 0 : Seal.TAG,
+                        random);
     }
 
     /** What the machine answers through; on this actor's thread, or under its lock. */
@@ -103,15 +131,19 @@
             } catch (IOException | IllegalArgumentException e) {
                 // It counts as lost, as any may be.
                 if (!closed) {
-                    log.accept("a datagram to " + address + " could not be sent: " + e.getMessage());
+                    log.accept(
+                            "a datagram to " + address + " could not be sent: " + e.getMessage());
                 }
             }
         }
 
         @Override
         public void changed(String who, State state, String reason) {
-            log.accept((who.equals(name) ? "this process is " : who + " is ")
-                + state.name().toLowerCase(Locale.ROOT) + ": " + reason);
+            log.accept(
+                    (who.equals(name) ? "this process is " : who + " is ")
+                            + state.name().toLowerCase(Locale.ROOT)
+                            + ": "
+                            + reason);
         }
     }
 
@@ -163,7 +195,10 @@
                 packet.setLength(Codec.LONGEST + 1);
                 socket.receive(packet);
                 read++;
-                came((InetSocketAddress) packet.getSocketAddress(), packet.getData(), packet.getLength());
+                came(
+                        (InetSocketAddress) packet.getSocketAddress(),
+                        packet.getData(),
+                        packet.getLength());
             } catch (SocketTimeoutException e) {
                 quiet = true;
             } catch (IOException e) {
@@ -198,12 +233,17 @@
         }
     }
 
-    /** Says nothing while another process of this proxy speaks for both; begins anew when that has died. */
+    /**
+     * Says nothing while another process of this proxy speaks for both; begins anew when that has
+     * died.
+     */
     private void standBy(boolean silent) {
         if (silent != standingBy) {
             standingBy = silent;
-            log.accept(silent ? "another process of this proxy speaks for both"
-                : "the other process of this proxy is gone, this one speaks again");
+            log.accept(
+                    silent
+                            ? "another process of this proxy speaks for both"
+                            : "the other process of this proxy is gone, this one speaks again");
             if (!silent) {
                 synchronized (machine) {
                     wakeAt = machine.start(clock.getAsLong());
@@ -228,22 +268,51 @@
         }
     }
 
-    /** The view as operators are told it: a line of figures, then one for each member, itself first. */
+    /**
+     * The view as operators are told it: a line of figures, then one for each member, itself first.
+     */
     public String lines() {
         long now = clock.getAsLong();
         View view = view();
         StringBuilder text = new StringBuilder();
-        text.append("view=").append(Long.toHexString(view.digest())).append(" alive=").append(view.alive())
-            .append(" members=").append(view.lines().size()).append(" differs_ms=").append(ms(view.differs()))
-            .append(" self_doubt=").append(view.selfDoubt()).append(" hung=").append(view.hung());
-        view.counts().forEach((count, n) -> text.append(' ').append(count.name().toLowerCase(Locale.ROOT))
-            .append('=').append(n));
+        text.append("view=")
+                .append(Long.toHexString(view.digest()))
+                .append(" alive=")
+                .append(view.alive())
+                .append(" members=")
+                .append(view.lines().size())
+                .append(" differs_ms=")
+                .append(ms(view.differs()))
+                .append(" self_doubt=")
+                .append(view.selfDoubt())
+                .append(" hung=")
+                .append(view.hung());
+        view.counts()
+                .forEach(
+                        (count, n) ->
+                                text.append(' ')
+                                        .append(count.name().toLowerCase(Locale.ROOT))
+                                        .append('=')
+                                        .append(n));
         for (View.Line l : view.lines()) {
-            text.append('\n').append(l.name()).append(' ').append(l.state().name().toLowerCase(Locale.ROOT))
-                .append(' ').append(l.address()).append(" life=").append(l.life()).append(" turn=")
-                .append(l.turn()).append(" since_ms=").append((now - l.since()) / 10).append(" reach=")
-                .append(l.reach().word()).append(" differs_ms=").append(ms(l.differs())).append(" why=")
-                .append(l.reason());
+            text.append('\n')
+                    .append(l.name())
+                    .append(' ')
+                    .append(l.state().name().toLowerCase(Locale.ROOT))
+                    .append(' ')
+                    .append(l.address())
+                    .append(" life=")
+                    .append(l.life())
+                    .append(" turn=")
+                    .append(l.turn())
+                    .append(" since_ms=")
+                    .append((now - l.since()) / 10)
+                    .append(" reach=")
+                    .append(l.reach().word())
+                    .append(" differs_ms=")
+                    .append(ms(l.differs()))
+                    .append(" why=")
+                    .append(l.reason());
         }
         return text.append('\n').toString();
     }
@@ -253,13 +322,22 @@
         View view = view();
         StringBuilder json = new StringBuilder();
         for (State state : State.values()) {
-            json.append(",\"members_").append(state.name().toLowerCase(Locale.ROOT)).append("\":")
-                .append(view.lines().stream().filter(l -> l.state() == state).count());
+            json.append(",\"members_")
+                    .append(state.name().toLowerCase(Locale.ROOT))
+                    .append("\":")
+                    .append(view.lines().stream().filter(l -> l.state() == state).count());
         }
-        json.append(",\"members_differ_ms\":").append(ms(view.differs())).append(",\"members_self_doubt\":")
-            .append(view.selfDoubt());
-        view.counts().forEach((count, n) -> json.append(",\"members_")
-            .append(count.name().toLowerCase(Locale.ROOT)).append("_count\":").append(n));
+        json.append(",\"members_differ_ms\":")
+                .append(ms(view.differs()))
+                .append(",\"members_self_doubt\":")
+                .append(view.selfDoubt());
+        view.counts()
+                .forEach(
+                        (count, n) ->
+                                json.append(",\"members_")
+                                        .append(count.name().toLowerCase(Locale.ROOT))
+                                        .append("_count\":")
+                                        .append(n));
         return json.toString();
     }
 
--- a/src/main/java/cottonlock/membership/Membership.java
+++ b/src/main/java/cottonlock/membership/Membership.java
@@ -16,20 +16,29 @@
 /**
  * What one proxy knows of the others of its tier, and how it finds out.
  *
- * <p>One thread tells it what has come and when its time has come, each with the time in tenths of a
- * millisecond, never going back; it answers by datagrams during the call. It probes one member after the
- * other in shuffled rounds, has others probe who does not answer, and doubts who answers nobody. Doubt that
- * its subject does not clear in time becomes a failure. Changes ride on what is sent anyway; a digest in each
- * datagram tells whose view differs, and what differs is exchanged. docs/membership.md tells why.
+ * <p>One thread tells it what has come and when its time has come, each with the time in tenths of
+ * a millisecond, never going back; it answers by datagrams during the call. It probes one member
+ * after the other in shuffled rounds, has others probe who does not answer, and doubts who answers
+ * nobody. Doubt that its subject does not clear in time becomes a failure. Changes ride on what is
+ * sent anyway; a digest in each datagram tells whose view differs, and what differs is exchanged.
+ * docs/membership.md tells why.
  */
 @Decides
 public final class Membership {
-    /** Tenths of a millisecond: called so much too late, it has stood still itself, as a busy core does. */
+    /**
+     * Tenths of a millisecond: called so much too late, it has stood still itself, as a busy core
+     * does.
+     */
     private static final long STILL = 1_000;
-    /** How often a starting process raises its life above others of its name before it gives way. */
+
+    /**
+     * How often a starting process raises its life above others of its name before it gives way.
+     */
     private static final int RAISES = 4;
+
     /** Periods of silence after which another process of this name is gone. */
     private static final int GONE = 20;
+
     /** How often a leaving process says so, a quarter of a period apart. */
     private static final int FAREWELLS = 3;
 
@@ -41,9 +50,10 @@
         /** A member is something else now, for a reason in words. */
         void changed(String name, State state, String reason);
 
-        /** Another subsystem of that member's process has told something; {@code topic} says which. */
-        default void rode(String name, long life, int topic, byte[] body) {
-        }
+        /**
+         * Another subsystem of that member's process has told something; {@code topic} says which.
+         */
+        default void rode(String name, long life, int topic, byte[] body) {}
     }
 
     private final MembershipRules rules;
@@ -59,15 +69,21 @@
     private final Prober prober;
     private final Exchange exchange;
     private final Set<Known> suspects = new LinkedHashSet<>();
+
     /** When the first of their doubts ends; looked for anew after any of them has changed. */
     private long firstEnd;
+
     private boolean endsChanged = true;
+
     /** Whoever else goes by this name and is the later one; null: nobody. */
     private Word displacedBy;
+
     /** When that one was last heard itself. */
     private long displacedAt;
+
     /** A doubt of this process that it must not clear while its module stands still. */
     private Word accused;
+
     private int raises;
     private int farewells;
     private long wakeAt;
@@ -77,6 +93,7 @@
     private long stateSince;
     private long tidyAt;
     private long moduleAt = Long.MAX_VALUE;
+
     /** Whether what comes is passed over, until it is woken: it has queued up for too long. */
     private boolean deaf;
 
@@ -84,21 +101,42 @@
      * A process that has just started.
      *
      * @param contacts addresses at which others may be found; its own may be among them
-     * @param closed   whether nobody else's address is taken
-     * @param life     milliseconds since 1970, by this machine's clock, however wrong
-     * @param tag      bytes of each datagram that must stay free, for a tag
+     * @param closed whether nobody else's address is taken
+     * @param life milliseconds since 1970, by this machine's clock, however wrong
+     * @param tag bytes of each datagram that must stay free, for a tag
      * @throws IllegalArgumentException for a name that can't be a member's
      */
-    public Membership(MembershipRules rules, Outlet outlet, String name, String address,
-                      List<String> contacts, boolean closed, long life, int tag, SplittableRandom random) {
+    public Membership(
+            MembershipRules rules,
+            Outlet outlet,
+            String name,
+            String address,
+            List<String> contacts,
+            boolean closed,
+            long life,
+            int tag,
+            SplittableRandom random) {
         this(rules, outlet, name, address, contacts, closed, life, tag, random, new Habits());
     }
 
-    Membership(MembershipRules rules, Outlet outlet, String name, String address, List<String> contacts,
-               boolean closed, long life, int tag, SplittableRandom random, Habits habits) {
+    Membership(
+            MembershipRules rules,
+            Outlet outlet,
+            String name,
+            String address,
+            List<String> contacts,
+            boolean closed,
+            long life,
+            int tag,
+            SplittableRandom random,
+            Habits habits) {
         if (!Codec.isName(name)) {
-            throw new IllegalArgumentException("expected a name of 1 to " + Codec.LONGEST_NAME
-                + " letters, digits and marks, found \"" + name + "\"");
+            throw new IllegalArgumentException(
+                    "expected a name of 1 to "
+                            + Codec.LONGEST_NAME
+                            + " letters, digits and marks, found \""
+                            + name
+                            + "\"");
         }
         this.rules = rules;
         this.habits = habits;
@@ -108,15 +146,21 @@
         this.closed = closed;
         this.random = random;
         long begun = Math.max(1, Math.min(life, Codec.LAST_LIFE / 2));
-        this.table = new Table(new Word(name, address, begun, 0, State.JOINING, 0), rules.most(),
-            new Addresses(this.contacts));
+        this.table =
+                new Table(
+                        new Word(name, address, begun, 0, State.JOINING, 0),
+                        rules.most(),
+                        new Addresses(this.contacts));
         this.post = new Post(rules, table, outlet, counts, tag, habits);
         this.ring = new Ring(random);
         this.prober = new Prober(rules, table, ring, post, this::doubt, suspects, random);
         this.exchange = new Exchange(rules, table, ring, post, counts, habits, random);
     }
 
-    /** It begins, or begins anew after another spoke for it; to be called again at the time returned. */
+    /**
+     * It begins, or begins anew after another spoke for it; to be called again at the time
+     * returned.
+     */
     public long start(long now) {
         Word me = table.me();
         if (me.state() != State.JOINING) {
@@ -135,7 +179,9 @@
         return wakeAt;
     }
 
-    /** When the module's thread last made progress: to be told before each call, by the same clock. */
+    /**
+     * When the module's thread last made progress: to be told before each call, by the same clock.
+     */
     public void module(long progressAt) {
         moduleAt = progressAt;
     }
@@ -148,7 +194,9 @@
         return lag(now) > rules.hung();
     }
 
-    /** Something is counted that happened outside: a datagram was turned down before it came here. */
+    /**
+     * Something is counted that happened outside: a datagram was turned down before it came here.
+     */
     public void count(Count what) {
         counts[what.ordinal()]++;
     }
@@ -177,7 +225,8 @@
         } else if (m.sender.name().equals(table.me().name())) {
             // Another process of this name; from this very address it is an echo.
             aboutMe(now, m.sender, m.sender.name());
-            displacedAt = displacedBy != null && from.equals(displacedBy.address()) ? now : displacedAt;
+            displacedAt =
+                    displacedBy != null && from.equals(displacedBy.address()) ? now : displacedAt;
             if (m.kind != Kind.WORDS) {
                 tellOutdated(now, from, table.me());
             }
@@ -190,7 +239,8 @@
     private void heard(long now, Message m, String from) {
         Known k = table.get(m.sender.name());
         if (k != null && k.word.compareLives(m.sender) > 0) {
-            // Of a former life: it may be late, or the process does not know yet that it was there before.
+            // Of a former life: it may be late, or the process does not know yet that it was there
+            // before.
             count(Count.OUTDATED);
             for (Word w : m.words) {
                 // Two that take each other for outdated would never hear why from one another.
@@ -232,8 +282,9 @@
         }
         if (displacedBy == null) {
             act(now, m, k);
-            if (exchange.compare(now, k, m.digest) && table.me().state() == State.JOINING
-                && m.sender.state() == State.ALIVE) {
+            if (exchange.compare(now, k, m.digest)
+                    && table.me().state() == State.JOINING
+                    && m.sender.state() == State.ALIVE) {
                 join(now);
             }
             if (k.accused() && m.kind != Kind.PING) {
@@ -256,8 +307,7 @@
             case MARKS -> exchange.marks(now, m, k, random.nextInt(Codec.MOST_PARTS));
             case PAGE -> exchange.correct(now, m, k);
             case RIDER -> outlet.rode(k.word.name(), k.word.life(), m.topic, m.body);
-            default -> {
-            }
+            default -> {}
         }
     }
 
@@ -278,16 +328,22 @@
                 return true;
             }
         } else if (habits.outweighs(w, k.word)) {
-            if (w.state() == State.FAILED && k.word.state().lives() && !habits.believes(k, w, now)) {
-                // Both sides of a cut have called each other failed: when it heals, that is no news of the
-                // dead. It is looked at from here first; who lives hears of it meanwhile, and contradicts.
+            if (w.state() == State.FAILED
+                    && k.word.state().lives()
+                    && !habits.believes(k, w, now)) {
+                // Both sides of a cut have called each other failed: when it heals, that is no news
+                // of the
+                // dead. It is looked at from here first; who lives hears of it meanwhile, and
+                // contradicts.
                 prober.contest(k);
             } else {
                 changed(now, k, w, false, by(w, teller));
                 return true;
             }
-        } else if (w.state() == State.SUSPECT && k.suspicion != null && !k.word.outweighs(w)
-            && k.suspicion.confirm(w.by())) {
+        } else if (w.state() == State.SUSPECT
+                && k.suspicion != null
+                && !k.word.outweighs(w)
+                && k.suspicion.confirm(w.by())) {
             endsChanged = true;
             post.repeat(w);
         }
@@ -299,8 +355,11 @@
             return w.state() == State.LEFT ? "it says so itself" : "heard from it";
         }
         Known accuser = w.by() == 0 ? null : table.hashed(w.by());
-        return (accuser != null && !accuser.word.name().equals(teller) ? "by the word of "
-            + accuser.word.name() + ", " : "") + "told by " + teller;
+        return (accuser != null && !accuser.word.name().equals(teller)
+                        ? "by the word of " + accuser.word.name() + ", "
+                        : "")
+                + "told by "
+                + teller;
     }
 
     /** A member's word is another now; first: nothing was known of it. */
@@ -318,8 +377,13 @@
         if (w.state() == State.SUSPECT) {
             double fleet = Math.max(1, Math.log10(table.alive() + 1));
             long least = Math.round(rules.suspicion() * fleet * rules.period());
-            k.suspicion = new Suspicion(now, w.by(), least, Math.round(least * rules.longest()),
-                Math.min(rules.confirmations(), table.alive() - 1));
+            k.suspicion =
+                    new Suspicion(
+                            now,
+                            w.by(),
+                            least,
+                            Math.round(least * rules.longest()),
+                            Math.min(rules.confirmations(), table.alive() - 1));
             suspects.add(k);
             prober.urge(k);
         }
@@ -395,15 +459,21 @@
                 tell(now, k);
                 continue;
             }
-            // Nobody is called failed at others' word alone, who may have missed that it has cleared itself.
-            if (!k.suspicion.accusedBy(Word.hash(table.me().name())) && habits.looksItself()
-                && k.suspicion.defer(now, rules.period())) {
+            // Nobody is called failed at others' word alone, who may have missed that it has
+            // cleared itself.
+            if (!k.suspicion.accusedBy(Word.hash(table.me().name()))
+                    && habits.looksItself()
+                    && k.suspicion.defer(now, rules.period())) {
                 prober.contest(k);
                 continue;
             }
             count(Count.FAILURES);
-            String reason = "doubted for " + (now - k.suspicion.since()) / 10 + " ms by "
-                + k.suspicion.accusers() + ", not cleared";
+            String reason =
+                    "doubted for "
+                            + (now - k.suspicion.since()) / 10
+                            + " ms by "
+                            + k.suspicion.accusers()
+                            + ", not cleared";
             changed(now, k, k.word.with(State.FAILED, Word.hash(table.me().name())), false, reason);
         }
     }
@@ -413,20 +483,28 @@
     private void aboutMe(long now, Word w, String teller) {
         Word me = table.me();
         int lives = w.compareLives(me);
-        boolean stranger = closed && !w.address().equals(me.address()) && !contacts.contains(w.address());
+        boolean stranger =
+                closed && !w.address().equals(me.address()) && !contacts.contains(w.address());
         if (lives < 0 || me.state() == State.LEFT || stranger) {
             return;
         }
         if (lives > 0) {
-            boolean starting = me.state() == State.JOINING && displacedBy == null && raises < RAISES;
+            boolean starting =
+                    me.state() == State.JOINING && displacedBy == null && raises < RAISES;
             if (!w.state().lives() || w.address().equals(me.address()) || starting) {
-                // It was this proxy in its former life, whatever the clocks say, or has given the name free.
+                // It was this proxy in its former life, whatever the clocks say, or has given the
+                // name free.
                 raises += starting ? 1 : 0;
                 comeBack(now, w);
             } else {
                 if (displacedBy == null) {
-                    outlet.changed(me.name(), State.LEFT, "displaced: another process at " + w.address()
-                        + " goes by this name and has started later, told by " + teller);
+                    outlet.changed(
+                            me.name(),
+                            State.LEFT,
+                            "displaced: another process at "
+                                    + w.address()
+                                    + " goes by this name and has started later, told by "
+                                    + teller);
                 }
                 displacedAt = displacedBy == null ? now : displacedAt;
                 displacedBy = w;
@@ -435,7 +513,8 @@
             return;
         } else if (w.state() == State.LEFT) {
             be(now, new Word(me.name(), me.address(), habits.begun(w.life()), 0, me.state(), 0));
-        } else if (w.turn() > me.turn() || w.turn() == me.turn() && w.state().compareTo(State.ALIVE) > 0) {
+        } else if (w.turn() > me.turn()
+                || w.turn() == me.turn() && w.state().compareTo(State.ALIVE) > 0) {
             accused = accused == null || w.outweighs(accused) ? w : accused;
             refute(now, teller);
         }
@@ -444,7 +523,10 @@
     /** Begins a life after the one that is told of. */
     private void comeBack(long now, Word before) {
         Word me = table.me();
-        be(now, new Word(me.name(), me.address(), habits.begun(before.life()), 0, State.JOINING, 0));
+        be(
+                now,
+                new Word(
+                        me.name(), me.address(), habits.begun(before.life()), 0, State.JOINING, 0));
         joinUntil = now + rules.join();
         if (displacedBy != null) {
             displacedBy = null;
@@ -457,8 +539,13 @@
         if (accused != null && !hung(now)) {
             Word me = table.me();
             count(Count.REFUTATIONS);
-            outlet.changed(me.name(), me.state(), "contradicts that it is "
-                + accused.state().name().toLowerCase(Locale.ROOT) + ", told by " + teller);
+            outlet.changed(
+                    me.name(),
+                    me.state(),
+                    "contradicts that it is "
+                            + accused.state().name().toLowerCase(Locale.ROOT)
+                            + ", told by "
+                            + teller);
             if (accused.compareLives(me) == 0 && accused.turn() >= me.turn()) {
                 int turn = habits.raised(accused.turn());
                 be(now, new Word(me.name(), me.address(), me.life(), turn, me.state(), 0));
@@ -530,7 +617,9 @@
         return wakeAt;
     }
 
-    /** This process has stood still: what it waited for meanwhile may have come and gone unheard. */
+    /**
+     * This process has stood still: what it waited for meanwhile may have come and gone unheard.
+     */
     private void stood(long now, long late) {
         if (rules.doubts() == 0 || !habits.doubtsItself()) {
             return;
@@ -543,7 +632,8 @@
             k.suspicion.stood(now, late);
         }
         if (late > rules.forget() / 2 && table.me().state() != State.LEFT) {
-            // Others may have forgotten who has died meanwhile: nothing that it knows, or that has waited in
+            // Others may have forgotten who has died meanwhile: nothing that it knows, or that has
+            // waited in
             // its socket, may pass for news.
             deaf = true;
             List.copyOf(table.all()).forEach(this::drop);
@@ -564,7 +654,10 @@
         contactAt = now + rules.period() * (alone ? 1 : rules.contact());
     }
 
-    /** Another process goes by this name: asks it whether it is still there, and one more whether it is. */
+    /**
+     * Another process goes by this name: asks it whether it is still there, and one more whether it
+     * is.
+     */
     private void askAfterMyself(long now) {
         if (now - displacedAt > GONE * rules.period()) {
             comeBack(now, displacedBy);
@@ -579,12 +672,19 @@
 
     /** Takes itself for one of them once its view is theirs, or for the first where nobody is. */
     private void join(long now) {
-        boolean agrees = table.alive() == 0
-            || table.any(k -> k.word.state().lives() && k.heardAt >= startedAt && !k.differs());
+        boolean agrees =
+                table.alive() == 0
+                        || table.any(
+                                k ->
+                                        k.word.state().lives()
+                                                && k.heardAt >= startedAt
+                                                && !k.differs());
         if (agrees || now - startedAt > 5 * rules.join()) {
             be(now, table.me().with(State.ALIVE, 0));
-            outlet.changed(table.me().name(), State.ALIVE,
-                table.alive() == 0 ? "nobody else is there" : "its view is that of others");
+            outlet.changed(
+                    table.me().name(),
+                    State.ALIVE,
+                    table.alive() == 0 ? "nobody else is there" : "its view is that of others");
         } else {
             joinUntil = now + rules.join() / 4;
         }
@@ -649,7 +749,10 @@
     /** Sends what another subsystem tells a live member; false: it could not be sent now. */
     public boolean ride(long now, String name, int topic, byte[] body) {
         Known k = table.get(name);
-        if (k == null || !k.word.state().lives() || table.me().state() == State.LEFT || displacedBy != null) {
+        if (k == null
+                || !k.word.state().lives()
+                || table.me().state() == State.LEFT
+                || displacedBy != null) {
             return false;
         }
         Message m = post.message(Kind.RIDER);
@@ -663,7 +766,9 @@
         return table.alive();
     }
 
-    /** Of the view: those that hold the same members for alive have the same, whatever they doubt. */
+    /**
+     * Of the view: those that hold the same members for alive have the same, whatever they doubt.
+     */
     public long digest() {
         return table.digest();
     }
@@ -678,12 +783,31 @@
     public View view(long now) {
         List<View.Line> lines = new ArrayList<>();
         Word me = table.me();
-        lines.add(new View.Line(me.name(), me.address(), me.life(), me.turn(), me.state(), stateSince,
-            displacedBy == null ? "this process" : "displaced by one at " + displacedBy.address(),
-            View.Reach.SELF, -1));
+        lines.add(
+                new View.Line(
+                        me.name(),
+                        me.address(),
+                        me.life(),
+                        me.turn(),
+                        me.state(),
+                        stateSince,
+                        displacedBy == null
+                                ? "this process"
+                                : "displaced by one at " + displacedBy.address(),
+                        View.Reach.SELF,
+                        -1));
         for (Known k : table.all()) {
-            lines.add(new View.Line(k.word.name(), k.word.address(), k.word.life(), k.word.turn(),
-                k.word.state(), k.since, k.reason, reach(k, now), k.differs() ? now - k.differsSince : -1));
+            lines.add(
+                    new View.Line(
+                            k.word.name(),
+                            k.word.address(),
+                            k.word.life(),
+                            k.word.turn(),
+                            k.word.state(),
+                            k.since,
+                            k.reason,
+                            reach(k, now),
+                            k.differs() ? now - k.differsSince : -1));
         }
         Map<Count, Long> counted = new EnumMap<>(Count.class);
         for (Count c : Count.values()) {
@@ -701,19 +825,38 @@
             return k.answeredAt == Known.NEVER ? View.Reach.UNTRIED : View.Reach.BOTH;
         }
         long round = rules.period() * (table.alive() + 2) * (1 + prober.doubt());
-        return now - k.heardAt < 2 * round ? View.Reach.HEARS_NOT
-            : k.hearsMe ? View.Reach.NOT_HEARD : View.Reach.BY_OTHERS;
+        return now - k.heardAt < 2 * round
+                ? View.Reach.HEARS_NOT
+                : k.hearsMe ? View.Reach.NOT_HEARD : View.Reach.BY_OTHERS;
     }
 
-    /** All that decides what comes next, for whoever plays every order of messages: alike means the same. */
+    /**
+     * All that decides what comes next, for whoever plays every order of messages: alike means the
+     * same.
+     */
     String fingerprint(long now) {
         StringBuilder text = new StringBuilder();
-        text.append(table.me()).append(displacedBy).append(accused).append(raises).append(' ')
-            .append(contactAt - now).append(' ').append(exchange.at() - now).append(' ')
-            .append(joinUntil - now).append('\n').append(prober.fingerprint(now)).append('\n').append(ring);
+        text.append(table.me())
+                .append(displacedBy)
+                .append(accused)
+                .append(raises)
+                .append(' ')
+                .append(contactAt - now)
+                .append(' ')
+                .append(exchange.at() - now)
+                .append(' ')
+                .append(joinUntil - now)
+                .append('\n')
+                .append(prober.fingerprint(now))
+                .append('\n')
+                .append(ring);
         for (Known k : table.all()) {
-            text.append('\n').append(k.word).append(k.differs()).append(k.lag)
-                .append(now - k.heardAt < 3 * rules.period()).append(k.heardAt >= startedAt);
+            text.append('\n')
+                    .append(k.word)
+                    .append(k.differs())
+                    .append(k.lag)
+                    .append(now - k.heardAt < 3 * rules.period())
+                    .append(k.heardAt >= startedAt);
             if (k.suspicion != null) {
                 text.append(k.suspicion.accusers()).append(' ').append(k.suspicion.end() - now);
             }
--- a/src/main/java/cottonlock/membership/Message.java
+++ b/src/main/java/cottonlock/membership/Message.java
@@ -9,7 +9,9 @@
 final class Message {
 
     enum Kind {
-        /** Wants an answer: {@code seq}; {@code target}, empty for whoever is there; {@code behalf}. */
+        /**
+         * Wants an answer: {@code seq}; {@code target}, empty for whoever is there; {@code behalf}.
+         */
         PING,
         /** The answer: {@code seq}, {@code heard}. */
         ACK,
@@ -21,7 +23,9 @@
         NACK,
         /** The sender's view in short: {@code marks}, one for each part of the names. */
         MARKS,
-        /** Words of one part of the names, whole from {@code after} on: {@code parts}, {@code part}. */
+        /**
+         * Words of one part of the names, whole from {@code after} on: {@code parts}, {@code part}.
+         */
         PAGE,
         /** Words alone. */
         WORDS,
@@ -30,26 +34,36 @@
     }
 
     final Kind kind;
+
     /** What the sender says of itself. */
     final Word sender;
+
     /** Counts the sender's datagrams in this life: what comes twice or too late is known by it. */
     final long counter;
+
     /** Of the sender's view. */
     final long digest;
+
     /** For how long the sender's module has stood still, in hundredths of a second. */
     final int lag;
+
     int seq;
     String target = "";
     String address = "";
+
     /** The name of whoever the probe is made for; empty for the sender itself. */
     String behalf = "";
+
     /** Whether the one that probes, or had it done, was heard of late without a detour. */
     boolean heard;
+
     int parts = 1;
     int part;
     String after = "";
+
     /** Whether a page goes on to the last name of its part. */
     boolean end;
+
     int[] marks = {};
     int topic;
     byte[] body = {};
--- a/src/main/java/cottonlock/membership/Post.java
+++ b/src/main/java/cottonlock/membership/Post.java
@@ -7,7 +7,10 @@
 /** Writes and sends datagrams within the allowance, and has changes ride on them. */
 @Decides
 final class Post {
-    /** Part of the allowance that must be left beside what is less urgent than a probe or its answer. */
+    /**
+     * Part of the allowance that must be left beside what is less urgent than a probe or its
+     * answer.
+     */
     static final double SPARE = 0.4;
 
     private final MembershipRules rules;
@@ -20,12 +23,18 @@
     private final Repeats repeats;
     private long counter;
     private int sequence;
+
     /** Hundredths of a second for which the module has stood still. */
     private int lag;
 
     /** Tag: bytes of each datagram that stay free. */
-    Post(MembershipRules rules, Table table, Membership.Outlet outlet, long[] counts, int tag,
-         Habits habits) {
+    Post(
+            MembershipRules rules,
+            Table table,
+            Membership.Outlet outlet,
+            long[] counts,
+            int tag,
+            Habits habits) {
         this.rules = rules;
         this.table = table;
         this.outlet = outlet;
@@ -48,7 +57,8 @@
 
     /** How often a change is told. */
     int times() {
-        return habits.times((int) Math.ceil(rules.repeats() * Math.log(table.alive() + 2) / Math.log(2)));
+        return habits.times(
+                (int) Math.ceil(rules.repeats() * Math.log(table.alive() + 2) / Math.log(2)));
     }
 
     /** Another life of this process begins: its datagrams count anew. */
@@ -89,7 +99,10 @@
         return send(now, to.word.address(), to, m, 0);
     }
 
-    /** The same; to null where nobody is known there yet. First what is held of it, if it is not well. */
+    /**
+     * The same; to null where nobody is known there yet. First what is held of it, if it is not
+     * well.
+     */
     boolean send(long now, String address, Known to, Message m, double rest) {
         Codec.Writer out = begin(m);
         if (to != null && to.accused()) {
--- a/src/main/java/cottonlock/membership/Prober.java
+++ b/src/main/java/cottonlock/membership/Prober.java
@@ -11,16 +11,21 @@
 import java.util.SplittableRandom;
 
 /**
- * Probes one member after the other, directly and by others' help, and makes probes for others. The less it
- * is answered at all, the more it doubts itself, and the longer it takes over everything.
+ * Probes one member after the other, directly and by others' help, and makes probes for others. The
+ * less it is answered at all, the more it doubts itself, and the longer it takes over everything.
  */
 @Decides
 final class Prober {
 
     /** Answers over which losses are remembered: ten seconds of probes. */
     private static final double REMEMBERED = 20;
-    /** The chance of no answer from a living member at which it is doubted: at 0.1 doubts filled all. */
+
+    /**
+     * The chance of no answer from a living member at which it is doubted: at 0.1 doubts filled
+     * all.
+     */
     private static final double UNUSUAL = 0.02;
+
     private static final int MOST_PERIODS = 4;
 
     /** Who is told what came of a probe. */
@@ -34,10 +39,13 @@
         final Known target;
         final int seq;
         final long askAt;
+
         /** Periods that it has gone on for without an answer, this one among them. */
         final int periods;
+
         /** Others that were asked to help; -1: there was nobody to ask; 0: not yet. */
         int asked;
+
         int refused;
         boolean over;
 
@@ -54,8 +62,7 @@
     }
 
     /** A probe made for another member. */
-    private record Favour(int seq, int theirSeq, String asker, String target, long until) {
-    }
+    private record Favour(int seq, int theirSeq, String asker, String target, long until) {}
 
     private final MembershipRules rules;
     private final Table table;
@@ -68,15 +75,24 @@
     private final List<Favour> favours = new ArrayList<>();
     private Probe probe;
     private int doubt;
+
     /** The part of living members that did not answer at once, of late. */
     private double unanswered;
+
     private long roundAt;
+
     /** When this process last heard anybody. */
     private long heardAt = Known.NEVER;
 
     /** Suspects: all that are in doubt, as they stand at any time. */
-    Prober(MembershipRules rules, Table table, Ring ring, Post post, Judge judge, Collection<Known> suspects,
-           SplittableRandom random) {
+    Prober(
+            MembershipRules rules,
+            Table table,
+            Ring ring,
+            Post post,
+            Judge judge,
+            Collection<Known> suspects,
+            SplittableRandom random) {
         this.rules = rules;
         this.table = table;
         this.ring = ring;
@@ -111,14 +127,21 @@
         doubt = Math.max(0, doubt - 1);
     }
 
-    /** Somebody else doubts it: of a large fleet some look at once, by chance, or it could not answer all. */
+    /**
+     * Somebody else doubts it: of a large fleet some look at once, by chance, or it could not
+     * answer all.
+     */
     void urge(Known k) {
-        if (random.nextInt(1 + table.alive()) < 2 * rules.confirmations() && urgent.size() < rules.most()) {
+        if (random.nextInt(1 + table.alive()) < 2 * rules.confirmations()
+                && urgent.size() < rules.most()) {
             urgent.add(k);
         }
     }
 
-    /** Others hold one for failed, or are about to, whom this process has not found so: it looks soon. */
+    /**
+     * Others hold one for failed, or are about to, whom this process has not found so: it looks
+     * soon.
+     */
     void contest(Known k) {
         if (!k.contested && urgent.size() < rules.most()) {
             k.contested = true;
@@ -151,7 +174,8 @@
     private void round(long now) {
         if (probe != null && !probe.over) {
             probe.over = true;
-            // Of those asked for help none has answered either, or nobody at all: the fault may lie here.
+            // Of those asked for help none has answered either, or nobody at all: the fault may lie
+            // here.
             if (probe.asked > 0 ? probe.refused == 0 : now - heardAt > 2 * rules.period()) {
                 doubtMore(1);
             }
@@ -160,8 +184,12 @@
                 begin(now, probe.target, probe.periods + 1);
                 return;
             }
-            judge.doubt(now, probe.target, "no answer to " + table.me().name()
-                + (probe.asked > 0 ? " nor to " + probe.asked + " others" : ""));
+            judge.doubt(
+                    now,
+                    probe.target,
+                    "no answer to "
+                            + table.me().name()
+                            + (probe.asked > 0 ? " nor to " + probe.asked + " others" : ""));
         }
         if (probe != null) {
             probe.target.contested = false;
@@ -181,7 +209,10 @@
         ping(now, target, probe.seq);
     }
 
-    /** How many periods without an answer are unusual enough, by what is lost of late on living members. */
+    /**
+     * How many periods without an answer are unusual enough, by what is lost of late on living
+     * members.
+     */
     private int periodsNeeded() {
         double through = Math.sqrt(1 - unanswered);
         double helped = Math.pow(1 - Math.pow(through, 4), rules.helpers());
@@ -205,11 +236,16 @@
         post.send(now, target, m);
     }
 
-    /** Whom this process doubts hears of it from here, and need not wait for the word to go round. */
+    /**
+     * Whom this process doubts hears of it from here, and need not wait for the word to go round.
+     */
     private void remind(long now) {
         int self = Word.hash(table.me().name());
-        List<Known> mine = ring.some(1, !suspects.isEmpty(),
-            k -> k.suspicion != null && k.suspicion.accusedBy(self));
+        List<Known> mine =
+                ring.some(
+                        1,
+                        !suspects.isEmpty(),
+                        k -> k.suspicion != null && k.suspicion.accusedBy(self));
         if (!mine.isEmpty()) {
             ping(now, mine.get(0), post.next());
         }
@@ -219,8 +255,9 @@
         int self = Word.hash(table.me().name());
         while (!urgent.isEmpty()) {
             Known k = urgent.poll();
-            if (!k.gone && k.word.state().lives()
-                && (k.contested || k.suspicion != null && !k.suspicion.accusedBy(self))) {
+            if (!k.gone
+                    && k.word.state().lives()
+                    && (k.contested || k.suspicion != null && !k.suspicion.accusedBy(self))) {
                 return k;
             }
             k.contested = false;
@@ -229,12 +266,20 @@
     }
 
     private void askOthers(long now) {
-        // Of those that were heard of late: beyond a cut nobody helps, and that says nothing of this side.
-        List<Known> helpers = ring.some(rules.helpers(), k -> k != probe.target
-            && k.word.state() == State.ALIVE && now - k.heardAt < 4 * rules.period());
+        // Of those that were heard of late: beyond a cut nobody helps, and that says nothing of
+        // this side.
+        List<Known> helpers =
+                ring.some(
+                        rules.helpers(),
+                        k ->
+                                k != probe.target
+                                        && k.word.state() == State.ALIVE
+                                        && now - k.heardAt < 4 * rules.period());
         if (helpers.isEmpty()) {
-            helpers = ring.some(rules.helpers(),
-                k -> k != probe.target && k.word.state() == State.ALIVE);
+            helpers =
+                    ring.some(
+                            rules.helpers(),
+                            k -> k != probe.target && k.word.state() == State.ALIVE);
         }
         for (Known helper : helpers) {
             Message m = post.message(Kind.ASK, probe.seq);
@@ -269,7 +314,10 @@
         }
     }
 
-    /** Whether a module that has stood still for so many hundredths of a second still counts as serving. */
+    /**
+     * Whether a module that has stood still for so many hundredths of a second still counts as
+     * serving.
+     */
     boolean sound(int hundredths) {
         return hundredths * 100L <= rules.hung();
     }
@@ -314,11 +362,17 @@
     String fingerprint(long now) {
         StringBuilder text = new StringBuilder().append(doubt).append(' ').append(roundAt - now);
         if (probe != null) {
-            text.append(' ').append(probe.target.word.name()).append(probe.over).append(probe.asked)
-                .append(probe.periods)
-                .append(probe.refused).append(' ').append(probe.askAt - now);
+            text.append(' ')
+                    .append(probe.target.word.name())
+                    .append(probe.over)
+                    .append(probe.asked)
+                    .append(probe.periods)
+                    .append(probe.refused)
+                    .append(' ')
+                    .append(probe.askAt - now);
         }
-        favours.forEach(f -> text.append(' ').append(f.asker).append(f.target).append(f.until - now));
+        favours.forEach(
+                f -> text.append(' ').append(f.asker).append(f.target).append(f.until - now));
         urgent.forEach(k -> text.append(' ').append(k.word.name()));
         return text.toString();
     }
--- a/src/main/java/cottonlock/membership/Repeats.java
+++ b/src/main/java/cottonlock/membership/Repeats.java
@@ -9,7 +9,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Changes that ride on what is sent anyway: the least told first, each a bounded number of times. */
+/**
+ * Changes that ride on what is sent anyway: the least told first, each a bounded number of times.
+ */
 @Decides
 final class Repeats {
     /** A word that is being told, until another on the same name is. */
@@ -25,9 +27,12 @@
 
     /** The newest word on each name: one that has been outweighed is not told any more. */
     private final Map<String, Telling> newest = new HashMap<>();
+
     /** By how often they were told. */
     private final List<Deque<Telling>> told = new ArrayList<>();
+
     private final int room;
+
     /** Of all that are waiting, those that have been outweighed among them. */
     private int count;
 
@@ -45,7 +50,7 @@
         }
         at(0).addFirst(telling);
         count++;
-        for (int times = told.size() - 1; times >= 0 && count > 2 * room;) {
+        for (int times = told.size() - 1; times >= 0 && count > 2 * room; ) {
             Telling old = told.get(times).pollLast();
             if (old == null) {
                 times--;
@@ -69,12 +74,15 @@
         return told.get(times);
     }
 
-    /** Fills a datagram; {@code most} times is each told. Without {@code about}, which is in it already. */
+    /**
+     * Fills a datagram; {@code most} times is each told. Without {@code about}, which is in it
+     * already.
+     */
     void fill(Codec.Writer out, int most, String about) {
         boolean room = true;
         List<Telling> again = new ArrayList<>();
         for (int times = 0; times < told.size() && room; times++) {
-            for (Iterator<Telling> i = told.get(times).iterator(); i.hasNext() && room;) {
+            for (Iterator<Telling> i = told.get(times).iterator(); i.hasNext() && room; ) {
                 Telling t = i.next();
                 if (t.outdated || times >= most) {
                     i.remove();
--- a/src/main/java/cottonlock/membership/Ring.java
+++ b/src/main/java/cottonlock/membership/Ring.java
@@ -18,7 +18,9 @@
         this.random = random;
     }
 
-    /** A newcomer gets a random place in what is left of the round, so that rounds stay shuffled. */
+    /**
+     * A newcomer gets a random place in what is left of the round, so that rounds stay shuffled.
+     */
     void add(Known k) {
         order.add(place + random.nextInt(order.size() - place + 1), k);
     }
@@ -48,7 +50,10 @@
         return null;
     }
 
-    /** Some of those that are wanted, from a random place on: a stretch of what is shuffled is random. */
+    /**
+     * Some of those that are wanted, from a random place on: a stretch of what is shuffled is
+     * random.
+     */
     List<Known> some(int most, Predicate<Known> wanted) {
         return some(most, true, wanted);
     }
--- a/src/main/java/cottonlock/membership/Seal.java
+++ b/src/main/java/cottonlock/membership/Seal.java
@@ -10,13 +10,19 @@
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 
-/** Tags datagrams with a key that the fleet shares, and tells which bear another's tag. For one thread. */
+/**
+ * Tags datagrams with a key that the fleet shares, and tells which bear another's tag. For one
+ * thread.
+ */
 final class Seal {
     /** Bytes of a tag: half of what the algorithm makes, as its standard allows. */
     static final int TAG = 16;
+
     private static final String ALGORITHM = "HmacSHA256";
+
     /** Bytes of a key: shorter ones can be guessed, longer ones are no keys. */
     private static final int SHORTEST = 16;
+
     private static final int LONGEST = 4_096;
 
     private final List<Mac> macs = new ArrayList<>();
@@ -54,8 +60,14 @@
             to--;
         }
         if (to - from < SHORTEST) {
-            throw new IOException("the key file " + file + " holds no key of " + SHORTEST + " to " + LONGEST
-                + " bytes");
+            throw new IOException(
+                    "the key file "
+                            + file
+                            + " holds no key of "
+                            + SHORTEST
+                            + " to "
+                            + LONGEST
+                            + " bytes");
         }
         return Arrays.copyOfRange(bytes, from, to);
     }
--- a/src/main/java/cottonlock/membership/State.java
+++ b/src/main/java/cottonlock/membership/State.java
@@ -1,6 +1,9 @@
 package cottonlock.membership;
 
-/** What a member is held for. Of the same turn of the same life, a later one outweighs an earlier one. */
+/**
+ * What a member is held for. Of the same turn of the same life, a later one outweighs an earlier
+ * one.
+ */
 public enum State {
     /** It has started, and does not know the others yet. */
     JOINING,
--- a/src/main/java/cottonlock/membership/Suspicion.java
+++ b/src/main/java/cottonlock/membership/Suspicion.java
@@ -5,19 +5,25 @@
 import java.util.List;
 
 /**
- * One doubt of one member: it lasts long while one accuser stands alone, whose own ears may be at fault, and
- * the shorter the more others say the same. Times are tenths of a millisecond.
+ * One doubt of one member: it lasts long while one accuser stands alone, whose own ears may be at
+ * fault, and the shorter the more others say the same. Times are tenths of a millisecond.
  */
 @Decides
 final class Suspicion {
     private final long least;
     private final long most;
     private final int needed;
+
     /** The accusers, as many as count; the first began it. */
     private final List<Integer> by = new ArrayList<>();
+
     private long since;
-    /** The part of the time between the longest and the shortest that the accusers have taken off. */
+
+    /**
+     * The part of the time between the longest and the shortest that the accusers have taken off.
+     */
     private double part;
+
     /** Not before this, whatever others say. */
     private long notBefore;
 
@@ -66,7 +72,9 @@
         return Math.max(notBefore, since + Math.round(most - (most - least) * part));
     }
 
-    /** Whoever judges has stood still: that time counts for nothing, and a refutation may be late. */
+    /**
+     * Whoever judges has stood still: that time counts for nothing, and a refutation may be late.
+     */
     void stood(long now, long stoodStill) {
         since += stoodStill;
         notBefore = now + least;
--- a/src/main/java/cottonlock/membership/Table.java
+++ b/src/main/java/cottonlock/membership/Table.java
@@ -8,24 +8,36 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** The members that one process knows, itself among them, in the order of their names, and their digest. */
+/**
+ * The members that one process knows, itself among them, in the order of their names, and their
+ * digest.
+ */
 @Decides
 final class Table {
     private final int most;
     private final List<Known> others = new ArrayList<>();
+
     /** Whether they stand in the order of their names just now. */
     private boolean sorted = true;
+
     /** The same by the hashes of their names. */
     private final Map<Integer, Known> byHash = new HashMap<>();
+
     /** Whether two names have ever had one hash: then all are looked through. */
     private boolean alike;
+
     private final Addresses addresses;
-    /** By part of the names, each in the order of the names; and the sum of the marks of its living. */
+
+    /**
+     * By part of the names, each in the order of the names; and the sum of the marks of its living.
+     */
     private final List<List<Known>> byPart = new ArrayList<>();
+
     private final int[] marks = new int[Codec.MOST_PARTS];
     private Word me;
     private long digest;
     private int alive;
+
     /** Members that may live and whose view differs. */
     private int differing;
 
@@ -69,7 +81,8 @@
             }
             return null;
         }
-        // A tree asks a dozen names for each word of each datagram, and none of them is near the processor.
+        // A tree asks a dozen names for each word of each datagram, and none of them is near the
+        // processor.
         Known k = byHash.get(Word.hash(name));
         return k != null && k.word.name().equals(name) ? k : null;
     }
@@ -156,8 +169,8 @@
         long mark = w.mark();
         digest += (lives ? mark : 0) - (lived ? k.mark : 0);
         alive += (lives ? 1 : 0) - (lived ? 1 : 0);
-        marks[k.part(Codec.MOST_PARTS)] += (lives ? (int) (mark >>> 32) : 0)
-            - (lived ? (int) (k.mark >>> 32) : 0);
+        marks[k.part(Codec.MOST_PARTS)] +=
+                (lives ? (int) (mark >>> 32) : 0) - (lived ? (int) (k.mark >>> 32) : 0);
         differing -= k.differs() ? 1 : 0;
         if (counted) {
             addresses.remove(k.word);
@@ -218,7 +231,9 @@
         return Math.floorMod(Word.hash(me.name()), parts);
     }
 
-    /** The words on all that may live in one part of the names, this process among them, by name. */
+    /**
+     * The words on all that may live in one part of the names, this process among them, by name.
+     */
     List<Word> words(int parts, int part) {
         List<Word> words = new ArrayList<>();
         boolean mine = myPart(parts) == part;
--- a/src/main/java/cottonlock/membership/View.java
+++ b/src/main/java/cottonlock/membership/View.java
@@ -6,22 +6,25 @@
 /**
  * What one proxy holds of the fleet at one moment, itself first.
  *
- * @param digest    two views with the same members that may live have the same
+ * @param digest two views with the same members that may live have the same
  * @param selfDoubt how far this process doubts itself; 0: not at all
- * @param hung      whether its module stands still
+ * @param hung whether its module stands still
  */
-public record View(List<Line> lines, long digest, int selfDoubt, boolean hung, Map<Count, Long> counts) {
+public record View(
+        List<Line> lines, long digest, int selfDoubt, boolean hung, Map<Count, Long> counts) {
 
     /** How one proxy reaches another. */
     public enum Reach {
-        SELF, BOTH,
+        SELF,
+        BOTH,
         /** It is heard, but does not hear this proxy; others reach it. */
         HEARS_NOT,
         /** It hears this proxy, but is not heard; others hear it. */
         NOT_HEARD,
         /** Neither way; others reach it. */
         BY_OTHERS,
-        UNTRIED, NONE;
+        UNTRIED,
+        NONE;
 
         /** In a word, for people and programs. */
         public String word() {
@@ -32,20 +35,30 @@
     /**
      * One member.
      *
-     * @param since   by the process's own clock, tenths of a millisecond
-     * @param reason  why it is in that state, and by whose word
+     * @param since by the process's own clock, tenths of a millisecond
+     * @param reason why it is in that state, and by whose word
      * @param differs for how long its view has differed from this one; -1: it does not
      */
-    public record Line(String name, String address, long life, int turn, State state, long since,
-                       String reason, Reach reach, long differs) {
-    }
+    public record Line(
+            String name,
+            String address,
+            long life,
+            int turn,
+            State state,
+            long since,
+            String reason,
+            Reach reach,
+            long differs) {}
 
     /** Members that may be there, this one among them. */
     public int alive() {
         return (int) lines.stream().filter(l -> l.state().lives()).count();
     }
 
-    /** For how long the view of any live member has differed, tenths of a millisecond; -1: all agree. */
+    /**
+     * For how long the view of any live member has differed, tenths of a millisecond; -1: all
+     * agree.
+     */
     public long differs() {
         return lines.stream().mapToLong(Line::differs).max().orElse(-1);
     }
--- a/src/main/java/cottonlock/membership/Word.java
+++ b/src/main/java/cottonlock/membership/Word.java
@@ -4,16 +4,17 @@
 import cottonlock.decision.Hash;
 
 /**
- * What is said of one member. Words on the same name are in one order, and the highest holds wherever it has
- * come to, by whatever way and in whatever order: so views that hear the same words agree.
+ * What is said of one member. Words on the same name are in one order, and the highest holds
+ * wherever it has come to, by whatever way and in whatever order: so views that hear the same words
+ * agree.
  *
- * @param name    of the proxy, the same over its restarts
+ * @param name of the proxy, the same over its restarts
  * @param address where its datagrams come from and go to
- * @param life    of the process: begun with the milliseconds since 1970 at its start, raised by itself where
- *                another was known; only the process itself begins one
- * @param turn    raised by the process itself whenever it must contradict
- * @param by      a hash of the name of whoever doubts it or holds it for failed; 0 for its own word. It does
- *                not count in the order
+ * @param life of the process: begun with the milliseconds since 1970 at its start, raised by itself
+ *     where another was known; only the process itself begins one
+ * @param turn raised by the process itself whenever it must contradict
+ * @param by a hash of the name of whoever doubts it or holds it for failed; 0 for its own word. It
+ *     does not count in the order
  */
 @Decides
 record Word(String name, String address, long life, int turn, State state, int by) {
@@ -27,9 +28,13 @@
         return order != 0 ? order > 0 : state.compareTo(other.state) > 0;
     }
 
-    /** Which process is the later one of that name; two of the same millisecond are told by address. */
+    /**
+     * Which process is the later one of that name; two of the same millisecond are told by address.
+     */
     int compareLives(Word other) {
-        return life != other.life ? Long.compare(life, other.life) : address.compareTo(other.address);
+        return life != other.life
+                ? Long.compare(life, other.life)
+                : address.compareTo(other.address);
     }
 
     Word with(State other, int accuser) {
@@ -37,12 +42,13 @@
     }
 
     /**
-     * For digests: two views are alike when the sums of these are. Doubts don't count: they come and go, and
-     * what they lead to does.
+     * For digests: two views are alike when the sums of these are. Doubts don't count: they come
+     * and go, and what they lead to does.
      */
     long mark() {
         long who = Hash.of((state == State.JOINING ? 1 : 0) + 2 * turn, name);
-        // A product: of sums of parts, two members that exchange their addresses would go unnoticed.
+        // A product: of sums of parts, two members that exchange their addresses would go
+        // unnoticed.
         return who * (Hash.of(Long.hashCode(life), address) | 1);
     }
 
--- a/src/main/java/cottonlock/net/Admission.java
+++ b/src/main/java/cottonlock/net/Admission.java
@@ -6,13 +6,18 @@
 
 /** Takes in a client's request, or says what is wrong with it. */
 final class Admission {
-    /** What passing the answer on may take, in tenths of a millisecond: a busy core's few milliseconds. */
+    /**
+     * What passing the answer on may take, in tenths of a millisecond: a busy core's few
+     * milliseconds.
+     */
     private static final long RESERVE = 100;
 
     private final Clock clock;
     private volatile Rules rules;
+
     /** By the module's clock: all requests are over by then, as the program leaves. */
     private volatile long leaving = Long.MAX_VALUE;
+
     private final Set<String> openIds = ConcurrentHashMap.newKeySet();
 
     Admission(Clock clock, Rules rules) {
@@ -20,13 +25,18 @@
         this.rules = rules;
     }
 
-    /** What comes from now on is taken in by these; what has been taken keeps the category it came with. */
+    /**
+     * What comes from now on is taken in by these; what has been taken keeps the category it came
+     * with.
+     */
     void follow(Rules other) {
         rules = other;
     }
 
-    /** The proxy leaves in so many milliseconds: what comes from now on is answered before that. Returns by
-     * when, by the module's clock. */
+    /**
+     * The proxy leaves in so many milliseconds: what comes from now on is answered before that.
+     * Returns by when, by the module's clock.
+     */
     long endWithin(long millis) {
         leaving = clock.now() + millis * 10 - RESERVE;
         return leaving;
@@ -38,9 +48,15 @@
     }
 
     /** A request that is taken in as soon as its body is there. */
-    record Asked(Head head, String id, String idempotencyKey, int category, String name, int tenant,
-                 String tenantName, long patience) {
-    }
+    record Asked(
+            Head head,
+            String id,
+            String idempotencyKey,
+            int category,
+            String name,
+            int tenant,
+            String tenantName,
+            long patience) {}
 
     /** Judges a head by itself: a long body behind a bad one need not be read. */
     Asked asked(Head head) throws BadMessage {
@@ -70,32 +86,41 @@
         String tenantName = head.only("X-Tenant-Id");
         int tenant = in.tenantNames.isEmpty() ? 0 : in.tenantNames.indexOf(tenantName);
         if (tenant < 0) {
-            throw new BadMessage(400, tenantName == null ? "no X-Tenant-Id"
-                : "unknown tenant in X-Tenant-Id");
+            throw new BadMessage(
+                    400, tenantName == null ? "no X-Tenant-Id" : "unknown tenant in X-Tenant-Id");
         }
         String idempotencyKey = head.only("Idempotency-Key");
-        if (idempotencyKey == null && in.categories.get(category).repeat() == Category.Repeat.KEYED) {
+        if (idempotencyKey == null
+                && in.categories.get(category).repeat() == Category.Repeat.KEYED) {
             // Sent on without it, a repeat could not be known, and would have its effect twice.
             throw new BadMessage(400, "no Idempotency-Key, which this category needs");
         }
         String patience = head.only("X-Timeout-Ms");
         if (patience == null || !HttpReader.digits(patience)) {
-            throw new BadMessage(400, patience == null ? "no X-Timeout-Ms"
-                : "X-Timeout-Ms is not a number of whole milliseconds");
+            throw new BadMessage(
+                    400,
+                    patience == null
+                            ? "no X-Timeout-Ms"
+                            : "X-Timeout-Ms is not a number of whole milliseconds");
         }
         long wait = Math.min(in.longest(category) / 10, Long.parseLong(patience)) * 10 - RESERVE;
-        return new Asked(head, requestId, idempotencyKey, category, first, tenant, tenantName, wait);
+        return new Asked(
+                head, requestId, idempotencyKey, category, first, tenant, tenantName, wait);
     }
 
-    /** The request, whose last byte came so many nanoseconds ago: from then on its time counts. It may have
-     * waited behind another one, and would be given, and its backends told, time that its client has not. */
+    /**
+     * The request, whose last byte came so many nanoseconds ago: from then on its time counts. It
+     * may have waited behind another one, and would be given, and its backends told, time that its
+     * client has not.
+     */
     ClientRequest request(Client client, Asked asked, Body body, long age) throws BadMessage {
         long spent = (age + 99_999) / 100_000;
         // Taken but unanswered when the program is killed, it would be lost.
         long expiry = Math.min(clock.now() - spent + asked.patience, leaving);
         ClientRequest request = new ClientRequest(client, asked, body, expiry, openIds);
         if (!openIds.add(asked.id)) {
-            // Backends know a request by its id: the other one would get this one's answer, or none.
+            // Backends know a request by its id: the other one would get this one's answer, or
+            // none.
             throw new BadMessage(409, "the id of a request that is under way");
         }
         return request;
--- a/src/main/java/cottonlock/net/BackendActor.java
+++ b/src/main/java/cottonlock/net/BackendActor.java
@@ -13,11 +13,16 @@
 final class BackendActor implements Runnable {
     /** More than the sockets there are: what the connections tell always fits. */
     private static final int MOST = 4_096;
+
     /** Parts of the idle time after which a connection is retired, before the backend does it. */
     private static final double RETIRE = 0.8;
-    /** Nanoseconds after an answer within which a second one may come, some milliseconds late: used again at
-     * once, the connection would give it to the next attempt. Seen: 0.1 to 4 ms. */
+
+    /**
+     * Nanoseconds after an answer within which a second one may come, some milliseconds late: used
+     * again at once, the connection would give it to the next attempt. Seen: 0.1 to 4 ms.
+     */
     static final long SETTLE = 5_000_000;
+
     /** How often the resting connections are looked through at least, in microseconds. */
     private static final long LOOK = 500_000;
 
@@ -37,22 +42,48 @@
     private InetSocketAddress address;
     private final Deque<BackendConnection> resting = new ArrayDeque<>();
     private final Set<BackendConnection> connections = new HashSet<>();
-    /** Attempts that wait for connections to settle: sooner than a new one is up, which also costs more. */
+
+    /**
+     * Attempts that wait for connections to settle: sooner than a new one is up, which also costs
+     * more.
+     */
     private final Deque<ClientRequest.Attempt> held = new ArrayDeque<>();
+
     private boolean leaving;
-    /** Whether it has a thread, or is just being given one: from its first attempt on, for many a list names
-     * hundreds of which a balancer needs a few. Until then the module's thread owns what it holds. */
+
+    /**
+     * Whether it has a thread, or is just being given one: from its first attempt on, for many a
+     * list names hundreds of which a balancer needs a few. Until then the module's thread owns what
+     * it holds.
+     */
     private volatile boolean begun;
-    /** Whether no thread could be had: what waits is settled by the one that should have started it. */
+
+    /**
+     * Whether no thread could be had: what waits is settled by the one that should have started it.
+     */
     private boolean threadless;
-    /** What the list and the operators said last; told by the module's thread, looked at where bytes go
-     * out. */
+
+    /**
+     * What the list and the operators said last; told by the module's thread, looked at where bytes
+     * go out.
+     */
     private volatile boolean ready = true;
 
     /** Times in milliseconds; how long a connection settles, in nanoseconds. */
-    BackendActor(InetSocketAddress address, ConnectionPermits permits, KeepAlive keepAlive, Workers workers,
-                 long connectLimit, long idle, long settle, Buffers buffers, HttpWriter writer,
-                 Watchdog watchdog, Clock clock, Figures figures, Log log) {
+    BackendActor(
+            InetSocketAddress address,
+            ConnectionPermits permits,
+            KeepAlive keepAlive,
+            Workers workers,
+            long connectLimit,
+            long idle,
+            long settle,
+            Buffers buffers,
+            HttpWriter writer,
+            Watchdog watchdog,
+            Clock clock,
+            Figures figures,
+            Log log) {
         this.address = address;
         this.permits = permits;
         this.keepAlive = keepAlive;
@@ -69,7 +100,9 @@
         this.mailbox = new Mailbox(MOST, log);
     }
 
-    /** From the module's thread, behind the attempt: true where the caller has to have it started. */
+    /**
+     * From the module's thread, behind the attempt: true where the caller has to have it started.
+     */
     boolean begins() {
         boolean first = !begun;
         begun = true;
@@ -86,7 +119,8 @@
         try {
             Sockets.start("backend", this);
         } catch (OutOfMemoryError e) {
-            // No thread can be had: these attempts fail, the next one tries again, the proxy must not end.
+            // No thread can be had: these attempts fail, the next one tries again, the proxy must
+            // not end.
             log.warn("no thread", "attempts got no connection");
             begun = false;
             threadless = true;
@@ -129,7 +163,9 @@
         return mailbox.offer(() -> send(attempt));
     }
 
-    /** From the module's thread: without a thread it has no connections, and nobody to read this. */
+    /**
+     * From the module's thread: without a thread it has no connections, and nobody to read this.
+     */
     private void tell(Runnable message) {
         if (begun) {
             mailbox.offer(message);
@@ -141,49 +177,54 @@
         if (!begun) {
             address = now;
         }
-        tell(() -> {
-            if (!now.equals(address)) {
-                address = now;
-                resting.forEach(BackendConnection::kill);
-                resting.clear();
-            }
-        });
+        tell(
+                () -> {
+                    if (!now.equals(address)) {
+                        address = now;
+                        resting.forEach(BackendConnection::kill);
+                        resting.clear();
+                    }
+                });
     }
 
     /** From the module's thread: it has gone from the list; what is out may still end. */
     void leave() {
         ready = false;
-        tell(() -> {
-            leaving = true;
-            resting.forEach(BackendConnection::kill);
-            resting.clear();
-        });
+        tell(
+                () -> {
+                    leaving = true;
+                    resting.forEach(BackendConnection::kill);
+                    resting.clear();
+                });
     }
 
     /** From the module's thread: what rests is worth less than it costs. */
     void release() {
-        tell(() -> {
-            resting.forEach(BackendConnection::kill);
-            resting.clear();
-        });
+        tell(
+                () -> {
+                    resting.forEach(BackendConnection::kill);
+                    resting.clear();
+                });
     }
 
     /** From another backend's actor: sockets have run out, so the longest at rest is closed. */
     void spareOne() {
-        mailbox.offer(() -> {
-            BackendConnection spare = resting.pollFirst();
-            if (spare != null) {
-                spare.kill();
-            }
-        });
+        mailbox.offer(
+                () -> {
+                    BackendConnection spare = resting.pollFirst();
+                    if (spare != null) {
+                        spare.kill();
+                    }
+                });
     }
 
     /** The proxy closes: nothing that is out is waited for. */
     void end() {
-        tell(() -> {
-            leaving = true;
-            connections.forEach(BackendConnection::kill);
-        });
+        tell(
+                () -> {
+                    leaving = true;
+                    connections.forEach(BackendConnection::kill);
+                });
     }
 
     /** For tests alone: carried out on its thread, after all that it has been told. */
@@ -193,17 +234,23 @@
 
     /** From a connection: its attempt is over and it may carry the next. */
     void rests(BackendConnection connection) {
-        mailbox.put(() -> {
-            if (leaving || !connection.address().equals(address) || !keepAlive.worthwhile()) {
-                connection.kill();
-            } else {
-                connection.restingSince = System.nanoTime();
-                resting.addLast(connection);
-            }
-        });
+        mailbox.put(
+                () -> {
+                    if (leaving
+                            || !connection.address().equals(address)
+                            || !keepAlive.worthwhile()) {
+                        connection.kill();
+                    } else {
+                        connection.restingSince = System.nanoTime();
+                        resting.addLast(connection);
+                    }
+                });
     }
 
-    /** From a connection: its attempt, not its first, broke off so many nanoseconds after it was sent. */
+    /**
+     * From a connection: its attempt, not its first, broke off so many nanoseconds after it was
+     * sent.
+     */
     void brokeWhenUsedAgain(long after) {
         keepAlive.broke(after);
     }
@@ -211,21 +258,24 @@
     /** From a connection: it has given back all that it held. */
     void ended(BackendConnection connection) {
         permits.give();
-        mailbox.put(() -> {
-            connections.remove(connection);
-            resting.remove(connection);
-        });
+        mailbox.put(
+                () -> {
+                    connections.remove(connection);
+                    resting.remove(connection);
+                });
     }
 
     /** Nanoseconds until the connection that has rested longest has settled; 0 where none rests. */
     private long unsettled() {
-        return resting.isEmpty() ? 0 : settle - (System.nanoTime() - resting.peekFirst().restingSince);
+        return resting.isEmpty()
+                ? 0
+                : settle - (System.nanoTime() - resting.peekFirst().restingSince);
     }
 
     /** Takes the connection that was used last, of those that have settled; null if none has. */
     private BackendConnection settled() {
         long now = System.nanoTime();
-        for (Iterator<BackendConnection> last = resting.descendingIterator(); last.hasNext();) {
+        for (Iterator<BackendConnection> last = resting.descendingIterator(); last.hasNext(); ) {
             BackendConnection connection = last.next();
             if (now - connection.restingSince >= settle) {
                 last.remove();
@@ -245,7 +295,8 @@
             attempt.settle(Outcome.NO_CONNECTION);
             return;
         }
-        // Looked through now and then only, some had rested too long when they were used, and were reset.
+        // Looked through now and then only, some had rested too long when they were used, and were
+        // reset.
         retire();
         if (!keepAlive.worthwhile()) {
             resting.forEach(BackendConnection::kill);
@@ -275,8 +326,18 @@
             attempt.settle(Outcome.NO_CONNECTION);
             return;
         }
-        BackendConnection connection = new BackendConnection(this, address, connectLimit, buffers, writer,
-            watchdog, clock, figures, log, attempt);
+        BackendConnection connection =
+                new BackendConnection(
+                        this,
+                        address,
+                        connectLimit,
+                        buffers,
+                        writer,
+                        watchdog,
+                        clock,
+                        figures,
+                        log,
+                        attempt);
         connections.add(connection);
         try {
             workers.serve(connection);
@@ -289,14 +350,18 @@
         }
     }
 
-    /** A long body is written on another thread: a backend that reads slowly must not stop this actor. */
+    /**
+     * A long body is written on another thread: a backend that reads slowly must not stop this
+     * actor.
+     */
     private boolean elsewhere(BackendConnection connection, ClientRequest.Attempt attempt) {
         try {
-            workers.serve(() -> {
-                if (!connection.send(attempt) && !attempt.settled()) {
-                    mailbox.put(() -> send(attempt));
-                }
-            });
+            workers.serve(
+                    () -> {
+                        if (!connection.send(attempt) && !attempt.settled()) {
+                            mailbox.put(() -> send(attempt));
+                        }
+                    });
             return true;
         } catch (OutOfMemoryError e) {
             return false;
--- a/src/main/java/cottonlock/net/BackendConnection.java
+++ b/src/main/java/cottonlock/net/BackendConnection.java
@@ -8,10 +8,15 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 
-/** One connection to a backend. Its thread connects and reads; the backend's actor writes on it later. */
+/**
+ * One connection to a backend. Its thread connects and reads; the backend's actor writes on it
+ * later.
+ */
 final class BackendConnection implements Runnable {
-    /** Milliseconds of a pause in an answer: some backends take seconds to write it, in pieces. One that
-     * stops short would hold its request until nothing else can be tried any more. */
+    /**
+     * Milliseconds of a pause in an answer: some backends take seconds to write it, in pieces. One
+     * that stops short would hold its request until nothing else can be tried any more.
+     */
     private static final long GAP = 1_200;
 
     private final BackendActor backend;
@@ -25,17 +30,27 @@
     private final Log log;
     private final Socket socket = new Socket();
     private final ClientRequest.Attempt first;
+
     /** When it last began to rest, for the actor; 0 before it first does. */
     long restingSince;
+
     private long sentAt;
     private ClientRequest.Attempt current;
     private boolean writing;
     private boolean written;
     private boolean ended;
 
-    BackendConnection(BackendActor backend, InetSocketAddress address, int connectLimit, Buffers buffers,
-         HttpWriter writer, Watchdog watchdog, Clock clock, Figures figures, Log log,
-         ClientRequest.Attempt first) {
+    BackendConnection(
+            BackendActor backend,
+            InetSocketAddress address,
+            int connectLimit,
+            Buffers buffers,
+            HttpWriter writer,
+            Watchdog watchdog,
+            Clock clock,
+            Figures figures,
+            Log log,
+            ClientRequest.Attempt first) {
         this.backend = backend;
         this.address = address;
         this.connectLimit = connectLimit;
@@ -103,7 +118,10 @@
         backend.ended(this);
     }
 
-    /** Whether an answer is due; what comes unasked would be taken for the answer to the next attempt. */
+    /**
+     * Whether an answer is due; what comes unasked would be taken for the answer to the next
+     * attempt.
+     */
     private synchronized boolean expects() {
         if (current == null) {
             ended = true;
@@ -145,8 +163,11 @@
         return !over;
     }
 
-    /** Whether something lies there to be read already, which can't be the answer to what is sent next. The
-     * thread that reads takes one byte only while nothing is out, so that it cannot hide the others. */
+    /**
+     * Whether something lies there to be read already, which can't be the answer to what is sent
+     * next. The thread that reads takes one byte only while nothing is out, so that it cannot hide
+     * the others.
+     */
     private boolean unasked() {
         try {
             return socket.getInputStream().available() > 0;
@@ -167,13 +188,21 @@
                 return Outcome.NOT_SENT;
             }
             String host = address.getHostString() + ":" + address.getPort();
-            watchdog.write(socket, out -> writer.request(new Until(out, attempt), attempt.req, host,
-                () -> Math.max(1, (attempt.req.expiry - clock.now()) / 10)));
+            watchdog.write(
+                    socket,
+                    out ->
+                            writer.request(
+                                    new Until(out, attempt),
+                                    attempt.req,
+                                    host,
+                                    () -> Math.max(1, (attempt.req.expiry - clock.now()) / 10)));
             figures.attempted();
             return null;
         } catch (IOException e) {
             long now = clock.now();
-            return now >= attempt.sendBy || !attempt.mayBegin(now) ? Outcome.NOT_SENT : Outcome.NO_CONNECTION;
+            return now >= attempt.sendBy || !attempt.mayBegin(now)
+                    ? Outcome.NOT_SENT
+                    : Outcome.NO_CONNECTION;
         } finally {
             attempt.req.release();
         }
@@ -222,7 +251,8 @@
                 return false;
             }
             if (keep && reader.surplus()) {
-                // A second copy or noise: the next attempt on this connection would be answered with it.
+                // A second copy or noise: the next attempt on this connection would be answered
+                // with it.
                 log.warn("surplus", "more than its answer, from " + address);
                 return false;
             }
@@ -237,18 +267,22 @@
 
     /** Settles the attempt and passes its answer on; false when some of it is left unread. */
     private boolean pass(ClientRequest.Attempt attempt, Head head, Body body, HttpReader reader)
-        throws BadMessage {
+            throws BadMessage {
         int status = Integer.parseInt(head.start[1]);
         boolean notRun = "1".equals(head.only("X-Not-Processed"));
         if (status != 200) {
-            attempt.settle((status == 503 || status == 504) && notRun ? Outcome.TURNED_AWAY : Outcome.ERROR);
+            attempt.settle(
+                    (status == 503 || status == 504) && notRun
+                            ? Outcome.TURNED_AWAY
+                            : Outcome.ERROR);
             return reader.over();
         }
         // Claimed first: the module must learn that the request is over, by this attempt.
         boolean owed = attempt.req.claim();
         attempt.settle(Outcome.FINISHED);
         if (!reader.over()) {
-            // Begun, it is the client's: no other attempt could answer it any more, nor would one be needed.
+            // Begun, it is the client's: no other attempt could answer it any more, nor would one
+            // be needed.
             return owed && attempt.req.client.relay(attempt.req, body, reader);
         }
         if (owed) {
