--- a/src/main/java/cottonlock/net/Bans.java
+++ b/src/main/java/cottonlock/net/Bans.java
@@ -9,20 +9,27 @@
 import java.util.Set;
 
 /**
- * The backends that operators have taken out, in front of discovery's news; kept for the proxy's next process
- * and shared with another that serves beside this one.
+ * The backends that operators have taken out, in front of discovery's news; kept for the proxy's
+ * next process and shared with another that serves beside this one.
  */
 final class Bans implements Runnable {
-    /** Milliseconds between looks at what another process has changed: far below any grace on drains. */
+    /**
+     * Milliseconds between looks at what another process has changed: far below any grace on
+     * drains.
+     */
     private static final long LOOK = 100;
-    /** Tenths of a millisecond for which a return is told to other processes: longer than any is cold. */
+
+    /**
+     * Tenths of a millisecond for which a return is told to other processes: longer than any is
+     * cold.
+     */
     private static final long TOLD = 3_000_000;
+
     /** So many at most: beyond any fleet here, and the file stays small. */
     private static final int MOST = 2_000;
 
     /** Who is out, and who came back when, by the module's clock. */
-    private record State(Set<String> out, Map<String, Long> back) {
-    }
+    private record State(Set<String> out, Map<String, Long> back) {}
 
     private final Shared shared;
     private final Clock clock;
@@ -48,8 +55,16 @@
     Member told(Member m) {
         State now = state;
         if (now.out.contains(m.id())) {
-            return m.state() != Member.State.READY ? m : new Member(m.id(), m.zone(), m.kind(), m.cell(),
-                Member.State.DRAINING, m.size(), m.startedAt());
+            return m.state() != Member.State.READY
+                    ? m
+                    : new Member(
+                            m.id(),
+                            m.zone(),
+                            m.kind(),
+                            m.cell(),
+                            Member.State.DRAINING,
+                            m.size(),
+                            m.startedAt());
         }
         // Operators have restarted it meanwhile, whatever discovery still says of its start.
         long back = Math.max(m.startedAt(), now.back.getOrDefault(m.id(), 0L));
@@ -60,12 +75,26 @@
     synchronized boolean change(String id, boolean out) {
         boolean room = state.out.size() < MOST || !out;
         if (room && state.out.contains(id) != out) {
-            state = parsed(shared.change(lines -> {
-                List<String> others = new ArrayList<>(shared.stamp() == null ? lines(state) : lines);
-                others.removeIf(line -> line.equals("out " + id) || line.startsWith("back " + id + " "));
-                others.add(out ? "out " + id : "back " + id + " " + clock.now());
-                return others;
-            }));
+            state =
+                    parsed(
+                            shared.change(
+                                    lines -> {
+                                        List<String> others =
+                                                new ArrayList<>(
+                                                        shared.stamp() == null
+                                                                ? lines(state)
+                                                                : lines);
+                                        others.removeIf(
+                                                line ->
+                                                        line.equals("out " + id)
+                                                                || line.startsWith(
+                                                                        "back " + id + " "));
+                                        others.add(
+                                                out
+                                                        ? "out " + id
+                                                        : "back " + id + " " + clock.now());
+                                        return others;
+                                    }));
             changed.run();
         }
         return room;
@@ -74,7 +103,8 @@
     /** Waits until another process of this proxy, if there is one, has seen the last change too. */
     void seenByAll() {
         try {
-            // A yes given earlier was found too early: the other process still sent a request after it.
+            // A yes given earlier was found too early: the other process still sent a request after
+            // it.
             Thread.sleep(shared.stamp() == null ? 0 : LOOK * 3 / 2);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -96,8 +126,10 @@
             String[] words = line.split(" ");
             if (words.length == 2 && words[0].equals("out")) {
                 out.add(words[1]);
-            } else if (words.length == 3 && words[0].equals("back") && HttpReader.digits(words[2])
-                && now - Long.parseLong(words[2]) < TOLD) {
+            } else if (words.length == 3
+                    && words[0].equals("back")
+                    && HttpReader.digits(words[2])
+                    && now - Long.parseLong(words[2]) < TOLD) {
                 back.put(words[1], Math.min(now, Long.parseLong(words[2])));
             }
         }
--- a/src/main/java/cottonlock/net/Body.java
+++ b/src/main/java/cottonlock/net/Body.java
@@ -7,10 +7,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The body of one message, until it is given back: in buffers of the pool, a long one's rest in a file. */
+/**
+ * The body of one message, until it is given back: in buffers of the pool, a long one's rest in a
+ * file.
+ */
 final class Body {
     /** Bytes in buffers: more of each would crowd the pool's others. */
     static final int IN_HAND = 64 << 10;
+
     /** For what clients send: the longest that operators allow, 32 MB, and a little. */
     static final long MOST = 34L << 20;
 
@@ -40,7 +44,8 @@
         while (count > 0 && inHand < IN_HAND && rest == null) {
             int used = inHand % Buffers.SIZE;
             if (used == 0) {
-                // The first may be waited for; where more bodies come than fit, the rest goes into files.
+                // The first may be waited for; where more bodies come than fit, the rest goes into
+                // files.
                 byte[] part = parts.isEmpty() || spools == null ? buffers.take() : buffers.spare();
                 if (part == null) {
                     break;
@@ -59,7 +64,7 @@
             }
             restLength += count;
             spools.grow(count);
-            for (ByteBuffer bytes = ByteBuffer.wrap(from, at, count); bytes.hasRemaining();) {
+            for (ByteBuffer bytes = ByteBuffer.wrap(from, at, count); bytes.hasRemaining(); ) {
                 rest.write(bytes);
             }
         }
--- a/src/main/java/cottonlock/net/Buffers.java
+++ b/src/main/java/cottonlock/net/Buffers.java
@@ -9,7 +9,11 @@
 final class Buffers {
     /** The head of a message must fit into one; most bodies do. */
     static final int SIZE = 8 << 10;
-    /** How long a taker waits when all are out, in milliseconds: answers free some well within a due time. */
+
+    /**
+     * How long a taker waits when all are out, in milliseconds: answers free some well within a due
+     * time.
+     */
     private static final long WAIT = 500;
 
     private final ConcurrentLinkedDeque<byte[]> free = new ConcurrentLinkedDeque<>();
@@ -43,7 +47,10 @@
         return buffer != null ? buffer : new byte[SIZE];
     }
 
-    /** One that the others can spare now, or null: bodies must not take what connections need to be read. */
+    /**
+     * One that the others can spare now, or null: bodies must not take what connections need to be
+     * read.
+     */
     byte[] spare() throws IOException {
         return left.availablePermits() > reserved ? take() : null;
     }
--- a/src/main/java/cottonlock/net/Client.java
+++ b/src/main/java/cottonlock/net/Client.java
@@ -6,30 +6,55 @@
 import java.net.SocketTimeoutException;
 
 /**
- * One connection of a client. Its thread reads all the time, so that a client that leaves is noticed while
- * its request is out; answers are written by the thread that has them.
+ * One connection of a client. Its thread reads all the time, so that a client that leaves is
+ * noticed while its request is out; answers are written by the thread that has them.
  */
 final class Client implements Runnable {
-    /** Milliseconds between requests: many clients ask once and stay, and may be left after two seconds. */
+    /**
+     * Milliseconds between requests: many clients ask once and stay, and may be left after two
+     * seconds.
+     */
     private static final long REST = 2_200;
-    /** Milliseconds for a head to come in, from connecting for the first, and for a pause in a body: slow
-     * ones take two seconds, half ones must not pile up. */
+
+    /**
+     * Milliseconds for a head to come in, from connecting for the first, and for a pause in a body:
+     * slow ones take two seconds, half ones must not pile up.
+     */
     private static final long READ = 2_600;
+
     /** Bytes a second of a body at least: a little less than the slowest clients send. */
     private static final long SLOWEST = 48 << 10;
-    /** Nanoseconds of silence after which a request that has not come whole may give way: with a second, a
-     * crowd of half ones held all places, and those who came were closed unread. */
+
+    /**
+     * Nanoseconds of silence after which a request that has not come whole may give way: with a
+     * second, a crowd of half ones held all places, and those who came were closed unread.
+     */
     private static final long HALF = 250_000_000L;
-    /** Milliseconds for what a refused client still sends, so that it sees the answer before the end. */
+
+    /**
+     * Milliseconds for what a refused client still sends, so that it sees the answer before the
+     * end.
+     */
     private static final long LINGER = 300;
-    /** Nanoseconds after connecting within which the first request begins: a far network's round trip. */
+
+    /**
+     * Nanoseconds after connecting within which the first request begins: a far network's round
+     * trip.
+     */
     private static final long NEW = 300_000_000L;
+
     /** Milliseconds after which a request that came before the last answer is looked at again. */
     private static final long LOOK = 20;
-    /** Milliseconds that a backend may pause within a long answer: some take seconds to write on. */
+
+    /**
+     * Milliseconds that a backend may pause within a long answer: some take seconds to write on.
+     */
     private static final long STALL = 5_000;
-    /** Bytes that are read and dropped at most: what lies in the buffers of one connection. Reading on
-     * through 60 MB costs the others. */
+
+    /**
+     * Bytes that are read and dropped at most: what lies in the buffers of one connection. Reading
+     * on through 60 MB costs the others.
+     */
     private static final int DROP = 256 << 10;
 
     private final Socket socket;
@@ -47,19 +72,39 @@
     private boolean reading;
     private boolean closing;
     private boolean inputEnded;
+
     /** When that was, by the monotonic clock. */
     private long endedAt;
+
     private volatile boolean asked;
     private boolean worked;
-    /** Whether the connection ends after the next answer; whether an answer has said that it was the last. */
+
+    /**
+     * Whether the connection ends after the next answer; whether an answer has said that it was the
+     * last.
+     */
     private boolean last;
+
     private boolean told;
     private long since = System.nanoTime();
-    /** For tests alone: what its thread does when it has read, and before it says so. Null in service. */
+
+    /**
+     * For tests alone: what its thread does when it has read, and before it says so. Null in
+     * service.
+     */
     volatile Runnable afterRead;
 
-    Client(Socket socket, Listener listener, ModuleActor module, Admission admission, Buffers buffers,
-           Spools spools, HttpWriter writer, Watchdog watchdog, Figures figures, Log log) {
+    Client(
+            Socket socket,
+            Listener listener,
+            ModuleActor module,
+            Admission admission,
+            Buffers buffers,
+            Spools spools,
+            HttpWriter writer,
+            Watchdog watchdog,
+            Figures figures,
+            Log log) {
         this.socket = socket;
         this.listener = listener;
         this.module = module;
@@ -102,9 +147,12 @@
         }
     }
 
-    /** The request that the client has left behind, if it was the client who ended the connection. */
+    /**
+     * The request that the client has left behind, if it was the client who ended the connection.
+     */
     private synchronized ClientRequest unanswered() {
-        // Ended from here just as a request had come whole, it looks the same, but the answer is still owed.
+        // Ended from here just as a request had come whole, it looks the same, but the answer is
+        // still owed.
         if (req != null && inputEnded) {
             // Nothing is read from here any more, so its leaving would not be seen.
             module.unseen(req, true);
@@ -123,8 +171,10 @@
     private boolean awaitRequest(HttpReader reader) throws IOException {
         for (boolean owed = owed(); owed || !reader.ahead(); owed = owed()) {
             try {
-                // A request that comes before the last answer waits its turn. Its client may leave all the
-                // same: not read on, it was not noticed, and what it had asked for was sent on after it had
+                // A request that comes before the last answer waits its turn. Its client may leave
+                // all the
+                // same: not read on, it was not noticed, and what it had asked for was sent on
+                // after it had
                 // gone.
                 reader.within(owed && reader.ahead() ? LOOK : asked ? REST : READ);
                 looks();
@@ -148,8 +198,10 @@
             held.run();
         }
         synchronized (this) {
-            // What has been read is served, also where the connection was ended from here meanwhile: its
-            // client sends again only what was left unread. After an answer that said so nothing more is due.
+            // What has been read is served, also where the connection was ended from here
+            // meanwhile: its
+            // client sends again only what was left unread. After an answer that said so nothing
+            // more is due.
             reading = !told && reader.dropped() == 0;
             since = System.nanoTime();
             return reading;
@@ -162,8 +214,10 @@
         }
     }
 
-    /** Waits for the answer under way: whoever sends without end is read no further meanwhile, so that nobody
-     * sees it leave. */
+    /**
+     * Waits for the answer under way: whoever sends without end is read no further meanwhile, so
+     * that nobody sees it leave.
+     */
     private synchronized void awaitAnswer() throws IOException {
         if (req != null) {
             module.unseen(req, false);
@@ -191,7 +245,8 @@
             boolean health = head.start[1].equals("/_health");
             judged = health ? null : admission.asked(head);
             if (head.lists("Expect", "100-continue")) {
-                watchdog.write(socket, out -> out.write("HTTP/1.1 100 Continue\r\n\r\n".getBytes()));
+                watchdog.write(
+                        socket, out -> out.write("HTTP/1.1 100 Continue\r\n\r\n".getBytes()));
             }
             reader.paced(READ, SLOWEST);
             body = reader.body(buffers, spools, Body.MOST);
@@ -240,16 +295,22 @@
         return true;
     }
 
-    /** Whether what came last was read after the connection had been ended from here: its client takes it for
-     * unread and sends it again, so sent on it would be lost, or have its effect twice. */
+    /**
+     * Whether what came last was read after the connection had been ended from here: its client
+     * takes it for unread and sends it again, so sent on it would be lost, or have its effect
+     * twice.
+     */
     private synchronized boolean late(HttpReader reader) {
         return inputEnded && reader.readAt() - endedAt > 0;
     }
 
     /** Ends the connection too: some send the same again at once, or hundreds of it in a row. */
     private void refuse(BadMessage e, HttpReader reader) throws IOException {
-        log.warn("bad request", e.getMessage() + ", from " + socket.getInetAddress().getHostAddress());
-        // What it says names the fault of this request alone, never what others have sent or may send.
+        log.warn(
+                "bad request",
+                e.getMessage() + ", from " + socket.getInetAddress().getHostAddress());
+        // What it says names the fault of this request alone, never what others have sent or may
+        // send.
         watchdog.write(socket, out -> writer.refusal(out, e.status, e.getMessage()));
         socket.shutdownOutput();
         // Closed with bytes unread, the connection would take the answer with it.
@@ -258,7 +319,7 @@
     }
 
     private void answer(int status, String name, String value, Body body, boolean close)
-        throws IOException {
+            throws IOException {
         synchronized (this) {
             told |= close;
         }
@@ -303,8 +364,9 @@
     }
 
     /**
-     * Passes on a long answer as it comes, by whoever has claimed the request; its first part is in hand,
-     * the reader has the rest. False when it could not be passed on whole: the client sees that it is not.
+     * Passes on a long answer as it comes, by whoever has claimed the request; its first part is in
+     * hand, the reader has the rest. False when it could not be passed on whole: the client sees
+     * that it is not.
      */
     boolean relay(ClientRequest done, Body part, HttpReader rest) {
         long length = part.length() > 0 ? -1 : rest.length();
@@ -316,14 +378,17 @@
         }
         boolean whole = false;
         try {
-            watchdog.write(socket, out -> {
-                writer.begin(out, length, chunked, part, close);
-                // The rest may take as long as the client likes; what is in hand would be missed by others.
-                part.release();
-                rest.paced(STALL, HttpReader.ANY_RATE);
-                rest.pass((from, at, count) -> writer.piece(out, chunked, from, at, count));
-                writer.end(out, chunked);
-            });
+            watchdog.write(
+                    socket,
+                    out -> {
+                        writer.begin(out, length, chunked, part, close);
+                        // The rest may take as long as the client likes; what is in hand would be
+                        // missed by others.
+                        part.release();
+                        rest.paced(STALL, HttpReader.ANY_RATE);
+                        rest.pass((from, at, count) -> writer.piece(out, chunked, from, at, count));
+                        writer.end(out, chunked);
+                    });
             whole = true;
             figures.answered(done.categoryName, done.tenantName, 200, done.why);
         } catch (IOException e) {
@@ -354,8 +419,10 @@
         return last;
     }
 
-    /** Ends the connection now if it rests, else after the answer that is under way or just about to be asked
-     * for: closed before its first request, a new one would find that nobody serves. */
+    /**
+     * Ends the connection now if it rests, else after the answer that is under way or just about to
+     * be asked for: closed before its first request, a new one would find that nobody serves.
+     */
     void close() {
         synchronized (this) {
             closing = true;
--- a/src/main/java/cottonlock/net/ClientRequest.java
+++ b/src/main/java/cottonlock/net/ClientRequest.java
@@ -13,6 +13,7 @@
 final class ClientRequest {
     /** Nanoseconds that a look at a client takes: a read that finds its end returns at once. */
     private static final long LOOK = 100_000;
+
     /** How often that is waited for the look: whoever reads has had a core by then. */
     private static final int LOOKS = 20;
 
@@ -28,32 +29,46 @@
     final int category;
     final int tenant;
     final boolean repeated;
+
     /** Whether its client reads chunked answers. */
     final boolean knowsChunks;
+
     /** By the module's clock: its client waits no longer. Shorter where the proxy leaves before. */
     volatile long expiry;
-    /** By the module's clock: nothing of it begins to be sent on after that, for from then on nobody sees
-     * whether its client leaves. */
+
+    /**
+     * By the module's clock: nothing of it begins to be sent on after that, for from then on nobody
+     * sees whether its client leaves.
+     */
     volatile long seenUntil = Long.MAX_VALUE;
+
     /** The ids of all requests that wait for their answer, its own among them. */
     private final Set<String> openIds;
+
     private final AtomicBoolean claimed = new AtomicBoolean();
+
     /** One for the answer that is owed, and one for each write of the body that is under way. */
     private final AtomicInteger holds = new AtomicInteger(1);
 
     /** What it ended by, where no backend's answer ended it; told before its client is answered. */
     volatile Reason why = Reason.ANSWER_LOST;
-    /** The module's number for it, its attempts, and how many are out: the module's thread alone. */
+
+    /**
+     * The module's number for it, its attempts, and how many are out: the module's thread alone.
+     */
     long number;
+
     final List<Attempt> attempts = new ArrayList<>(1);
     int out;
+
     /** When its client was first looked at behind it, by the monotonic clock; 0: not yet. */
     private long lookedAt;
+
     /** Whether its client may leave unseen; the module's thread alone. */
     boolean unseen;
 
     ClientRequest(Client client, Admission.Asked asked, Body body, long expiry, Set<String> openIds)
-        throws BadMessage {
+            throws BadMessage {
         Head head = asked.head();
         this.openIds = openIds;
         this.client = client;
@@ -72,7 +87,9 @@
         this.expiry = expiry;
     }
 
-    /** From the thread that has read it: it reads on, and sees it if its client has gone meanwhile. */
+    /**
+     * From the thread that has read it: it reads on, and sees it if its client has gone meanwhile.
+     */
     synchronized void looks() {
         lookedAt = lookedAt == 0 ? System.nanoTime() : lookedAt;
     }
@@ -81,8 +98,10 @@
         return lookedAt != 0 && System.nanoTime() - lookedAt >= LOOK;
     }
 
-    /** Waits, 2 ms at most, until that thread has looked. Where a request was read late its client may have
-     * left before; without the wait three to five of a hundred such were sent on. */
+    /**
+     * Waits, 2 ms at most, until that thread has looked. Where a request was read late its client
+     * may have left before; without the wait three to five of a hundred such were sent on.
+     */
     void awaitLook() {
         for (int i = 0; i < LOOKS && !looked() && !claimed(); i++) {
             LockSupport.parkNanos(LOOK);
@@ -119,8 +138,10 @@
     static final class Attempt {
         final ClientRequest req;
         final int number;
+
         /** By the module's clock: its last byte may be written until then. */
         final long sendBy;
+
         private final ModuleActor module;
         private BackendConnection connection;
         private boolean settled;
@@ -132,12 +153,17 @@
             this.module = module;
         }
 
-        /** Whether its first byte may still be written: not after its client has left, or may have unseen. */
+        /**
+         * Whether its first byte may still be written: not after its client has left, or may have
+         * unseen.
+         */
         boolean mayBegin(long now) {
             return !req.claimed() && now < req.seenUntil;
         }
 
-        /** Binds it to the connection it will go out on; false if it has been settled before that. */
+        /**
+         * Binds it to the connection it will go out on; false if it has been settled before that.
+         */
         synchronized boolean attach(BackendConnection to) {
             connection = settled ? null : to;
             return !settled;
@@ -160,7 +186,10 @@
             return settled;
         }
 
-        /** Gives it up, from the module's thread: its connection is closed before anything else happens. */
+        /**
+         * Gives it up, from the module's thread: its connection is closed before anything else
+         * happens.
+         */
         boolean abandon() {
             BackendConnection closing;
             synchronized (this) {
--- a/src/main/java/cottonlock/net/Clock.java
+++ b/src/main/java/cottonlock/net/Clock.java
@@ -1,6 +1,8 @@
 package cottonlock.net;
 
-/** The module's time: tenths of a millisecond since 1970, read at the start, monotonic since then. */
+/**
+ * The module's time: tenths of a millisecond since 1970, read at the start, monotonic since then.
+ */
 final class Clock {
     private final long started = System.currentTimeMillis() * 10;
     private final long from = System.nanoTime();
--- a/src/main/java/cottonlock/net/Config.java
+++ b/src/main/java/cottonlock/net/Config.java
@@ -33,13 +33,15 @@
     }
 
     /**
-     * Turns it down unless it may follow the one in force: a file that lacks a key that stands there, or that
-     * no work could be served by, is taken for one that was cut off or mistyped.
+     * Turns it down unless it may follow the one in force: a file that lacks a key that stands
+     * there, or that no work could be served by, is taken for one that was cut off or mistyped.
      */
     void mayFollow(Config before) {
         for (Object key : before.root.keySet()) {
             // Who serves beside us and what was last known may come and go; the rest may not.
-            if (!root.containsKey(key) && !String.valueOf(key).startsWith("peer") && !key.equals("known")) {
+            if (!root.containsKey(key)
+                    && !String.valueOf(key).startsWith("peer")
+                    && !key.equals("known")) {
                 throw new Malformed("the key " + key + " is missing");
             }
         }
@@ -50,7 +52,8 @@
         List<String> tenants = before.settings().each("Projects", "Name");
         if (!tenants.equals(settings.each("Projects", "Name"))) {
             // Lanes and quotas are laid out by their order: one moved would get another's.
-            throw new Malformed("settings.Projects names other tenants, for which a new process is needed");
+            throw new Malformed(
+                    "settings.Projects names other tenants, for which a new process is needed");
         }
     }
 
@@ -58,7 +61,8 @@
     static void servable(Settings settings) {
         List<String> names = settings.each("Categories", "Name");
         if (names.isEmpty() || names.contains("") || Set.copyOf(names).size() < names.size()) {
-            throw new Malformed("settings.Categories has no category, or one without a name of its own");
+            throw new Malformed(
+                    "settings.Categories has no category, or one without a name of its own");
         }
         for (int i = 0; i < names.size(); i++) {
             above(settings, "Categories." + i + ".DueTime");
@@ -67,27 +71,34 @@
         above(settings, "Limits.MaxHandOffs");
     }
 
-    /** All keys of the one in the other too; of a list of objects, those that all of the one's have. */
+    /**
+     * All keys of the one in the other too; of a list of objects, those that all of the one's have.
+     */
     private static void sameKeys(String path, Object before, Object now) {
         if (before instanceof Map<?, ?> old) {
             if (!(now instanceof Map<?, ?> map)) {
                 throw new Malformed(path + " is no object");
             }
-            old.forEach((key, value) -> {
-                if (map.get(key) == null) {
-                    throw new Malformed("the key " + path + "." + key + " is missing");
-                }
-                sameKeys(path + "." + key, value, map.get(key));
-            });
-        } else if (before instanceof List<?> old && !old.isEmpty() && old.get(0) instanceof Map<?, ?> first) {
+            old.forEach(
+                    (key, value) -> {
+                        if (map.get(key) == null) {
+                            throw new Malformed("the key " + path + "." + key + " is missing");
+                        }
+                        sameKeys(path + "." + key, value, map.get(key));
+                    });
+        } else if (before instanceof List<?> old
+                && !old.isEmpty()
+                && old.get(0) instanceof Map<?, ?> first) {
             if (!(now instanceof List<?> list)) {
                 throw new Malformed(path + " is no list");
             }
             for (Object key : first.keySet()) {
-                boolean inAll = old.stream().allMatch(o -> o instanceof Map<?, ?> m && m.containsKey(key));
+                boolean inAll =
+                        old.stream().allMatch(o -> o instanceof Map<?, ?> m && m.containsKey(key));
                 for (int i = 0; inAll && i < list.size(); i++) {
                     if (!(list.get(i) instanceof Map<?, ?> map) || map.get(key) == null) {
-                        throw new Malformed("the key " + path + "." + i + "." + key + " is missing");
+                        throw new Malformed(
+                                "the key " + path + "." + i + "." + key + " is missing");
                     }
                 }
             }
@@ -97,8 +108,11 @@
     private static void above(Settings settings, String path) {
         double value = settings.number(path, Double.NaN);
         if (!(value > 0 && value < Double.POSITIVE_INFINITY)) {
-            throw new Malformed("settings." + path + " must be over 0, found "
-                + settings.text(path, "nothing"));
+            throw new Malformed(
+                    "settings."
+                            + path
+                            + " must be over 0, found "
+                            + settings.text(path, "nothing"));
         }
     }
 
@@ -124,7 +138,9 @@
 
     private static void put(Settings settings, String path, Object value) {
         if (value instanceof Map<?, ?> map) {
-            map.forEach((name, inner) -> put(settings, (path.isEmpty() ? "" : path + ".") + name, inner));
+            map.forEach(
+                    (name, inner) ->
+                            put(settings, (path.isEmpty() ? "" : path + ".") + name, inner));
         } else if (value instanceof List<?> list && list.stream().anyMatch(Map.class::isInstance)) {
             settings.put(path + ".count", Integer.toString(list.size()));
             for (int i = 0; i < list.size(); i++) {
@@ -190,7 +206,8 @@
 
     /** The list of backends as this proxy last had it. */
     Directory.News known(Directory directory) {
-        return root.get("known") == null ? new Directory.News(0, true, List.of())
-            : directory.read(root.get("known"));
+        return root.get("known") == null
+                ? new Directory.News(0, true, List.of())
+                : directory.read(root.get("known"));
     }
 }
--- a/src/main/java/cottonlock/net/ControlPart.java
+++ b/src/main/java/cottonlock/net/ControlPart.java
@@ -7,9 +7,10 @@
 import java.util.TreeMap;
 
 /**
- * What a proxy keeps of the list of backends, without a data path: the list's watch, its reader and the list
- * itself, by the classes that serve. Hundreds of them fit into one process, for experiments on how much
- * control costs and how fast a change is in force; {@code serve} loads none.
+ * What a proxy keeps of the list of backends, without a data path: the list's watch, its reader and
+ * the list itself, by the classes that serve. Hundreds of them fit into one process, for
+ * experiments on how much control costs and how fast a change is in force; {@code serve} loads
+ * none.
  */
 public final class ControlPart implements ListWatch.Sink {
     /** Buffers of one watch: it holds one at a time. */
@@ -25,17 +26,29 @@
     }
 
     private final Held held;
+
     /** As the module's actor holds it; on the watch's thread alone. */
     private final Map<String, Directory.Entry> listed = new TreeMap<>();
+
     private final ListWatch watch;
     private Thread thread;
 
     /** A part that is to watch at an address; rooms: the settings' names of zones. */
-    public ControlPart(InetSocketAddress discovery, List<String> rooms, SplittableRandom random, Held held) {
+    public ControlPart(
+            InetSocketAddress discovery, List<String> rooms, SplittableRandom random, Held held) {
         this.held = held;
         Log log = new Log(System.getLogger("cottonlock"));
-        this.watch = new ListWatch(discovery, new Directory(log, rooms, List.of()), 0, false,
-            ListWatch.SILENCE, this, new Buffers(BUFFERS, 0), log, random);
+        this.watch =
+                new ListWatch(
+                        discovery,
+                        new Directory(log, rooms, List.of()),
+                        0,
+                        false,
+                        ListWatch.SILENCE,
+                        this,
+                        new Buffers(BUFFERS, 0),
+                        log,
+                        random);
     }
 
     /** Begins to watch. */
--- a/src/main/java/cottonlock/net/Directory.java
+++ b/src/main/java/cottonlock/net/Directory.java
@@ -10,12 +10,10 @@
 /** Turns discovery's JSON into lines of the module's list and the addresses to dial. */
 final class Directory {
     /** A list as told: whole, or only what changed. */
-    record News(long version, boolean whole, List<Entry> entries) {
-    }
+    record News(long version, boolean whole, List<Entry> entries) {}
 
     /** One backend: the module's line of it and where it listens. */
-    record Entry(Member member, InetSocketAddress dial) {
-    }
+    record Entry(Member member, InetSocketAddress dial) {}
 
     private final Log log;
     private final List<String> zones;
@@ -48,12 +46,13 @@
 
     private Entry entry(Map<?, ?> fields) {
         String id = text(fields, "host", null);
-        Member.State state = switch (text(fields, "health", null)) {
-            case "active" -> Member.State.READY;
-            case "leaving" -> Member.State.DRAINING;
-            case "left" -> Member.State.GONE;
-            default -> throw new Malformed("unknown health of " + id);
-        };
+        Member.State state =
+                switch (text(fields, "health", null)) {
+                    case "active" -> Member.State.READY;
+                    case "leaving" -> Member.State.DRAINING;
+                    case "left" -> Member.State.GONE;
+                    default -> throw new Malformed("unknown health of " + id);
+                };
         try {
             return entry(fields, id, state);
         } catch (Malformed e) {
@@ -62,7 +61,8 @@
             }
             // That it drains or is gone binds, whatever else is odd about it.
             log.warn("list", "only the health of a host is taken: " + e.getMessage());
-            return new Entry(new Member(id, number(zones, ""), number(kinds, ""), 0, state, 0, 0), null);
+            return new Entry(
+                    new Member(id, number(zones, ""), number(kinds, ""), 0, state, 0, 0), null);
         }
     }
 
@@ -76,9 +76,15 @@
         if (!(size >= 0 && size < Double.POSITIVE_INFINITY)) {
             throw new Malformed("the share of " + id + " is out of range");
         }
-        Member member = new Member(id, number(zones, text(fields, "site", "")),
-            number(kinds, text(fields, "class", "")), (int) whole(fields, "block", "0"), state, size,
-            whole(fields, "born_ms", "0") * 10);
+        Member member =
+                new Member(
+                        id,
+                        number(zones, text(fields, "site", "")),
+                        number(kinds, text(fields, "class", "")),
+                        (int) whole(fields, "block", "0"),
+                        state,
+                        size,
+                        whole(fields, "born_ms", "0") * 10);
         String dial = text(fields, "dial", "");
         if (dial.isEmpty() && state != Member.State.READY) {
             return new Entry(member, null);
--- a/src/main/java/cottonlock/net/Head.java
+++ b/src/main/java/cottonlock/net/Head.java
@@ -7,6 +7,7 @@
 final class Head {
     /** Method, target and version of a request; version, status and reason of an answer. */
     final String[] start;
+
     private final List<String> names = new ArrayList<>();
     private final List<String> values = new ArrayList<>();
 
--- a/src/main/java/cottonlock/net/HttpReader.java
+++ b/src/main/java/cottonlock/net/HttpReader.java
@@ -7,12 +7,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Parses HTTP/1.1 messages from one socket, strictly: what could be read in two ways is refused. */
+/**
+ * Parses HTTP/1.1 messages from one socket, strictly: what could be read in two ways is refused.
+ */
 final class HttpReader {
     /** Longer lines between chunks carry nothing that anyone here needs. */
     private static final int CHUNK_LINE = 256;
+
     /** Bytes a second that any sender reaches: only its pauses count. */
     static final long ANY_RATE = 16;
+
     private static final long TO_THE_END = Long.MAX_VALUE;
 
     private final Socket socket;
@@ -22,12 +26,19 @@
     private int filled;
     private long limit;
     private volatile long readAt = System.nanoTime();
-    /** Nanoseconds that a pause may last at most, each byte adding to the limit as many; 0: it stays. */
+
+    /**
+     * Nanoseconds that a pause may last at most, each byte adding to the limit as many; 0: it
+     * stays.
+     */
     private long pause;
+
     private long eachByte;
     private boolean chunked;
+
     /** What is left of the body, or of its present chunk. */
     private long left;
+
     private boolean bodyOver = true;
     private long dropped;
 
@@ -44,8 +55,10 @@
         pause = 0;
     }
 
-    /** No pause from now on may be longer than so many milliseconds, and less than so many bytes a second may
-     * not come for longer than that either. */
+    /**
+     * No pause from now on may be longer than so many milliseconds, and less than so many bytes a
+     * second may not come for longer than that either.
+     */
     void paced(long millis, long bytesPerSecond) {
         within(millis);
         pause = millis * 1_000_000;
@@ -57,7 +70,9 @@
         return ahead() || fill();
     }
 
-    /** The same, but reads that one byte alone: what comes with it can still be seen in the socket. */
+    /**
+     * The same, but reads that one byte alone: what comes with it can still be seen in the socket.
+     */
     boolean awaitOne() throws IOException {
         return ahead() || fill(1);
     }
@@ -67,8 +82,10 @@
         return at < filled;
     }
 
-    /** Reads on behind what lies here; false when the other side has ended its sending. What does not fit any
-     * more is dropped with what lies here, and counted. */
+    /**
+     * Reads on behind what lies here; false when the other side has ended its sending. What does
+     * not fit any more is dropped with what lies here, and counted.
+     */
     boolean more() throws IOException {
         if (filled - at == buffer.length) {
             dropped += buffer.length;
@@ -77,12 +94,18 @@
         return fill();
     }
 
-    /** How many bytes have been dropped; with any, where the next message begins is not known any more. */
+    /**
+     * How many bytes have been dropped; with any, where the next message begins is not known any
+     * more.
+     */
     long dropped() {
         return dropped;
     }
 
-    /** Whether the next message, as far as it has come, can't be one: the length of the last was wrong. */
+    /**
+     * Whether the next message, as far as it has come, can't be one: the length of the last was
+     * wrong.
+     */
     boolean stray() {
         return at < filled && buffer[at] != '\r' && (buffer[at] < 'A' || buffer[at] > 'Z');
     }
@@ -129,7 +152,10 @@
         return n > 0;
     }
 
-    /** Reads and drops what still comes, so many bytes at most, until the other side ends or time is up. */
+    /**
+     * Reads and drops what still comes, so many bytes at most, until the other side ends or time is
+     * up.
+     */
     void drop(int most) throws IOException {
         int count = filled - at;
         at = filled;
@@ -167,8 +193,10 @@
         return head;
     }
 
-    /** The head of the final answer: milliseconds for any pause once one has begun; 0: the limit that is
-     * set. */
+    /**
+     * The head of the final answer: milliseconds for any pause once one has begun; 0: the limit
+     * that is set.
+     */
     Head answer(long gap) throws IOException, BadMessage {
         while (true) {
             if (!await()) {
@@ -208,8 +236,9 @@
             for (; at + seen < filled; seen++) {
                 byte b = buffer[at + seen];
                 boolean afterReturn = seen > 0 && buffer[at + seen - 1] == '\r';
-                if (afterReturn != (b == '\n') || b >= 0 && b < ' ' && b != '\t' && b != '\r' && b != '\n'
-                    || b == 127) {
+                if (afterReturn != (b == '\n')
+                        || b >= 0 && b < ' ' && b != '\t' && b != '\r' && b != '\n'
+                        || b == 127) {
                     throw new BadMessage(400, "a control character in the head");
                 }
                 if (b == '\n' && seen >= 3 && buffer[at + seen - 2] == '\n') {
@@ -228,7 +257,8 @@
     }
 
     private static Head parse(String text) throws BadMessage {
-        // Without patterns: until they were compiled, the first requests waited milliseconds for them.
+        // Without patterns: until they were compiled, the first requests waited milliseconds for
+        // them.
         int end = lineEnd(text, 0);
         Head head = new Head(text.substring(0, end).split(" ", 3));
         while (end < text.length()) {
--- a/src/main/java/cottonlock/net/HttpWriter.java
+++ b/src/main/java/cottonlock/net/HttpWriter.java
@@ -18,9 +18,12 @@
         this.buffers = buffers;
     }
 
-    /** A request on its way to a backend, with how many milliseconds its balancer will wait: asked for at the
-     * last moment, for a buffer may have to be waited for before it. */
-    void request(OutputStream out, ClientRequest req, String host, LongSupplier wait) throws IOException {
+    /**
+     * A request on its way to a backend, with how many milliseconds its balancer will wait: asked
+     * for at the last moment, for a buffer may have to be waited for before it.
+     */
+    void request(OutputStream out, ClientRequest req, String host, LongSupplier wait)
+            throws IOException {
         send(out, () -> request(req, host, wait.getAsLong()), req.body);
     }
 
@@ -42,7 +45,7 @@
 
     /** An answer to a client; a body of null is an empty one. */
     void answer(OutputStream out, int status, String name, String value, Body body, boolean close)
-        throws IOException {
+            throws IOException {
         StringBuilder head = new StringBuilder(128);
         head.append("HTTP/1.1 ").append(status).append(' ').append(reason(status)).append("\r\n");
         field(head, name, value);
@@ -51,9 +54,12 @@
         send(out, () -> head, body);
     }
 
-    /** The head of a long answer that is passed on as it comes, and what of it is in hand; -1: length
-     * unknown, and the rest follows in chunks where the client knows them. */
-    void begin(OutputStream out, long length, boolean chunked, Body part, boolean close) throws IOException {
+    /**
+     * The head of a long answer that is passed on as it comes, and what of it is in hand; -1:
+     * length unknown, and the rest follows in chunks where the client knows them.
+     */
+    void begin(OutputStream out, long length, boolean chunked, Body part, boolean close)
+            throws IOException {
         StringBuilder head = new StringBuilder(128);
         head.append("HTTP/1.1 200 OK\r\n");
         field(head, "Content-Length", length < 0 ? null : Long.toString(length));
@@ -69,7 +75,8 @@
     }
 
     /** The next piece of it. */
-    void piece(OutputStream out, boolean chunked, byte[] from, int at, int count) throws IOException {
+    void piece(OutputStream out, boolean chunked, byte[] from, int at, int count)
+            throws IOException {
         if (chunked) {
             out.write((Integer.toHexString(count) + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
         }
@@ -106,7 +113,8 @@
         }
     }
 
-    private void send(OutputStream out, Supplier<StringBuilder> head, Body body) throws IOException {
+    private void send(OutputStream out, Supplier<StringBuilder> head, Body body)
+            throws IOException {
         if (body == null || body.length() == 0) {
             out.write(bytes(head));
             return;
--- a/src/main/java/cottonlock/net/Json.java
+++ b/src/main/java/cottonlock/net/Json.java
@@ -27,7 +27,10 @@
         return value;
     }
 
-    /** Tells, of a text that comes in lines, whether an object or array goes on behind what has come. */
+    /**
+     * Tells, of a text that comes in lines, whether an object or array goes on behind what has
+     * come.
+     */
     static final class Nesting {
         private int depth;
         private boolean quoted;
@@ -158,7 +161,8 @@
             case 't':
                 return '\t';
             case 'u':
-                if (at + 4 <= text.length() && text.substring(at, at + 4).matches("[0-9a-fA-F]{4}")) {
+                if (at + 4 <= text.length()
+                        && text.substring(at, at + 4).matches("[0-9a-fA-F]{4}")) {
                     at += 4;
                     return (char) Integer.parseInt(text.substring(at - 4, at), 16);
                 }
--- a/src/main/java/cottonlock/net/ListWatch.java
+++ b/src/main/java/cottonlock/net/ListWatch.java
@@ -11,19 +11,25 @@
 /**
  * The list's actor: it watches the list of backends while asked to, one watch at a time.
  *
- * <p>Whatever goes wrong, a change counts as told 6 s after discovery had it and could be reached. So these
- * add up to less: SILENCE, the pause until the next call (here LONGEST_AGAIN, or what the module waits),
- * CONNECT. The sum stands in docs/races.md; what it leaves is for the answer.
+ * <p>Whatever goes wrong, a change counts as told 6 s after discovery had it and could be reached.
+ * So these add up to less: SILENCE, the pause until the next call (here LONGEST_AGAIN, or what the
+ * module waits), CONNECT. The sum stands in docs/races.md; what it leaves is for the answer.
  */
 final class ListWatch implements Runnable {
     /** Milliseconds: discovery answers from within the network or not at all. */
     static final int CONNECT = 1_000;
+
     /** Milliseconds without a line: two of the empty ones that come every two seconds. */
     static final long SILENCE = 4_000;
-    /** Milliseconds before the next watch where nobody decides when to ask again: doubled with each failure
-     * in a row. What is pushed counts at once, whether or not a watch is open. */
+
+    /**
+     * Milliseconds before the next watch where nobody decides when to ask again: doubled with each
+     * failure in a row. What is pushed counts at once, whether or not a watch is open.
+     */
     static final long AGAIN = 50;
+
     static final long LONGEST_AGAIN = 200;
+
     /** Characters of a list of some thousand backends. */
     private static final int LONGEST_LINE = 1 << 20;
 
@@ -38,24 +44,39 @@
 
     /** Where discovery is: it moves with the configuration. */
     private volatile InetSocketAddress address;
+
     private final Directory directory;
     private final boolean onlyWhenAsked;
+
     /** Milliseconds without a line after which a watch is broken. */
     private final long silence;
+
     private final Sink module;
     private final Buffers buffers;
     private final Log log;
     private final SplittableRandom random;
     private final Semaphore asks = new Semaphore(0);
+
     /** What it holds was told by this place: another's versions mean nothing there. */
     private InetSocketAddress toldBy;
+
     private long version;
+
     /** Lists that have come. */
     private long lists;
+
     private volatile Socket socket;
 
-    ListWatch(InetSocketAddress address, Directory directory, long version, boolean onlyWhenAsked,
-              long silence, Sink module, Buffers buffers, Log log, SplittableRandom random) {
+    ListWatch(
+            InetSocketAddress address,
+            Directory directory,
+            long version,
+            boolean onlyWhenAsked,
+            long silence,
+            Sink module,
+            Buffers buffers,
+            Log log,
+            SplittableRandom random) {
         this.address = address;
         this.directory = directory;
         this.version = version;
@@ -91,7 +112,8 @@
                 try {
                     watch(at);
                 } catch (IOException | BadMessage | RuntimeException | Error e) {
-                    // An error too, such as memory short for a moment: without its thread no list would ever
+                    // An error too, such as memory short for a moment: without its thread no list
+                    // would ever
                     // come again.
                     log.info("list", "the watch ended: " + e);
                 }
@@ -100,7 +122,8 @@
                 }
                 asks.drainPermits();
                 if (at != address) {
-                    // The old place is left on purpose: waiting as after a failure would only age the list.
+                    // The old place is left on purpose: waiting as after a failure would only age
+                    // the list.
                     asks.release();
                     continue;
                 }
@@ -125,13 +148,20 @@
                 return;
             }
             socket.connect(at, CONNECT);
-            // A move may also have come between two watches: with the old place's version, the new one would
+            // A move may also have come between two watches: with the old place's version, the new
+            // one would
             // leave out what it takes for known, for good.
             long known = at.equals(toldBy) ? version : 0;
             OutputStream out = socket.getOutputStream();
-            out.write(("GET /catalog/members?stream=1&index=" + known + " HTTP/1.1\r\nHost: "
-                + at.getHostString() + ":" + at.getPort() + "\r\n\r\n")
-                .getBytes(StandardCharsets.ISO_8859_1));
+            out.write(
+                    ("GET /catalog/members?stream=1&index="
+                                    + known
+                                    + " HTTP/1.1\r\nHost: "
+                                    + at.getHostString()
+                                    + ":"
+                                    + at.getPort()
+                                    + "\r\n\r\n")
+                            .getBytes(StandardCharsets.ISO_8859_1));
             HttpReader reader = new HttpReader(socket, buffer);
             // A head or a line that trickles renews nothing: only a whole one does.
             reader.within(silence);
@@ -141,7 +171,9 @@
             }
             StringBuilder text = new StringBuilder();
             Json.Nesting nesting = new Json.Nesting();
-            for (String line = reader.line(LONGEST_LINE); line != null; line = reader.line(LONGEST_LINE)) {
+            for (String line = reader.line(LONGEST_LINE);
+                    line != null;
+                    line = reader.line(LONGEST_LINE)) {
                 text.append(line).append('\n');
                 nesting.add(line);
                 if (text.length() > LONGEST_LINE) {
--- a/src/main/java/cottonlock/net/Listener.java
+++ b/src/main/java/cottonlock/net/Listener.java
@@ -16,17 +16,24 @@
 
 /** Takes in clients' connections, and keeps them within the sockets that are theirs. */
 final class Listener implements Runnable {
-    /** As many may wait to be accepted as a burst brings within the time of one garbage collection. */
+    /**
+     * As many may wait to be accepted as a burst brings within the time of one garbage collection.
+     */
     private static final int BACKLOG = 512;
 
     private final ServerSocket server;
-    /** Milliseconds for a connection to come free; whoever waits longer is better served elsewhere. */
+
+    /**
+     * Milliseconds for a connection to come free; whoever waits longer is better served elsewhere.
+     */
     private static final long WAIT = 250;
+
     /** Milliseconds between looks for one that can be closed. */
     private static final long LOOK = 5;
 
     /** Milliseconds between looks at whether to leave; and at a queue that may be empty. */
     private static final int TURN = 100;
+
     private static final int EMPTY = 1;
 
     private final Semaphore places;
@@ -37,8 +44,14 @@
     private final Set<Client> clients = ConcurrentHashMap.newKeySet();
 
     /** Shares: another process of this proxy may listen there too. */
-    Listener(InetSocketAddress address, boolean shares, int most,
-             BiFunction<Socket, Listener, Client> clientOf, Workers workers, Log log) throws IOException {
+    Listener(
+            InetSocketAddress address,
+            boolean shares,
+            int most,
+            BiFunction<Socket, Listener, Client> clientOf,
+            Workers workers,
+            Log log)
+            throws IOException {
         this.places = new Semaphore(most);
         this.clientOf = clientOf;
         this.workers = workers;
@@ -66,7 +79,8 @@
                 }
                 take(server.accept());
             } catch (SocketTimeoutException e) {
-                // Closed before it was empty, the kernel would reset what it has queued here unheard.
+                // Closed before it was empty, the kernel would reset what it has queued here
+                // unheard.
                 if (leaving) {
                     Sockets.close(server);
                 }
@@ -81,7 +95,9 @@
 
     private void take(Socket socket) {
         if (!placeFound()) {
-            log.warn("too many clients", "closed a new connection unread; " + clients.size() + " are open");
+            log.warn(
+                    "too many clients",
+                    "closed a new connection unread; " + clients.size() + " are open");
             Sockets.close(socket);
             return;
         }
@@ -110,12 +126,17 @@
             } catch (InterruptedException e) {
                 return false;
             }
-            // One that sends half a request, and then nothing, must not keep the others out; and a crowd that
-            // asks for nothing but our health must not push out those who bring work, however long at rest.
-            clients.stream().filter(client -> !client.owed())
-                .min(Comparator.comparing(Client::busy).thenComparing(Client::worked)
-                    .thenComparingLong(Client::since))
-                .ifPresent(Client::giveWay);
+            // One that sends half a request, and then nothing, must not keep the others out; and a
+            // crowd that
+            // asks for nothing but our health must not push out those who bring work, however long
+            // at rest.
+            clients.stream()
+                    .filter(client -> !client.owed())
+                    .min(
+                            Comparator.comparing(Client::busy)
+                                    .thenComparing(Client::worked)
+                                    .thenComparingLong(Client::since))
+                    .ifPresent(Client::giveWay);
         }
         return false;
     }
@@ -135,13 +156,19 @@
         places.release();
     }
 
-    /** Takes in what has been queued and nothing more, and leaves each connection after the next answer. */
+    /**
+     * Takes in what has been queued and nothing more, and leaves each connection after the next
+     * answer.
+     */
     void leave() {
         leaving = true;
         List.copyOf(clients).forEach(Client::lastOne);
     }
 
-    /** Ends each connection that rests; again and again while it leaves, as some have just been taken in. */
+    /**
+     * Ends each connection that rests; again and again while it leaves, as some have just been
+     * taken in.
+     */
     void endResting() {
         clients.forEach(Client::close);
     }
--- a/src/main/java/cottonlock/net/Log.java
+++ b/src/main/java/cottonlock/net/Log.java
@@ -6,6 +6,7 @@
 /** Lines for whoever is on call: one of each kind a second at most, with how many were left out. */
 final class Log {
     private static final long GAP = 1_000_000_000L;
+
     /** Lines a second of what is told each by each: more than a fleet in a storm can be read at. */
     private static final int EACH = 40;
 
--- a/src/main/java/cottonlock/net/Mailbox.java
+++ b/src/main/java/cottonlock/net/Mailbox.java
@@ -4,13 +4,16 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** An actor's mailbox: bounded, and read by the actor's thread alone, one message after the other. */
+/**
+ * An actor's mailbox: bounded, and read by the actor's thread alone, one message after the other.
+ */
 final class Mailbox implements Runnable {
     private final BlockingQueue<Runnable> messages;
     private final Log log;
 
     Mailbox(int most, Log log) {
-        // An array of all its places would take 16 KB for each backend that a list names, used or not.
+        // An array of all its places would take 16 KB for each backend that a list names, used or
+        // not.
         this.messages = new LinkedBlockingQueue<>(most);
         this.log = log;
     }
@@ -44,7 +47,9 @@
         }
     }
 
-    /** Carries out a message; one that fails must not end the actor, and all that others wait for. */
+    /**
+     * Carries out a message; one that fails must not end the actor, and all that others wait for.
+     */
     void guard(Runnable message) {
         try {
             message.run();
--- a/src/main/java/cottonlock/net/Members.java
+++ b/src/main/java/cottonlock/net/Members.java
@@ -11,12 +11,17 @@
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 
-/** Joins a proxy to the fleet of those that know one another; loaded only where an operator's file asks. */
+/**
+ * Joins a proxy to the fleet of those that know one another; loaded only where an operator's file
+ * asks.
+ */
 final class Members {
     /** Milliseconds that this process's wall clock is wrong by, for tests alone. */
     private static final String CLOCK = "cottonlock.test.clock_ms";
+
     /** A file for tests alone: while it is there, the module's thread stands still. */
     private static final String HANG = "cottonlock.test.hang";
+
     private static final long LOOK = 20;
 
     private final MembersActor actor;
@@ -29,37 +34,70 @@
      * @param succession tells of the proxy's other process; null where there can be none
      * @throws Malformed for files that name nobody else, or no address of its own
      */
-    Members(MembershipPlan plan, Config config, DatagramSocket peerSocket, Peers peers, ModuleActor module,
-            Clock clock, Succession succession, SplittableRandom random, Log log) throws IOException {
+    Members(
+            MembershipPlan plan,
+            Config config,
+            DatagramSocket peerSocket,
+            Peers peers,
+            ModuleActor module,
+            Clock clock,
+            Succession succession,
+            SplittableRandom random,
+            Log log)
+            throws IOException {
         InetSocketAddress peerListen = config.addressIfAny("peer_listen");
-        InetSocketAddress listen = plan.listen().isEmpty() ? peerListen
-            : Config.address("membership.listen", plan.listen());
+        InetSocketAddress listen =
+                plan.listen().isEmpty()
+                        ? peerListen
+                        : Config.address("membership.listen", plan.listen());
         if (listen == null) {
-            throw new Malformed("membership needs an address: peer_listen here, or membership.listen in the "
-                + "operator's file");
+            throw new Malformed(
+                    "membership needs an address: peer_listen here, or membership.listen in the "
+                            + "operator's file");
         }
         sharesSocket = peerSocket != null && listen.equals(peerListen);
         List<InetSocketAddress> fixed = config.addresses("peers");
         List<String> contacts = new ArrayList<>();
         fixed.forEach(address -> contacts.add(MembersActor.text(address)));
-        plan.seeds().forEach(seed ->
-            contacts.add(MembersActor.text(Config.address("membership.seeds", seed))));
+        plan.seeds()
+                .forEach(
+                        seed ->
+                                contacts.add(
+                                        MembersActor.text(
+                                                Config.address("membership.seeds", seed))));
         if (contacts.isEmpty()) {
-            throw new Malformed("membership needs others: peers here, or membership.seeds in the operator's "
-                + "file");
+            throw new Malformed(
+                    "membership needs others: peers here, or membership.seeds in the operator's "
+                            + "file");
         }
         int me = config.settings().count("Me", -1);
-        String address = MembersActor.text(!plan.advertise().isEmpty()
-            ? Config.address("membership.advertise", plan.advertise())
-            : plan.listen().isEmpty() && me >= 0 && me < fixed.size() ? fixed.get(me) : listen);
+        String address =
+                MembersActor.text(
+                        !plan.advertise().isEmpty()
+                                ? Config.address("membership.advertise", plan.advertise())
+                                : plan.listen().isEmpty() && me >= 0 && me < fixed.size()
+                                        ? fixed.get(me)
+                                        : listen);
         String name = config.text("name", "");
         BooleanSupplier replaced = succession == null ? null : succession::replaced;
         socket = sharesSocket ? peerSocket : Peers.socket(listen, succession != null);
         long life = System.currentTimeMillis() + Long.getLong(CLOCK, 0);
         try {
-            actor = new MembersActor(plan, socket, name, address, contacts, plan.seeds().isEmpty(), life,
-                random, clock::now, module::progressAt, replaced, peers::came,
-                line -> log.each("members", line));
+            actor =
+                    new MembersActor(
+                            plan,
+                            socket,
+                            name,
+                            address,
+                            contacts,
+                            plan.seeds().isEmpty(),
+                            life,
+                            random,
+                            clock::now,
+                            module::progressAt,
+                            replaced,
+                            peers::came,
+                            line -> log.each("members", line));
         } catch (IllegalArgumentException e) {
             close();
             throw new Malformed("name: " + e.getMessage());
@@ -77,11 +115,13 @@
         try {
             while (true) {
                 if (file.exists()) {
-                    module.hang(() -> {
-                        while (file.exists()) {
-                            java.util.concurrent.locks.LockSupport.parkNanos(LOOK * 1_000_000);
-                        }
-                    });
+                    module.hang(
+                            () -> {
+                                while (file.exists()) {
+                                    java.util.concurrent.locks.LockSupport.parkNanos(
+                                            LOOK * 1_000_000);
+                                }
+                            });
                 }
                 Thread.sleep(LOOK);
             }
--- a/src/main/java/cottonlock/net/ModuleActor.java
+++ b/src/main/java/cottonlock/net/ModuleActor.java
@@ -22,32 +22,48 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** The module's actor: its thread alone calls the module, and it waits for nobody but its mailbox. */
+/**
+ * The module's actor: its thread alone calls the module, and it waits for nobody but its mailbox.
+ */
 final class ModuleActor implements Runnable, Outlet, ListWatch.Sink {
     /** More than the sockets there are: each has a message or two under way at most. */
     private static final int MOST = 4_096;
 
-    /** Tenths of a millisecond until a wake that failed is tried again: seldom enough to harm nobody. */
+    /**
+     * Tenths of a millisecond until a wake that failed is tried again: seldom enough to harm
+     * nobody.
+     */
     private static final long AGAIN = 1_000;
 
-    /** Tenths of a millisecond after a client was last seen there in which an attempt may begin: within
-     * 100 ms of its leaving none is a fault, and the write takes some of them. */
+    /**
+     * Tenths of a millisecond after a client was last seen there in which an attempt may begin:
+     * within 100 ms of its leaving none is a fault, and the write takes some of them.
+     */
     private static final long SIGHT = 800;
 
     private final Mailbox mailbox;
+
     /** Writes the answers that the module gives of itself, for this thread waits for no client. */
     private final Mailbox clerk;
-    /** Starts backends' threads: whoever starts one waits until it has been given a core for the first time.
-     * Seen where none was free: 2 to 5 s for a list of a hundred, with every deadline running meanwhile. */
+
+    /**
+     * Starts backends' threads: whoever starts one waits until it has been given a core for the
+     * first time. Seen where none was free: 2 to 5 s for a list of a hundred, with every deadline
+     * running meanwhile.
+     */
     private final Mailbox starter;
+
     /** What the module's own answers lead to, after the call that made them. */
     private final Deque<Runnable> next = new ArrayDeque<>();
+
     private final Clock clock;
     private final Function<Directory.Entry, BackendActor> actorOf;
     private final Figures figures;
     private final Log log;
+
     /** The backends in the list, as discovery has told them, and their ids for others to see. */
     private final Map<String, Member> listed = new TreeMap<>();
+
     private final Set<String> unlisted = new TreeSet<>();
     private volatile Set<String> ids = Set.of();
     private boolean listLost;
@@ -55,20 +71,29 @@
     private final Map<Long, ClientRequest> requests = new HashMap<>();
     private final Map<String, BackendActor> backends = new TreeMap<>();
     private final PriorityQueue<ClientRequest> expiries =
-        new PriorityQueue<>(Comparator.comparingLong((ClientRequest req) -> req.expiry));
+            new PriorityQueue<>(Comparator.comparingLong((ClientRequest req) -> req.expiry));
     private Balancer balancer;
     private ListWatch watch;
     private Peers peers;
+
     /** The module that is only watched, or null. */
     private Shadow shadow;
+
     /** When its thread last came round, for whoever watches over it. */
     private volatile long progressAt;
+
     private long lastNumber;
+
     /** By when all is over, once the proxy leaves. */
     private long latestEnd = Long.MAX_VALUE;
+
     private long wakeAt;
 
-    ModuleActor(Clock clock, Function<Directory.Entry, BackendActor> actorOf, Figures figures, Log log) {
+    ModuleActor(
+            Clock clock,
+            Function<Directory.Entry, BackendActor> actorOf,
+            Figures figures,
+            Log log) {
         this.clock = clock;
         this.actorOf = actorOf;
         this.figures = figures;
@@ -78,7 +103,10 @@
         this.starter = new Mailbox(MOST, log);
     }
 
-    /** Before the thread starts: the module, where its asks for the list go, and its messages to peers. */
+    /**
+     * Before the thread starts: the module, where its asks for the list go, and its messages to
+     * peers.
+     */
     void join(Balancer module, ListWatch list, Peers others, Bans taken) {
         balancer = module;
         bans = taken;
@@ -136,7 +164,8 @@
             }
         }
         if (now >= wakeAt) {
-            // The module sets its next time itself; if it failed on the way, it would never be woken again.
+            // The module sets its next time itself; if it failed on the way, it would never be
+            // woken again.
             wakeAt = now + AGAIN;
             balancer.wake(now);
             retireUnlisted();
@@ -149,61 +178,77 @@
 
     /** The proxy leaves: all that it holds is answered by then, before it is killed. */
     void endBy(long latest) {
-        mailbox.put(() -> {
-            latestEnd = latest;
-            balancer.endBy(latest);
-            List<ClientRequest> held = new ArrayList<>(expiries);
-            expiries.clear();
-            held.forEach(req -> req.expiry = Math.min(req.expiry, latest));
-            expiries.addAll(held);
-        });
+        mailbox.put(
+                () -> {
+                    latestEnd = latest;
+                    balancer.endBy(latest);
+                    List<ClientRequest> held = new ArrayList<>(expiries);
+                    expiries.clear();
+                    held.forEach(req -> req.expiry = Math.min(req.expiry, latest));
+                    expiries.addAll(held);
+                });
     }
 
     /** A client's request has been read whole. */
     void arrive(ClientRequest req) {
-        mailbox.put(() -> {
-            if (req.claimed()) {
-                // Its client left meanwhile: nothing is decided for it, dialled least of all.
-                return;
-            }
-            req.number = ++lastNumber;
-            // It may have been admitted just before the end was told, and come here just behind it.
-            req.expiry = Math.min(req.expiry, latestEnd);
-            requests.put(req.number, req);
-            expiries.add(req);
-            long now = clock.now();
-            if (shadow != null) {
-                shadow.arrive(req, now);
-            }
-            balancer.arrive(now, req.number, req.category, req.tenant, req.expiry - now, req.repeated, 0);
-        });
+        mailbox.put(
+                () -> {
+                    if (req.claimed()) {
+                        // Its client left meanwhile: nothing is decided for it, dialled least of
+                        // all.
+                        return;
+                    }
+                    req.number = ++lastNumber;
+                    // It may have been admitted just before the end was told, and come here just
+                    // behind it.
+                    req.expiry = Math.min(req.expiry, latestEnd);
+                    requests.put(req.number, req);
+                    expiries.add(req);
+                    long now = clock.now();
+                    if (shadow != null) {
+                        shadow.arrive(req, now);
+                    }
+                    balancer.arrive(
+                            now,
+                            req.number,
+                            req.category,
+                            req.tenant,
+                            req.expiry - now,
+                            req.repeated,
+                            0);
+                });
     }
 
     /** The client of a request has left. */
     void left(ClientRequest req) {
-        mailbox.put(() -> {
-            if (shadow != null) {
-                shadow.left(clock.now(), req.number);
-            }
-            balancer.left(clock.now(), req.number);
-            forget(req);
-        });
-    }
-
-    /** Nobody sees any more whether the client of a request leaves. What waits for room is refused, and no
-     * further attempt is made; the first may still go out, soon, or, where it was just about to, at all. */
+        mailbox.put(
+                () -> {
+                    if (shadow != null) {
+                        shadow.left(clock.now(), req.number);
+                    }
+                    balancer.left(clock.now(), req.number);
+                    forget(req);
+                });
+    }
+
+    /**
+     * Nobody sees any more whether the client of a request leaves. What waits for room is refused,
+     * and no further attempt is made; the first may still go out, soon, or, where it was just about
+     * to, at all.
+     */
     void unseen(ClientRequest req, boolean first) {
         req.seenUntil = first ? Long.MAX_VALUE : clock.now() + SIGHT;
-        mailbox.put(() -> {
-            req.unseen = true;
-            if (req.attempts.isEmpty()) {
-                answer(req.number, Reason.NO_ROOM, 503, null, null);
-                if (shadow != null) {
-                    shadow.left(clock.now(), req.number);
-                }
-                balancer.left(clock.now(), req.number);
-            }
-        });
+        mailbox.put(
+                () -> {
+                    req.unseen = true;
+                    if (req.attempts.isEmpty()) {
+                        answer(req.number, Reason.NO_ROOM, 503, null, null);
+                        if (shadow != null) {
+                            shadow.left(clock.now(), req.number);
+                        }
+                        balancer.left(clock.now(), req.number);
+                    }
+                });
     }
 
     /** An attempt has been settled, by the thread that saw how it ended. */
@@ -216,7 +261,8 @@
         if (shadow != null) {
             shadow.settled(clock.now(), attempt.req.number, outcome, attempt.req.claimed());
         }
-        balancer.settled(clock.now(), attempt.req.number, attempt.number, outcome, attempt.req.claimed());
+        balancer.settled(
+                clock.now(), attempt.req.number, attempt.number, outcome, attempt.req.claimed());
         forget(attempt.req);
     }
 
@@ -232,44 +278,46 @@
 
     @Override
     public void list(Directory.News news, boolean cached) {
-        mailbox.put(() -> {
-            List<Member> members = new ArrayList<>();
-            Map<String, BackendActor> absent = news.whole() ? new TreeMap<>(backends) : new TreeMap<>();
-            listLost = false;
-            if (news.whole()) {
-                listed.clear();
-            }
-            for (Directory.Entry entry : news.entries()) {
-                Member m = entry.member();
-                members.add(bans.told(m));
-                if (m.state() == Member.State.GONE) {
-                    listed.remove(m.id());
-                } else {
-                    listed.put(m.id(), m);
-                }
-                BackendActor actor = backends.get(m.id());
-                if (m.state() == Member.State.GONE) {
-                    absent.put(m.id(), actor);
-                    continue;
-                }
-                absent.remove(m.id());
-                if (actor == null && entry.dial() != null) {
-                    backends.put(m.id(), actorOf.apply(entry));
-                } else if (entry.dial() != null) {
-                    actor.listensAt(entry.dial());
-                }
-                ready(m);
-            }
-            if (shadow != null) {
-                shadow.list(clock.now(), members, news.whole(), cached);
-            }
-            balancer.list(clock.now(), members, news.whole(), cached);
-            unlisted.addAll(absent.keySet());
-            listed.keySet().forEach(unlisted::remove);
-            retireUnlisted();
-            ids = Set.copyOf(listed.keySet());
-            count();
-        });
+        mailbox.put(
+                () -> {
+                    List<Member> members = new ArrayList<>();
+                    Map<String, BackendActor> absent =
+                            news.whole() ? new TreeMap<>(backends) : new TreeMap<>();
+                    listLost = false;
+                    if (news.whole()) {
+                        listed.clear();
+                    }
+                    for (Directory.Entry entry : news.entries()) {
+                        Member m = entry.member();
+                        members.add(bans.told(m));
+                        if (m.state() == Member.State.GONE) {
+                            listed.remove(m.id());
+                        } else {
+                            listed.put(m.id(), m);
+                        }
+                        BackendActor actor = backends.get(m.id());
+                        if (m.state() == Member.State.GONE) {
+                            absent.put(m.id(), actor);
+                            continue;
+                        }
+                        absent.remove(m.id());
+                        if (actor == null && entry.dial() != null) {
+                            backends.put(m.id(), actorOf.apply(entry));
+                        } else if (entry.dial() != null) {
+                            actor.listensAt(entry.dial());
+                        }
+                        ready(m);
+                    }
+                    if (shadow != null) {
+                        shadow.list(clock.now(), members, news.whole(), cached);
+                    }
+                    balancer.list(clock.now(), members, news.whole(), cached);
+                    unlisted.addAll(absent.keySet());
+                    listed.keySet().forEach(unlisted::remove);
+                    retireUnlisted();
+                    ids = Set.copyOf(listed.keySet());
+                    count();
+                });
     }
 
     /** What is on its way to a connection must not go out after a drain or a ban was told. */
@@ -282,19 +330,24 @@
 
     /** Where removal from the list binds nobody, the module may use one for some time after it. */
     private void retireUnlisted() {
-        unlisted.removeIf(id -> {
-            BackendActor actor = balancer.uses(id) ? null : backends.remove(id);
-            if (actor != null) {
-                actor.leave();
-            }
-            return !balancer.uses(id);
-        });
+        unlisted.removeIf(
+                id -> {
+                    BackendActor actor = balancer.uses(id) ? null : backends.remove(id);
+                    if (actor != null) {
+                        actor.leave();
+                    }
+                    return !balancer.uses(id);
+                });
     }
 
     private void count() {
-        figures.backends(listed.size(), (int) listed.values().stream()
-            .filter(m -> bans.told(m).state() != Member.State.READY).count()
-            + (int) balancer.avoided(clock.now()));
+        figures.backends(
+                listed.size(),
+                (int)
+                                listed.values().stream()
+                                        .filter(m -> bans.told(m).state() != Member.State.READY)
+                                        .count()
+                        + (int) balancer.avoided(clock.now()));
     }
 
     /** When its thread last made progress, by the module's clock; from any thread. */
@@ -325,60 +378,66 @@
 
     /** Backends have been taken out or back by hand; from any thread. */
     void bansChanged() {
-        mailbox.put(() -> {
-            List<Member> members = new ArrayList<>();
-            for (Member m : listed.values()) {
-                members.add(bans.told(m));
-                ready(m);
-                if (bans.out(m.id()) && backends.containsKey(m.id())) {
-                    // It will be restarted: what rests there would break as soon as it is used again.
-                    backends.get(m.id()).release();
-                }
-            }
-            if (shadow != null) {
-                shadow.list(clock.now(), members, false, false);
-            }
-            balancer.list(clock.now(), members, false, false);
-            if (listLost) {
-                // This was no news from discovery: it still has to be asked again.
-                balancer.listFailed(clock.now());
-            }
-            count();
-        });
+        mailbox.put(
+                () -> {
+                    List<Member> members = new ArrayList<>();
+                    for (Member m : listed.values()) {
+                        members.add(bans.told(m));
+                        ready(m);
+                        if (bans.out(m.id()) && backends.containsKey(m.id())) {
+                            // It will be restarted: what rests there would break as soon as it is
+                            // used again.
+                            backends.get(m.id()).release();
+                        }
+                    }
+                    if (shadow != null) {
+                        shadow.list(clock.now(), members, false, false);
+                    }
+                    balancer.list(clock.now(), members, false, false);
+                    if (listLost) {
+                        // This was no news from discovery: it still has to be asked again.
+                        balancer.listFailed(clock.now());
+                    }
+                    count();
+                });
     }
 
     /** Other categories, by number, and most attempts are in force for what comes from now on. */
     void retune(List<Category> categories, int most) {
-        mailbox.put(() -> {
-            if (shadow != null) {
-                shadow.retune(categories, most);
-            }
-            balancer.retune(categories, most);
-        });
+        mailbox.put(
+                () -> {
+                    if (shadow != null) {
+                        shadow.retune(categories, most);
+                    }
+                    balancer.retune(categories, most);
+                });
     }
 
     @Override
     public void listFailed() {
-        mailbox.put(() -> {
-            listLost = true;
-            balancer.listFailed(clock.now());
-        });
+        mailbox.put(
+                () -> {
+                    listLost = true;
+                    balancer.listFailed(clock.now());
+                });
     }
 
     /** Another balancer of the tier has told something. */
     void heard(byte[] message) {
-        mailbox.put(() -> {
-            if (shadow != null) {
-                shadow.heard(clock.now(), message);
-            }
-            balancer.heard(clock.now(), message);
-        });
+        mailbox.put(
+                () -> {
+                    if (shadow != null) {
+                        shadow.heard(clock.now(), message);
+                    }
+                    balancer.heard(clock.now(), message);
+                });
     }
 
     @Override
     public void attempt(long number, String backend, long sendBy) {
         ClientRequest req = requests.get(number);
-        ClientRequest.Attempt attempt = new ClientRequest.Attempt(req, req.attempts.size(), sendBy, this);
+        ClientRequest.Attempt attempt =
+                new ClientRequest.Attempt(req, req.attempts.size(), sendBy, this);
         req.attempts.add(attempt);
         req.out++;
         if (shadow != null) {
@@ -386,15 +445,20 @@
         }
         BackendActor actor = backends.get(backend);
         if ((bans.out(backend) || req.unseen && attempt.number > 0) && attempt.abandon()) {
-            // The yes to the operator went out before the module could hear of it; and a client that nobody
+            // The yes to the operator went out before the module could hear of it; and a client
+            // that nobody
             // sees may have left.
             next.add(() -> ended(attempt, Outcome.NOT_SENT));
-        } else if ((actor == null || !actor.attempt(attempt) || !begun(actor)) && attempt.abandon()) {
+        } else if ((actor == null || !actor.attempt(attempt) || !begun(actor))
+                && attempt.abandon()) {
             next.add(() -> ended(attempt, Outcome.NO_CONNECTION));
         }
     }
 
-    /** Has its thread started if it has none; false when so many wait for theirs that it would never be. */
+    /**
+     * Has its thread started if it has none; false when so many wait for theirs that it would never
+     * be.
+     */
     private boolean begun(BackendActor actor) {
         if (actor.begins() && !starter.offer(actor::begin)) {
             actor.noThread();
@@ -413,8 +477,12 @@
 
     @Override
     public void defer(long number, long comeBack, Reason why) {
-        answer(number, why, 503, comeBack > 0 ? "Retry-After" : null,
-            comeBack / 10_000 + "." + Long.toString(10_000 + comeBack % 10_000).substring(1));
+        answer(
+                number,
+                why,
+                503,
+                comeBack > 0 ? "Retry-After" : null,
+                comeBack / 10_000 + "." + Long.toString(10_000 + comeBack % 10_000).substring(1));
     }
 
     @Override
--- a/src/main/java/cottonlock/net/Peers.java
+++ b/src/main/java/cottonlock/net/Peers.java
@@ -22,8 +22,12 @@
     private final Log log;
 
     /** Socket and address may be null where the settings give none. */
-    Peers(DatagramSocket socket, List<InetSocketAddress> others, InetSocketAddress all, ModuleActor module,
-          Log log) {
+    Peers(
+            DatagramSocket socket,
+            List<InetSocketAddress> others,
+            InetSocketAddress all,
+            ModuleActor module,
+            Log log) {
         this.socket = all == null ? null : socket;
         this.others = Set.copyOf(others);
         this.all = all;
--- a/src/main/java/cottonlock/net/Proxy.java
+++ b/src/main/java/cottonlock/net/Proxy.java
@@ -16,57 +16,95 @@
 
 /** A load balancer on sockets: what an embedding program starts and closes. */
 public final class Proxy {
-    /** Descriptors for the program itself, its jars, discovery, peers and the listener: 13 at rest, measured,
-     * and for a moment a connection just accepted, files that processes share, the configuration. */
+    /**
+     * Descriptors for the program itself, its jars, discovery, peers and the listener: 13 at rest,
+     * measured, and for a moment a connection just accepted, files that processes share, the
+     * configuration.
+     */
     private static final int OWN_SOCKETS = 24;
+
     /** Part of the others that backends have: clients hold a third of all at most for requests. */
     private static final double TO_BACKENDS = 0.375;
-    /** MB that the program takes by itself, and connections of clients that one more holds, measured. */
+
+    /**
+     * MB that the program takes by itself, and connections of clients that one more holds,
+     * measured.
+     */
     private static final int OWN_MEMORY = 48;
+
     private static final int CLIENTS_A_MB = 6;
-    /** Milliseconds of patience, at most, that whoever stops the program waits for, and how many more. */
+
+    /**
+     * Milliseconds of patience, at most, that whoever stops the program waits for, and how many
+     * more.
+     */
     private static final long WAITED_FOR = 3_000;
+
     private static final long MORE = 700;
-    /** Milliseconds before that by which all is answered: time to leave in, also with little of a core. */
+
+    /**
+     * Milliseconds before that by which all is answered: time to leave in, also with little of a
+     * core.
+     */
     private static final long MARGIN = 300;
-    /** Milliseconds for which new connections go on coming after the program was told to stop: 0.4 s at
-     * most. */
+
+    /**
+     * Milliseconds for which new connections go on coming after the program was told to stop: 0.4 s
+     * at most.
+     */
     private static final long COME = 450;
+
     /** Milliseconds that the last requests taken have at least: twice what most of them need. */
     private static final long LAST = 900;
-    /** Where the settings give none, in their microseconds: a far network's connect, a common idle time. */
+
+    /**
+     * Where the settings give none, in their microseconds: a far network's connect, a common idle
+     * time.
+     */
     private static final double CONNECT = 250_000;
+
     private static final double IDLE = 15_000_000;
+
     /** One of so many sockets is left for the file of a long body. */
     private static final int FOR_BODIES = 12;
+
     /** Milliseconds between looks at whether all is answered. */
     private static final long LOOK = 5;
 
     private final Path configuration;
+
     /** What is in force: the file as it was last taken, and what its requests are taken in by. */
     private Config inForce;
+
     private Rules rules;
     private final Figures figures = new Figures();
     private final Bans bans;
     private final Succession succession;
+
     /** Null where operators have no address to call. */
     private Management management;
+
     private volatile boolean serves;
     private final Log log;
     private final List<Thread> threads = new ArrayList<>();
     private final Admission admission;
     private final Listener listener;
     private final Peers peers;
+
     /** What it knows of the other proxies; null where it knows nothing. */
     private Members members;
+
     private final ModuleActor module;
     private final ListWatch watch;
     private final Workers workers = new Workers();
     private final Buffers buffers;
+
     /** What learns of changes to the settings; null where nothing does. */
     private RolloutActor rollout;
+
     /** Whether settings that control has told are in force, not the file's. */
     private boolean told;
+
     /** The module that is only watched, or null. */
     private Shadow shadow;
 
@@ -76,10 +114,12 @@
     }
 
     /**
-     * The same, with what an operator's file asks for. Operators call at the configuration's address, else at
-     * the given one, if any. What the processes of one proxy share is kept in the folder; null: nothing is.
+     * The same, with what an operator's file asks for. Operators call at the configuration's
+     * address, else at the given one, if any. What the processes of one proxy share is kept in the
+     * folder; null: nothing is.
      */
-    public Proxy(Path configuration, Operator operator, String calledAt, Path folder) throws IOException {
+    public Proxy(Path configuration, Operator operator, String calledAt, Path folder)
+            throws IOException {
         this.configuration = configuration;
         Config config = Config.read(configuration);
         String operators = config.text("mgmt", calledAt);
@@ -89,15 +129,18 @@
         log = new Log(System.getLogger("cottonlock"));
         Clock clock = new Clock();
         SplittableRandom random = new SplittableRandom(config.seed());
-        // Operators' calls hold theirs for seconds: taken from what is left for the list, they kept it away.
+        // Operators' calls hold theirs for seconds: taken from what is left for the list, they kept
+        // it away.
         int own = OWN_SOCKETS + (shares ? Management.MOST : 0);
         int sockets = Math.max(4, config.limit("sockets", 1024) - own);
         sockets -= sockets / FOR_BODIES;
         int toBackends = Math.max(2, (int) (sockets * TO_BACKENDS));
         int memoryMb = config.limit("memory_mb", 192);
-        int fromClients = Math.min(sockets - toBackends,
-            Math.max(16, (memoryMb - OWN_MEMORY) * CLIENTS_A_MB));
-        // An eighth of the memory, a third of the heap at most: one for each connection, the rest for bodies.
+        int fromClients =
+                Math.min(
+                        sockets - toBackends, Math.max(16, (memoryMb - OWN_MEMORY) * CLIENTS_A_MB));
+        // An eighth of the memory, a third of the heap at most: one for each connection, the rest
+        // for bodies.
         long bytes = Math.min(((long) memoryMb << 20) / 8, Runtime.getRuntime().maxMemory() / 3);
         int connections = fromClients + toBackends;
         buffers = new Buffers((int) Math.max(connections, bytes / Buffers.SIZE), connections);
@@ -112,14 +155,41 @@
         String name = config.text("name", "proxy") + "-" + config.text("listen", "");
         Path kept = shares ? folder : null;
         succession = new Succession(new Shared(kept, name, "serving", log));
-        module = new ModuleActor(clock, entry -> new BackendActor(entry.dial(), permits, keepAlive, workers,
-            connect, idle, BackendActor.SETTLE, buffers, writer, watchdog, clock, figures, log),
-            figures, log);
+        module =
+                new ModuleActor(
+                        clock,
+                        entry ->
+                                new BackendActor(
+                                        entry.dial(),
+                                        permits,
+                                        keepAlive,
+                                        workers,
+                                        connect,
+                                        idle,
+                                        BackendActor.SETTLE,
+                                        buffers,
+                                        writer,
+                                        watchdog,
+                                        clock,
+                                        figures,
+                                        log),
+                        figures,
+                        log);
         bans = new Bans(new Shared(kept, name, "bans", log), clock, module::bansChanged);
-        Directory directory = new Directory(log, settings.words("Zones"), settings.words("Flavors"));
+        Directory directory =
+                new Directory(log, settings.words("Zones"), settings.words("Flavors"));
         Directory.News known = config.known(directory);
-        watch = new ListWatch(config.address("discovery"), directory, known.version(),
-            assembly.mustAsk(), ListWatch.SILENCE, module, buffers, log, random.split());
+        watch =
+                new ListWatch(
+                        config.address("discovery"),
+                        directory,
+                        known.version(),
+                        assembly.mustAsk(),
+                        ListWatch.SILENCE,
+                        module,
+                        buffers,
+                        log,
+                        random.split());
         InetSocketAddress all = config.addressIfAny("peers_all");
         InetSocketAddress peerListen = config.addressIfAny("peer_listen");
         boolean talks = peerListen != null && all != null;
@@ -140,11 +210,27 @@
         rules.tenantNames.forEach(figures::tenant);
         admission = new Admission(clock, rules);
         InetSocketAddress listen = config.address("listen");
-        listener = new Listener(listen, shares, fromClients, (socket, from) -> new Client(socket, from,
-            module, admission, buffers, spools, writer, watchdog, figures, log), workers, log);
+        listener =
+                new Listener(
+                        listen,
+                        shares,
+                        fromClients,
+                        (socket, from) ->
+                                new Client(
+                                        socket, from, module, admission, buffers, spools, writer,
+                                        watchdog, figures, log),
+                        workers,
+                        log);
         if (operator.rollout() != null) {
-            rollout = new RolloutActor(operator.rollout(), settings, this::takeIn, new Shared(folder, name,
-                "configuration", log), clock, random.split(), log);
+            rollout =
+                    new RolloutActor(
+                            operator.rollout(),
+                            settings,
+                            this::takeIn,
+                            new Shared(folder, name, "configuration", log),
+                            clock,
+                            random.split(),
+                            log);
             figures.also(rollout::figures);
             rollout.begin();
         }
@@ -152,8 +238,17 @@
         threads.add(Sockets.start("watchdog", watchdog));
         threads.add(Sockets.start("list", watch));
         if (operator.membership() != null) {
-            members = new Members(operator.membership(), config, peerSocket, peers, module, clock,
-                kept == null ? null : succession, random.split(), log);
+            members =
+                    new Members(
+                            operator.membership(),
+                            config,
+                            peerSocket,
+                            peers,
+                            module,
+                            clock,
+                            kept == null ? null : succession,
+                            random.split(),
+                            log);
             figures.also(members.actor()::figures);
         }
         if (members == null || !members.readsForPeers()) {
@@ -217,9 +312,9 @@
     }
 
     /**
-     * Reads the configuration again: follows discovery to where it is now, and takes in work by the settings
-     * that it holds now, unless control has told others. What it may not change stays as it is; a bad file
-     * changes nothing at all.
+     * Reads the configuration again: follows discovery to where it is now, and takes in work by the
+     * settings that it holds now, unless control has told others. What it may not change stays as
+     * it is; a bad file changes nothing at all.
      */
     public synchronized void reload() {
         try {
@@ -235,12 +330,17 @@
             inForce = config;
             watch.move(discovery);
             figures.file(true);
-            log.info("configuration", "read again, discovery is at " + discovery
-                + (told ? "; the settings that control has told stay in force" : ""));
+            log.info(
+                    "configuration",
+                    "read again, discovery is at "
+                            + discovery
+                            + (told ? "; the settings that control has told stay in force" : ""));
         } catch (RuntimeException e) {
             // A slip in a file must not end a proxy that serves.
             figures.file(false);
-            log.warn("configuration", configuration + ": the old one stays in force: " + e.getMessage());
+            log.warn(
+                    "configuration",
+                    configuration + ": the old one stays in force: " + e.getMessage());
         }
     }
 
@@ -254,7 +354,8 @@
     /** Takes in work by these settings from now on, or by the old ones where they can't be used. */
     private synchronized void takeIn(Settings settings) {
         takeIn(settings, tried(settings));
-        // Under the same lock: a SIGHUP just behind it would put the file's settings in their place.
+        // Under the same lock: a SIGHUP just behind it would put the file's settings in their
+        // place.
         told = true;
     }
 
@@ -268,14 +369,18 @@
     }
 
     /**
-     * Serves on for as long as what comes can still be answered, then answers what it has taken; returns when
-     * all is answered. Clients whose front has nobody else for them would find nobody until the restart.
+     * Serves on for as long as what comes can still be answered, then answers what it has taken;
+     * returns when all is answered. Clients whose front has nobody else for them would find nobody
+     * until the restart.
      */
     public void drain() throws InterruptedException {
         drain(System.nanoTime());
     }
 
-    /** The same, for a proxy that was told to at that moment, by the monotonic clock: before it served. */
+    /**
+     * The same, for a proxy that was told to at that moment, by the monotonic clock: before it
+     * served.
+     */
     public void drain(long toldAt) throws InterruptedException {
         long left = Math.min(WAITED_FOR, admission.longest()) + MORE - MARGIN;
         left -= (System.nanoTime() - toldAt) / 1_000_000;
@@ -283,17 +388,20 @@
         // Taken before, some requests might wait for longer than the program is let live.
         module.endBy(admission.endWithin(left));
         if (succession.replaced()) {
-            // Another process takes what comes from now on: this one answers what it has, and one more each.
+            // Another process takes what comes from now on: this one answers what it has, and one
+            // more each.
             listener.leave();
-            emptied(end, () -> { });
+            emptied(end, () -> {});
         } else {
-            Thread.sleep(Math.max(0, Math.min(left, Math.max(COME, Math.max(left / 2, left - LAST)))));
+            Thread.sleep(
+                    Math.max(0, Math.min(left, Math.max(COME, Math.max(left / 2, left - LAST)))));
             if (members != null) {
                 members.actor().leave();
             }
             listener.leave();
         }
-        // A look at who is busy would not do: a request may have been read and not yet be known to be.
+        // A look at who is busy would not do: a request may have been read and not yet be known to
+        // be.
         emptied(end + MARGIN / 2 * 1_000_000, listener::endResting);
     }
 
@@ -335,7 +443,9 @@
         return management == null ? -1 : management.port();
     }
 
-    /** What the watched module would have decided otherwise, by kind; null where none is watched. */
+    /**
+     * What the watched module would have decided otherwise, by kind; null where none is watched.
+     */
     Map<Shadow.Kind, Long> watched() {
         return shadow == null ? null : shadow.counts();
     }
--- a/src/main/java/cottonlock/net/RolloutActor.java
+++ b/src/main/java/cottonlock/net/RolloutActor.java
@@ -17,16 +17,20 @@
 import java.util.function.Consumer;
 
 /**
- * Carries a {@link Rollout}: one thread, with one watch on a control machine and a second connection while it
- * compares. Loaded only where an operator's file asks for it.
+ * Carries a {@link Rollout}: one thread, with one watch on a control machine and a second
+ * connection while it compares. Loaded only where an operator's file asks for it.
  */
 final class RolloutActor implements Runnable {
     /** Characters of a line: settings of some hundred request classes. */
     private static final int LONGEST_LINE = 128 << 10;
+
     /** Of a line that tells a number and a digest. */
     private static final int LONGEST_ANSWER = 1 << 10;
-    /** Processes that ended while they took a version in, after which it is refused: one or two may have been
-     * ended by chance in these milliseconds. */
+
+    /**
+     * Processes that ended while they took a version in, after which it is refused: one or two may
+     * have been ended by chance in these milliseconds.
+     */
     private static final int ENDS = 3;
 
     private final RolloutPlan plan;
@@ -37,8 +41,10 @@
     private final Clock clock;
     private final SplittableRandom random;
     private final Log log;
+
     /** Its own: requests must not wait for what control's lines are read with. */
     private final byte[] watchBuffer = new byte[Buffers.SIZE];
+
     private final byte[] compareBuffer = new byte[Buffers.SIZE];
     private Rollout rollout;
     private volatile Rollout.Figures figures;
@@ -49,10 +55,16 @@
      * For a process that was built by these settings.
      *
      * @param takeIn takes other settings in, all or, by an exception, none
-     * @param kept   where the version in force is kept for the next process
+     * @param kept where the version in force is kept for the next process
      */
-    RolloutActor(RolloutPlan plan, Settings built, Consumer<Settings> takeIn, Shared kept, Clock clock,
-                 SplittableRandom random, Log log) {
+    RolloutActor(
+            RolloutPlan plan,
+            Settings built,
+            Consumer<Settings> takeIn,
+            Shared kept,
+            Clock clock,
+            SplittableRandom random,
+            Log log) {
         this.plan = plan;
         plan.control().forEach(a -> machines.add(Config.address("rollout.control", a)));
         plan.far().forEach(a -> machines.add(Config.address("rollout.far", a)));
@@ -69,16 +81,22 @@
         Version last = Version.NONE;
         VersionLine line = keptLine();
         if (line != null && !line.base().equals(base)) {
-            log.each("version", line.version + " of an earlier process is built on other settings than the "
-                + "file's, which are in force");
+            log.each(
+                    "version",
+                    line.version
+                            + " of an earlier process is built on other settings than the "
+                            + "file's, which are in force");
         } else if (line != null) {
             String fault = tried(line);
             if (fault == null) {
                 last = line.version;
                 log.each("version", last + " of an earlier process is in force");
             } else {
-                warn(line.version + " of an earlier process can't be used, the file's settings "
-                    + "are in force: " + fault);
+                warn(
+                        line.version
+                                + " of an earlier process can't be used, the file's settings "
+                                + "are in force: "
+                                + fault);
             }
         }
         rollout = new Rollout(clock.now(), plan, last, random);
@@ -88,13 +106,27 @@
     /** For the figures: fields of a JSON object, each behind a comma. */
     String figures() {
         Rollout.Figures f = figures;
-        return ",\"configuration_version\":" + f.inForce().number() + ",\"configuration_digest\":\""
-            + f.inForce().hex() + "\",\"configuration_known\":" + f.known().number()
-            + ",\"configuration_behind_ms\":" + since(f.behind()) + ",\"configuration_control_lost_ms\":"
-            + since(f.lost()) + ",\"configuration_ahead_ms\":" + since(f.ahead())
-            + ",\"configuration_refused_count\":" + f.refused()
-            + ",\"configuration_calls_count\":" + f.calls() + ",\"configuration_failed_count\":" + f.failed()
-            + ",\"configuration_base\":\"" + base + '"';
+        return ",\"configuration_version\":"
+                + f.inForce().number()
+                + ",\"configuration_digest\":\""
+                + f.inForce().hex()
+                + "\",\"configuration_known\":"
+                + f.known().number()
+                + ",\"configuration_behind_ms\":"
+                + since(f.behind())
+                + ",\"configuration_control_lost_ms\":"
+                + since(f.lost())
+                + ",\"configuration_ahead_ms\":"
+                + since(f.ahead())
+                + ",\"configuration_refused_count\":"
+                + f.refused()
+                + ",\"configuration_calls_count\":"
+                + f.calls()
+                + ",\"configuration_failed_count\":"
+                + f.failed()
+                + ",\"configuration_base\":\""
+                + base
+                + '"';
     }
 
     private long since(long at) {
@@ -113,8 +145,12 @@
                 } catch (IOException | BadMessage | RuntimeException e) {
                     rollout.ended(clock.now());
                     if (!closed) {
-                        log.info("control", "the watch at " + machines.get(call.machine()) + " ended: "
-                            + e.getMessage());
+                        log.info(
+                                "control",
+                                "the watch at "
+                                        + machines.get(call.machine())
+                                        + " ended: "
+                                        + e.getMessage());
                     }
                 }
                 figures = rollout.figures();
@@ -133,8 +169,19 @@
         long answerBy = clock.now() + limit;
         try (Socket watching = new Socket()) {
             socket = watching;
-            HttpReader reader = call(watching, watchBuffer, at, answerBy, "/catalog/configuration?stream=1"
-                + "&service=" + plan.service() + "&index=" + asks.number() + "&digest=" + asks.hex());
+            HttpReader reader =
+                    call(
+                            watching,
+                            watchBuffer,
+                            at,
+                            answerBy,
+                            "/catalog/configuration?stream=1"
+                                    + "&service="
+                                    + plan.service()
+                                    + "&index="
+                                    + asks.number()
+                                    + "&digest="
+                                    + asks.hex());
             long silentAt = answerBy;
             StringBuilder text = new StringBuilder();
             Json.Nesting nesting = new Json.Nesting();
@@ -163,14 +210,24 @@
 
     /** The reader gives each byte as one character. */
     private static String utf8(CharSequence bytes) {
-        return new String(bytes.toString().getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8);
+        return new String(
+                bytes.toString().getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8);
     }
 
-    private HttpReader call(Socket with, byte[] buffer, InetSocketAddress at, long answerBy, String target)
-        throws IOException, BadMessage {
+    private HttpReader call(
+            Socket with, byte[] buffer, InetSocketAddress at, long answerBy, String target)
+            throws IOException, BadMessage {
         with.connect(at, (int) Math.max(1, (answerBy - clock.now()) / 10));
-        with.getOutputStream().write(("GET " + target + " HTTP/1.1\r\nHost: " + at.getHostString() + ":"
-            + at.getPort() + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
+        with.getOutputStream()
+                .write(
+                        ("GET "
+                                        + target
+                                        + " HTTP/1.1\r\nHost: "
+                                        + at.getHostString()
+                                        + ":"
+                                        + at.getPort()
+                                        + "\r\n\r\n")
+                                .getBytes(StandardCharsets.ISO_8859_1));
         HttpReader reader = new HttpReader(with, buffer);
         reader.within(Math.max(1, (answerBy - clock.now()) / 10));
         Head head = reader.answer(0);
@@ -180,7 +237,10 @@
         return reader;
     }
 
-    /** Waits for a line, and compares meanwhile where that is due; false when the watch is to be left. */
+    /**
+     * Waits for a line, and compares meanwhile where that is due; false when the watch is to be
+     * left.
+     */
     private boolean comes(HttpReader reader, long silentAt) throws IOException {
         while (true) {
             figures = rollout.figures();
@@ -214,10 +274,16 @@
     private void compare(int other) {
         InetSocketAddress at = machines.get(other);
         try (Socket asking = new Socket()) {
-            HttpReader reader = call(asking, compareBuffer, at, clock.now() + plan.call(),
-                "/catalog/configuration/version?service=" + plan.service());
+            HttpReader reader =
+                    call(
+                            asking,
+                            compareBuffer,
+                            at,
+                            clock.now() + plan.call(),
+                            "/catalog/configuration/version?service=" + plan.service());
             String line = reader.line(LONGEST_ANSWER);
-            rollout.compared(clock.now(), other, VersionLine.read(line == null ? "" : utf8(line)).version);
+            rollout.compared(
+                    clock.now(), other, VersionLine.read(line == null ? "" : utf8(line)).version);
         } catch (IOException | BadMessage | RuntimeException e) {
             rollout.compareFailed();
             if (!closed) {
@@ -241,8 +307,14 @@
             log.each("version", line.version + " is in force, told by " + by);
         } else {
             rollout.refused(line.version, fault);
-            warn(line.version + " is refused, " + (before.equals(Version.NONE)
-                ? "the file's settings stay" : before + " stays") + " in force: " + fault);
+            warn(
+                    line.version
+                            + " is refused, "
+                            + (before.equals(Version.NONE)
+                                    ? "the file's settings stay"
+                                    : before + " stays")
+                            + " in force: "
+                            + fault);
         }
     }
 
@@ -275,9 +347,12 @@
             String[] words = line.split(" ");
             if (words.length == 5 && words[0].equals("version") && HttpReader.digits(words[1])) {
                 try {
-                    String content = new String(Base64.getDecoder().decode(words[4]), StandardCharsets.UTF_8);
-                    Version version = new Version(Long.parseLong(words[1]),
-                        Long.parseUnsignedLong(words[2], 16));
+                    String content =
+                            new String(
+                                    Base64.getDecoder().decode(words[4]), StandardCharsets.UTF_8);
+                    Version version =
+                            new Version(
+                                    Long.parseLong(words[1]), Long.parseUnsignedLong(words[2], 16));
                     if (VersionLine.digest(content) == version.digest()) {
                         return VersionLine.of(version, words[3], content);
                     }
@@ -290,41 +365,64 @@
         return null;
     }
 
-    /** Keeps a version for the next process and forgets what was tried before, unless another process of this
-     * proxy has kept a later one. */
+    /**
+     * Keeps a version for the next process and forgets what was tried before, unless another
+     * process of this proxy has kept a later one.
+     */
     private void keep(VersionLine line) {
-        kept.change(lines -> {
-            VersionLine there = keptLine();
-            if (there != null && there.base().equals(base) && there.version.compareTo(line.version) > 0) {
-                return lines;
-            }
-            return List.of("version " + line.version.number() + " " + line.version.hex() + " " + line.base()
-                + " " + Base64.getEncoder().encodeToString(line.content.getBytes(StandardCharsets.UTF_8)));
-        });
+        kept.change(
+                lines -> {
+                    VersionLine there = keptLine();
+                    if (there != null
+                            && there.base().equals(base)
+                            && there.version.compareTo(line.version) > 0) {
+                        return lines;
+                    }
+                    return List.of(
+                            "version "
+                                    + line.version.number()
+                                    + " "
+                                    + line.version.hex()
+                                    + " "
+                                    + line.base()
+                                    + " "
+                                    + Base64.getEncoder()
+                                            .encodeToString(
+                                                    line.content.getBytes(StandardCharsets.UTF_8)));
+                });
     }
 
-    /** Notes that a version is about to be taken in; how often that was noted and never crossed out. */
+    /**
+     * Notes that a version is about to be taken in; how often that was noted and never crossed out.
+     */
     private int mark(Version version) {
         int[] ends = {1};
-        kept.change(lines -> {
-            List<String> others = new ArrayList<>();
-            for (String line : lines) {
-                String[] words = line.split(" ", 3);
-                if (line.startsWith("tries " + version + " ")) {
-                    ends[0] += HttpReader.digits(words[2]) ? (int) Math.min(ENDS, Long.parseLong(words[2]))
-                        : 0;
-                } else {
-                    others.add(line);
-                }
-            }
-            others.add("tries " + version + " " + ends[0]);
-            return others;
-        });
+        kept.change(
+                lines -> {
+                    List<String> others = new ArrayList<>();
+                    for (String line : lines) {
+                        String[] words = line.split(" ", 3);
+                        if (line.startsWith("tries " + version + " ")) {
+                            ends[0] +=
+                                    HttpReader.digits(words[2])
+                                            ? (int) Math.min(ENDS, Long.parseLong(words[2]))
+                                            : 0;
+                        } else {
+                            others.add(line);
+                        }
+                    }
+                    others.add("tries " + version + " " + ends[0]);
+                    return others;
+                });
         return ends[0];
     }
 
     private void unmark(Version version) {
-        kept.change(lines -> lines.stream().filter(l -> !l.startsWith("tries " + version + " ")).toList());
+        kept.change(
+                lines ->
+                        lines.stream()
+                                .filter(l -> !l.startsWith("tries " + version + " "))
+                                .toList());
     }
 
     /** The proxy closes: its thread has been interrupted, and a read that it may be in ends. */
--- a/src/main/java/cottonlock/net/Rules.java
+++ b/src/main/java/cottonlock/net/Rules.java
@@ -10,8 +10,9 @@
 import java.util.Map;
 
 /**
- * What requests are taken in by: one immutable set, swapped whole when the settings change. A category
- * keeps its number as long as the process lives, and a name that comes again gets its old one.
+ * What requests are taken in by: one immutable set, swapped whole when the settings change. A
+ * category keeps its number as long as the process lives, and a name that comes again gets its old
+ * one.
  */
 final class Rules {
     /** The patience of categories without an expiry, in tenths of a millisecond: a minute. */
@@ -19,11 +20,18 @@
 
     /** By number; those that are no longer in force among them. */
     final List<Category> categories;
+
     private final List<String> names;
+
     /** The numbers of those in force. */
     private final Map<String, Integer> inForce = new HashMap<>();
+
     final List<String> tenantNames;
-    /** A longer patience is taken for this: it would keep what is remembered of a request for as long. */
+
+    /**
+     * A longer patience is taken for this: it would keep what is remembered of a request for as
+     * long.
+     */
     private final long[] longest;
 
     /** The rules of the given settings, after the given ones (null at the start). */
@@ -42,7 +50,10 @@
             categories.set(number, assembly.categories.get(i).numbered(number));
             inForce.put(told.get(i), number);
         }
-        longest = before == null ? new long[names.size()] : Arrays.copyOf(before.longest, names.size());
+        longest =
+                before == null
+                        ? new long[names.size()]
+                        : Arrays.copyOf(before.longest, names.size());
         for (int i = 0; i < told.size(); i++) {
             long expiry = settings.timeDown("Categories." + i + ".Expiry");
             longest[inForce.get(told.get(i))] = expiry > 0 ? expiry : LONGEST;
--- a/src/main/java/cottonlock/net/Shadow.java
+++ b/src/main/java/cottonlock/net/Shadow.java
@@ -12,19 +12,25 @@
 import java.util.TreeMap;
 
 /**
- * A second module with other settings that is told all that the first is told, and whose decisions are only
- * counted: what operators watch before they change a deployment's settings.
+ * A second module with other settings that is told all that the first is told, and whose decisions
+ * are only counted: what operators watch before they change a deployment's settings.
  *
- * <p>The module's thread alone calls it. What became of the real attempt stands for what would have become
- * of its own, so it learns of the backends as they are under the real decisions. A fault ends the watch,
- * never the service.
+ * <p>The module's thread alone calls it. What became of the real attempt stands for what would have
+ * become of its own, so it learns of the backends as they are under the real decisions. A fault
+ * ends the watch, never the service.
  */
 final class Shadow implements Outlet {
     /** Tenths of a millisecond between two lines in the log. */
     private static final long TELL = 100_000;
 
     /** How a first decision can differ, or not. */
-    enum Kind { ALIKE, WOULD_DEFER, WOULD_HAND_OFF, OTHER_BACKEND, WOULD_CLOSE }
+    enum Kind {
+        ALIKE,
+        WOULD_DEFER,
+        WOULD_HAND_OFF,
+        OTHER_BACKEND,
+        WOULD_CLOSE
+    }
 
     /** What it decided about one request. */
     private static final class Deed {
@@ -87,8 +93,16 @@
 
     void arrive(ClientRequest req, long now) {
         deeds.put(req.number, new Deed());
-        guard(() -> balancer.arrive(now, req.number, req.category, req.tenant, req.expiry - now,
-            req.repeated, 0));
+        guard(
+                () ->
+                        balancer.arrive(
+                                now,
+                                req.number,
+                                req.category,
+                                req.tenant,
+                                req.expiry - now,
+                                req.repeated,
+                                0));
     }
 
     void list(long now, List<Member> members, boolean whole, boolean cached) {
@@ -111,8 +125,12 @@
         }
         deed.compared = true;
         boolean deferred = deed.first == null;
-        Kind kind = backend == null ? deferred ? Kind.ALIKE : Kind.WOULD_HAND_OFF
-            : deferred ? Kind.WOULD_DEFER : backend.equals(deed.first) ? Kind.ALIKE : Kind.OTHER_BACKEND;
+        Kind kind =
+                backend == null
+                        ? deferred ? Kind.ALIKE : Kind.WOULD_HAND_OFF
+                        : deferred
+                                ? Kind.WOULD_DEFER
+                                : backend.equals(deed.first) ? Kind.ALIKE : Kind.OTHER_BACKEND;
         counts.merge(kind, 1L, Long::sum);
     }
 
@@ -128,7 +146,8 @@
 
     /** The real request is over and nothing of it is out any more. */
     void forget(long now, long number) {
-        // Where only the watched module would have sent, nothing is known of how that would have ended.
+        // Where only the watched module would have sent, nothing is known of how that would have
+        // ended.
         settled(now, number, Outcome.NOT_SENT, true);
         deeds.remove(number);
     }
--- a/src/main/java/cottonlock/net/Shared.java
+++ b/src/main/java/cottonlock/net/Shared.java
@@ -13,13 +13,18 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A small file that the processes of one proxy share: lines behind a header with a version, always replaced
- * whole. One that holds anything else, or can't be read, counts as empty and is replaced at the next change.
+ * A small file that the processes of one proxy share: lines behind a header with a version, always
+ * replaced whole. One that holds anything else, or can't be read, counts as empty and is replaced
+ * at the next change.
  */
 final class Shared {
     /** Bytes: some thousand lines; more is no file of ours. */
     private static final long LONGEST = 256 << 10;
-    /** Milliseconds that a change waits for another process's: far longer than one takes, unless it hangs. */
+
+    /**
+     * Milliseconds that a change waits for another process's: far longer than one takes, unless it
+     * hangs.
+     */
     private static final long PATIENCE = 300;
 
     private final Path file;
@@ -28,17 +33,26 @@
 
     /** In the folder, for the proxy of that name; folder null: nothing is kept or shared. */
     Shared(Path folder, String proxy, String what, Log log) {
-        this.file = folder == null ? null
-            : folder.resolve("cottonlock-" + proxy.replaceAll("[^A-Za-z0-9.-]", "_") + "." + what);
+        this.file =
+                folder == null
+                        ? null
+                        : folder.resolve(
+                                "cottonlock-"
+                                        + proxy.replaceAll("[^A-Za-z0-9.-]", "_")
+                                        + "."
+                                        + what);
         this.header = "cottonlock " + what + " 1";
         this.log = log;
     }
 
-    /** What changes with each replacement, to tell whether it is worth reading; null without a file. */
+    /**
+     * What changes with each replacement, to tell whether it is worth reading; null without a file.
+     */
     Object stamp() {
         try {
-            return file == null || !Files.exists(file) ? null
-                : Files.getLastModifiedTime(file) + " " + Files.getAttribute(file, "unix:ino");
+            return file == null || !Files.exists(file)
+                    ? null
+                    : Files.getLastModifiedTime(file) + " " + Files.getAttribute(file, "unix:ino");
         } catch (IOException | UnsupportedOperationException | IllegalArgumentException e) {
             return null;
         }
@@ -66,10 +80,11 @@
             return change.apply(List.of());
         }
         Path lockFile = file.resolveSibling(file.getFileName() + ".lock");
-        try (FileChannel channel = FileChannel.open(lockFile, StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE)) {
+        try (FileChannel channel =
+                FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
             FileLock lock = channel.tryLock();
-            // A process that hangs with the lock in hand must not keep an operator from taking a backend out.
+            // A process that hangs with the lock in hand must not keep an operator from taking a
+            // backend out.
             for (long waited = 0; lock == null && waited < PATIENCE; waited += 5) {
                 Thread.sleep(5);
                 lock = channel.tryLock();
@@ -89,7 +104,8 @@
             List<String> all = new ArrayList<>(lines);
             all.add(0, header);
             // A process that dies in the middle of writing must not leave half a file.
-            Path half = file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
+            Path half =
+                    file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
             Files.write(half, all, StandardCharsets.ISO_8859_1);
             Files.move(half, file, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
--- a/src/main/java/cottonlock/net/Sockets.java
+++ b/src/main/java/cottonlock/net/Sockets.java
@@ -9,8 +9,7 @@
     /** Enough for the deepest call here with room to spare; what is not touched takes no memory. */
     private static final long STACK = 192 << 10;
 
-    private Sockets() {
-    }
+    private Sockets() {}
 
     static Thread start(String name, Runnable task) {
         Thread thread = thread(name, task);
@@ -38,6 +37,7 @@
         if (colon <= 0 || !text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+\\]")) {
             throw new IllegalArgumentException("not an address: " + text);
         }
-        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 }
--- a/src/main/java/cottonlock/net/Spools.java
+++ b/src/main/java/cottonlock/net/Spools.java
@@ -9,10 +9,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** The files that long bodies go on into: each is deleted as it is opened, and gone with its descriptor. */
+/**
+ * The files that long bodies go on into: each is deleted as it is opened, and gone with its
+ * descriptor.
+ */
 final class Spools {
     /** Milliseconds that a body waits for a descriptor: its client is not read for as long. */
     private static final long WAIT = 1_000;
+
     /** Bytes in all files together: some thirty of the longest bodies. */
     private static final long MOST = 1L << 30;
 
@@ -35,7 +39,8 @@
         }
         try {
             Path file = Files.createTempFile(folder, "cottonlock-", ".body");
-            FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE);
+            FileChannel channel =
+                    FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE);
             Files.delete(file);
             return channel;
         } catch (IOException e) {
--- a/src/main/java/cottonlock/net/Succession.java
+++ b/src/main/java/cottonlock/net/Succession.java
@@ -16,7 +16,10 @@
         shared.change(lines -> List.of(me));
     }
 
-    /** Whether another process serves that has begun after this one; a dead one's word counts for nothing. */
+    /**
+     * Whether another process serves that has begun after this one; a dead one's word counts for
+     * nothing.
+     */
     boolean replaced() {
         List<String> lines = shared.read();
         if (lines.size() != 1 || lines.get(0).equals(me)) {
@@ -24,11 +27,15 @@
         }
         String pid = lines.get(0).split(" ")[0];
         // With its start: the number of one that has died may be another program's by now.
-        return HttpReader.digits(pid) && ProcessHandle.of(Long.parseLong(pid))
-            .filter(p -> p.isAlive() && named(p).equals(lines.get(0))).isPresent();
+        return HttpReader.digits(pid)
+                && ProcessHandle.of(Long.parseLong(pid))
+                        .filter(p -> p.isAlive() && named(p).equals(lines.get(0)))
+                        .isPresent();
     }
 
     private static String named(ProcessHandle process) {
-        return process.pid() + " " + process.info().startInstant().map(Object::toString).orElse("-");
+        return process.pid()
+                + " "
+                + process.info().startInstant().map(Object::toString).orElse("-");
     }
 }
--- a/src/main/java/cottonlock/net/VersionLine.java
+++ b/src/main/java/cottonlock/net/VersionLine.java
@@ -10,21 +10,26 @@
 import java.util.Map;
 
 /**
- * One version as a control machine tells it: {@code {"seq":43,"digest":"..","base":"..","settings":".."}}, or
- * its number and digest alone. The verdict on its content hangs on its bytes and on the base, which all
- * processes of a service share, so that all come to the same one.
+ * One version as a control machine tells it: {@code
+ * {"seq":43,"digest":"..","base":"..","settings":".."}}, or its number and digest alone. The
+ * verdict on its content hangs on its bytes and on the base, which all processes of a service
+ * share, so that all come to the same one.
  */
 final class VersionLine {
     /** What a process can follow: all other settings are the base that it was built on. */
     private static final String CATEGORIES = "Categories.";
+
     private static final String MOST = "Limits.MaxHandOffs";
+
     /** A process's own: files of one service differ in them. */
     private static final List<String> OWN = List.of("Me", "FleetSize");
+
     private static final int DIGEST = 8;
     private static final String HEX = "[0-9a-f]{16}";
 
     final Version version;
     private final String base;
+
     /** Null where only the number and digest were told. */
     final String content;
 
@@ -62,7 +67,8 @@
             throw new Malformed("version " + version + " has no settings");
         }
         if (digest(content) != version.digest()) {
-            throw new Malformed("version " + version + " came damaged: what was told has another digest");
+            throw new Malformed(
+                    "version " + version + " came damaged: what was told has another digest");
         }
         return new VersionLine(version, hex(map, "base"), content);
     }
@@ -115,12 +121,20 @@
             }
         }
         if (!base(settings).equals(base)) {
-            throw new Malformed("its settings are built on " + base(settings) + ", but it names " + base
-                + " as its base");
+            throw new Malformed(
+                    "its settings are built on "
+                            + base(settings)
+                            + ", but it names "
+                            + base
+                            + " as its base");
         }
         if (!base.equals(ofProcess)) {
-            throw new Malformed("it is built on other settings than this process (" + base + ", here "
-                + ofProcess + "), for which a new process is needed");
+            throw new Malformed(
+                    "it is built on other settings than this process ("
+                            + base
+                            + ", here "
+                            + ofProcess
+                            + "), for which a new process is needed");
         }
         return settings;
     }
@@ -134,18 +148,24 @@
     /** What tells apart the settings that a process can't follow without being started anew. */
     static String base(Settings settings) {
         StringBuilder text = new StringBuilder();
-        settings.sorted().forEach((path, value) -> {
-            if (!path.startsWith(CATEGORIES) && !path.equals(MOST) && !OWN.contains(path)) {
-                text.append(path).append('=').append(value).append('\n');
-            }
-        });
+        settings.sorted()
+                .forEach(
+                        (path, value) -> {
+                            if (!path.startsWith(CATEGORIES)
+                                    && !path.equals(MOST)
+                                    && !OWN.contains(path)) {
+                                text.append(path).append('=').append(value).append('\n');
+                            }
+                        });
         return new Version(0, digest(text.toString())).hex();
     }
 
     /** The first eight bytes of the text's SHA-256, as UTF-8. */
     static long digest(String text) {
         try {
-            byte[] hash = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
+            byte[] hash =
+                    MessageDigest.getInstance("SHA-256")
+                            .digest(text.getBytes(StandardCharsets.UTF_8));
             long digest = 0;
             for (int i = 0; i < DIGEST; i++) {
                 digest = digest << 8 | hash[i] & 0xff;
--- a/src/main/java/cottonlock/net/Watchdog.java
+++ b/src/main/java/cottonlock/net/Watchdog.java
@@ -11,8 +11,11 @@
 final class Watchdog implements Runnable {
     /** How often it looks, in milliseconds: the limits are far longer. */
     private static final long LOOK = 200;
-    /** Nanoseconds without a byte taken: readers pause for two or three seconds; one that never reads on
-     * would hold its connection for good. */
+
+    /**
+     * Nanoseconds without a byte taken: readers pause for two or three seconds; one that never
+     * reads on would hold its connection for good.
+     */
     private static final long LIMIT = 5_000_000_000L;
 
     private final Map<Socket, Long> writing = new ConcurrentHashMap<>();
@@ -26,14 +29,15 @@
     void write(Socket socket, Write write) throws IOException {
         writing.put(socket, System.nanoTime());
         try {
-            write.to(new FilterOutputStream(socket.getOutputStream()) {
-                @Override
-                public void write(byte[] bytes, int from, int count) throws IOException {
-                    out.write(bytes, from, count);
-                    // A long body is many writes, and each piece taken is a sign of life.
-                    writing.put(socket, System.nanoTime());
-                }
-            });
+            write.to(
+                    new FilterOutputStream(socket.getOutputStream()) {
+                        @Override
+                        public void write(byte[] bytes, int from, int count) throws IOException {
+                            out.write(bytes, from, count);
+                            // A long body is many writes, and each piece taken is a sign of life.
+                            writing.put(socket, System.nanoTime());
+                        }
+                    });
         } finally {
             writing.remove(socket);
         }
@@ -45,11 +49,12 @@
             while (true) {
                 Thread.sleep(LOOK);
                 long now = System.nanoTime();
-                writing.forEach((socket, since) -> {
-                    if (now - since > LIMIT) {
-                        Sockets.close(socket);
-                    }
-                });
+                writing.forEach(
+                        (socket, since) -> {
+                            if (now - since > LIMIT) {
+                                Sockets.close(socket);
+                            }
+                        });
             }
         } catch (InterruptedException e) {
             // The proxy closes.
--- a/src/main/java/cottonlock/net/Workers.java
+++ b/src/main/java/cottonlock/net/Workers.java
@@ -5,15 +5,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The threads of connections, one for each while it lasts. They wait a little for the next one: where a crowd
- * connects a hundred times a second, starting and ending a thread each time took most of the core.
+ * The threads of connections, one for each while it lasts. They wait a little for the next one:
+ * where a crowd connects a hundred times a second, starting and ending a thread each time took most
+ * of the core.
  */
 final class Workers {
-    /** Milliseconds that a thread waits: longer than the gaps in a crowd, and no memory is held for long. */
+    /**
+     * Milliseconds that a thread waits: longer than the gaps in a crowd, and no memory is held for
+     * long.
+     */
     private static final long STAY = 3_000;
 
-    private final ThreadPoolExecutor threads = new ThreadPoolExecutor(0, Integer.MAX_VALUE, STAY,
-        TimeUnit.MILLISECONDS, new SynchronousQueue<>(), task -> Sockets.thread("connection", task));
+    private final ThreadPoolExecutor threads =
+            new ThreadPoolExecutor(
+                    0,
+                    Integer.MAX_VALUE,
+                    STAY,
+                    TimeUnit.MILLISECONDS,
+                    new SynchronousQueue<>(),
+                    task -> Sockets.thread("connection", task));
 
     /** Serves a connection; an OutOfMemoryError when no thread can be had. */
     void serve(Runnable connection) {
--- a/src/main/java/cottonlock/rollout/Habits.java
+++ b/src/main/java/cottonlock/rollout/Habits.java
@@ -2,7 +2,10 @@
 
 import cottonlock.decision.Decides;
 
-/** The choices on which it rests that a change comes into force; tests put wrong ones in their place. */
+/**
+ * The choices on which it rests that a change comes into force; tests put wrong ones in their
+ * place.
+ */
 @Decides
 public class Habits {
     /** What holds. */
@@ -48,7 +51,9 @@
         return usual;
     }
 
-    /** Whether a version is tried to the side, and refused where that fails, before it is in force. */
+    /**
+     * Whether a version is tried to the side, and refused where that fails, before it is in force.
+     */
     public boolean tries() {
         return true;
     }
--- a/src/main/java/cottonlock/rollout/Rollout.java
+++ b/src/main/java/cottonlock/rollout/Rollout.java
@@ -7,20 +7,31 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides which version of the settings a proxy holds, and which control machine it calls when. Whoever
- * carries it keeps one watch, on the machine that {@link #watch} names, and tells what comes of it; between
- * lines, and at {@link #lookAt}, it asks {@link #leaves} and {@link #compare}. Times are tenths of a
- * millisecond and never go back. Not for several threads.
+ * Decides which version of the settings a proxy holds, and which control machine it calls when.
+ * Whoever carries it keeps one watch, on the machine that {@link #watch} names, and tells what
+ * comes of it; between lines, and at {@link #lookAt}, it asks {@link #leaves} and {@link #compare}.
+ * Times are tenths of a millisecond and never go back. Not for several threads.
  */
 @Decides
 public final class Rollout {
-    /** A watch without a line for this long is lost: two of the empty lines that come every two seconds. */
+    /**
+     * A watch without a line for this long is lost: two of the empty lines that come every two
+     * seconds.
+     */
     public static final long SILENCE = 40_000;
-    /** Within it proxies that start make their first calls: a fleet that starts at once is spread over it. */
+
+    /**
+     * Within it proxies that start make their first calls: a fleet that starts at once is spread
+     * over it.
+     */
     private static final long START = 20_000;
-    /** So long the watched machine may not know yet what another has told: machines learn from one another
-     * within this, and a watch that moved at once would move at each change. */
+
+    /**
+     * So long the watched machine may not know yet what another has told: machines learn from one
+     * another within this, and a watch that moved at once would move at each change.
+     */
     private static final long LEARNS = 5_000;
+
     /** Refused versions that are remembered: more are not told in a row before somebody looks. */
     private static final int REFUSED = 16;
 
@@ -28,27 +39,32 @@
      * The next watch.
      *
      * @param machine its number: near ones from 0 on, then far ones
-     * @param at      when it is to be called
-     * @param limit   how long it has until the answer's head and first line are there
+     * @param at when it is to be called
+     * @param limit how long it has until the answer's head and first line are there
      */
-    public record Call(int machine, long at, long limit) {
-    }
+    public record Call(int machine, long at, long limit) {}
 
     /**
      * What a pager is told; times since when, -1: it isn't so.
      *
-     * @param inForce    the version in force; {@link Version#NONE}: the file's settings
-     * @param known      the highest that has been told
-     * @param behind     since when a higher one is known than is in force
-     * @param lost       since when no control machine is watched
-     * @param ahead      since when the watched one tells of less than is known
-     * @param refused    versions that were refused
-     * @param calls      calls at control machines, comparisons among them
-     * @param failed     calls and watches that failed
+     * @param inForce the version in force; {@link Version#NONE}: the file's settings
+     * @param known the highest that has been told
+     * @param behind since when a higher one is known than is in force
+     * @param lost since when no control machine is watched
+     * @param ahead since when the watched one tells of less than is known
+     * @param refused versions that were refused
+     * @param calls calls at control machines, comparisons among them
+     * @param failed calls and watches that failed
      */
-    public record Figures(Version inForce, Version known, long behind, long lost, long ahead, long refused,
-                          long calls, long failed) {
-    }
+    public record Figures(
+            Version inForce,
+            Version known,
+            long behind,
+            long lost,
+            long ahead,
+            long refused,
+            long calls,
+            long failed) {}
 
     private final RolloutPlan plan;
     private final int near;
@@ -57,8 +73,10 @@
     private final Habits habits;
     private Version inForce;
     private Version known;
+
     /** Those that can't be used, by what was wrong with them; the oldest are forgotten. */
     private final Map<Version, String> refused = new LinkedHashMap<>();
+
     private Version lastRefused = Version.NONE;
     private long behindSince = -1;
     private long lostSince;
@@ -66,22 +84,38 @@
     private long calls;
     private long failures;
 
-    /** The order of this round of calls, how many of them have failed, and whether it is the first round. */
+    /**
+     * The order of this round of calls, how many of them have failed, and whether it is the first
+     * round.
+     */
     private int[] order;
+
     private int tried;
     private int failedInARow;
     private boolean firstRound = true;
     private long nextAt;
     private long calledAt;
-    /** The machine that is called or watched, -1 none; since when its watch stands, -1: it doesn't yet. */
+
+    /**
+     * The machine that is called or watched, -1 none; since when its watch stands, -1: it doesn't
+     * yet.
+     */
     private int watched = -1;
+
     private long standsSince = -1;
     private Version toldByWatched;
+
     /** Since when the watched machine has told of less than is known; -1: it has not. */
     private long aheadSince = -1;
+
     private long compareAt;
-    /** The machine that told of more than the watched one has, -1 none; what, and when the watch moves. */
+
+    /**
+     * The machine that told of more than the watched one has, -1 none; what, and when the watch
+     * moves.
+     */
     private int moveTo = -1;
+
     private Version moveFor;
     private long moveAt;
 
@@ -91,7 +125,8 @@
     }
 
     /** The same with other habits, for tests. */
-    public Rollout(long now, RolloutPlan plan, Version kept, SplittableRandom chance, Habits habits) {
+    public Rollout(
+            long now, RolloutPlan plan, Version kept, SplittableRandom chance, Habits habits) {
         this.plan = plan;
         this.near = plan.control().size();
         this.machines = near + plan.far().size();
@@ -115,13 +150,15 @@
         moveTo = -1;
         calledAt = Math.max(now, nextAt);
         // An overloaded control that needs longer than a call is given would never be reached.
-        return new Call(watched, calledAt, firstRound ? plan.call() : Math.max(plan.call(),
-            plan.retry() / 2));
+        return new Call(
+                watched,
+                calledAt,
+                firstRound ? plan.call() : Math.max(plan.call(), plan.retry() / 2));
     }
 
     /**
-     * The watched machine has told of a version with its content, or which one it holds. Whether the content
-     * is to be judged: {@link #taken} or {@link #refused} says how that ended.
+     * The watched machine has told of a version with its content, or which one it holds. Whether
+     * the content is to be judged: {@link #taken} or {@link #refused} says how that ended.
      */
     public boolean told(long now, Version version) {
         if (standsSince < 0) {
@@ -140,8 +177,10 @@
     /** A machine that was asked by {@link #compare} has told which version it holds. */
     public void compared(long now, int machine, Version version) {
         hears(now, version);
-        if (machine != watched && toldByWatched != null && habits.outweighs(version, toldByWatched)
-            && !habits.outweighs(inForce, version)) {
+        if (machine != watched
+                && toldByWatched != null
+                && habits.outweighs(version, toldByWatched)
+                && !habits.outweighs(inForce, version)) {
             moveTo = machine;
             moveFor = version;
             moveAt = now + LEARNS;
@@ -182,7 +221,9 @@
         return habits.outweighs(lastRefused, inForce) ? lastRefused : inForce;
     }
 
-    /** The watch is left as {@link #leaves} asked: the next one is on the machine that knows more. */
+    /**
+     * The watch is left as {@link #leaves} asked: the next one is on the machine that knows more.
+     */
     public void left(long now) {
         firstRound = true;
         failedInARow = 0;
@@ -209,7 +250,8 @@
             lostSince = now;
         }
         if (stood) {
-            // What failed long ago says nothing of now; what ended at once, time and again, goes on failing.
+            // What failed long ago says nothing of now; what ended at once, time and again, goes on
+            // failing.
             failedInARow = 1;
             firstRound = true;
             tried = 0;
@@ -249,7 +291,9 @@
 
     /** When to look next, though no line comes; far away while no watch stands. */
     public long lookAt() {
-        return standsSince < 0 ? Long.MAX_VALUE : moveTo < 0 ? compareAt : Math.min(compareAt, moveAt);
+        return standsSince < 0
+                ? Long.MAX_VALUE
+                : moveTo < 0 ? compareAt : Math.min(compareAt, moveAt);
     }
 
     /** The machine that was to be compared with has not answered. */
@@ -264,7 +308,8 @@
 
     /** As it stands, for operators. */
     public Figures figures() {
-        return new Figures(inForce, known, behindSince, lostSince, aheadSince, refusals, calls, failures);
+        return new Figures(
+                inForce, known, behindSince, lostSince, aheadSince, refusals, calls, failures);
     }
 
     /** Why a version was refused; null: it was not, or is forgotten. */
@@ -272,7 +317,10 @@
         return refused.get(version);
     }
 
-    /** Near ones, then far ones, each in an order of chance; the one watched last, if any, behind all. */
+    /**
+     * Near ones, then far ones, each in an order of chance; the one watched last, if any, behind
+     * all.
+     */
     private int[] order(int last) {
         int[] drawn = new int[machines];
         for (int i = 0; i < machines; i++) {
--- a/src/main/java/cottonlock/rollout/package-info.java
+++ b/src/main/java/cottonlock/rollout/package-info.java
@@ -1,9 +1,10 @@
 /**
- * How a change of the settings comes into force everywhere: which version holds, which control machine is
- * asked next and when, and what is done while control is lost, lies behind or tells what can't be used.
+ * How a change of the settings comes into force everywhere: which version holds, which control
+ * machine is asked next and when, and what is done while control is lost, lies behind or tells what
+ * can't be used.
  *
  * <p>{@link cottonlock.rollout.Rollout} decides and is free of I/O, clocks and threads; {@code
- * cottonlock.net.RolloutActor} carries it. docs/rollout.md says which ways were weighed, and what is
- * promised.
+ * cottonlock.net.RolloutActor} carries it. docs/rollout.md says which ways were weighed, and what
+ * is promised.
  */
 package cottonlock.rollout;
--- a/src/main/java/cottonlock/setup/Assembly.java
+++ b/src/main/java/cottonlock/setup/Assembly.java
@@ -10,7 +10,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Builds the decision module from the settings of one balancer, for the bench and the proxy alike. */
+/**
+ * Builds the decision module from the settings of one balancer, for the bench and the proxy alike.
+ */
 public final class Assembly {
     public final List<Category> categories;
     public final List<Tenant> tenants;
@@ -30,11 +32,16 @@
     /** How the deployment is laid out. */
     private Shape shape() {
         Settings s = settings;
-        return new Shape(s.count("FleetSize", 1), s.count("Me", 0),
-            !s.text("Workload", "chain").equals("mesh"), restOfConnections(),
-            s.flag("Limits.PeerMessages", false), mustAsk(), s.timeDown("Obligations.AskWithin"),
-            !s.flag("Obligations.RemovalNotBinding", false),
-            (long) categories.stream().mapToLong(Category::dueTime).average().orElse(0));
+        return new Shape(
+                s.count("FleetSize", 1),
+                s.count("Me", 0),
+                !s.text("Workload", "chain").equals("mesh"),
+                restOfConnections(),
+                s.flag("Limits.PeerMessages", false),
+                mustAsk(),
+                s.timeDown("Obligations.AskWithin"),
+                !s.flag("Obligations.RemovalNotBinding", false),
+                (long) categories.stream().mapToLong(Category::dueTime).average().orElse(0));
     }
 
     /** A module that answers through the given outlet. */
@@ -42,29 +49,41 @@
         Settings s = settings;
         SplittableRandom random = new SplittableRandom(seed);
         boolean first = s.count("Stage", 0) == 0;
-        long longestComeBack = s.flag("Limits.RetryAfter", false) ? s.timeDown("Limits.MaxRetryAfter") : 0;
+        long longestComeBack =
+                s.flag("Limits.RetryAfter", false) ? s.timeDown("Limits.MaxRetryAfter") : 0;
         Shape shape = shape();
-        Cold cold = new Cold(s.number("Obligations.ColdShare", 1), s.timeUp("Obligations.Cold"),
-            s.number("Obligations.FallMultiple", 1), s.timeUp("Obligations.Fall"));
+        Cold cold =
+                new Cold(
+                        s.number("Obligations.ColdShare", 1),
+                        s.timeUp("Obligations.Cold"),
+                        s.number("Obligations.FallMultiple", 1),
+                        s.timeUp("Obligations.Fall"));
         Balancer.Fleet fleet = new Balancer.Fleet(outlet, random.split(), tenants, shape, cold);
         Balancer.Line line = new Balancer.Line(fleet, random.split(), tenants, shape, first);
-        return new Balancer(outlet,
-            new Balancer.Intake(outlet, categories, tenants, first, shape, longestComeBack),
-            line,
-            new Balancer.Lane(line, fleet),
-            new Balancer.Pick(fleet, random.split()),
-            new Balancer.Attempts(outlet, line, fleet, s.count("Limits.MaxHandOffs", 1),
-                s.flag("Limits.Cancel", false)),
-            fleet);
+        return new Balancer(
+                outlet,
+                new Balancer.Intake(outlet, categories, tenants, first, shape, longestComeBack),
+                line,
+                new Balancer.Lane(line, fleet),
+                new Balancer.Pick(fleet, random.split()),
+                new Balancer.Attempts(
+                        outlet,
+                        line,
+                        fleet,
+                        s.count("Limits.MaxHandOffs", 1),
+                        s.flag("Limits.Cancel", false)),
+                fleet);
     }
 
-    /** For each backend, the time after which a kept connection has cost as much as a new one by the fees.
-     * The one counts for 100 backends, the other for each request. 0 where keeping costs nothing. */
+    /**
+     * For each backend, the time after which a kept connection has cost as much as a new one by the
+     * fees. The one counts for 100 backends, the other for each request. 0 where keeping costs
+     * nothing.
+     */
     private double restOfConnections() {
         double kept = fee("Fees.Connection");
         double quotas = tenants.stream().mapToDouble(Tenant::quota).sum();
-        return kept <= 0 || quotas <= 0 ? 0
-            : 100 * fee("Fees.Handshake") / kept / quotas * 10_000;
+        return kept <= 0 || quotas <= 0 ? 0 : 100 * fee("Fees.Handshake") / kept / quotas * 10_000;
     }
 
     private double fee(String path) {
@@ -80,11 +99,17 @@
         int n = s.count("Categories.count", 0);
         for (int i = 0; i < n; i++) {
             String at = "Categories." + i + ".";
-            list.add(new Category(i, s.timeDown(at + "DueTime"), s.number(at + "Credit", 1),
-                s.number(at + "LateCredit", 0),
-                Category.Repeat.values()[s.choice(at + "Repeat", "safe", "keyed", "unsafe")],
-                Category.Scope.values()[s.choice(at + "KeyScope", "all", "zone", "cell")],
-                s.timeDown(at + "RepeatWindow")));
+            list.add(
+                    new Category(
+                            i,
+                            s.timeDown(at + "DueTime"),
+                            s.number(at + "Credit", 1),
+                            s.number(at + "LateCredit", 0),
+                            Category.Repeat.values()[
+                                    s.choice(at + "Repeat", "safe", "keyed", "unsafe")],
+                            Category.Scope.values()[
+                                    s.choice(at + "KeyScope", "all", "zone", "cell")],
+                            s.timeDown(at + "RepeatWindow")));
         }
         return list;
     }
--- a/src/main/java/cottonlock/setup/Settings.java
+++ b/src/main/java/cottonlock/setup/Settings.java
@@ -44,7 +44,8 @@
         return switch (value) {
             case "true", "1" -> true;
             case "false", "0" -> false;
-            default -> throw new Malformed("setting " + path + " is neither true nor false: " + value);
+            default ->
+                    throw new Malformed("setting " + path + " is neither true nor false: " + value);
         };
     }
 
@@ -65,7 +66,8 @@
     }
 
     public int count(String path, int otherwise) {
-        return (int) Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, number(path, otherwise)));
+        return (int)
+                Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, number(path, otherwise)));
     }
 
     /** A list of plain values; empty where there is none. */
--- a/src/test/java/cottonlock/ArchitectureTest.java
+++ b/src/test/java/cottonlock/ArchitectureTest.java
@@ -11,66 +11,147 @@
 import cottonlock.decision.Decides;
 import net.jqwik.api.Example;
 
-/** What may know what: decisions know no input or output, and arrows between packages point down. */
+/**
+ * What may know what: decisions know no input or output, and arrows between packages point down.
+ */
 class ArchitectureTest {
-    private final JavaClasses all = new ClassFileImporter()
-        .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("cottonlock");
+    private final JavaClasses all =
+            new ClassFileImporter()
+                    .withImportOption(new ImportOption.DoNotIncludeTests())
+                    .importPackages("cottonlock");
 
     @Example
     void decisionsAreFreeOfInputOutputClocksThreadsAndLoggers() {
-        String[] far = {"java.net..", "java.nio", "java.nio.channels..", "java.nio.file..", "java.io..",
-            "java.util.concurrent..", "java.util.logging..", "java.lang.management..", "sun..", "com..",
+        String[] far = {
+            "java.net..",
+            "java.nio",
+            "java.nio.channels..",
+            "java.nio.file..",
+            "java.io..",
+            "java.util.concurrent..",
+            "java.util.logging..",
+            "java.lang.management..",
+            "sun..",
+            "com..",
             "org..",
-            "picocli.."};
-        noClasses().that().areAnnotatedWith(Decides.class).or().resideInAPackage("cottonlock.decision")
-            .should().dependOnClassesThat().resideInAnyPackage(far).because("decisions do no input or output")
-            .allowEmptyShould(false).check(all);
-        noClasses().that().areAnnotatedWith(Decides.class).or().resideInAPackage("cottonlock.decision")
-            .should().dependOnClassesThat().belongToAnyOf(Thread.class, ThreadLocal.class,
-            System.Logger.class,
-                java.util.Random.class, java.time.Clock.class, java.time.Instant.class)
-            .orShould().callMethod(System.class, "nanoTime").orShould().callMethod(System.class,
-            "currentTimeMillis")
-            .orShould().callMethod(Math.class, "random").because("time and chance are arguments")
-            .check(all);
-        classes().that().resideInAPackage("cottonlock.decision").should().onlyDependOnClassesThat()
-            .resideInAnyPackage("cottonlock.decision", "java.lang..", "java.util", "java.util.function",
-                "java.util.stream", "java.nio.charset").because("the module needs the JDK's collections "
-                    + "alone")
-            .check(all);
+            "picocli.."
+        };
+        noClasses()
+                .that()
+                .areAnnotatedWith(Decides.class)
+                .or()
+                .resideInAPackage("cottonlock.decision")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(far)
+                .because("decisions do no input or output")
+                .allowEmptyShould(false)
+                .check(all);
+        noClasses()
+                .that()
+                .areAnnotatedWith(Decides.class)
+                .or()
+                .resideInAPackage("cottonlock.decision")
+                .should()
+                .dependOnClassesThat()
+                .belongToAnyOf(
+                        Thread.class,
+                        ThreadLocal.class,
+                        System.Logger.class,
+                        java.util.Random.class,
+                        java.time.Clock.class,
+                        java.time.Instant.class)
+                .orShould()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .orShould()
+                .callMethod(Math.class, "random")
+                .because("time and chance are arguments")
+                .check(all);
+        classes()
+                .that()
+                .resideInAPackage("cottonlock.decision")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage(
+                        "cottonlock.decision",
+                        "java.lang..",
+                        "java.util",
+                        "java.util.function",
+                        "java.util.stream",
+                        "java.nio.charset")
+                .because("the module needs the JDK's collections " + "alone")
+                .check(all);
     }
 
     @Example
     void arrowsPointDown() {
-        layeredArchitecture().consideringOnlyDependenciesInLayers()
-            .layer("main").definedBy("cottonlock").layer("cli").definedBy("cottonlock.cli")
-            .layer("lab").definedBy("cottonlock.lab..").layer("bench").definedBy("cottonlock.bench")
-            .layer("net").definedBy("cottonlock.net..").layer("config").definedBy("cottonlock.config")
-            .layer("admin").definedBy("cottonlock.admin")
-            .layer("membership").definedBy("cottonlock.membership")
-            .layer("rollout").definedBy("cottonlock.rollout")
-            .layer("setup").definedBy("cottonlock.setup").layer("decision").definedBy("cottonlock.decision")
-            .whereLayer("main").mayNotBeAccessedByAnyLayer()
-            .whereLayer("cli").mayOnlyBeAccessedByLayers("main")
-            .whereLayer("lab").mayOnlyBeAccessedByLayers("cli")
-            .whereLayer("bench").mayOnlyBeAccessedByLayers("main")
-            .whereLayer("net").mayOnlyBeAccessedByLayers("main", "lab")
-            .whereLayer("admin").mayOnlyBeAccessedByLayers("net")
-            .whereLayer("config").mayOnlyBeAccessedByLayers("cli", "lab")
-            .whereLayer("membership").mayOnlyBeAccessedByLayers("net", "lab")
-            .whereLayer("rollout").mayOnlyBeAccessedByLayers("net", "lab")
-            .whereLayer("setup").mayOnlyBeAccessedByLayers("main", "bench", "net", "cli", "lab", "config",
-                "membership", "rollout")
-            .check(all);
+        layeredArchitecture()
+                .consideringOnlyDependenciesInLayers()
+                .layer("main")
+                .definedBy("cottonlock")
+                .layer("cli")
+                .definedBy("cottonlock.cli")
+                .layer("lab")
+                .definedBy("cottonlock.lab..")
+                .layer("bench")
+                .definedBy("cottonlock.bench")
+                .layer("net")
+                .definedBy("cottonlock.net..")
+                .layer("config")
+                .definedBy("cottonlock.config")
+                .layer("admin")
+                .definedBy("cottonlock.admin")
+                .layer("membership")
+                .definedBy("cottonlock.membership")
+                .layer("rollout")
+                .definedBy("cottonlock.rollout")
+                .layer("setup")
+                .definedBy("cottonlock.setup")
+                .layer("decision")
+                .definedBy("cottonlock.decision")
+                .whereLayer("main")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("cli")
+                .mayOnlyBeAccessedByLayers("main")
+                .whereLayer("lab")
+                .mayOnlyBeAccessedByLayers("cli")
+                .whereLayer("bench")
+                .mayOnlyBeAccessedByLayers("main")
+                .whereLayer("net")
+                .mayOnlyBeAccessedByLayers("main", "lab")
+                .whereLayer("admin")
+                .mayOnlyBeAccessedByLayers("net")
+                .whereLayer("config")
+                .mayOnlyBeAccessedByLayers("cli", "lab")
+                .whereLayer("membership")
+                .mayOnlyBeAccessedByLayers("net", "lab")
+                .whereLayer("rollout")
+                .mayOnlyBeAccessedByLayers("net", "lab")
+                .whereLayer("setup")
+                .mayOnlyBeAccessedByLayers(
+                        "main", "bench", "net", "cli", "lab", "config", "membership", "rollout")
+                .check(all);
         slices().matching("cottonlock.(*)..").should().beFreeOfCycles().check(all);
     }
 
     @Example
     void whatThePlatformStartsNeedsNoLibrary() {
-        noClasses().that().resideInAnyPackage("cottonlock.net..", "cottonlock.admin",
-                "cottonlock.membership", "cottonlock.rollout", "cottonlock.setup", "cottonlock.bench",
-                "cottonlock.decision").should().dependOnClassesThat().resideInAnyPackage("com..", "org..",
-                "picocli..")
-            .because("serve and wirehost load no library").check(all);
+        noClasses()
+                .that()
+                .resideInAnyPackage(
+                        "cottonlock.net..",
+                        "cottonlock.admin",
+                        "cottonlock.membership",
+                        "cottonlock.rollout",
+                        "cottonlock.setup",
+                        "cottonlock.bench",
+                        "cottonlock.decision")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("com..", "org..", "picocli..")
+                .because("serve and wirehost load no library")
+                .check(all);
     }
 }
--- a/src/test/java/cottonlock/KnownRedTest.java
+++ b/src/test/java/cottonlock/KnownRedTest.java
@@ -11,18 +11,24 @@
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
 
-/** What {@code .ci/run} passes over, with a command in Maven's place that leaves reports as Surefire does. */
+/**
+ * What {@code .ci/run} passes over, with a command in Maven's place that leaves reports as Surefire
+ * does.
+ */
 class KnownRedTest {
     private static final String RED = "x.LabTest#many, lost where no core is free, #49\n";
-    private static final String PASSED = "  <testcase name=\"%s\" classname=\"x.LabTest\" time=\"0.1\"/>\n";
-    private static final String FAILED = "  <testcase name=\"%s\" classname=\"x.LabTest\" time=\"0.1\">\n"
-        + "    <failure message=\"expected: &lt;0&gt;\" type=\"E\"><![CDATA[E: expected\n"
-        + "\tat x.LabTest.many(LabTest.java:1)]]></failure>\n"
-        + "    <system-out><![CDATA[  <testcase name=\"odd\" classname=\"x.LabTest\"><error/>]]>"
-        + "</system-out>\n"
-        + "  </testcase>\n";
-    private static final String SKIPPED = "  <testcase name=\"%s\" classname=\"x.LabTest\" time=\"0\">\n"
-        + "    <skipped/>\n  </testcase>\n";
+    private static final String PASSED =
+            "  <testcase name=\"%s\" classname=\"x.LabTest\" time=\"0.1\"/>\n";
+    private static final String FAILED =
+            "  <testcase name=\"%s\" classname=\"x.LabTest\" time=\"0.1\">\n"
+                    + "    <failure message=\"expected: &lt;0&gt;\" type=\"E\"><![CDATA[E: expected\n"
+                    + "\tat x.LabTest.many(LabTest.java:1)]]></failure>\n"
+                    + "    <system-out><![CDATA[  <testcase name=\"odd\" classname=\"x.LabTest\"><error/>]]>"
+                    + "</system-out>\n"
+                    + "  </testcase>\n";
+    private static final String SKIPPED =
+            "  <testcase name=\"%s\" classname=\"x.LabTest\" time=\"0\">\n"
+                    + "    <skipped/>\n  </testcase>\n";
 
     private final Path root = folder();
     private String said;
@@ -60,13 +66,21 @@
             return;
         }
         int failures = cases.split("</failure>", -1).length - 1;
-        Files.writeString(report, "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<testsuite name=\"x.LabTest\""
-            + " time=\"1\" tests=\"2\" errors=\"0\" skipped=\"0\" failures=\"" + failures + "\">\n"
-            + "  <properties>\n    <property name=\"p\" value=\"q\"/>\n  </properties>\n" + cases
-            + "</testsuite>\n");
+        Files.writeString(
+                report,
+                "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<testsuite name=\"x.LabTest\""
+                        + " time=\"1\" tests=\"2\" errors=\"0\" skipped=\"0\" failures=\""
+                        + failures
+                        + "\">\n"
+                        + "  <properties>\n    <property name=\"p\" value=\"q\"/>\n  </properties>\n"
+                        + cases
+                        + "</testsuite>\n");
     }
 
-    /** Its exit status; Maven's as given, but 0 where it was asked not to fail by tests and only they did. */
+    /**
+     * Its exit status; Maven's as given, but 0 where it was asked not to fail by tests and only
+     * they did.
+     */
     private int run(String list, String cases, int maven) throws Exception {
         if (list == null) {
             Files.deleteIfExists(root.resolve("KNOWN-RED.txt"));
@@ -75,8 +89,12 @@
         }
         report(cases);
         Path mvn = root.resolve("bin/mvn");
-        Files.writeString(mvn, "#!/usr/bin/env bash\necho \"mvn $*\"\nmkdir -p target\nrm -rf target/*\n"
-            + "cp -r reports target/surefire-reports\nexit " + maven + "\n");
+        Files.writeString(
+                mvn,
+                "#!/usr/bin/env bash\necho \"mvn $*\"\nmkdir -p target\nrm -rf target/*\n"
+                        + "cp -r reports target/surefire-reports\nexit "
+                        + maven
+                        + "\n");
         assertTrue(mvn.toFile().setExecutable(true));
         ProcessBuilder builder = new ProcessBuilder(root.resolve(".ci/run").toString());
         builder.environment().put("PATH", root.resolve("bin") + ":" + System.getenv("PATH"));
@@ -100,8 +118,10 @@
     @Example
     void aListedTestMayFailAndIsPrinted() throws Exception {
         assertEquals(0, run(RED, many(true) + other(false), 0), said);
-        assertEquals("mvn -B -ntp clean verify -Dmaven.test.failure.ignore=true\nknown red, failed: " + RED,
-            said);
+        assertEquals(
+                "mvn -B -ntp clean verify -Dmaven.test.failure.ignore=true\nknown red, failed: "
+                        + RED,
+                said);
     }
 
     @Example
@@ -118,9 +138,14 @@
         assertEquals(1, run(RED, many(true) + other(false), 1), "the lint: " + said);
         assertEquals(1, run(RED, null, 0), said);
         assertTrue(said.contains("no reports"), said);
-        String wholeClass = String.format(FAILED, "").replace("failure", "error").replace("x.LabTest", "x.B");
-        assertEquals(1, run(RED, many(true) + wholeClass, 0), "a class that can't be loaded: " + said);
-        assertEquals(1, run(RED, many(true) + "<testsuite name=\"y\" failures=\"1\" errors=\"0\">", 0), said);
+        String wholeClass =
+                String.format(FAILED, "").replace("failure", "error").replace("x.LabTest", "x.B");
+        assertEquals(
+                1, run(RED, many(true) + wholeClass, 0), "a class that can't be loaded: " + said);
+        assertEquals(
+                1,
+                run(RED, many(true) + "<testsuite name=\"y\" failures=\"1\" errors=\"0\">", 0),
+                said);
         assertTrue(said.contains("tell of 2 failures, 1 were found"), said);
     }
 
@@ -135,17 +160,34 @@
     /** Seen before anything is built. */
     @Example
     void aListThatIsTooLongOrMalformedFails() throws Exception {
-        String four = RED + RED.replace("many", "a") + RED.replace("many", "b") + RED.replace("many", "c");
+        String four =
+                RED
+                        + RED.replace("many", "a")
+                        + RED.replace("many", "b")
+                        + RED.replace("many", "c");
         assertEquals(1, run(four, many(true), 0), said);
         assertTrue(said.startsWith("KNOWN-RED.txt:4: three tests at most"), said);
         assertEquals(1, run(RED + RED, many(true), 0), said);
         assertTrue(said.startsWith("KNOWN-RED.txt:2: x.LabTest#many is listed twice"), said);
-        for (String bad : List.of("x.LabTest#many, #49", "x.LabTest#many, , #49", "x.LabTest, slow, #49",
-            "x.LabTest#many, slow", "x.LabTest#many, slow, 49", "x.LabTest#*, slow, #49", "# slow, a, #1",
-            "\n" + RED, RED + "\n", RED.strip() + "\r\n", " " + RED)) {
+        for (String bad :
+                List.of(
+                        "x.LabTest#many, #49",
+                        "x.LabTest#many, , #49",
+                        "x.LabTest, slow, #49",
+                        "x.LabTest#many, slow",
+                        "x.LabTest#many, slow, 49",
+                        "x.LabTest#*, slow, #49",
+                        "# slow, a, #1",
+                        "\n" + RED,
+                        RED + "\n",
+                        RED.strip() + "\r\n",
+                        " " + RED)) {
             assertEquals(1, run(bad, many(true), 0), bad + said);
-            assertTrue(said.matches("(?s)KNOWN-RED.txt:[12]: expected CLASS#METHOD, CAUSE, #ISSUE, found: "
-                + ".*"), said);
+            assertTrue(
+                    said.matches(
+                            "(?s)KNOWN-RED.txt:[12]: expected CLASS#METHOD, CAUSE, #ISSUE, found: "
+                                    + ".*"),
+                    said);
             assertFalse(said.contains("mvn"), said);
         }
     }
--- a/src/test/java/cottonlock/bench/WireHostTest.java
+++ b/src/test/java/cottonlock/bench/WireHostTest.java
@@ -10,19 +10,26 @@
 import java.nio.charset.StandardCharsets;
 import net.jqwik.api.Example;
 
-/** The adapter's own duties: the order of the reply, and a plain end on input that is not the wire's. */
+/**
+ * The adapter's own duties: the order of the reply, and a plain end on input that is not the
+ * wire's.
+ */
 class WireHostTest {
-    private static final String START = "tick 1000 1\ninit proxy/0 5 Categories.count=1"
-        + " Categories.0.DueTime=1000000 Limits.MaxHandOffs=3 Unknown.Key=7\n"
-        + "register 0 1\nitem backend.a 0 0 0 ready 1 -\n"
-        + "endpoints proxy/0 cached 1 0\neob\n";
+    private static final String START =
+            "tick 1000 1\ninit proxy/0 5 Categories.count=1"
+                    + " Categories.0.DueTime=1000000 Limits.MaxHandOffs=3 Unknown.Key=7\n"
+                    + "register 0 1\nitem backend.a 0 0 0 ready 1 -\n"
+                    + "endpoints proxy/0 cached 1 0\neob\n";
 
     private final ByteArrayOutputStream replies = new ByteArrayOutputStream();
     private final ByteArrayOutputStream complaints = new ByteArrayOutputStream();
 
     private int run(String input) throws IOException {
-        return new WireHost(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), replies,
-            new PrintStream(complaints, true)).run();
+        return new WireHost(
+                        new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
+                        replies,
+                        new PrintStream(complaints, true))
+                .run();
     }
 
     private void assertFault(String input, String fault) throws IOException {
@@ -34,34 +41,52 @@
 
     @Example
     void aRequestIsSentAndFinished() throws IOException {
-        assertEquals(0, run(START + "tick 6000 2\ninbound proxy/0 77 0 - - 500000 - 0\neob\n"
-            + "tick 9000 3\nsettled proxy/0 77 completed 0 3000 1 backend.a -\nleft proxy/0 77\neob\n"));
-        assertEquals("set_timer proxy/0 26000 0\nyield 1\ndispatch proxy/0 77 backend.a 0\nyield 2\n"
-            + "yield 3\n", replies.toString());
+        assertEquals(
+                0,
+                run(
+                        START
+                                + "tick 6000 2\ninbound proxy/0 77 0 - - 500000 - 0\neob\n"
+                                + "tick 9000 3\nsettled proxy/0 77 completed 0 3000 1 backend.a -\nleft proxy/0 77\neob\n"));
+        assertEquals(
+                "set_timer proxy/0 26000 0\nyield 1\ndispatch proxy/0 77 backend.a 0\nyield 2\n"
+                        + "yield 3\n",
+                replies.toString());
     }
 
     @Example
     void anInstanceMayStopAndStartInOneBatch() throws IOException {
-        assertEquals(0, run(START
-            + "tick 6000 2\nretire proxy/0\n" + START.substring(START.indexOf("init"))));
+        assertEquals(
+                0,
+                run(
+                        START
+                                + "tick 6000 2\nretire proxy/0\n"
+                                + START.substring(START.indexOf("init"))));
         assertTrue(replies.toString().endsWith("yield 2\n"));
     }
 
     @Example
     void malformedInputEndsWithOneLineThatNamesTheFault() throws IOException {
         assertFault("tock 1 1\n", "line 1: a batch must start with 'tick'");
-        assertFault("tick 1 1\ninbound proxy/9 1 0 0 - 5 0 0\n", "line 2: unknown instance: proxy/9");
+        assertFault(
+                "tick 1 1\ninbound proxy/9 1 0 0 - 5 0 0\n", "line 2: unknown instance: proxy/9");
         assertFault("tick 1 1\nsing proxy/9\n", "line 2: unknown message: sing");
         assertFault("tick x 1\n", "line 1: clock is not a whole number: x");
         assertFault("tick 1 1\n", "line 1: the input ends within a batch");
         assertFault("tick 1 1", "line 1: the input ends within a line");
-        assertFault("tick 1 1\nregister 0 2\nitem b 0 0 0 ready 1 -\neob\n", "a list of 2 ends after 1");
+        assertFault(
+                "tick 1 1\nregister 0 2\nitem b 0 0 0 ready 1 -\neob\n",
+                "a list of 2 ends after 1");
         assertFault("tick 1 1\nregister 16 0\n", "Buffer is out of range: 16");
-        assertFault("tick 1 1\ninit proxy/0 5 Limits.Cancel=perhaps\n",
-            "Limits.Cancel is neither true nor false");
-        assertFault(START + "tick 2000 2\nendpoints proxy/0 full 2 9\n", "no list has been registered");
-        assertFault(START + "tick 2000 2\ninbound proxy/0 1 4 0 - 5 0 0\n", "Service is out of range: 4");
-        assertFault(START + "tick 2000 2\nsettled proxy/0 1 vanished 0 1 0 b -\n",
-            "unknown Outcome: vanished");
+        assertFault(
+                "tick 1 1\ninit proxy/0 5 Limits.Cancel=perhaps\n",
+                "Limits.Cancel is neither true nor false");
+        assertFault(
+                START + "tick 2000 2\nendpoints proxy/0 full 2 9\n", "no list has been registered");
+        assertFault(
+                START + "tick 2000 2\ninbound proxy/0 1 4 0 - 5 0 0\n",
+                "Service is out of range: 4");
+        assertFault(
+                START + "tick 2000 2\nsettled proxy/0 1 vanished 0 1 0 b -\n",
+                "unknown Outcome: vanished");
     }
 }
--- a/src/test/java/cottonlock/cli/CliTest.java
+++ b/src/test/java/cottonlock/cli/CliTest.java
@@ -16,8 +16,8 @@
     private String out;
     private String err;
 
-    private static ProcessBuilder process(Map<String, String> environment, List<String> options,
-        String... args) {
+    private static ProcessBuilder process(
+            Map<String, String> environment, List<String> options, String... args) {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(List.of("-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC"));
@@ -30,11 +30,16 @@
         return builder;
     }
 
-    private int run(Map<String, String> environment, List<String> options, String... args) throws Exception {
+    private int run(Map<String, String> environment, List<String> options, String... args)
+            throws Exception {
         Path outFile = Files.createTempFile("out", ".txt");
         Path errFile = Files.createTempFile("err", ".txt");
-        int status = process(environment, options, args).redirectOutput(outFile.toFile())
-            .redirectError(errFile.toFile()).start().waitFor();
+        int status =
+                process(environment, options, args)
+                        .redirectOutput(outFile.toFile())
+                        .redirectError(errFile.toFile())
+                        .start()
+                        .waitFor();
         out = Files.readString(outFile);
         err = Files.readString(errFile);
         Files.delete(outFile);
@@ -74,24 +79,31 @@
     }
 
     /**
-     * The platform's start must stay as quick and small as it was: no library, and nothing of the command
-     * line.
+     * The platform's start must stay as quick and small as it was: no library, and nothing of the
+     * command line.
      */
     @Example
     void serveByItselfLoadsNothingOfTheCommandLine() throws Exception {
         List<String> logged = List.of("-Xshare:off", "-Xlog:class+load:stdout");
         assertEquals(2, run(Map.of(), logged, "serve"));
         assertTrue(err.contains("EDGE_CONFIG names no file"), err);
-        for (String far : List.of("picocli", "tomlj", "fasterxml", "HdrHistogram", "cottonlock.cli",
-            "cottonlock.lab",
-                "cottonlock.config")) {
+        for (String far :
+                List.of(
+                        "picocli",
+                        "tomlj",
+                        "fasterxml",
+                        "HdrHistogram",
+                        "cottonlock.cli",
+                        "cottonlock.lab",
+                        "cottonlock.config")) {
             assertFalse(out.contains(far), far + " is loaded");
         }
     }
 
-    private static final String CONFIG = "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\","
-        + "\"discovery\":\"127.0.0.1:1\",\"seed\":\"1\",\"settings\":{\"Categories\":[{\"Name\":\"c\","
-        + "\"DueTime\":1000000}],\"MembershipMode\":\"subscribe\"}}";
+    private static final String CONFIG =
+            "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\","
+                    + "\"discovery\":\"127.0.0.1:1\",\"seed\":\"1\",\"settings\":{\"Categories\":[{\"Name\":\"c\","
+                    + "\"DueTime\":1000000}],\"MembershipMode\":\"subscribe\"}}";
 
     /** A proxy that knows nobody loads nothing of what the others are known by. */
     @Example
@@ -99,8 +111,12 @@
         Path folder = Files.createTempDirectory("cli");
         Path config = Files.writeString(folder.resolve("config.json"), CONFIG);
         Path loaded = folder.resolve("loaded");
-        Process serve = process(Map.of("EDGE_CONFIG", config.toString()),
-            List.of("-Xlog:class+load:file=" + loaded), "serve").start();
+        Process serve =
+                process(
+                                Map.of("EDGE_CONFIG", config.toString()),
+                                List.of("-Xlog:class+load:file=" + loaded),
+                                "serve")
+                        .start();
         try (java.io.BufferedReader lines = serve.errorReader()) {
             assertTrue(lines.readLine().contains("the watch ended"), "it serves");
         } finally {
@@ -108,10 +124,18 @@
         }
         String classes = Files.readString(loaded);
         assertTrue(classes.contains("cottonlock.net.Proxy "), "the log is there");
-        for (String far : List.of("cottonlock.membership", "cottonlock.net.Members",
-                "cottonlock.setup.Membership", "cottonlock.rollout", "cottonlock.net.Rollout",
-                "cottonlock.net.VersionLine", "cottonlock.setup.Rollout",
-                "javax.crypto", "cottonlock.config", "cottonlock.cli")) {
+        for (String far :
+                List.of(
+                        "cottonlock.membership",
+                        "cottonlock.net.Members",
+                        "cottonlock.setup.Membership",
+                        "cottonlock.rollout",
+                        "cottonlock.net.Rollout",
+                        "cottonlock.net.VersionLine",
+                        "cottonlock.setup.Rollout",
+                        "javax.crypto",
+                        "cottonlock.config",
+                        "cottonlock.cli")) {
             assertFalse(classes.contains(far), far + " is loaded");
         }
     }
@@ -119,18 +143,23 @@
     @Example
     void membershipThatCannotBeIsToldAtTheStart() throws Exception {
         Path folder = Files.createTempDirectory("cli");
-        Path operator = Files.writeString(folder.resolve("o.toml"), "[membership]\nenabled = true\n");
+        Path operator =
+                Files.writeString(folder.resolve("o.toml"), "[membership]\nenabled = true\n");
         Path config = Files.writeString(folder.resolve("config.json"), CONFIG);
         Map<String, String> files = Map.of("EDGE_CONFIG", config.toString());
         assertEquals(2, run(files, List.of(), "serve", "--operator", operator.toString()));
-        assertEquals("cottonlock: membership needs an address: peer_listen here, or membership.listen in the "
-            + "operator's file", err.strip());
+        assertEquals(
+                "cottonlock: membership needs an address: peer_listen here, or membership.listen in the "
+                        + "operator's file",
+                err.strip());
         Files.writeString(operator, "[membership]\nenabled = true\nlisten = \"127.0.0.1:0\"\n");
         assertEquals(2, run(files, List.of(), "serve", "--operator", operator.toString()));
         assertTrue(err.contains("membership needs others"), err);
         Path key = Files.writeString(folder.resolve("key"), "short\n");
-        Files.writeString(operator, "[membership]\nenabled = true\nlisten = \"127.0.0.1:0\"\n"
-            + "seeds = [\"127.0.0.1:9\"]\nkey_file = \"key\"\n");
+        Files.writeString(
+                operator,
+                "[membership]\nenabled = true\nlisten = \"127.0.0.1:0\"\n"
+                        + "seeds = [\"127.0.0.1:9\"]\nkey_file = \"key\"\n");
         assertEquals(2, run(files, List.of(), "serve", "--operator", operator.toString()));
         assertTrue(err.contains(key + " holds no key of 16 to 4096 bytes"), err);
     }
@@ -139,12 +168,21 @@
     @Example
     void whereChangesAreLearntOfItsClassesAreLoaded() throws Exception {
         Path folder = Files.createTempDirectory("cli");
-        Path operator = Files.writeString(folder.resolve("o.toml"), "[rollout]\nenabled = true\n"
-            + "service = \"s\"\ncontrol = [\"127.0.0.1:1\"]\n");
+        Path operator =
+                Files.writeString(
+                        folder.resolve("o.toml"),
+                        "[rollout]\nenabled = true\n"
+                                + "service = \"s\"\ncontrol = [\"127.0.0.1:1\"]\n");
         Path config = Files.writeString(folder.resolve("config.json"), CONFIG);
         Path loaded = folder.resolve("loaded");
-        Process serve = process(Map.of("EDGE_CONFIG", config.toString()),
-            List.of("-Xlog:class+load:file=" + loaded), "serve", "--operator", operator.toString()).start();
+        Process serve =
+                process(
+                                Map.of("EDGE_CONFIG", config.toString()),
+                                List.of("-Xlog:class+load:file=" + loaded),
+                                "serve",
+                                "--operator",
+                                operator.toString())
+                        .start();
         try (java.io.BufferedReader lines = serve.errorReader()) {
             String line = lines.readLine();
             while (!line.contains("control: the watch at /127.0.0.1:1 ended: Connection refused")) {
@@ -153,7 +191,9 @@
         } finally {
             serve.destroyForcibly().waitFor();
         }
-        assertTrue(Files.readString(loaded).contains("cottonlock.rollout.Rollout "), "the log is there");
+        assertTrue(
+                Files.readString(loaded).contains("cottonlock.rollout.Rollout "),
+                "the log is there");
     }
 
     @Example
@@ -161,7 +201,8 @@
         Path file = Files.createTempFile("operator", ".toml");
         Files.writeString(file, "[log]\nformat = \"jsn\"\n");
         assertEquals(2, run("serve", "--operator", file.toString()));
-        assertEquals(file + ":2: log.format: expected one of text, json, found \"jsn\"", err.strip());
+        assertEquals(
+                file + ":2: log.format: expected one of text, json, found \"jsn\"", err.strip());
         assertEquals(2, run(Map.of("COTTONLOCK_OPERATOR", file.toString()), List.of(), "serve"));
         assertTrue(err.contains("expected one of text, json"), err);
         Files.delete(file);
@@ -170,15 +211,25 @@
     @Example
     void linesOfTheLogAreObjectsWhereTheOperatorWantsThem() throws Exception {
         Path folder = Files.createTempDirectory("cli");
-        Path operator = Files.writeString(folder.resolve("operator.toml"), "[log]\nformat = \"json\"\n");
+        Path operator =
+                Files.writeString(folder.resolve("operator.toml"), "[log]\nformat = \"json\"\n");
         Path config = Files.writeString(folder.resolve("config.json"), CONFIG);
-        Process serve = process(Map.of("EDGE_CONFIG", config.toString()), List.of(), "serve", "--operator",
-            operator.toString()).start();
+        Process serve =
+                process(
+                                Map.of("EDGE_CONFIG", config.toString()),
+                                List.of(),
+                                "serve",
+                                "--operator",
+                                operator.toString())
+                        .start();
         try (java.io.BufferedReader lines = serve.errorReader()) {
             String line = lines.readLine();
-            assertTrue(line.matches("\\{\"time\":\"20.*Z\",\"level\":\"INFO\",\"kind\":\"list\",\"text\":\""
-                + "the "
-                + "watch ended: .*\"\\}"), line);
+            assertTrue(
+                    line.matches(
+                            "\\{\"time\":\"20.*Z\",\"level\":\"INFO\",\"kind\":\"list\",\"text\":\""
+                                    + "the "
+                                    + "watch ended: .*\"\\}"),
+                    line);
         } finally {
             serve.destroyForcibly();
         }
@@ -188,9 +239,18 @@
     @Example
     void anInterruptedLabLeavesItsReportAndNothingElse() throws Exception {
         Path folder = Files.createTempDirectory("cli");
-        Process lab = process(Map.of(), List.of(), "lab", "run", "scenarios/proxy-killed.toml", "--out",
-            folder.toString()).redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD)
-                .start();
+        Process lab =
+                process(
+                                Map.of(),
+                                List.of(),
+                                "lab",
+                                "run",
+                                "scenarios/proxy-killed.toml",
+                                "--out",
+                                folder.toString())
+                        .redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                        .start();
         long until = System.nanoTime() + 20_000_000_000L;
         while (lab.descendants().count() < 3 && System.nanoTime() < until) {
             Thread.sleep(20);
@@ -200,7 +260,8 @@
         assertEquals(3, proxies.size());
         new ProcessBuilder("kill", "-INT", Long.toString(lab.pid())).start().waitFor();
         assertEquals(130, lab.waitFor());
-        assertTrue(Files.readString(folder.resolve("report.json")).contains("\"interrupted\" : true"));
+        assertTrue(
+                Files.readString(folder.resolve("report.json")).contains("\"interrupted\" : true"));
         for (ProcessHandle proxy : proxies) {
             proxy.onExit().get(5, java.util.concurrent.TimeUnit.SECONDS);
         }
