--- a/src/test/java/cottonlock/config/ConfigTest.java
+++ b/src/test/java/cottonlock/config/ConfigTest.java
@@ -22,7 +22,8 @@
         void read(Path file) throws BadFile;
     }
 
-    private static List<String> faults(String ending, String text, Reading reading) throws Exception {
+    private static List<String> faults(String ending, String text, Reading reading)
+            throws Exception {
         Path file = Files.createTempFile("config", ending);
         Files.writeString(file, text);
         List<String> faults = new ArrayList<>();
@@ -41,38 +42,65 @@
         OperatorFile plain = new OperatorFile("text", "info", Map.of(), null);
         assertEquals(plain, OperatorFile.read(Files.createTempFile("empty", ".toml")));
         assertEquals(plain, OperatorFile.read(Path.of("deploy/operator.example.toml")));
-        Path watch = Files.writeString(Files.createTempFile("watch", ".toml"),
-            "[watch]\non = true\nconnection_fee = 0.05\nhandshake_fee = 0.01\n");
-        assertEquals(Map.of("Workload", "mesh", "Fees.Connection", "0.05", "Fees.Handshake", "0.01"),
-            OperatorFile.read(watch).watched());
-        assertEquals(List.of("F:2: watch.connection_fee: expected a number from 0 to 1000000, found -1"),
-            faults(".toml", "[watch]\nconnection_fee = -1\n", OperatorFile::read));
-        assertEquals(List.of("F:2: log.format: expected one of text, json, found \"xml\"",
-                "F:3: log.levle: unknown key; did you mean level?",
-                "F:4: lgo: unknown key; did you mean log?"),
-            faults(".toml", "[log]\nformat = \"xml\"\nlevle = \"info\"\n[lgo]\n", OperatorFile::read));
-        assertEquals(List.of("F:3: rollout.service: expected up to 64 letters, digits, dots, dashes and "
-                + "underscores, found \"a b\"",
-                "F:4: rollout.control: expected an address of digits with a port, such as 127.0.0.1:5000, "
-                + "found \"there\"",
-                "F:5: rollout.call_ms: expected a number from 50 to 2000, found 10"),
-            faults(".toml", "[rollout]\nenabled = true\nservice = \"a b\"\ncontrol = [\"there\"]\n"
-                + "call_ms = 10\n", OperatorFile::read));
-        assertEquals(List.of("F:1: rollout.service: expected a service whose settings these are",
-                "F:1: rollout.control: expected a control machine or more"),
-            faults(".toml", "[rollout]\nenabled = true\n", OperatorFile::read));
-        Path rollout = Files.writeString(Files.createTempFile("rollout", ".toml"),
-            "[rollout]\nenabled = true\nservice = \"s\"\ncontrol = [\"127.0.0.1:1\"]\n");
-        assertEquals(new RolloutPlan("s", List.of("127.0.0.1:1"), List.of(), RolloutPlan.CALL,
-            RolloutPlan.COMPARE, RolloutPlan.RETRY), OperatorFile.read(rollout).rollout());
+        Path watch =
+                Files.writeString(
+                        Files.createTempFile("watch", ".toml"),
+                        "[watch]\non = true\nconnection_fee = 0.05\nhandshake_fee = 0.01\n");
+        assertEquals(
+                Map.of("Workload", "mesh", "Fees.Connection", "0.05", "Fees.Handshake", "0.01"),
+                OperatorFile.read(watch).watched());
+        assertEquals(
+                List.of("F:2: watch.connection_fee: expected a number from 0 to 1000000, found -1"),
+                faults(".toml", "[watch]\nconnection_fee = -1\n", OperatorFile::read));
+        assertEquals(
+                List.of(
+                        "F:2: log.format: expected one of text, json, found \"xml\"",
+                        "F:3: log.levle: unknown key; did you mean level?",
+                        "F:4: lgo: unknown key; did you mean log?"),
+                faults(
+                        ".toml",
+                        "[log]\nformat = \"xml\"\nlevle = \"info\"\n[lgo]\n",
+                        OperatorFile::read));
+        assertEquals(
+                List.of(
+                        "F:3: rollout.service: expected up to 64 letters, digits, dots, dashes and "
+                                + "underscores, found \"a b\"",
+                        "F:4: rollout.control: expected an address of digits with a port, such as 127.0.0.1:5000, "
+                                + "found \"there\"",
+                        "F:5: rollout.call_ms: expected a number from 50 to 2000, found 10"),
+                faults(
+                        ".toml",
+                        "[rollout]\nenabled = true\nservice = \"a b\"\ncontrol = [\"there\"]\n"
+                                + "call_ms = 10\n",
+                        OperatorFile::read));
+        assertEquals(
+                List.of(
+                        "F:1: rollout.service: expected a service whose settings these are",
+                        "F:1: rollout.control: expected a control machine or more"),
+                faults(".toml", "[rollout]\nenabled = true\n", OperatorFile::read));
+        Path rollout =
+                Files.writeString(
+                        Files.createTempFile("rollout", ".toml"),
+                        "[rollout]\nenabled = true\nservice = \"s\"\ncontrol = [\"127.0.0.1:1\"]\n");
+        assertEquals(
+                new RolloutPlan(
+                        "s",
+                        List.of("127.0.0.1:1"),
+                        List.of(),
+                        RolloutPlan.CALL,
+                        RolloutPlan.COMPARE,
+                        RolloutPlan.RETRY),
+                OperatorFile.read(rollout).rollout());
         assertEquals(1, faults(".toml", "[log\n", OperatorFile::read).size());
-        BadFile missing = assertThrows(BadFile.class, () -> OperatorFile.read(Path.of("no/such.toml")));
+        BadFile missing =
+                assertThrows(BadFile.class, () -> OperatorFile.read(Path.of("no/such.toml")));
         assertEquals(List.of("no/such.toml: there is no such file"), missing.faults());
     }
 
     @Example
     void thePlatformsFileIsCheckedWhole() throws Exception {
-        String good = """
+        String good =
+                """
             {"name": "n0", "listen": "127.0.0.1:5000", "discovery": "127.0.0.1:8500", "seed": "8c1f",
              "limits": {"memory_mb": 192, "sockets": 1024},
              "known": {"seq": 0, "whole": true, "hosts": [{"host": "b0",
@@ -82,29 +110,39 @@
                "Projects": [{"Name": "acme", "Share": 1.0, "QuotaRps": 100}], "FleetSize": 3}}
             """;
         assertEquals(List.of(), faults(".json", good, PlatformFile::check));
-        assertEquals(List.of("F:1: listen: expected an address of digits with a port, such as "
-                + "127.0.0.1:5000, found \"localhost\"",
-                "F:2: limits.sockets: expected a number from 64 to 1048576, found 3",
-                "F:5: known.hosts.0.health: expected one of active, leaving, left, found \"green\"",
-                "F:6: settings.Categories.0.Expiry: expected no less than DueTime"),
-            faults(".json", good.replace("127.0.0.1:5000", "localhost").replace("1024", "3")
-                .replace("\"health\": \"active\"", "\"health\": \"green\"").replace("2000000", "2000"),
-                PlatformFile::check));
-        assertTrue(faults(".json", good.replace("\"seed\"", "\"sed\""), PlatformFile::check).get(1)
-            .startsWith("F:1: sed: unknown key; did you mean seed?"));
+        assertEquals(
+                List.of(
+                        "F:1: listen: expected an address of digits with a port, such as "
+                                + "127.0.0.1:5000, found \"localhost\"",
+                        "F:2: limits.sockets: expected a number from 64 to 1048576, found 3",
+                        "F:5: known.hosts.0.health: expected one of active, leaving, left, found \"green\"",
+                        "F:6: settings.Categories.0.Expiry: expected no less than DueTime"),
+                faults(
+                        ".json",
+                        good.replace("127.0.0.1:5000", "localhost")
+                                .replace("1024", "3")
+                                .replace("\"health\": \"active\"", "\"health\": \"green\"")
+                                .replace("2000000", "2000"),
+                        PlatformFile::check));
+        assertTrue(
+                faults(".json", good.replace("\"seed\"", "\"sed\""), PlatformFile::check)
+                        .get(1)
+                        .startsWith("F:1: sed: unknown key; did you mean seed?"));
         assertEquals(1, faults(".json", good + "{", PlatformFile::check).size());
         assertEquals(1, faults(".json", "", PlatformFile::check).size());
         assertEquals(1, faults(".json", "[1]", PlatformFile::check).size());
     }
 
     @Property(seed = "20261201", tries = 200)
-    void editsAreADistance(@ForAll @AlphaChars @StringLength(max = 8) String one,
-                           @ForAll @AlphaChars @StringLength(max = 8) String other) {
+    void editsAreADistance(
+            @ForAll @AlphaChars @StringLength(max = 8) String one,
+            @ForAll @AlphaChars @StringLength(max = 8) String other) {
         int there = Fields.edits(one, other);
         assertEquals(there, Fields.edits(other, one));
         assertEquals(one.equals(other), there == 0);
-        assertTrue(there <= Math.max(one.length(), other.length())
-            && there >= Math.abs(one.length() - other.length()));
+        assertTrue(
+                there <= Math.max(one.length(), other.length())
+                        && there >= Math.abs(one.length() - other.length()));
         assertTrue(Fields.edits(one, other + "x") <= there + 1);
     }
 }
--- a/src/test/java/cottonlock/decision/BalancerTest.java
+++ b/src/test/java/cottonlock/decision/BalancerTest.java
@@ -19,8 +19,10 @@
 
 /** Plain cases, and one small case for each failure found. */
 class BalancerTest {
-    private static final List<Category> PLAIN = List.of(
-        Ledger.category(0, Repeat.SAFE, Scope.ALL), Ledger.category(1, Repeat.UNSAFE, Scope.ALL));
+    private static final List<Category> PLAIN =
+            List.of(
+                    Ledger.category(0, Repeat.SAFE, Scope.ALL),
+                    Ledger.category(1, Repeat.UNSAFE, Scope.ALL));
     private static final List<Tenant> TWO = List.of(new Tenant(0.75, 100), new Tenant(0.25, 100));
 
     private static Ledger ledger(boolean first, List<Tenant> tenants, int backends) {
@@ -47,7 +49,8 @@
 
     @Example
     void lanesHoldTheSharesAndAtLeastOneBackend() {
-        List<Tenant> tenants = List.of(new Tenant(0.5, 0), new Tenant(0.45, 0), new Tenant(0.05, 0));
+        List<Tenant> tenants =
+                List.of(new Tenant(0.5, 0), new Tenant(0.45, 0), new Tenant(0.05, 0));
         assertArrayEquals(new int[] {5, 4, 1}, Balancer.Fleet.laneSizes(tenants, 10));
         assertArrayEquals(new int[] {1, 1, 0}, Balancer.Fleet.laneSizes(tenants, 2));
         assertArrayEquals(new int[] {0, 0, 0}, Balancer.Fleet.laneSizes(tenants, 0));
@@ -58,8 +61,14 @@
     @Example
     void whoHasGoneWithoutDrainingIsUsedWhileItAnswersWhereThatBindsNobody() {
         for (boolean binds : new boolean[] {false, true}) {
-            Ledger ledger = new Ledger(PLAIN, TWO, 5, false, true,
-                new Shape(2, 0, true, 0, true, false, 100_000, binds, 0));
+            Ledger ledger =
+                    new Ledger(
+                            PLAIN,
+                            TWO,
+                            5,
+                            false,
+                            true,
+                            new Shape(2, 0, true, 0, true, false, 100_000, binds, 0));
             ledger.list(Ledger.ready(0, 3), true, true);
             for (int i = 0; i < 30; i++) {
                 ledger.arrive(0, i % 2, 20_000);
@@ -71,9 +80,12 @@
             // Past the ledger, which holds all to what binds elsewhere: the list loses both others.
             ledger.balancer.list(ledger.now, List.of(), true, false);
             assertEquals(!binds, ledger.balancer.uses("b0") && ledger.balancer.uses("b1"));
-            assertFalse(ledger.balancer.uses("b2"), "draining binds, whatever the list says after it");
+            assertFalse(
+                    ledger.balancer.uses("b2"), "draining binds, whatever the list says after it");
             ledger.pass(25_000);
-            assertFalse(ledger.balancer.uses("b0") || ledger.balancer.uses("b1"), "they answer no more");
+            assertFalse(
+                    ledger.balancer.uses("b0") || ledger.balancer.uses("b1"),
+                    "they answer no more");
         }
     }
 
@@ -100,8 +112,11 @@
             finishAll(ledger);
         }
         Set<String> small = ids(ledger.fleet.lane(1));
-        long inSmall = ledger.sends.entrySet().stream().filter(e -> small.contains(e.getKey()))
-            .mapToLong(e -> e.getValue().size()).sum();
+        long inSmall =
+                ledger.sends.entrySet().stream()
+                        .filter(e -> small.contains(e.getKey()))
+                        .mapToLong(e -> e.getValue().size())
+                        .sum();
         assertEquals(100, inSmall);
     }
 
@@ -117,8 +132,8 @@
     }
 
     /**
-     * Found in a newcomer's first minute: one broken answer, and up to six sound ones were deferred behind
-     * it.
+     * Found in a newcomer's first minute: one broken answer, and up to six sound ones were deferred
+     * behind it.
      */
     @Example
     void aSoleBackendThatFailedOnceGetsSafeWorkAtOnce() {
@@ -132,7 +147,9 @@
         }
     }
 
-    /** A client that comes back after its backends have forgotten it would have its effect twice. */
+    /**
+     * A client that comes back after its backends have forgotten it would have its effect twice.
+     */
     @Example
     void whatMayHaveRunIsDeferredOnlyWhileItIsStillKnownWhenItsClientComesBack() {
         for (long window : new long[] {2_000, 100_000}) {
@@ -142,7 +159,8 @@
             long id = ledger.arrive(0, 0, 20_000);
             ledger.pass(100);
             ledger.settle(id, 0, Outcome.BROKEN_OFF);
-            assertEquals(window > 10_000 ? 1 : 0, ledger.ends.values().stream().mapToInt(n -> n).sum());
+            assertEquals(
+                    window > 10_000 ? 1 : 0, ledger.ends.values().stream().mapToInt(n -> n).sum());
         }
     }
 
@@ -158,15 +176,25 @@
         assertTrue(!ledger.items.containsKey(id) || ledger.items.get(id).answered);
     }
 
-    /** Where each client has a balancer of its own, and where keeping connections costs something. */
+    /**
+     * Where each client has a balancer of its own, and where keeping connections costs something.
+     */
     private static Ledger apart(int me, double rest, int backends) {
-        Ledger ledger = new Ledger(PLAIN, List.of(new Tenant(1, 100)), 7 + me, true, true,
-            new Shape(200, me, false, rest, false, false, 0, true, 0));
+        Ledger ledger =
+                new Ledger(
+                        PLAIN,
+                        List.of(new Tenant(1, 100)),
+                        7 + me,
+                        true,
+                        true,
+                        new Shape(200, me, false, rest, false, false, 0, true, 0));
         ledger.list(Ledger.ready(0, backends), true, true);
         return ledger;
     }
 
-    /** Found on an overloaded day: with a new draw for each try nearly all got in at their fourth. */
+    /**
+     * Found on an overloaded day: with a new draw for each try nearly all got in at their fourth.
+     */
     @Example
     void aRepeatWithTheSameHintGetsTheSameAnswer() {
         Ledger ledger = apart(0, 0, 8);
@@ -183,7 +211,10 @@
         assertTrue(letIn > 30 && letIn < 90, letIn + " of 100 let in");
     }
 
-    /** Found at hundreds of balancers: each held a connection to nearly each backend, and many got none. */
+    /**
+     * Found at hundreds of balancers: each held a connection to nearly each backend, and many got
+     * none.
+     */
     @Example
     void dearConnectionsAreFewAndThoseThatRestAreClosed() {
         Set<String> all = new HashSet<>();
@@ -203,7 +234,10 @@
         assertTrue(all.size() >= 6, "balancers differ in what they use: " + all);
     }
 
-    /** Found on days on which balancers stand still: what waited for them passed for silence of backends. */
+    /**
+     * Found on days on which balancers stand still: what waited for them passed for silence of
+     * backends.
+     */
     @Example
     void afterAStandstillNothingIsTakenForSilent() {
         Ledger ledger = ledger(true, TWO, 8);
@@ -220,7 +254,10 @@
         assertTrue(ledger.items.get(id).sent.get(0).recalled, "but silence after it is");
     }
 
-    /** Found on quiet days with many balancers: a tenant held to its lane's rate while all else idled. */
+    /**
+     * Found on quiet days with many balancers: a tenant held to its lane's rate while all else
+     * idled.
+     */
     @Example
     void anIdleFleetIsLentToALane() {
         Ledger ledger = many(50, List.of(new Tenant(0.05, 1), new Tenant(0.95, 1_000))).get(0);
@@ -232,7 +269,9 @@
             ledger.pass(500);
             finishAll(ledger);
         }
-        assertTrue(letIn[1] > 20 * letIn[0], letIn[0] + " let in while unknown, " + letIn[1] + " then");
+        assertTrue(
+                letIn[1] > 20 * letIn[0],
+                letIn[0] + " let in while unknown, " + letIn[1] + " then");
     }
 
     @Example
@@ -261,15 +300,22 @@
     private static int answerOlder(Ledger ledger, Map<Long, Long> sentAt, long age) {
         for (long id : List.copyOf(ledger.items.keySet())) {
             Ledger.Item item = ledger.items.get(id);
-            if (item != null && item.sent.size() == 1 && item.sent.get(0).out
-                && ledger.now - sentAt.get(id) >= age) {
+            if (item != null
+                    && item.sent.size() == 1
+                    && item.sent.get(0).out
+                    && ledger.now - sentAt.get(id) >= age) {
                 ledger.settle(id, 0, Outcome.FINISHED);
             }
         }
-        return (int) ledger.items.values().stream().filter(i -> i.sent.stream().anyMatch(s -> s.out)).count();
+        return (int)
+                ledger.items.values().stream()
+                        .filter(i -> i.sent.stream().anyMatch(s -> s.out))
+                        .count();
     }
 
-    /** Danger: what is inside made the room for more excess, until a hundred small balancers choked. */
+    /**
+     * Danger: what is inside made the room for more excess, until a hundred small balancers choked.
+     */
     @Example
     void excessMakesNoRoomOfItsOwn() {
         Ledger ledger = new Ledger(PLAIN, List.of(new Tenant(1, 2)), 7, true, false, true, 9);
@@ -282,7 +328,8 @@
             int inside = answerOlder(ledger, sentAt, 1_500 + 300L * most);
             most = Math.max(most, inside);
         }
-        // Two for each of a part of two backends, one by chance, and a little that is within the quota.
+        // Two for each of a part of two backends, one by chance, and a little that is within the
+        // quota.
         assertTrue(most <= 8, () -> "so much excess inside of one of nine before 18 backends");
         assertTrue(most >= 4, "while nothing is pressed, excess is served");
     }
@@ -290,17 +337,33 @@
     /** Danger: where due times are long, two seconds hold too few answers to learn a calm from. */
     @Example
     void spansOfMeasuresFollowDueTimes() {
-        assertEquals(20_000, Math.round(1.28 * new Shape(1, 0, true, 0, true, true, 0, true, 0).due()));
-        assertEquals(15_625, new Shape(8, 0, true, 0, true, true, 0, true, 60_000).due(), "few balancers");
-        Ledger ledger = new Ledger(PLAIN, TWO, 7, true, true,
-            new Shape(9, 0, true, 0, true, false, 100_000, true, 60_000));
+        assertEquals(
+                20_000, Math.round(1.28 * new Shape(1, 0, true, 0, true, true, 0, true, 0).due()));
+        assertEquals(
+                15_625,
+                new Shape(8, 0, true, 0, true, true, 0, true, 60_000).due(),
+                "few balancers");
+        Ledger ledger =
+                new Ledger(
+                        PLAIN,
+                        TWO,
+                        7,
+                        true,
+                        true,
+                        new Shape(9, 0, true, 0, true, false, 100_000, true, 60_000));
         ledger.list(Ledger.ready(0, 3), true, true);
         ledger.arrive(0, 0, 20_000);
         finishAll(ledger);
         ledger.pass(30_000);
-        Backend answered = ledger.fleet.known.values().stream()
-            .filter(b -> ledger.sends.containsKey(b.id)).findFirst().orElseThrow();
-        assertEquals(1, answered.answers.sum(ledger.now), "an answer of three seconds ago, half a due time");
+        Backend answered =
+                ledger.fleet.known.values().stream()
+                        .filter(b -> ledger.sends.containsKey(b.id))
+                        .findFirst()
+                        .orElseThrow();
+        assertEquals(
+                1,
+                answered.answers.sum(ledger.now),
+                "an answer of three seconds ago, half a due time");
     }
 
     @Example
@@ -332,7 +395,9 @@
         assertTrue(ledger.items.isEmpty());
     }
 
-    /** Found when a product of zero and infinity shut the door: the first requests must get through. */
+    /**
+     * Found when a product of zero and infinity shut the door: the first requests must get through.
+     */
     @Example
     void aFreshBalancerLetsWorkIn() {
         Ledger ledger = ledger(true, TWO, 6);
@@ -340,7 +405,10 @@
         assertEquals(1, ledger.items.get(id).sent.size());
     }
 
-    /** Found on a day with a lost server room: what it held filled the room and all else was turned away. */
+    /**
+     * Found on a day with a lost server room: what it held filled the room and all else was turned
+     * away.
+     */
     @Example
     void workStuckAtSilentBackendsFreesItsRoom() {
         Ledger ledger = ledger(true, List.of(), 6);
@@ -358,7 +426,9 @@
         assertTrue(ledger.items.containsKey(id), "turned away while backends idle");
     }
 
-    /** Found on a day with slow backends: answers that come far too late count against a backend. */
+    /**
+     * Found on a day with slow backends: answers that come far too late count against a backend.
+     */
     @Example
     void aSlowBackendGetsLessWork() {
         Ledger ledger = ledger(false, List.of(), 4);
@@ -372,61 +442,99 @@
                 }
             }
         }
-        assertTrue(ledger.sends.get("b0").size() * 2 < ledger.sends.get("b1").size(),
-            ledger.sends.get("b0").size() + " to the slow one");
+        assertTrue(
+                ledger.sends.get("b0").size() * 2 < ledger.sends.get("b1").size(),
+                ledger.sends.get("b0").size() + " to the slow one");
     }
 
-    /** Found on a full fleet: what was promised found two places a backend, and few answers make no more. */
+    /**
+     * Found on a full fleet: what was promised found two places a backend, and few answers make no
+     * more.
+     */
     @Example
     void whatIsWithinQuotasHasFourPlacesABackendFromTheStart() {
         for (int[] shape : new int[][] {{1, 4}, {3, 12}, {16, 35}, {90, 150}, {120, 300}}) {
             for (double quota : new double[] {100_000, 0.1}) {
-                Ledger ledger = new Ledger(PLAIN, List.of(new Tenant(1, quota)), shape[0], true, true,
-                    new Shape(shape[0], 0, true, 0, true, false, 100_000, true, 60_000));
+                Ledger ledger =
+                        new Ledger(
+                                PLAIN,
+                                List.of(new Tenant(1, quota)),
+                                shape[0],
+                                true,
+                                true,
+                                new Shape(
+                                        shape[0], 0, true, 0, true, false, 100_000, true, 60_000));
                 ledger.list(Ledger.ready(0, shape[1]), true, true);
                 for (int i = 0; i < 10 * shape[1]; i++) {
                     ledger.arrive(0, 0, 200_000);
                 }
-                long sent = ledger.items.values().stream().filter(item -> !item.sent.isEmpty()).count();
+                long sent =
+                        ledger.items.values().stream().filter(item -> !item.sent.isEmpty()).count();
                 double each = (double) sent * shape[0] / shape[1];
                 // The part below one is drawn; a quota's bucket lets four in that are not excess.
                 double chance = (quota < 1 ? 5.0 : 1.0) * shape[0] / shape[1];
                 double places = quota < 1 ? 2 : 4;
-                assertTrue(each >= places - chance && each <= places + chance,
-                    each + " for each backend, quota " + quota + " at " + shape[0] + " balancers");
+                assertTrue(
+                        each >= places - chance && each <= places + chance,
+                        each
+                                + " for each backend, quota "
+                                + quota
+                                + " at "
+                                + shape[0]
+                                + " balancers");
             }
         }
     }
 
     /**
-     * Found on a full fleet with a zone cut off: what was stuck behind sound backends filled the room, and a
-     * backend that held nothing else passed for silent for as long as that did not expire.
+     * Found on a full fleet with a zone cut off: what was stuck behind sound backends filled the
+     * room, and a backend that held nothing else passed for silent for as long as that did not
+     * expire.
      */
     @Example
     void workStuckBehindBackendsThatAnswerFreesItsRoom() {
         for (int[] shape : new int[][] {{1, 6}, {2, 6}, {16, 35}, {90, 150}, {120, 300}}) {
-            Ledger ledger = new Ledger(PLAIN, List.of(), shape[0], true, true,
-                new Shape(shape[0], 0, true, 0, true, false, 100_000, true, 10_000));
+            Ledger ledger =
+                    new Ledger(
+                            PLAIN,
+                            List.of(),
+                            shape[0],
+                            true,
+                            true,
+                            new Shape(shape[0], 0, true, 0, true, false, 100_000, true, 10_000));
             ledger.list(Ledger.ready(0, shape[1]), true, true);
             for (int i = 0; i < 1_000; i++) {
-                // A share of what this balancer's part of the backends can hold, and a tenth of it is stuck.
+                // A share of what this balancer's part of the backends can hold, and a tenth of it
+                // is stuck.
                 ledger.arrive(1, 0, 5_000_000);
                 ledger.pass(1_000L * shape[0] / shape[1]);
                 ledger.finish(1_000, Integer.MAX_VALUE, out -> out % 10 != 0);
             }
-            assertTrue(ledger.ends.isEmpty(),
-                "deferred for " + ledger.ends + " at " + shape[0] + " balancers");
+            assertTrue(
+                    ledger.ends.isEmpty(),
+                    "deferred for " + ledger.ends + " at " + shape[0] + " balancers");
         }
     }
 
-    /** Found on a full fleet with a zone cut off: work of long due times filled the line and kept it full. */
+    /**
+     * Found on a full fleet with a zone cut off: work of long due times filled the line and kept it
+     * full.
+     */
     @Example
     void noCategoryStarvesInTheLineOfOthers() {
         for (int[] shape : new int[][] {{1, 4}, {2, 8}, {16, 35}, {90, 150}}) {
-            List<Category> categories = List.of(new Category(0, 5_000, 1, 0, Repeat.SAFE, Scope.ALL, 0),
-                new Category(1, 50_000, 1, 0, Repeat.SAFE, Scope.ALL, 0));
-            Ledger ledger = new Ledger(categories, List.of(new Tenant(1, 100_000)), shape[0], true, true,
-                new Shape(shape[0], 0, true, 0, true, false, 100_000, true, 27_500));
+            List<Category> categories =
+                    List.of(
+                            new Category(0, 5_000, 1, 0, Repeat.SAFE, Scope.ALL, 0),
+                            new Category(1, 50_000, 1, 0, Repeat.SAFE, Scope.ALL, 0));
+            Ledger ledger =
+                    new Ledger(
+                            categories,
+                            List.of(new Tenant(1, 100_000)),
+                            shape[0],
+                            true,
+                            true,
+                            new Shape(shape[0], 0, true, 0, true, false, 100_000, true, 27_500));
             ledger.list(Ledger.ready(0, shape[1]), true, true);
             SplittableRandom random = new SplittableRandom(shape[0]);
             int[] finished = new int[2];
@@ -440,13 +548,21 @@
                 finished[1] += now[1];
             }
             for (int c = 0; c < 2; c++) {
-                assertTrue(finished[c] * 2 > finished[1 - c], finished[0] + " of short due times finished, "
-                    + finished[1] + " of long ones, at " + shape[0] + " balancers");
+                assertTrue(
+                        finished[c] * 2 > finished[1 - c],
+                        finished[0]
+                                + " of short due times finished, "
+                                + finished[1]
+                                + " of long ones, at "
+                                + shape[0]
+                                + " balancers");
             }
         }
     }
 
-    /** Found on a day without queues at the backends: turned-away work must lower what is let in. */
+    /**
+     * Found on a day without queues at the backends: turned-away work must lower what is let in.
+     */
     @Example
     void turnedAwayWorkLowersTheRoom() {
         Ledger ledger = ledger(true, List.of(), 8);
@@ -454,7 +570,9 @@
             ledger.arrive(0, 0, 60_000);
             ledger.pass(100);
             for (long id : List.copyOf(ledger.items.keySet())) {
-                for (int n = 0; ledger.items.containsKey(id) && n < ledger.items.get(id).sent.size(); n++) {
+                for (int n = 0;
+                        ledger.items.containsKey(id) && n < ledger.items.get(id).sent.size();
+                        n++) {
                     if (ledger.items.get(id).sent.get(n).out) {
                         ledger.settle(id, n, Outcome.TURNED_AWAY);
                     }
@@ -469,13 +587,18 @@
         assertFalse(more > 20, more + " let in at once");
     }
 
-    /** Found on a day with a lost server room: each balancer lost work to find out what its peers knew. */
+    /**
+     * Found on a day with a lost server room: each balancer lost work to find out what its peers
+     * knew.
+     */
     @Example
     void whatPeersFoundLostIsDoubtedButNotPassedOn() {
         Ledger finder = ledger(false, List.of(), 2);
         for (int i = 0; i < 40; i++) {
             long id = finder.arrive(0, 0, 20_000);
-            for (int n = 0; finder.items.containsKey(id) && n < finder.items.get(id).sent.size(); n++) {
+            for (int n = 0;
+                    finder.items.containsKey(id) && n < finder.items.get(id).sent.size();
+                    n++) {
                 boolean lost = finder.items.get(id).sent.get(n).to.id().equals("b0");
                 finder.settle(id, n, lost ? Outcome.NO_CONNECTION : Outcome.FINISHED);
             }
@@ -507,7 +630,9 @@
         return many;
     }
 
-    /** Found with hundreds of balancers: one request from each at once pushed a cold backend over. */
+    /**
+     * Found with hundreds of balancers: one request from each at once pushed a cold backend over.
+     */
     @Example
     void manyBalancersTogetherKeepAColdBackendUp() {
         int balancers = 200;
@@ -527,14 +652,18 @@
             List<Long> toFresh = ledger.sends.getOrDefault("b3", List.of());
             sent.addAll(toFresh.stream().filter(at -> at > 20_900).toList());
         }
-        // Each warm backend gets 10 a second of the 200; a cold one bears the multiple of its share of that.
+        // Each warm backend gets 10 a second of the 200; a cold one bears the multiple of its share
+        // of that.
         double bears = Ledger.FALL_MULTIPLE * Ledger.COLD_SHARE * 10 * Ledger.FALL / 10_000.0;
         long inWindow = sent.stream().filter(at -> at <= 20_900 + Ledger.FALL).count();
         assertTrue(inWindow <= bears, inWindow + " sent in the first window, it bears " + bears);
         assertTrue(inWindow > 0, "a cold backend is not left out");
     }
 
-    /** Found with hundreds of balancers: the least rooms of one request each added up and choked all. */
+    /**
+     * Found with hundreds of balancers: the least rooms of one request each added up and choked
+     * all.
+     */
     @Example
     void manyBalancersTogetherLetInWhatTheBackendsMayHold() {
         long held = 0;
@@ -550,13 +679,20 @@
                 }
             }
             // By Little's law: what each second brought in, over the 0.3 s that it stays.
-            held += ledger.sends.values().stream().flatMap(List::stream).filter(at -> at > 100_000).count();
+            held +=
+                    ledger.sends.values().stream()
+                            .flatMap(List::stream)
+                            .filter(at -> at > 100_000)
+                            .count();
         }
         held = held * 3 / 100;
         assertTrue(held > 20 && held < 70, held + " held by ten backends together");
     }
 
-    /** Found at a start with many balancers: nearly all backends passed for silent in the first second. */
+    /**
+     * Found at a start with many balancers: nearly all backends passed for silent in the first
+     * second.
+     */
     @Example
     void anAnswerOfUsualLengthIsNoSilence() {
         Ledger ledger = ledger(true, List.of(), 10);
@@ -568,7 +704,9 @@
         assertTrue(ledger.items.values().stream().allMatch(item -> item.sent.size() == 1));
     }
 
-    /** Found on a day with eight lanes and many balancers: two lanes choked while the others idled. */
+    /**
+     * Found on a day with eight lanes and many balancers: two lanes choked while the others idled.
+     */
     @Example
     void aLaneThatHoldsFarMoreThanTheOthersSpills() {
         int outside = 0;
@@ -601,15 +739,20 @@
         for (int i = 0; i < 800; i++) {
             long id = ledger.arrive(0, 0, 60_000);
             letIn[i / 400] += ledger.items.containsKey(id) ? 1 : 0;
-            for (int n = 0; ledger.items.containsKey(id) && n < ledger.items.get(id).sent.size(); n++) {
+            for (int n = 0;
+                    ledger.items.containsKey(id) && n < ledger.items.get(id).sent.size();
+                    n++) {
                 ledger.settle(id, n, i < 400 ? Outcome.TURNED_AWAY : Outcome.FINISHED);
             }
             ledger.pass(500);
         }
-        assertTrue(letIn[1] > letIn[0] * 1.3, letIn[0] + " let in during it, " + letIn[1] + " after");
+        assertTrue(
+                letIn[1] > letIn[0] * 1.3, letIn[0] + " let in during it, " + letIn[1] + " after");
     }
 
-    /** Found where listed sizes are alike: the slower kind of machine held most and choked first. */
+    /**
+     * Found where listed sizes are alike: the slower kind of machine held most and choked first.
+     */
     @Example
     void aSlowerKindGetsLessWork() {
         Ledger ledger = ledger(false, List.of(), 20);
@@ -625,10 +768,13 @@
                 }
             }
         }
-        assertTrue(byKind[1] * 3 < byKind[0] * 2, byKind[1] + " to the slower kind of " + byKind[0]);
+        assertTrue(
+                byKind[1] * 3 < byKind[0] * 2, byKind[1] + " to the slower kind of " + byKind[0]);
     }
 
-    /** What has gone for good must not be kept, nor looked at, for as long as the balancer lives. */
+    /**
+     * What has gone for good must not be kept, nor looked at, for as long as the balancer lives.
+     */
     @Example
     void whatHasGoneIsForgotten() {
         Ledger ledger = ledger(false, TWO, 4);
@@ -639,7 +785,9 @@
         assertEquals(4, ledger.fleet.known.size());
     }
 
-    /** Found with many balancers: the false finds of all added up, and sound backends were shunned. */
+    /**
+     * Found with many balancers: the false finds of all added up, and sound backends were shunned.
+     */
     @Example
     void manyBalancersDoNotTell() {
         for (int balancers : new int[] {2, 200}) {
@@ -647,7 +795,9 @@
             ledger.list(Ledger.ready(0, 4), true, true);
             for (int i = 0; i < 20; i++) {
                 long id = ledger.arrive(0, 0, 20_000);
-                for (int n = 0; ledger.items.containsKey(id) && n < ledger.items.get(id).sent.size(); n++) {
+                for (int n = 0;
+                        ledger.items.containsKey(id) && n < ledger.items.get(id).sent.size();
+                        n++) {
                     ledger.settle(id, n, Outcome.NO_CONNECTION);
                 }
                 ledger.pass(300);
--- a/src/test/java/cottonlock/decision/ColdFleet.java
+++ b/src/test/java/cottonlock/decision/ColdFleet.java
@@ -13,23 +13,28 @@
 import java.util.TreeMap;
 
 /**
- * Balancers in virtual time, each as it decides, before backends that join and come back cold; counts what
- * all of them together send a cold one, against what it bears. One seed gives one run.
+ * Balancers in virtual time, each as it decides, before backends that join and come back cold;
+ * counts what all of them together send a cold one, against what it bears. One seed gives one run.
  */
 final class ColdFleet {
     static final Cold COLD = new Cold(0.35, 87_000, 3, 30_000);
+
     /** When backends come cold and the traffic changes, and until when the run goes on. */
     private static final long EVENT = 200_000;
+
     private static final long END = 320_000;
     private static final long BURST = 80_000;
+
     /** Work of each category, in that of the mean request, and its part of the requests. */
     private static final double[] WORK = {0.4, 1, 2.8};
+
     private static final double[] PARTS = {0.45, 0.4, 0.15};
     private static final long[] PATIENCE = {20_000, 40_000, 60_000};
-    private static final List<Category> CATEGORIES = List.of(
-        new Category(0, 7_500, 1, 0, Repeat.SAFE, Scope.ALL, 50_000),
-        new Category(1, 15_000, 1, 0, Repeat.SAFE, Scope.ALL, 50_000),
-        new Category(2, 25_000, 1, 0, Repeat.KEYED, Scope.ZONE, 100_000));
+    private static final List<Category> CATEGORIES =
+            List.of(
+                    new Category(0, 7_500, 1, 0, Repeat.SAFE, Scope.ALL, 50_000),
+                    new Category(1, 15_000, 1, 0, Repeat.SAFE, Scope.ALL, 50_000),
+                    new Category(2, 25_000, 1, 0, Repeat.KEYED, Scope.ZONE, 100_000));
     private static final int WORKERS = 4;
     private static final int QUEUE = 20;
 
@@ -37,26 +42,36 @@
     static final class Day {
         final String name;
         int proxies = 30;
+
         /** What the settings call the number of proxies; 0 for the true one. */
         int fleetSize;
+
         int backends = 12;
         double capacity = 25;
         double load = 0.6;
         double burst = 1;
+
         /** How many times the mean the busiest callers get: one in six of them. */
         double uneven = 1;
+
         /** Whether at the event traffic leaves one half of the proxies for the other. */
         boolean moves;
+
         /** The part of the proxies that start anew at the event. */
         double restarts;
+
         /** The part of the backends that start anew, and within what time; how many join. */
         double replaced = 0.25;
+
         long within;
         int added = 1;
+
         /** How late the list may come. */
         long late;
+
         boolean first = true;
         int tenants = 5;
+
         /** The part of the backends that are dead from a second before the event on. */
         double dead;
 
@@ -68,20 +83,17 @@
     /**
      * What came of a day.
      *
-     * @param worst  the most work sent to a cold backend in a window, against what makes it fall
-     * @param mean   the same, each backend's worst window, in the mean of the cold ones
-     * @param used   the part of what a cold one bears that it was sent in its first window
+     * @param worst the most work sent to a cold backend in a window, against what makes it fall
+     * @param mean the same, each backend's worst window, in the mean of the cold ones
+     * @param used the part of what a cold one bears that it was sent in its first window
      * @param served the part of the requests after the event that were answered
      * @param broken backends that fell of what over two thirds came from proxies told of the start
      */
-    record Result(double worst, double mean, double used, double served, int broken) {
-    }
+    record Result(double worst, double mean, double used, double served, int broken) {}
 
-    private record Job(Proxy proxy, int life, long id, int attempt, double work, long expiry) {
-    }
+    private record Job(Proxy proxy, int life, long id, int attempt, double work, long expiry) {}
 
-    private record Sent(long at, double work, boolean told) {
-    }
+    private record Sent(long at, double work, boolean told) {}
 
     /** A request that a balancer holds, and which of its attempts are out. */
     private static final class Open {
@@ -108,8 +120,10 @@
         int busy;
         int start;
         boolean dead;
+
         /** What was sent since each cold start, and the starts. */
         final List<Sent> sent = new ArrayList<>();
+
         final List<Double> ratios = new ArrayList<>();
         double worst;
         double used;
@@ -141,20 +155,22 @@
             busy++;
             int life = start;
             double rate = capacity() / WORKERS * COLD.warmth(member, world.now());
-            world.at(world.now() + Math.round(10_000 * job.work / rate), () -> {
-                if (life == start) {
-                    busy--;
-                    answer(job, Outcome.FINISHED);
-                    while (!queue.isEmpty() && busy < WORKERS) {
-                        Job next = queue.poll();
-                        if (next.expiry > world.now()) {
-                            run(next);
+            world.at(
+                    world.now() + Math.round(10_000 * job.work / rate),
+                    () -> {
+                        if (life == start) {
+                            busy--;
+                            answer(job, Outcome.FINISHED);
+                            while (!queue.isEmpty() && busy < WORKERS) {
+                                Job next = queue.poll();
+                                if (next.expiry > world.now()) {
+                                    run(next);
+                                }
+                            }
+                        } else {
+                            answer(job, Outcome.BROKEN_OFF);
                         }
-                    }
-                } else {
-                    answer(job, Outcome.BROKEN_OFF);
-                }
-            });
+                    });
         }
 
         private void answer(Job job, Outcome outcome) {
@@ -169,8 +185,15 @@
             List<Job> lost = new ArrayList<>(queue);
             queue.clear();
             lost.forEach(job -> answer(job, Outcome.BROKEN_OFF));
-            member = new Member(member.id(), member.zone(), member.kind(), member.cell(), Member.State.READY,
-                member.size(), world.now());
+            member =
+                    new Member(
+                            member.id(),
+                            member.zone(),
+                            member.kind(),
+                            member.cell(),
+                            Member.State.READY,
+                            member.size(),
+                            world.now());
             Member m = member;
             for (Proxy p : proxies) {
                 long late = day.late > 0 ? world.chance().nextLong(day.late) : 0;
@@ -204,18 +227,25 @@
             while (sent.get(oldest).at <= now - COLD.fall()) {
                 inWindow -= sent.get(oldest++).work;
             }
-            // The capacity grows evenly: over the window it is the mean of its ends, and least at the start.
+            // The capacity grows evenly: over the window it is the mean of its ends, and least at
+            // the start.
             double from = Math.max(0, age - COLD.fall());
             double before = Math.max(0, COLD.fall() - age);
             double grown = COLD.share() + (1 - COLD.share()) * (from + age) / 2 / COLD.time();
-            double bears = COLD.multiple() * capacity() / 10_000
-                * (COLD.share() * before + grown * (COLD.fall() - before));
+            double bears =
+                    COLD.multiple()
+                            * capacity()
+                            / 10_000
+                            * (COLD.share() * before + grown * (COLD.fall() - before));
             double ratio = inWindow / (bears + 2 * Math.sqrt(bears) + 2);
             worst = Math.max(worst, ratio);
             used = age <= COLD.fall() ? inWindow / bears : used;
             if (ratio > 1) {
-                double known = sent.subList(oldest, sent.size()).stream().filter(s -> s.told)
-                    .mapToDouble(s -> s.work).sum();
+                double known =
+                        sent.subList(oldest, sent.size()).stream()
+                                .filter(s -> s.told)
+                                .mapToDouble(s -> s.work)
+                                .sum();
                 broken |= known > inWindow * 2 / 3;
             }
         }
@@ -235,15 +265,31 @@
         void start() {
             life++;
             open.clear();
-            Shape shape = new Shape(day.fleetSize > 0 ? day.fleetSize : day.proxies, number, true, 0, true,
-                false, 100_000, true, 15_000);
+            Shape shape =
+                    new Shape(
+                            day.fleetSize > 0 ? day.fleetSize : day.proxies,
+                            number,
+                            true,
+                            0,
+                            true,
+                            false,
+                            100_000,
+                            true,
+                            15_000);
             SplittableRandom random = new SplittableRandom(world.chance().nextLong());
             Balancer.Fleet fleet = new Balancer.Fleet(this, random.split(), tenants, shape, COLD);
-            Balancer.Line line = new Balancer.Line(fleet, random.split(), tenants, shape, day.first);
-            balancer = new Balancer(this,
-                new Balancer.Intake(this, CATEGORIES, tenants, day.first, shape, 10_000), line,
-                new Balancer.Lane(line, fleet), new Balancer.Pick(fleet, random.split()),
-                new Balancer.Attempts(this, line, fleet, 4, true), fleet);
+            Balancer.Line line =
+                    new Balancer.Line(fleet, random.split(), tenants, shape, day.first);
+            balancer =
+                    new Balancer(
+                            this,
+                            new Balancer.Intake(
+                                    this, CATEGORIES, tenants, day.first, shape, 10_000),
+                            line,
+                            new Balancer.Lane(line, fleet),
+                            new Balancer.Pick(fleet, random.split()),
+                            new Balancer.Attempts(this, line, fleet, 4, true),
+                            fleet);
             balancer.start(world.now());
             List<Member> members = machines.values().stream().map(m -> m.member).toList();
             members.forEach(m -> heardOf.put(m.id(), m.startedAt()));
@@ -297,7 +343,9 @@
             Open of = open.get(req);
             writeOff(req, why);
             if (!of.again && world.chance().nextInt(2) == 0) {
-                world.at(world.now() + comeBack, () -> arrive(of.category, of.tenant, of.work, true));
+                world.at(
+                        world.now() + comeBack,
+                        () -> arrive(of.category, of.tenant, of.work, true));
             }
         }
 
@@ -313,34 +361,37 @@
         @Override
         public void wakeMe(long at) {
             int now = life;
-            world.at(at, () -> {
-                if (now == life) {
-                    balancer.wake(world.now());
-                }
-            });
+            world.at(
+                    at,
+                    () -> {
+                        if (now == life) {
+                            balancer.wake(world.now());
+                        }
+                    });
         }
 
         @Override
-        public void askList() {
-        }
+        public void askList() {}
 
         @Override
-        public void release(String backend) {
-        }
+        public void release(String backend) {}
 
         @Override
-        public void probe(String backend) {
-        }
+        public void probe(String backend) {}
 
         @Override
         public void tellPeers(byte[] message) {
-            proxies.stream().filter(p -> p != this).forEach(p ->
-                world.at(world.now() + 5, () -> p.balancer.heard(world.now(), message)));
+            proxies.stream()
+                    .filter(p -> p != this)
+                    .forEach(
+                            p ->
+                                    world.at(
+                                            world.now() + 5,
+                                            () -> p.balancer.heard(world.now(), message)));
         }
 
         @Override
-        public void note(String line) {
-        }
+        public void note(String line) {}
     }
 
     private final World world;
@@ -364,8 +415,15 @@
     }
 
     private Machine machine(int n, long startedAt) {
-        return new Machine(new Member("b" + n, n % 3, n % 2, n / 2, Member.State.READY, n % 4 == 0 ? 2 : 1,
-            startedAt));
+        return new Machine(
+                new Member(
+                        "b" + n,
+                        n % 3,
+                        n % 2,
+                        n / 2,
+                        Member.State.READY,
+                        n % 4 == 0 ? 2 : 1,
+                        startedAt));
     }
 
     private Result run() {
@@ -393,11 +451,13 @@
         }
         for (int n = 0; n < day.added; n++) {
             int number = day.backends + n;
-            world.at(EVENT + day.within * n / Math.max(1, day.added), () -> {
-                Machine m = machine(number, 0);
-                machines.put("b" + number, m);
-                m.start();
-            });
+            world.at(
+                    EVENT + day.within * n / Math.max(1, day.added),
+                    () -> {
+                        Machine m = machine(number, 0);
+                        machines.put("b" + number, m);
+                        m.start();
+                    });
         }
         for (int n = 0; n < Math.round(day.restarts * day.proxies); n++) {
             Proxy p = proxies.get(n);
@@ -409,23 +469,26 @@
         List<Double> ratios = machines.values().stream().flatMap(m -> m.ratios.stream()).toList();
         double sum = ratios.stream().mapToDouble(r -> r).sum();
         double worst = ratios.stream().mapToDouble(r -> r).max().orElse(0);
-        return new Result(worst, sum / ratios.size(), allUsed / ratios.size(), (double) served / came, broke);
+        return new Result(
+                worst, sum / ratios.size(), allUsed / ratios.size(), (double) served / came, broke);
     }
 
     private void traffic(double rate) {
         boolean after = world.now() >= EVENT;
         double now = rate * (after && world.now() < EVENT + BURST ? day.burst : 1);
         double gap = -Math.log(1 - world.chance().nextDouble()) / now;
-        world.at(world.now() + Math.max(0, Math.round(gap)), () -> {
-            if (world.now() > 300) {
-                came += world.now() > EVENT ? 1 : 0;
-                int category = drawn(PARTS);
-                double[] shares = tenants.stream().mapToDouble(Tenant::share).toArray();
-                double work = WORK[category] * (0.5 + world.chance().nextDouble());
-                caller().arrive(category, drawn(shares), work, false);
-            }
-            traffic(rate);
-        });
+        world.at(
+                world.now() + Math.max(0, Math.round(gap)),
+                () -> {
+                    if (world.now() > 300) {
+                        came += world.now() > EVENT ? 1 : 0;
+                        int category = drawn(PARTS);
+                        double[] shares = tenants.stream().mapToDouble(Tenant::share).toArray();
+                        double work = WORK[category] * (0.5 + world.chance().nextDouble());
+                        caller().arrive(category, drawn(shares), work, false);
+                    }
+                    traffic(rate);
+                });
     }
 
     private Proxy caller() {
--- a/src/test/java/cottonlock/decision/Ledger.java
+++ b/src/test/java/cottonlock/decision/Ledger.java
@@ -17,7 +17,10 @@
 import java.util.SplittableRandom;
 import java.util.function.LongPredicate;
 
-/** Keeps its own account of what a balancer does, and fails at once where one of the four rules is broken. */
+/**
+ * Keeps its own account of what a balancer does, and fails at once where one of the four rules is
+ * broken.
+ */
 final class Ledger implements Outlet {
     static final long SLACK = 200;
     static final long COLD = 80_000;
@@ -58,11 +61,15 @@
     final Map<Long, Item> items = new LinkedHashMap<>();
     final Map<String, Member> listed = new LinkedHashMap<>();
     final Map<String, List<Long>> sends = new LinkedHashMap<>();
+
     /** By tenant, the backends that requests were first handed to. */
     final Map<Integer, List<String>> firstSent = new LinkedHashMap<>();
+
     final List<String> told = new ArrayList<>();
+
     /** Why requests were deferred. */
     final Map<Reason, Integer> ends = new EnumMap<>(Reason.class);
+
     final List<String> released = new ArrayList<>();
     final List<Long> wakes = new ArrayList<>();
     final Balancer balancer;
@@ -72,32 +79,63 @@
     private double busiest;
     private long nextId = 1;
 
-    Ledger(List<Category> categories, List<Tenant> tenants, long seed, boolean first, boolean mustAsk) {
+    Ledger(
+            List<Category> categories,
+            List<Tenant> tenants,
+            long seed,
+            boolean first,
+            boolean mustAsk) {
         this(categories, tenants, seed, first, mustAsk, true);
     }
 
-    Ledger(List<Category> categories, List<Tenant> tenants, long seed, boolean first, boolean mustAsk,
-           boolean mayRecall) {
+    Ledger(
+            List<Category> categories,
+            List<Tenant> tenants,
+            long seed,
+            boolean first,
+            boolean mustAsk,
+            boolean mayRecall) {
         this(categories, tenants, seed, first, mustAsk, mayRecall, 2);
     }
 
-    Ledger(List<Category> categories, List<Tenant> tenants, long seed, boolean first, boolean mustAsk,
-           boolean mayRecall, int balancers) {
-        this(categories, tenants, seed, first, mayRecall,
-            new Shape(balancers, 0, true, 0, true, mustAsk, 100_000, true, 0));
+    Ledger(
+            List<Category> categories,
+            List<Tenant> tenants,
+            long seed,
+            boolean first,
+            boolean mustAsk,
+            boolean mayRecall,
+            int balancers) {
+        this(
+                categories,
+                tenants,
+                seed,
+                first,
+                mayRecall,
+                new Shape(balancers, 0, true, 0, true, mustAsk, 100_000, true, 0));
     }
 
-    Ledger(List<Category> categories, List<Tenant> tenants, long seed, boolean first, boolean mayRecall,
-           Shape shape) {
+    Ledger(
+            List<Category> categories,
+            List<Tenant> tenants,
+            long seed,
+            boolean first,
+            boolean mayRecall,
+            Shape shape) {
         this.categories = categories;
         SplittableRandom random = new SplittableRandom(seed);
         Cold cold = new Cold(COLD_SHARE, COLD, FALL_MULTIPLE, FALL);
         fleet = new Balancer.Fleet(this, random.split(), tenants, shape, cold);
         Balancer.Line line = new Balancer.Line(fleet, random.split(), tenants, shape, first);
-        balancer = new Balancer(this,
-            new Balancer.Intake(this, categories, tenants, first, shape, 10_000), line,
-            new Balancer.Lane(line, fleet), new Balancer.Pick(fleet, random.split()),
-            new Balancer.Attempts(this, line, fleet, MOST, mayRecall), fleet);
+        balancer =
+                new Balancer(
+                        this,
+                        new Balancer.Intake(this, categories, tenants, first, shape, 10_000),
+                        line,
+                        new Balancer.Lane(line, fleet),
+                        new Balancer.Pick(fleet, random.split()),
+                        new Balancer.Attempts(this, line, fleet, MOST, mayRecall),
+                        fleet);
         balancer.start(now);
     }
 
@@ -119,8 +157,16 @@
 
     void list(List<Member> members, boolean whole, boolean cached) {
         if (whole) {
-            listed.replaceAll((id, m) ->
-                new Member(id, m.zone(), m.kind(), m.cell(), Member.State.GONE, m.size(), m.startedAt()));
+            listed.replaceAll(
+                    (id, m) ->
+                            new Member(
+                                    id,
+                                    m.zone(),
+                                    m.kind(),
+                                    m.cell(),
+                                    Member.State.GONE,
+                                    m.size(),
+                                    m.startedAt()));
         }
         for (Member m : members) {
             listed.put(m.id(), m);
@@ -138,7 +184,9 @@
         items.put(id, new Item(categories.get(category), now + patience));
         balancer.arrive(now, id, category, tenant, patience, id % 5 == 0, hint);
         if (items.get(id).sent.size() > 0) {
-            firstSent.computeIfAbsent(tenant, t -> new ArrayList<>()).add(items.get(id).sent.get(0).to.id());
+            firstSent
+                    .computeIfAbsent(tenant, t -> new ArrayList<>())
+                    .add(items.get(id).sent.get(0).to.id());
         }
         check();
         return id;
@@ -161,15 +209,21 @@
         check();
     }
 
-    /** Finishes what has been out for so long, in order of coming, so many at most; counts by category. */
+    /**
+     * Finishes what has been out for so long, in order of coming, so many at most; counts by
+     * category.
+     */
     int[] finish(long age, int most, LongPredicate ids) {
         int[] finished = new int[categories.size()];
         int left = most;
         for (long id : List.copyOf(items.keySet())) {
             Item item = items.get(id);
             int last = item.sent.size() - 1;
-            if (left > 0 && last >= 0 && item.sent.get(last).out && now - item.sent.get(last).at >= age
-                && ids.test(id)) {
+            if (left > 0
+                    && last >= 0
+                    && item.sent.get(last).out
+                    && now - item.sent.get(last).at >= age
+                    && ids.test(id)) {
                 left--;
                 finished[item.category.number()]++;
                 settle(id, last, Outcome.FINISHED);
@@ -180,7 +234,7 @@
 
     /** Lets time pass in steps; timers fire, and attempts still out at an expiry time out. */
     void pass(long time) {
-        for (long end = now + time; now < end;) {
+        for (long end = now + time; now < end; ) {
             now = Math.min(end, now + 50);
             for (long id : List.copyOf(items.keySet())) {
                 Item item = items.get(id);
@@ -199,8 +253,11 @@
 
     /** The first rule: no request is without its answer after its expiry. */
     private void check() {
-        items.forEach((id, item) ->
-            assertTrue(item.answered || now <= item.expiry + SLACK, () -> "request " + id + " is lost"));
+        items.forEach(
+                (id, item) ->
+                        assertTrue(
+                                item.answered || now <= item.expiry + SLACK,
+                                () -> "request " + id + " is lost"));
         items.values().removeIf(item -> item.answered && item.sent.stream().noneMatch(s -> s.out));
     }
 
@@ -214,29 +271,44 @@
     @Override
     public void attempt(long req, String backend, long sendBy) {
         Item item = open(req, "attempt");
-        assertTrue(now < sendBy && sendBy <= item.expiry, "may be written until " + sendBy + " at " + now);
+        assertTrue(
+                now < sendBy && sendBy <= item.expiry,
+                "may be written until " + sendBy + " at " + now);
         Member to = listed.get(backend);
         assertNotNull(to, "attempt to a backend that no list has named");
         assertEquals(Member.State.READY, to.state(), "attempt to a backend that leaves");
         assertTrue(item.sent.size() < MOST, "too many attempts");
         assertTrue(item.sent.stream().noneMatch(s -> s.out), "two attempts out at once");
-        item.sent.stream().filter(s -> s.mayHaveRun).findFirst().ifPresent(ran -> {
-            assertTrue(item.category.repeat() != Repeat.UNSAFE, "an unsafe request sent twice");
-            if (item.category.repeat() == Repeat.KEYED) {
-                assertTrue(sendBy < ran.at + item.category.repeatWindow(), "a key too old to be known");
-                assertTrue(switch (item.category.scope()) {
-                    case ALL -> true;
-                    case ZONE -> to.zone() == ran.to.zone();
-                    case CELL -> to.cell() == ran.to.cell();
-                }, "a key not known there");
-            }
-        });
+        item.sent.stream()
+                .filter(s -> s.mayHaveRun)
+                .findFirst()
+                .ifPresent(
+                        ran -> {
+                            assertTrue(
+                                    item.category.repeat() != Repeat.UNSAFE,
+                                    "an unsafe request sent twice");
+                            if (item.category.repeat() == Repeat.KEYED) {
+                                assertTrue(
+                                        sendBy < ran.at + item.category.repeatWindow(),
+                                        "a key too old to be known");
+                                assertTrue(
+                                        switch (item.category.scope()) {
+                                            case ALL -> true;
+                                            case ZONE -> to.zone() == ran.to.zone();
+                                            case CELL -> to.cell() == ran.to.cell();
+                                        },
+                                        "a key not known there");
+                            }
+                        });
         item.sent.add(new Sent(to, now));
         sends.computeIfAbsent(backend, b -> new ArrayList<>()).add(now);
         checkCold(to);
     }
 
-    /** The fourth rule, as this balancer's part: in proportion no more than a warm backend was ever sent. */
+    /**
+     * The fourth rule, as this balancer's part: in proportion no more than a warm backend was ever
+     * sent.
+     */
     private void checkCold(Member to) {
         long age = now - to.startedAt();
         double size = to.size() > 0 ? to.size() : 1;
@@ -245,8 +317,15 @@
             return;
         }
         double warmth = COLD_SHARE + (1 - COLD_SHARE) * age / COLD;
-        assertTrue(recent(to, FALL) <= Math.max(1, FALL_MULTIPLE * warmth * busiest * size),
-            () -> "cold backend " + to.id() + " sent " + recent(to, FALL) + ", warm ones " + busiest);
+        assertTrue(
+                recent(to, FALL) <= Math.max(1, FALL_MULTIPLE * warmth * busiest * size),
+                () ->
+                        "cold backend "
+                                + to.id()
+                                + " sent "
+                                + recent(to, FALL)
+                                + ", warm ones "
+                                + busiest);
     }
 
     /** How many requests of the tenant went first to a backend outside its lane. */
@@ -256,8 +335,10 @@
     }
 
     long recent(Member member, long span) {
-        return sends.getOrDefault(member.id(), List.of()).stream().filter(at -> at > now - span)
-            .filter(at -> at >= member.startedAt()).count();
+        return sends.getOrDefault(member.id(), List.of()).stream()
+                .filter(at -> at > now - span)
+                .filter(at -> at >= member.startedAt())
+                .count();
     }
 
     @Override
@@ -270,11 +351,19 @@
     @Override
     public void defer(long req, long comeBack, Reason why) {
         Item item = open(req, "deferral");
-        boolean harmless = item.sent.stream().noneMatch(s -> s.mayHaveRun)
-            || item.category.repeat() == Repeat.SAFE
-            || item.category.repeat() == Repeat.KEYED && item.category.scope() == Scope.ALL
-                && item.sent.stream().allMatch(s -> !s.mayHaveRun
-                    || now + comeBack < s.at + item.category.repeatWindow());
+        boolean harmless =
+                item.sent.stream().noneMatch(s -> s.mayHaveRun)
+                        || item.category.repeat() == Repeat.SAFE
+                        || item.category.repeat() == Repeat.KEYED
+                                && item.category.scope() == Scope.ALL
+                                && item.sent.stream()
+                                        .allMatch(
+                                                s ->
+                                                        !s.mayHaveRun
+                                                                || now + comeBack
+                                                                        < s.at
+                                                                                + item.category
+                                                                                        .repeatWindow());
         assertTrue(harmless, "deferral of what may have run");
         item.answered = true;
         item.deferred = true;
--- a/src/test/java/cottonlock/decision/RulesTest.java
+++ b/src/test/java/cottonlock/decision/RulesTest.java
@@ -14,9 +14,13 @@
 class RulesTest {
 
     @Property(seed = "20261201", tries = 150)
-    void rulesHoldWhateverHappens(@ForAll long seed, @ForAll @IntRange(min = 0, max = 9) int tenantCount,
-                                  @ForAll @IntRange(min = 0, max = 14) int backends, @ForAll boolean first,
-                                  @ForAll boolean mustAsk, @ForAll boolean mayRecall) {
+    void rulesHoldWhateverHappens(
+            @ForAll long seed,
+            @ForAll @IntRange(min = 0, max = 9) int tenantCount,
+            @ForAll @IntRange(min = 0, max = 14) int backends,
+            @ForAll boolean first,
+            @ForAll boolean mustAsk,
+            @ForAll boolean mayRecall) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Category> categories = new ArrayList<>();
         for (Repeat repeat : Repeat.values()) {
@@ -28,8 +32,17 @@
         for (int t = 0; t < tenantCount; t++) {
             tenants.add(new Tenant(random.nextInt(4) / 4.0, random.nextInt(40)));
         }
-        Shape shape = new Shape(1 + random.nextInt(60), random.nextInt(9), random.nextBoolean(),
-            random.nextInt(2) * 50, true, mustAsk, 100_000, true, random.nextInt(2) * 50_000);
+        Shape shape =
+                new Shape(
+                        1 + random.nextInt(60),
+                        random.nextInt(9),
+                        random.nextBoolean(),
+                        random.nextInt(2) * 50,
+                        true,
+                        mustAsk,
+                        100_000,
+                        true,
+                        random.nextInt(2) * 50_000);
         Ledger ledger = new Ledger(categories, tenants, seed, first, mayRecall, shape);
         ledger.now = random.nextInt(100_000);
         ledger.list(Ledger.ready(0, backends), true, true);
@@ -43,8 +56,12 @@
         switch (random.nextInt(12)) {
             case 0, 1, 2, 3 -> {
                 for (int n = random.nextInt(6); n >= 0; n--) {
-                    ledger.arrive(random.nextInt(ledger.categories.size()), random.nextInt(tenants),
-                        random.nextInt(4) == 0 ? random.nextInt(300) : 5_000 + random.nextInt(25_000));
+                    ledger.arrive(
+                            random.nextInt(ledger.categories.size()),
+                            random.nextInt(tenants),
+                            random.nextInt(4) == 0
+                                    ? random.nextInt(300)
+                                    : 5_000 + random.nextInt(25_000));
                 }
             }
             case 4, 5, 6, 7 -> {
@@ -75,8 +92,10 @@
         Ledger.Item item = ledger.items.get(id);
         for (int n = 0; item != null && n < item.sent.size(); n++) {
             if (item.sent.get(n).out && random.nextInt(3) == 0) {
-                Outcome outcome = random.nextInt(3) > 0 ? Outcome.FINISHED
-                    : Outcome.values()[random.nextInt(Outcome.values().length)];
+                Outcome outcome =
+                        random.nextInt(3) > 0
+                                ? Outcome.FINISHED
+                                : Outcome.values()[random.nextInt(Outcome.values().length)];
                 ledger.settle(id, n, outcome);
             }
         }
@@ -88,7 +107,15 @@
             Member m = Ledger.ready(random.nextInt(backends + 1));
             Member.State state = Member.State.values()[random.nextInt(3)];
             long started = random.nextBoolean() ? m.startedAt() : ledger.now;
-            members.add(new Member(m.id(), m.zone(), m.kind(), m.cell(), state, random.nextInt(3), started));
+            members.add(
+                    new Member(
+                            m.id(),
+                            m.zone(),
+                            m.kind(),
+                            m.cell(),
+                            state,
+                            random.nextInt(3),
+                            started));
         }
         ledger.list(members, random.nextInt(4) == 0, false);
     }
--- a/src/test/java/cottonlock/lab/LabTest.java
+++ b/src/test/java/cottonlock/lab/LabTest.java
@@ -15,7 +15,9 @@
 
 /** Whole runs, real proxies on real sockets, each of a few seconds. */
 class LabTest {
-    private static final String MIXED = ScenarioTest.PLAIN.replace("rate = 100", "rate = 250") + """
+    private static final String MIXED =
+            ScenarioTest.PLAIN.replace("rate = 100", "rate = 250")
+                    + """
         [[category]]
         name = "order"
         due_ms = 500
@@ -23,7 +25,8 @@
         repeat = "unsafe"
         work_ms = 2
         """;
-    private static final String DRAIN = """
+    private static final String DRAIN =
+            """
         [[fault]]
         kind = "drain"
         at = 0.3
@@ -63,16 +66,20 @@
     void aCalmRunPassesAndLeavesItsReports() throws Exception {
         Path folder = Files.createTempDirectory("lab");
         assertEquals(0, run(MIXED + DRAIN, folder), verdict() + err);
-        assertTrue(verdict().matches("verdict: pass service=[01]\\.[0-9]{3} sent=[0-9]+ finished=[0-9]+ "
-            + "deferred=[0-9]+ written_off=[0-9]+ late=[0-9]+ lost=0 twice=0 drains=0 cold=0 p50_ms=.*"),
-            verdict());
+        assertTrue(
+                verdict()
+                        .matches(
+                                "verdict: pass service=[01]\\.[0-9]{3} sent=[0-9]+ finished=[0-9]+ "
+                                        + "deferred=[0-9]+ written_off=[0-9]+ late=[0-9]+ lost=0 twice=0 drains=0 cold=0 p50_ms=.*"),
+                verdict());
         assertTrue(figure("finished") > 400, verdict());
         Report.Short report = Report.read(folder);
         assertEquals("pass", report.verdict());
         assertEquals(figure("sent"), report.figures().get("sent"));
         String page = Files.readString(folder.resolve("report.html"));
-        assertTrue(page.contains("<svg") && !page.contains("http") && !page.contains("<script"),
-            "stands by itself");
+        assertTrue(
+                page.contains("<svg") && !page.contains("http") && !page.contains("<script"),
+                "stands by itself");
         byte[] schedule = Files.readAllBytes(folder.resolve("schedule.tsv"));
         assertEquals(0, run(MIXED + DRAIN, folder), verdict() + err);
         assertArrayEquals(schedule, Files.readAllBytes(folder.resolve("schedule.tsv")));
@@ -86,10 +93,18 @@
     /** Each way to break a rule is seen as that rule, on real sockets with a real proxy between. */
     @Example
     void everyBreachIsSeenAndNamed() throws Exception {
-        String[][] breaches = {{"resend", "twice"}, {"ignore-drain", "drains"}, {"drop-answer", "lost"},
-            {"wrong-answer", "lost"}, {"answer-late", "lost"}};
+        String[][] breaches = {
+            {"resend", "twice"},
+            {"ignore-drain", "drains"},
+            {"drop-answer", "lost"},
+            {"wrong-answer", "lost"},
+            {"answer-late", "lost"}
+        };
         for (String[] breach : breaches) {
-            assertEquals(1, run(MIXED + DRAIN, null, "sabotage=" + breach[0]), breach[0] + " " + verdict());
+            assertEquals(
+                    1,
+                    run(MIXED + DRAIN, null, "sabotage=" + breach[0]),
+                    breach[0] + " " + verdict());
             assertTrue(figure(breach[1]) > 0, breach[0] + " " + verdict());
             assertTrue(out.toString().contains("rule " + breach[1] + ": "), out.toString());
         }
@@ -98,11 +113,13 @@
     /** A proxy that is not told that a backend is cold pushes it over; told, it does not. */
     @Example
     void aColdBackendFallsOnlyWhereItsStartIsHidden() throws Exception {
-        String text = MIXED.replace("rate = 250", "rate = 300").replace("work_ms = 2", "work_ms = 14")
-            + "[[fault]]\nkind = \"drain\"\nat = 0.3\nfor = 0.3\nbackend = \"t0b0\"\n"
-            + "[rules]\ncold_s = 20\ncold_share = 0.05\nfall_multiple = 1\nfall_s = 0.5\n";
+        String text =
+                MIXED.replace("rate = 250", "rate = 300").replace("work_ms = 2", "work_ms = 14")
+                        + "[[fault]]\nkind = \"drain\"\nat = 0.3\nfor = 0.3\nbackend = \"t0b0\"\n"
+                        + "[rules]\ncold_s = 20\ncold_share = 0.05\nfall_multiple = 1\nfall_s = 0.5\n";
         assertEquals(0, run(text, null, "seconds=3", "proxy.count=10"), verdict() + err);
-        assertEquals(1, run(text, null, "seconds=3", "proxy.count=10", "sabotage=hide-cold"), verdict());
+        assertEquals(
+                1, run(text, null, "seconds=3", "proxy.count=10", "sabotage=hide-cold"), verdict());
         assertTrue(figure("cold") > 0, verdict());
     }
 
@@ -117,26 +134,40 @@
     }
 
     /**
-     * All that can go wrong at once, with many backends and with few: each request is answered all the
-     * same.
+     * All that can go wrong at once, with many backends and with few: each request is answered all
+     * the same.
      */
     @Example
     void everyFaultCanBePlayedAndEndsWithEachRequestAnswered() throws Exception {
-        StringBuilder text = new StringBuilder(MIXED)
-            .append("[clients]\nretries = 1\nleave = 0.05\nkeep = 0.5\n");
+        StringBuilder text =
+                new StringBuilder(MIXED)
+                        .append("[clients]\nretries = 1\nleave = 0.05\nkeep = 0.5\n");
         for (String kind : Scenario.KINDS.keySet()) {
             String amount = Scenario.KINDS.get(kind);
             if (!Scenario.OF_PROCESSES.contains(kind)) {
-                text.append("[[fault]]\nkind = \"").append(kind).append("\"\nat = 0.5\nfor = 1\n")
-                    .append(kind.startsWith("proxy") || kind.startsWith("disc") ? "" : "count = 1\n")
-                    .append(kind.equals("peer-cut") || kind.equals("peer-split") ? "groups = \"0/1\"\n" : "")
-                    .append(amount.isEmpty() ? "" : amount + " = ")
-                    .append(amount.isEmpty() ? "" : amount.equals("chance") ? "0.2\n" : "50\n");
+                text.append("[[fault]]\nkind = \"")
+                        .append(kind)
+                        .append("\"\nat = 0.5\nfor = 1\n")
+                        .append(
+                                kind.startsWith("proxy") || kind.startsWith("disc")
+                                        ? ""
+                                        : "count = 1\n")
+                        .append(
+                                kind.equals("peer-cut") || kind.equals("peer-split")
+                                        ? "groups = \"0/1\"\n"
+                                        : "")
+                        .append(amount.isEmpty() ? "" : amount + " = ")
+                        .append(amount.isEmpty() ? "" : amount.equals("chance") ? "0.2\n" : "50\n");
             }
         }
         for (String[] play : new String[][] {{"8", "1"}, {"2", "2"}, {"1", "3"}}) {
-            int status = run(text.toString(), null, "seconds=3", "tier.0.backends=" + play[0], "seed="
-                + play[1]);
+            int status =
+                    run(
+                            text.toString(),
+                            null,
+                            "seconds=3",
+                            "tier.0.backends=" + play[0],
+                            "seed=" + play[1]);
             assertEquals(0, status, String.join(" backends, seed ", play) + ": " + out + " " + err);
         }
     }
@@ -152,80 +183,105 @@
     @Example
     void aSweepPlaysEachValueAndDrawsItsCurve() throws Exception {
         Path folder = Files.createTempDirectory("lab");
-        assertEquals(0, lab.sweep(ScenarioTest.file(MIXED), "tier.0.cores", List.of("1", "4"), List.of(1L),
-            List.of("late_limit_ms=1000", "seconds=1"), folder), err.toString());
+        assertEquals(
+                0,
+                lab.sweep(
+                        ScenarioTest.file(MIXED),
+                        "tier.0.cores",
+                        List.of("1", "4"),
+                        List.of(1L),
+                        List.of("late_limit_ms=1000", "seconds=1"),
+                        folder),
+                err.toString());
         List<String> lines = out.toString().lines().toList();
         assertTrue(lines.get(1).startsWith("1 ") && lines.get(2).startsWith("4 "), out.toString());
         assertTrue(Files.readString(folder.resolve("sweep.html")).contains("<svg"));
         assertEquals("pass", Report.read(folder.resolve("4-1")).verdict());
-        assertEquals(2, lab.sweep(ScenarioTest.file(MIXED), "tier.0.coers", List.of("1"), List.of(1L),
-            List.of(), folder));
+        assertEquals(
+                2,
+                lab.sweep(
+                        ScenarioTest.file(MIXED),
+                        "tier.0.coers",
+                        List.of("1"),
+                        List.of(1L),
+                        List.of(),
+                        folder));
         assertTrue(err.toString().contains("did you mean cores?"), err.toString());
     }
 
     @Example
     void anInterruptedRunStillWritesItsReport() throws Exception {
-        Experiment run = new Experiment(Scenario.read(ScenarioTest.file(MIXED), List.of("seconds=60"), null));
-        Thread later = new Thread(() -> {
-            try {
-                Thread.sleep(1_500);
-                run.interrupt();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        Experiment run =
+                new Experiment(
+                        Scenario.read(ScenarioTest.file(MIXED), List.of("seconds=60"), null));
+        Thread later =
+                new Thread(
+                        () -> {
+                            try {
+                                Thread.sleep(1_500);
+                                run.interrupt();
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        });
         later.start();
         long from = System.nanoTime();
         run.play();
         assertTrue(System.nanoTime() - from < 15e9, "it ends soon");
         Path folder = Files.createTempDirectory("lab");
         Report.write(folder, run, run.verdict());
-        assertTrue(Files.readString(folder.resolve("report.json")).contains("\"interrupted\" : true"));
+        assertTrue(
+                Files.readString(folder.resolve("report.json")).contains("\"interrupted\" : true"));
     }
 
     /**
-     * The stand-ins' network does to a connection what a fault says; connects to a walled-up door never come
-     * up.
+     * The stand-ins' network does to a connection what a fault says; connects to a walled-up door
+     * never come up.
      */
     @Example
     void aWalledUpDoorLetsNobodyInAndAnOpenOneAgain() throws Exception {
         Loop loop = new Loop();
-        Conn.Owner owner = new Conn.Owner() {
-            @Override
-            public void came(Conn conn, byte[] bytes, int length) {
-                conn.write(java.util.Arrays.copyOf(bytes, length));
-            }
+        Conn.Owner owner =
+                new Conn.Owner() {
+                    @Override
+                    public void came(Conn conn, byte[] bytes, int length) {
+                        conn.write(java.util.Arrays.copyOf(bytes, length));
+                    }
 
-            @Override
-            public void ended(Conn conn, boolean byReset) {
-            }
-        };
-        Door door = new Door(loop, Conn.sharedBuffer(), owner, new cottonlock.lab.Path(null), 0, null);
-        Thread thread = new Thread(() -> {
-            try {
-                loop.run();
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        });
+                    @Override
+                    public void ended(Conn conn, boolean byReset) {}
+                };
+        Door door =
+                new Door(loop, Conn.sharedBuffer(), owner, new cottonlock.lab.Path(null), 0, null);
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                loop.run();
+                            } catch (IOException e) {
+                                throw new AssertionError(e);
+                            }
+                        });
         thread.start();
         assertTrue(comesUp(door));
-        loop.post(() -> {
-            try {
-                door.wallUp();
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        });
+        loop.post(
+                () -> {
+                    try {
+                        door.wallUp();
+                    } catch (IOException e) {
+                        throw new AssertionError(e);
+                    }
+                });
         Thread.sleep(100);
         assertTrue(!comesUp(door), "nobody answers the door");
-        loop.post(() -> {
-            try {
-                door.open();
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        });
+        loop.post(
+                () -> {
+                    try {
+                        door.open();
+                    } catch (IOException e) {
+                        throw new AssertionError(e);
+                    }
+                });
         Thread.sleep(100);
         assertTrue(comesUp(door));
         loop.stop();
--- a/src/test/java/cottonlock/lab/LedgerTest.java
+++ b/src/test/java/cottonlock/lab/LedgerTest.java
@@ -24,10 +24,14 @@
     }
 
     private void counts(int lost, int twice, int drains, int cold) {
-        assertEquals(List.of(lost, twice, drains, cold), List.of(ledger.count(Ledger.Rule.LOST),
-            ledger.count(Ledger.Rule.TWICE), ledger.count(Ledger.Rule.DRAINS),
-            ledger.count(Ledger.Rule.COLD)),
-            ledger.lines().toString());
+        assertEquals(
+                List.of(lost, twice, drains, cold),
+                List.of(
+                        ledger.count(Ledger.Rule.LOST),
+                        ledger.count(Ledger.Rule.TWICE),
+                        ledger.count(Ledger.Rule.DRAINS),
+                        ledger.count(Ledger.Rule.COLD)),
+                ledger.lines().toString());
     }
 
     @Example
@@ -72,7 +76,8 @@
         take("once", 1_000 * MS);
         ledger.effect(1, "once", "unsafe", "x");
         ledger.effect(2, "once", "unsafe", "x");
-        // A client's retry after a deferral, under a new id: the deferral said that it does no harm.
+        // A client's retry after a deferral, under a new id: the deferral said that it does no
+        // harm.
         ledger.sent("first", "order", "order", 0, 1_000 * MS);
         ledger.effect(3, "first", "keyed", "x");
         ledger.sent("retry", "order", "order", 1, 1_000 * MS);
@@ -112,13 +117,18 @@
         figures.put("behind_ms", 20.5);
         assertEquals(3, new Verdict(figures, bounds, 20, 50).kind.status);
         figures.put("twice", 0.0);
-        assertEquals(3, new Verdict(figures, List.of(), 20, 50).kind.status, "a late machine never passes");
+        assertEquals(
+                3,
+                new Verdict(figures, List.of(), 20, 50).kind.status,
+                "a late machine never passes");
         figures.put("behind_ms", 1.0);
         figures.put("watch_ms", 50.5);
         assertEquals(3, new Verdict(figures, List.of(), 20, 50).kind.status, "nor one found so");
     }
 
-    /** Cores and queue hold what they say, whatever comes when; work is neither made up nor dropped. */
+    /**
+     * Cores and queue hold what they say, whatever comes when; work is neither made up nor dropped.
+     */
     @Property(seed = "20261201", tries = 100)
     void aBackendHoldsWhatItSays(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -131,7 +141,10 @@
             if (random.nextBoolean() && !running.isEmpty()) {
                 running.remove(random.nextInt(running.size()));
                 Integer next = model.next();
-                assertEquals(waiting.isEmpty() ? null : waiting.remove(0), next, "first come, first served");
+                assertEquals(
+                        waiting.isEmpty() ? null : waiting.remove(0),
+                        next,
+                        "first come, first served");
                 if (next != null) {
                     running.add(next);
                 }
@@ -153,7 +166,8 @@
         model.start(100_000);
         assertEquals(0.5, model.warmth(100_000));
         assertEquals(0.75, model.warmth(105_000));
-        // Two cores at half for 1,000, three times over: 3,000 of work is the most, give or take the warming.
+        // Two cores at half for 1,000, three times over: 3,000 of work is the most, give or take
+        // the warming.
         int sent = 0;
         long now = 100_000;
         while (!model.pushedOver(now, 100)) {
@@ -163,7 +177,8 @@
         assertTrue(sent >= 2_900 && sent < 3_300, sent + " sent before it fell");
         model.start(200_000);
         for (int i = 0; i < 1_000; i++) {
-            assertFalse(model.pushedOver(200_000 + i * 40, 100), "two and a half times what it can do");
+            assertFalse(
+                    model.pushedOver(200_000 + i * 40, 100), "two and a half times what it can do");
         }
     }
 }
--- a/src/test/java/cottonlock/lab/MembersProcessesTest.java
+++ b/src/test/java/cottonlock/lab/MembersProcessesTest.java
@@ -10,14 +10,19 @@
 import net.jqwik.api.Example;
 
 /**
- * Five processes of the program that know one another, and faults between them; what they believe is held
- * against what is true. A defence that is switched off must show. Bounds are told in periods, of a quarter of
- * a second, with room to spare; a machine that was late has no verdict, and is asked again.
+ * Five processes of the program that know one another, and faults between them; what they believe
+ * is held against what is true. A defence that is switched off must show. Bounds are told in
+ * periods, of a quarter of a second, with room to spare; a machine that was late has no verdict,
+ * and is asked again.
  */
 class MembersProcessesTest {
-    private static final String FIVE = ScenarioTest.PLAIN.replace("seconds = 2", "seconds = 12")
-        .replace("rate = 100", "rate = 40").replace("count = 2", "count = 5\nprocesses = true")
-        .replace("expiry_ms = 1500", "expiry_ms = 1000") + """
+    private static final String FIVE =
+            ScenarioTest.PLAIN
+                            .replace("seconds = 2", "seconds = 12")
+                            .replace("rate = 100", "rate = 40")
+                            .replace("count = 2", "count = 5\nprocesses = true")
+                            .replace("expiry_ms = 1500", "expiry_ms = 1000")
+                    + """
         [membership]
         enabled = true
         keyed = true
@@ -33,7 +38,15 @@
     private final Lab lab = new Lab(new PrintStream(out, true), new PrintStream(err, true), false);
 
     private static String fault(String kind, double at, double length, String more) {
-        return "[[fault]]\nkind = \"" + kind + "\"\nat = " + at + "\nfor = " + length + "\n" + more + "\n";
+        return "[[fault]]\nkind = \""
+                + kind
+                + "\"\nat = "
+                + at
+                + "\nfor = "
+                + length
+                + "\n"
+                + more
+                + "\n";
     }
 
     private int run(String text, String... sets) throws Exception {
@@ -49,21 +62,30 @@
 
     private double figure(String key) {
         String[] lines = out.toString().strip().split("\n");
-        return Double.parseDouble(lines[lines.length - 1].replaceAll(".* " + key + "=([0-9.]+).*", "$1"));
+        return Double.parseDouble(
+                lines[lines.length - 1].replaceAll(".* " + key + "=([0-9.]+).*", "$1"));
     }
 
-    /** Killed, hung, stopped, cut apart and cut in one direction: found in time, and found again. */
+    /**
+     * Killed, hung, stopped, cut apart and cut in one direction: found in time, and found again.
+     */
     @Example
     void whoIsGoneIsFoundAndWhoIsBackIsFoundAgain() throws Exception {
-        int status = run(FIVE + fault("proxy-kill", 1, 5, "proxies = \"1\"")
-            + fault("proxy-hang", 1, 6, "proxies = \"3\"") + fault("proxy-pause", 10, 5, "proxies = \"2\"")
-            + fault("proxy-term", 10, 0.5, "proxies = \"4\"")
-            + fault("proxy-replace", 14, 1, "proxies = \"0\"")
-            + fault("peer-split", 18, 5, "groups = \"0-1/2-4\"")
-            + fault("peer-cut", 26, 6, "groups = \"0/1\"\none_way = true")
-            + fault("peer-loss", 18, 14, "chance = 0.1") + fault("peer-forge", 1, 30, "per_second = 20")
-            + "[expect]\nfalse_failed = \"= 0\"\nfound_ms = \"<= 4500\"\nfound_all_ms = \"<= 5000\"\n"
-            + "agree_ms = \"<= 3000\"\npeer_bytes_s = \"<= 4096\"\nunheard = \"= 0\"\n", "seconds=34");
+        int status =
+                run(
+                        FIVE
+                                + fault("proxy-kill", 1, 5, "proxies = \"1\"")
+                                + fault("proxy-hang", 1, 6, "proxies = \"3\"")
+                                + fault("proxy-pause", 10, 5, "proxies = \"2\"")
+                                + fault("proxy-term", 10, 0.5, "proxies = \"4\"")
+                                + fault("proxy-replace", 14, 1, "proxies = \"0\"")
+                                + fault("peer-split", 18, 5, "groups = \"0-1/2-4\"")
+                                + fault("peer-cut", 26, 6, "groups = \"0/1\"\none_way = true")
+                                + fault("peer-loss", 18, 14, "chance = 0.1")
+                                + fault("peer-forge", 1, 30, "per_second = 20")
+                                + "[expect]\nfalse_failed = \"= 0\"\nfound_ms = \"<= 4500\"\nfound_all_ms = \"<= 5000\"\n"
+                                + "agree_ms = \"<= 3000\"\npeer_bytes_s = \"<= 4096\"\nunheard = \"= 0\"\n",
+                        "seconds=34");
         assertEquals(0, status, out + " " + err);
         assertTrue(figure("found_all_ms") > 500, "deaths were there to be found: " + out);
     }
@@ -71,16 +93,28 @@
     /** Halves that have called each other failed meet again only where the failed are called on. */
     @Example
     void halvesDoNotMeetWhereNobodyCallsTheFailed() throws Exception {
-        assertEquals(1, run(FIVE + fault("peer-split", 0.5, 5, "groups = \"0-1/2-4\"")
-            + "[expect]\nagree_ms = \"<= 3000\"\n", "membership.contact_periods=100"), out + " " + err);
+        assertEquals(
+                1,
+                run(
+                        FIVE
+                                + fault("peer-split", 0.5, 5, "groups = \"0-1/2-4\"")
+                                + "[expect]\nagree_ms = \"<= 3000\"\n",
+                        "membership.contact_periods=100"),
+                out + " " + err);
         assertTrue(figure("agree_ms") > 3_000, out.toString());
     }
 
     /** A module that stands still is not found by whether its process answers. */
     @Example
     void aHungModuleIsNotFoundByAnswersAlone() throws Exception {
-        assertEquals(1, run(FIVE + fault("proxy-hang", 1, 8, "proxies = \"3\"")
-            + "[expect]\nfound_all_ms = \"<= 5000\"\n", "membership.hung_ms=600000"), out + " " + err);
+        assertEquals(
+                1,
+                run(
+                        FIVE
+                                + fault("proxy-hang", 1, 8, "proxies = \"3\"")
+                                + "[expect]\nfound_all_ms = \"<= 5000\"\n",
+                        "membership.hung_ms=600000"),
+                out + " " + err);
         assertTrue(figure("found_all_ms") > 5_000, out.toString());
     }
 }
--- a/src/test/java/cottonlock/lab/RegionsStudyTest.java
+++ b/src/test/java/cottonlock/lab/RegionsStudyTest.java
@@ -14,7 +14,11 @@
 /** Fleets over two regions and seven zones in virtual time. */
 class RegionsStudyTest {
     private static final Topology TOPOLOGY = new Topology(2, 7);
-    /** Of all datagrams of the fleet below, as the program played it before its tables were kept by index. */
+
+    /**
+     * Of all datagrams of the fleet below, as the program played it before its tables were kept by
+     * index.
+     */
     private static final long RECORDED = 1_696_335_539_377_993_399L;
 
     /** Measures nothing: figures then hang on virtual time alone. */
@@ -36,28 +40,49 @@
     }
 
     private static Map<String, Long> play(long seed, int size, int quiet, int apart) {
-        return RegionsStudy.of(new RegionsStudy.Play(seed, size, TOPOLOGY, quiet, apart, size),
-            MembershipRules.USUAL, new NoGauge(), (name, figures) -> { });
+        return RegionsStudy.of(
+                new RegionsStudy.Play(seed, size, TOPOLOGY, quiet, apart, size),
+                MembershipRules.USUAL,
+                new NoGauge(),
+                (name, figures) -> {});
     }
 
     /**
-     * A rack, a zone and a region are lost and back, and half are restarted. With
-     * {@code -DargLine=-Dcottonlock.members=3000} the fleet is as large; that takes long.
+     * A rack, a zone and a region are lost and back, and half are restarted. With {@code
+     * -DargLine=-Dcottonlock.members=3000} the fleet is as large; that takes long.
      */
     @Example
     void racksZonesAndRegionsAreLostAndBack() {
         int size = Integer.getInteger("cottonlock.members", 100);
         Map<String, Long> figures = play(1, size, 10, 60);
-        figures.forEach((name, value) -> assertTrue(value >= 0 || name.equals("datagrams_print"),
-            name + " never was: " + figures));
+        figures.forEach(
+                (name, value) ->
+                        assertTrue(
+                                value >= 0 || name.equals("datagrams_print"),
+                                name + " never was: " + figures));
         assertEquals(0, figures.get("false_failed"), figures.toString());
-        assertTrue(figures.get("bytes_s_worst") <= MembershipRules.USUAL.bytes(), figures.toString());
+        assertTrue(
+                figures.get("bytes_s_worst") <= MembershipRules.USUAL.bytes(), figures.toString());
         if (size <= 100) {
             // What docs/membership.md gives for this size, and as much again.
-            Map.of("joined_ms", 15_000, "rack_found_ms", 14_000, "rack_back_ms", 4_000,
-                "zone_found_ms", 20_000, "zone_healed_ms", 14_000, "regions_healed_ms", 17_000)
-                .forEach((name, most) -> assertTrue(figures.get(name) <= most,
-                    name + " over " + most + ": " + figures));
+            Map.of(
+                            "joined_ms",
+                            15_000,
+                            "rack_found_ms",
+                            14_000,
+                            "rack_back_ms",
+                            4_000,
+                            "zone_found_ms",
+                            20_000,
+                            "zone_healed_ms",
+                            14_000,
+                            "regions_healed_ms",
+                            17_000)
+                    .forEach(
+                            (name, most) ->
+                                    assertTrue(
+                                            figures.get(name) <= most,
+                                            name + " over " + most + ": " + figures));
         }
     }
 
--- a/src/test/java/cottonlock/lab/ScenarioTest.java
+++ b/src/test/java/cottonlock/lab/ScenarioTest.java
@@ -21,7 +21,8 @@
 
 /** Scenario files, and all that a seed decides before a run begins. */
 class ScenarioTest {
-    static final String PLAIN = """
+    static final String PLAIN =
+            """
         seconds = 2
         rooms = ["a", "b"]
         [proxy]
@@ -59,7 +60,9 @@
         for (String[] pair : pairs) {
             for (String word : pair) {
                 String text = PLAIN + "repeat = \"" + word + "\"\n";
-                assertEquals(pair[1], Scenario.read(file(text), List.of(), null).categories.get(0).repeat());
+                assertEquals(
+                        pair[1],
+                        Scenario.read(file(text), List.of(), null).categories.get(0).repeat());
             }
         }
         assertEquals(1, faults(PLAIN + "repeat = \"once\"\n").size());
@@ -67,56 +70,96 @@
 
     @Example
     void allFaultsAreToldAtOnceWithLineKeyAndWhatWasExpected() throws Exception {
-        List<String> faults = faults(PLAIN.replace("backends = 3", "backend = 3").replace("rate = 100",
-            "rate = -1")
-            + "[[fault]]\nkind = \"slow\"\nat = 1\nbackend = \"t0b9\"\nfactor = 2\n"
-            + "[[fault]]\nkind = \"slw\"\nat = 5\n[expect]\nservise = \">= 1\"\n");
-        assertEquals(List.of("F:6: tier.0.backend: unknown key; did you mean backends?",
-            "F:10: tenant.0.rate: expected a number from 0 to 1000000, found -1",
-            "F:19: fault.0.backend: there is no backend t0b9; they are called t0b0 to t0b0"),
-            faults.subList(0, 3));
-        assertTrue(faults.stream().anyMatch(f -> f.startsWith("F:22: fault.1.kind: expected one of crash, "
-            + "cut")),
-            faults.toString());
-        assertTrue(faults.stream().anyMatch(f -> f.startsWith("F:23: fault.1.at: expected a time before "
-            + "the end")));
-        assertTrue(faults.stream().anyMatch(f -> f.startsWith("F:25: expect.servise: the verdict has no "
-            + "such")));
+        List<String> faults =
+                faults(
+                        PLAIN.replace("backends = 3", "backend = 3")
+                                        .replace("rate = 100", "rate = -1")
+                                + "[[fault]]\nkind = \"slow\"\nat = 1\nbackend = \"t0b9\"\nfactor = 2\n"
+                                + "[[fault]]\nkind = \"slw\"\nat = 5\n[expect]\nservise = \">= 1\"\n");
+        assertEquals(
+                List.of(
+                        "F:6: tier.0.backend: unknown key; did you mean backends?",
+                        "F:10: tenant.0.rate: expected a number from 0 to 1000000, found -1",
+                        "F:19: fault.0.backend: there is no backend t0b9; they are called t0b0 to t0b0"),
+                faults.subList(0, 3));
+        assertTrue(
+                faults.stream()
+                        .anyMatch(
+                                f ->
+                                        f.startsWith(
+                                                "F:22: fault.1.kind: expected one of crash, "
+                                                        + "cut")),
+                faults.toString());
+        assertTrue(
+                faults.stream()
+                        .anyMatch(
+                                f ->
+                                        f.startsWith(
+                                                "F:23: fault.1.at: expected a time before "
+                                                        + "the end")));
+        assertTrue(
+                faults.stream()
+                        .anyMatch(
+                                f ->
+                                        f.startsWith(
+                                                "F:25: expect.servise: the verdict has no "
+                                                        + "such")));
     }
 
     @Example
     void whatIsSetOnTheCommandLineIsCheckedAlike() throws Exception {
-        assertEquals(List.of("--set proxy.cuont=3: proxy.cuont: unknown key; did you mean count?"),
-            faults(PLAIN, "proxy.cuont=3"));
-        assertEquals(List.of("--set tier.1.backends=3: 1: leads nowhere: expected a place below 1"),
-            faults(PLAIN, "tier.1.backends=3"));
-        assertTrue(faults(PLAIN, "tier=[]").get(0)
-            .endsWith("expected one to three tables [[tier]], found 0"));
-        assertEquals(7, Scenario.read(file(PLAIN), List.of("tier.0.backends=7"),
-            null).tiers.get(0).backends());
+        assertEquals(
+                List.of("--set proxy.cuont=3: proxy.cuont: unknown key; did you mean count?"),
+                faults(PLAIN, "proxy.cuont=3"));
+        assertEquals(
+                List.of("--set tier.1.backends=3: 1: leads nowhere: expected a place below 1"),
+                faults(PLAIN, "tier.1.backends=3"));
+        assertTrue(
+                faults(PLAIN, "tier=[]")
+                        .get(0)
+                        .endsWith("expected one to three tables [[tier]], found 0"));
+        assertEquals(
+                7,
+                Scenario.read(file(PLAIN), List.of("tier.0.backends=7"), null)
+                        .tiers
+                        .get(0)
+                        .backends());
         assertEquals(5, Scenario.read(file(PLAIN), List.of(), 5L).seed);
         assertEquals(1, faults("a = [1,\nb = ").size());
-        assertTrue(faults(PLAIN + "[[fault]]\nkind = \"proxy-kill\"\nat = 1\n").get(0)
-            .contains("proxy-kill needs proxies in processes of their own"));
+        assertTrue(
+                faults(PLAIN + "[[fault]]\nkind = \"proxy-kill\"\nat = 1\n")
+                        .get(0)
+                        .contains("proxy-kill needs proxies in processes of their own"));
     }
 
     @Example
     void oneSeedGivesTheSameScheduleByteByByte() throws Exception {
-        String text = PLAIN + "[random_faults]\ncount = 5\nkinds = [\"slow\", \"drain\", \"garble\"]\n"
-            + "[clients]\nleave = 0.1\n[[burst]]\nat = 1\nfor = 0.5\ntimes = 5\n";
+        String text =
+                PLAIN
+                        + "[random_faults]\ncount = 5\nkinds = [\"slow\", \"drain\", \"garble\"]\n"
+                        + "[clients]\nleave = 0.1\n[[burst]]\nat = 1\nfor = 0.5\ntimes = 5\n";
         byte[] once = schedule(text, 3);
         assertArrayEquals(once, schedule(text, 3));
-        assertNotEquals(new String(once, StandardCharsets.UTF_8), new String(schedule(text, 4),
-            StandardCharsets.UTF_8));
+        assertNotEquals(
+                new String(once, StandardCharsets.UTF_8),
+                new String(schedule(text, 4), StandardCharsets.UTF_8));
         assertTrue(once.length > 8_000);
     }
 
     private static byte[] schedule(String text, long seed) throws Exception {
         Scenario s = Scenario.read(file(text), List.of(), seed);
         Path out = Files.createTempFile("schedule", ".tsv");
-        Report.schedule(out, Arrivals.draw(s.seed, s.length, s.rooms.size(), s.tenants, s.categories,
-            s.clients,
-            s.bursts), Timeline.draw(s.seed, s.faults, s.random, s.rooms, s.tiers, 1));
+        Report.schedule(
+                out,
+                Arrivals.draw(
+                        s.seed,
+                        s.length,
+                        s.rooms.size(),
+                        s.tenants,
+                        s.categories,
+                        s.clients,
+                        s.bursts),
+                Timeline.draw(s.seed, s.faults, s.random, s.rooms, s.tiers, 1));
         byte[] bytes = Files.readAllBytes(out);
         Files.delete(out);
         return bytes;
@@ -124,22 +167,34 @@
 
     @Example
     void arrivalsKeepTheirRatesBurstsAndTraces() throws Exception {
-        Scenario s = Scenario.read(file(PLAIN + "[[burst]]\nat = 50\nfor = 25\ntimes = 3\n"),
-            List.of("seconds=100"), 9L);
-        List<Arrivals.Arrival> all = Arrivals.draw(9, s.length, 2, s.tenants, s.categories, s.clients,
-            s.bursts);
+        Scenario s =
+                Scenario.read(
+                        file(PLAIN + "[[burst]]\nat = 50\nfor = 25\ntimes = 3\n"),
+                        List.of("seconds=100"),
+                        9L);
+        List<Arrivals.Arrival> all =
+                Arrivals.draw(9, s.length, 2, s.tenants, s.categories, s.clients, s.bursts);
         long calm = all.stream().filter(a -> a.at() < 50e9).count();
         long burst = all.stream().filter(a -> a.at() >= 50e9 && a.at() < 75e9).count();
         // Poisson: five spreads each way.
-        assertTrue(Math.abs(calm - 5_000) < 5 * Math.sqrt(5_000), calm + " in 50 s at 100 a second");
-        assertTrue(Math.abs(burst - 7_500) < 5 * Math.sqrt(7_500), burst + " in 25 s at 300 a second");
+        assertTrue(
+                Math.abs(calm - 5_000) < 5 * Math.sqrt(5_000), calm + " in 50 s at 100 a second");
+        assertTrue(
+                Math.abs(burst - 7_500) < 5 * Math.sqrt(7_500), burst + " in 25 s at 300 a second");
         double work = all.stream().mapToDouble(Arrivals.Arrival::work).average().orElse(0);
         assertTrue(Math.abs(work - 2e6) < 5e4, "mean work " + work);
         Path trace = Files.createTempFile("trace", ".txt");
         Files.writeString(trace, "# ms\n1\n2.5\n\n1999\n9999\n");
-        s = Scenario.read(file(PLAIN), List.of("clients.arrivals=trace", "clients.trace=" + trace), 9L);
-        assertEquals(List.of(1_000_000L, 2_500_000L, 1_999_000_000L), Arrivals.draw(9, s.length, 2, s.tenants,
-            s.categories, s.clients, s.bursts).stream().map(Arrivals.Arrival::at).toList());
+        s =
+                Scenario.read(
+                        file(PLAIN),
+                        List.of("clients.arrivals=trace", "clients.trace=" + trace),
+                        9L);
+        assertEquals(
+                List.of(1_000_000L, 2_500_000L, 1_999_000_000L),
+                Arrivals.draw(9, s.length, 2, s.tenants, s.categories, s.clients, s.bursts).stream()
+                        .map(Arrivals.Arrival::at)
+                        .toList());
     }
 
     /** Messages come out whole and in order, in whatever pieces their bytes come in. */
@@ -151,7 +206,8 @@
         for (int i = 0; i < 4; i++) {
             String body = "\r\n\r\n".repeat(random.nextInt(3)) + "x".repeat(random.nextInt(50));
             bodies.add(body);
-            bytes.write(HttpIn.answer(200, random.nextBoolean() ? "A" : null, "b", body.getBytes()));
+            bytes.write(
+                    HttpIn.answer(200, random.nextBoolean() ? "A" : null, "b", body.getBytes()));
         }
         HttpIn in = new HttpIn();
         List<String> read = new ArrayList<>();
@@ -175,7 +231,8 @@
         SplittableRandom random = new SplittableRandom(seed);
         byte[] bytes = PLAIN.getBytes();
         for (int i = 0; i < 1 + random.nextInt(4); i++) {
-            bytes[random.nextInt(bytes.length)] = (byte) (random.nextBoolean() ? random.nextInt(128) : '"');
+            bytes[random.nextInt(bytes.length)] =
+                    (byte) (random.nextBoolean() ? random.nextInt(128) : '"');
         }
         Path file = Files.createTempFile("mutated", ".toml");
         try {
--- a/src/test/java/cottonlock/lab/scale/CapacityPageTest.java
+++ b/src/test/java/cottonlock/lab/scale/CapacityPageTest.java
@@ -28,8 +28,11 @@
 
     @Example
     void thePageIsWhatItsFilesSay() throws Exception {
-        assertEquals(CapacityPage.of(FOLDER), Files.readString(PAGE), "docs/CAPACITY.md differs from its "
-            + "files; docs/capacity/README.md tells how it is made anew");
+        assertEquals(
+                CapacityPage.of(FOLDER),
+                Files.readString(PAGE),
+                "docs/CAPACITY.md differs from its "
+                        + "files; docs/capacity/README.md tells how it is made anew");
     }
 
     @Example
@@ -47,12 +50,20 @@
     void constantsOfTheBudgetAreTheProgramsOwn() throws Exception {
         for (Budget.Constant c : Budget.read(FOLDER.resolve("budget.toml")).constants) {
             String source = Files.readString(Path.of(c.file()));
-            Matcher found = Pattern.compile("(?<![A-Z_])" + Pattern.quote(c.field())
-                + (c.field().matches("[A-Z_]+") ? " = ([0-9_.]+)" : "()")).matcher(source);
+            Matcher found =
+                    Pattern.compile(
+                                    "(?<![A-Z_])"
+                                            + Pattern.quote(c.field())
+                                            + (c.field().matches("[A-Z_]+")
+                                                    ? " = ([0-9_.]+)"
+                                                    : "()"))
+                            .matcher(source);
             assertTrue(found.find(), c.file() + " has no " + c.field());
             do {
-                String value = found.group(1).isEmpty() ? c.field().replaceAll(".*?([0-9_]{4,}).*", "$1")
-                    : found.group(1);
+                String value =
+                        found.group(1).isEmpty()
+                                ? c.field().replaceAll(".*?([0-9_]{4,}).*", "$1")
+                                : found.group(1);
                 assertEquals(c.value(), Double.parseDouble(value.replace("_", "")), c.name());
             } while (found.find());
         }
@@ -87,51 +98,74 @@
         Path folder = copy(FIXTURE);
         change(folder.resolve("page.md"), "{{operators.backends}}", "{{operators.backend}}");
         BadFile bad = assertThrows(BadFile.class, () -> CapacityPage.of(folder));
-        assertTrue(bad.getMessage().contains("page.md:3: there is no operators.backend"), bad.getMessage());
+        assertTrue(
+                bad.getMessage().contains("page.md:3: there is no operators.backend"),
+                bad.getMessage());
     }
 
     /** Memory in the fixture is 50 MB and 0.1 for each entry: 350 at the operators' 3,000. */
     @Example
     void aSlopeIsWorkedOutToTheOperatorsSize() throws Exception {
         String page = CapacityPage.of(copy(FIXTURE));
-        assertTrue(page.contains("| memory | linear, 4 sizes to 400; spread 0%, one seed; 7.5 times beyond; "
-            + "power: "), page);
+        assertTrue(
+                page.contains(
+                        "| memory | linear, 4 sizes to 400; spread 0%, one seed; 7.5 times beyond; "
+                                + "power: "),
+                page);
         assertTrue(page.contains(" | 350 MB | 128 | 2.73 | `net.BackendActor` |"), page);
-        assertTrue(page.contains("| 2.73 | proxy: memory | 350 MB | 128 | `net.BackendActor` |"), page);
+        assertTrue(
+                page.contains("| 2.73 | proxy: memory | 350 MB | 128 | `net.BackendActor` |"),
+                page);
     }
 
     @Example
     void theLargestNeedThatNothingCarriesIsNamed() throws Exception {
         String page = CapacityPage.of(copy(FIXTURE));
         assertTrue(page.contains("Largest: **quotas: lost**, 460 times its budget"), page);
-        assertTrue(page.indexOf("| 460 | quotas: lost") < page.indexOf("| 2.73 | proxy: memory"), page);
+        assertTrue(
+                page.indexOf("| 460 | quotas: lost") < page.indexOf("| 2.73 | proxy: memory"),
+                page);
     }
 
     @Example
     void aNeedOfWhichThereIsNothingAtAllComesFirst() throws Exception {
         Path folder = copy(FIXTURE);
-        change(folder.resolve("budget.toml"), "budget = \"worked.one\"", "budget = \"worked.none\"");
+        change(
+                folder.resolve("budget.toml"),
+                "budget = \"worked.one\"",
+                "budget = \"worked.none\"");
         String page = CapacityPage.of(folder);
         assertTrue(page.contains("Largest: **quotas: lost**, without bound"), page);
-        assertTrue(page.indexOf("| without bound | quotas: lost")
-            < page.indexOf("| 2.73 | proxy: memory"), page);
+        assertTrue(
+                page.indexOf("| without bound | quotas: lost")
+                        < page.indexOf("| 2.73 | proxy: memory"),
+                page);
     }
 
     @Example
     void resultsOfAnEarlierStateAreShownAndInNoSlope() throws Exception {
         Path folder = copy(FIXTURE);
         Files.createDirectory(folder.resolve("before-mend"));
-        Files.move(folder.resolve("proxy-400-2.json"),
-            folder.resolve("before-mend").resolve("proxy-400-2.json"));
-        change(folder.resolve("before-mend").resolve("proxy-400-2.json"), "\"verdict\": \"none\"",
-            "\"verdict\": \"pass\"");
-        Files.writeString(folder.resolve("page.md"), Files.readString(folder.resolve("page.md"))
-            + "\n{{before mend proxy}}\n");
+        Files.move(
+                folder.resolve("proxy-400-2.json"),
+                folder.resolve("before-mend").resolve("proxy-400-2.json"));
+        change(
+                folder.resolve("before-mend").resolve("proxy-400-2.json"),
+                "\"verdict\": \"none\"",
+                "\"verdict\": \"pass\"");
+        Files.writeString(
+                folder.resolve("page.md"),
+                Files.readString(folder.resolve("page.md")) + "\n{{before mend proxy}}\n");
         String page = CapacityPage.of(folder);
-        assertTrue(page.contains("| `proxy-400-2.json` | pass | 812, 930 | 0123abc | no: before |"), page);
+        assertTrue(
+                page.contains("| `proxy-400-2.json` | pass | 812, 930 | 0123abc | no: before |"),
+                page);
         assertTrue(page.contains("350 MB"), page);
-        assertTrue(page.endsWith("| `figures.rss_mb` | 999 |\n| `figures.first_200_ms` | 500 |\n"
-            + "| `calls.cpu_share` | 0.5 |\n| runs | 1 |\n"), page);
+        assertTrue(
+                page.endsWith(
+                        "| `figures.rss_mb` | 999 |\n| `figures.first_200_ms` | 500 |\n"
+                                + "| `calls.cpu_share` | 0.5 |\n| runs | 1 |\n"),
+                page);
     }
 
     @Example
@@ -141,10 +175,16 @@
         // Its memory of 999 MB would have bent the line.
         assertTrue(page.contains("| `proxy-400-2.json` | none | 812, 930 | 0123abc | no |"), page);
         assertTrue(page.contains("Late: 1 of 5"), page);
-        change(folder.resolve("proxy-400-2.json"), "\"verdict\": \"none\"", "\"verdict\": \"pass\"");
+        change(
+                folder.resolve("proxy-400-2.json"),
+                "\"verdict\": \"none\"",
+                "\"verdict\": \"pass\"");
         assertFalse(CapacityPage.of(folder).contains("350 MB"));
         // Nor what a process cost that served nothing.
-        change(folder.resolve("proxy-400-2.json"), "\"verdict\": \"pass\"", "\"verdict\": \"fail\"");
+        change(
+                folder.resolve("proxy-400-2.json"),
+                "\"verdict\": \"pass\"",
+                "\"verdict\": \"fail\"");
         assertTrue(CapacityPage.of(folder).contains("350 MB"));
     }
 
@@ -153,10 +193,15 @@
         Path folder = copy(FIXTURE);
         Files.delete(folder.resolve("proxy-300-1.json"));
         String page = CapacityPage.of(folder);
-        assertTrue(page.contains("| memory | not measured: 3 of the 4 sizes that a slope needs "
-            + "| not measured | 128 | - | `net.BackendActor` |"), page);
-        assertTrue(page.contains("- proxy: memory (not measured: 3 of the 4 sizes that a slope needs)"),
-            page);
+        assertTrue(
+                page.contains(
+                        "| memory | not measured: 3 of the 4 sizes that a slope needs "
+                                + "| not measured | 128 | - | `net.BackendActor` |"),
+                page);
+        assertTrue(
+                page.contains(
+                        "- proxy: memory (not measured: 3 of the 4 sizes that a slope needs)"),
+                page);
         assertTrue(page.contains("- tool: state (not measured)"), page);
     }
 
@@ -167,18 +212,25 @@
         assertTrue(CapacityPage.of(folder).contains(" | 3.1 of a core | - | - | `net.Proxy` |"));
         change(folder.resolve("proxy-400-1.json"), "\"p50_ms\": 2.5", "\"p50_ms\": 4960");
         String page = CapacityPage.of(folder);
-        assertTrue(page.contains("| calls | not measured: 3 of the 4 sizes that a slope needs; "
-            + "fell behind at 400 |"), page);
+        assertTrue(
+                page.contains(
+                        "| calls | not measured: 3 of the 4 sizes that a slope needs; "
+                                + "fell behind at 400 |"),
+                page);
         assertTrue(page.contains("350 MB"), page);
     }
 
     @Example
     void whatHasNoSlopeIsShownBySizeAlone() throws Exception {
         Path folder = copy(FIXTURE);
-        change(folder.resolve("budget.toml"), "source = \"proxy:figures.rss_mb\"",
-            "source = \"proxy:figures.rss_mb\"\nslope = false");
+        change(
+                folder.resolve("budget.toml"),
+                "source = \"proxy:figures.rss_mb\"",
+                "source = \"proxy:figures.rss_mb\"\nslope = false");
         String page = CapacityPage.of(folder);
-        assertTrue(page.contains("| memory | by size, below | - | 128 | - | `net.BackendActor` |"), page);
+        assertTrue(
+                page.contains("| memory | by size, below | - | 128 | - | `net.BackendActor` |"),
+                page);
         assertTrue(page.contains("| `figures.rss_mb` | 60 | 70 | 80 | 90 |"), page);
         assertFalse(page.contains("- proxy: memory"), page);
     }
@@ -186,7 +238,10 @@
     @Example
     void whatNeverCameIsSaid() throws Exception {
         Path folder = copy(FIXTURE);
-        change(folder.resolve("proxy-400-1.json"), "\"first_200_ms\": 130.0", "\"first_200_ms\": -1");
+        change(
+                folder.resolve("proxy-400-1.json"),
+                "\"first_200_ms\": 130.0",
+                "\"first_200_ms\": -1");
         String page = CapacityPage.of(folder);
         assertTrue(page.contains("| `figures.first_200_ms` | 100 | 110 | 120 | never |"), page);
         assertTrue(page.contains("3 of the 4 sizes that a slope needs; never came at 400"), page);
@@ -202,51 +257,67 @@
         assertEquals(CapacityPage.of(folder), Files.readString(page));
         Files.writeString(folder.resolve("proxy-7-1.json"), "{\"kind\": \"proxy\"}");
         assertEquals(2, capacity.page(folder, page));
-        assertTrue(said.toString(StandardCharsets.UTF_8).contains("proxy-7-1.json: size: expected a whole "
-            + "number, found none"), said.toString(StandardCharsets.UTF_8));
+        assertTrue(
+                said.toString(StandardCharsets.UTF_8)
+                        .contains("proxy-7-1.json: size: expected a whole " + "number, found none"),
+                said.toString(StandardCharsets.UTF_8));
         assertEquals(2, capacity.measure(folder, "proxy-none"));
         assertEquals(2, capacity.measure(folder, "latency-4-1"));
     }
 
     @Example
     void faultsOfAResultAreToldAtOnce() throws Exception {
-        assertEquals("kind: expected one of latency, members, proxy, rollout, scale, found \"\"",
-            fault("{}"));
+        assertEquals(
+                "kind: expected one of latency, members, proxy, rollout, scale, found \"\"",
+                fault("{}"));
         assertEquals("expected a JSON object", fault("[]"));
         assertTrue(fault("{\"kind\":\"proxy\",").contains("Unexpected end"));
         assertTrue(fault("{\"kind\":\"proxy\",\"kind\":\"proxy\"}").contains("Duplicate"));
         String whole = Files.readString(FIXTURE.resolve("proxy-100-1.json"));
         assertEquals("expected the name proxy-100-1.json", fault(whole));
         String renamed = whole.replace("\"size\": 100", "\"size\": 5");
-        assertEquals("verdict: expected pass, none or fail, found \"good\"",
-            fault(renamed.replace("\"pass\"", "\"good\"")));
-        assertEquals("figures.rss_mb: expected a number from -1 (never), found -3.0",
-            fault(renamed.replace("60.0", "-3")));
+        assertEquals(
+                "verdict: expected pass, none or fail, found \"good\"",
+                fault(renamed.replace("\"pass\"", "\"good\"")));
+        assertEquals(
+                "figures.rss_mb: expected a number from -1 (never), found -3.0",
+                fault(renamed.replace("60.0", "-3")));
         assertEquals("commit: is not there", fault(renamed.replace("\"commit\"", "\"comet\"")));
         assertEquals("", fault(renamed));
     }
 
     @Example
     void faultsOfABudgetNameTheirLineAndKey() throws Exception {
-        assertBudget("backends = 3000", "",
-            "operators.backends: expected a number, but the key is not there");
+        assertBudget(
+                "backends = 3000",
+                "",
+                "operators.backends: expected a number, but the key is not there");
         assertBudget("backends = 3000", "backends = 0", "operators.backends: expected");
-        assertBudget("budget = \"operators.proxy_memory_mb\"", "budget = \"operators.memory\"",
-            "need.0.budget: there is no figure operators.memory");
-        assertBudget("source = \"proxy:figures.rss_mb\"", "source = \"figures.rss_mb\"",
-            "need.0.source: expected KIND:PATH");
-        assertBudget("services = 460", "service = 460", "operators.service: unknown key; did you mean");
+        assertBudget(
+                "budget = \"operators.proxy_memory_mb\"",
+                "budget = \"operators.memory\"",
+                "need.0.budget: there is no figure operators.memory");
+        assertBudget(
+                "source = \"proxy:figures.rss_mb\"",
+                "source = \"figures.rss_mb\"",
+                "need.0.source: expected KIND:PATH");
+        assertBudget(
+                "services = 460", "service = 460", "operators.service: unknown key; did you mean");
     }
 
     private static void assertBudget(String one, String other, String told) throws Exception {
         Path folder = copy(FIXTURE);
         change(folder.resolve("budget.toml"), one, other);
         BadFile bad = assertThrows(BadFile.class, () -> Budget.read(folder.resolve("budget.toml")));
-        assertTrue(bad.getMessage().contains(told) && bad.getMessage().contains("budget.toml:"),
-            bad.getMessage());
+        assertTrue(
+                bad.getMessage().contains(told) && bad.getMessage().contains("budget.toml:"),
+                bad.getMessage());
     }
 
-    /** What is said of a result under the name of another, without the place; empty where it is sound. */
+    /**
+     * What is said of a result under the name of another, without the place; empty where it is
+     * sound.
+     */
     private static String fault(String text) throws IOException {
         Path file = Files.createTempDirectory("result").resolve("proxy-5-1.json");
         Files.writeString(file, text);
--- a/src/test/java/cottonlock/lab/scale/ScaleTest.java
+++ b/src/test/java/cottonlock/lab/scale/ScaleTest.java
@@ -23,20 +23,23 @@
 import net.jqwik.api.Example;
 
 /**
- * The scale run in the small: real and hollow proxies, control's stand-ins and all parts of the timeline.
- * Verdicts rest on what was in force, with seconds to spare for what takes tenths; a machine that was late
- * has none, and is asked again.
+ * The scale run in the small: real and hollow proxies, control's stand-ins and all parts of the
+ * timeline. Verdicts rest on what was in force, with seconds to spare for what takes tenths; a
+ * machine that was late has none, and is asked again.
  */
 class ScaleTest {
     private static final Path SHORT = Path.of("scenarios", "scale-short.toml");
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
-    private final ScaleLab lab = new ScaleLab(new PrintStream(out, true), new PrintStream(err, true));
+    private final ScaleLab lab =
+            new ScaleLab(new PrintStream(out, true), new PrintStream(err, true));
 
     private static Set<Long> children() {
-        return ProcessHandle.current().descendants().map(ProcessHandle::pid)
-            .collect(Collectors.toCollection(TreeSet::new));
+        return ProcessHandle.current()
+                .descendants()
+                .map(ProcessHandle::pid)
+                .collect(Collectors.toCollection(TreeSet::new));
     }
 
     private int run(Path folder, String... sets) {
@@ -58,17 +61,29 @@
         left.removeAll(before);
         assertEquals(Set.of(), left, "processes are left");
         String json = Files.readString(folder.resolve("scale-63-1.json"));
-        for (String key : List.of("\"verdict\" : \"pass\"", "\"hollow\" : 60", "\"hollow_proxy\"",
-            "\"real_proxy\"", "\"control\"", "\"cpu_share_mean\"", "\"rss_mb\"", "\"bytes_in_s_worst\"",
-            "\"messages_out_s_worst\"", "\"calls_s_worst\"", "\"reload_in_force_ms_all\"")) {
+        for (String key :
+                List.of(
+                        "\"verdict\" : \"pass\"",
+                        "\"hollow\" : 60",
+                        "\"hollow_proxy\"",
+                        "\"real_proxy\"",
+                        "\"control\"",
+                        "\"cpu_share_mean\"",
+                        "\"rss_mb\"",
+                        "\"bytes_in_s_worst\"",
+                        "\"messages_out_s_worst\"",
+                        "\"calls_s_worst\"",
+                        "\"reload_in_force_ms_all\"")) {
             assertTrue(json.contains(key), key + " in " + json);
         }
         for (String event : ScaleFile.EVENTS) {
             String told = json.substring(json.indexOf("\"" + event + "\" : {"));
             told = told.substring(0, told.indexOf('}'));
-            assertTrue(told.contains("\"in_force_ms_all\"") && told.contains("\"missing\" : 0"), told);
+            assertTrue(
+                    told.contains("\"in_force_ms_all\"") && told.contains("\"missing\" : 0"), told);
         }
-        // Who starts anew, and whoever asks a machine that knows nothing older, is told the whole list.
+        // Who starts anew, and whoever asks a machine that knows nothing older, is told the whole
+        // list.
         assertTrue(figure(json, "zone", "whole_lists") > 0, json);
         assertTrue(figure(json, "control_restarted", "whole_lists") >= 63, json);
         assertEquals(0, figure(json, "control_killed", "whole_lists"), json);
@@ -79,22 +94,49 @@
     private static double figure(String json, String event, String key) {
         String told = json.substring(json.indexOf("\"" + event + "\" : {"));
         told = told.substring(told.indexOf("\"" + key + "\" : ") + key.length() + 5);
-        return Double.parseDouble(told.substring(0, told.indexOf(told.contains(",") ? ',' : '\n')).strip()
-            .split("[\n ]")[0]);
+        return Double.parseDouble(
+                told.substring(0, told.indexOf(told.contains(",") ? ',' : '\n'))
+                        .strip()
+                        .split("[\n ]")[0]);
     }
 
-    /** A change that can't come in time must fail the run: who watches a dead machine waits for another. */
+    /**
+     * A change that can't come in time must fail the run: who watches a dead machine waits for
+     * another.
+     */
     @Example
     void aChangeThatIsLateBreaksItsBound() {
-        assertEquals(1, run(null, "events=[\"control_killed\"]", "fleet.real=0", "membership.enabled=false",
-            "control.takeover_s=3", "expect.in_force_ms=1500"), out + " " + err);
-        assertTrue(out.toString().startsWith("control_killed: in force at all after ms: expected 1500.0 at "
-            + "most"), out.toString());
-        assertEquals(0, run(null, "events=[\"control_killed\"]", "fleet.real=0", "membership.enabled=false",
-            "control.takeover_s=0.5", "expect.in_force_ms=30000"), out + " " + err);
+        assertEquals(
+                1,
+                run(
+                        null,
+                        "events=[\"control_killed\"]",
+                        "fleet.real=0",
+                        "membership.enabled=false",
+                        "control.takeover_s=3",
+                        "expect.in_force_ms=1500"),
+                out + " " + err);
+        assertTrue(
+                out.toString()
+                        .startsWith(
+                                "control_killed: in force at all after ms: expected 1500.0 at "
+                                        + "most"),
+                out.toString());
+        assertEquals(
+                0,
+                run(
+                        null,
+                        "events=[\"control_killed\"]",
+                        "fleet.real=0",
+                        "membership.enabled=false",
+                        "control.takeover_s=0.5",
+                        "expect.in_force_ms=30000"),
+                out + " " + err);
     }
 
-    /** Datagrams between zones that are apart are lost on both sides, and come again when healed. */
+    /**
+     * Datagrams between zones that are apart are lost on both sides, and come again when healed.
+     */
     @Example
     void apartACutIsACut() throws Exception {
         CountedSocket.Cuts cuts = new CountedSocket.Cuts();
@@ -102,16 +144,20 @@
         CountedSocket.Traffic other = new CountedSocket.Traffic();
         CountedSocket.Traffic none = new CountedSocket.Traffic();
         try (CountedSocket a = socket("127.10.0.1", cuts, one, none);
-             CountedSocket b = socket("127.11.0.1", cuts, other, none);
-             DatagramSocket plain = new DatagramSocket(new InetSocketAddress("127.11.0.2", 0))) {
+                CountedSocket b = socket("127.11.0.1", cuts, other, none);
+                DatagramSocket plain = new DatagramSocket(new InetSocketAddress("127.11.0.2", 0))) {
             cuts.set(new boolean[][] {{false, true}, {true, false}});
             a.send(packet("lost", b));
             plain.send(packet("lost", a));
             cuts.set(new boolean[2][2]);
             a.send(packet("comes", b));
             assertEquals("comes", received(b));
-            assertEquals(List.of(5L, 9L), List.of(other.take()[0], one.take()[1]), "sent twice, come once");
-            // What is not hollow does not cut by itself: its datagram waits, and is lost where it is read.
+            assertEquals(
+                    List.of(5L, 9L),
+                    List.of(other.take()[0], one.take()[1]),
+                    "sent twice, come once");
+            // What is not hollow does not cut by itself: its datagram waits, and is lost where it
+            // is read.
             plain.send(packet("lost", a));
             cuts.set(new boolean[][] {{false, true}, {true, false}});
             a.setSoTimeout(300);
@@ -119,8 +165,12 @@
         }
     }
 
-    private static CountedSocket socket(String ip, CountedSocket.Cuts cuts, CountedSocket.Traffic own,
-                                        CountedSocket.Traffic real) throws Exception {
+    private static CountedSocket socket(
+            String ip,
+            CountedSocket.Cuts cuts,
+            CountedSocket.Traffic own,
+            CountedSocket.Traffic real)
+            throws Exception {
         return new CountedSocket(new InetSocketAddress(ip, 0), cuts, own, real, Set.of());
     }
 
@@ -138,10 +188,12 @@
     @Example
     void whatWouldTakeTooMuchIsRefusedInOneLineBeforeAnythingStarts() {
         Set<Long> before = children();
-        for (String[] bound : new String[][] {
-            {"fleet.size=4000", "fleet.per_jvm=10", "membership.most=4096", "processes"},
-            {"bounds.processes=5", "bounds.processes=5", "bounds.processes=5", "processes"},
-            {"bounds.memory_mb=64", "seed=2", "seed=2", "MB"}}) {
+        for (String[] bound :
+                new String[][] {
+                    {"fleet.size=4000", "fleet.per_jvm=10", "membership.most=4096", "processes"},
+                    {"bounds.processes=5", "bounds.processes=5", "bounds.processes=5", "processes"},
+                    {"bounds.memory_mb=64", "seed=2", "seed=2", "MB"}
+                }) {
             out.reset();
             err.reset();
             assertEquals(2, lab.run(SHORT, null, List.of(bound[0], bound[1], bound[2]), null));
@@ -159,12 +211,26 @@
         ScaleLab.check(Path.of("scenarios", "scale-fleet.toml"));
         assertTrue(ScaleLab.isScaleFile(SHORT));
         assertFalse(ScaleLab.isScaleFile(Path.of("scenarios", "quickstart.toml")));
-        for (String[] fault : new String[][] {{"fleet.siez=3", "fleet.siez: unknown key; did you mean size?"},
-            {"membership.most=50", "membership.most: expected fleet.size (63) or more, found 50"},
-            {"events=[\"flood\"]", "events: expected some of ordinary, rack"},
-            {"control.machines=1", "control.machines: expected one for each region at least, found 1"},
-            {"fleet.real=40", "fleet.real: expected no more than the proxies of one region, found 40"}}) {
-            BadFile e = assertThrows(BadFile.class, () -> ScaleFile.read(SHORT, List.of(fault[0]), null));
+        for (String[] fault :
+                new String[][] {
+                    {"fleet.siez=3", "fleet.siez: unknown key; did you mean size?"},
+                    {
+                        "membership.most=50",
+                        "membership.most: expected fleet.size (63) or more, found 50"
+                    },
+                    {"events=[\"flood\"]", "events: expected some of ordinary, rack"},
+                    {
+                        "control.machines=1",
+                        "control.machines: expected one for each region at least, found 1"
+                    },
+                    {
+                        "fleet.real=40",
+                        "fleet.real: expected no more than the proxies of one region, found 40"
+                    }
+                }) {
+            BadFile e =
+                    assertThrows(
+                            BadFile.class, () -> ScaleFile.read(SHORT, List.of(fault[0]), null));
             assertEquals(1, e.faults().size(), e.getMessage());
             assertTrue(e.getMessage().contains(fault[1]), e.getMessage());
         }
@@ -174,12 +240,25 @@
     @Example
     void anInterruptedRunLeavesNoProcess() throws Exception {
         Path folder = Files.createTempDirectory("scale");
-        Process run = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"),
-            "cottonlock.Main", "lab", "scale", SHORT.toString(), "--out", folder.toString())
-            .redirectErrorStream(true).redirectOutput(folder.resolve("told").toFile()).start();
+        Process run =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:TieredStopAtLevel=1",
+                                "-XX:+UseSerialGC",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "cottonlock.Main",
+                                "lab",
+                                "scale",
+                                SHORT.toString(),
+                                "--out",
+                                folder.toString())
+                        .redirectErrorStream(true)
+                        .redirectOutput(folder.resolve("told").toFile())
+                        .start();
         try {
-            // 4 machines of control, 2 processes of hollow proxies, 3 real ones, and one that measures.
+            // 4 machines of control, 2 processes of hollow proxies, 3 real ones, and one that
+            // measures.
             List<ProcessHandle> started = List.of();
             long until = System.nanoTime() + 60_000_000_000L;
             while (started.size() < 10 && System.nanoTime() < until) {
@@ -193,14 +272,19 @@
                 process.onExit().get(10, TimeUnit.SECONDS);
             }
             String json = Files.readString(folder.resolve("scale-63-1.json"));
-            assertTrue(json.contains("\"interrupted\" : true") && json.contains("\"verdict\" : \"none\""),
-                json);
+            assertTrue(
+                    json.contains("\"interrupted\" : true")
+                            && json.contains("\"verdict\" : \"none\""),
+                    json);
         } finally {
             run.destroyForcibly();
         }
     }
 
-    /** The same layout in every run; each proxy's control is of its region, and real ones are of one. */
+    /**
+     * The same layout in every run; each proxy's control is of its region, and real ones are of
+     * one.
+     */
     @Example
     void proxiesAskControlOfTheirRegion() {
         for (int machines : new int[] {2, 3, 17}) {
--- a/src/test/java/cottonlock/lab/scale/SlopeTest.java
+++ b/src/test/java/cottonlock/lab/scale/SlopeTest.java
@@ -21,8 +21,9 @@
     private static final List<Double> SIZES = List.of(10.0, 100.0, 300.0, 1_000.0);
 
     @Property(tries = 100)
-    void aLineIsFoundAgain(@ForAll @DoubleRange(min = 0, max = 500) double base,
-                           @ForAll @DoubleRange(min = 0.01, max = 50) double rise) {
+    void aLineIsFoundAgain(
+            @ForAll @DoubleRange(min = 0, max = 500) double base,
+            @ForAll @DoubleRange(min = 0.01, max = 50) double rise) {
         Slope slope = Slope.fit(SIZES.stream().map(s -> new Point(s, base + rise * s)).toList(), 4);
         assertEquals(base + rise * 3_000, slope.at(3_000), NEAR * (base + rise * 3_000));
         assertEquals(0, slope.spread(), NEAR);
@@ -32,10 +33,15 @@
     }
 
     @Property(tries = 100)
-    void aPowerLawIsFoundAgain(@ForAll @DoubleRange(min = 0.1, max = 50) double base,
-                               @ForAll @DoubleRange(min = 1.2, max = 2.5) double exponent) {
-        Slope slope = Slope.fit(SIZES.stream().map(s -> new Point(s, base * Math.pow(s, exponent))).toList(),
-            4);
+    void aPowerLawIsFoundAgain(
+            @ForAll @DoubleRange(min = 0.1, max = 50) double base,
+            @ForAll @DoubleRange(min = 1.2, max = 2.5) double exponent) {
+        Slope slope =
+                Slope.fit(
+                        SIZES.stream()
+                                .map(s -> new Point(s, base * Math.pow(s, exponent)))
+                                .toList(),
+                        4);
         assertEquals("power", slope.law());
         double there = base * Math.pow(3_000, exponent);
         assertEquals(there, slope.at(3_000), NEAR * there);
@@ -47,7 +53,11 @@
     void fewerSizesThanTheLeastMakeNoSlope() {
         List<Point> three = new ArrayList<>();
         for (int seed = 0; seed < 5; seed++) {
-            three.addAll(List.of(new Point(1, 1 + seed), new Point(2, 2 + seed), new Point(3, 3 + seed)));
+            three.addAll(
+                    List.of(
+                            new Point(1, 1 + seed),
+                            new Point(2, 2 + seed),
+                            new Point(3, 3 + seed)));
         }
         assertNull(Slope.fit(three, Slope.LEAST));
         assertNotNull(Slope.fit(three, 3));
@@ -82,11 +92,29 @@
     /** The operators' design by hand: 640,000 calls a second over 3,000 proxies, and so on. */
     @Example
     void whatIsWorkedOutFollowsFromTheDesign() {
-        Map<String, Double> given = new TreeMap<>(Map.of("operators.backends", 3_000.0,
-            "operators.services", 460.0, "operators.calls_s", 640_000.0, "operators.in_force_s", 10.0,
-            "operators.proxy_bytes_s", 7_000.0, "operators.control_machines", 17.0,
-            "constant.quota_depth", 4.0, "assumed.fall_s", 3.0, "assumed.fall_multiple", 3.0,
-            "assumed.cold_share", 0.35));
+        Map<String, Double> given =
+                new TreeMap<>(
+                        Map.of(
+                                "operators.backends",
+                                3_000.0,
+                                "operators.services",
+                                460.0,
+                                "operators.calls_s",
+                                640_000.0,
+                                "operators.in_force_s",
+                                10.0,
+                                "operators.proxy_bytes_s",
+                                7_000.0,
+                                "operators.control_machines",
+                                17.0,
+                                "constant.quota_depth",
+                                4.0,
+                                "assumed.fall_s",
+                                3.0,
+                                "assumed.fall_multiple",
+                                3.0,
+                                "assumed.cold_share",
+                                0.35));
         given.put("operators.restarts_day", 350.0);
         given.put("operators.failures_day", 4.0);
         given.put("assumed.list_changes", 3.0);
--- a/src/test/java/cottonlock/membership/ExchangeTest.java
+++ b/src/test/java/cottonlock/membership/ExchangeTest.java
@@ -15,42 +15,65 @@
     private static final int MEMBERS = 1_200;
     private static final int REQUESTS = 2_500;
 
-    /** Parts of the names are long in a large fleet: in time all of it is told, not its beginning alone. */
+    /**
+     * Parts of the names are long in a large fleet: in time all of it is told, not its beginning
+     * alone.
+     */
     @Example
     void allOfALongPartIsToldInTime() {
         assertEquals(MEMBERS, told(new Habits()));
-        assertNotEquals(MEMBERS, told(new Habits() {
-            @Override
-            boolean beginsAnywhere() {
-                return false;
-            }
-        }), "without the defence nothing goes wrong: the case shows nothing");
+        assertNotEquals(
+                MEMBERS,
+                told(
+                        new Habits() {
+                            @Override
+                            boolean beginsAnywhere() {
+                                return false;
+                            }
+                        }),
+                "without the defence nothing goes wrong: the case shows nothing");
     }
 
-    /** How many members one that knows all tells to one that asks again and again and knows nobody. */
+    /**
+     * How many members one that knows all tells to one that asks again and again and knows nobody.
+     */
     private static int told(Habits habits) {
         Set<String> told = new TreeSet<>();
-        Membership machine = new Membership(MembershipRules.USUAL, new Membership.Outlet() {
-            @Override
-            public void send(String to, byte[] datagram) {
-                Message m = Codec.read(datagram, datagram.length);
-                if (m.kind == Message.Kind.PAGE) {
-                    m.words.stream().filter(w -> w.name().startsWith("x")).forEach(w -> told.add(w.name()));
-                }
-            }
+        Membership machine =
+                new Membership(
+                        MembershipRules.USUAL,
+                        new Membership.Outlet() {
+                            @Override
+                            public void send(String to, byte[] datagram) {
+                                Message m = Codec.read(datagram, datagram.length);
+                                if (m.kind == Message.Kind.PAGE) {
+                                    m.words.stream()
+                                            .filter(w -> w.name().startsWith("x"))
+                                            .forEach(w -> told.add(w.name()));
+                                }
+                            }
 
-            @Override
-            public void changed(String who, State state, String reason) {
-            }
-        }, "me", "10.0.0.1:1", List.of(), false, 1_000, 0, new SplittableRandom(1), habits);
+                            @Override
+                            public void changed(String who, State state, String reason) {}
+                        },
+                        "me",
+                        "10.0.0.1:1",
+                        List.of(),
+                        false,
+                        1_000,
+                        0,
+                        new SplittableRandom(1),
+                        habits);
         machine.start(0);
         Word asker = new Word("asker", "10.0.0.2:1", 1_000, 0, State.ALIVE, 0);
         long counter = 0;
-        for (int i = 0; i < MEMBERS;) {
-            Codec.Writer out = Codec.begin(new Message(Message.Kind.WORDS, asker, ++counter, 0, 0),
-                Codec.LONGEST);
+        for (int i = 0; i < MEMBERS; ) {
+            Codec.Writer out =
+                    Codec.begin(
+                            new Message(Message.Kind.WORDS, asker, ++counter, 0, 0), Codec.LONGEST);
             while (i < MEMBERS
-                && out.word(new Word("x" + i, "10.1.0.1:" + (1 + i), 1_000, 0, State.ALIVE, 0))) {
+                    && out.word(
+                            new Word("x" + i, "10.1.0.1:" + (1 + i), 1_000, 0, State.ALIVE, 0))) {
                 i++;
             }
             machine.heard(0, asker.address(), out.done(), out.size());
--- a/src/test/java/cottonlock/membership/MembershipTest.java
+++ b/src/test/java/cottonlock/membership/MembershipTest.java
@@ -19,18 +19,36 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * Fleets in virtual time under each hard case. Where a case hangs on one defence, the same is played with the
- * defence off, and must go wrong.
+ * Fleets in virtual time under each hard case. Where a case hangs on one defence, the same is
+ * played with the defence off, and must go wrong.
  */
 class MembershipTest {
     private static final long SECOND = 10_000;
     private static final MembershipRules USUAL = MembershipRules.USUAL;
 
-    private static MembershipRules rules(int helpers, double suspicion, long hung, int most, long forget,
-                                         int doubts, int contact) {
-        return new MembershipRules(USUAL.period(), USUAL.answer(), helpers, suspicion, USUAL.longest(),
-            USUAL.confirmations(), hung, USUAL.repeats(), most, forget, USUAL.bytes(), doubts, USUAL.join(),
-            contact);
+    private static MembershipRules rules(
+            int helpers,
+            double suspicion,
+            long hung,
+            int most,
+            long forget,
+            int doubts,
+            int contact) {
+        return new MembershipRules(
+                USUAL.period(),
+                USUAL.answer(),
+                helpers,
+                suspicion,
+                USUAL.longest(),
+                USUAL.confirmations(),
+                hung,
+                USUAL.repeats(),
+                most,
+                forget,
+                USUAL.bytes(),
+                doubts,
+                USUAL.join(),
+                contact);
     }
 
     private static MembershipRules usual() {
@@ -38,8 +56,15 @@
     }
 
     private static Fleet fleet(long seed, int size, MembershipRules rules, Habits habits) {
-        Fleet fleet = new Fleet(new World(seed), size, rules, (r, out, name, at, contacts, closed, life, tag,
-            random) -> new Membership(r, out, name, at, contacts, closed, life, tag, random, habits));
+        Fleet fleet =
+                new Fleet(
+                        new World(seed),
+                        size,
+                        rules,
+                        (r, out, name, at, contacts, closed, life, tag, random) ->
+                                new Membership(
+                                        r, out, name, at, contacts, closed, life, tag, random,
+                                        habits));
         fleet.startAll(SECOND);
         fleet.world.until(6 * SECOND);
         return fleet;
@@ -64,18 +89,21 @@
     }
 
     @Property(seed = "20261201", tries = 12)
-    void deathsAreFoundByAllAndNobodyElseIsCalledDead(@ForAll @IntRange(min = 4, max = 24) int size,
-                                                      @ForAll @IntRange(max = 99_999) int seed) {
+    void deathsAreFoundByAllAndNobodyElseIsCalledDead(
+            @ForAll @IntRange(min = 4, max = 24) int size,
+            @ForAll @IntRange(max = 99_999) int seed) {
         Fleet fleet = fleet(seed, size);
         assertTrue(fleet.agree(), "all have found one another");
-        List<Fleet.Node> killed = new ArrayList<>(fleet.nodes.subList(0, Math.max(1, size * 3 / 8)));
+        List<Fleet.Node> killed =
+                new ArrayList<>(fleet.nodes.subList(0, Math.max(1, size * 3 / 8)));
         killed.forEach(Fleet.Node::kill);
         pass(fleet, 0.3);
         killed.get(0).start(0);
         for (Fleet.Node dead : killed.subList(1, killed.size())) {
             assertTrue(fleet.untilFailed(dead, true, 10 * SECOND) >= 0, dead.name + " is found");
         }
-        assertTrue(fleet.untilAgreed(3 * SECOND) >= 0, "and the one that came back at once is there");
+        assertTrue(
+                fleet.untilAgreed(3 * SECOND) >= 0, "and the one that came back at once is there");
         killed.subList(1, killed.size()).forEach(node -> node.start(0));
         assertTrue(fleet.untilAgreed(4 * SECOND) >= 0, "all are back");
         assertEquals(List.of(), fleet.falseFailures);
@@ -110,12 +138,20 @@
         }
     }
 
-    /** Both halves call each other failed; calls at addresses of the failed are what finds them again. */
+    /**
+     * Both halves call each other failed; calls at addresses of the failed are what finds them
+     * again.
+     */
     @Example
     void halvesAndThirdsFindEachOtherAgain() {
         for (int groups : new int[] {2, 3}) {
-            defended(seed -> healed(seed, groups, usual()),
-                seed -> healed(seed, groups, rules(3, 3, 20_000, 1_024, 6_000_000, 3, 1_000_000)));
+            defended(
+                    seed -> healed(seed, groups, usual()),
+                    seed ->
+                            healed(
+                                    seed,
+                                    groups,
+                                    rules(3, 3, 20_000, 1_024, 6_000_000, 3, 1_000_000)));
         }
     }
 
@@ -134,33 +170,64 @@
         return fleet.untilAgreed(6 * SECOND) >= 0 && fleet.falseFailures.isEmpty();
     }
 
-    /** Without being looked at first, whom the other half has called failed is called so by its own. */
+    /**
+     * Without being looked at first, whom the other half has called failed is called so by its own.
+     */
     @Example
     void aHealMakesNobodyCallItsOwnFailed() {
-        defended(seed -> ownFailures(seed, new Habits()) == 0, seed -> ownFailures(seed, new Habits() {
-            @Override
-            boolean believes(Known k, Word failed, long now) {
-                return true;
-            }
-        }) == 0);
+        defended(
+                seed -> ownFailures(seed, new Habits()) == 0,
+                seed ->
+                        ownFailures(
+                                        seed,
+                                        new Habits() {
+                                            @Override
+                                            boolean believes(Known k, Word failed, long now) {
+                                                return true;
+                                            }
+                                        })
+                                == 0);
     }
 
     private static int ownFailures(long seed, Habits habits) {
         int[] own = {0};
         Fleet[] at = new Fleet[1];
-        at[0] = new Fleet(new World(seed), 12, usual(), (r, out, name, address, contacts, closed, life, tag,
-            random) -> new Membership(r, new Membership.Outlet() {
-                @Override
-                public void send(String to, byte[] datagram) {
-                    out.send(to, datagram);
-                }
-
-                @Override
-                public void changed(String who, State state, String reason) {
-                    boolean same = (number(who) + number(name)) % 2 == 0;
-                    own[0] += state == State.FAILED && same && at[0].world.now() > 30 * SECOND ? 1 : 0;
-                }
-            }, name, address, contacts, closed, life, tag, random, habits));
+        at[0] =
+                new Fleet(
+                        new World(seed),
+                        12,
+                        usual(),
+                        (r, out, name, address, contacts, closed, life, tag, random) ->
+                                new Membership(
+                                        r,
+                                        new Membership.Outlet() {
+                                            @Override
+                                            public void send(String to, byte[] datagram) {
+                                                out.send(to, datagram);
+                                            }
+
+                                            @Override
+                                            public void changed(
+                                                    String who, State state, String reason) {
+                                                boolean same =
+                                                        (number(who) + number(name)) % 2 == 0;
+                                                own[0] +=
+                                                        state == State.FAILED
+                                                                        && same
+                                                                        && at[0].world.now()
+                                                                                > 30 * SECOND
+                                                                ? 1
+                                                                : 0;
+                                            }
+                                        },
+                                        name,
+                                        address,
+                                        contacts,
+                                        closed,
+                                        life,
+                                        tag,
+                                        random,
+                                        habits));
         at[0].startAll(SECOND);
         at[0].world.until(6 * SECOND);
         at[0].split(2);
@@ -174,29 +241,38 @@
         return Integer.parseInt(name.substring(1));
     }
 
-    /** One hears another and is not heard by it: others' probes show that both live, and which way is cut. */
+    /**
+     * One hears another and is not heard by it: others' probes show that both live, and which way
+     * is cut.
+     */
     @Example
     void aCutOfOneDirectionKillsNobody() {
-        defended(seed -> oneWay(seed, usual()),
-            seed -> oneWay(seed, rules(0, 3, 20_000, 1_024, 6_000_000, 3, 2)));
+        defended(
+                seed -> oneWay(seed, usual()),
+                seed -> oneWay(seed, rules(0, 3, 20_000, 1_024, 6_000_000, 3, 2)));
     }
 
     private static boolean oneWay(long seed, MembershipRules rules) {
         Fleet fleet = fleet(seed, 6, rules, new Habits());
         fleet.world.cut((from, to) -> from == 0 && to == 1);
         pass(fleet, 60);
-        return fleet.falseFailures.isEmpty() && reach(fleet, 0, "n1") == View.Reach.HEARS_NOT
-            && reach(fleet, 1, "n0") == View.Reach.NOT_HEARD;
+        return fleet.falseFailures.isEmpty()
+                && reach(fleet, 0, "n1") == View.Reach.HEARS_NOT
+                && reach(fleet, 1, "n0") == View.Reach.NOT_HEARD;
     }
 
     private static View.Reach reach(Fleet fleet, int viewer, String name) {
-        return fleet.nodes.get(viewer).view().lines().stream().filter(l -> l.name().equals(name)).findFirst()
-            .orElseThrow().reach();
+        return fleet.nodes.get(viewer).view().lines().stream()
+                .filter(l -> l.name().equals(name))
+                .findFirst()
+                .orElseThrow()
+                .reach();
     }
 
     @Property(seed = "20261201", tries = 4)
-    void aThirdLostLateAndDoubledKillsNobody(@ForAll @IntRange(min = 4, max = 16) int size,
-                                             @ForAll @IntRange(max = 99_999) int seed) {
+    void aThirdLostLateAndDoubledKillsNobody(
+            @ForAll @IntRange(min = 4, max = 16) int size,
+            @ForAll @IntRange(max = 99_999) int seed) {
         Fleet fleet = fleet(seed, size);
         fleet.world.trouble(0.3, 0.3, 0);
         fleet.world.delay(5, 800);
@@ -204,7 +280,8 @@
         assertEquals(List.of(), fleet.falseFailures);
         Fleet.Node dead = fleet.nodes.get(size / 2);
         dead.kill();
-        assertTrue(fleet.untilFailed(dead, true, 15 * SECOND) >= 0, "a death is found all the same");
+        assertTrue(
+                fleet.untilFailed(dead, true, 15 * SECOND) >= 0, "a death is found all the same");
         dead.start(0);
         assertTrue(fleet.untilAgreed(10 * SECOND) >= 0);
         for (Fleet.Node node : fleet.nodes) {
@@ -212,29 +289,41 @@
         }
     }
 
-    /** Doubts of others are shown by probes of one's own: they end too soon where they are very short. */
+    /**
+     * Doubts of others are shown by probes of one's own: they end too soon where they are very
+     * short.
+     */
     @Example
     void withLossesADoubtNeedsItsTime() {
         defended(seed -> lossy(seed, 3), seed -> lossy(seed, 0.1));
     }
 
     private static boolean lossy(long seed, double suspicion) {
-        Fleet fleet = fleet(seed, 12, rules(3, suspicion, 20_000, 1_024, 6_000_000, 3, 2), new Habits());
+        Fleet fleet =
+                fleet(seed, 12, rules(3, suspicion, 20_000, 1_024, 6_000_000, 3, 2), new Habits());
         fleet.world.trouble(0.3, 0, 0);
         pass(fleet, 120);
         return fleet.falseFailures.isEmpty();
     }
 
-    /** Stopped for ten seconds it wakes with all its doubts due, and has to take them for its own fault. */
+    /**
+     * Stopped for ten seconds it wakes with all its doubts due, and has to take them for its own
+     * fault.
+     */
     @Example
     void whoHasStoodStillJudgesNobody() {
         // Looking again at whom it is about to call failed would do too, and is not looked at here.
-        defended(seed -> wakes(seed, new Hasty()), seed -> wakes(seed, new Hasty() {
-            @Override
-            boolean doubtsItself() {
-                return false;
-            }
-        }));
+        defended(
+                seed -> wakes(seed, new Hasty()),
+                seed ->
+                        wakes(
+                                seed,
+                                new Hasty() {
+                                    @Override
+                                    boolean doubtsItself() {
+                                        return false;
+                                    }
+                                }));
     }
 
     /** Calls failed whom others doubt, without a look of its own. */
@@ -245,7 +334,10 @@
         }
     }
 
-    /** At others' word alone those are called failed who have cleared themselves where it was not heard. */
+    /**
+     * At others' word alone those are called failed who have cleared themselves where it was not
+     * heard.
+     */
     @Example
     void nobodyIsCalledFailedWithoutALook() {
         defended(seed -> looks(seed, new Habits()), seed -> looks(seed, new Hasty()));
@@ -275,11 +367,15 @@
         return fleet.falseFailures.isEmpty() && fleet.untilAgreed(10 * SECOND) >= 0;
     }
 
-    /** A module that stands still is found although the sockets answer; it comes back when it goes on. */
+    /**
+     * A module that stands still is found although the sockets answer; it comes back when it goes
+     * on.
+     */
     @Example
     void aHungModuleIsAsGoodAsDead() {
-        defended(seed -> hung(seed, usual()),
-            seed -> hung(seed, rules(3, 3, Long.MAX_VALUE, 1_024, 6_000_000, 3, 2)));
+        defended(
+                seed -> hung(seed, usual()),
+                seed -> hung(seed, rules(3, 3, Long.MAX_VALUE, 1_024, 6_000_000, 3, 2)));
     }
 
     private static boolean hung(long seed, MembershipRules rules) {
@@ -290,15 +386,23 @@
         return found && fleet.untilAgreed(2 * SECOND) >= 0;
     }
 
-    /** It starts again with a clock that is minutes behind: others hold its former life for the later one. */
+    /**
+     * It starts again with a clock that is minutes behind: others hold its former life for the
+     * later one.
+     */
     @Example
     void aWrongClockMakesNobodyItsOwnPast() {
-        defended(seed -> backInTime(seed, new Habits()), seed -> backInTime(seed, new Habits() {
-            @Override
-            long begun(long life) {
-                return life - 1;
-            }
-        }));
+        defended(
+                seed -> backInTime(seed, new Habits()),
+                seed ->
+                        backInTime(
+                                seed,
+                                new Habits() {
+                                    @Override
+                                    long begun(long life) {
+                                        return life - 1;
+                                    }
+                                }));
     }
 
     private static boolean backInTime(long seed, Habits habits) {
@@ -311,7 +415,10 @@
         return back && fleet.agree();
     }
 
-    /** What a former life has sent comes late again and again: it neither speaks for the new nor harms it. */
+    /**
+     * What a former life has sent comes late again and again: it neither speaks for the new nor
+     * harms it.
+     */
     @Example
     void wordsOfAFormerLifeAreOutOfDate() {
         List<byte[]> old = new ArrayList<>();
@@ -322,24 +429,35 @@
         Membership.Outlet[] spy = new Membership.Outlet[1];
         assertNull(spy[0]);
         // Datagrams as its former life made them, by a machine of the same name and life.
-        Membership former = new Membership(usual(), new Membership.Outlet() {
-            @Override
-            public void send(String to, byte[] datagram) {
-                old.add(datagram);
-            }
-
-            @Override
-            public void changed(String who, State state, String reason) {
-            }
-        }, moved.name, moved.address, List.of(fleet.nodes.get(0).address), true, 1_000, 0,
-            new SplittableRandom(1));
+        Membership former =
+                new Membership(
+                        usual(),
+                        new Membership.Outlet() {
+                            @Override
+                            public void send(String to, byte[] datagram) {
+                                old.add(datagram);
+                            }
+
+                            @Override
+                            public void changed(String who, State state, String reason) {}
+                        },
+                        moved.name,
+                        moved.address,
+                        List.of(fleet.nodes.get(0).address),
+                        true,
+                        1_000,
+                        0,
+                        new SplittableRandom(1));
         former.start(0);
         former.wake(0);
         former.leave(10);
         assertFalse(old.isEmpty());
         for (int i = 0; i < 20; i++) {
             for (byte[] datagram : old) {
-                fleet.nodes.get(0).machine.heard(world.now(), moved.address, datagram, datagram.length);
+                fleet.nodes
+                        .get(0)
+                        .machine
+                        .heard(world.now(), moved.address, datagram, datagram.length);
             }
             pass(fleet, 0.3);
         }
@@ -348,35 +466,61 @@
         assertEquals(List.of(), fleet.falseFailures);
     }
 
-    /** Of two processes of one name the later one speaks; the other says so, and speaks again after it. */
+    /**
+     * Of two processes of one name the later one speaks; the other says so, and speaks again after
+     * it.
+     */
     @Example
     void twoProcessesOfOneName() {
         World world = new World(5);
         List<Membership> machines = new ArrayList<>();
         List<String> told = new ArrayList<>();
         String[] names = {"a", "b", "twin", "twin"};
-        List<String> addresses = List.of("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4");
+        List<String> addresses =
+                List.of("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4");
         boolean[] up = {true, true, true, false};
         for (int i = 0; i < 4; i++) {
             int me = i;
-            machines.add(new Membership(usual(), new Membership.Outlet() {
-                @Override
-                public void send(String to, byte[] datagram) {
-                    int there = addresses.indexOf(to);
-                    world.send(me, there, datagram, bytes -> {
-                        if (up[there]) {
-                            Membership it = machines.get(there);
-                            wake(world, it, up, there,
-                                it.heard(world.now(), addresses.get(me), bytes, bytes.length));
-                        }
-                    });
-                }
-
-                @Override
-                public void changed(String who, State state, String reason) {
-                    told.add(me + " " + who + " " + state + " " + reason);
-                }
-            }, names[i], addresses.get(i), addresses, true, 1_000_000 - i, 0, new SplittableRandom(i)));
+            machines.add(
+                    new Membership(
+                            usual(),
+                            new Membership.Outlet() {
+                                @Override
+                                public void send(String to, byte[] datagram) {
+                                    int there = addresses.indexOf(to);
+                                    world.send(
+                                            me,
+                                            there,
+                                            datagram,
+                                            bytes -> {
+                                                if (up[there]) {
+                                                    Membership it = machines.get(there);
+                                                    wake(
+                                                            world,
+                                                            it,
+                                                            up,
+                                                            there,
+                                                            it.heard(
+                                                                    world.now(),
+                                                                    addresses.get(me),
+                                                                    bytes,
+                                                                    bytes.length));
+                                                }
+                                            });
+                                }
+
+                                @Override
+                                public void changed(String who, State state, String reason) {
+                                    told.add(me + " " + who + " " + state + " " + reason);
+                                }
+                            },
+                            names[i],
+                            addresses.get(i),
+                            addresses,
+                            true,
+                            1_000_000 - i,
+                            0,
+                            new SplittableRandom(i)));
         }
         for (int i = 0; i < 3; i++) {
             wake(world, machines.get(i), up, i, machines.get(i).start(0));
@@ -385,29 +529,43 @@
         up[3] = true;
         wake(world, machines.get(3), up, 3, machines.get(3).start(world.now()));
         world.until(15 * SECOND);
-        assertTrue(told.stream().anyMatch(t -> t.startsWith("2 twin LEFT displaced")), told.toString());
-        assertEquals("127.0.0.1:4", address(machines.get(0), world), "the later one speaks for the name");
+        assertTrue(
+                told.stream().anyMatch(t -> t.startsWith("2 twin LEFT displaced")),
+                told.toString());
+        assertEquals(
+                "127.0.0.1:4",
+                address(machines.get(0), world),
+                "the later one speaks for the name");
         assertEquals(2, machines.get(0).alive());
         up[3] = false;
         world.until(40 * SECOND);
-        assertEquals("127.0.0.1:3", address(machines.get(0), world), "and the first one again after it");
+        assertEquals(
+                "127.0.0.1:3", address(machines.get(0), world), "and the first one again after it");
         assertEquals(State.ALIVE, machines.get(0).stateOf("twin"));
     }
 
     private static void wake(World world, Membership machine, boolean[] up, int number, long at) {
-        world.at(at, () -> {
-            if (up[number] && machine.wakesBy(world.now())) {
-                wake(world, machine, up, number, machine.wake(world.now()));
-            }
-        });
+        world.at(
+                at,
+                () -> {
+                    if (up[number] && machine.wakesBy(world.now())) {
+                        wake(world, machine, up, number, machine.wake(world.now()));
+                    }
+                });
     }
 
     private static String address(Membership machine, World world) {
-        return machine.view(world.now()).lines().stream().filter(l -> l.name().equals("twin")).findFirst()
-            .orElseThrow().address();
+        return machine.view(world.now()).lines().stream()
+                .filter(l -> l.name().equals("twin"))
+                .findFirst()
+                .orElseThrow()
+                .address();
     }
 
-    /** A view of as many as it may hold: nobody else gets in, no names that come and go make it grow. */
+    /**
+     * A view of as many as it may hold: nobody else gets in, no names that come and go make it
+     * grow.
+     */
     @Example
     void theGreatestFleetIsABound() {
         Fleet fleet = fleet(2, 12, rules(3, 3, 20_000, 8, 6_000_000, 3, 2), new Habits());
@@ -418,23 +576,33 @@
             full += node.view().counts().get(Count.FULL);
         }
         assertTrue(full > 0, "who found no room is counted");
-        Membership one = new Membership(rules(3, 3, 20_000, 64, 20 * SECOND, 3, 2), new Membership.Outlet() {
-            @Override
-            public void send(String to, byte[] datagram) {
-            }
-
-            @Override
-            public void changed(String who, State state, String reason) {
-            }
-        }, "me", "127.0.0.1:1", List.of("127.0.0.1:2"), false, 1_000, 0, new SplittableRandom(1));
+        Membership one =
+                new Membership(
+                        rules(3, 3, 20_000, 64, 20 * SECOND, 3, 2),
+                        new Membership.Outlet() {
+                            @Override
+                            public void send(String to, byte[] datagram) {}
+
+                            @Override
+                            public void changed(String who, State state, String reason) {}
+                        },
+                        "me",
+                        "127.0.0.1:1",
+                        List.of("127.0.0.1:2"),
+                        false,
+                        1_000,
+                        0,
+                        new SplittableRandom(1));
         one.start(0);
         long now = 0;
         for (int i = 0; i < 5_000; i++) {
             Word other = new Word("x" + i, "127.0.0.1:" + (2 + i), 1_000, 0, State.ALIVE, 0);
-            Codec.Writer hello = Codec.begin(new Message(Message.Kind.PING, other, 1, 0, 0), Codec.LONGEST);
+            Codec.Writer hello =
+                    Codec.begin(new Message(Message.Kind.PING, other, 1, 0, 0), Codec.LONGEST);
             one.heard(now, other.address(), hello.done(), hello.size());
             Word left = other.with(State.LEFT, 0);
-            Codec.Writer bye = Codec.begin(new Message(Message.Kind.WORDS, left, 2, 0, 0), Codec.LONGEST);
+            Codec.Writer bye =
+                    Codec.begin(new Message(Message.Kind.WORDS, left, 2, 0, 0), Codec.LONGEST);
             one.heard(now, other.address(), bye.done(), bye.size());
             now += 100;
             one.wake(now);
@@ -444,7 +612,10 @@
         assertEquals(1, one.view(now + 60 * SECOND).lines().size(), "who has left is forgotten");
     }
 
-    /** One that has been stopped for longer than the dead are remembered takes nothing it knew for news. */
+    /**
+     * One that has been stopped for longer than the dead are remembered takes nothing it knew for
+     * news.
+     */
     @Example
     void whoSleptThroughADeathDoesNotBringItBack() {
         Fleet fleet = fleet(6, 5, rules(3, 3, 20_000, 1_024, 20 * SECOND, 3, 2), new Habits());
@@ -466,17 +637,35 @@
         assertTrue(fleet.untilAgreed(3 * SECOND) >= 0);
     }
 
-    /** The seeds that a file names are dead when it joins; one that comes later brings them together. */
+    /**
+     * The seeds that a file names are dead when it joins; one that comes later brings them
+     * together.
+     */
     @Example
     void deadSeedsAreCalledAgain() {
-        Fleet fleet = new Fleet(new World(9), 5, usual(), (r, out, name, at, contacts, closed, life, tag,
-            random) -> new Membership(r, out, name, at, contacts.subList(0, 2), false, life, tag, random));
+        Fleet fleet =
+                new Fleet(
+                        new World(9),
+                        5,
+                        usual(),
+                        (r, out, name, at, contacts, closed, life, tag, random) ->
+                                new Membership(
+                                        r,
+                                        out,
+                                        name,
+                                        at,
+                                        contacts.subList(0, 2),
+                                        false,
+                                        life,
+                                        tag,
+                                        random));
         for (int i = 2; i < 5; i++) {
             fleet.nodes.get(i).start(0);
         }
         pass(fleet, 10);
         assertEquals(0, fleet.nodes.get(3).machine.alive(), "nobody can be found");
-        assertEquals(State.ALIVE, fleet.nodes.get(3).view().lines().get(0).state(), "and it serves");
+        assertEquals(
+                State.ALIVE, fleet.nodes.get(3).view().lines().get(0).state(), "and it serves");
         fleet.nodes.get(0).start(0);
         assertTrue(fleet.untilAgreed(6 * SECOND) >= 0);
         fleet.nodes.get(0).kill();
@@ -489,9 +678,22 @@
     @Example
     void namesAndAddressesMove() {
         String[] names = new String[4];
-        Fleet fleet = new Fleet(new World(11), 4, usual(), (r, out, name, at, contacts, closed, life, tag,
-            random) -> new Membership(r, out, names[number(name)] == null ? name : names[number(name)], at,
-                contacts, closed, life, tag, random));
+        Fleet fleet =
+                new Fleet(
+                        new World(11),
+                        4,
+                        usual(),
+                        (r, out, name, at, contacts, closed, life, tag, random) ->
+                                new Membership(
+                                        r,
+                                        out,
+                                        names[number(name)] == null ? name : names[number(name)],
+                                        at,
+                                        contacts,
+                                        closed,
+                                        life,
+                                        tag,
+                                        random));
         fleet.startAll(SECOND);
         fleet.world.until(6 * SECOND);
         fleet.nodes.get(2).kill();
@@ -514,15 +716,24 @@
         return view.lines().stream().filter(l -> l.name().equals(name)).findFirst().orElseThrow();
     }
 
-    /** What changes keeps to its bounds of bytes and times; told without a bound it fills all datagrams. */
+    /**
+     * What changes keeps to its bounds of bytes and times; told without a bound it fills all
+     * datagrams.
+     */
     @Example
     void membersThatComeAndGoEverySecond() {
-        defended(seed -> churn(seed, new Habits()) < 2_000, seed -> churn(seed, new Habits() {
-            @Override
-            int times(int usual) {
-                return 1_000_000;
-            }
-        }) < 2_000);
+        defended(
+                seed -> churn(seed, new Habits()) < 2_000,
+                seed ->
+                        churn(
+                                        seed,
+                                        new Habits() {
+                                            @Override
+                                            int times(int usual) {
+                                                return 1_000_000;
+                                            }
+                                        })
+                                < 2_000);
     }
 
     /** Bytes a second in the mean of the quiet minute after a minute of comings and goings. */
@@ -555,11 +766,22 @@
     @Property(seed = "20261201", tries = 2_000)
     void hostileBytesAreDropped(@ForAll int seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Word me = new Word("n" + random.nextInt(99), random.nextBoolean() ? "10.0.0.1:7946" : "[::1]:7946",
-            random.nextLong(1L << 46), random.nextInt(1 << 30), State.ALIVE, 0);
+        Word me =
+                new Word(
+                        "n" + random.nextInt(99),
+                        random.nextBoolean() ? "10.0.0.1:7946" : "[::1]:7946",
+                        random.nextLong(1L << 46),
+                        random.nextInt(1 << 30),
+                        State.ALIVE,
+                        0);
         Message.Kind kind = Message.Kind.values()[random.nextInt(Message.Kind.values().length)];
-        Message m = new Message(kind, me, random.nextLong(1L << 32), random.nextLong(),
-            random.nextInt(1 << 16));
+        Message m =
+                new Message(
+                        kind,
+                        me,
+                        random.nextLong(1L << 32),
+                        random.nextLong(),
+                        random.nextInt(1 << 16));
         m.seq = random.nextInt();
         m.target = "n1";
         m.address = "10.0.0.2:1";
@@ -590,7 +812,10 @@
         victim.heard(7 * SECOND, "127.0.0.1:10001", noise, noise.length);
     }
 
-    /** Bytes changed on the way, without a key to tell them: whatever they made it believe does not last. */
+    /**
+     * Bytes changed on the way, without a key to tell them: whatever they made it believe does not
+     * last.
+     */
     @Example
     void whatSpoiltDatagramsMadeItBelieveDoesNotLast() {
         for (int seed = 0; seed < 3; seed++) {
@@ -602,7 +827,8 @@
             for (Fleet.Node node : fleet.nodes) {
                 for (Fleet.Node other : fleet.nodes) {
                     State state = node == other ? State.ALIVE : node.machine.stateOf(other.name);
-                    assertEquals(State.ALIVE, state, node.name + " of " + other.name + ", seed " + seed);
+                    assertEquals(
+                            State.ALIVE, state, node.name + " of " + other.name + ", seed " + seed);
                 }
             }
         }
--- a/src/test/java/cottonlock/membership/SealTest.java
+++ b/src/test/java/cottonlock/membership/SealTest.java
@@ -30,7 +30,8 @@
         byte[] datagram = {(byte) Codec.MAGIC, 1, 2, 3};
         byte[] sealed = before.seal(datagram);
         assertEquals(datagram.length + Seal.TAG, sealed.length);
-        assertArrayEquals(datagram, Arrays.copyOf(sealed, 4), "the datagram itself can be read by anybody");
+        assertArrayEquals(
+                datagram, Arrays.copyOf(sealed, 4), "the datagram itself can be read by anybody");
         assertEquals(4, before.open(sealed, sealed.length));
         assertEquals(4, changing.open(sealed, sealed.length));
         assertEquals(-1, after.open(sealed, sealed.length));
@@ -49,10 +50,14 @@
 
     @Example
     void whatIsNoKeyIsRefused() throws Exception {
-        assertTrue(assertThrows(IOException.class, () -> new Seal(List.of(Path.of("/no/such"))))
-            .getMessage().contains("is not there"));
+        assertTrue(
+                assertThrows(IOException.class, () -> new Seal(List.of(Path.of("/no/such"))))
+                        .getMessage()
+                        .contains("is not there"));
         Path spaces = key("            \n\n         x       ");
-        assertTrue(assertThrows(IOException.class, () -> new Seal(List.of(spaces)))
-            .getMessage().contains("holds no key"));
+        assertTrue(
+                assertThrows(IOException.class, () -> new Seal(List.of(spaces)))
+                        .getMessage()
+                        .contains("holds no key"));
     }
 }
