--- a/src/test/java/cottonlock/membership/SmallWorldsTest.java
+++ b/src/test/java/cottonlock/membership/SmallWorldsTest.java
@@ -17,24 +17,34 @@
 import net.jqwik.api.Example;
 
 /**
- * Three processes and every order of what may befall them, to a depth: each datagram under way comes at any
- * time or never, each clock runs as it likes, one is killed, started again or stops for a while. After each
- * step words must have moved forward only; from every state, once all is well, views must become right.
+ * Three processes and every order of what may befall them, to a depth: each datagram under way
+ * comes at any time or never, each clock runs as it likes, one is killed, started again or stops
+ * for a while. After each step words must have moved forward only; from every state, once all is
+ * well, views must become right.
  */
 class SmallWorldsTest {
-    private static final MembershipRules RULES = new MembershipRules(5_000, 1_500, 1, 1, 1, 1, 20_000, 1, 16,
-        6_000_000, 4_096, 3, 3_000, 1);
+    private static final MembershipRules RULES =
+            new MembershipRules(
+                    5_000, 1_500, 1, 1, 1, 1, 20_000, 1, 16, 6_000_000, 4_096, 3, 3_000, 1);
+
     /** Steps, beside those of the beginnings. */
     private static final int DEPTH = Integer.getInteger("cottonlock.depth", 6);
+
     /** Datagrams under way at most; beyond, the oldest is lost. */
     private static final int UNDER_WAY = 5;
 
     /** What there is to begin with. */
-    private enum Beginning { JOINED, JOINING_BY_ONE, ONE_DEAD, DEAD_AND_BACK, DOUBTING, APART }
-
-    private record Datagram(int from, int to, byte[] bytes) {
+    private enum Beginning {
+        JOINED,
+        JOINING_BY_ONE,
+        ONE_DEAD,
+        DEAD_AND_BACK,
+        DOUBTING,
+        APART
     }
 
+    private record Datagram(int from, int to, byte[] bytes) {}
+
     /** Something has gone wrong. */
     private static final class Wrong extends RuntimeException {
         private static final long serialVersionUID = 1L;
@@ -55,8 +65,10 @@
         final int[] starts = new int[3];
         final List<Datagram> underWay = new ArrayList<>();
         final List<Map<String, Word>> held = new ArrayList<>();
+
         /** The last that each has said of itself, in any of its lives. */
         final Map<String, Word> said = new TreeMap<>();
+
         boolean[][] cut = new boolean[3][3];
         int kills;
         int stalls;
@@ -70,7 +82,8 @@
                 start(p);
             }
             if (bySeed) {
-                // What the seed tells the others of one another is lost, until it has told it often enough.
+                // What the seed tells the others of one another is lost, until it has told it often
+                // enough.
                 calm(100_000, d -> d.to == 0 ? d : without(d));
                 check();
                 underWay.clear();
@@ -96,8 +109,11 @@
                 cut[1][0] = true;
                 cut[0][2] = true;
                 cut[2][0] = true;
-                until(() -> machines[0].alive() == 0 && machines[1].stateOf("a") == State.FAILED
-                    && machines[2].stateOf("a") == State.FAILED);
+                until(
+                        () ->
+                                machines[0].alive() == 0
+                                        && machines[1].stateOf("a") == State.FAILED
+                                        && machines[2].stateOf("a") == State.FAILED);
                 cut = new boolean[3][3];
             }
             underWay.clear();
@@ -116,21 +132,33 @@
             int start = ++starts[p];
             up[p] = true;
             held.get(p).clear();
-            List<String> contacts = bySeed ? List.of(address(0))
-                : List.of(address(0), address(1), address(2));
+            List<String> contacts =
+                    bySeed ? List.of(address(0)) : List.of(address(0), address(1), address(2));
             // Each start's clock is behind that of the one before.
-            machines[p] = new Membership(RULES, new Membership.Outlet() {
-                @Override
-                public void send(String to, byte[] datagram) {
-                    underWay.add(new Datagram(p, to.charAt(to.length() - 1) - '1', datagram));
-                }
-
-                @Override
-                public void changed(String who, State state, String reason) {
-                    failedInCall = state == State.FAILED ? who : failedInCall;
-                }
-            }, name(p), address(p), contacts, !bySeed, 1_000_000 - 1_000L * start, 0,
-                new SplittableRandom(p + 10L * start), habits);
+            machines[p] =
+                    new Membership(
+                            RULES,
+                            new Membership.Outlet() {
+                                @Override
+                                public void send(String to, byte[] datagram) {
+                                    underWay.add(
+                                            new Datagram(
+                                                    p, to.charAt(to.length() - 1) - '1', datagram));
+                                }
+
+                                @Override
+                                public void changed(String who, State state, String reason) {
+                                    failedInCall = state == State.FAILED ? who : failedInCall;
+                                }
+                            },
+                            name(p),
+                            address(p),
+                            contacts,
+                            !bySeed,
+                            1_000_000 - 1_000L * start,
+                            0,
+                            new SplittableRandom(p + 10L * start),
+                            habits);
             wakeAt[p] = machines[p].start(now[p]);
         }
 
@@ -183,7 +211,8 @@
                     failedInCall = null;
                     wakeAt[p] = machines[p].wake(now[p]);
                     if (failedInCall != null) {
-                        throw new Wrong(name(p) + " has stood still and calls " + failedInCall + " failed");
+                        throw new Wrong(
+                                name(p) + " has stood still and calls " + failedInCall + " failed");
                     }
                 }
             }
@@ -194,14 +223,22 @@
         }
 
         private void deliver(Datagram d) {
-            wakeAt[d.to] = machines[d.to].heard(now[d.to], address(d.from), d.bytes, d.bytes.length);
+            wakeAt[d.to] =
+                    machines[d.to].heard(now[d.to], address(d.from), d.bytes, d.bytes.length);
         }
 
         /** Words move forward only, and none goes beyond what its subject has said of itself. */
         private void check() {
             for (int p = 0; p < 3; p++) {
                 View.Line own = machines[p].view(now[p]).lines().get(0);
-                Word w = new Word(own.name(), own.address(), own.life(), own.turn(), State.JOINING, 0);
+                Word w =
+                        new Word(
+                                own.name(),
+                                own.address(),
+                                own.life(),
+                                own.turn(),
+                                State.JOINING,
+                                0);
                 said.merge(own.name(), w, (one, other) -> one.outweighs(other) ? one : other);
             }
             for (int p = 0; p < 3; p++) {
@@ -216,7 +253,13 @@
                     }
                     Word own = said.get(l.name());
                     if (l.life() > own.life() || l.life() == own.life() && l.turn() > own.turn()) {
-                        throw new Wrong(name(p) + " holds " + w + ", which " + l.name() + " has never said");
+                        throw new Wrong(
+                                name(p)
+                                        + " holds "
+                                        + w
+                                        + ", which "
+                                        + l.name()
+                                        + " has never said");
                     }
                 }
             }
@@ -281,8 +324,15 @@
                     // With the only seed dead, two that have not met have nobody to tell them.
                     boolean apart = bySeed && !up[0] && state == null;
                     if (up[p] && lives != up[q] && !apart) {
-                        throw new Wrong("in the end " + name(p) + " holds " + name(q) + " for " + state
-                            + ", which " + (up[q] ? "lives" : "is dead"));
+                        throw new Wrong(
+                                "in the end "
+                                        + name(p)
+                                        + " holds "
+                                        + name(q)
+                                        + " for "
+                                        + state
+                                        + ", which "
+                                        + (up[q] ? "lives" : "is dead"));
                     }
                 }
                 // Where there is but one to tell, it is not told of itself.
@@ -299,8 +349,8 @@
 
         private static String text(Datagram d) {
             Message m = read(d);
-            return d.from + ">" + d.to + m.kind + m.sender + m.digest + m.lag + m.target + m.behalf + m.heard
-                + m.seq + m.words;
+            return d.from + ">" + d.to + m.kind + m.sender + m.digest + m.lag + m.target + m.behalf
+                    + m.heard + m.seq + m.words;
         }
 
         String key() {
@@ -366,11 +416,14 @@
 
     private static long explore(Habits habits, int depth) {
         AtomicLong states = new AtomicLong();
-        Stream.of(Beginning.values()).parallel().forEach(beginning -> {
-            Explorer explorer = new Explorer(beginning, habits, depth);
-            explorer.explore();
-            states.addAndGet(explorer.keys.size());
-        });
+        Stream.of(Beginning.values())
+                .parallel()
+                .forEach(
+                        beginning -> {
+                            Explorer explorer = new Explorer(beginning, habits, depth);
+                            explorer.explore();
+                            states.addAndGet(explorer.keys.size());
+                        });
         return states.get();
     }
 
@@ -378,8 +431,9 @@
     void everyOrderEndsInViewsThatAreRight() {
         long from = System.nanoTime();
         long states = explore(new Habits(), DEPTH);
-        System.out.printf("small worlds: %d states to a depth of %d from %d beginnings, %.1f s%n", states,
-            DEPTH, Beginning.values().length, (System.nanoTime() - from) / 1e9);
+        System.out.printf(
+                "small worlds: %d states to a depth of %d from %d beginnings, %.1f s%n",
+                states, DEPTH, Beginning.values().length, (System.nanoTime() - from) / 1e9);
         assertTrue(states > 5_000, states + " states");
     }
 
@@ -387,62 +441,77 @@
     @Example
     void plantedFaultsAreFound() {
         Map<String, Habits> faults = new TreeMap<>();
-        faults.put("an old word is believed", new Habits() {
-            @Override
-            boolean outweighs(Word one, Word other) {
-                return !one.equals(other);
-            }
-        });
-        faults.put("the turn is not raised", new Habits() {
-            @Override
-            int raised(int turn) {
-                return turn;
-            }
-        });
-        faults.put("the life is not raised", new Habits() {
-            @Override
-            long begun(long life) {
-                return life - 1;
-            }
-        });
-        faults.put("views are not mended", new Habits() {
-            @Override
-            boolean mends() {
-                return false;
-            }
-        });
-        faults.put("a doubt has no end", new Habits() {
-            @Override
-            long end(Suspicion s) {
-                return Long.MAX_VALUE / 8;
-            }
-        });
-        faults.put("its own standstill is ignored", new Habits() {
-            @Override
-            boolean doubtsItself() {
-                return false;
-            }
+        faults.put(
+                "an old word is believed",
+                new Habits() {
+                    @Override
+                    boolean outweighs(Word one, Word other) {
+                        return !one.equals(other);
+                    }
+                });
+        faults.put(
+                "the turn is not raised",
+                new Habits() {
+                    @Override
+                    int raised(int turn) {
+                        return turn;
+                    }
+                });
+        faults.put(
+                "the life is not raised",
+                new Habits() {
+                    @Override
+                    long begun(long life) {
+                        return life - 1;
+                    }
+                });
+        faults.put(
+                "views are not mended",
+                new Habits() {
+                    @Override
+                    boolean mends() {
+                        return false;
+                    }
+                });
+        faults.put(
+                "a doubt has no end",
+                new Habits() {
+                    @Override
+                    long end(Suspicion s) {
+                        return Long.MAX_VALUE / 8;
+                    }
+                });
+        faults.put(
+                "its own standstill is ignored",
+                new Habits() {
+                    @Override
+                    boolean doubtsItself() {
+                        return false;
+                    }
 
-            @Override
-            boolean looksItself() {
-                return false;
-            }
-        });
-        faults.put("changes are told for ever", new Habits() {
-            @Override
-            int times(int usual) {
-                return 1_000_000;
-            }
-        });
+                    @Override
+                    boolean looksItself() {
+                        return false;
+                    }
+                });
+        faults.put(
+                "changes are told for ever",
+                new Habits() {
+                    @Override
+                    int times(int usual) {
+                        return 1_000_000;
+                    }
+                });
         List<String> missed = new ArrayList<>();
-        faults.forEach((name, habits) -> {
-            try {
-                explore(habits, 3);
-                missed.add(name);
-            } catch (Wrong e) {
-                System.out.println("planted: " + name + ": " + e.getMessage());
-            }
-        });
+        faults.forEach(
+                (name, habits) -> {
+                    try {
+                        explore(habits, 3);
+                        missed.add(name);
+                    } catch (Wrong e) {
+                        System.out.println("planted: " + name + ": " + e.getMessage());
+                    }
+                });
         assertEquals(List.of(), missed, "faults that nobody found");
     }
 }
--- a/src/test/java/cottonlock/membership/TableTest.java
+++ b/src/test/java/cottonlock/membership/TableTest.java
@@ -33,8 +33,14 @@
     private static void change(Table table, SplittableRandom random) {
         // Addresses are shared by some, so that one that is gone may leave another there.
         String name = "n" + random.nextInt(300);
-        Word w = new Word(name, "10.0.0." + random.nextInt(2, 120) + ":1", 1 + random.nextInt(3),
-            random.nextInt(4), State.values()[random.nextInt(5)], 0);
+        Word w =
+                new Word(
+                        name,
+                        "10.0.0." + random.nextInt(2, 120) + ":1",
+                        1 + random.nextInt(3),
+                        random.nextInt(4),
+                        State.values()[random.nextInt(5)],
+                        0);
         Known k = table.get(name);
         int what = random.nextInt(5);
         if (k == null) {
@@ -63,7 +69,9 @@
             assertSame(k, table.get(k.word.name()));
             assertSame(k, table.hashed(k.hash));
         }
-        table.all().stream().filter(k -> k.word.state().lives()).forEach(k -> open.remove(k.word.address()));
+        table.all().stream()
+                .filter(k -> k.word.state().lives())
+                .forEach(k -> open.remove(k.word.address()));
         open.remove("10.0.0.7:1");
         assertEquals(new ArrayList<>(open), table.addresses().open("10.0.0.7:1"));
         assertEquals(alive, table.alive());
@@ -102,7 +110,10 @@
                 marks[part] += (int) (w.mark() >>> 32);
             }
             assertEquals(words, table.words(parts, part), "part " + part + " of " + parts);
-            assertEquals(between, table.between(parts, part, "n150", "n27"), "part " + part + " of " + parts);
+            assertEquals(
+                    between,
+                    table.between(parts, part, "n150", "n27"),
+                    "part " + part + " of " + parts);
         }
         assertArrayEquals(marks, table.marks(parts), parts + " parts");
     }
@@ -128,7 +139,7 @@
 
     private static String[] alike() {
         java.util.Map<Integer, String> seen = new java.util.HashMap<>();
-        for (int i = 0;; i++) {
+        for (int i = 0; ; i++) {
             String name = "x" + i;
             String before = seen.put(Word.hash(name), name);
             if (before != null) {
--- a/src/test/java/cottonlock/net/BackendThreadsTest.java
+++ b/src/test/java/cottonlock/net/BackendThreadsTest.java
@@ -14,35 +14,43 @@
 class BackendThreadsTest extends ProxyFixture {
     private static final int MANY = 60;
 
-    /** What each thread of the proxy was made by, told by the threads themselves: they inherit this. */
+    /**
+     * What each thread of the proxy was made by, told by the threads themselves: they inherit this.
+     */
     private static final List<String> MAKERS = new CopyOnWriteArrayList<>();
-    private static final InheritableThreadLocal<Boolean> MADE = new InheritableThreadLocal<>() {
-        @Override
-        protected Boolean childValue(Boolean parent) {
-            if (parent) {
-                MAKERS.add(Thread.currentThread().getName());
-            }
-            return parent;
-        }
-    };
+
+    private static final InheritableThreadLocal<Boolean> MADE =
+            new InheritableThreadLocal<>() {
+                @Override
+                protected Boolean childValue(Boolean parent) {
+                    if (parent) {
+                        MAKERS.add(Thread.currentThread().getName());
+                    }
+                    return parent;
+                }
+            };
 
     private final ThreadGroup group = new ThreadGroup("proxy of this test");
 
     /** All of the proxy's threads come from the one that it is built by. */
     private void startInGroup(String... hosts) throws Exception {
         MAKERS.clear();
-        FutureTask<Void> building = new FutureTask<>(() -> {
-            MADE.set(true);
-            start(256, 1, "", hosts);
-            return null;
-        });
+        FutureTask<Void> building =
+                new FutureTask<>(
+                        () -> {
+                            MADE.set(true);
+                            start(256, 1, "", hosts);
+                            return null;
+                        });
         new Thread(group, building, "builder").start();
         building.get();
     }
 
     private long threads(String name) {
         Thread[] all = new Thread[4 * MANY];
-        return Arrays.stream(all, 0, group.enumerate(all)).filter(t -> t.getName().equals(name)).count();
+        return Arrays.stream(all, 0, group.enumerate(all))
+                .filter(t -> t.getName().equals(name))
+                .count();
     }
 
     private static long madeBy(String name) {
--- a/src/test/java/cottonlock/net/ClientsThatLeaveTest.java
+++ b/src/test/java/cottonlock/net/ClientsThatLeaveTest.java
@@ -22,11 +22,13 @@
 import net.jqwik.api.Example;
 
 /**
- * Whoever closes its connection has gone, and nothing of its request begins to be sent on from then on,
- * wherever it waits. Each place of docs/races.md, Clients that leave, is held open while the client goes.
+ * Whoever closes its connection has gone, and nothing of its request begins to be sent on from then
+ * on, wherever it waits. Each place of docs/races.md, Clients that leave, is held open while the
+ * client goes.
  */
 class ClientsThatLeaveTest extends ProxyFixture {
     private static final String FAILED = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n";
+
     /** More than is dropped of a flood before a client is read no further. */
     private static final int FLOOD = 320 << 10;
 
@@ -39,20 +41,25 @@
     private final Buffers buffers = new Buffers(16, 4);
     private final Workers workers = new Workers();
     private final Watchdog watchdog = new Watchdog();
+
     /** Its thread is never started: what it is told stays in its mailbox. */
     private final ModuleActor module = new ModuleActor(clock, entry -> null, figures, log);
 
-    private record Sent(ClientRequest request, ClientRequest.Attempt attempt) {
-    }
+    private record Sent(ClientRequest request, ClientRequest.Attempt attempt) {}
 
     private Sent attempt(BackendActor actor) throws Exception {
         Head head = new Head(new String[] {"POST", "/once", "HTTP/1.1"});
         Body body = new Body(buffers, null);
         body.add("body".getBytes(StandardCharsets.ISO_8859_1), 0, 4);
-        ClientRequest request = new ClientRequest(null,
-            new Admission.Asked(head, "id", null, 0, "once", 0, "acme", 0), body, clock.now() + 100_000,
-            ConcurrentHashMap.newKeySet());
-        ClientRequest.Attempt attempt = new ClientRequest.Attempt(request, 0, Long.MAX_VALUE, module);
+        ClientRequest request =
+                new ClientRequest(
+                        null,
+                        new Admission.Asked(head, "id", null, 0, "once", 0, "acme", 0),
+                        body,
+                        clock.now() + 100_000,
+                        ConcurrentHashMap.newKeySet());
+        ClientRequest.Attempt attempt =
+                new ClientRequest.Attempt(request, 0, Long.MAX_VALUE, module);
         assertTrue(actor == null || actor.attempt(attempt));
         return new Sent(request, attempt);
     }
@@ -62,18 +69,39 @@
     }
 
     private BackendActor actor(StandIn backend, long settle) {
-        return new BackendActor(address(backend), new ConnectionPermits(4), new KeepAlive(), workers, 8_000,
-            60_000, settle, buffers, new HttpWriter(buffers), watchdog, clock, figures, log);
+        return new BackendActor(
+                address(backend),
+                new ConnectionPermits(4),
+                new KeepAlive(),
+                workers,
+                8_000,
+                60_000,
+                settle,
+                buffers,
+                new HttpWriter(buffers),
+                watchdog,
+                clock,
+                figures,
+                log);
     }
 
     private BackendConnection connection(StandIn backend, Sent first) {
-        return new BackendConnection(actor(backend, 0), address(backend), 8_000, buffers,
-            new HttpWriter(buffers), watchdog, clock, figures, log, first.attempt);
+        return new BackendConnection(
+                actor(backend, 0),
+                address(backend),
+                8_000,
+                buffers,
+                new HttpWriter(buffers),
+                watchdog,
+                clock,
+                figures,
+                log,
+                first.attempt);
     }
 
     private static boolean stands(String where) {
         return Thread.getAllStackTraces().values().stream()
-            .anyMatch(trace -> List.of(trace).toString().matches("(?s).*" + where + ".*"));
+                .anyMatch(trace -> List.of(trace).toString().matches("(?s).*" + where + ".*"));
     }
 
     private static boolean awaits(CountDownLatch latch) {
@@ -86,20 +114,28 @@
         }
     }
 
-    /** A long wait without a second answer, and much time until it is due; the module's line, that of
-     * the first tier, holds work for long. */
+    /**
+     * A long wait without a second answer, and much time until it is due; the module's line, that
+     * of the first tier, holds work for long.
+     */
     private void startPatient(StandIn... backends) throws IOException {
         String[] hosts = new String[backends.length];
         for (int i = 0; i < hosts.length; i++) {
             hosts[i] = backends[i].host("b" + i);
         }
-        proxy = new Proxy(config(settings(256, 1, "", hosts).replace("1500000", "20000000")
-            .replace("800000", "80000000").replace("\"Stage\":1", "\"Stage\":0")));
+        proxy =
+                new Proxy(
+                        config(
+                                settings(256, 1, "", hosts)
+                                        .replace("1500000", "20000000")
+                                        .replace("800000", "80000000")
+                                        .replace("\"Stage\":1", "\"Stage\":0")));
         buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
     }
 
     private static String patient(String category, String id) {
-        return request(category, id, "X-Timeout-Ms: 20000\r\n", category.equals("read") ? "" : "body");
+        return request(
+                category, id, "X-Timeout-Ms: 20000\r\n", category.equals("read") ? "" : "body");
     }
 
     private Client onlyClient() throws Exception {
@@ -121,8 +157,11 @@
 
     // Before an attempt
 
-    /** Eight requests fill the room of the only backend, which is four, and more; so many others, the last
-     * ones, wait in the line of the module. Its thread stands still by then, until {@code goOn}. */
+    /**
+     * Eight requests fill the room of the only backend, which is four, and more; so many others,
+     * the last ones, wait in the line of the module. Its thread stands still by then, until {@code
+     * goOn}.
+     */
     private List<Socket> fill(int waiting, CountDownLatch goOn) throws Exception {
         for (int i = 0; i < 6; i++) {
             // Without answers before, nothing waits.
@@ -137,20 +176,27 @@
             Socket socket = connect();
             send(socket, patient("read", "held" + i));
             sockets.add(socket);
-            eventually(() -> proxy.listener().clients().size() == sockets.size()
-                && proxy.listener().clients().stream().allMatch(Client::owed), "taken in");
+            eventually(
+                    () ->
+                            proxy.listener().clients().size() == sockets.size()
+                                    && proxy.listener().clients().stream().allMatch(Client::owed),
+                    "taken in");
         }
-        proxy.module().hang(() -> {
-            decided.countDown();
-            awaits(goOn);
-        });
+        proxy.module()
+                .hang(
+                        () -> {
+                            decided.countDown();
+                            awaits(goOn);
+                        });
         come.countDown();
         assertTrue(awaits(decided), "decided");
         return sockets;
     }
 
     private static List<String> ids(StandIn backend) {
-        return backend.requests.stream().map(request -> field(request, "X-Request-ID", "")).toList();
+        return backend.requests.stream()
+                .map(request -> field(request, "X-Request-ID", ""))
+                .toList();
     }
 
     private static boolean quick(List<String> request) {
@@ -174,7 +220,8 @@
             assertEquals(200, status(receive(socket)));
         }
         for (int i = 0; i < 4; i++) {
-            assertEquals(200, status(call(patient("read", "quick-after" + i))), "they hold no room");
+            assertEquals(
+                    200, status(call(patient("read", "quick-after" + i))), "they hold no room");
         }
         assertEquals(18, backend.requests.size(), "sent on though they had left: " + ids(backend));
     }
@@ -194,8 +241,9 @@
         CountDownLatch further = new CountDownLatch(1);
         proxy.module().hang(() -> awaits(further));
         goOn.countDown();
-        eventually(() -> proxy.listener().clients().stream().filter(Client::owed).count() == 8,
-            "answered at once, by no attempt's end");
+        eventually(
+                () -> proxy.listener().clients().stream().filter(Client::owed).count() == 8,
+                "answered at once, by no attempt's end");
         answer.countDown();
         further.countDown();
         for (Socket socket : sockets) {
@@ -203,7 +251,8 @@
         }
         eventually(() -> proxy.listener().clients().stream().noneMatch(Client::owed), "answered");
         assertEquals(200, status(call(patient("read", "quick-after"))));
-        assertEquals(15, backend.requests.size(), "sent on though it might have left: " + ids(backend));
+        assertEquals(
+                15, backend.requests.size(), "sent on though it might have left: " + ids(backend));
     }
 
     @Example
@@ -324,7 +373,10 @@
         eventually(() -> buffers.left() == 16, "all buffers are back");
     }
 
-    /** It was read late, its client had gone before, and the thread that sees that has not yet looked. */
+    /**
+     * It was read late, its client had gone before, and the thread that sees that has not yet
+     * looked.
+     */
     @Example
     void beforeTheFirstLookAtItsClient() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
@@ -337,7 +389,9 @@
         Thread writer = Sockets.thread("writer", () -> connection.send(next.attempt));
         synchronized (next.request) {
             writer.start();
-            eventually(() -> writer.getState() == Thread.State.BLOCKED, "its write waits for the look");
+            eventually(
+                    () -> writer.getState() == Thread.State.BLOCKED,
+                    "its write waits for the look");
             assertTrue(next.request.claim());
         }
         writer.join(4_000);
@@ -354,10 +408,12 @@
     @Example
     void behindAnotherRequestOfItsOwn() throws Exception {
         CountDownLatch goOn = new CountDownLatch(1);
-        StandIn backend = new StandIn(request -> {
-            goOn.await(8, TimeUnit.SECONDS);
-            return OK;
-        });
+        StandIn backend =
+                new StandIn(
+                        request -> {
+                            goOn.await(8, TimeUnit.SECONDS);
+                            return OK;
+                        });
         startPatient(backend);
         for (boolean reset : new boolean[] {false, true}) {
             int before = backend.requests.size();
@@ -376,12 +432,16 @@
     void behindAnAnswerThatIsPassedOn() throws Exception {
         CountDownLatch left = new CountDownLatch(1);
         StandIn backend = new StandIn(request -> SILENT);
-        backend.play = request -> {
-            Socket socket = backend.sockets.get(0);
-            send(socket, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + "x".repeat(80_000));
-            awaits(left);
-            return "x".repeat(20_000);
-        };
+        backend.play =
+                request -> {
+                    Socket socket = backend.sockets.get(0);
+                    send(
+                            socket,
+                            "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"
+                                    + "x".repeat(80_000));
+                    awaits(left);
+                    return "x".repeat(20_000);
+                };
         startPatient(backend);
         Socket socket = connect();
         send(socket, patient("once", "first") + patient("once", "second"));
@@ -402,17 +462,20 @@
     void beforeAFurtherAttempt() throws Exception {
         for (String how : List.of("end", "reset", "half")) {
             CountDownLatch goOn = new CountDownLatch(1);
-            StandIn one = new StandIn(request -> {
-                goOn.await(8, TimeUnit.SECONDS);
-                return NOT_RUN;
-            });
+            StandIn one =
+                    new StandIn(
+                            request -> {
+                                goOn.await(8, TimeUnit.SECONDS);
+                                return NOT_RUN;
+                            });
             StandIn other = new StandIn(one.play);
             startPatient(one, other);
             Socket socket = connect();
             send(socket, patient("once", how));
             eventually(() -> one.requests.size() + other.requests.size() == 1, "the first is out");
             if (how.equals("half")) {
-                // From here it can't be told from an end, and there is no answer that it could wait for.
+                // From here it can't be told from an end, and there is no answer that it could wait
+                // for.
                 socket.shutdownOutput();
                 eventually(() -> proxy.listener().clients().isEmpty(), "its leaving is noticed");
             } else {
@@ -428,23 +491,27 @@
     }
 
     private Thread flood(Socket socket) {
-        return Sockets.start("flood", () -> {
-            try {
-                send(socket, "x".repeat(FLOOD));
-            } catch (IOException e) {
-                // It is read no further.
-            }
-        });
+        return Sockets.start(
+                "flood",
+                () -> {
+                    try {
+                        send(socket, "x".repeat(FLOOD));
+                    } catch (IOException e) {
+                        // It is read no further.
+                    }
+                });
     }
 
     /** Who sends so much is read no further until its answer, and might leave unseen. */
     @Example
     void behindAFloodThereIsNoFurtherAttempt() throws Exception {
         CountDownLatch goOn = new CountDownLatch(1);
-        StandIn one = new StandIn(request -> {
-            goOn.await(8, TimeUnit.SECONDS);
-            return NOT_RUN;
-        });
+        StandIn one =
+                new StandIn(
+                        request -> {
+                            goOn.await(8, TimeUnit.SECONDS);
+                            return NOT_RUN;
+                        });
         StandIn other = new StandIn(one.play);
         startPatient(one, other);
         Socket socket = connect();
@@ -463,7 +530,9 @@
         assertEquals(2, one.requests.size() + other.requests.size());
     }
 
-    /** The same before its first attempt is written, which waits for something else than the module. */
+    /**
+     * The same before its first attempt is written, which waits for something else than the module.
+     */
     @Example
     void behindAFloodTheFirstAttemptGoesOutSoonOrNotAtAll() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
@@ -489,10 +558,12 @@
     @Example
     void whatWasReadJustBeforeItsConnectionWasEndedHasNoFurtherAttempt() throws Exception {
         CountDownLatch goOn = new CountDownLatch(1);
-        StandIn one = new StandIn(request -> {
-            goOn.await(8, TimeUnit.SECONDS);
-            return NOT_RUN;
-        });
+        StandIn one =
+                new StandIn(
+                        request -> {
+                            goOn.await(8, TimeUnit.SECONDS);
+                            return NOT_RUN;
+                        });
         StandIn other = new StandIn(one.play);
         startPatient(one, other);
         Socket socket = connect();
@@ -502,10 +573,11 @@
         Client client = onlyClient();
         CountDownLatch read = new CountDownLatch(1);
         CountDownLatch ended = new CountDownLatch(1);
-        client.afterRead = () -> {
-            read.countDown();
-            awaits(ended);
-        };
+        client.afterRead =
+                () -> {
+                    read.countDown();
+                    awaits(ended);
+                };
         send(socket, patient("once", "read"));
         assertTrue(awaits(read));
         client.close();
@@ -578,25 +650,46 @@
         }
     }
 
-    /** Bytes come in the moment of the shutdown: their client takes them for unread and sends them again. */
+    /**
+     * Bytes come in the moment of the shutdown: their client takes them for unread and sends them
+     * again.
+     */
     @Example
     void whatIsReadAfterItsConnectionWasEndedIsNotSentOn() throws Exception {
         Settings settings = Config.read(config(settings(256, 1, ""))).settings();
-        Admission admission = new Admission(clock, new Rules(null, new Assembly(settings), settings));
-        Listener listener = new Listener(new InetSocketAddress("127.0.0.1", 0), false, 50,
-            (socket, from) -> new Client(new LateSocket(socket, request("once", "late", "", "body")), from,
-                module, admission, buffers, null, new HttpWriter(buffers), watchdog, figures, log), workers,
-            log);
+        Admission admission =
+                new Admission(clock, new Rules(null, new Assembly(settings), settings));
+        Listener listener =
+                new Listener(
+                        new InetSocketAddress("127.0.0.1", 0),
+                        false,
+                        50,
+                        (socket, from) ->
+                                new Client(
+                                        new LateSocket(socket, request("once", "late", "", "body")),
+                                        from,
+                                        module,
+                                        admission,
+                                        buffers,
+                                        null,
+                                        new HttpWriter(buffers),
+                                        watchdog,
+                                        figures,
+                                        log),
+                        workers,
+                        log);
         Thread thread = Sockets.start("listener", listener);
         try (Socket socket = new Socket("127.0.0.1", listener.port())) {
             socket.setSoTimeout(8_000);
             eventually(() -> listener.clients().size() == 1, "taken in");
             Client client = listener.clients().iterator().next();
             eventually(() -> stands("LateSocket.*Client.awaitRequest"), "it rests");
-            eventually(() -> {
-                client.close();
-                return client.ends();
-            }, "told to end");
+            eventually(
+                    () -> {
+                        client.close();
+                        return client.ends();
+                    },
+                    "told to end");
             assertEquals("", receive(socket));
             assertFalse(client.worked(), "taken though its client sends it again");
         } finally {
@@ -612,14 +705,16 @@
     void timeSpentBehindAnotherRequestIsNotTold() throws Exception {
         long[] from = new long[2];
         long[] spent = new long[1];
-        StandIn backend = new StandIn(request -> {
-            if (field(request, "X-Request-ID", "").equals("first")) {
-                from[0] = System.nanoTime();
-                Thread.sleep(400);
-                spent[0] = (System.nanoTime() - from[0]) / 1_000_000;
-            }
-            return OK;
-        });
+        StandIn backend =
+                new StandIn(
+                        request -> {
+                            if (field(request, "X-Request-ID", "").equals("first")) {
+                                from[0] = System.nanoTime();
+                                Thread.sleep(400);
+                                spent[0] = (System.nanoTime() - from[0]) / 1_000_000;
+                            }
+                            return OK;
+                        });
         startPatient(backend);
         Socket socket = connect();
         send(socket, patient("once", "first") + patient("once", "second"));
--- a/src/test/java/cottonlock/net/ListsTest.java
+++ b/src/test/java/cottonlock/net/ListsTest.java
@@ -39,8 +39,10 @@
 /** The list of backends: when it has come, what it does, and what must not keep it away. */
 class ListsTest extends ProxyFixture {
     private static final String HEAD = "HTTP/1.1 200 OK\r\n\r\n";
+
     /** In tenths of a millisecond: by then, what discovery has counts as told. */
     private static final long TOLD = 60_000;
+
     /** What the sum of all phases leaves for the answer. */
     private static final long ANSWER = 1_500;
 
@@ -53,28 +55,37 @@
     private ServerSocket discovery(int port, Call call) throws IOException {
         ServerSocket server = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
         open.add(server);
-        Sockets.start("discovery", () -> {
-            try {
-                while (true) {
-                    Socket socket = server.accept();
-                    open.add(socket);
-                    Sockets.start("discovery call", () -> {
-                        try (socket) {
-                            BufferedReader in = new BufferedReader(
-                                new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
-                            for (String line = in.readLine(); !line.isEmpty(); line = in.readLine()) {
-                                // The call's head.
-                            }
-                            call.on(socket);
-                        } catch (Exception e) {
-                            // The call has ended.
+        Sockets.start(
+                "discovery",
+                () -> {
+                    try {
+                        while (true) {
+                            Socket socket = server.accept();
+                            open.add(socket);
+                            Sockets.start(
+                                    "discovery call",
+                                    () -> {
+                                        try (socket) {
+                                            BufferedReader in =
+                                                    new BufferedReader(
+                                                            new InputStreamReader(
+                                                                    socket.getInputStream(),
+                                                                    StandardCharsets.ISO_8859_1));
+                                            for (String line = in.readLine();
+                                                    !line.isEmpty();
+                                                    line = in.readLine()) {
+                                                // The call's head.
+                                            }
+                                            call.on(socket);
+                                        } catch (Exception e) {
+                                            // The call has ended.
+                                        }
+                                    });
                         }
-                    });
-                }
-            } catch (IOException e) {
-                // The test is over, or discovery is down.
-            }
-        });
+                    } catch (IOException e) {
+                        // The test is over, or discovery is down.
+                    }
+                });
         return server;
     }
 
@@ -114,20 +125,16 @@
         private long wakeAt;
 
         @Override
-        public void attempt(long req, String backend, long sendBy) {
-        }
+        public void attempt(long req, String backend, long sendBy) {}
 
         @Override
-        public void recall(long req, int attempt) {
-        }
+        public void recall(long req, int attempt) {}
 
         @Override
-        public void defer(long req, long comeBack, Reason why) {
-        }
+        public void defer(long req, long comeBack, Reason why) {}
 
         @Override
-        public void writeOff(long req, Reason why) {
-        }
+        public void writeOff(long req, Reason why) {}
 
         @Override
         public void wakeMe(long at) {
@@ -140,23 +147,21 @@
         }
 
         @Override
-        public void release(String backend) {
-        }
+        public void release(String backend) {}
 
         @Override
-        public void probe(String backend) {
-        }
+        public void probe(String backend) {}
 
         @Override
-        public void tellPeers(byte[] message) {
-        }
+        public void tellPeers(byte[] message) {}
 
         @Override
-        public void note(String line) {
-        }
+        public void note(String line) {}
     }
 
-    /** Tenths of a millisecond from a failure until the next call; the module is woken when it asks. */
+    /**
+     * Tenths of a millisecond from a failure until the next call; the module is woken when it asks.
+     */
     private static long pause(Balancer module, Asks asks, long now) {
         int before = asks.asked;
         module.listFailed(now);
@@ -173,12 +178,19 @@
         for (String within : List.of("2000000", "10000000", "120000000", "3600000000")) {
             long longest = 0;
             for (int seed = 0; seed < 200; seed++) {
-                Settings settings = Config.read(config(settings(256, 1, "").replace(
-                    "\"AskWithin\":1000000", "\"AskWithin\":" + within))).settings();
+                Settings settings =
+                        Config.read(
+                                        config(
+                                                settings(256, 1, "")
+                                                        .replace(
+                                                                "\"AskWithin\":1000000",
+                                                                "\"AskWithin\":" + within)))
+                                .settings();
                 Asks asks = new Asks();
                 Balancer module = new Assembly(settings).balancer(asks, seed);
                 module.start(0);
-                module.list(0, List.of(new Member("b", 0, 0, 0, Member.State.READY, 1, 0)), true, true);
+                module.list(
+                        0, List.of(new Member("b", 0, 0, 0, Member.State.READY, 1, 0)), true, true);
                 assertEquals(1, asks.asked, "a new process asks at once");
                 long now = 0;
                 for (int failed = 0; failed < 12; failed++) {
@@ -190,9 +202,11 @@
             long sum = ListWatch.SILENCE * 10 + longest + ListWatch.CONNECT * 10;
             assertTrue(sum + ANSWER <= TOLD, "of " + within + ": " + sum);
         }
-        // Where nobody decides when to ask: what is pushed counts at once, and drains bind after that.
-        assertTrue(ListWatch.SILENCE + ListWatch.LONGEST_AGAIN + ListWatch.CONNECT + ANSWER / 10
-            <= TOLD / 10);
+        // Where nobody decides when to ask: what is pushed counts at once, and drains bind after
+        // that.
+        assertTrue(
+                ListWatch.SILENCE + ListWatch.LONGEST_AGAIN + ListWatch.CONNECT + ANSWER / 10
+                        <= TOLD / 10);
     }
 
     /** All ask at once when discovery goes; they must not come back together. */
@@ -201,8 +215,14 @@
         int most = 0;
         List<List<Long>> times = new ArrayList<>();
         for (int seed = 0; seed < 400; seed++) {
-            Settings settings = Config.read(config(settings(256, 1, "").replace(
-                "\"AskWithin\":1000000", "\"AskWithin\":10000000"))).settings();
+            Settings settings =
+                    Config.read(
+                                    config(
+                                            settings(256, 1, "")
+                                                    .replace(
+                                                            "\"AskWithin\":1000000",
+                                                            "\"AskWithin\":10000000")))
+                            .settings();
             Asks asks = new Asks();
             Balancer module = new Assembly(settings).balancer(asks, seed);
             module.start(0);
@@ -224,102 +244,160 @@
         assertTrue(most <= 80, "of 400, in 50 ms: " + most);
     }
 
-    /** The module, the watch and what lies between, with a short silence in place of four seconds. */
+    /**
+     * The module, the watch and what lies between, with a short silence in place of four seconds.
+     */
     private ModuleActor chain(InetSocketAddress at, long silence, Log log) throws IOException {
         Clock clock = new Clock();
-        ModuleActor module = new ModuleActor(clock, entry -> new BackendActor(entry.dial(),
-            new ConnectionPermits(4), new KeepAlive(), new Workers(), 1_000, 60_000, BackendActor.SETTLE,
-            new Buffers(16, 4), null, null, clock, null, log), new Figures(), log);
+        ModuleActor module =
+                new ModuleActor(
+                        clock,
+                        entry ->
+                                new BackendActor(
+                                        entry.dial(),
+                                        new ConnectionPermits(4),
+                                        new KeepAlive(),
+                                        new Workers(),
+                                        1_000,
+                                        60_000,
+                                        BackendActor.SETTLE,
+                                        new Buffers(16, 4),
+                                        null,
+                                        null,
+                                        clock,
+                                        null,
+                                        log),
+                        new Figures(),
+                        log);
         Assembly assembly = new Assembly(Config.read(config(settings(256, 1, ""))).settings());
-        ListWatch watch = new ListWatch(at, new Directory(log, List.of("z"), List.of("k")), 0, true, silence,
-            module, new Buffers(16, 4), log, new SplittableRandom(1));
-        module.join(assembly.balancer(module, 1), watch, new Peers(null, List.of(), null, module, log),
-            new Bans(new Shared(null, "p", "bans", log), clock, module::bansChanged));
+        ListWatch watch =
+                new ListWatch(
+                        at,
+                        new Directory(log, List.of("z"), List.of("k")),
+                        0,
+                        true,
+                        silence,
+                        module,
+                        new Buffers(16, 4),
+                        log,
+                        new SplittableRandom(1));
+        module.join(
+                assembly.balancer(module, 1),
+                watch,
+                new Peers(null, List.of(), null, module, log),
+                new Bans(new Shared(null, "p", "bans", log), clock, module::bansChanged));
         module.list(new Directory.News(0, true, List.of()), true);
         Thread list = Sockets.start("list", watch);
         Thread actor = Sockets.start("module", module);
-        open.add(() -> {
-            list.interrupt();
-            actor.interrupt();
-            watch.close();
-            list.join(4_000);
-            actor.join(4_000);
-        });
+        open.add(
+                () -> {
+                    list.interrupt();
+                    actor.interrupt();
+                    watch.close();
+                    list.join(4_000);
+                    actor.join(4_000);
+                });
         return module;
     }
 
     /** A log whose lines go there. */
     private static Log log(Consumer<String> lines) {
-        return new Log(new System.Logger() {
-            @Override
-            public String getName() {
-                return "test";
-            }
-
-            @Override
-            public boolean isLoggable(Level level) {
-                return true;
-            }
-
-            @Override
-            public void log(Level level, ResourceBundle bundle, String text, Throwable thrown) {
-                lines.accept(text);
-            }
-
-            @Override
-            public void log(Level level, ResourceBundle bundle, String format, Object... params) {
-                lines.accept(format);
-            }
-        });
+        return new Log(
+                new System.Logger() {
+                    @Override
+                    public String getName() {
+                        return "test";
+                    }
+
+                    @Override
+                    public boolean isLoggable(Level level) {
+                        return true;
+                    }
+
+                    @Override
+                    public void log(
+                            Level level, ResourceBundle bundle, String text, Throwable thrown) {
+                        lines.accept(text);
+                    }
+
+                    @Override
+                    public void log(
+                            Level level, ResourceBundle bundle, String format, Object... params) {
+                        lines.accept(format);
+                    }
+                });
     }
 
     private static String entry(String id, String health) {
-        return "{\"host\":\"" + id + "\",\"dial\":\"127.0.0.1:9\",\"site\":\"z\",\"class\":\"k\",\"block\":0,"
-            + "\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
+        return "{\"host\":\""
+                + id
+                + "\",\"dial\":\"127.0.0.1:9\",\"site\":\"z\",\"class\":\"k\",\"block\":0,"
+                + "\"health\":\""
+                + health
+                + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
     @Example
     void whateverACallComesToItIsFollowedByAnother() throws Exception {
         Log log = new Log(System.getLogger("test"));
-        Map<String, Call> faults = Map.of(
-            "no head", socket -> hold(),
-            "half a head", socket -> {
-                send(socket, HEAD.substring(0, 8));
-                hold();
-            },
-            "503", socket -> send(socket, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
-            "head, then silence", socket -> {
-                send(socket, HEAD);
-                hold();
-            },
-            "trickle", socket -> {
-                send(socket, HEAD + "{\"seq\":9,");
-                while (true) {
-                    send(socket, " ");
-                    Thread.sleep(5);
-                }
-            },
-            "reset in a line", socket -> {
-                send(socket, HEAD + "{\"seq\":9,\"whole\":true,\"hosts\":[");
-                socket.setSoLinger(true, 0);
-            },
-            "noise", socket -> send(socket, HEAD + "\u0001}]\n"),
-            "a list, then silence", socket -> {
-                send(socket, HEAD + list(2, true, entry("b1", "active")) + "\n");
-                hold();
-            },
-            "an end in place of telling", socket -> send(socket, HEAD + list(2, true) + "\n"));
+        Map<String, Call> faults =
+                Map.of(
+                        "no head", socket -> hold(),
+                        "half a head",
+                                socket -> {
+                                    send(socket, HEAD.substring(0, 8));
+                                    hold();
+                                },
+                        "503",
+                                socket ->
+                                        send(
+                                                socket,
+                                                "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
+                        "head, then silence",
+                                socket -> {
+                                    send(socket, HEAD);
+                                    hold();
+                                },
+                        "trickle",
+                                socket -> {
+                                    send(socket, HEAD + "{\"seq\":9,");
+                                    while (true) {
+                                        send(socket, " ");
+                                        Thread.sleep(5);
+                                    }
+                                },
+                        "reset in a line",
+                                socket -> {
+                                    send(socket, HEAD + "{\"seq\":9,\"whole\":true,\"hosts\":[");
+                                    socket.setSoLinger(true, 0);
+                                },
+                        "noise", socket -> send(socket, HEAD + "\u0001}]\n"),
+                        "a list, then silence",
+                                socket -> {
+                                    send(
+                                            socket,
+                                            HEAD + list(2, true, entry("b1", "active")) + "\n");
+                                    hold();
+                                },
+                        "an end in place of telling",
+                                socket -> send(socket, HEAD + list(2, true) + "\n"));
         for (Map.Entry<String, Call> fault : faults.entrySet()) {
             AtomicInteger calls = new AtomicInteger();
-            ServerSocket server = discovery(0, socket -> {
-                if (calls.incrementAndGet() <= 3) {
-                    fault.getValue().on(socket);
-                } else {
-                    send(socket, HEAD + list(9, true, entry("b9", "active")) + "\n");
-                    hold();
-                }
-            });
-            ModuleActor module = chain(new InetSocketAddress("127.0.0.1", server.getLocalPort()), 300, log);
+            ServerSocket server =
+                    discovery(
+                            0,
+                            socket -> {
+                                if (calls.incrementAndGet() <= 3) {
+                                    fault.getValue().on(socket);
+                                } else {
+                                    send(
+                                            socket,
+                                            HEAD + list(9, true, entry("b9", "active")) + "\n");
+                                    hold();
+                                }
+                            });
+            ModuleActor module =
+                    chain(new InetSocketAddress("127.0.0.1", server.getLocalPort()), 300, log);
             sometime(() -> module.lists("b9"), "told behind: " + fault.getKey());
             assertFalse(module.lists("b1"), fault.getKey());
         }
@@ -328,10 +406,11 @@
     @Example
     void aDialThatIsRefusedOrNeverComesUpIsFollowedByAnother() throws Exception {
         Log log = new Log(System.getLogger("test"));
-        Call tells = socket -> {
-            send(socket, HEAD + list(9, true, entry("b9", "active")) + "\n");
-            hold();
-        };
+        Call tells =
+                socket -> {
+                    send(socket, HEAD + list(9, true, entry("b9", "active")) + "\n");
+                    hold();
+                };
         Socket place = refusing();
         int port = place.getLocalPort();
         ModuleActor refused = chain(new InetSocketAddress("127.0.0.1", port), 300, log);
@@ -342,27 +421,34 @@
 
         ServerSocket silent = full();
         AtomicInteger ended = new AtomicInteger();
-        ModuleActor unanswered = chain(new InetSocketAddress("127.0.0.1", silent.getLocalPort()), 300,
-            log(line -> ended.addAndGet(line.contains("timed out") ? 1 : 0)));
+        ModuleActor unanswered =
+                chain(
+                        new InetSocketAddress("127.0.0.1", silent.getLocalPort()),
+                        300,
+                        log(line -> ended.addAndGet(line.contains("timed out") ? 1 : 0)));
         // The kernel would try for two minutes.
         sometime(() -> ended.get() > 0, "given up");
-        Sockets.start("discovery", () -> {
-            try {
-                while (true) {
-                    Socket socket = silent.accept();
-                    open.add(socket);
-                    Sockets.start("discovery call", () -> {
-                        try {
-                            tells.on(socket);
-                        } catch (Exception e) {
-                            // The test is over.
+        Sockets.start(
+                "discovery",
+                () -> {
+                    try {
+                        while (true) {
+                            Socket socket = silent.accept();
+                            open.add(socket);
+                            Sockets.start(
+                                    "discovery call",
+                                    () -> {
+                                        try {
+                                            tells.on(socket);
+                                        } catch (Exception e) {
+                                            // The test is over.
+                                        }
+                                    });
                         }
-                    });
-                }
-            } catch (IOException e) {
-                // The test is over.
-            }
-        });
+                    } catch (IOException e) {
+                        // The test is over.
+                    }
+                });
         sometime(() -> unanswered.lists("b9"), "told once it accepts");
     }
 
@@ -371,8 +457,13 @@
     void afterManyFailedCallsTheNextIsNoLaterThanAfterAFew() throws Exception {
         CountDownLatch calls = new CountDownLatch(9);
         ServerSocket server = discovery(0, socket -> calls.countDown());
-        proxy = new Proxy(config(settings(256, server.getLocalPort(), "").replace("\"AskWithin\":1000000",
-            "\"AskWithin\":120000000")));
+        proxy =
+                new Proxy(
+                        config(
+                                settings(256, server.getLocalPort(), "")
+                                        .replace(
+                                                "\"AskWithin\":1000000",
+                                                "\"AskWithin\":120000000")));
         buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
         // At 0.8 s at most each, 5.4 s; doubled without end, 25 s at least.
         assertTrue(calls.await(20, TimeUnit.SECONDS), "calls left: " + calls.getCount());
@@ -382,39 +473,63 @@
     @Example
     void aPushedWatchThatEndsIsOpenedAgainWithinTheGraceOnDrains() throws Exception {
         CountDownLatch calls = new CountDownLatch(20);
-        ServerSocket server = discovery(0, socket -> {
-            calls.countDown();
-            send(socket, HEAD + list(2, true, entry("b", "active")) + "\n");
-        });
-        proxy = new Proxy(config(settings(256, server.getLocalPort(), "").replace("subscribe", "automatic")));
+        ServerSocket server =
+                discovery(
+                        0,
+                        socket -> {
+                            calls.countDown();
+                            send(socket, HEAD + list(2, true, entry("b", "active")) + "\n");
+                        });
+        proxy =
+                new Proxy(
+                        config(
+                                settings(256, server.getLocalPort(), "")
+                                        .replace("subscribe", "automatic")));
         buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
         // At 50 ms at most each, 1 s; with half a second or more, 9.5 s at least.
         assertTrue(calls.await(8, TimeUnit.SECONDS), "calls left: " + calls.getCount());
     }
 
-    /** Memory that is short for a moment, say: the list's thread is the only one that can ever be told. */
+    /**
+     * Memory that is short for a moment, say: the list's thread is the only one that can ever be
+     * told.
+     */
     @Example
     void anErrorDoesNotEndTheListForGood() throws Exception {
         AtomicInteger errors = new AtomicInteger();
-        Log log = log(line -> {
-            if (line.contains("left out a host") && errors.incrementAndGet() == 1) {
-                throw new OutOfMemoryError("for a moment");
-            }
-        });
-        ServerSocket server = discovery(0, socket -> {
-            send(socket, HEAD + list(9, true, "{}", entry("b9", "active")) + "\n");
-            hold();
-        });
-        ModuleActor module = chain(new InetSocketAddress("127.0.0.1", server.getLocalPort()), 4_000, log);
+        Log log =
+                log(
+                        line -> {
+                            if (line.contains("left out a host") && errors.incrementAndGet() == 1) {
+                                throw new OutOfMemoryError("for a moment");
+                            }
+                        });
+        ServerSocket server =
+                discovery(
+                        0,
+                        socket -> {
+                            send(socket, HEAD + list(9, true, "{}", entry("b9", "active")) + "\n");
+                            hold();
+                        });
+        ModuleActor module =
+                chain(new InetSocketAddress("127.0.0.1", server.getLocalPort()), 4_000, log);
         eventually(() -> module.lists("b9"), "told by the next call");
         assertTrue(errors.get() >= 1);
     }
 
-    /** A process of serve by this configuration, behind that command of the shell; and what it writes. */
+    /**
+     * A process of serve by this configuration, behind that command of the shell; and what it
+     * writes.
+     */
     private Process serve(String before, String text, Path output) throws IOException {
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", before + "exec "
-            + Path.of(System.getProperty("java.home"), "bin", "java")
-            + " -cp target/classes cottonlock.Main serve");
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        "/bin/sh",
+                        "-c",
+                        before
+                                + "exec "
+                                + Path.of(System.getProperty("java.home"), "bin", "java")
+                                + " -cp target/classes cottonlock.Main serve");
         builder.environment().put("EDGE_CONFIG", config(text).toString());
         builder.environment().remove("COTTONLOCK_OPERATOR");
         builder.environment().remove("EDGE_MGMT");
@@ -460,15 +575,23 @@
             }
             process.destroy();
             assertTrue(process.waitFor(8, TimeUnit.SECONDS));
-            List<String> lines = Files.readAllLines(output).stream().filter(l -> l.contains("SIGHUP"))
-                .toList();
+            List<String> lines =
+                    Files.readAllLines(output).stream().filter(l -> l.contains("SIGHUP")).toList();
             assertEquals(ignored ? 1 : 0, lines.size(), lines.toString());
-            assertTrue(lines.stream().allMatch(l -> l.startsWith("WARNING signals: ")
-                && l.contains("will never be taken in")), lines.toString());
+            assertTrue(
+                    lines.stream()
+                            .allMatch(
+                                    l ->
+                                            l.startsWith("WARNING signals: ")
+                                                    && l.contains("will never be taken in")),
+                    lines.toString());
         }
     }
 
-    /** Nothing that a start could wait for is there: no discovery, no backend, a list of the longest. */
+    /**
+     * Nothing that a start could wait for is there: no discovery, no backend, a list of the
+     * longest.
+     */
     @Example
     void aStartWaitsNeitherForDiscoveryNorForALongList() throws Exception {
         ServerSocket nobody = full();
@@ -479,42 +602,56 @@
         CountDownLatch ready = new CountDownLatch(1);
         proxy = new Proxy(config(settings(256, nobody.getLocalPort(), "", hosts)));
         buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
-        Sockets.start("client", () -> {
-            if (healthy(proxy.port())) {
-                ready.countDown();
-            }
-        });
+        Sockets.start(
+                "client",
+                () -> {
+                    if (healthy(proxy.port())) {
+                        ready.countDown();
+                    }
+                });
         assertTrue(ready.await(8, TimeUnit.SECONDS));
     }
 
     // Descriptors
 
     private static int descriptors(Process process) throws IOException {
-        try (Stream<Path> open = Files.list(Path.of("/proc", String.valueOf(process.pid()), "fd"))) {
+        try (Stream<Path> open =
+                Files.list(Path.of("/proc", String.valueOf(process.pid()), "fd"))) {
             return (int) open.count();
         }
     }
 
     /**
-     * All that may hold descriptors does: idle clients that come again and again, attempts that are out, long
-     * bodies, operators' calls, and as many as a deployment's jars take. No other than the list's is spare.
+     * All that may hold descriptors does: idle clients that come again and again, attempts that are
+     * out, long bodies, operators' calls, and as many as a deployment's jars take. No other than
+     * the list's is spare.
      */
     @Example
-    void whoeverFillsTheDescriptorsKeepsNeitherTheWatchNorAnAttemptFromItsSocket() throws Exception {
+    void whoeverFillsTheDescriptorsKeepsNeitherTheWatchNorAnAttemptFromItsSocket()
+            throws Exception {
         int most = 128;
         CountDownLatch answer = new CountDownLatch(1);
-        StandIn hangs = new StandIn(request -> {
-            answer.await(60, TimeUnit.SECONDS);
-            return OK;
-        });
+        StandIn hangs =
+                new StandIn(
+                        request -> {
+                            answer.await(60, TimeUnit.SECONDS);
+                            return OK;
+                        });
         StandIn fresh = new StandIn(request -> OK);
         Socket[] places = {refusing(), refusing(), refusing()};
         int port = places[0].getLocalPort();
         int operators = places[1].getLocalPort();
         int discovery = places[2].getLocalPort();
-        String text = settings(most, discovery, "\"mgmt\":\"127.0.0.1:" + operators + "\",", hangs.host("b0"))
-            .replace("127.0.0.1:0", "127.0.0.1:" + port).replace("\"memory_mb\":64", "\"memory_mb\":192")
-            .replace("800000", "50000000").replace("1500000", "50000000");
+        String text =
+                settings(
+                                most,
+                                discovery,
+                                "\"mgmt\":\"127.0.0.1:" + operators + "\",",
+                                hangs.host("b0"))
+                        .replace("127.0.0.1:0", "127.0.0.1:" + port)
+                        .replace("\"memory_mb\":64", "\"memory_mb\":192")
+                        .replace("800000", "50000000")
+                        .replace("1500000", "50000000");
         places[0].close();
         places[1].close();
         Path output = Files.createTempFile("serve", ".log");
@@ -526,60 +663,76 @@
         Process process = serve(jars + "; ", text, output);
         sometime(() -> healthy(port), "it has started");
         while (open.stream().filter(o -> o instanceof Socket s && s.getPort() == operators).count()
-            < Management.MOST) {
-            sometime(() -> {
-                try {
-                    return open.add(new Socket("127.0.0.1", operators));
-                } catch (IOException e) {
-                    // They are heard a little later than clients.
-                    return false;
-                }
-            }, "operators are heard");
+                < Management.MOST) {
+            sometime(
+                    () -> {
+                        try {
+                            return open.add(new Socket("127.0.0.1", operators));
+                        } catch (IOException e) {
+                            // They are heard a little later than clients.
+                            return false;
+                        }
+                    },
+                    "operators are heard");
         }
         String body = "x".repeat(100_000);
         for (int i = 0; i < most; i++) {
             Socket socket = new Socket("127.0.0.1", port);
             open.add(socket);
             // Some have a long body, each of which needs a file, for as long as there are any.
-            send(socket, request("once", "h" + i, "X-Timeout-Ms: 50000\r\n", i % 4 == 0 ? body : "body"));
+            send(
+                    socket,
+                    request(
+                            "once",
+                            "h" + i,
+                            "X-Timeout-Ms: 50000\r\n",
+                            i % 4 == 0 ? body : "body"));
         }
         CountDownLatch crowd = new CountDownLatch(2 * most);
         List<Socket> idle = new CopyOnWriteArrayList<>();
         open.add(() -> idle.forEach(Sockets::close));
-        Sockets.start("crowd", () -> {
-            try {
-                while (true) {
-                    idle.add(new Socket("127.0.0.1", port));
-                    crowd.countDown();
-                    Thread.sleep(10);
-                }
-            } catch (IOException | InterruptedException e) {
-                // The test is over.
-            }
-        });
+        Sockets.start(
+                "crowd",
+                () -> {
+                    try {
+                        while (true) {
+                            idle.add(new Socket("127.0.0.1", port));
+                            crowd.countDown();
+                            Thread.sleep(10);
+                        }
+                    } catch (IOException | InterruptedException e) {
+                        // The test is over.
+                    }
+                });
         assertTrue(crowd.await(60, TimeUnit.SECONDS), "so many have come while discovery was down");
         int filled = descriptors(process);
         places[2].close();
         CountDownLatch told = new CountDownLatch(1);
-        discovery(discovery, socket -> {
-            send(socket, HEAD + list(2, true, hangs.host("b0"), fresh.host("b1")) + "\n");
-            told.countDown();
-            hold();
-        });
+        discovery(
+                discovery,
+                socket -> {
+                    send(socket, HEAD + list(2, true, hangs.host("b0"), fresh.host("b1")) + "\n");
+                    told.countDown();
+                    hold();
+                });
         assertTrue(told.await(20, TimeUnit.SECONDS), "the watch has its socket, beside " + filled);
         answer.countDown();
-        sometime(() -> {
-            try (Socket socket = new Socket("127.0.0.1", port)) {
-                socket.setSoTimeout(8_000);
-                send(socket, request("read", "r" + System.nanoTime(), "", ""));
-                return status(receive(socket)) == 200;
-            } catch (IOException e) {
-                // Closed unread, as may be while all places are taken.
-                return false;
-            }
-        }, "an attempt has its socket");
+        sometime(
+                () -> {
+                    try (Socket socket = new Socket("127.0.0.1", port)) {
+                        socket.setSoTimeout(8_000);
+                        send(socket, request("read", "r" + System.nanoTime(), "", ""));
+                        return status(receive(socket)) == 200;
+                    } catch (IOException e) {
+                        // Closed unread, as may be while all places are taken.
+                        return false;
+                    }
+                },
+                "an attempt has its socket");
         assertTrue(filled > most / 2, "filled: " + filled);
-        assertFalse(Files.readString(output).contains("Too many open files"), "within what it may hold");
+        assertFalse(
+                Files.readString(output).contains("Too many open files"),
+                "within what it may hold");
     }
 
     // Gone
@@ -590,14 +743,30 @@
         StandIn gone = new StandIn(request -> OK);
         StandIn stays = new StandIn(request -> OK);
         CountDownLatch tell = new CountDownLatch(1);
-        ServerSocket server = discovery(0, socket -> {
-            send(socket, HEAD + list(2, true, gone.host("gone"), stays.host("stays")) + "\n");
-            tell.await();
-            send(socket, list(3, true, stays.host("stays")) + "\n");
-            hold();
-        });
-        proxy = new Proxy(config(settings(256, server.getLocalPort(), "", gone.host("gone"),
-            stays.host("stays")).replace("800000", "20000000").replace("1500000", "20000000")));
+        ServerSocket server =
+                discovery(
+                        0,
+                        socket -> {
+                            send(
+                                    socket,
+                                    HEAD
+                                            + list(2, true, gone.host("gone"), stays.host("stays"))
+                                            + "\n");
+                            tell.await();
+                            send(socket, list(3, true, stays.host("stays")) + "\n");
+                            hold();
+                        });
+        proxy =
+                new Proxy(
+                        config(
+                                settings(
+                                                256,
+                                                server.getLocalPort(),
+                                                "",
+                                                gone.host("gone"),
+                                                stays.host("stays"))
+                                        .replace("800000", "20000000")
+                                        .replace("1500000", "20000000")));
         buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
         String patient = "X-Timeout-Ms: 20000\r\n";
         for (int i = 0; i < 20 || gone.requests.isEmpty(); i++) {
@@ -606,28 +775,37 @@
         }
         CountDownLatch answer = new CountDownLatch(1);
         // An attempt that is out as the list comes, and fails after it: its repeat goes elsewhere.
-        gone.play = request -> {
-            answer.await(60, TimeUnit.SECONDS);
-            return failed;
-        };
+        gone.play =
+                request -> {
+                    answer.await(60, TimeUnit.SECONDS);
+                    return failed;
+                };
         for (int i = 1; gone.requests.stream().noneMatch(r -> r.get(0).contains("/once")); i++) {
             assertTrue(i < 100, "one is out there");
             send(connect(), request("once", "w" + i, patient, "body"));
             int sent = i;
-            eventually(() -> Stream.of(gone, stays).flatMap(b -> b.requests.stream())
-                .filter(r -> r.get(0).contains("/once")).count() == sent, "sent");
+            eventually(
+                    () ->
+                            Stream.of(gone, stays)
+                                            .flatMap(b -> b.requests.stream())
+                                            .filter(r -> r.get(0).contains("/once"))
+                                            .count()
+                                    == sent,
+                    "sent");
         }
         tell.countDown();
-        sometime(() -> {
-            // As long as the list is on its way, some may still go there and get no answer.
-            int before = gone.requests.size();
-            boolean all = true;
-            for (int i = 0; i < 20 && all; i++) {
-                String id = "p" + System.nanoTime();
-                all = status(call(request("read", id, "X-Timeout-Ms: 300\r\n", ""))) == 200;
-            }
-            return all && gone.requests.size() == before;
-        }, "it is told");
+        sometime(
+                () -> {
+                    // As long as the list is on its way, some may still go there and get no answer.
+                    int before = gone.requests.size();
+                    boolean all = true;
+                    for (int i = 0; i < 20 && all; i++) {
+                        String id = "p" + System.nanoTime();
+                        all = status(call(request("read", id, "X-Timeout-Ms: 300\r\n", ""))) == 200;
+                    }
+                    return all && gone.requests.size() == before;
+                },
+                "it is told");
         int before = gone.requests.size();
         gone.play = request -> OK;
         answer.countDown();
@@ -639,16 +817,33 @@
 
     @Example
     void thatABackendDrainsIsTakenAlsoFromAnOddEntry() throws Exception {
-        Map<String, String> odd = Map.of("\"share\":1.0", "\"share\":\"much\"", "\"dial\":\"127.0.0.1:9\"",
-            "\"dial\":\"nowhere\"", "\"born_ms\":0", "\"born_ms\":0.5", "\"block\":0", "\"block\":0.5");
-        Directory directory = new Directory(new Log(System.getLogger("test")), List.of("z"), List.of("k"));
+        Map<String, String> odd =
+                Map.of(
+                        "\"share\":1.0",
+                        "\"share\":\"much\"",
+                        "\"dial\":\"127.0.0.1:9\"",
+                        "\"dial\":\"nowhere\"",
+                        "\"born_ms\":0",
+                        "\"born_ms\":0.5",
+                        "\"block\":0",
+                        "\"block\":0.5");
+        Directory directory =
+                new Directory(new Log(System.getLogger("test")), List.of("z"), List.of("k"));
         for (Map.Entry<String, String> field : odd.entrySet()) {
             for (String health : List.of("leaving", "left", "active")) {
                 String text = entry("b", health).replace(field.getKey(), field.getValue());
-                List<Directory.Entry> entries = directory.read(Json.read(list(2, false, text))).entries();
+                List<Directory.Entry> entries =
+                        directory.read(Json.read(list(2, false, text))).entries();
                 assertEquals(health.equals("active") ? 0 : 1, entries.size(), text);
-                assertTrue(entries.stream().allMatch(e -> e.member().id().equals("b")
-                    && (e.member().state() == Member.State.READY) == health.equals("active")), text);
+                assertTrue(
+                        entries.stream()
+                                .allMatch(
+                                        e ->
+                                                e.member().id().equals("b")
+                                                        && (e.member().state()
+                                                                        == Member.State.READY)
+                                                                == health.equals("active")),
+                        text);
             }
         }
     }
@@ -659,43 +854,66 @@
         ServerSocket gone = full();
         StandIn stays = new StandIn(request -> OK);
         CountDownLatch tell = new CountDownLatch(1);
-        ServerSocket server = discovery(0, socket -> {
-            tell.await();
-            send(socket, HEAD + list(3, true, stays.host("stays")) + "\n");
-            hold();
-        });
-        String host = stays.host("gone").replace(":" + stays.server.getLocalPort(),
-            ":" + gone.getLocalPort());
-        proxy = new Proxy(config(settings(256, server.getLocalPort(), "", host)
-            .replace("800000", "20000000").replace("1500000", "20000000").replace("150000", "20000000")));
+        ServerSocket server =
+                discovery(
+                        0,
+                        socket -> {
+                            tell.await();
+                            send(socket, HEAD + list(3, true, stays.host("stays")) + "\n");
+                            hold();
+                        });
+        String host =
+                stays.host("gone")
+                        .replace(":" + stays.server.getLocalPort(), ":" + gone.getLocalPort());
+        proxy =
+                new Proxy(
+                        config(
+                                settings(256, server.getLocalPort(), "", host)
+                                        .replace("800000", "20000000")
+                                        .replace("1500000", "20000000")
+                                        .replace("150000", "20000000")));
         buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
         Socket socket = connect();
         send(socket, request("once", "held", "X-Timeout-Ms: 20000\r\n", "body"));
-        eventually(() -> Thread.getAllStackTraces().values().stream().anyMatch(trace -> List.of(trace)
-            .toString().matches("(?s).*NioSocketImpl.connect.*BackendConnection.run.*")), "it dials");
+        eventually(
+                () ->
+                        Thread.getAllStackTraces().values().stream()
+                                .anyMatch(
+                                        trace ->
+                                                List.of(trace)
+                                                        .toString()
+                                                        .matches(
+                                                                "(?s).*NioSocketImpl.connect.*BackendConnection.run.*")),
+                "it dials");
         tell.countDown();
-        eventually(() -> status(call(request("read", "p" + System.nanoTime(), "", ""))) == 200, "it is told");
+        eventually(
+                () -> status(call(request("read", "p" + System.nanoTime(), "", ""))) == 200,
+                "it is told");
         // Now the dial comes up.
         AtomicInteger bytes = new AtomicInteger();
-        Sockets.start("gone", () -> {
-            try {
-                while (true) {
-                    Socket up = gone.accept();
-                    open.add(up);
-                    Sockets.start("gone connection", () -> {
-                        try {
-                            while (up.getInputStream().read() >= 0) {
-                                bytes.incrementAndGet();
-                            }
-                        } catch (IOException e) {
-                            // It has ended.
+        Sockets.start(
+                "gone",
+                () -> {
+                    try {
+                        while (true) {
+                            Socket up = gone.accept();
+                            open.add(up);
+                            Sockets.start(
+                                    "gone connection",
+                                    () -> {
+                                        try {
+                                            while (up.getInputStream().read() >= 0) {
+                                                bytes.incrementAndGet();
+                                            }
+                                        } catch (IOException e) {
+                                            // It has ended.
+                                        }
+                                    });
                         }
-                    });
-                }
-            } catch (IOException e) {
-                // The test is over.
-            }
-        });
+                    } catch (IOException e) {
+                        // The test is over.
+                    }
+                });
         assertEquals(200, status(receive(socket)));
         assertEquals(0, bytes.get(), "bytes that one has read that was gone");
         assertEquals(1, stays.requests.stream().filter(r -> r.get(0).contains("/once")).count());
--- a/src/test/java/cottonlock/net/MailboxTest.java
+++ b/src/test/java/cottonlock/net/MailboxTest.java
@@ -13,7 +13,11 @@
 /** Mailboxes: there is one for each listed backend, of which most never hold a message. */
 class MailboxTest {
     private static final int MOST = 4_096;
-    /** Bytes: a queue, its locks and conditions; a place for each of its messages alone would be 16,384. */
+
+    /**
+     * Bytes: a queue, its locks and conditions; a place for each of its messages alone would be
+     * 16,384.
+     */
     private static final long FEW = 2_048;
 
     private final Log log = new Log(System.getLogger("cottonlock.test"));
--- a/src/test/java/cottonlock/net/OperatorDaysTest.java
+++ b/src/test/java/cottonlock/net/OperatorDaysTest.java
@@ -58,8 +58,16 @@
         long before = System.nanoTime();
         assertEquals("ACK\n", ask("HEALTH"));
         assertTrue(System.nanoTime() - before < 1_000_000_000L);
-        for (String bad : List.of("", "LEAVE", "OFFLINE", "OFFLINE nobody", "ONLINE nobody", "HEALTH b",
-            "\u0000", "x".repeat(600))) {
+        for (String bad :
+                List.of(
+                        "",
+                        "LEAVE",
+                        "OFFLINE",
+                        "OFFLINE nobody",
+                        "ONLINE nobody",
+                        "HEALTH b",
+                        "\u0000",
+                        "x".repeat(600))) {
             assertTrue(ask(bad).startsWith("NAK "), bad);
         }
         assertTrue(ask("DUMP").endsWith("}\n--\n"));
@@ -67,11 +75,15 @@
 
     @Example
     void figuresTellWhatPeersSaw() throws Exception {
-        StandIn backend = new StandIn(request -> {
-            Thread.sleep(field(request, "X-Request-ID", "").equals("left") ? 400 : 0);
-            return field(request, "X-Request-ID", "").equals("bad")
-                ? "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n" : OK;
-        });
+        StandIn backend =
+                new StandIn(
+                        request -> {
+                            Thread.sleep(
+                                    field(request, "X-Request-ID", "").equals("left") ? 400 : 0);
+                            return field(request, "X-Request-ID", "").equals("bad")
+                                    ? "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"
+                                    : OK;
+                        });
         startManaged(null, settings(64, 1, "", backend.host("b")));
         for (int i = 0; i < 5; i++) {
             assertEquals(200, status(call(request("read", "r" + i, "", ""))));
@@ -99,12 +111,14 @@
         Map<?, ?> once = (Map<?, ?>) ((Map<?, ?>) figure("why_by_category")).get("once");
         assertEquals("1", once.get("answer_lost"));
         assertEquals(String.valueOf(ended - 1), once.get("no_backend"));
-        assertEquals(0, sum(((Map<?, ?>) figure("why_by_category")).get("read")), "none, but there");
+        assertEquals(
+                0, sum(((Map<?, ?>) figure("why_by_category")).get("read")), "none, but there");
     }
 
     private static long sum(Object counts) {
-        return counts instanceof Map<?, ?> map ? map.values().stream().mapToLong(OperatorDaysTest::sum).sum()
-            : Long.parseLong((String) counts);
+        return counts instanceof Map<?, ?> map
+                ? map.values().stream().mapToLong(OperatorDaysTest::sum).sum()
+                : Long.parseLong((String) counts);
     }
 
     @Example
@@ -122,7 +136,8 @@
         }
         assertEquals(before, one.requests.size());
         assertEquals("1", figure("hosts_down"));
-        // The process dies without a word; the next one knows, and a stale or foreign file does no harm.
+        // The process dies without a word; the next one knows, and a stale or foreign file does no
+        // harm.
         proxy.close();
         proxy.join();
         Files.writeString(folder.resolve("cottonlock-other.bans"), "\u0001\u0002");
@@ -133,10 +148,12 @@
         }
         assertEquals(before, one.requests.size());
         assertEquals("ACK\n", ask("ONLINE one"), "two bans need one call back");
-        eventually(() -> {
-            call(request("read", "t" + System.nanoTime(), "", ""));
-            return one.requests.size() > before;
-        }, "it gets work again");
+        eventually(
+                () -> {
+                    call(request("read", "t" + System.nanoTime(), "", ""));
+                    return one.requests.size() > before;
+                },
+                "it gets work again");
     }
 
     @Example
@@ -145,7 +162,7 @@
         Path folder = Files.createTempDirectory("bans");
         Clock clock = new Clock();
         List<String> told = new ArrayList<>();
-        Bans here = new Bans(new Shared(folder, "p", "bans", log), clock, () -> { });
+        Bans here = new Bans(new Shared(folder, "p", "bans", log), clock, () -> {});
         Bans there = new Bans(new Shared(folder, "p", "bans", log), clock, () -> told.add("there"));
         Member listed = new Member("b", 0, 0, 0, Member.State.READY, 1, 5);
         assertTrue(here.change("b", true));
@@ -155,7 +172,9 @@
         assertTrue(there.change("b", false));
         here.look();
         assertFalse(here.out("b"));
-        assertTrue(clock.now() - here.told(listed).startedAt() < 10_000, "cold, whatever the list says");
+        assertTrue(
+                clock.now() - here.told(listed).startedAt() < 10_000,
+                "cold, whatever the list says");
         assertEquals(List.of("there", "there"), told);
         Files.writeString(folder.resolve("cottonlock-p.bans"), "something else\nout b\n");
         here.look();
@@ -165,23 +184,36 @@
 
     @Example
     void aFileIsTakenWholeOrNotAtAll() throws Exception {
-        StandIn backend = new StandIn(request -> {
-            Thread.sleep(field(request, "X-Request-ID", "").equals("old") ? 700 : 0);
-            return OK;
-        });
+        StandIn backend =
+                new StandIn(
+                        request -> {
+                            Thread.sleep(
+                                    field(request, "X-Request-ID", "").equals("old") ? 700 : 0);
+                            return OK;
+                        });
         String text = settings(64, 1, "", backend.host("b"));
         startManaged(null, text);
         String now = Files.readString(file);
-        String next = now.replace("\"once\"", "\"twice\"").replace("\"MaxHandOffs\":3", "\"MaxHandOffs\":1");
+        String next =
+                now.replace("\"once\"", "\"twice\"")
+                        .replace("\"MaxHandOffs\":3", "\"MaxHandOffs\":1");
         try (Socket old = connect()) {
             send(old, request("once", "old", "", "body"));
             eventually(() -> !backend.requests.isEmpty(), "sent");
-            for (String bad : List.of("", "{", now.substring(0, now.length() / 2), "[]",
-                next.replace("\"MaxHandOffs\":1", "\"MaxHandOffs\":0"),
-                next.replace("\"MaxHandOffs\":1,", ""), next.replace("\"Expiry\":1500000,", ""),
-                next.replace("\"Expiry\":1500000", "\"Expiry\":-5"), next.replace("\"Stage\":1,", ""),
-                next.replaceFirst("\"Repeat\":\"unsafe\"", "\"X\":1"), next.replace("\"seed\"", "\"sed\""),
-                next.replace("\"twice\"", "\"read\""))) {
+            for (String bad :
+                    List.of(
+                            "",
+                            "{",
+                            now.substring(0, now.length() / 2),
+                            "[]",
+                            next.replace("\"MaxHandOffs\":1", "\"MaxHandOffs\":0"),
+                            next.replace("\"MaxHandOffs\":1,", ""),
+                            next.replace("\"Expiry\":1500000,", ""),
+                            next.replace("\"Expiry\":1500000", "\"Expiry\":-5"),
+                            next.replace("\"Stage\":1,", ""),
+                            next.replaceFirst("\"Repeat\":\"unsafe\"", "\"X\":1"),
+                            next.replace("\"seed\"", "\"sed\""),
+                            next.replace("\"twice\"", "\"read\""))) {
                 Files.writeString(file, bad);
                 proxy.reload();
                 assertEquals(404, status(call(request("twice", "n", "", "body"))), bad);
@@ -196,31 +228,53 @@
         }
         Files.writeString(file, now);
         proxy.reload();
-        assertEquals(200, status(call(request("once", "back", "", "body"))), "a name that comes again");
-        assertEquals("3", ((Map<?, ?>) figure("success")).values().stream()
-            .mapToInt(n -> Integer.parseInt(n.toString())).sum() + "");
+        assertEquals(
+                200, status(call(request("once", "back", "", "body"))), "a name that comes again");
+        assertEquals(
+                "3",
+                ((Map<?, ?>) figure("success"))
+                                .values().stream()
+                                        .mapToInt(n -> Integer.parseInt(n.toString()))
+                                        .sum()
+                        + "");
     }
 
     /** A process of one proxy: all have the same listen and folder, each a mgmt of its own. */
-    private Process launch(Path folder, int listen, int mgmt, StandIn... backends) throws Exception {
-        Path config = config(settings(128, 1, "\"name\":\"p\",\"mgmt\":\"127.0.0.1:" + mgmt + "\",",
-            backends[0].host("b"), backends[1].host("c")).replace("127.0.0.1:0", "127.0.0.1:" + listen));
-        ProcessBuilder builder = new ProcessBuilder(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-            System.getProperty("java.class.path"), "cottonlock.Main", "serve");
+    private Process launch(Path folder, int listen, int mgmt, StandIn... backends)
+            throws Exception {
+        Path config =
+                config(
+                        settings(
+                                        128,
+                                        1,
+                                        "\"name\":\"p\",\"mgmt\":\"127.0.0.1:" + mgmt + "\",",
+                                        backends[0].host("b"),
+                                        backends[1].host("c"))
+                                .replace("127.0.0.1:0", "127.0.0.1:" + listen));
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "cottonlock.Main",
+                        "serve");
         builder.environment().put("EDGE_CONFIG", config.toString());
         builder.environment().put("TMPDIR", folder.toString());
-        Process process = builder.redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+        Process process =
+                builder.redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                        .start();
         open.add(process::destroyForcibly);
-        eventually(() -> {
-            try {
-                return ask(mgmt, "HEALTH").equals("ACK\n");
-            } catch (IOException e) {
-                assertTrue(process.isAlive());
-                return false;
-            }
-        }, "it serves");
+        eventually(
+                () -> {
+                    try {
+                        return ask(mgmt, "HEALTH").equals("ACK\n");
+                    } catch (IOException e) {
+                        assertTrue(process.isAlive());
+                        return false;
+                    }
+                },
+                "it serves");
         return process;
     }
 
@@ -244,23 +298,31 @@
 
     @Example
     void twoUpgradesInARowTurnNobodyAway() throws Exception {
-        StandIn one = new StandIn(request -> {
-            Thread.sleep(field(request, "X-Request-ID", "").startsWith("long") ? 900 : 5);
-            return OK;
-        });
+        StandIn one =
+                new StandIn(
+                        request -> {
+                            Thread.sleep(
+                                    field(request, "X-Request-ID", "").startsWith("long")
+                                            ? 900
+                                            : 5);
+                            return OK;
+                        });
         StandIn two = new StandIn(request -> OK);
         int[] ports = freePorts(4);
         Path folder = Files.createTempDirectory("upgrades");
-        Files.writeString(folder.resolve("cottonlock-p-127.0.0.1_" + ports[0] + ".serving"), "stale\n");
+        Files.writeString(
+                folder.resolve("cottonlock-p-127.0.0.1_" + ports[0] + ".serving"), "stale\n");
         Process old = launch(folder, ports[0], ports[1], one, two);
         assertEquals("ACK\n", ask(ports[1], "OFFLINE c"));
         for (int i = 1; i < 3; i++) {
             int before = two.requests.size();
             Process next = launch(folder, ports[0], ports[1 + i], one, two);
-            assertTrue(ask(ports[1 + i], "DUMP").contains("\"hosts_down\":1"), "bans are known at once");
+            assertTrue(
+                    ask(ports[1 + i], "DUMP").contains("\"hosts_down\":1"),
+                    "bans are known at once");
             Process leaving = old;
             try (Socket kept = new Socket("127.0.0.1", ports[0]);
-                 Socket held = new Socket("127.0.0.1", ports[0])) {
+                    Socket held = new Socket("127.0.0.1", ports[0])) {
                 // Held by one of the two; whichever it is, its request is answered.
                 send(kept, request("read", "first" + i, "", ""));
                 assertEquals(200, status(receive(kept)));
@@ -280,23 +342,30 @@
             old = next;
         }
         assertEquals("ACK\n", ask(ports[3], "ONLINE c"));
-        eventually(() -> callAt(ports[0], request("read", "t" + System.nanoTime(), "", "")) == 200
-            && !two.requests.isEmpty(), "it gets work again");
+        eventually(
+                () ->
+                        callAt(ports[0], request("read", "t" + System.nanoTime(), "", "")) == 200
+                                && !two.requests.isEmpty(),
+                "it gets work again");
     }
 
     @Example
     void theOldProcessMayBeKilledInTheMiddleAndTheNewOneRetuned() throws Exception {
-        StandIn one = new StandIn(request -> {
-            Thread.sleep(300);
-            return OK;
-        });
+        StandIn one =
+                new StandIn(
+                        request -> {
+                            Thread.sleep(300);
+                            return OK;
+                        });
         StandIn two = new StandIn(request -> OK);
         int[] ports = freePorts(3);
         Path folder = Files.createTempDirectory("killed");
         Process old = launch(folder, ports[0], ports[1], one, two);
         Process next = launch(folder, ports[0], ports[2], one, two);
         assertEquals("ACK\n", ask(ports[1], "OFFLINE c"), "made at the old one");
-        eventually(() -> ask(ports[2], "DUMP").contains("\"hosts_down\":1"), "in force at the new one");
+        eventually(
+                () -> ask(ports[2], "DUMP").contains("\"hosts_down\":1"),
+                "in force at the new one");
         assertEquals("ACK\n", ask(ports[2], "ONLINE c"), "lifted there");
         eventually(() -> ask(ports[1], "DUMP").contains("\"hosts_down\":0"), "and at the old one");
         assertEquals("ACK\n", ask(ports[1], "OFFLINE c"));
@@ -304,8 +373,10 @@
         for (int i = 0; i < open.length; i++) {
             open[i] = new Socket("127.0.0.1", ports[0]);
             // A keyed one is repeated to whichever process it reaches; backends know it by its key.
-            send(open[i], request("book", "same" + i, "Idempotency-Key: k\r\n", "body")
-                .replaceFirst("Idempotency-Key: ksame.\r\n", ""));
+            send(
+                    open[i],
+                    request("book", "same" + i, "Idempotency-Key: k\r\n", "body")
+                            .replaceFirst("Idempotency-Key: ksame.\r\n", ""));
         }
         old.destroy();
         assertEquals(0, new ProcessBuilder("kill", "-HUP", "" + next.pid()).start().waitFor());
@@ -321,12 +392,14 @@
                 // What the killed one held is its client's to repeat.
             }
         }
-        assertTrue(one.requests.stream().allMatch(r -> field(r, "Idempotency-Key", "").equals("k")));
+        assertTrue(
+                one.requests.stream().allMatch(r -> field(r, "Idempotency-Key", "").equals("k")));
         assertTrue(answered <= one.requests.size());
         for (int k = 0; k < 20; k++) {
             assertEquals(200, callAt(ports[0], request("read", "after" + k, "", "")));
         }
-        assertEquals(0, two.requests.size(), "who was taken out at a process that has died stays out");
+        assertEquals(
+                0, two.requests.size(), "who was taken out at a process that has died stays out");
         eventually(() -> ask(ports[2], "DUMP").contains("\"reconfig_ok\":1"), "SIGHUP was heard");
         assertTrue(next.isAlive());
     }
@@ -334,8 +407,10 @@
     @Example
     void moreBodiesThanMemoryAndAThousandHalfHeadsLoseNothing() throws Exception {
         StandIn backend = new StandIn(request -> OK);
-        startManaged(null, settings(128, 1, "", backend.host("b")).replace("\"memory_mb\":64",
-            "\"memory_mb\":4"));
+        startManaged(
+                null,
+                settings(128, 1, "", backend.host("b"))
+                        .replace("\"memory_mb\":64", "\"memory_mb\":4"));
         // An eighth of the memory: asked of the pool now, the watch of the list might hold one.
         buffersAtFirst = (4 << 20) / 8 / Buffers.SIZE;
         String body = "0123456789".repeat(6_500);
@@ -360,7 +435,10 @@
             open.add(half);
             send(half, "GET /read HTTP/1.1\r\nHost: x\r\nX-Req");
             if (i % 50 == 49) {
-                assertEquals(200, status(call(request("read", "r" + i, "", ""))), "beside the crowd, " + i);
+                assertEquals(
+                        200,
+                        status(call(request("read", "r" + i, "", ""))),
+                        "beside the crowd, " + i);
                 long before = System.nanoTime();
                 assertTrue(ask("DUMP").endsWith("--\n") && ask("HEALTH").equals("ACK\n"));
                 assertTrue(System.nanoTime() - before < 1_000_000_000L);
@@ -369,27 +447,42 @@
         assertEquals("0", figure("inflight"));
     }
 
-    /** A backend that sends so many bytes, in chunks or with their length told, and stops after some. */
+    /**
+     * A backend that sends so many bytes, in chunks or with their length told, and stops after
+     * some.
+     */
     private StandIn bulk(int bytes, boolean chunked, int stopAfter) throws IOException {
         StandIn backend = new StandIn(request -> CLOSE);
-        backend.play = request -> {
-            OutputStream out = backend.sockets.get(backend.sockets.size() - 1).getOutputStream();
-            out.write(("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n" + (chunked
-                ? "Transfer-Encoding: chunked" : "Content-Length: " + bytes) + "\r\n\r\n").getBytes());
-            byte[] piece = new byte[10_000];
-            for (int sent = 0; sent < stopAfter; sent += piece.length) {
-                Arrays.fill(piece, (byte) ('a' + sent / piece.length % 26));
-                out.write((chunked ? "2710\r\n" : "").getBytes());
-                out.write(piece);
-                out.write((chunked ? "\r\n" : "").getBytes());
-            }
-            out.write((chunked && stopAfter == bytes ? "0\r\nX-Trailer: t\r\n\r\n" : "").getBytes());
-            return stopAfter == bytes ? SILENT : CLOSE;
-        };
+        backend.play =
+                request -> {
+                    OutputStream out =
+                            backend.sockets.get(backend.sockets.size() - 1).getOutputStream();
+                    out.write(
+                            ("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n"
+                                            + (chunked
+                                                    ? "Transfer-Encoding: chunked"
+                                                    : "Content-Length: " + bytes)
+                                            + "\r\n\r\n")
+                                    .getBytes());
+                    byte[] piece = new byte[10_000];
+                    for (int sent = 0; sent < stopAfter; sent += piece.length) {
+                        Arrays.fill(piece, (byte) ('a' + sent / piece.length % 26));
+                        out.write((chunked ? "2710\r\n" : "").getBytes());
+                        out.write(piece);
+                        out.write((chunked ? "\r\n" : "").getBytes());
+                    }
+                    out.write(
+                            (chunked && stopAfter == bytes ? "0\r\nX-Trailer: t\r\n\r\n" : "")
+                                    .getBytes());
+                    return stopAfter == bytes ? SILENT : CLOSE;
+                };
         return backend;
     }
 
-    /** Reads an answer, with a pause each so many bytes; the bytes of its body, or -1 if it broke off. */
+    /**
+     * Reads an answer, with a pause each so many bytes; the bytes of its body, or -1 if it broke
+     * off.
+     */
     private static int readBulk(Socket socket, int pauseEach) throws Exception {
         HttpReader reader = new HttpReader(socket, new byte[Buffers.SIZE]);
         reader.within(0);
@@ -397,15 +490,16 @@
         assertEquals("200", head.start[1]);
         int[] read = {0};
         try {
-            reader.pass((from, at, count) -> {
-                for (int i = 0; i < count; i++) {
-                    assertEquals('a' + (read[0] + i) / 10_000 % 26, from[at + i]);
-                }
-                if (pauseEach > 0 && (read[0] + count) / pauseEach > read[0] / pauseEach) {
-                    pause(150);
-                }
-                read[0] += count;
-            });
+            reader.pass(
+                    (from, at, count) -> {
+                        for (int i = 0; i < count; i++) {
+                            assertEquals('a' + (read[0] + i) / 10_000 % 26, from[at + i]);
+                        }
+                        if (pauseEach > 0 && (read[0] + count) / pauseEach > read[0] / pauseEach) {
+                            pause(150);
+                        }
+                        read[0] += count;
+                    });
         } catch (IOException e) {
             return -1;
         }
@@ -426,19 +520,26 @@
             StandIn backend = bulk(32_000_000, chunked, 32_000_000);
             startManaged(null, settings(64, 1, "", backend.host("b")));
             int before = proxy.freeBuffers();
-            try (Socket slow = connect(); Socket quick = connect(); Socket stopped = connect()) {
+            try (Socket slow = connect();
+                    Socket quick = connect();
+                    Socket stopped = connect()) {
                 for (Socket socket : List.of(stopped, slow, quick)) {
                     int sent = backend.requests.size();
                     send(socket, request("read", "r" + sent, "", ""));
-                    eventually(() -> backend.requests.size() > sent, "each has a connection of its own");
+                    eventually(
+                            () -> backend.requests.size() > sent,
+                            "each has a connection of its own");
                     pause(50);
                 }
                 assertEquals(32_000_000, readBulk(quick, 0));
-                assertTrue(before - proxy.freeBuffers() < 12, "memory for parts only, not for 32 MB twice");
+                assertTrue(
+                        before - proxy.freeBuffers() < 12,
+                        "memory for parts only, not for 32 MB twice");
                 assertTrue(figure("inflight").equals("2"), "those that read slowly are under way");
                 assertEquals(32_000_000, readBulk(slow, 8_000_000), "longer than any expiry");
             }
-            eventually(() -> figure("inflight").equals("0"), "the one that stopped reading has left");
+            eventually(
+                    () -> figure("inflight").equals("0"), "the one that stopped reading has left");
             proxy.close();
             startManaged(null, settings(64, 1, "", bulk(1_000_000, chunked, 500_000).host("b")));
             try (Socket socket = connect()) {
@@ -455,9 +556,13 @@
         startManaged(null, settings(64, 1, "", backend.host("b")));
         int before = proxy.freeBuffers();
         String body = "0123456789".repeat(300_000);
-        try (Socket slow = connect(); Socket cut = connect()) {
-            send(cut, request("once", "cut", "Transfer-Encoding: chunked\r\n", "") + "30d40\r\n"
-                + body.substring(0, 150_000));
+        try (Socket slow = connect();
+                Socket cut = connect()) {
+            send(
+                    cut,
+                    request("once", "cut", "Transfer-Encoding: chunked\r\n", "")
+                            + "30d40\r\n"
+                            + body.substring(0, 150_000));
             String head = request("once", "slow", "Content-Length: " + body.length() + "\r\n", "");
             send(slow, head.substring(0, 40));
             pause(1_900);
@@ -472,11 +577,19 @@
             assertEquals(body, got.get(got.size() - 1));
             cut.shutdownOutput();
             int cutOff = status(receive(cut));
-            assertTrue(cutOff == 0 || cutOff == 408, "a body that was cut off is no request: " + cutOff);
+            assertTrue(
+                    cutOff == 0 || cutOff == 408,
+                    "a body that was cut off is no request: " + cutOff);
         }
         assertEquals(1, backend.requests.size());
-        assertEquals(413, status(call(request("once", "huge", "Content-Length: 99000000\r\n", ""))));
-        assertEquals(200, status(call(request("read", "form", "", "")
-            .replace("GET /", "GET http://origin:80/"))), "the absolute form");
+        assertEquals(
+                413, status(call(request("once", "huge", "Content-Length: 99000000\r\n", ""))));
+        assertEquals(
+                200,
+                status(
+                        call(
+                                request("read", "form", "", "")
+                                        .replace("GET /", "GET http://origin:80/"))),
+                "the absolute form");
     }
 }
--- a/src/test/java/cottonlock/net/ProxyFixture.java
+++ b/src/test/java/cottonlock/net/ProxyFixture.java
@@ -21,11 +21,14 @@
 abstract class ProxyFixture {
     static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     static final String NOT_RUN =
-        "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
+            "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
+
     /** Closes the connection in place of an answer. */
     static final String CLOSE = "";
+
     /** Behind what is to be written before that. */
     static final String THEN_CLOSE = "\0";
+
     /** Never answers. */
     static final String SILENT = "silent";
 
@@ -48,23 +51,27 @@
         StandIn(Play play) throws IOException {
             this.play = play;
             open.add(this);
-            Sockets.start("stand-in", () -> {
-                try {
-                    while (true) {
-                        Socket socket = server.accept();
-                        sockets.add(socket);
-                        Sockets.start("stand-in connection", () -> serve(socket));
-                    }
-                } catch (IOException e) {
-                    // The test is over.
-                }
-            });
+            Sockets.start(
+                    "stand-in",
+                    () -> {
+                        try {
+                            while (true) {
+                                Socket socket = server.accept();
+                                sockets.add(socket);
+                                Sockets.start("stand-in connection", () -> serve(socket));
+                            }
+                        } catch (IOException e) {
+                            // The test is over.
+                        }
+                    });
         }
 
         private void serve(Socket socket) {
             try (socket) {
-                BufferedReader in = new BufferedReader(
-                    new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
+                BufferedReader in =
+                        new BufferedReader(
+                                new InputStreamReader(
+                                        socket.getInputStream(), StandardCharsets.ISO_8859_1));
                 List<String> lines = new ArrayList<>();
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
                     if (!line.isEmpty()) {
@@ -84,14 +91,17 @@
                         return;
                     }
                     if (answer.endsWith(THEN_CLOSE)) {
-                        // On the connection that asked: written to another one, half an answer and the next
+                        // On the connection that asked: written to another one, half an answer and
+                        // the next
                         // half would make a whole one there.
                         String before = answer.substring(0, answer.length() - THEN_CLOSE.length());
-                        socket.getOutputStream().write(before.getBytes(StandardCharsets.ISO_8859_1));
+                        socket.getOutputStream()
+                                .write(before.getBytes(StandardCharsets.ISO_8859_1));
                         return;
                     }
                     if (!answer.equals(SILENT)) {
-                        socket.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
+                        socket.getOutputStream()
+                                .write(answer.getBytes(StandardCharsets.ISO_8859_1));
                     }
                 }
             } catch (Exception e) {
@@ -100,9 +110,12 @@
         }
 
         String host(String id) {
-            return "{\"host\":\"" + id + "\",\"dial\":\"127.0.0.1:" + server.getLocalPort()
-                + "\",\"site\":\"z\",\"class\":\"k\",\"block\":0,"
-                + "\"health\":\"active\",\"share\":1.0,\"born_ms\":0}";
+            return "{\"host\":\""
+                    + id
+                    + "\",\"dial\":\"127.0.0.1:"
+                    + server.getLocalPort()
+                    + "\",\"site\":\"z\",\"class\":\"k\",\"block\":0,"
+                    + "\"health\":\"active\",\"share\":1.0,\"born_ms\":0}";
         }
 
         @Override
@@ -115,13 +128,21 @@
     }
 
     static String field(List<String> lines, String name, String otherwise) {
-        return lines.stream().filter(line -> line.startsWith(name + ": "))
-            .map(line -> line.substring(name.length() + 2)).findFirst().orElse(otherwise);
+        return lines.stream()
+                .filter(line -> line.startsWith(name + ": "))
+                .map(line -> line.substring(name.length() + 2))
+                .findFirst()
+                .orElse(otherwise);
     }
 
     static String list(int version, boolean whole, String... hosts) {
-        return "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":["
-            + String.join(",", hosts) + "]}";
+        return "{\"seq\":"
+                + version
+                + ",\"whole\":"
+                + whole
+                + ",\"hosts\":["
+                + String.join(",", hosts)
+                + "]}";
     }
 
     static Path config(String text) throws IOException {
@@ -131,20 +152,25 @@
     }
 
     static String settings(int sockets, int discovery, String more, String... hosts) {
-        return "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discovery
-            + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + sockets + ",\"memory_mb\":64},"
-            + more + "\"known\":" + list(1, true, hosts) + ",\"settings\":{\"Categories\":["
-            + "{\"Name\":\"read\",\"DueTime\":800000,\"Expiry\":1500000,\"Repeat\":\"safe\"},"
-            + "{\"Name\":\"book\",\"DueTime\":800000,\"Expiry\":1500000,\"Repeat\":\"keyed\","
-            + "\"KeyScope\":\"zone\",\"RepeatWindow\":5000000},"
-            + "{\"Name\":\"once\",\"DueTime\":800000,\"Expiry\":1500000,\"Repeat\":\"unsafe\"}],"
-            + "\"Projects\":[{\"Name\":\"acme\",\"Share\":1.0,\"QuotaRps\":1000}],\"Stage\":1,"
-            + "\"Zones\":[\"z\"],\"Flavors\":[\"k\"],\"MembershipMode\":\"subscribe\",\"Limits\":{"
-            + "\"MaxHandOffs\":3,\"Cancel\":true,\"RetryAfter\":true,\"MaxRetryAfter\":2000000,"
-            + "\"ConnectTimeout\":150000,\"ConnIdle\":60000000},\"Obligations\":{\"AskWithin\":1000000}}}";
+        return "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
+                + discovery
+                + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":"
+                + sockets
+                + ",\"memory_mb\":64},"
+                + more
+                + "\"known\":"
+                + list(1, true, hosts)
+                + ",\"settings\":{\"Categories\":["
+                + "{\"Name\":\"read\",\"DueTime\":800000,\"Expiry\":1500000,\"Repeat\":\"safe\"},"
+                + "{\"Name\":\"book\",\"DueTime\":800000,\"Expiry\":1500000,\"Repeat\":\"keyed\","
+                + "\"KeyScope\":\"zone\",\"RepeatWindow\":5000000},"
+                + "{\"Name\":\"once\",\"DueTime\":800000,\"Expiry\":1500000,\"Repeat\":\"unsafe\"}],"
+                + "\"Projects\":[{\"Name\":\"acme\",\"Share\":1.0,\"QuotaRps\":1000}],\"Stage\":1,"
+                + "\"Zones\":[\"z\"],\"Flavors\":[\"k\"],\"MembershipMode\":\"subscribe\",\"Limits\":{"
+                + "\"MaxHandOffs\":3,\"Cancel\":true,\"RetryAfter\":true,\"MaxRetryAfter\":2000000,"
+                + "\"ConnectTimeout\":150000,\"ConnIdle\":60000000},\"Obligations\":{\"AskWithin\":1000000}}}";
     }
 
-
     void start(int sockets, int discovery, String more, String... hosts) throws IOException {
         proxy = new Proxy(config(settings(sockets, discovery, more, hosts)));
         buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
@@ -188,12 +214,21 @@
     }
 
     static String request(String category, String id, String more, String body) {
-        return (category.equals("read") ? "GET" : "POST") + " /" + category + "?sid=7 HTTP/1.1\r\n"
-            + "Host: origin\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: " + category
-            + "\r\nX-Tenant-Id: acme\r\n"
-            + (category.equals("book") ? "Idempotency-Key: k" + id + "\r\n" : "")
-            + (more.contains("X-Timeout-Ms") ? "" : "X-Timeout-Ms: 1200\r\n") + more
-            + (body.isEmpty() ? "" : "Content-Length: " + body.length() + "\r\n") + "\r\n" + body;
+        return (category.equals("read") ? "GET" : "POST")
+                + " /"
+                + category
+                + "?sid=7 HTTP/1.1\r\n"
+                + "Host: origin\r\nX-Request-ID: "
+                + id
+                + "\r\nX-Priority-Class: "
+                + category
+                + "\r\nX-Tenant-Id: acme\r\n"
+                + (category.equals("book") ? "Idempotency-Key: k" + id + "\r\n" : "")
+                + (more.contains("X-Timeout-Ms") ? "" : "X-Timeout-Ms: 1200\r\n")
+                + more
+                + (body.isEmpty() ? "" : "Content-Length: " + body.length() + "\r\n")
+                + "\r\n"
+                + body;
     }
 
     Socket connect() throws IOException {
@@ -207,7 +242,10 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** One whole answer: its head, an empty line and its body; what there is of it if the stream ends. */
+    /**
+     * One whole answer: its head, an empty line and its body; what there is of it if the stream
+     * ends.
+     */
     static String receive(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder text = new StringBuilder();
@@ -219,8 +257,13 @@
             }
             text.append((char) c);
             if (end < 0 && text.toString().endsWith("\r\n\r\n")) {
-                end = text.length() + Integer.parseInt(
-                    field(List.of(text.toString().split("\r\n")), "Content-Length", "0"));
+                end =
+                        text.length()
+                                + Integer.parseInt(
+                                        field(
+                                                List.of(text.toString().split("\r\n")),
+                                                "Content-Length",
+                                                "0"));
             }
         }
         return text.toString();
--- a/src/test/java/cottonlock/net/ProxyTest.java
+++ b/src/test/java/cottonlock/net/ProxyTest.java
@@ -34,42 +34,86 @@
 
 /** A proxy on loopback sockets between stand-ins of clients, backends and discovery. */
 class ProxyTest extends ProxyFixture {
-    /** What operators watch before they move: the answers stay, and each kind of difference is counted. */
+    /**
+     * What operators watch before they move: the answers stay, and each kind of difference is
+     * counted.
+     */
     @Example
     void watchesOtherSettingsAndDecidesAsBefore() throws Exception {
         StandIn[] backends = {new StandIn(r -> OK), new StandIn(r -> OK)};
-        String settings = settings(256, 1, "", backends[0].host("b0"), backends[1].host("b1"))
-            .replace("\"Stage\":1", "\"Stage\":0,\"FleetSize\":40");
+        String settings =
+                settings(256, 1, "", backends[0].host("b0"), backends[1].host("b1"))
+                        .replace("\"Stage\":1", "\"Stage\":0,\"FleetSize\":40");
         buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
-        proxy = new Proxy(config(settings), new Operator(Map.of("Workload", "mesh", "Fees.Connection", "0.05",
-            "Fees.Handshake", "0.00001"), null), null, null);
+        proxy =
+                new Proxy(
+                        config(settings),
+                        new Operator(
+                                Map.of(
+                                        "Workload",
+                                        "mesh",
+                                        "Fees.Connection",
+                                        "0.05",
+                                        "Fees.Handshake",
+                                        "0.00001"),
+                                null),
+                        null,
+                        null);
         int finished = 0;
         for (int i = 0; i < 60; i++) {
             finished += status(call(request("read", "id" + i, "", ""))) == 200 ? 1 : 0;
         }
-        // One of 40 balancers alike may let in few of these; where each carries its own, over half of them.
+        // One of 40 balancers alike may let in few of these; where each carries its own, over half
+        // of them.
         assertEquals(finished, backends[0].requests.size() + backends[1].requests.size());
         assertTrue(finished < 30, finished + " finished");
         int all = finished;
-        eventually(() -> proxy.watched().values().stream().mapToLong(n -> n).sum()
-            - proxy.watched().get(Shadow.Kind.WOULD_CLOSE) == 60, "each decision is compared once");
-        assertTrue(proxy.watched().get(Shadow.Kind.WOULD_HAND_OFF) > 10, all + " " + proxy.watched());
-        eventually(() -> proxy.watched().get(Shadow.Kind.WOULD_CLOSE) > 0, "connections that rest are seen");
+        eventually(
+                () ->
+                        proxy.watched().values().stream().mapToLong(n -> n).sum()
+                                        - proxy.watched().get(Shadow.Kind.WOULD_CLOSE)
+                                == 60,
+                "each decision is compared once");
+        assertTrue(
+                proxy.watched().get(Shadow.Kind.WOULD_HAND_OFF) > 10, all + " " + proxy.watched());
+        eventually(
+                () -> proxy.watched().get(Shadow.Kind.WOULD_CLOSE) > 0,
+                "connections that rest are seen");
     }
 
     @Example
     void watchedSettingsThatCannotBeUsedAreToldAtTheStart() throws Exception {
         Path config = config(settings(256, 1, ""));
-        Malformed fault = assertThrows(Malformed.class, () -> new Proxy(config,
-            new Operator(Map.of("Fees.Handshake", "-1", "Fees.Connection", "1"), null), null, null));
+        Malformed fault =
+                assertThrows(
+                        Malformed.class,
+                        () ->
+                                new Proxy(
+                                        config,
+                                        new Operator(
+                                                Map.of(
+                                                        "Fees.Handshake",
+                                                        "-1",
+                                                        "Fees.Connection",
+                                                        "1"),
+                                                null),
+                                        null,
+                                        null));
         assertEquals("setting Fees.Handshake is below 0: -1.0", fault.getMessage());
     }
 
     @Example
     void passesARequestOnAndItsAnswerBack() throws Exception {
         String large = "x".repeat(60_000);
-        StandIn backend = new StandIn(request -> "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-            + "5;a=b\r\nhello\r\n" + Integer.toHexString(large.length()) + "\r\n" + large + "\r\n0\r\n\r\n");
+        StandIn backend =
+                new StandIn(
+                        request ->
+                                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                        + "5;a=b\r\nhello\r\n"
+                                        + Integer.toHexString(large.length())
+                                        + "\r\n"
+                                        + large
+                                        + "\r\n0\r\n\r\n");
         start(backend);
         try (Socket socket = connect()) {
             for (int i = 0; i < 3; i++) {
@@ -96,36 +140,59 @@
         StandIn backend = new StandIn(request -> OK);
         start(backend);
         String good = request("book", "g", "", "ab");
-        Map<String, Integer> bad = Map.ofEntries(
-            Map.entry("nonsense\r\n\r\n", 400), Map.entry("GET /read HTTP/3.0\r\nHost: x\r\n\r\n", 505),
-            Map.entry("GET /read HTTP/1.1\r\n\r\n", 400),
-            Map.entry("GET /read HTTP/1.1\r\nHost: x\r\nHost: y\r\n\r\n", 400),
-            Map.entry("GET /read HTTP/1.1\r\nHost : x\r\n\r\n", 400),
-            Map.entry("GET /read HTTP/1.1\r\nHost: x\r\n folded\r\n\r\n", 400),
-            Map.entry("GET /re\u0001ad HTTP/1.1\r\nHost: x\r\n\r\n", 400),
-            Map.entry("GET /read HTTP/1.1\r\nHost: x\r\nA: " + "a".repeat(9_000) + "\r\n\r\n", 431),
-            Map.entry(good.replace("Content-Length: 2", "Content-Length: 2\r\nContent-Length: 2"), 400),
-            Map.entry(good.replace("Content-Length: 2", "Content-Length: +2"), 400),
-            Map.entry(good.replace("Content-Length: 2", "Content-Length: 70000000"), 413),
-            Map.entry(good.replace("Content-Length: 2",
-                "Content-Length: 2\r\nTransfer-Encoding: chunked"), 400),
-            Map.entry(good.replace("Content-Length: 2", "Transfer-Encoding: gzip"), 501),
-            Map.entry(good.replace("Content-Length: 2\r\n\r\nab",
-                "Transfer-Encoding: chunked\r\n\r\nxy\r\n"), 400),
-            Map.entry(good.replace("Content-Length: 2\r\n\r\nab",
-                "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n"), 400),
-            Map.entry(good.replace("acme", "nobody"), 400), Map.entry(good.replace("book", "nothing"), 404),
-            Map.entry(good.replace("Class: book", "Class: once"), 400),
-            Map.entry(good.replace("X-Request-ID: g\r\n", ""), 400),
-            Map.entry(good.replace("X-Timeout-Ms: 1200", "X-Timeout-Ms: soon"), 400),
-            Map.entry(good.replace("Idempotency-Key: kg\r\n", ""), 400),
-            Map.entry(good.replace("Content-Length: 2", "Content-Length: 1"), 400),
-            Map.entry(good.replace("POST", "DELETE"), 405));
+        Map<String, Integer> bad =
+                Map.ofEntries(
+                        Map.entry("nonsense\r\n\r\n", 400),
+                        Map.entry("GET /read HTTP/3.0\r\nHost: x\r\n\r\n", 505),
+                        Map.entry("GET /read HTTP/1.1\r\n\r\n", 400),
+                        Map.entry("GET /read HTTP/1.1\r\nHost: x\r\nHost: y\r\n\r\n", 400),
+                        Map.entry("GET /read HTTP/1.1\r\nHost : x\r\n\r\n", 400),
+                        Map.entry("GET /read HTTP/1.1\r\nHost: x\r\n folded\r\n\r\n", 400),
+                        Map.entry("GET /re\u0001ad HTTP/1.1\r\nHost: x\r\n\r\n", 400),
+                        Map.entry(
+                                "GET /read HTTP/1.1\r\nHost: x\r\nA: "
+                                        + "a".repeat(9_000)
+                                        + "\r\n\r\n",
+                                431),
+                        Map.entry(
+                                good.replace(
+                                        "Content-Length: 2",
+                                        "Content-Length: 2\r\nContent-Length: 2"),
+                                400),
+                        Map.entry(good.replace("Content-Length: 2", "Content-Length: +2"), 400),
+                        Map.entry(
+                                good.replace("Content-Length: 2", "Content-Length: 70000000"), 413),
+                        Map.entry(
+                                good.replace(
+                                        "Content-Length: 2",
+                                        "Content-Length: 2\r\nTransfer-Encoding: chunked"),
+                                400),
+                        Map.entry(
+                                good.replace("Content-Length: 2", "Transfer-Encoding: gzip"), 501),
+                        Map.entry(
+                                good.replace(
+                                        "Content-Length: 2\r\n\r\nab",
+                                        "Transfer-Encoding: chunked\r\n\r\nxy\r\n"),
+                                400),
+                        Map.entry(
+                                good.replace(
+                                        "Content-Length: 2\r\n\r\nab",
+                                        "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n"),
+                                400),
+                        Map.entry(good.replace("acme", "nobody"), 400),
+                        Map.entry(good.replace("book", "nothing"), 404),
+                        Map.entry(good.replace("Class: book", "Class: once"), 400),
+                        Map.entry(good.replace("X-Request-ID: g\r\n", ""), 400),
+                        Map.entry(good.replace("X-Timeout-Ms: 1200", "X-Timeout-Ms: soon"), 400),
+                        Map.entry(good.replace("Idempotency-Key: kg\r\n", ""), 400),
+                        Map.entry(good.replace("Content-Length: 2", "Content-Length: 1"), 400),
+                        Map.entry(good.replace("POST", "DELETE"), 405));
         for (Map.Entry<String, Integer> entry : bad.entrySet()) {
             String answer = call(entry.getKey());
             assertEquals(entry.getValue(), status(answer), entry.getKey());
             String fault = answer.substring(answer.indexOf("\r\n\r\n") + 4);
-            assertTrue(fault.strip().length() > 5 && fault.lines().count() == 1, "one line: " + fault);
+            assertTrue(
+                    fault.strip().length() > 5 && fault.lines().count() == 1, "one line: " + fault);
             assertFalse(fault.contains("acme") || fault.contains("read"), "names what others have");
         }
         try (Socket half = connect()) {
@@ -149,16 +216,18 @@
         Socket resting = connect();
         send(resting, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
         assertEquals(200, status(receive(resting)));
-        Sockets.start("drips", () -> {
-            try {
-                for (char c : request("read", "drip", "", "").toCharArray()) {
-                    send(half, "" + c);
-                    Thread.sleep(50);
-                }
-            } catch (IOException | InterruptedException e) {
-                // It has been ended.
-            }
-        });
+        Sockets.start(
+                "drips",
+                () -> {
+                    try {
+                        for (char c : request("read", "drip", "", "").toCharArray()) {
+                            send(half, "" + c);
+                            Thread.sleep(50);
+                        }
+                    } catch (IOException | InterruptedException e) {
+                        // It has been ended.
+                    }
+                });
         try (Socket bad = connect()) {
             send(bad, request("read", "bad", "", "").replace("read", "nothing").repeat(300));
             assertEquals(404, status(receive(bad)));
@@ -197,10 +266,11 @@
         Set<Thread> threads = ConcurrentHashMap.newKeySet();
         for (int i = 0; i < 20; i++) {
             AtomicInteger done = new AtomicInteger();
-            workers.serve(() -> {
-                threads.add(Thread.currentThread());
-                done.incrementAndGet();
-            });
+            workers.serve(
+                    () -> {
+                        threads.add(Thread.currentThread());
+                        done.incrementAndGet();
+                    });
             eventually(() -> done.get() == 1, "served");
             Thread.sleep(5);
         }
@@ -210,10 +280,12 @@
 
     @Example
     void anIdThatIsUnderWayIsTakenOnlyOnce() throws Exception {
-        StandIn backend = new StandIn(request -> {
-            Thread.sleep(150);
-            return OK;
-        });
+        StandIn backend =
+                new StandIn(
+                        request -> {
+                            Thread.sleep(150);
+                            return OK;
+                        });
         start(backend);
         try (Socket first = connect()) {
             send(first, request("once", "same", "", "body"));
@@ -227,13 +299,17 @@
     @Example
     void largeAnswersArePassedOnAndThoseThatStopShortAreGivenUpSoon() throws Exception {
         String large = "y".repeat(400_000);
-        StandIn good = new StandIn(request -> "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + large);
+        StandIn good =
+                new StandIn(request -> "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + large);
         StandIn odd = new StandIn(request -> SILENT);
-        odd.play = request -> {
-            odd.sockets.get(odd.sockets.size() - 1).getOutputStream().write(
-                "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".getBytes());
-            return SILENT;
-        };
+        odd.play =
+                request -> {
+                    odd.sockets
+                            .get(odd.sockets.size() - 1)
+                            .getOutputStream()
+                            .write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".getBytes());
+                    return SILENT;
+                };
         start(good);
         for (int i = 0; i < 3; i++) {
             String answer = call(request("read", "l" + i, "", ""));
@@ -251,14 +327,20 @@
     @Example
     void aConnectionIsNotUsedOnceItsBackendMayCloseIt() throws Exception {
         StandIn backend = new StandIn(request -> OK);
-        proxy = new Proxy(config(settings(256, 1, "", backend.host("b"))
-            .replace("\"ConnIdle\":60000000", "\"ConnIdle\":200000")));
+        proxy =
+                new Proxy(
+                        config(
+                                settings(256, 1, "", backend.host("b"))
+                                        .replace("\"ConnIdle\":60000000", "\"ConnIdle\":200000")));
         buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
         for (int i = 0; i < 6; i++) {
             assertEquals(200, status(call(request("once", "i" + i, "", "body"))));
             Thread.sleep(180);
         }
-        assertEquals(6, backend.sockets.size(), "each has rested for nine tenths of what its backend allows");
+        assertEquals(
+                6,
+                backend.sockets.size(),
+                "each has rested for nine tenths of what its backend allows");
         assertEquals(200, status(call(request("once", "quick", "", "body"))));
         assertEquals(200, status(call(request("once", "quicker", "", "body"))));
         assertEquals(7, backend.sockets.size());
@@ -268,46 +350,62 @@
     void connectionsThatBreakWhenUsedAgainAreNotKeptForAWhile() throws Exception {
         Map<Integer, AtomicInteger> uses = new ConcurrentHashMap<>();
         StandIn backend = new StandIn(request -> OK);
-        backend.play = request -> {
-            int on = backend.sockets.size();
-            return uses.computeIfAbsent(on, n -> new AtomicInteger()).incrementAndGet() > 1 ? CLOSE : OK;
-        };
+        backend.play =
+                request -> {
+                    int on = backend.sockets.size();
+                    return uses.computeIfAbsent(on, n -> new AtomicInteger()).incrementAndGet() > 1
+                            ? CLOSE
+                            : OK;
+                };
         start(backend);
         int broken = 0;
         for (int i = 0; i < 20; i++) {
             broken += status(call(request("once", "k" + i, "", "body"))) == 502 ? 1 : 0;
         }
-        // One that a busy machine tells late does not count; kept all the same, ten of twenty would break.
+        // One that a busy machine tells late does not count; kept all the same, ten of twenty would
+        // break.
         assertTrue(broken >= 3 && broken <= 6, "after the third none is used again: " + broken);
     }
 
     @Example
     void whatComesBehindAnAnswerAnswersNothingElse() throws Exception {
         AtomicInteger count = new AtomicInteger();
-        StandIn backend = new StandIn(request -> {
-            String id = field(request, "X-Request-ID", "");
-            String good = "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id;
-            return count.incrementAndGet() % 3 == 0 ? good : "HTTP/1.1 103 Hints\r\n\r\n" + good + good;
-        });
+        StandIn backend =
+                new StandIn(
+                        request -> {
+                            String id = field(request, "X-Request-ID", "");
+                            String good =
+                                    "HTTP/1.1 200 OK\r\nContent-Length: "
+                                            + id.length()
+                                            + "\r\n\r\n"
+                                            + id;
+                            return count.incrementAndGet() % 3 == 0
+                                    ? good
+                                    : "HTTP/1.1 103 Hints\r\n\r\n" + good + good;
+                        });
         start(backend);
         List<String> wrong = new CopyOnWriteArrayList<>();
         List<Thread> clients = new ArrayList<>();
         for (int c = 0; c < 8; c++) {
             int client = c;
-            clients.add(Sockets.start("test client", () -> {
-                try (Socket socket = connect()) {
-                    for (int i = 0; i < 150; i++) {
-                        String id = "c" + client + "i" + (1_000 + i);
-                        send(socket, request("read", id, "", ""));
-                        String answer = receive(socket);
-                        if (status(answer) == 200 && !answer.endsWith("\r\n\r\n" + id)) {
-                            wrong.add(id + " got " + answer);
-                        }
-                    }
-                } catch (IOException e) {
-                    wrong.add(e.toString());
-                }
-            }));
+            clients.add(
+                    Sockets.start(
+                            "test client",
+                            () -> {
+                                try (Socket socket = connect()) {
+                                    for (int i = 0; i < 150; i++) {
+                                        String id = "c" + client + "i" + (1_000 + i);
+                                        send(socket, request("read", id, "", ""));
+                                        String answer = receive(socket);
+                                        if (status(answer) == 200
+                                                && !answer.endsWith("\r\n\r\n" + id)) {
+                                            wrong.add(id + " got " + answer);
+                                        }
+                                    }
+                                } catch (IOException e) {
+                                    wrong.add(e.toString());
+                                }
+                            }));
         }
         for (Thread client : clients) {
             client.join();
@@ -332,11 +430,14 @@
             statuses.add(status(call(request("once", "o" + i, "", ""))));
         }
         // Deferred is only what found no backend trusted any more, and went out to none.
-        assertTrue(statuses.contains(502) && !statuses.contains(200), "a broken answer never looks whole");
+        assertTrue(
+                statuses.contains(502) && !statuses.contains(200),
+                "a broken answer never looks whole");
         for (StandIn backend : List.of(odd, good)) {
             List<String> ids = new ArrayList<>();
-            backend.requests.stream().filter(lines -> lines.get(0).startsWith("POST /once"))
-                .forEach(lines -> ids.add(field(lines, "X-Request-ID", "")));
+            backend.requests.stream()
+                    .filter(lines -> lines.get(0).startsWith("POST /once"))
+                    .forEach(lines -> ids.add(field(lines, "X-Request-ID", "")));
             assertEquals(Set.copyOf(ids).size(), ids.size(), "what is unsafe has been sent once");
         }
     }
@@ -368,10 +469,11 @@
 
     @Example
     void aClientThatLeavesIsNoticedAndOwedNothing() throws Exception {
-        Play late = request -> {
-            Thread.sleep(60);
-            return NOT_RUN;
-        };
+        Play late =
+                request -> {
+                    Thread.sleep(60);
+                    return NOT_RUN;
+                };
         StandIn one = new StandIn(late);
         StandIn two = new StandIn(late);
         start(one, two);
@@ -380,7 +482,8 @@
         eventually(() -> one.requests.size() + two.requests.size() == 1, "sent");
         socket.close();
         Thread.sleep(200);
-        assertEquals(1, one.requests.size() + two.requests.size(), "nothing is sent for who has left");
+        assertEquals(
+                1, one.requests.size() + two.requests.size(), "nothing is sent for who has left");
     }
 
     @Example
@@ -389,9 +492,13 @@
         Body body = new Body(buffers, null);
         body.add(new byte[10], 0, 10);
         Head head = new Head(new String[] {"POST", "/once", "HTTP/1.1"});
-        ClientRequest req = new ClientRequest(null,
-            new Admission.Asked(head, "id", null, 0, "once", 0, null, 0), body, 0,
-            new HashSet<>());
+        ClientRequest req =
+                new ClientRequest(
+                        null,
+                        new Admission.Asked(head, "id", null, 0, "once", 0, null, 0),
+                        body,
+                        0,
+                        new HashSet<>());
         assertTrue(req.hold());
         assertTrue(req.claim());
         assertFalse(req.claim());
@@ -419,29 +526,41 @@
         StandIn two = new StandIn(request -> OK);
         AtomicInteger watches = new AtomicInteger();
         StandIn discovery = new StandIn(request -> SILENT);
-        discovery.play = request -> {
-            if (watches.getAndIncrement() == 0) {
-                return "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
-            }
-            assertEquals("GET /catalog/members?stream=1&index=1 HTTP/1.1", request.get(0));
-            String odd = "{\"seq\":2,\"whole\":false,\"hosts\":[{\"host\":\"odd\",\"health\":\"green\"},"
-                + two.host("two") + "," + one.host("one").replace("active", "left") + "]}\n";
-            return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
-                + Integer.toHexString(odd.length()) + "\r\n" + odd + "\r\n";
-        };
+        discovery.play =
+                request -> {
+                    if (watches.getAndIncrement() == 0) {
+                        return "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
+                    }
+                    assertEquals("GET /catalog/members?stream=1&index=1 HTTP/1.1", request.get(0));
+                    String odd =
+                            "{\"seq\":2,\"whole\":false,\"hosts\":[{\"host\":\"odd\",\"health\":\"green\"},"
+                                    + two.host("two")
+                                    + ","
+                                    + one.host("one").replace("active", "left")
+                                    + "]}\n";
+                    return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
+                            + Integer.toHexString(odd.length())
+                            + "\r\n"
+                            + odd
+                            + "\r\n";
+                };
         start(256, discovery.server.getLocalPort(), "", one.host("one"));
         assertEquals(200, status(call(request("read", "a", "", ""))));
-        eventually(() -> {
-            call(request("read", "b", "", ""));
-            return !two.requests.isEmpty();
-        }, "the new backend gets work");
+        eventually(
+                () -> {
+                    call(request("read", "b", "", ""));
+                    return !two.requests.isEmpty();
+                },
+                "the new backend gets work");
         int before = one.requests.size();
         for (int i = 0; i < 10; i++) {
             // On a busy machine an answer may look slow, and the only backend doubtful.
             assertTrue(Set.of(200, 503).contains(status(call(request("read", "c" + i, "", "")))));
         }
         assertEquals(before, one.requests.size(), "the one that has left gets none");
-        eventually(() -> one.sockets.stream().allMatch(Socket::isClosed), "its connections are closed");
+        eventually(
+                () -> one.sockets.stream().allMatch(Socket::isClosed),
+                "its connections are closed");
         two.close();
         int last = status(call(request("read", "d", "", "")));
         assertTrue(Set.of(502, 503).contains(last), "nobody is left: " + last);
@@ -454,35 +573,50 @@
         StandIn[] discovery = new StandIn[2];
         for (int i = 0; i < 2; i++) {
             String line = i == 0 ? list(7, true, one.host("one")) : list(3, true, two.host("two"));
-            discovery[i] = new StandIn(request -> "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
+            discovery[i] =
+                    new StandIn(
+                            request ->
+                                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                            + Integer.toHexString(line.length() + 1)
+                                            + "\r\n"
+                                            + line
+                                            + "\n\r\n");
         }
         ServerSocket free = new ServerSocket(0);
         int port = free.getLocalPort();
         free.close();
         String[] texts = new String[2];
         for (int i = 0; i < 2; i++) {
-            texts[i] = settings(256, discovery[i].server.getLocalPort(), "", one.host("one"))
-                .replace("127.0.0.1:0", "127.0.0.1:" + port);
+            texts[i] =
+                    settings(256, discovery[i].server.getLocalPort(), "", one.host("one"))
+                            .replace("127.0.0.1:0", "127.0.0.1:" + port);
         }
         Path file = config(texts[0]);
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-            .toString(), "-cp", System.getProperty("java.class.path"), "cottonlock.Main", "serve");
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "cottonlock.Main",
+                        "serve");
         builder.environment().put("EDGE_CONFIG", file.toString());
         Process process = builder.redirectErrorStream(true).start();
         open.add(process::destroyForcibly);
         BufferedReader log = process.inputReader();
         eventually(() -> !discovery[0].requests.isEmpty(), "it follows the list");
         try (Socket held = new Socket("127.0.0.1", port)) {
-            one.play = request -> {
-                Thread.sleep(900);
-                return OK;
-            };
+            one.play =
+                    request -> {
+                        Thread.sleep(900);
+                        return OK;
+                    };
             send(held, request("once", "held", "", "body"));
             eventually(() -> one.requests.size() == 1, "sent");
             for (String text : List.of("{", texts[1].replace("subscribe", "never"), texts[1])) {
                 Files.writeString(file, text);
-                assertEquals(0, new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor());
+                assertEquals(
+                        0,
+                        new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor());
                 String line = log.readLine();
                 while (!line.contains("configuration: ")) {
                     line = log.readLine();
@@ -505,22 +639,29 @@
 
     @Example
     void aProxyThatIsStoppedAnswersAllThatItHasTaken() throws Exception {
-        StandIn backend = new StandIn(request -> {
-            Thread.sleep(700);
-            return field(request, "X-Request-ID", "").equals("stuck") ? SILENT : OK;
-        });
+        StandIn backend =
+                new StandIn(
+                        request -> {
+                            Thread.sleep(700);
+                            return field(request, "X-Request-ID", "").equals("stuck") ? SILENT : OK;
+                        });
         start(backend);
-        try (Socket early = connect(); Socket late = connect(); Socket resting = connect();
-             Socket stuck = connect()) {
+        try (Socket early = connect();
+                Socket late = connect();
+                Socket resting = connect();
+                Socket stuck = connect()) {
             long before = System.nanoTime();
             send(early, request("read", "early", "", ""));
-            Thread draining = Sockets.start("drain", () -> {
-                try {
-                    proxy.drain();
-                } catch (InterruptedException e) {
-                    // The test fails below.
-                }
-            });
+            Thread draining =
+                    Sockets.start(
+                            "drain",
+                            () -> {
+                                try {
+                                    proxy.drain();
+                                } catch (InterruptedException e) {
+                                    // The test fails below.
+                                }
+                            });
             Thread.sleep(200);
             send(late, request("read", "late", "", ""));
             assertEquals(200, status(call(request("read", "new", "", ""))), "clients still come");
@@ -543,12 +684,19 @@
 
     @Example
     void moreClientsAndBackendsThanSocketsAreServedInTurn() throws Exception {
-        StandIn backend = new StandIn(request -> {
-            Thread.sleep(20);
-            return OK;
-        });
-        StandIn[] backends = {backend, new StandIn(request -> OK), new StandIn(request -> OK),
-            new StandIn(request -> OK), new StandIn(request -> OK)};
+        StandIn backend =
+                new StandIn(
+                        request -> {
+                            Thread.sleep(20);
+                            return OK;
+                        });
+        StandIn[] backends = {
+            backend,
+            new StandIn(request -> OK),
+            new StandIn(request -> OK),
+            new StandIn(request -> OK),
+            new StandIn(request -> OK)
+        };
         String[] hosts = new String[backends.length];
         for (int i = 0; i < hosts.length; i++) {
             hosts[i] = backends[i].host("b" + i);
@@ -567,7 +715,9 @@
             send(socket, request("read", "m" + i, "", ""));
             assertEquals(200, status(receive(socket)), "client " + i);
         }
-        assertTrue(Set.of(0, 408).contains(status(receive(sockets.get(0)))), "half a request ends too");
+        assertTrue(
+                Set.of(0, 408).contains(status(receive(sockets.get(0)))),
+                "half a request ends too");
         for (StandIn each : backends) {
             assertFalse(each.requests.isEmpty(), "every backend has had work");
         }
@@ -575,19 +725,25 @@
 
     @Example
     void whoNeverReadsHurtsNobodyElse() throws Exception {
-        StandIn backend = new StandIn(request -> "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n"
-            + "x".repeat(60_000));
+        StandIn backend =
+                new StandIn(
+                        request ->
+                                "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n"
+                                        + "x".repeat(60_000));
         start(backend);
         Socket never = connect();
-        Thread sender = Sockets.start("test client", () -> {
-            try {
-                for (int i = 0; i < 400; i++) {
-                    send(never, request("once", "n" + i, "", "x".repeat(60_000)));
-                }
-            } catch (IOException e) {
-                // The proxy has closed the connection.
-            }
-        });
+        Thread sender =
+                Sockets.start(
+                        "test client",
+                        () -> {
+                            try {
+                                for (int i = 0; i < 400; i++) {
+                                    send(never, request("once", "n" + i, "", "x".repeat(60_000)));
+                                }
+                            } catch (IOException e) {
+                                // The proxy has closed the connection.
+                            }
+                        });
         for (int i = 0; i < 20; i++) {
             assertEquals(200, status(call(request("read", "other" + i, "", ""))));
             Thread.sleep(20);
@@ -609,8 +765,13 @@
                     // The queue of new connections is full: the next ones never come up.
                 }
             }
-            start(256, 1, "", good.host("a"),
-                good.host("b").replace(":" + good.server.getLocalPort(), ":" + deaf.getLocalPort()));
+            start(
+                    256,
+                    1,
+                    "",
+                    good.host("a"),
+                    good.host("b")
+                            .replace(":" + good.server.getLocalPort(), ":" + deaf.getLocalPort()));
             for (int i = 0; i < 8; i++) {
                 long before = System.nanoTime();
                 assertEquals(200, status(call(request("once", "d" + i, "", "body"))));
@@ -623,61 +784,81 @@
     @Example
     void aMessageThatFailsEndsNeitherItsActorNorTheLog() throws Exception {
         List<String> lines = new CopyOnWriteArrayList<>();
-        System.Logger logger = new System.Logger() {
-            @Override
-            public String getName() {
-                return "test";
-            }
+        System.Logger logger =
+                new System.Logger() {
+                    @Override
+                    public String getName() {
+                        return "test";
+                    }
 
-            @Override
-            public boolean isLoggable(Level level) {
-                return true;
-            }
+                    @Override
+                    public boolean isLoggable(Level level) {
+                        return true;
+                    }
 
-            @Override
-            public void log(Level level, ResourceBundle bundle, String text, Throwable thrown) {
-                lines.add(text);
-            }
+                    @Override
+                    public void log(
+                            Level level, ResourceBundle bundle, String text, Throwable thrown) {
+                        lines.add(text);
+                    }
 
-            @Override
-            public void log(Level level, ResourceBundle bundle, String format, Object... params) {
-                lines.add(format);
-            }
-        };
+                    @Override
+                    public void log(
+                            Level level, ResourceBundle bundle, String format, Object... params) {
+                        lines.add(format);
+                    }
+                };
         Mailbox mailbox = new Mailbox(3, new Log(logger));
         AtomicInteger done = new AtomicInteger();
-        mailbox.put(() -> {
-            throw new IllegalStateException("odd");
-        });
-        mailbox.put(() -> {
-            throw new StackOverflowError();
-        });
+        mailbox.put(
+                () -> {
+                    throw new IllegalStateException("odd");
+                });
+        mailbox.put(
+                () -> {
+                    throw new StackOverflowError();
+                });
         mailbox.put(done::incrementAndGet);
         assertFalse(mailbox.offer(done::incrementAndGet), "it is bounded");
         Thread actor = Sockets.start("actor", mailbox);
         eventually(() -> done.get() == 1, "the message after those that failed");
         actor.interrupt();
         assertEquals(1, lines.size(), "one line of a kind a second: " + lines);
-        assertTrue(lines.get(0).startsWith("fault: java.lang.IllegalStateException: odd at cottonlock"));
+        assertTrue(
+                lines.get(0)
+                        .startsWith("fault: java.lang.IllegalStateException: odd at cottonlock"));
     }
 
     @Example
     void oddDatagramsAreDropped() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         try (DatagramSocket peer = new DatagramSocket(new InetSocketAddress("127.0.0.1", 0));
-             DatagramSocket stranger = new DatagramSocket(new InetSocketAddress("127.0.0.1", 0))) {
+                DatagramSocket stranger =
+                        new DatagramSocket(new InetSocketAddress("127.0.0.1", 0))) {
             DatagramSocket probe = new DatagramSocket(new InetSocketAddress("127.0.0.1", 0));
             int own = probe.getLocalPort();
             probe.close();
             String at = "\"127.0.0.1:" + peer.getLocalPort() + "\"";
-            start(256, 1, "\"peer_listen\":\"127.0.0.1:" + own + "\",\"peers\":[" + at + "],"
-                + "\"peers_all\":" + at + ",", backend.host("b"));
+            start(
+                    256,
+                    1,
+                    "\"peer_listen\":\"127.0.0.1:"
+                            + own
+                            + "\",\"peers\":["
+                            + at
+                            + "],"
+                            + "\"peers_all\":"
+                            + at
+                            + ",",
+                    backend.host("b"));
             SplittableRandom random = new SplittableRandom(1);
             for (int length : new int[] {0, 1, 255, 256, 257, 9_000}) {
                 byte[] bytes = new byte[length];
                 random.nextBytes(bytes);
                 for (DatagramSocket from : List.of(peer, stranger)) {
-                    from.send(new DatagramPacket(bytes, length, InetAddress.getByName("127.0.0.1"), own));
+                    from.send(
+                            new DatagramPacket(
+                                    bytes, length, InetAddress.getByName("127.0.0.1"), own));
                 }
             }
             assertEquals(200, status(call(request("read", "p", "", ""))));
@@ -686,27 +867,40 @@
 
     @Example
     void aBadConfigurationIsToldInOneLine() throws Exception {
-        for (String text : List.of("", "[1]", "{", "{\"settings\":{}}",
-            "{\"settings\":{},\"seed\":\"1\",\"discovery\":\"nowhere:1\"}",
-            "{\"settings\":{\"MembershipMode\":\"never\"},\"seed\":\"1\"}",
-            "{\"settings\":{\"FleetSize\":\"many\"},\"seed\":\"1\",\"discovery\":\"127.0.0.1:1\"}",
-            "{\"settings\":{},\"seed\":\"xyz\",\"discovery\":\"127.0.0.1:1\",\"listen\":\"127.0.0.1:0\"}")) {
+        for (String text :
+                List.of(
+                        "",
+                        "[1]",
+                        "{",
+                        "{\"settings\":{}}",
+                        "{\"settings\":{},\"seed\":\"1\",\"discovery\":\"nowhere:1\"}",
+                        "{\"settings\":{\"MembershipMode\":\"never\"},\"seed\":\"1\"}",
+                        "{\"settings\":{\"FleetSize\":\"many\"},\"seed\":\"1\",\"discovery\":\"127.0.0.1:1\"}",
+                        "{\"settings\":{},\"seed\":\"xyz\",\"discovery\":\"127.0.0.1:1\",\"listen\":\"127.0.0.1:0\"}")) {
             Malformed fault = assertThrows(Malformed.class, () -> new Proxy(config(text)), text);
             assertEquals(1, fault.getMessage().lines().count());
         }
         assertThrows(Malformed.class, () -> new Proxy(Path.of("/nowhere/config.json")));
     }
 
-    /** However a message is cut on its way, it is read the same; rubbish is refused, not stumbled over. */
+    /**
+     * However a message is cut on its way, it is read the same; rubbish is refused, not stumbled
+     * over.
+     */
     @Property(seed = "20261201", tries = 60)
-    void messagesAreReadAlikeHoweverTheyAreCut(@ForAll long seed, @ForAll boolean spoilt) throws Exception {
+    void messagesAreReadAlikeHoweverTheyAreCut(@ForAll long seed, @ForAll boolean spoilt)
+            throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         String body = "b".repeat(random.nextInt(20_000));
-        StringBuilder text = new StringBuilder("POST /x HTTP/1.1\r\nHost: h\r\n"
-            + "Transfer-Encoding: chunked\r\n\r\n");
-        for (int at = 0; at < body.length();) {
+        StringBuilder text =
+                new StringBuilder(
+                        "POST /x HTTP/1.1\r\nHost: h\r\n" + "Transfer-Encoding: chunked\r\n\r\n");
+        for (int at = 0; at < body.length(); ) {
             int n = Math.min(body.length() - at, 1 + random.nextInt(9_000));
-            text.append(Integer.toHexString(n)).append("\r\n").append(body, at, at + n).append("\r\n");
+            text.append(Integer.toHexString(n))
+                    .append("\r\n")
+                    .append(body, at, at + n)
+                    .append("\r\n");
             at += n;
         }
         text.append("0\r\nX: y\r\n\r\n");
@@ -716,20 +910,22 @@
         Buffers buffers = new Buffers(40, 0);
         byte[] buffer = buffers.take();
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-             Socket sender = new Socket("127.0.0.1", server.getLocalPort());
-             Socket socket = server.accept()) {
-            Sockets.start("sender", () -> {
-                try {
-                    for (int at = 0; at < text.length();) {
-                        int n = Math.min(text.length() - at, 1 + random.nextInt(3_000));
-                        send(sender, text.substring(at, at + n));
-                        at += n;
-                    }
-                    sender.shutdownOutput();
-                } catch (IOException e) {
-                    // The reader has refused it.
-                }
-            });
+                Socket sender = new Socket("127.0.0.1", server.getLocalPort());
+                Socket socket = server.accept()) {
+            Sockets.start(
+                    "sender",
+                    () -> {
+                        try {
+                            for (int at = 0; at < text.length(); ) {
+                                int n = Math.min(text.length() - at, 1 + random.nextInt(3_000));
+                                send(sender, text.substring(at, at + n));
+                                at += n;
+                            }
+                            sender.shutdownOutput();
+                        } catch (IOException e) {
+                            // The reader has refused it.
+                        }
+                    });
             HttpReader reader = new HttpReader(socket, buffer);
             try {
                 assertTrue(reader.await());
--- a/src/test/java/cottonlock/net/RacesTest.java
+++ b/src/test/java/cottonlock/net/RacesTest.java
@@ -24,8 +24,8 @@
 import net.jqwik.api.Example;
 
 /**
- * Crossings of docs/races.md: what comes between two lines is made to come there, by a lock that the test
- * holds or a peer that acts on what it reads, never by waiting for luck.
+ * Crossings of docs/races.md: what comes between two lines is made to come there, by a lock that
+ * the test holds or a peer that acts on what it reads, never by waiting for luck.
  */
 class RacesTest extends ProxyFixture {
     private static final String STRAY = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
@@ -37,6 +37,7 @@
     private final Buffers buffers = new Buffers(16, 4);
     private final Workers workers = new Workers();
     private final Watchdog watchdog = new Watchdog();
+
     /** Its thread is never started: what it is told stays in its mailbox. */
     private final ModuleActor module = new ModuleActor(clock, entry -> null, figures, log);
 
@@ -45,8 +46,11 @@
     }
 
     private static boolean anyBlocked() {
-        return Thread.getAllStackTraces().keySet().stream().anyMatch(t -> t.getName().equals("connection")
-            && t.getState() == Thread.State.BLOCKED);
+        return Thread.getAllStackTraces().keySet().stream()
+                .anyMatch(
+                        t ->
+                                t.getName().equals("connection")
+                                        && t.getState() == Thread.State.BLOCKED);
     }
 
     private static boolean blocked(Thread thread) {
@@ -54,13 +58,15 @@
     }
 
     private Thread drain(long toldAt) {
-        return Sockets.start("drain", () -> {
-            try {
-                proxy.drain(toldAt);
-            } catch (InterruptedException e) {
-                // The test fails by what has not happened.
-            }
-        });
+        return Sockets.start(
+                "drain",
+                () -> {
+                    try {
+                        proxy.drain(toldAt);
+                    } catch (InterruptedException e) {
+                        // The test fails by what has not happened.
+                    }
+                });
     }
 
     /** A long wait without a second answer, and nothing left in the way of a longer one. */
@@ -80,8 +86,17 @@
 
     /** Its last answer is done with, and its thread waits for the next byte. */
     private static Client resting(Client client) throws Exception {
-        eventually(() -> !client.owed() && Thread.getAllStackTraces().values().stream().anyMatch(trace ->
-            List.of(trace).toString().matches("(?s).*NioSocketImpl.*Client.awaitRequest.*")), "it rests");
+        eventually(
+                () ->
+                        !client.owed()
+                                && Thread.getAllStackTraces().values().stream()
+                                        .anyMatch(
+                                                trace ->
+                                                        List.of(trace)
+                                                                .toString()
+                                                                .matches(
+                                                                        "(?s).*NioSocketImpl.*Client.awaitRequest.*")),
+                "it rests");
         return client;
     }
 
@@ -117,22 +132,26 @@
         Client client = resting(onlyClient());
         CountDownLatch read = new CountDownLatch(1);
         CountDownLatch goOn = new CountDownLatch(1);
-        client.afterRead = () -> {
-            read.countDown();
-            awaits(goOn);
-        };
+        client.afterRead =
+                () -> {
+                    read.countDown();
+                    awaits(goOn);
+                };
         send(socket, request("once", "read", "", "body"));
         assertTrue(awaits(read), "read, and not yet told of");
         AtomicBoolean empty = new AtomicBoolean();
-        Thread draining = Sockets.start("drain", () -> {
-            try {
-                // Told a second ago: what it still takes, it has taken by now.
-                proxy.drain(System.nanoTime() - 1_000_000_000L);
-                empty.set(proxy.listener().clients().isEmpty());
-            } catch (InterruptedException e) {
-                // The test fails by what has not happened.
-            }
-        });
+        Thread draining =
+                Sockets.start(
+                        "drain",
+                        () -> {
+                            try {
+                                // Told a second ago: what it still takes, it has taken by now.
+                                proxy.drain(System.nanoTime() - 1_000_000_000L);
+                                empty.set(proxy.listener().clients().isEmpty());
+                            } catch (InterruptedException e) {
+                                // The test fails by what has not happened.
+                            }
+                        });
         eventually(client::ends, "it is told to end");
         // Time to leave too early, for one that does.
         draining.join(200);
@@ -155,12 +174,28 @@
     void whatTheKernelHasQueuedAsTheListenerLeavesIsServed() throws Exception {
         CountDownLatch accepted = new CountDownLatch(1);
         CountDownLatch goOn = new CountDownLatch(1);
-        Listener listener = new Listener(new InetSocketAddress("127.0.0.1", 0), false, 50, (socket, from) -> {
-            accepted.countDown();
-            awaits(goOn);
-            return new Client(socket, from, module, null, buffers, null, new HttpWriter(buffers), watchdog,
-                figures, log);
-        }, workers, log);
+        Listener listener =
+                new Listener(
+                        new InetSocketAddress("127.0.0.1", 0),
+                        false,
+                        50,
+                        (socket, from) -> {
+                            accepted.countDown();
+                            awaits(goOn);
+                            return new Client(
+                                    socket,
+                                    from,
+                                    module,
+                                    null,
+                                    buffers,
+                                    null,
+                                    new HttpWriter(buffers),
+                                    watchdog,
+                                    figures,
+                                    log);
+                        },
+                        workers,
+                        log);
         Thread thread = Sockets.start("listener", listener);
         Socket[] sockets = new Socket[6];
         for (int i = 0; i < sockets.length; i++) {
@@ -180,10 +215,12 @@
             assertEquals(200, status(answer));
             assertTrue(answer.contains("Connection: close"), answer);
         }
-        eventually(() -> {
-            listener.endResting();
-            return listener.empty();
-        }, "nobody is left");
+        eventually(
+                () -> {
+                    listener.endResting();
+                    return listener.empty();
+                },
+                "nobody is left");
         thread.join(4_000);
         assertFalse(thread.isAlive());
         eventually(() -> buffers.left() == 16, "all buffers are back");
@@ -229,21 +266,31 @@
     void signalsBeforeItServesAreCarriedOutOnceItDoes() throws Exception {
         StandIn discovery = new StandIn(request -> SILENT);
         CountDownLatch goOn = new CountDownLatch(1);
-        StandIn backend = new StandIn(request -> {
-            awaits(goOn);
-            return OK;
-        });
+        StandIn backend =
+                new StandIn(
+                        request -> {
+                            awaits(goOn);
+                            return OK;
+                        });
         Path fifo = Files.createTempDirectory("races").resolve("config");
         assertEquals(0, new ProcessBuilder("mkfifo", fifo.toString()).start().waitFor());
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-            .toString(), "-cp", "target/classes", "cottonlock.Main", "serve");
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        "target/classes",
+                        "cottonlock.Main",
+                        "serve");
         builder.environment().put("EDGE_CONFIG", fifo.toString());
         builder.environment().remove("COTTONLOCK_OPERATOR");
-        Process process = builder.redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+        Process process =
+                builder.redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                        .start();
         open.add(process::destroyForcibly);
-        String text = settings(256, discovery.server.getLocalPort(), "", backend.host("b0"))
-            .replace("1500000", "20000000");
+        String text =
+                settings(256, discovery.server.getLocalPort(), "", backend.host("b0"))
+                        .replace("1500000", "20000000");
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             port = free.getLocalPort();
@@ -255,17 +302,20 @@
             out.write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
         eventually(() -> discovery.requests.size() > 0, "it serves");
-        // Carried out only now: it reads its configuration again, or nobody would open this other end.
+        // Carried out only now: it reads its configuration again, or nobody would open this other
+        // end.
         String again = text;
         CountDownLatch read = new CountDownLatch(1);
-        Sockets.start("configuration", () -> {
-            try {
-                Files.writeString(fifo, again);
-                read.countDown();
-            } catch (IOException e) {
-                // The test fails below.
-            }
-        });
+        Sockets.start(
+                "configuration",
+                () -> {
+                    try {
+                        Files.writeString(fifo, again);
+                        read.countDown();
+                    } catch (IOException e) {
+                        // The test fails below.
+                    }
+                });
         assertTrue(read.await(8, TimeUnit.SECONDS), "SIGHUP is carried out");
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(8_000);
@@ -284,20 +334,32 @@
     }
 
     private static int signal(String name, Process process) throws Exception {
-        return new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor();
+        return new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
+                .start()
+                .waitFor();
     }
 
     // Lists
 
     private ListWatch watch(StandIn at, long silence) throws IOException {
-        ListWatch watch = new ListWatch(address(at), new Directory(log, List.of("z"), List.of("k")), 7, true,
-            silence, module, buffers, log, new SplittableRandom(1));
+        ListWatch watch =
+                new ListWatch(
+                        address(at),
+                        new Directory(log, List.of("z"), List.of("k")),
+                        7,
+                        true,
+                        silence,
+                        module,
+                        buffers,
+                        log,
+                        new SplittableRandom(1));
         Thread thread = Sockets.start("list", watch);
-        open.add(() -> {
-            thread.interrupt();
-            watch.close();
-            thread.join(4_000);
-        });
+        open.add(
+                () -> {
+                    thread.interrupt();
+                    watch.close();
+                    thread.join(4_000);
+                });
         return watch;
     }
 
@@ -322,20 +384,22 @@
         for (String before : List.of(head, head + "\r\n" + list(8, true) + "\n{\"seq\":9,")) {
             CountDownLatch ended = new CountDownLatch(1);
             StandIn trickles = new StandIn(request -> SILENT);
-            trickles.play = request -> {
-                Socket socket = trickles.sockets.get(trickles.sockets.size() - 1);
-                send(socket, before);
-                try {
-                    while (true) {
-                        // Far more than 16 bytes a second: no pause, but nothing whole either.
-                        send(socket, "x");
-                        Thread.sleep(10);
-                    }
-                } catch (IOException e) {
-                    ended.countDown();
-                    return CLOSE;
-                }
-            };
+            trickles.play =
+                    request -> {
+                        Socket socket = trickles.sockets.get(trickles.sockets.size() - 1);
+                        send(socket, before);
+                        try {
+                            while (true) {
+                                // Far more than 16 bytes a second: no pause, but nothing whole
+                                // either.
+                                send(socket, "x");
+                                Thread.sleep(10);
+                            }
+                        } catch (IOException e) {
+                            ended.countDown();
+                            return CLOSE;
+                        }
+                    };
             watch(trickles, 300).ask();
             assertTrue(ended.await(8, TimeUnit.SECONDS), "ended behind " + before);
         }
@@ -345,11 +409,17 @@
     void anIndentedListIsRead() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         String host = backend.host("b{\\\"0").replace(",", ",\n    ").replace("{\"", "{\n    \"");
-        StandIn discovery = new StandIn(request -> "HTTP/1.1 200 OK\r\n\r\n{\n  \"seq\": 2,\n"
-            + "  \"whole\": true,\n  \"hosts\": [\n    " + host + "\n  ]\n}\n\n");
+        StandIn discovery =
+                new StandIn(
+                        request ->
+                                "HTTP/1.1 200 OK\r\n\r\n{\n  \"seq\": 2,\n"
+                                        + "  \"whole\": true,\n  \"hosts\": [\n    "
+                                        + host
+                                        + "\n  ]\n}\n\n");
         start(256, discovery.server.getLocalPort(), "");
-        eventually(() -> status(call(request("read", "i" + System.nanoTime(), "", ""))) == 200,
-            "it is known");
+        eventually(
+                () -> status(call(request("read", "i" + System.nanoTime(), "", ""))) == 200,
+                "it is known");
     }
 
     // Attempts on their way
@@ -358,20 +428,35 @@
         Head head = new Head(new String[] {"POST", "/once", "HTTP/1.1"});
         Body body = new Body(buffers, null);
         body.add("body".getBytes(StandardCharsets.ISO_8859_1), 0, 4);
-        ClientRequest request = new ClientRequest(null,
-            new Admission.Asked(head, "id", null, 0, "once", 0, "acme", 0), body, clock.now() + 100_000,
-            ConcurrentHashMap.newKeySet());
+        ClientRequest request =
+                new ClientRequest(
+                        null,
+                        new Admission.Asked(head, "id", null, 0, "once", 0, "acme", 0),
+                        body,
+                        clock.now() + 100_000,
+                        ConcurrentHashMap.newKeySet());
         ClientRequest.Attempt attempt = new ClientRequest.Attempt(request, 0, sendBy, module);
         assertTrue(actor == null || actor.attempt(attempt));
         return new Sent(request, attempt);
     }
 
-    private record Sent(ClientRequest request, ClientRequest.Attempt attempt) {
-    }
+    private record Sent(ClientRequest request, ClientRequest.Attempt attempt) {}
 
     private BackendActor actor(StandIn backend, long settle) {
-        return new BackendActor(address(backend), new ConnectionPermits(4), new KeepAlive(), workers, 1_000,
-            60_000, settle, buffers, new HttpWriter(buffers), watchdog, clock, figures, log);
+        return new BackendActor(
+                address(backend),
+                new ConnectionPermits(4),
+                new KeepAlive(),
+                workers,
+                1_000,
+                60_000,
+                settle,
+                buffers,
+                new HttpWriter(buffers),
+                watchdog,
+                clock,
+                figures,
+                log);
     }
 
     /** Held in the mailbox, as long as the actor's thread has not been started. */
@@ -403,7 +488,8 @@
 
     /** Until its first attempt an actor has no thread, and nobody reads what it is told. */
     @Example
-    void whatABackendIsToldBeforeItsFirstAttemptNeitherFillsItsMailboxNorIsForgotten() throws Exception {
+    void whatABackendIsToldBeforeItsFirstAttemptNeitherFillsItsMailboxNorIsForgotten()
+            throws Exception {
         StandIn old = new StandIn(request -> CLOSE);
         StandIn now = new StandIn(request -> FAILED);
         BackendActor actor = actor(old, BackendActor.SETTLE);
@@ -430,12 +516,27 @@
         StandIn backend = new StandIn(request -> FAILED);
         BackendActor actor = actor(backend, BackendActor.SETTLE);
         Sent first = attempt(null, Long.MAX_VALUE);
-        BackendConnection connection = new BackendConnection(actor, address(backend), 1_000, buffers,
-            new HttpWriter(buffers), watchdog, clock, figures, log, first.attempt);
+        BackendConnection connection =
+                new BackendConnection(
+                        actor,
+                        address(backend),
+                        1_000,
+                        buffers,
+                        new HttpWriter(buffers),
+                        watchdog,
+                        clock,
+                        figures,
+                        log,
+                        first.attempt);
         Thread thread = Sockets.thread("connection", connection);
         thread.start();
-        eventually(() -> first.attempt.settled() && List.of(thread.getStackTrace()).toString()
-            .matches("(?s).*NioSocketImpl.*HttpReader.awaitOne.*"), "it rests");
+        eventually(
+                () ->
+                        first.attempt.settled()
+                                && List.of(thread.getStackTrace())
+                                        .toString()
+                                        .matches("(?s).*NioSocketImpl.*HttpReader.awaitOne.*"),
+                "it rests");
         Sent next = attempt(null, Long.MAX_VALUE);
         synchronized (connection) {
             send(backend.sockets.get(0), STRAY);
@@ -457,9 +558,17 @@
         BackendActor actor = actor(backend, 8_000_000_000L);
         Thread thread = Sockets.start("backend", actor);
         Sent first = attempt(actor, Long.MAX_VALUE);
-        eventually(() -> first.attempt.settled() && Thread.getAllStackTraces().values().stream()
-            .anyMatch(t -> List.of(t).toString().matches("(?s).*NioSocketImpl.*HttpReader.awaitOne.*")),
-            "it rests");
+        eventually(
+                () ->
+                        first.attempt.settled()
+                                && Thread.getAllStackTraces().values().stream()
+                                        .anyMatch(
+                                                t ->
+                                                        List.of(t)
+                                                                .toString()
+                                                                .matches(
+                                                                        "(?s).*NioSocketImpl.*HttpReader.awaitOne.*")),
+                "it rests");
         Sent next = attempt(actor, Long.MAX_VALUE);
         CountDownLatch looked = new CountDownLatch(1);
         actor.then(looked::countDown);
@@ -490,7 +599,9 @@
                 send(socket, behind);
                 socket.setSoLinger(reset, 0);
                 socket.close();
-                eventually(() -> proxy.listener().clients().isEmpty(), "noticed behind " + behind.length());
+                eventually(
+                        () -> proxy.listener().clients().isEmpty(),
+                        "noticed behind " + behind.length());
             }
         }
         assertEquals(8, backend.requests.size());
@@ -499,10 +610,12 @@
     @Example
     void aRequestBehindTheFirstWaitsForItsAnswer() throws Exception {
         CountDownLatch goOn = new CountDownLatch(1);
-        StandIn backend = new StandIn(request -> {
-            goOn.await(8, TimeUnit.SECONDS);
-            return OK;
-        });
+        StandIn backend =
+                new StandIn(
+                        request -> {
+                            goOn.await(8, TimeUnit.SECONDS);
+                            return OK;
+                        });
         start(backend);
         Socket socket = connect();
         send(socket, request("once", "first", "", "body") + request("once", "second", "", "body"));
@@ -516,10 +629,12 @@
     @Example
     void whatAFloodDroppedIsTakenForNoRequest() throws Exception {
         CountDownLatch goOn = new CountDownLatch(1);
-        StandIn backend = new StandIn(request -> {
-            goOn.await(8, TimeUnit.SECONDS);
-            return OK;
-        });
+        StandIn backend =
+                new StandIn(
+                        request -> {
+                            goOn.await(8, TimeUnit.SECONDS);
+                            return OK;
+                        });
         start(backend);
         Socket socket = connect();
         send(socket, request("once", "first", "", "body"));
@@ -545,10 +660,13 @@
 
     private static long threads() {
         return Thread.getAllStackTraces().keySet().stream()
-            .filter(t -> t.isAlive() && t.getName().equals("connection")).count();
+                .filter(t -> t.isAlive() && t.getName().equals("connection"))
+                .count();
     }
 
-    /** What a backend does to a request named so, on its socket; the answer that is left to give. */
+    /**
+     * What a backend does to a request named so, on its socket; the answer that is left to give.
+     */
     private static String spoilt(String id, Socket socket) throws Exception {
         String own = "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id;
         switch (id.replaceAll("[0-9]", "")) {
@@ -581,8 +699,11 @@
     @Example
     void badInputLeavesNothingBehindAndTouchesNoOther() throws Exception {
         StandIn backend = new StandIn(request -> CLOSE);
-        backend.play = request -> spoilt(field(request, "X-Request-ID", ""),
-            backend.sockets.get(backend.sockets.size() - 1));
+        backend.play =
+                request ->
+                        spoilt(
+                                field(request, "X-Request-ID", ""),
+                                backend.sockets.get(backend.sockets.size() - 1));
         start(backend);
         long descriptors = 0;
         long threads = 0;
@@ -614,8 +735,9 @@
             }
         }
         long most = descriptors + 4;
-        eventually(() -> proxy.listener().clients().isEmpty() && descriptors() <= most,
-            "descriptors are back");
+        eventually(
+                () -> proxy.listener().clients().isEmpty() && descriptors() <= most,
+                "descriptors are back");
         long mostThreads = threads + 2;
         eventually(() -> threads() <= mostThreads, "threads are back");
     }
