--- a/src/test/java/cottonlock/net/RolloutProcessesTest.java
+++ b/src/test/java/cottonlock/net/RolloutProcessesTest.java
@@ -19,8 +19,8 @@
 import net.jqwik.api.Example;
 
 /**
- * Processes of the program that learn of changes from control machines on loopback, and what goes wrong with
- * these. Nothing but the promised ten seconds bounds a wait.
+ * Processes of the program that learn of changes from control machines on loopback, and what goes
+ * wrong with these. Nothing but the promised ten seconds bounds a wait.
  */
 class RolloutProcessesTest extends ProxyFixture {
     private static final long PROMISED = 10_000_000_000L;
@@ -46,28 +46,52 @@
         }
 
         void start(StandIn backend, boolean keeps) throws Exception {
-            Path config = config(configuration(backend).replace("127.0.0.1:0", "127.0.0.1:" + listen)
-                .replace("{\"listen\"", "{\"name\":\"p\",\"mgmt\":\"127.0.0.1:" + mgmt + "\",\"listen\""));
-            Path operator = Files.writeString(folder.resolve("operator.toml"), "[rollout]\nenabled = true\n"
-                + "service = \"s\"\ncompare_ms = 1000\nretry_ms = 1000\ncontrol = ["
-                + String.join(", ", control.stream().map(c -> '"' + c.address() + '"').toList()) + "]\n");
-            ProcessBuilder builder = new ProcessBuilder(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path"), "cottonlock.Main", "serve", "--operator",
-                operator.toString());
+            Path config =
+                    config(
+                            configuration(backend)
+                                    .replace("127.0.0.1:0", "127.0.0.1:" + listen)
+                                    .replace(
+                                            "{\"listen\"",
+                                            "{\"name\":\"p\",\"mgmt\":\"127.0.0.1:"
+                                                    + mgmt
+                                                    + "\",\"listen\""));
+            Path operator =
+                    Files.writeString(
+                            folder.resolve("operator.toml"),
+                            "[rollout]\nenabled = true\n"
+                                    + "service = \"s\"\ncompare_ms = 1000\nretry_ms = 1000\ncontrol = ["
+                                    + String.join(
+                                            ", ",
+                                            control.stream()
+                                                    .map(c -> '"' + c.address() + '"')
+                                                    .toList())
+                                    + "]\n");
+            ProcessBuilder builder =
+                    new ProcessBuilder(
+                            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            "cottonlock.Main",
+                            "serve",
+                            "--operator",
+                            operator.toString());
             builder.environment().put("EDGE_CONFIG", config.toString());
             builder.environment().remove("TMPDIR");
             if (keeps) {
                 builder.environment().put("TMPDIR", folder.toString());
             }
-            process = builder.redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(errors.toFile())).start();
+            process =
+                    builder.redirectErrorStream(true)
+                            .redirectOutput(ProcessBuilder.Redirect.appendTo(errors.toFile()))
+                            .start();
             Process mine = process;
             open.add(mine::destroyForcibly);
-            inTime(() -> {
-                assertTrue(mine.isAlive(), Files.readString(errors));
-                return figure("configuration_version") != null;
-            }, "it serves");
+            inTime(
+                    () -> {
+                        assertTrue(mine.isAlive(), Files.readString(errors));
+                        return figure("configuration_version") != null;
+                    },
+                    "it serves");
         }
 
         String figure(String key) throws IOException {
@@ -82,7 +106,8 @@
             try (Socket socket = new Socket("127.0.0.1", mgmt)) {
                 socket.setSoTimeout(4_000);
                 send(socket, call + "\n");
-                return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+                return new String(
+                        socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             }
         }
 
@@ -132,7 +157,10 @@
             open.add(machine);
         }
         String file = configuration(backend);
-        content = file.substring(file.indexOf("\"settings\":") + "\"settings\":".length(), file.length() - 1);
+        content =
+                file.substring(
+                        file.indexOf("\"settings\":") + "\"settings\":".length(),
+                        file.length() - 1);
         base = VersionLine.base(Config.settings((Map<?, ?>) Json.read(content)));
         int[] ports = freePorts(2 * processes);
         for (int i = 0; i < processes; i++) {
@@ -154,8 +182,9 @@
 
     private void allHold(long seq) throws Exception {
         for (Instance i : instances) {
-            inTime(() -> i.figure("configuration_version").equals("" + seq), "version " + seq + " at "
-                + Files.readString(i.errors));
+            inTime(
+                    () -> i.figure("configuration_version").equals("" + seq),
+                    "version " + seq + " at " + Files.readString(i.errors));
         }
     }
 
@@ -181,13 +210,17 @@
         first.start(backend, true);
         assertEquals("2", first.figure("configuration_version"), "kept by the process before");
         assertEquals(200, first.status("thrice"));
-        inTime(() -> !instances.get(1).figure("configuration_control_lost_ms").equals("-1"),
-            "a pager sees it");
+        inTime(
+                () -> !instances.get(1).figure("configuration_control_lost_ms").equals("-1"),
+                "a pager sees it");
         assertEquals(200, instances.get(1).status("thrice"), "in force as long as it takes");
         Instance second = instances.get(1);
         second.process.destroyForcibly().waitFor();
         second.start(backend, false);
-        assertEquals("0", second.figure("configuration_version"), "off: nothing is kept, the file is back");
+        assertEquals(
+                "0",
+                second.figure("configuration_version"),
+                "off: nothing is kept, the file is back");
         assertEquals(404, second.status("thrice"));
         for (ControlMachine c : control) {
             c.start();
@@ -250,7 +283,8 @@
         control.forEach(c -> c.publish("s", 5, othersBase, others));
         for (Instance i : instances) {
             inTime(() -> i.figure("configuration_refused_count").equals("2"), "refused");
-            assertEquals(1, i.lines("for which a new process is needed"), Files.readString(i.errors));
+            assertEquals(
+                    1, i.lines("for which a new process is needed"), Files.readString(i.errors));
             assertEquals("4", i.figure("configuration_version"));
         }
     }
@@ -261,15 +295,31 @@
         StandIn backend = new StandIn(request -> OK);
         file = config(configuration(backend).replace("{\"listen\"", "{\"name\":\"p\",\"listen\""));
         String text = Files.readString(file);
-        content = text.substring(text.indexOf("\"settings\":") + "\"settings\":".length(), text.length() - 1);
+        content =
+                text.substring(
+                        text.indexOf("\"settings\":") + "\"settings\":".length(),
+                        text.length() - 1);
         base = VersionLine.base(Config.settings((Map<?, ?>) Json.read(content)));
         List<String> addresses = new ArrayList<>();
         for (ControlMachine m : machines) {
             addresses.add(m.address());
             open.add(m);
         }
-        proxy = new Proxy(file, new Operator(Map.of(), null, new RolloutPlan("s", addresses, List.of(),
-            RolloutPlan.CALL, RolloutPlan.COMPARE, RolloutPlan.RETRY)), null, folder);
+        proxy =
+                new Proxy(
+                        file,
+                        new Operator(
+                                Map.of(),
+                                null,
+                                new RolloutPlan(
+                                        "s",
+                                        addresses,
+                                        List.of(),
+                                        RolloutPlan.CALL,
+                                        RolloutPlan.COMPARE,
+                                        RolloutPlan.RETRY)),
+                        null,
+                        folder);
         buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
     }
 
@@ -279,9 +329,14 @@
         startHere(Files.createTempDirectory("rollout"), machine);
         Files.writeString(file, Files.readString(file).replace("\"once\"", "\"byfile\""));
         proxy.reload();
-        assertEquals(200, status(call(request("byfile", "1", "", "body"))), "no version yet: the file holds");
+        assertEquals(
+                200,
+                status(call(request("byfile", "1", "", "body"))),
+                "no version yet: the file holds");
         machine.publish("s", 1, base, named("twice"));
-        inTime(() -> status(call(request("twice", "n" + System.nanoTime(), "", "body"))) == 200, "in force");
+        inTime(
+                () -> status(call(request("twice", "n" + System.nanoTime(), "", "body"))) == 200,
+                "in force");
         Files.writeString(file, Files.readString(file).replace("\"byfile\"", "\"again\""));
         proxy.reload();
         assertEquals(404, status(call(request("again", "2", "", "body"))));
@@ -298,7 +353,9 @@
         inTime(() -> one.worstSecond() > 0 && other.worstSecond() > 0, "both are called");
         other.trouble(Trouble.NONE);
         other.publish("s", 1, base, named("twice"));
-        inTime(() -> status(call(request("twice", "n" + System.nanoTime(), "", "body"))) == 200, "in force");
+        inTime(
+                () -> status(call(request("twice", "n" + System.nanoTime(), "", "body"))) == 200,
+                "in force");
         assertTrue(one.worstSecond() <= 4 && other.worstSecond() <= 4, "calls are paced");
     }
 
@@ -310,13 +367,16 @@
         startHere(folder, machine);
         String poison = named("poison");
         Path kept = folder.resolve("cottonlock-p-127.0.0.1_0.configuration");
-        Files.writeString(kept, "cottonlock configuration 1\ntries 1." + ControlMachine.digest(poison)
-            + " 3\n");
+        Files.writeString(
+                kept,
+                "cottonlock configuration 1\ntries 1." + ControlMachine.digest(poison) + " 3\n");
         machine.publish("s", 1, base, poison);
         inTime(() -> Files.readString(kept).contains(" 4"), "marked again");
         assertEquals(404, status(call(request("poison", "1", "", "body"))));
         machine.publish("s", 2, base, named("twice"));
-        inTime(() -> status(call(request("twice", "n" + System.nanoTime(), "", "body"))) == 200, "the next");
+        inTime(
+                () -> status(call(request("twice", "n" + System.nanoTime(), "", "body"))) == 200,
+                "the next");
         inTime(() -> Files.readString(kept).contains("version 2 "), "kept");
         assertTrue(!Files.readString(kept).contains("tries"), Files.readString(kept));
     }
--- a/src/test/java/cottonlock/net/VersionLineTest.java
+++ b/src/test/java/cottonlock/net/VersionLineTest.java
@@ -13,8 +13,9 @@
 
 /** What is a version, and which can be used: told apart by its bytes and the base alone. */
 class VersionLineTest {
-    static final String SETTINGS = "{\"Categories\":[{\"Name\":\"read\",\"DueTime\":800000,"
-        + "\"Expiry\":1500000,\"Repeat\":\"safe\"}],\"Zones\":[\"z\"],\"Limits\":{\"MaxHandOffs\":3}}";
+    static final String SETTINGS =
+            "{\"Categories\":[{\"Name\":\"read\",\"DueTime\":800000,"
+                    + "\"Expiry\":1500000,\"Repeat\":\"safe\"}],\"Zones\":[\"z\"],\"Limits\":{\"MaxHandOffs\":3}}";
 
     private static String base(String settings) {
         return VersionLine.base(settings(settings));
@@ -25,8 +26,15 @@
     }
 
     static String line(long seq, String digest, String base, String settings) {
-        return "{\"seq\":" + seq + ",\"whole\":true,\"digest\":\"" + digest + "\",\"base\":\"" + base
-            + "\",\"settings\":\"" + settings.replace("\"", "\\\"") + "\"}";
+        return "{\"seq\":"
+                + seq
+                + ",\"whole\":true,\"digest\":\""
+                + digest
+                + "\",\"base\":\""
+                + base
+                + "\",\"settings\":\""
+                + settings.replace("\"", "\\\"")
+                + "\"}";
     }
 
     private static String line(String settings) {
@@ -47,11 +55,20 @@
     @Example
     void whatIsNoWholeVersionIsTheFaultOfWhoTellsIt() {
         String whole = line(SETTINGS);
-        for (String bad : new String[] {"", "[]", "{}", whole.substring(0, whole.length() / 2),
-            whole.replace("1500000", "2500000"), whole.replace("\"seq\":43", "\"seq\":-1"),
-            whole.replace("\"seq\":43", "\"seq\":9007199254740993"), whole.replace("\"base\"", "\"bas\""),
-            whole.replace("\"digest\":\"", "\"digest\":\"x"), line(43, "0123456789abcdef", "x", SETTINGS),
-            "{\"seq\":43,\"digest\":\"0123456789abcdef\",\"settings\":{}}"}) {
+        for (String bad :
+                new String[] {
+                    "",
+                    "[]",
+                    "{}",
+                    whole.substring(0, whole.length() / 2),
+                    whole.replace("1500000", "2500000"),
+                    whole.replace("\"seq\":43", "\"seq\":-1"),
+                    whole.replace("\"seq\":43", "\"seq\":9007199254740993"),
+                    whole.replace("\"base\"", "\"bas\""),
+                    whole.replace("\"digest\":\"", "\"digest\":\"x"),
+                    line(43, "0123456789abcdef", "x", SETTINGS),
+                    "{\"seq\":43,\"digest\":\"0123456789abcdef\",\"settings\":{}}"
+                }) {
             assertThrows(Malformed.class, () -> VersionLine.read(bad), bad);
         }
     }
@@ -61,33 +78,58 @@
         String[][] bad = {
             {"{\"Categories\":[", "its settings are not JSON"},
             {"[]", "its settings are no object"},
-            {SETTINGS.replace("\"Limits\"", "\"Me\":3,\"Limits\""), "settings.Me is each process's own"},
-            {SETTINGS.replace("800000", "0"), "settings.Categories.0.DueTime must be over 0, found 0"},
+            {
+                SETTINGS.replace("\"Limits\"", "\"Me\":3,\"Limits\""),
+                "settings.Me is each process's own"
+            },
+            {
+                SETTINGS.replace("800000", "0"),
+                "settings.Categories.0.DueTime must be over 0, found 0"
+            },
             {SETTINGS.replace("\"Expiry\":1500000,", ""), "Expiry must be over 0, found nothing"},
-            {SETTINGS.replace(",\"Repeat\":\"safe\"", ""), "settings.Categories.0.Repeat is missing"},
-            {SETTINGS.replace("\"safe\"", "\"keyed\""), "settings.Categories.0.KeyScope is missing"},
-            {SETTINGS.replace("\"MaxHandOffs\":3", ""), "settings.Limits.MaxHandOffs must be over 0"},
-            {SETTINGS.replace("\"z\"", "\"z\",\"y\""), "but it names " + base(SETTINGS) + " as its base"},
+            {
+                SETTINGS.replace(",\"Repeat\":\"safe\"", ""),
+                "settings.Categories.0.Repeat is missing"
+            },
+            {
+                SETTINGS.replace("\"safe\"", "\"keyed\""),
+                "settings.Categories.0.KeyScope is missing"
+            },
+            {
+                SETTINGS.replace("\"MaxHandOffs\":3", ""),
+                "settings.Limits.MaxHandOffs must be over 0"
+            },
+            {
+                SETTINGS.replace("\"z\"", "\"z\",\"y\""),
+                "but it names " + base(SETTINGS) + " as its base"
+            },
         };
         for (String[] one : bad) {
-            Malformed fault = assertThrows(Malformed.class,
-                () -> VersionLine.read(line(one[0])).judged(base(SETTINGS)), one[0]);
+            Malformed fault =
+                    assertThrows(
+                            Malformed.class,
+                            () -> VersionLine.read(line(one[0])).judged(base(SETTINGS)),
+                            one[0]);
             assertTrue(fault.getMessage().contains(one[1]), fault.getMessage());
         }
         String others = SETTINGS.replace("\"z\"", "\"z\",\"y\"");
-        VersionLine onOthers = VersionLine.read(line(43, ControlMachine.digest(others), base(others),
-            others));
+        VersionLine onOthers =
+                VersionLine.read(line(43, ControlMachine.digest(others), base(others), others));
         Malformed fault = assertThrows(Malformed.class, () -> onOthers.judged(base(SETTINGS)));
-        assertTrue(fault.getMessage().contains("for which a new process is needed"), fault.getMessage());
+        assertTrue(
+                fault.getMessage().contains("for which a new process is needed"),
+                fault.getMessage());
         assertEquals(1, onOthers.judged(base(others)).count("Categories.count", 0));
     }
 
     @Example
     void theBaseIsAllThatAProcessCannotFollow() {
-        assertEquals(base(SETTINGS), base(SETTINGS.replace("\"read\"", "\"look\"").replace(":3", ":5")));
-        assertEquals(base(SETTINGS),
-            base(SETTINGS.replace("\"Limits\"", "\"Me\":3,\"FleetSize\":9,\"Limits\"")),
-            "a process's own are none of it");
+        assertEquals(
+                base(SETTINGS), base(SETTINGS.replace("\"read\"", "\"look\"").replace(":3", ":5")));
+        assertEquals(
+                base(SETTINGS),
+                base(SETTINGS.replace("\"Limits\"", "\"Me\":3,\"FleetSize\":9,\"Limits\"")),
+                "a process's own are none of it");
         assertTrue(!base(SETTINGS).equals(base(SETTINGS.replace("MaxHandOffs", "MaxHandOff"))));
     }
 }
--- a/src/test/java/cottonlock/rollout/RolloutTest.java
+++ b/src/test/java/cottonlock/rollout/RolloutTest.java
@@ -18,15 +18,20 @@
 import net.jqwik.api.Property;
 
 /**
- * Fleets of the deciding class in virtual time: each hard case of docs/rollout.md, and what fails where its
- * defence is switched off. One seed gives the same play on any machine.
+ * Fleets of the deciding class in virtual time: each hard case of docs/rollout.md, and what fails
+ * where its defence is switched off. One seed gives the same play on any machine.
  */
 class RolloutTest {
     private static final int SIZE = 300;
     private static final long SEED = 7;
-    /** Milliseconds in which a change is to be in force; bytes that a proxy may spend in a second. */
+
+    /**
+     * Milliseconds in which a change is to be in force; bytes that a proxy may spend in a second.
+     */
     private static final long IN_FORCE = 10_000;
+
     private static final long BYTES = 7 << 10;
+
     /** Bytes of a second in which a proxy was told one version twice, half and whole. */
     private static final long TWICE = 10 << 10;
 
@@ -59,37 +64,47 @@
     void aChangeDuringARegionSplit() {
         Outcome o = holds("region_split", Habits.USUAL, BYTES);
         assertFalse(late(o.more().get("healed_ms_all")), o.toString());
-        Habits farToo = new Habits() {
-            @Override
-            public boolean nearFirst() {
-                return false;
-            }
-        };
+        Habits farToo =
+                new Habits() {
+                    @Override
+                    public boolean nearFirst() {
+                        return false;
+                    }
+                };
         // Watches that stand across the cut are lost, and half of all machines can't be reached.
         holds("region_split", farToo, BYTES);
-        assertTrue(late(play("region_split", new Habits() {
-            @Override
-            public boolean nearFirst() {
-                return false;
-            }
+        assertTrue(
+                late(
+                        play(
+                                        "region_split",
+                                        new Habits() {
+                                            @Override
+                                            public boolean nearFirst() {
+                                                return false;
+                                            }
 
-            @Override
-            public boolean movesOn() {
-                return false;
-            }
-        }).all()), "off: those that watch beyond the cut wait for the heal");
+                                            @Override
+                                            public boolean movesOn() {
+                                                return false;
+                                            }
+                                        })
+                                .all()),
+                "off: those that watch beyond the cut wait for the heal");
     }
 
     @Example
     void twoChangesThatCrossEndAsOne() {
         Outcome o = holds("crossing", Habits.USUAL, BYTES);
         assertEquals(2, o.more().get("versions_while_split"));
-        Outcome off = play("crossing", new Habits() {
-            @Override
-            public boolean outweighs(Version one, Version other) {
-                return one.number() > other.number();
-            }
-        });
+        Outcome off =
+                play(
+                        "crossing",
+                        new Habits() {
+                            @Override
+                            public boolean outweighs(Version one, Version other) {
+                                return one.number() > other.number();
+                            }
+                        });
         assertTrue(late(off.all()) && off.differ() > 0, "off: each side keeps its own: " + off);
     }
 
@@ -105,12 +120,18 @@
         }
         // Two defences, each of which is enough: a comparison finds it too.
         holds("stopped", new Endless(), BYTES);
-        assertTrue(late(play("stopped", new Endless() {
-            @Override
-            public boolean compares() {
-                return false;
-            }
-        }).all()), "off: it waits for lines of a connection that is none any more");
+        assertTrue(
+                late(
+                        play(
+                                        "stopped",
+                                        new Endless() {
+                                            @Override
+                                            public boolean compares() {
+                                                return false;
+                                            }
+                                        })
+                                .all()),
+                "off: it waits for lines of a connection that is none any more");
     }
 
     @Example
@@ -118,57 +139,77 @@
         Outcome o = holds("flapping_zone", Habits.USUAL, BYTES);
         assertFalse(late(o.more().get("inside_ms_all")), o.toString());
         assertFalse(late(o.more().get("after_ms_all")), o.toString());
-        Outcome off = play("flapping_zone", new Habits() {
-            @Override
-            public boolean movesOn() {
-                return false;
-            }
-        });
-        assertTrue(late(off.all()) && late(off.more().get("inside_ms_all")), "off: each waits for its own "
-            + "machine: " + off);
+        Outcome off =
+                play(
+                        "flapping_zone",
+                        new Habits() {
+                            @Override
+                            public boolean movesOn() {
+                                return false;
+                            }
+                        });
+        assertTrue(
+                late(off.all()) && late(off.more().get("inside_ms_all")),
+                "off: each waits for its own " + "machine: " + off);
     }
 
     @Example
     void allOfControlDownForTenMinutesAndBackAtOnce() {
         Outcome o = holds("control_down", Habits.USUAL, BYTES);
         assertEquals(SIZE, o.more().get("kept"), "the last good version is kept by all");
-        // One call in retry / 2 at most, drawn by chance over as long: three times the mean at a machine.
+        // One call in retry / 2 at most, drawn by chance over as long: three times the mean at a
+        // machine.
         assertTrue(o.calls() <= 3 * SIZE / RolloutStudy.CONTROL / 2, o.toString());
-        assertTrue(late(play("control_down", new Habits() {
-            @Override
-            public long longestWait(long retry, int failures) {
-                return retry << Math.min(failures, 16);
-            }
-        }).all()), "off: waits that double without bound");
-        Outcome unpaced = play("control_down", new Habits() {
-            @Override
-            public boolean paces() {
-                return false;
-            }
-        });
-        assertTrue(unpaced.more().get("calls_s_while_down") > 3 * o.more().get("calls_s_while_down")
-            && unpaced.bytes() > BYTES, "off: no wait: " + unpaced);
+        assertTrue(
+                late(
+                        play(
+                                        "control_down",
+                                        new Habits() {
+                                            @Override
+                                            public long longestWait(long retry, int failures) {
+                                                return retry << Math.min(failures, 16);
+                                            }
+                                        })
+                                .all()),
+                "off: waits that double without bound");
+        Outcome unpaced =
+                play(
+                        "control_down",
+                        new Habits() {
+                            @Override
+                            public boolean paces() {
+                                return false;
+                            }
+                        });
+        assertTrue(
+                unpaced.more().get("calls_s_while_down") > 3 * o.more().get("calls_s_while_down")
+                        && unpaced.bytes() > BYTES,
+                "off: no wait: " + unpaced);
     }
 
     @Example
     void oneControlMachineThatLiesBehind() {
         Outcome o = holds("behind", Habits.USUAL, BYTES);
         assertTrue(o.more().get("next_ms_all") < 1_000, "it has been left for others: " + o);
-        Outcome off = play("behind", new Habits() {
-            @Override
-            public boolean compares() {
-                return false;
-            }
-        });
+        Outcome off =
+                play(
+                        "behind",
+                        new Habits() {
+                            @Override
+                            public boolean compares() {
+                                return false;
+                            }
+                        });
         assertTrue(late(off.all()) && off.differ() > 0, "off: who watches it never knows: " + off);
     }
 
-    private static final Habits NOTHING_TRIED = new Habits() {
-        @Override
-        public boolean tries() {
-            return false;
-        }
-    };
+    private static final Habits NOTHING_TRIED =
+            new Habits() {
+                @Override
+                public boolean tries() {
+                    return false;
+                }
+            };
 
     @Example
     void halfAVersionIsNone() {
@@ -188,28 +229,39 @@
     @Example
     void manyRestartsWithinAMinuteWhileControlIsLost() {
         holds("restarts", Habits.USUAL, BYTES);
-        assertNotEquals(0, play("restarts", new Habits() {
-            @Override
-            public boolean keeps() {
-                return false;
-            }
-        }).back(), "off: a restart goes back to the file");
+        assertNotEquals(
+                0,
+                play(
+                                "restarts",
+                                new Habits() {
+                                    @Override
+                                    public boolean keeps() {
+                                        return false;
+                                    }
+                                })
+                        .back(),
+                "off: a restart goes back to the file");
     }
 
     @Example
     void aChangeWhileControlIsOverloaded() {
         Outcome o = holds("overload", Habits.USUAL, BYTES);
-        // A call each 0.45 s at most by each proxy, spread over near machines; half as much again by chance.
+        // A call each 0.45 s at most by each proxy, spread over near machines; half as much again
+        // by chance.
         double most = 1.5 * SIZE / 0.45 / RolloutStudy.CONTROL;
         assertTrue(o.calls() <= most, o.toString());
-        Outcome off = play("overload", new Habits() {
-            @Override
-            public boolean paces() {
-                return false;
-            }
-        });
-        assertTrue(off.calls() > most && off.bytes() > BYTES, "off: who is turned away calls at once: "
-            + off);
+        Outcome off =
+                play(
+                        "overload",
+                        new Habits() {
+                            @Override
+                            public boolean paces() {
+                                return false;
+                            }
+                        });
+        assertTrue(
+                off.calls() > most && off.bytes() > BYTES,
+                "off: who is turned away calls at once: " + off);
     }
 
     private static RolloutPlan plan(int near, int far) {
@@ -217,8 +269,13 @@
         for (int i = 0; i < near + far; i++) {
             names.add("127.0.0.1:" + (1 + i));
         }
-        return new RolloutPlan("s", names.subList(0, near), names.subList(near, near + far), RolloutPlan.CALL,
-            RolloutPlan.COMPARE, RolloutPlan.RETRY);
+        return new RolloutPlan(
+                "s",
+                names.subList(0, near),
+                names.subList(near, near + far),
+                RolloutPlan.CALL,
+                RolloutPlan.COMPARE,
+                RolloutPlan.RETRY);
     }
 
     @Property(tries = 200)
@@ -231,7 +288,10 @@
         assertEquals(a, Long.parseUnsignedLong(one.hex(), 16));
     }
 
-    /** Whatever machines tell and however calls fail: versions go up only, a refused one is judged once. */
+    /**
+     * Whatever machines tell and however calls fail: versions go up only, a refused one is judged
+     * once.
+     */
     @Property(tries = 200)
     void versionsNeverGoBackAndWaitsAreBounded(@ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
@@ -293,7 +353,8 @@
         }
         assertTrue(now <= 20_000 + 17 * 6_500, "0.65 s each behind the first: " + now);
         long waited = r.watch(now).at() - now;
-        assertTrue(waited >= RolloutPlan.RETRY / 2 && waited <= RolloutPlan.RETRY, "then one by one: "
-            + waited);
+        assertTrue(
+                waited >= RolloutPlan.RETRY / 2 && waited <= RolloutPlan.RETRY,
+                "then one by one: " + waited);
     }
 }
