--- a/src/main/java/cottonlock/Main.java
+++ b/src/main/java/cottonlock/Main.java
@@ -1,10 +1,10 @@
 package cottonlock;
 
-import cottonlock.bench.WireHost;
 import cottonlock.cli.Cli;
-import cottonlock.net.Proxy;
-import cottonlock.setup.Malformed;
-import cottonlock.setup.Operator;
+import cottonlock.proxy.Proxy;
+import cottonlock.setup.InvalidSettingsException;
+import cottonlock.setup.OperatorConfig;
+import cottonlock.simulator.WireHost;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.CountDownLatch;
@@ -25,7 +25,7 @@
         // The command line's library must cost the platform's starts nothing: it is not loaded on
         // this way.
         if (command.equals("serve") && System.getenv("COTTONLOCK_OPERATOR") == null) {
-            System.exit(serve(Operator.NONE));
+            System.exit(serve(OperatorConfig.NONE));
         }
         System.exit(
                 command.equals("wirehost")
@@ -106,11 +106,11 @@
         void on(Proxy proxy) throws InterruptedException;
     }
 
-    private static int serve(Operator operator) {
+    private static int serve(OperatorConfig operator) {
         try {
             String configuration = System.getenv("EDGE_CONFIG");
             if (configuration == null) {
-                throw new Malformed("EDGE_CONFIG names no file");
+                throw new InvalidSettingsException("EDGE_CONFIG names no file");
             }
             System.setProperty("java.util.logging.SimpleFormatter.format", "%4$s %5$s%6$s%n");
             String folder = System.getenv("TMPDIR");
--- a/src/main/java/cottonlock/admin/Figures.java
+++ b/src/main/java/cottonlock/admin/Figures.java
@@ -1,6 +1,6 @@
 package cottonlock.admin;
 
-import cottonlock.decision.Reason;
+import cottonlock.decision.RejectionReason;
 import java.util.EnumMap;
 import java.util.Locale;
 import java.util.Map;
@@ -35,9 +35,11 @@
      * Why what was not a success ended so: by category and by tenant, which each add up to all of
      * it.
      */
-    private final Map<String, Map<Reason, LongAdder>> byCategory = new ConcurrentSkipListMap<>();
+    private final Map<String, Map<RejectionReason, LongAdder>> byCategory =
+            new ConcurrentSkipListMap<>();
 
-    private final Map<String, Map<Reason, LongAdder>> byTenant = new ConcurrentSkipListMap<>();
+    private final Map<String, Map<RejectionReason, LongAdder>> byTenant =
+            new ConcurrentSkipListMap<>();
     private final LongAdder attempts = new LongAdder();
     private final AtomicInteger inflight = new AtomicInteger();
     private final LongAdder filesTaken = new LongAdder();
@@ -59,9 +61,9 @@
         byTenant.computeIfAbsent(name, n -> zeros());
     }
 
-    private static Map<Reason, LongAdder> zeros() {
-        Map<Reason, LongAdder> zeros = new EnumMap<>(Reason.class);
-        for (Reason why : Reason.values()) {
+    private static Map<RejectionReason, LongAdder> zeros() {
+        Map<RejectionReason, LongAdder> zeros = new EnumMap<>(RejectionReason.class);
+        for (RejectionReason why : RejectionReason.values()) {
             zeros.put(why, new LongAdder());
         }
         return zeros;
@@ -80,7 +82,7 @@
     }
 
     /** A client has been answered, with this status; why it was no success, if it was none. */
-    public void answered(String category, String tenant, int status, Reason why) {
+    public void answered(String category, String tenant, int status, RejectionReason why) {
         End end =
                 status == 200
                         ? End.SUCCESS
@@ -144,7 +146,8 @@
                 .toString();
     }
 
-    private static String reasons(String field, Map<String, Map<Reason, LongAdder>> counts) {
+    private static String reasons(
+            String field, Map<String, Map<RejectionReason, LongAdder>> counts) {
         return counts.entrySet().stream()
                 .map(
                         named ->
--- a/src/main/java/cottonlock/cli/Cli.java
+++ b/src/main/java/cottonlock/cli/Cli.java
@@ -1,12 +1,12 @@
 package cottonlock.cli;
 
-import cottonlock.config.BadFile;
+import cottonlock.config.InvalidConfigurationException;
 import cottonlock.config.OperatorFile;
 import cottonlock.config.PlatformFile;
 import cottonlock.lab.Lab;
 import cottonlock.lab.scale.Capacity;
 import cottonlock.lab.scale.ScaleLab;
-import cottonlock.setup.Operator;
+import cottonlock.setup.OperatorConfig;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -47,10 +47,10 @@
     static final int UNUSABLE = 2;
 
     @Spec private CommandSpec spec;
-    private final ToIntFunction<Operator> serve;
+    private final ToIntFunction<OperatorConfig> serve;
     private final IntSupplier wireHost;
 
-    private Cli(ToIntFunction<Operator> serve, IntSupplier wireHost) {
+    private Cli(ToIntFunction<OperatorConfig> serve, IntSupplier wireHost) {
         this.serve = serve;
         this.wireHost = wireHost;
     }
@@ -59,7 +59,8 @@
      * Runs the command that the arguments name, and returns the exit status. {@code serve} is given
      * what the operator's file asks for.
      */
-    public static int run(String[] args, ToIntFunction<Operator> serve, IntSupplier wireHost) {
+    public static int run(
+            String[] args, ToIntFunction<OperatorConfig> serve, IntSupplier wireHost) {
         return new CommandLine(new Cli(serve, wireHost)).setUsageHelpAutoWidth(true).execute(args);
     }
 
@@ -103,14 +104,14 @@
 
         @Override
         public Integer call() {
-            Operator asked = Operator.NONE;
+            OperatorConfig asked = OperatorConfig.NONE;
             try {
                 if (operator != null && !operator.toString().isEmpty()) {
                     OperatorFile file = OperatorFile.read(operator);
                     LogLines.install(file.logFormat(), file.logLevel());
-                    asked = new Operator(file.watched(), file.membership(), file.rollout());
+                    asked = new OperatorConfig(file.watched(), file.membership(), file.rollout());
                 }
-            } catch (BadFile e) {
+            } catch (InvalidConfigurationException e) {
                 return tell(spec, e);
             }
             return parent.serve.applyAsInt(asked);
@@ -168,7 +169,7 @@
                         OperatorFile.read(file);
                     }
                     spec.commandLine().getOut().println(file + ": can be used");
-                } catch (BadFile e) {
+                } catch (InvalidConfigurationException e) {
                     status = tell(spec, e);
                 }
             }
@@ -529,7 +530,7 @@
         }
     }
 
-    private static int tell(CommandSpec spec, BadFile e) {
+    private static int tell(CommandSpec spec, InvalidConfigurationException e) {
         e.faults().forEach(spec.commandLine().getErr()::println);
         return UNUSABLE;
     }
--- a/src/main/java/cottonlock/config/Doc.java
+++ b/src/main/java/cottonlock/config/ConfigurationDocument.java
@@ -24,7 +24,7 @@
  * One value of a file with the line it stands on: a table, a list, a text, a truth, a whole or a
  * decimal number. Line 0 is none: the value was given on the command line.
  */
-public final class Doc {
+public final class ConfigurationDocument {
     /**
      * How deep values may lie in each other: far more than any file here, less than a stack holds.
      */
@@ -36,17 +36,20 @@
     final String file;
     final int line;
 
-    /** A {@code Map<String, Doc>}, a {@code List<Doc>}, String, Boolean, Long or Double. */
+    /**
+     * A {@code Map<String, ConfigurationDocument>}, a {@code List<ConfigurationDocument>}, String,
+     * Boolean, Long or Double.
+     */
     private Object value;
 
-    private Doc(String file, int line, Object value) {
+    private ConfigurationDocument(String file, int line, Object value) {
         this.file = file;
         this.line = line;
         this.value = value;
     }
 
     /** Reads a TOML 1.0 file. */
-    public static Doc toml(Path file) throws BadFile {
+    public static ConfigurationDocument toml(Path file) throws InvalidConfigurationException {
         String name = file.toString();
         TomlParseResult result = Toml.parse(text(file));
         if (result.hasErrors()) {
@@ -60,13 +63,13 @@
                                                     + e.position().line()
                                                     + ": "
                                                     + e.getMessage()));
-            throw new BadFile(faults);
+            throw new InvalidConfigurationException(faults);
         }
         return table(name, 1, result, 0);
     }
 
     /** Reads a JSON file (RFC 8259); a key that stands twice in one object is a fault. */
-    public static Doc json(Path file) throws BadFile {
+    public static ConfigurationDocument json(Path file) throws InvalidConfigurationException {
         String name = file.toString();
         String text = text(file);
         try (JsonParser parser =
@@ -75,31 +78,35 @@
                         .build()
                         .createParser(text)) {
             parser.nextToken();
-            Doc doc = json(name, parser, 0);
+            ConfigurationDocument doc = json(name, parser, 0);
             if (parser.nextToken() != null) {
-                throw BadFile.of(name, line(parser), "", "more than one value");
+                throw InvalidConfigurationException.of(
+                        name, line(parser), "", "more than one value");
             }
             return doc;
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
-            throw BadFile.of(name, line, "", e.getOriginalMessage());
+            throw InvalidConfigurationException.of(name, line, "", e.getOriginalMessage());
         } catch (IOException e) {
-            throw BadFile.of(name, 0, "", "cannot be read: " + e.getMessage());
+            throw InvalidConfigurationException.of(
+                    name, 0, "", "cannot be read: " + e.getMessage());
         }
     }
 
-    private static String text(Path file) throws BadFile {
+    private static String text(Path file) throws InvalidConfigurationException {
         try {
             if (Files.size(file) > LONGEST) {
-                throw BadFile.of(file.toString(), 0, "", "longer than " + (LONGEST >> 20) + " MiB");
+                throw InvalidConfigurationException.of(
+                        file.toString(), 0, "", "longer than " + (LONGEST >> 20) + " MiB");
             }
             return Files.readString(file);
         } catch (NoSuchFileException e) {
-            throw BadFile.of(file.toString(), 0, "", "there is no such file");
+            throw InvalidConfigurationException.of(file.toString(), 0, "", "there is no such file");
         } catch (MalformedInputException e) {
-            throw BadFile.of(file.toString(), 0, "", "is not UTF-8");
+            throw InvalidConfigurationException.of(file.toString(), 0, "", "is not UTF-8");
         } catch (IOException e) {
-            throw BadFile.of(file.toString(), 0, "", "cannot be read: " + e.getMessage());
+            throw InvalidConfigurationException.of(
+                    file.toString(), 0, "", "cannot be read: " + e.getMessage());
         }
     }
 
@@ -107,11 +114,12 @@
         return parser.currentTokenLocation().getLineNr();
     }
 
-    private static Doc json(String file, JsonParser parser, int depth) throws IOException, BadFile {
+    private static ConfigurationDocument json(String file, JsonParser parser, int depth)
+            throws IOException, InvalidConfigurationException {
         int line = line(parser);
         JsonToken token = parser.currentToken();
         if (token == null || depth > DEEPEST) {
-            throw BadFile.of(
+            throw InvalidConfigurationException.of(
                     file,
                     line,
                     "",
@@ -119,35 +127,35 @@
         }
         switch (token) {
             case START_OBJECT -> {
-                Map<String, Doc> map = new LinkedHashMap<>();
+                Map<String, ConfigurationDocument> map = new LinkedHashMap<>();
                 while (parser.nextToken() != JsonToken.END_OBJECT) {
                     String key = parser.currentName();
                     parser.nextToken();
                     map.put(key, json(file, parser, depth + 1));
                 }
-                return new Doc(file, line, map);
+                return new ConfigurationDocument(file, line, map);
             }
             case START_ARRAY -> {
-                List<Doc> list = new ArrayList<>();
+                List<ConfigurationDocument> list = new ArrayList<>();
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
                     list.add(json(file, parser, depth + 1));
                 }
-                return new Doc(file, line, list);
+                return new ConfigurationDocument(file, line, list);
             }
             case VALUE_NUMBER_INT -> {
-                return new Doc(file, line, number(parser));
+                return new ConfigurationDocument(file, line, number(parser));
             }
             case VALUE_NUMBER_FLOAT -> {
-                return new Doc(file, line, parser.getDoubleValue());
+                return new ConfigurationDocument(file, line, parser.getDoubleValue());
             }
             case VALUE_TRUE, VALUE_FALSE -> {
-                return new Doc(file, line, parser.getBooleanValue());
+                return new ConfigurationDocument(file, line, parser.getBooleanValue());
             }
             case VALUE_NULL -> {
-                return new Doc(file, line, "");
+                return new ConfigurationDocument(file, line, "");
             }
             default -> {
-                return new Doc(file, line, parser.getText());
+                return new ConfigurationDocument(file, line, parser.getText());
             }
         }
     }
@@ -159,32 +167,35 @@
         };
     }
 
-    private static Doc table(String file, int line, TomlTable table, int depth) throws BadFile {
+    private static ConfigurationDocument table(String file, int line, TomlTable table, int depth)
+            throws InvalidConfigurationException {
         if (depth > DEEPEST) {
-            throw BadFile.of(file, line, "", "values lie too deep in each other");
+            throw InvalidConfigurationException.of(
+                    file, line, "", "values lie too deep in each other");
         }
-        Map<String, Doc> map = new LinkedHashMap<>();
+        Map<String, ConfigurationDocument> map = new LinkedHashMap<>();
         for (String key : table.keySet()) {
             List<String> path = List.of(key);
             map.put(key, of(file, table.inputPositionOf(path).line(), table.get(path), depth));
         }
-        return new Doc(file, line, map);
+        return new ConfigurationDocument(file, line, map);
     }
 
-    private static Doc of(String file, int line, Object value, int depth) throws BadFile {
+    private static ConfigurationDocument of(String file, int line, Object value, int depth)
+            throws InvalidConfigurationException {
         if (value instanceof TomlTable table) {
             return table(file, line, table, depth + 1);
         }
         if (value instanceof TomlArray array) {
-            List<Doc> list = new ArrayList<>();
+            List<ConfigurationDocument> list = new ArrayList<>();
             for (int i = 0; i < array.size(); i++) {
                 list.add(of(file, array.inputPositionOf(i).line(), array.get(i), depth + 1));
             }
-            return new Doc(file, line, list);
+            return new ConfigurationDocument(file, line, list);
         }
         boolean plain =
                 value instanceof String || value instanceof Boolean || value instanceof Number;
-        return new Doc(file, line, plain ? value : value.toString());
+        return new ConfigurationDocument(file, line, plain ? value : value.toString());
     }
 
     /**
@@ -192,21 +203,22 @@
      * places in lists joined by dots. Tables on the way that are not there yet are made. The value
      * is read as TOML; what is no TOML value is taken for a text.
      *
-     * @throws BadFile where the path leads through a plain value or beyond a list
+     * @throws InvalidConfigurationException where the path leads through a plain value or beyond a
+     *     list
      */
-    public void set(String pair) throws BadFile {
+    public void set(String pair) throws InvalidConfigurationException {
         int equals = pair.indexOf('=');
         String where = "--set " + pair;
         if (equals <= 0) {
-            throw BadFile.of(where, 0, "", "expected path=value");
+            throw InvalidConfigurationException.of(where, 0, "", "expected path=value");
         }
         TomlParseResult read = Toml.parse("v = " + pair.substring(equals + 1));
-        Doc leaf =
+        ConfigurationDocument leaf =
                 read.hasErrors() || read.size() != 1
-                        ? new Doc(where, 0, pair.substring(equals + 1))
+                        ? new ConfigurationDocument(where, 0, pair.substring(equals + 1))
                         : of(where, 0, read.get("v"), 0);
         String[] names = pair.substring(0, equals).trim().split("\\.", -1);
-        Doc at = this;
+        ConfigurationDocument at = this;
         for (int i = 0; i < names.length; i++) {
             boolean last = i == names.length - 1;
             if (at.value instanceof Map<?, ?>) {
@@ -220,7 +232,7 @@
                 }
                 at = at.list().get(place);
             } else {
-                throw BadFile.of(
+                throw InvalidConfigurationException.of(
                         where,
                         0,
                         names[i],
@@ -232,13 +244,18 @@
         }
     }
 
-    private Doc step(String name, Doc leaf, String where) {
+    private ConfigurationDocument step(String name, ConfigurationDocument leaf, String where) {
         if (leaf != null) {
             map().put(name, leaf);
             return leaf;
         }
         return map().computeIfAbsent(
-                        name, n -> new Doc(where, 0, new LinkedHashMap<String, Doc>()));
+                        name,
+                        n ->
+                                new ConfigurationDocument(
+                                        where,
+                                        0,
+                                        new LinkedHashMap<String, ConfigurationDocument>()));
     }
 
     /** Whether it is a table that has the key. */
@@ -247,8 +264,9 @@
     }
 
     /** A table without fields that stands where this one does. */
-    Doc emptyTable() {
-        return new Doc(file, line, new LinkedHashMap<String, Doc>());
+    ConfigurationDocument emptyTable() {
+        return new ConfigurationDocument(
+                file, line, new LinkedHashMap<String, ConfigurationDocument>());
     }
 
     boolean isMap() {
@@ -264,19 +282,21 @@
     }
 
     @SuppressWarnings("unchecked")
-    Map<String, Doc> map() {
-        return (Map<String, Doc>) value;
+    Map<String, ConfigurationDocument> map() {
+        return (Map<String, ConfigurationDocument>) value;
     }
 
     @SuppressWarnings("unchecked")
-    List<Doc> list() {
-        return (List<Doc>) value;
+    List<ConfigurationDocument> list() {
+        return (List<ConfigurationDocument>) value;
     }
 
     /** A plain value, or a list of such, as TOML has it. */
     String toml() {
         if (isList()) {
-            return list().stream().map(Doc::toml).collect(Collectors.joining(", ", "[", "]"));
+            return list().stream()
+                    .map(ConfigurationDocument::toml)
+                    .collect(Collectors.joining(", ", "[", "]"));
         }
         return value instanceof String text
                 ? '"' + text.replace("\\", "\\\\").replace("\"", "\\\"") + '"'
--- a/src/main/java/cottonlock/config/Fields.java
+++ b/src/main/java/cottonlock/config/Fields.java
@@ -28,14 +28,14 @@
     /** One fault and the line that it is told of. */
     private record Fault(int line, String text) {}
 
-    private final Doc doc;
+    private final ConfigurationDocument doc;
     private final String path;
     private final List<Fault> faults;
     private final Set<String> asked = new LinkedHashSet<>();
     private final List<Fields> inner;
     private boolean open;
 
-    private Fields(Doc doc, String path, List<Fault> faults, List<Fields> all) {
+    private Fields(ConfigurationDocument doc, String path, List<Fault> faults, List<Fields> all) {
         this.doc = doc;
         this.path = path;
         this.faults = faults;
@@ -44,15 +44,16 @@
     }
 
     /** The top of a file. */
-    public static Fields of(Doc doc) throws BadFile {
+    public static Fields of(ConfigurationDocument doc) throws InvalidConfigurationException {
         if (!doc.isMap()) {
-            throw BadFile.of(doc.file, doc.line, "", "expected a table, found " + doc.kind());
+            throw InvalidConfigurationException.of(
+                    doc.file, doc.line, "", "expected a table, found " + doc.kind());
         }
         return new Fields(doc, "", new ArrayList<>(), new ArrayList<>());
     }
 
     /** Throws what has been found wrong, unknown keys among it. */
-    public void end() throws BadFile {
+    public void end() throws InvalidConfigurationException {
         for (Fields table : inner) {
             if (!table.open) {
                 table.doc
@@ -70,7 +71,7 @@
         }
         if (!faults.isEmpty()) {
             faults.sort(Comparator.comparingInt(Fault::line));
-            throw new BadFile(faults.stream().map(Fault::text).toList());
+            throw new InvalidConfigurationException(faults.stream().map(Fault::text).toList());
         }
     }
 
@@ -110,8 +111,11 @@
         fault(key, doc.map().getOrDefault(key, doc), expected);
     }
 
-    private void fault(String key, Doc at, String text) {
-        faults.add(new Fault(at.line, BadFile.line(at.file, at.line, path + key, text)));
+    private void fault(String key, ConfigurationDocument at, String text) {
+        faults.add(
+                new Fault(
+                        at.line,
+                        InvalidConfigurationException.line(at.file, at.line, path + key, text)));
     }
 
     /** Whether the key is there. */
@@ -120,14 +124,14 @@
         return doc.map().containsKey(key);
     }
 
-    private Doc get(String key) {
+    private ConfigurationDocument get(String key) {
         asked.add(key);
         return doc.map().get(key);
     }
 
     /** A text; a default of null makes the key one that must be there. */
     public String text(String key, String otherwise) {
-        Doc at = get(key);
+        ConfigurationDocument at = get(key);
         if (at == null) {
             if (otherwise == null) {
                 fault(key, doc, "expected a text, but the key is not there");
@@ -148,7 +152,7 @@
             return text;
         }
         if (doc.map().containsKey(key)) {
-            Doc at = doc.map().get(key);
+            ConfigurationDocument at = doc.map().get(key);
             fault(key, at, "expected one of " + String.join(", ", words) + ", found " + at.kind());
         }
         return otherwise == null ? words[0] : otherwise;
@@ -158,7 +162,7 @@
      * The same, where words have been renamed: an old one is read as its new one, with one warning.
      */
     public String word(String key, String otherwise, Map<String, String> renamed, String... words) {
-        Doc at = doc.map().get(key);
+        ConfigurationDocument at = doc.map().get(key);
         String now = at == null ? null : renamed.get(String.valueOf(at.plain()));
         if (now == null) {
             return word(key, otherwise, words);
@@ -167,7 +171,7 @@
         System.getLogger("cottonlock")
                 .log(
                         System.Logger.Level.WARNING,
-                        BadFile.line(
+                        InvalidConfigurationException.line(
                                 at.file,
                                 at.line,
                                 path + key,
@@ -203,7 +207,7 @@
     }
 
     public boolean flag(String key, boolean otherwise) {
-        Doc at = get(key);
+        ConfigurationDocument at = get(key);
         if (at == null) {
             return otherwise;
         }
@@ -218,7 +222,7 @@
      * A number within bounds, both allowed; a default of NaN makes the key one that must be there.
      */
     public double number(String key, double otherwise, double least, double most) {
-        Doc at = get(key);
+        ConfigurationDocument at = get(key);
         if (at == null) {
             if (Double.isNaN(otherwise)) {
                 fault(key, doc, "expected a number, but the key is not there");
@@ -263,13 +267,13 @@
 
     /** A list of texts. */
     public List<String> texts(String key, List<String> otherwise) {
-        Doc at = get(key);
+        ConfigurationDocument at = get(key);
         if (at == null) {
             return otherwise;
         }
         List<String> texts = new ArrayList<>();
         if (at.isList()) {
-            for (Doc item : at.list()) {
+            for (ConfigurationDocument item : at.list()) {
                 if (item.plain() instanceof String text) {
                     texts.add(text);
                 } else {
@@ -284,7 +288,7 @@
 
     /** A table; an empty one where the key is missing. */
     public Fields table(String key) {
-        Doc at = get(key);
+        ConfigurationDocument at = get(key);
         if (at != null && !at.isMap()) {
             fault(key, at, "expected a table, found " + at.kind());
         }
@@ -294,7 +298,7 @@
 
     /** A list of tables. */
     public List<Fields> tables(String key) {
-        Doc at = get(key);
+        ConfigurationDocument at = get(key);
         List<Fields> tables = new ArrayList<>();
         if (at == null) {
             return tables;
@@ -304,7 +308,7 @@
             return tables;
         }
         for (int i = 0; i < at.list().size(); i++) {
-            Doc item = at.list().get(i);
+            ConfigurationDocument item = at.list().get(i);
             if (item.isMap()) {
                 tables.add(new Fields(item, path + key + "." + i + ".", faults, inner));
             } else {
@@ -314,7 +318,7 @@
         return tables;
     }
 
-    private Doc empty() {
+    private ConfigurationDocument empty() {
         return doc.emptyTable();
     }
 
@@ -343,7 +347,7 @@
 
     /** A plain value in words, for messages and reports; empty where there is none. */
     public String shown(String key) {
-        Map<String, Doc> map = doc.map();
+        Map<String, ConfigurationDocument> map = doc.map();
         return map.containsKey(key) ? String.valueOf(map.get(key).plain()) : "";
     }
 }
--- a/src/main/java/cottonlock/config/OperatorFile.java
+++ b/src/main/java/cottonlock/config/OperatorFile.java
@@ -1,8 +1,8 @@
 package cottonlock.config;
 
-import cottonlock.setup.MembershipPlan;
-import cottonlock.setup.MembershipRules;
-import cottonlock.setup.RolloutPlan;
+import cottonlock.setup.MembershipConfig;
+import cottonlock.setup.MembershipProtocolConfig;
+import cottonlock.setup.RolloutConfig;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
@@ -24,14 +24,14 @@
         String logFormat,
         String logLevel,
         Map<String, String> watched,
-        MembershipPlan membership,
-        RolloutPlan rollout) {
+        MembershipConfig membership,
+        RolloutConfig rollout) {
     /** Without anybody to learn of changes from. */
     public OperatorFile(
             String logFormat,
             String logLevel,
             Map<String, String> watched,
-            MembershipPlan membership) {
+            MembershipConfig membership) {
         this(logFormat, logLevel, watched, membership, null);
     }
 
@@ -40,8 +40,8 @@
             Map.of("connection_fee", "Fees.Connection", "handshake_fee", "Fees.Handshake");
 
     /** Reads and checks it. */
-    public static OperatorFile read(Path file) throws BadFile {
-        Fields top = Fields.of(Doc.toml(file));
+    public static OperatorFile read(Path file) throws InvalidConfigurationException {
+        Fields top = Fields.of(ConfigurationDocument.toml(file));
         Fields log = top.table("log");
         OperatorFile read =
                 new OperatorFile(
@@ -58,18 +58,18 @@
      * How closely the proxies watch one another by an operator's file, whether or not it has them
      * do so.
      */
-    public static MembershipRules rules(Path file) throws BadFile {
-        Fields top = Fields.of(Doc.toml(file));
+    public static MembershipProtocolConfig rules(Path file) throws InvalidConfigurationException {
+        Fields top = Fields.of(ConfigurationDocument.toml(file));
         top.mayHoldMore();
         Fields table = top.table("membership");
-        MembershipRules rules = rules(table);
+        MembershipProtocolConfig rules = rules(table);
         table.mayHoldMore();
         top.end();
         return rules;
     }
 
     /** The table of that name of a file in the given place, which key files are named from. */
-    public static MembershipPlan membership(Fields f, Path file) {
+    public static MembershipConfig membership(Fields f, Path file) {
         boolean enabled = f.flag("enabled", false);
         String listen = f.address("listen", "");
         String advertise = f.address("advertise", "");
@@ -84,12 +84,12 @@
         if (key.isEmpty() && !next.isEmpty()) {
             f.fault("next_key_file", "expected key_file beside it: tags are made with that one");
         }
-        MembershipRules rules = rules(f);
-        return enabled ? new MembershipPlan(listen, advertise, seeds, key, next, rules) : null;
+        MembershipProtocolConfig rules = rules(f);
+        return enabled ? new MembershipConfig(listen, advertise, seeds, key, next, rules) : null;
     }
 
-    private static MembershipRules rules(Fields f) {
-        MembershipRules usual = MembershipRules.USUAL;
+    private static MembershipProtocolConfig rules(Fields f) {
+        MembershipProtocolConfig usual = MembershipProtocolConfig.USUAL;
         long period = millis(f, "period_ms", usual.period(), 50, 60_000);
         long answer = millis(f, "answer_ms", Math.min(usual.answer(), period * 3 / 10), 10, 60_000);
         if (answer >= period) {
@@ -101,7 +101,7 @@
                             + " and "
                             + period / 10);
         }
-        return new MembershipRules(
+        return new MembershipProtocolConfig(
                 period,
                 answer,
                 f.whole("helpers", usual.helpers(), 0, 16),
@@ -119,7 +119,7 @@
     }
 
     /** Where changes are learnt of; null where the table does not ask for it. */
-    private static RolloutPlan rollout(Fields f) {
+    private static RolloutConfig rollout(Fields f) {
         boolean enabled = f.flag("enabled", false);
         String service =
                 f.formed(
@@ -135,14 +135,14 @@
         if (enabled && control.isEmpty()) {
             f.fault("control", "expected a control machine or more");
         }
-        RolloutPlan plan =
-                new RolloutPlan(
+        RolloutConfig plan =
+                new RolloutConfig(
                         service,
                         control,
                         far,
-                        millis(f, "call_ms", RolloutPlan.CALL, 50, 2_000),
-                        millis(f, "compare_ms", RolloutPlan.COMPARE, 1_000, 60_000),
-                        millis(f, "retry_ms", RolloutPlan.RETRY, 500, 60_000));
+                        millis(f, "call_ms", RolloutConfig.CALL, 50, 2_000),
+                        millis(f, "compare_ms", RolloutConfig.COMPARE, 1_000, 60_000),
+                        millis(f, "retry_ms", RolloutConfig.RETRY, 500, 60_000));
         return enabled ? plan : null;
     }
 
--- a/src/main/java/cottonlock/config/PlatformFile.java
+++ b/src/main/java/cottonlock/config/PlatformFile.java
@@ -17,8 +17,8 @@
     private PlatformFile() {}
 
     /** Throws all that is wrong with it. */
-    public static void check(Path file) throws BadFile {
-        Fields top = Fields.of(Doc.json(file));
+    public static void check(Path file) throws InvalidConfigurationException {
+        Fields top = Fields.of(ConfigurationDocument.json(file));
         top.text("name", "");
         top.address("listen", null);
         top.address("discovery", null);
--- a/src/main/java/cottonlock/decision/Outcome.java
+++ b/src/main/java/cottonlock/decision/AttemptOutcome.java
@@ -1,7 +1,7 @@
 package cottonlock.decision;
 
 /** How an attempt or a probe ended. */
-public enum Outcome {
+public enum AttemptOutcome {
     FINISHED,
     ERROR,
     TURNED_AWAY,
--- a/src/main/java/cottonlock/decision/Backend.java
+++ b/src/main/java/cottonlock/decision/Backend.java
@@ -6,7 +6,7 @@
 /** A backend as this balancer knows it: its line of the list and what attempts to it have shown. */
 final class Backend {
     final String id;
-    Member member;
+    Endpoint member;
 
     /** When this balancer learned that it drains or is gone; -1 while it is ready. */
     long leavingSince = -1;
@@ -40,17 +40,17 @@
     long quietSince;
 
     /** Answers and failures of late: older ones say little of how it is now. */
-    final Ring answers;
+    final SlidingWindowSum answers;
 
-    final Ring failures;
+    final SlidingWindowSum failures;
 
     /** Gaps between signs of life while something was out: their number and sum. */
-    final Ring gapCount;
+    final SlidingWindowSum gapCount;
 
-    final Ring gapSum;
+    final SlidingWindowSum gapSum;
 
     /** What it finished in the time that the rule on cold backends counts over. */
-    final Ring finished;
+    final SlidingWindowSum finished;
 
     /**
      * While cold: when it last got work, the part of the usual gap until the next, and of which
@@ -72,14 +72,14 @@
 
     private static final double USUAL = 19.2;
 
-    Backend(Member member, long fallSpan, long due) {
-        answers = new Ring(Math.round(NOW * due), 8);
-        failures = new Ring(Math.round(NOW * due), 8);
-        gapCount = new Ring(Math.round(USUAL * due), 10);
-        gapSum = new Ring(Math.round(USUAL * due), 10);
+    Backend(Endpoint member, long fallSpan, long due) {
+        answers = new SlidingWindowSum(Math.round(NOW * due), 8);
+        failures = new SlidingWindowSum(Math.round(NOW * due), 8);
+        gapCount = new SlidingWindowSum(Math.round(USUAL * due), 10);
+        gapSum = new SlidingWindowSum(Math.round(USUAL * due), 10);
         this.id = member.id();
         this.member = member;
-        this.finished = new Ring(fallSpan, 10);
+        this.finished = new SlidingWindowSum(fallSpan, 10);
     }
 
     /** The attempts out that an answer is still waited for. */
--- a/src/main/java/cottonlock/decision/Beta.java
+++ b/src/main/java/cottonlock/decision/BetaDistribution.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /** Draws from the beta distribution, the posterior of a chance of success. */
-final class Beta {
-    private Beta() {}
+final class BetaDistribution {
+    private BetaDistribution() {}
 
     static double draw(SplittableRandom random, int a, int b) {
         double x = gamma(random, a);
--- a/src/main/java/cottonlock/decision/Shape.java
+++ b/src/main/java/cottonlock/decision/DeploymentTopology.java
@@ -15,7 +15,7 @@
  * @param due the mean due time of the categories: spans of measures are told in it, as work that
  *     may take longer brings fewer answers in the same time
  */
-public record Shape(
+public record DeploymentTopology(
         int balancers,
         int me,
         boolean alike,
@@ -32,7 +32,7 @@
     private static final int FEW = 8;
 
     /** Takes one balancer for the least there can be; of few, and for shorter due times, 1.56 s. */
-    public Shape {
+    public DeploymentTopology {
         balancers = Math.max(1, balancers);
         due = balancers > FEW ? Math.max(15_625, due) : 15_625;
     }
--- a/src/main/java/cottonlock/decision/Decides.java
+++ b/src/main/java/cottonlock/decision/Deterministic.java
@@ -12,4 +12,4 @@
  */
 @Retention(RetentionPolicy.CLASS)
 @Target(ElementType.TYPE)
-public @interface Decides {}
+public @interface Deterministic {}
--- a/src/main/java/cottonlock/decision/Member.java
+++ b/src/main/java/cottonlock/decision/Endpoint.java
@@ -6,7 +6,7 @@
  * @param kind the kind of machine, as a number without meaning
  * @param startedAt when it last started; 0 for long ago
  */
-public record Member(
+public record Endpoint(
         String id, int zone, int kind, int cell, State state, double size, long startedAt) {
 
     /** What the list says of a backend's process. */
--- a/src/main/java/cottonlock/decision/Balancer.java
+++ b/src/main/java/cottonlock/decision/LoadBalancer.java
@@ -4,8 +4,8 @@
 import static java.util.stream.Collectors.joining;
 import static java.util.stream.Collectors.toSet;
 
-import cottonlock.decision.Category.Repeat;
 import cottonlock.decision.Request.Attempt;
+import cottonlock.decision.RequestClass.Repeat;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
@@ -20,13 +20,13 @@
  * The decision module: everything that one balancer decides, and nothing else.
  *
  * <p>One thread tells it what happened through the public methods, each with the time in whole
- * tenths of a millisecond, never going back. It answers during the call through {@link Outlet}; it
- * does no input or output and reads no clock. A request passes the stages Intake, Line, Lane, Pick
- * and Attempts. Each passes it on or sends it back; what comes back passes them the other way.
- * Fleet stands beside them and knows the backends. docs/design.md tells which decision comes from
- * where.
+ * tenths of a millisecond, never going back. It answers during the call through {@link
+ * LoadBalancerActions}; it does no input or output and reads no clock. A request passes the stages
+ * Intake, Line, Lane, Pick and Attempts. Each passes it on or sends it back; what comes back passes
+ * them the other way. Fleet stands beside them and knows the backends. docs/design.md tells which
+ * decision comes from where.
  */
-public final class Balancer {
+public final class LoadBalancer {
     /** How often silence and the list are looked at: well under any due time, cheap in CPU. */
     private static final long TICK = 250;
 
@@ -36,15 +36,15 @@
     private static final long STILL = 2_000;
 
     private long wakeAt = Long.MAX_VALUE - STILL;
-    private final Outlet outlet;
+    private final LoadBalancerActions outlet;
     private final Intake intake;
     private final Line line;
     private final Attempts attempts;
     private final Fleet fleet;
 
     /** Joins the stages to a chain; each has been given its own settings. */
-    public Balancer(
-            Outlet outlet,
+    public LoadBalancer(
+            LoadBalancerActions outlet,
             Intake intake,
             Line line,
             Lane lane,
@@ -81,7 +81,7 @@
     }
 
     /** Other categories, by number, and most attempts hold for what comes from now on. */
-    public void retune(List<Category> categories, int most) {
+    public void retune(List<RequestClass> categories, int most) {
         intake.retune(categories);
         attempts.most = most;
     }
@@ -103,7 +103,7 @@
     }
 
     /** An attempt has ended; {@code over} tells that the request has had its final answer. */
-    public void settled(long now, long id, int attempt, Outcome outcome, boolean over) {
+    public void settled(long now, long id, int attempt, AttemptOutcome outcome, boolean over) {
         doubtClock(now);
         attempts.settled(now, id, attempt, outcome, over);
     }
@@ -132,7 +132,7 @@
      * News of the list of backends, whole or only what changed; cached: as this balancer last held
      * it.
      */
-    public void list(long now, List<Member> members, boolean whole, boolean cached) {
+    public void list(long now, List<Endpoint> members, boolean whole, boolean cached) {
         fleet.list(now, members, whole, cached);
     }
 
@@ -153,12 +153,14 @@
                 .count();
     }
 
-    /** Another balancer of the tier has sent what it told by {@link Outlet#tellPeers}. */
+    /**
+     * Another balancer of the tier has sent what it told by {@link LoadBalancerActions#tellPeers}.
+     */
     public void heard(long now, byte[] message) {
         fleet.heard(now, message);
     }
 
-    /** The time asked for by {@link Outlet#wakeMe} has come. */
+    /** The time asked for by {@link LoadBalancerActions#wakeMe} has come. */
     public void wake(long now) {
         doubtClock(now);
         fleet.keepList(now);
@@ -197,8 +199,8 @@
          */
         private static final double DEPTH = 4;
 
-        private final Outlet outlet;
-        private List<Category> categories;
+        private final LoadBalancerActions outlet;
+        private List<RequestClass> categories;
         private final boolean first;
         private final long longestComeBack;
 
@@ -208,7 +210,7 @@
          */
         private final double[] quotas;
 
-        private final Tokens[] tokens;
+        private final TokenBucket[] tokens;
 
         /** The longest patience seen of each category. */
         private long[] longest;
@@ -218,11 +220,11 @@
          * none.
          */
         public Intake(
-                Outlet outlet,
-                List<Category> categories,
+                LoadBalancerActions outlet,
+                List<RequestClass> categories,
                 List<Tenant> tenants,
                 boolean first,
-                Shape shape,
+                DeploymentTopology shape,
                 long longestComeBack) {
             this.outlet = outlet;
             this.categories = categories;
@@ -230,15 +232,15 @@
             this.longestComeBack = longestComeBack;
             this.longest = new long[categories.size()];
             this.quotas = new double[tenants.size()];
-            this.tokens = new Tokens[tenants.size()];
+            this.tokens = new TokenBucket[tenants.size()];
             for (int t = 0; t < quotas.length; t++) {
                 quotas[t] =
                         tenants.get(t).quota() / (shape.alike() ? shape.balancers() : 1) / 10_000;
-                tokens[t] = new Tokens(Math.max(DEPTH, quotas[t] * 5_000) / 4);
+                tokens[t] = new TokenBucket(Math.max(DEPTH, quotas[t] * 5_000) / 4);
             }
         }
 
-        void retune(List<Category> others) {
+        void retune(List<RequestClass> others) {
             categories = others;
             longest = Arrays.copyOf(longest, others.size());
         }
@@ -272,7 +274,7 @@
         @Override
         void take(Request req, long now) {
             if (req.expiry <= now) {
-                req.why = Reason.EXPIRY;
+                req.why = RejectionReason.EXPIRY;
                 back(req, now);
             } else {
                 after.take(req, now);
@@ -301,7 +303,7 @@
             return req.category.repeat() == Repeat.SAFE
                     || req.mayHaveRun() == null
                     || req.category.repeat() == Repeat.KEYED
-                            && req.category.scope() == Category.Scope.ALL
+                            && req.category.scope() == RequestClass.Scope.ALL
                             && back < req.mayHaveRun().sentAt + req.category.repeatWindow();
         }
 
@@ -354,24 +356,24 @@
         private static final double WAIT = 0.15;
 
         private final Fleet fleet;
-        private final Shape shape;
+        private final DeploymentTopology shape;
         private final int balancers;
         private final boolean bounded;
         private final SplittableRandom random;
         private final long span;
-        private final Ring finished;
+        private final SlidingWindowSum finished;
 
         /**
          * The due times of what has finished: all categories together may wait for a part of their
          * sum.
          */
-        private final Ring dues;
+        private final SlidingWindowSum dues;
 
-        private final Ring latency;
-        private final Ring latencyLog;
+        private final SlidingWindowSum latency;
+        private final SlidingWindowSum latencyLog;
 
         /** The lowest typical latency over the span that has been seen of late. */
-        private final Lowest calm;
+        private final SlidingWindowMin calm;
 
         /** What is within its quota and waits for room, in order of coming. */
         private final List<Request> waiting = new ArrayList<>();
@@ -379,7 +381,7 @@
         private final Entry[] lanes;
 
         /** The work of what comes, as far as it is told, and the quotas of all tenants together. */
-        private final Averages hints = new Averages(300_000);
+        private final SlidingWindowMean hints = new SlidingWindowMean(300_000);
 
         private final double quotas;
         private int inside;
@@ -392,14 +394,14 @@
                 Fleet fleet,
                 SplittableRandom random,
                 List<Tenant> tenants,
-                Shape shape,
+                DeploymentTopology shape,
                 boolean bounded) {
             span = Math.round(SPAN * shape.due());
-            finished = new Ring(span, 20);
-            dues = new Ring(span, 20);
-            latency = new Ring(span, 20);
-            latencyLog = new Ring(span, 20);
-            calm = new Lowest(CALM * span, 6);
+            finished = new SlidingWindowSum(span, 20);
+            dues = new SlidingWindowSum(span, 20);
+            latency = new SlidingWindowSum(span, 20);
+            latencyLog = new SlidingWindowSum(span, 20);
+            calm = new SlidingWindowMin(CALM * span, 6);
             this.fleet = fleet;
             this.random = random;
             this.shape = shape;
@@ -424,13 +426,14 @@
             } else {
                 req.why =
                         req.overQuota
-                                ? Reason.OVER_QUOTA
+                                ? RejectionReason.OVER_QUOTA
                                 : now + 4 * TICK >= req.expiry
-                                        ? Reason.EXPIRY
+                                        ? RejectionReason.EXPIRY
                                         : waiting.size() >= dues.sum(now) * WAIT / span(now)
-                                                ? Reason.LINE_FULL
-                                                : Reason.NO_ROOM;
-                if (req.why == Reason.NO_ROOM && SPARSE * balancers <= fleet.ready.size()) {
+                                                ? RejectionReason.LINE_FULL
+                                                : RejectionReason.NO_ROOM;
+                if (req.why == RejectionReason.NO_ROOM
+                        && SPARSE * balancers <= fleet.ready.size()) {
                     req.inLineSince = now;
                     waiting.add(req);
                 } else {
@@ -516,7 +519,7 @@
              */
             private static final double ROOTS = 0.7;
 
-            private final Tokens tokens = new Tokens(DEPTH);
+            private final TokenBucket tokens = new TokenBucket(DEPTH);
             private double time;
             private double part = START;
             private long at = -1;
@@ -565,10 +568,10 @@
                         : tokens.take(now, rate / balancers, DEPTH, req.overQuota ? OVER : 1);
             }
 
-            void learn(Outcome outcome, long took, long due) {
+            void learn(AttemptOutcome outcome, long took, long due) {
                 // A quick failure must not pass for a quick answer. Eight: fewer are chance, more
                 // too late.
-                double shown = outcome == Outcome.FINISHED ? took : Math.max(took, 2 * time);
+                double shown = outcome == AttemptOutcome.FINISHED ? took : Math.max(took, 2 * time);
                 time += (Math.min(shown, quota > 0 ? 4 * due : due) - time) / 8;
             }
         }
@@ -683,7 +686,7 @@
                 req.candidates = fleet.lastResort(req, now);
             }
             if (req.candidates.isEmpty()) {
-                req.why = Reason.NO_BACKEND;
+                req.why = RejectionReason.NO_BACKEND;
                 before.back(req, now);
             } else {
                 after.take(req, now);
@@ -725,7 +728,7 @@
         /** A backend is silent when its silence has a chance of e^-8 given the gaps before. */
         private static final double SILENT = 8;
 
-        private final Outlet outlet;
+        private final LoadBalancerActions outlet;
         private final Line line;
         private final Fleet fleet;
         private int most;
@@ -733,7 +736,8 @@
         private final Map<Long, Request> open = new HashMap<>();
         private double repeats;
 
-        public Attempts(Outlet outlet, Line line, Fleet fleet, int most, boolean mayRecall) {
+        public Attempts(
+                LoadBalancerActions outlet, Line line, Fleet fleet, int most, boolean mayRecall) {
             this.outlet = outlet;
             this.line = line;
             this.fleet = fleet;
@@ -751,7 +755,7 @@
             fleet.sent(b, req, now);
         }
 
-        void settled(long now, long id, int number, Outcome outcome, boolean over) {
+        void settled(long now, long id, int number, AttemptOutcome outcome, boolean over) {
             Request req = open.get(id);
             if (req == null || number >= req.attempts.size() || !req.attempts.get(number).out) {
                 return;
@@ -759,12 +763,12 @@
             Attempt attempt = req.attempts.get(number);
             attempt.out = false;
             attempt.neverRan = outcome.neverRan();
-            req.why = Reason.of(outcome);
+            req.why = RejectionReason.of(outcome);
             fleet.settled(attempt, req, outcome, now);
             // In the batch after a standstill, times tell of the balancer and not of the backends.
             if (now != fleet.stoodAt
-                    && outcome != Outcome.RECALLED
-                    && outcome != Outcome.NOT_SENT) {
+                    && outcome != AttemptOutcome.RECALLED
+                    && outcome != AttemptOutcome.NOT_SENT) {
                 line.lanes[req.tenant].learn(outcome, now - attempt.sentAt, req.category.dueTime());
             }
             boolean wasEnded = req.ended;
@@ -779,13 +783,13 @@
             }
         }
 
-        private boolean mayRepeat(Request req, Outcome last, long now) {
+        private boolean mayRepeat(Request req, AttemptOutcome last, long now) {
             if (req.attempts.size() >= most || now >= req.due) {
                 return false;
             }
             boolean ran = req.mayHaveRun() != null;
             if (!ran
-                    && !(last == Outcome.TURNED_AWAY
+                    && !(last == AttemptOutcome.TURNED_AWAY
                             && fleet.shape.balancers() > 2 * fleet.ready.size())) {
                 return true;
             }
@@ -887,11 +891,11 @@
          */
         private static final int IMAGINED = 3;
 
-        private final Outlet outlet;
+        private final LoadBalancerActions outlet;
         private final SplittableRandom random;
         private final List<Tenant> tenants;
-        private final Shape shape;
-        private final Cold cold;
+        private final DeploymentTopology shape;
+        private final SlowStartConfig cold;
         final Map<String, Backend> known = new TreeMap<>();
         private final List<List<Backend>> lanes = new ArrayList<>();
         private final List<Backend> open = new ArrayList<>();
@@ -906,15 +910,15 @@
          */
         private final long staySpan;
 
-        private final Ring heldTime;
-        private final Ring sends;
+        private final SlidingWindowSum heldTime;
+        private final SlidingWindowSum sends;
         private long keptAt;
         private long stoodAt = -1;
         private long stoodFor;
-        private final Averages times;
+        private final SlidingWindowMean times;
 
         /** How long attempts stay: at 0 anywhere, at odd numbers by lane, at even ones by kind. */
-        private final Averages stays;
+        private final SlidingWindowMean stays;
 
         /** The order in which this balancer takes backends where it uses only some of a lane. */
         private final Comparator<Backend> own;
@@ -926,34 +930,36 @@
          * How long answers took of late; half the due time of what was sent first stands in for a
          * few.
          */
-        private final Averages answered;
+        private final SlidingWindowMean answered;
 
         private double halfDue;
         private long firstSent;
 
         public Fleet(
-                Outlet outlet,
+                LoadBalancerActions outlet,
                 SplittableRandom random,
                 List<Tenant> tenants,
-                Shape shape,
-                Cold cold) {
+                DeploymentTopology shape,
+                SlowStartConfig cold) {
             this.outlet = outlet;
             this.random = random;
             this.tenants = tenants;
             this.shape = shape;
             this.cold = cold;
             staySpan = Math.round(STAY_SPAN * shape.due());
-            heldTime = new Ring(staySpan, 8);
-            sends = new Ring(staySpan, 8);
-            times = new Averages(Math.round(USUAL_SPAN * shape.due()));
-            stays = new Averages(Math.round(USUAL_SPAN * shape.due()));
-            answered = new Averages(Math.round(USUAL_SPAN * shape.due()));
+            heldTime = new SlidingWindowSum(staySpan, 8);
+            sends = new SlidingWindowSum(staySpan, 8);
+            times = new SlidingWindowMean(Math.round(USUAL_SPAN * shape.due()));
+            stays = new SlidingWindowMean(Math.round(USUAL_SPAN * shape.due()));
+            answered = new SlidingWindowMean(Math.round(USUAL_SPAN * shape.due()));
             // The larger a backend, the more balancers have it first.
             this.own =
                     shape.rest() <= 0
                             ? Comparator.comparing(b -> b.id)
                             : Comparator.comparingDouble(
-                                    b -> -Math.log(Hash.part(-1 - shape.me(), b.id)) / b.size());
+                                    b ->
+                                            -Math.log(RendezvousHash.part(-1 - shape.me(), b.id))
+                                                    / b.size());
         }
 
         /**
@@ -966,14 +972,14 @@
             known.values().forEach(b -> b.quietSince = Math.min(now, b.quietSince + time));
         }
 
-        void list(long now, List<Member> members, boolean whole, boolean cached) {
+        void list(long now, List<Endpoint> members, boolean whole, boolean cached) {
             if (whole) {
-                var listed = members.stream().map(Member::id).collect(toSet());
+                var listed = members.stream().map(Endpoint::id).collect(toSet());
                 known.values().stream()
                         .filter(b -> !listed.contains(b.id))
                         .forEach(b -> removed(b, now));
             }
-            for (Member m : members) {
+            for (Endpoint m : members) {
                 Backend b =
                         known.computeIfAbsent(
                                 m.id(), id -> new Backend(m, cold.fall(), shape.due()));
@@ -984,11 +990,11 @@
                 }
                 b.member = m;
                 b.delisted = false;
-                if (m.state() == Member.State.GONE) {
+                if (m.state() == Endpoint.State.GONE) {
                     removed(b, now);
                 } else {
                     b.leave(now);
-                    b.leavingSince = m.state() == Member.State.READY ? -1 : b.leavingSince;
+                    b.leavingSince = m.state() == Endpoint.State.READY ? -1 : b.leavingSince;
                 }
             }
             layLanes();
@@ -1077,7 +1083,8 @@
             for (int t = 0; t < tenants.size(); t++) {
                 int tenant = t;
                 untaken.sort(
-                        Comparator.comparingLong((Backend b) -> Hash.of(tenant, b.id)).reversed());
+                        Comparator.comparingLong((Backend b) -> RendezvousHash.of(tenant, b.id))
+                                .reversed());
                 List<Backend> lane = new ArrayList<>(untaken.subList(0, sizes[t]));
                 lane.sort(own);
                 untaken.subList(0, sizes[t]).clear();
@@ -1263,7 +1270,8 @@
             // free.
             double many = Math.max(1, (answers + doubts) / 30);
             return doubts < 1
-                    || Beta.draw(random, 1 + (int) (answers / many), 1 + (int) (doubts / many))
+                    || BetaDistribution.draw(
+                                    random, 1 + (int) (answers / many), 1 + (int) (doubts / many))
                             > 0.5;
         }
 
@@ -1355,17 +1363,17 @@
             attempt.backend.lost = true;
         }
 
-        void settled(Attempt attempt, Request req, Outcome outcome, long now) {
+        void settled(Attempt attempt, Request req, AttemptOutcome outcome, long now) {
             Backend b = attempt.backend;
-            if (outcome == Outcome.FINISHED
-                    || outcome == Outcome.ERROR
-                    || outcome == Outcome.TURNED_AWAY) {
+            if (outcome == AttemptOutcome.FINISHED
+                    || outcome == AttemptOutcome.ERROR
+                    || outcome == AttemptOutcome.TURNED_AWAY) {
                 b.gapCount.add(now, 1);
                 b.gapSum.add(now, (now - b.quietSince) * b.awaited());
                 b.quietSince = now;
             }
             b.missed -= attempt.missed ? 1 : 0;
-            if (outcome == Outcome.FINISHED) {
+            if (outcome == AttemptOutcome.FINISHED) {
                 // One that has slowed down still answers, and would draw work for as long as it
                 // does.
                 boolean slow =
@@ -1379,15 +1387,17 @@
                 b.finished.add(now, 1);
                 answered.add(now, 0, now - attempt.sentAt);
             } else if (!attempt.missed
-                    && outcome != Outcome.RECALLED
-                    && outcome != Outcome.NOT_SENT) {
+                    && outcome != AttemptOutcome.RECALLED
+                    && outcome != AttemptOutcome.NOT_SENT) {
                 b.failures.add(now, 1);
                 b.streak++;
                 // Where each must find out alone, a lost zone costs every balancer work at each
                 // backend.
-                b.lost |= outcome == Outcome.NO_CONNECTION && b.streak >= 2;
+                b.lost |= outcome == AttemptOutcome.NO_CONNECTION && b.streak >= 2;
             }
-            if (now != stoodAt && (outcome == Outcome.FINISHED || outcome == Outcome.TIMED_OUT)) {
+            if (now != stoodAt
+                    && (outcome == AttemptOutcome.FINISHED
+                            || outcome == AttemptOutcome.TIMED_OUT)) {
                 stays.add(now, 0, now - attempt.sentAt);
                 stays.add(now, 1 + 2 * b.lane, now - attempt.sentAt);
                 stays.add(now, 2 + 2 * b.member.kind(), now - attempt.sentAt);
--- a/src/main/java/cottonlock/decision/Outlet.java
+++ b/src/main/java/cottonlock/decision/LoadBalancerActions.java
@@ -4,7 +4,7 @@
  * What the balancer answers through; each call is carried out at the time of the call that led to
  * it.
  */
-public interface Outlet {
+public interface LoadBalancerActions {
 
     /**
      * Hands a request to a backend; it ends with the request's expiry at the latest. Its last byte
@@ -18,12 +18,12 @@
     /**
      * Ends a request: turned away unharmed, with the time after which to come back (0: no advice).
      */
-    void defer(long req, long comeBack, Reason why);
+    void defer(long req, long comeBack, RejectionReason why);
 
     /** Ends a request without promising anything about its effect. */
-    void writeOff(long req, Reason why);
+    void writeOff(long req, RejectionReason why);
 
-    /** Calls {@link Balancer#wake} back at the given time or soon after. */
+    /** Calls {@link LoadBalancer#wake} back at the given time or soon after. */
     void wakeMe(long at);
 
     /** Asks for the list of backends and for its changes from now on. */
--- a/src/main/java/cottonlock/decision/Reason.java
+++ b/src/main/java/cottonlock/decision/RejectionReason.java
@@ -1,7 +1,7 @@
 package cottonlock.decision;
 
 /** What ended a request unfinished: the last thing that decided it, one for each. */
-public enum Reason {
+public enum RejectionReason {
     /** Beyond its tenant's quota, and no room for that. */
     OVER_QUOTA,
     /** No room, and none came while it waited or nothing waits here. */
@@ -20,7 +20,7 @@
     ANSWER_LOST;
 
     /** What an attempt that ended so, and is the last, ends its request by. */
-    static Reason of(Outcome outcome) {
+    static RejectionReason of(AttemptOutcome outcome) {
         return switch (outcome) {
             case TURNED_AWAY -> TURNED_AWAY;
             case NO_CONNECTION, NOT_SENT -> NO_CONNECTION;
--- a/src/main/java/cottonlock/decision/Hash.java
+++ b/src/main/java/cottonlock/decision/RendezvousHash.java
@@ -1,8 +1,8 @@
 package cottonlock.decision;
 
 /** The hash of a tenant and a backend, the same on every balancer: FNV-1a, then mixed well. */
-public final class Hash {
-    private Hash() {}
+public final class RendezvousHash {
+    private RendezvousHash() {}
 
     /** The same as a number above 0 and below 1. */
     static double part(int tenant, String id) {
--- a/src/main/java/cottonlock/decision/Request.java
+++ b/src/main/java/cottonlock/decision/Request.java
@@ -6,7 +6,7 @@
 /** A request while the balancer holds it, and the attempts made for it. */
 final class Request {
     final long id;
-    final Category category;
+    final RequestClass category;
     final int tenant;
     final boolean repeated;
     final long arrived;
@@ -25,7 +25,7 @@
     boolean overQuota;
 
     /** What it would end by if it ended now. */
-    Reason why = Reason.NO_ROOM;
+    RejectionReason why = RejectionReason.NO_ROOM;
 
     /** Whether it takes up room in its lane. */
     boolean inLane;
@@ -44,7 +44,7 @@
 
     Request(
             long id,
-            Category category,
+            RequestClass category,
             int tenant,
             boolean repeated,
             long arrived,
@@ -91,7 +91,7 @@
      */
     long sendBy() {
         Attempt ran = mayHaveRun();
-        return ran == null || category.repeat() == Category.Repeat.SAFE
+        return ran == null || category.repeat() == RequestClass.Repeat.SAFE
                 ? expiry
                 : Math.min(expiry, ran.sentAt + category.repeatWindow() * 9 / 10);
     }
--- a/src/main/java/cottonlock/decision/Category.java
+++ b/src/main/java/cottonlock/decision/RequestClass.java
@@ -10,7 +10,7 @@
  * @param scope for keyed ones: the backends that drop each other's repeats
  * @param repeatWindow for keyed ones: how long they do
  */
-public record Category(
+public record RequestClass(
         int number,
         long dueTime,
         double credit,
@@ -20,8 +20,8 @@
         long repeatWindow) {
 
     /** The same with another number. */
-    public Category numbered(int other) {
-        return new Category(other, dueTime, credit, lateCredit, repeat, scope, repeatWindow);
+    public RequestClass numbered(int other) {
+        return new RequestClass(other, dueTime, credit, lateCredit, repeat, scope, repeatWindow);
     }
 
     /** Whether a request may run again. */
@@ -38,7 +38,7 @@
         CELL;
 
         /** Whether two backends are in the same group. */
-        boolean joins(Member one, Member other) {
+        boolean joins(Endpoint one, Endpoint other) {
             return switch (this) {
                 case ALL -> true;
                 case ZONE -> one.zone() == other.zone();
--- a/src/main/java/cottonlock/decision/Averages.java
+++ b/src/main/java/cottonlock/decision/SlidingWindowMean.java
@@ -4,22 +4,22 @@
 import java.util.List;
 
 /**
- * Averages over the recent past, one for each number that comes up (a category, a kind of backend).
+ * Means over the recent past, one for each number that comes up (a category, a kind of backend).
  */
-final class Averages {
+final class SlidingWindowMean {
     private static final int BUCKETS = 10;
     private final long span;
-    private final List<Ring> sums = new ArrayList<>();
-    private final List<Ring> counts = new ArrayList<>();
+    private final List<SlidingWindowSum> sums = new ArrayList<>();
+    private final List<SlidingWindowSum> counts = new ArrayList<>();
 
-    Averages(long span) {
+    SlidingWindowMean(long span) {
         this.span = span;
     }
 
     void add(long now, int number, long value) {
         while (sums.size() <= number) {
-            sums.add(new Ring(span, BUCKETS));
-            counts.add(new Ring(span, BUCKETS));
+            sums.add(new SlidingWindowSum(span, BUCKETS));
+            counts.add(new SlidingWindowSum(span, BUCKETS));
         }
         sums.get(number).add(now, value);
         counts.get(number).add(now, 1);
--- a/src/main/java/cottonlock/decision/Lowest.java
+++ b/src/main/java/cottonlock/decision/SlidingWindowMin.java
@@ -6,12 +6,12 @@
  * The lowest value of the recent past, kept in buckets of fixed length that are used again in a
  * ring.
  */
-final class Lowest {
+final class SlidingWindowMin {
     private final double[] buckets;
     private final long bucketLength;
     private long newest = Long.MIN_VALUE;
 
-    Lowest(long span, int buckets) {
+    SlidingWindowMin(long span, int buckets) {
         this.buckets = new double[buckets];
         this.bucketLength = Math.max(1, (span + buckets - 1) / buckets);
         Arrays.fill(this.buckets, Double.POSITIVE_INFINITY);
--- a/src/main/java/cottonlock/decision/Ring.java
+++ b/src/main/java/cottonlock/decision/SlidingWindowSum.java
@@ -1,13 +1,13 @@
 package cottonlock.decision;
 
 /** A sum over the recent past, kept in buckets of fixed length that are used again in a ring. */
-final class Ring {
+final class SlidingWindowSum {
     private final long[] buckets;
     private final long bucketLength;
     private long newest = Long.MIN_VALUE;
     private long total;
 
-    Ring(long span, int buckets) {
+    SlidingWindowSum(long span, int buckets) {
         this.buckets = new long[buckets];
         this.bucketLength = Math.max(1, (span + buckets - 1) / buckets);
     }
--- a/src/main/java/cottonlock/decision/Cold.java
+++ b/src/main/java/cottonlock/decision/SlowStartConfig.java
@@ -8,10 +8,10 @@
  * @param multiple of its present capacity that pushes it over
  * @param fall how long it can take that
  */
-public record Cold(double share, long time, double multiple, long fall) {
+public record SlowStartConfig(double share, long time, double multiple, long fall) {
 
     /** The part of its capacity that a backend has at least: it grows evenly while cold. */
-    double warmth(Member m, long now) {
+    double warmth(Endpoint m, long now) {
         if (m.startedAt() <= 0 || now - m.startedAt() >= time) {
             return 1;
         }
--- a/src/main/java/cottonlock/decision/Tokens.java
+++ b/src/main/java/cottonlock/decision/TokenBucket.java
@@ -1,11 +1,11 @@
 package cottonlock.decision;
 
 /** A bucket of tokens that fills at a given rate up to a given depth. */
-final class Tokens {
+final class TokenBucket {
     private double level;
     private long filledAt = -1;
 
-    Tokens(double level) {
+    TokenBucket(double level) {
         this.level = level;
     }
 
--- a/src/main/java/cottonlock/lab/BackendModel.java
+++ b/src/main/java/cottonlock/lab/BackendModel.java
@@ -1,6 +1,6 @@
 package cottonlock.lab;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import java.util.ArrayDeque;
 import java.util.Deque;
 
@@ -11,7 +11,7 @@
  *
  * @param <J> a job
  */
-@Decides
+@Deterministic
 final class BackendModel<J> {
     /** What becomes of a job that comes. */
     enum Taken {
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -1,6 +1,6 @@
 package cottonlock.lab;
 
-import cottonlock.config.BadFile;
+import cottonlock.config.InvalidConfigurationException;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
@@ -127,7 +127,7 @@
     private LongConsumer eachSecond = second -> {};
 
     /** Builds it; throws where the machine can't hold it. */
-    Experiment(Scenario scenario) throws IOException, BadFile {
+    Experiment(Scenario scenario) throws IOException, InvalidConfigurationException {
         this.scenario = scenario;
         descriptors();
         schedule =
@@ -226,7 +226,7 @@
     }
 
     /** What would run out in the middle of a run is told before it begins. */
-    private void descriptors() throws BadFile {
+    private void descriptors() throws InvalidConfigurationException {
         if (!(java.lang.management.ManagementFactory.getOperatingSystemMXBean()
                 instanceof com.sun.management.UnixOperatingSystemMXBean system)) {
             return;
@@ -241,7 +241,7 @@
         }
         long have = system.getMaxFileDescriptorCount();
         if (needed > have) {
-            throw new BadFile(
+            throw new InvalidConfigurationException(
                     List.of(
                             "this scenario needs some "
                                     + needed
@@ -429,7 +429,7 @@
         try {
             Files.writeString(file, WARM_UP);
             new Experiment(Scenario.read(file, List.of(), null)).perform();
-        } catch (BadFile e) {
+        } catch (InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         } finally {
             Files.delete(file);
--- a/src/main/java/cottonlock/lab/Host.java
+++ b/src/main/java/cottonlock/lab/Host.java
@@ -1,6 +1,6 @@
 package cottonlock.lab;
 
-import cottonlock.net.Proxy;
+import cottonlock.proxy.Proxy;
 import java.io.File;
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/cottonlock/lab/Lab.java
+++ b/src/main/java/cottonlock/lab/Lab.java
@@ -1,10 +1,10 @@
 package cottonlock.lab;
 
-import cottonlock.config.BadFile;
-import cottonlock.config.Doc;
+import cottonlock.config.ConfigurationDocument;
+import cottonlock.config.InvalidConfigurationException;
 import cottonlock.config.OperatorFile;
 import cottonlock.lab.world.Topology;
-import cottonlock.setup.MembershipRules;
+import cottonlock.setup.MembershipProtocolConfig;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.io.UncheckedIOException;
@@ -69,7 +69,7 @@
             verdict.broken.forEach(out::println);
             out.println(verdict.line());
             return verdict.kind.status;
-        } catch (BadFile e) {
+        } catch (InvalidConfigurationException e) {
             e.faults().forEach(err::println);
         } catch (IOException | RuntimeException e) {
             err.println(file + ": " + e.getMessage());
@@ -78,7 +78,7 @@
     }
 
     private Verdict play(Path file, Long seed, List<String> sets, Path folder, boolean processes)
-            throws IOException, BadFile, InterruptedException {
+            throws IOException, InvalidConfigurationException, InterruptedException {
         List<String> all = new ArrayList<>(sets);
         if (processes) {
             all.add("proxy.processes=true");
@@ -145,13 +145,14 @@
     }
 
     /** Checks a scenario without playing it; throws what is wrong. */
-    public static void check(Path file) throws BadFile {
+    public static void check(Path file) throws InvalidConfigurationException {
         Scenario.read(file, List.of(), null);
     }
 
     /** Whether a TOML file is a scenario, by what only scenarios have. */
-    public static boolean isScenario(Path file) throws BadFile {
-        return Doc.toml(file).has("tier") || Doc.toml(file).has("category");
+    public static boolean isScenario(Path file) throws InvalidConfigurationException {
+        return ConfigurationDocument.toml(file).has("tier")
+                || ConfigurationDocument.toml(file).has("category");
     }
 
     /** Puts two reports side by side. */
@@ -271,7 +272,7 @@
                         folder.resolve("sweep.html"), curve(file, path, values, figures, means));
             }
             return status;
-        } catch (BadFile e) {
+        } catch (InvalidConfigurationException e) {
             e.faults().forEach(err::println);
         } catch (IOException | RuntimeException e) {
             err.println(file + ": " + e.getMessage());
@@ -289,8 +290,10 @@
             Path operator,
             Path folder) {
         try {
-            MembershipRules rules =
-                    operator == null ? MembershipRules.USUAL : OperatorFile.rules(operator);
+            MembershipProtocolConfig rules =
+                    operator == null
+                            ? MembershipProtocolConfig.USUAL
+                            : OperatorFile.rules(operator);
             MembersStudy study = new MembersStudy(sizes, losses, rules);
             study.play(seed, deaths, quiet, out);
             if (folder != null) {
@@ -298,7 +301,7 @@
                 Files.writeString(folder.resolve("members.html"), study.page());
             }
             return 0;
-        } catch (BadFile e) {
+        } catch (InvalidConfigurationException e) {
             e.faults().forEach(err::println);
         } catch (IOException e) {
             err.println(e.getMessage());
@@ -318,8 +321,10 @@
             Path operator,
             Path folder) {
         try {
-            MembershipRules rules =
-                    operator == null ? MembershipRules.USUAL : OperatorFile.rules(operator);
+            MembershipProtocolConfig rules =
+                    operator == null
+                            ? MembershipProtocolConfig.USUAL
+                            : OperatorFile.rules(operator);
             MembersRegions study =
                     new MembersRegions(
                             new Topology(regions, zones), quiet, apart, known, rules, out);
@@ -329,7 +334,7 @@
                 }
             }
             return 0;
-        } catch (BadFile e) {
+        } catch (InvalidConfigurationException e) {
             e.faults().forEach(err::println);
         } catch (IOException | UncheckedIOException e) {
             err.println(e.getMessage());
--- a/src/main/java/cottonlock/lab/Ledger.java
+++ b/src/main/java/cottonlock/lab/Ledger.java
@@ -1,6 +1,6 @@
 package cottonlock.lab;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -12,7 +12,7 @@
  * itself: what a proxy says of itself does not come here. It holds the rules' figures and nothing
  * of how proxies decide. Times are nanoseconds.
  */
-@Decides
+@Deterministic
 final class Ledger {
     /**
      * Lines kept of each kind of breach: the first ones tell the cause, the count tells the rest.
--- a/src/main/java/cottonlock/lab/MembersJudge.java
+++ b/src/main/java/cottonlock/lab/MembersJudge.java
@@ -1,6 +1,6 @@
 package cottonlock.lab;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
@@ -15,7 +15,7 @@
  * whom. It is told the truth by whoever makes it, and samples of each proxy's view. Times are
  * nanoseconds.
  */
-@Decides
+@Deterministic
 final class MembersJudge {
     /** Lines kept for people. */
     private static final int LINES = 20;
--- a/src/main/java/cottonlock/lab/MembersRegions.java
+++ b/src/main/java/cottonlock/lab/MembersRegions.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import cottonlock.lab.world.RegionsStudy;
 import cottonlock.lab.world.Topology;
-import cottonlock.setup.MembershipRules;
+import cottonlock.setup.MembershipProtocolConfig;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.io.UncheckedIOException;
@@ -36,7 +36,7 @@
     private final int quiet;
     private final int apart;
     private final int known;
-    private final MembershipRules rules;
+    private final MembershipProtocolConfig rules;
     private final PrintStream out;
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     private long reading = -1;
@@ -47,7 +47,7 @@
             int quiet,
             int apart,
             int known,
-            MembershipRules rules,
+            MembershipProtocolConfig rules,
             PrintStream out) {
         this.topology = topology;
         this.quiet = quiet;
--- a/src/main/java/cottonlock/lab/MembersStudy.java
+++ b/src/main/java/cottonlock/lab/MembersStudy.java
@@ -1,7 +1,7 @@
 package cottonlock.lab;
 
 import cottonlock.lab.world.Study;
-import cottonlock.setup.MembershipRules;
+import cottonlock.setup.MembershipProtocolConfig;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,10 +17,10 @@
 
     private final List<Integer> sizes;
     private final List<Double> losses;
-    private final MembershipRules rules;
+    private final MembershipProtocolConfig rules;
     private final List<Study.Row> rows = new ArrayList<>();
 
-    MembersStudy(List<Integer> sizes, List<Double> losses, MembershipRules rules) {
+    MembersStudy(List<Integer> sizes, List<Double> losses, MembershipProtocolConfig rules) {
         this.sizes = sizes;
         this.losses = losses;
         this.rules = rules;
--- a/src/main/java/cottonlock/lab/PeerPaths.java
+++ b/src/main/java/cottonlock/lab/PeerPaths.java
@@ -1,6 +1,6 @@
 package cottonlock.lab;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -10,7 +10,7 @@
  * chance comes from the seed and the pair alone. Faults set and reset its values; the last one set
  * counts.
  */
-@Decides
+@Deterministic
 final class PeerPaths {
 
     /** One way of one pair. */
--- a/src/main/java/cottonlock/lab/Scenario.java
+++ b/src/main/java/cottonlock/lab/Scenario.java
@@ -1,10 +1,10 @@
 package cottonlock.lab;
 
-import cottonlock.config.BadFile;
-import cottonlock.config.Doc;
+import cottonlock.config.ConfigurationDocument;
 import cottonlock.config.Fields;
+import cottonlock.config.InvalidConfigurationException;
 import cottonlock.config.OperatorFile;
-import cottonlock.setup.MembershipPlan;
+import cottonlock.setup.MembershipConfig;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -209,8 +209,9 @@
     final Knowing knowing;
 
     /** Reads a scenario with some of its values set anew; a seed of null is the file's. */
-    static Scenario read(Path file, List<String> sets, Long seed) throws BadFile {
-        Doc doc = Doc.toml(file);
+    static Scenario read(Path file, List<String> sets, Long seed)
+            throws InvalidConfigurationException {
+        ConfigurationDocument doc = ConfigurationDocument.toml(file);
         for (String set : sets) {
             doc.set(set);
         }
@@ -302,7 +303,7 @@
         boolean on = f.flag("enabled", false);
         double limit = f.number("watch_limit_ms", 200, 1, 60_000);
         boolean keyed = f.flag("keyed", false);
-        MembershipPlan plan = OperatorFile.membership(f, folder.resolve("scenario.toml"));
+        MembershipConfig plan = OperatorFile.membership(f, folder.resolve("scenario.toml"));
         if (!on) {
             return null;
         }
--- a/src/main/java/cottonlock/lab/Timeline.java
+++ b/src/main/java/cottonlock/lab/Timeline.java
@@ -1,6 +1,6 @@
 package cottonlock.lab;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -12,7 +12,7 @@
  * What goes wrong when, to whom: the scenario's faults and those drawn from the seed, before the
  * run begins.
  */
-@Decides
+@Deterministic
 final class Timeline {
     /**
      * Seconds that a rolling deployment has each backend leave and be gone, before it goes on to
--- a/src/main/java/cottonlock/lab/rollout/ControlModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ControlModel.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.rollout;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import cottonlock.lab.world.World;
 import cottonlock.rollout.Version;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
  * comes and to each call. It does one thing after the other; a call for which too much waits is
  * turned away. How long each takes is assumed, not measured.
  */
-@Decides
+@Deterministic
 final class ControlModel {
     /**
      * Tenths of a millisecond: a call that is answered, one that is turned away, one line to one
--- a/src/main/java/cottonlock/lab/rollout/Deployment.java
+++ b/src/main/java/cottonlock/lab/rollout/Deployment.java
@@ -1,10 +1,10 @@
 package cottonlock.lab.rollout;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import cottonlock.lab.world.World;
 import cottonlock.rollout.Habits;
 import cottonlock.rollout.Version;
-import cottonlock.setup.RolloutPlan;
+import cottonlock.setup.RolloutConfig;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
@@ -16,7 +16,7 @@
  * Proxies and control machines over zones and regions, in virtual time. Control machines tell one
  * another what is published: each at once, and each second one that is drawn, for what was missed.
  */
-@Decides
+@Deterministic
 final class Deployment {
     static final long SECOND = 10_000;
     static final int REGIONS = 2;
@@ -89,13 +89,13 @@
                             world,
                             links,
                             nearFirst,
-                            new RolloutPlan(
+                            new RolloutConfig(
                                     "s",
                                     near,
                                     far,
-                                    RolloutPlan.CALL,
-                                    RolloutPlan.COMPARE,
-                                    RolloutPlan.RETRY),
+                                    RolloutConfig.CALL,
+                                    RolloutConfig.COMPARE,
+                                    RolloutConfig.RETRY),
                             content,
                             habits,
                             () -> changed(number)));
--- a/src/main/java/cottonlock/lab/rollout/Links.java
+++ b/src/main/java/cottonlock/lab/rollout/Links.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.rollout;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import cottonlock.lab.world.World;
 
 /**
@@ -8,7 +8,7 @@
  * one of a connection that stands: while its way is cut it is sent again, and comes when the cut
  * ends.
  */
-@Decides
+@Deterministic
 final class Links {
     /** Tenths of a millisecond between two sendings of what was not acknowledged. */
     private static final long AGAIN = 3_000;
--- a/src/main/java/cottonlock/lab/rollout/ProxyModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ProxyModel.java
@@ -1,21 +1,21 @@
 package cottonlock.lab.rollout;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import cottonlock.lab.world.World;
 import cottonlock.rollout.Habits;
 import cottonlock.rollout.Rollout;
 import cottonlock.rollout.Version;
-import cottonlock.setup.RolloutPlan;
+import cottonlock.setup.RolloutConfig;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 
 /**
  * A proxy in virtual time: {@link Rollout} as it serves, carried as {@code
- * cottonlock.net.RolloutActor} does on sockets: one thread, one watch, and a second connection
+ * cottonlock.proxy.RolloutActor} does on sockets: one thread, one watch, and a second connection
  * during a comparison.
  */
-@Decides
+@Deterministic
 final class ProxyModel {
     private static final long SECOND = 10_000;
 
@@ -40,7 +40,7 @@
     private final World world;
     private final Links links;
     private final List<ControlModel> near;
-    private final RolloutPlan plan;
+    private final RolloutConfig plan;
     private final Content content;
     private final Habits habits;
     private final SplittableRandom chance;
@@ -76,7 +76,7 @@
             World world,
             Links links,
             List<ControlModel> nearFirst,
-            RolloutPlan plan,
+            RolloutConfig plan,
             Content content,
             Habits habits,
             Runnable changed) {
--- a/src/main/java/cottonlock/lab/rollout/RolloutStudy.java
+++ b/src/main/java/cottonlock/lab/rollout/RolloutStudy.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.rollout;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import cottonlock.rollout.Habits;
 import cottonlock.rollout.Version;
 import java.util.ArrayList;
@@ -11,7 +11,7 @@
 import java.util.function.Supplier;
 
 /** Plays what a change of the settings costs, and each hard case, in virtual time. */
-@Decides
+@Deterministic
 public final class RolloutStudy {
     /** Control machines, regions and zones of each deployment. */
     public static final int CONTROL = Deployment.CONTROL;
--- a/src/main/java/cottonlock/lab/scale/Bounds.java
+++ b/src/main/java/cottonlock/lab/scale/Bounds.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.scale;
 
-import cottonlock.config.BadFile;
+import cottonlock.config.InvalidConfigurationException;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.net.DatagramSocket;
@@ -64,7 +64,7 @@
     final int port;
 
     /** Throws, in one line, what the run would take too much of. */
-    Bounds(ScaleFile file) throws BadFile {
+    Bounds(ScaleFile file) throws InvalidConfigurationException {
         ScaleFile.Fleet fleet = file.fleet;
         int hollow = fleet.size() - fleet.real();
         hosts = (hollow + fleet.perJvm() - 1) / fleet.perJvm();
@@ -125,8 +125,8 @@
         port = ports();
     }
 
-    private static void refuse(String what) throws BadFile {
-        throw new BadFile(List.of("this scale run " + what));
+    private static void refuse(String what) throws InvalidConfigurationException {
+        throw new InvalidConfigurationException(List.of("this scale run " + what));
     }
 
     static long machineMb() {
@@ -160,7 +160,7 @@
     }
 
     /** The first of some ports that nobody has at any address of this machine. */
-    private static int ports() throws BadFile {
+    private static int ports() throws InvalidConfigurationException {
         int span = (LAST_PORT - FIRST_PORT) / PORTS;
         // Two runs that begin together begin to look at different places.
         int from = (int) (ProcessHandle.current().pid() % span);
--- a/src/main/java/cottonlock/lab/scale/Budget.java
+++ b/src/main/java/cottonlock/lab/scale/Budget.java
@@ -1,8 +1,8 @@
 package cottonlock.lab.scale;
 
-import cottonlock.config.BadFile;
-import cottonlock.config.Doc;
+import cottonlock.config.ConfigurationDocument;
 import cottonlock.config.Fields;
+import cottonlock.config.InvalidConfigurationException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -102,9 +102,9 @@
     private Budget() {}
 
     /** Reads it; every fault is told at once. */
-    static Budget read(Path file) throws BadFile {
+    static Budget read(Path file) throws InvalidConfigurationException {
         Budget budget = new Budget();
-        Fields top = Fields.of(Doc.toml(file));
+        Fields top = Fields.of(ConfigurationDocument.toml(file));
         Fields operators = top.table("operators");
         OPERATORS.forEach(
                 key ->
--- a/src/main/java/cottonlock/lab/scale/Capacity.java
+++ b/src/main/java/cottonlock/lab/scale/Capacity.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.scale;
 
-import cottonlock.config.BadFile;
+import cottonlock.config.InvalidConfigurationException;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
@@ -58,7 +58,7 @@
                             : new ProxyMeasure(size, seed, rate).play(result, command, commit());
             out.println("measured: " + verdict + " " + result);
             return verdict.equals("none") ? NO_VERDICT : verdict.equals("fail") ? 1 : 0;
-        } catch (BadFile e) {
+        } catch (InvalidConfigurationException e) {
             e.faults().forEach(err::println);
         } catch (IOException e) {
             err.println(what + ": " + e.getMessage());
@@ -88,7 +88,7 @@
                 Files.writeString(page, text);
             }
             return 0;
-        } catch (BadFile e) {
+        } catch (InvalidConfigurationException e) {
             e.faults().forEach(err::println);
         } catch (IOException e) {
             err.println(e.getMessage());
--- a/src/main/java/cottonlock/lab/scale/CapacityPage.java
+++ b/src/main/java/cottonlock/lab/scale/CapacityPage.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.scale;
 
-import cottonlock.config.BadFile;
+import cottonlock.config.InvalidConfigurationException;
 import java.io.IOException;
 import java.math.BigDecimal;
 import java.math.MathContext;
@@ -61,7 +61,7 @@
     private final WorkedOut worked;
     private final List<Row> rows = new ArrayList<>();
 
-    private CapacityPage(Path folder) throws BadFile {
+    private CapacityPage(Path folder) throws InvalidConfigurationException {
         this.folder = folder;
         budget = Budget.read(folder.resolve("budget.toml"));
         results = ResultFile.all(folder);
@@ -82,22 +82,23 @@
         }
     }
 
-    private static List<Path> earlier(Path folder) throws BadFile {
+    private static List<Path> earlier(Path folder) throws InvalidConfigurationException {
         try (Stream<Path> there = Files.list(folder)) {
             return there.filter(f -> f.getFileName().toString().startsWith(BEFORE))
                     .sorted()
                     .toList();
         } catch (IOException e) {
-            throw new BadFile(List.of(folder + ": cannot be read: " + e.getMessage()));
+            throw new InvalidConfigurationException(
+                    List.of(folder + ": cannot be read: " + e.getMessage()));
         }
     }
 
     /** The page; faults of any file are told at once. */
-    static String of(Path folder) throws BadFile, IOException {
+    static String of(Path folder) throws InvalidConfigurationException, IOException {
         return new CapacityPage(folder).page();
     }
 
-    private String page() throws BadFile, IOException {
+    private String page() throws InvalidConfigurationException, IOException {
         Path template = folder.resolve("page.md");
         List<String> lines = Files.readAllLines(template);
         List<String> faults = new ArrayList<>();
@@ -124,7 +125,7 @@
             page.append(place.appendTail(filled)).append('\n');
         }
         if (!faults.isEmpty()) {
-            throw new BadFile(faults);
+            throw new InvalidConfigurationException(faults);
         }
         return page.toString();
     }
--- a/src/main/java/cottonlock/lab/scale/HollowHost.java
+++ b/src/main/java/cottonlock/lab/scale/HollowHost.java
@@ -1,12 +1,12 @@
 package cottonlock.lab.scale;
 
-import cottonlock.config.BadFile;
+import cottonlock.config.InvalidConfigurationException;
 import cottonlock.config.OperatorFile;
 import cottonlock.membership.MembersActor;
 import cottonlock.membership.View;
-import cottonlock.net.ControlPart;
-import cottonlock.setup.MembershipPlan;
-import cottonlock.setup.MembershipRules;
+import cottonlock.proxy.ControlPart;
+import cottonlock.setup.MembershipConfig;
+import cottonlock.setup.MembershipProtocolConfig;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -64,7 +64,7 @@
             part.start();
             if (rules != null) {
                 socket = new CountedSocket(address, cuts, traffic, real, realOnes);
-                MembershipPlan plan = new MembershipPlan("", "", seeds, "", "", rules);
+                MembershipConfig plan = new MembershipConfig("", "", seeds, "", "", rules);
                 members =
                         new MembersActor(
                                 plan,
@@ -127,10 +127,10 @@
     private final Set<InetAddress> realOnes = new HashSet<>();
     private final List<String> zones = new ArrayList<>();
     private final List<String> seeds = new ArrayList<>();
-    private final MembershipRules rules;
+    private final MembershipProtocolConfig rules;
     private final SplittableRandom random;
 
-    private HollowHost(MembershipRules rules, long seed) {
+    private HollowHost(MembershipProtocolConfig rules, long seed) {
         this.rules = rules;
         this.random = new SplittableRandom(seed);
     }
@@ -143,7 +143,7 @@
      * The process; its arguments: a seed, and the operator's file where the proxies know one
      * another.
      */
-    public static void main(String[] args) throws IOException, BadFile {
+    public static void main(String[] args) throws IOException, InvalidConfigurationException {
         java.util.logging.Logger.getLogger("cottonlock").setLevel(java.util.logging.Level.OFF);
         HollowHost host =
                 new HollowHost(
--- a/src/main/java/cottonlock/lab/scale/ResultFile.java
+++ b/src/main/java/cottonlock/lab/scale/ResultFile.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.StreamReadFeature;
-import cottonlock.config.BadFile;
+import cottonlock.config.InvalidConfigurationException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -50,11 +50,12 @@
     }
 
     /** Reads one file; every fault of it is told at once. */
-    static ResultFile read(Path file) throws BadFile {
+    static ResultFile read(Path file) throws InvalidConfigurationException {
         ResultFile result = new ResultFile(file.getFileName().toString());
         try {
             if (Files.size(file) > LONGEST) {
-                throw new BadFile(List.of(file + ": is longer than a result of a run can be"));
+                throw new InvalidConfigurationException(
+                        List.of(file + ": is longer than a result of a run can be"));
             }
             JsonFactory factory =
                     JsonFactory.builder()
@@ -62,15 +63,17 @@
                             .build();
             try (JsonParser json = factory.createParser(Files.readString(file))) {
                 if (json.nextToken() != JsonToken.START_OBJECT) {
-                    throw new BadFile(List.of(file + ": expected a JSON object"));
+                    throw new InvalidConfigurationException(
+                            List.of(file + ": expected a JSON object"));
                 }
                 result.object(file, json, "", 0);
                 if (json.nextToken() != null) {
-                    throw new BadFile(List.of(file + ": expected nothing behind the object"));
+                    throw new InvalidConfigurationException(
+                            List.of(file + ": expected nothing behind the object"));
                 }
             }
         } catch (JsonProcessingException e) {
-            throw new BadFile(
+            throw new InvalidConfigurationException(
                     List.of(
                             file
                                     + ":"
@@ -78,7 +81,8 @@
                                     + ": "
                                     + e.getOriginalMessage()));
         } catch (IOException e) {
-            throw new BadFile(List.of(file + ": cannot be read: " + e.getMessage()));
+            throw new InvalidConfigurationException(
+                    List.of(file + ": cannot be read: " + e.getMessage()));
         }
         result.check(file);
         return result;
@@ -88,7 +92,7 @@
      * All results of a folder in the order of kind, size and seed; other files in it are left
      * alone.
      */
-    static List<ResultFile> all(Path folder) throws BadFile {
+    static List<ResultFile> all(Path folder) throws InvalidConfigurationException {
         List<Path> files;
         try (Stream<Path> there = Files.list(folder)) {
             files =
@@ -96,19 +100,20 @@
                             .sorted()
                             .toList();
         } catch (IOException e) {
-            throw new BadFile(List.of(folder + ": cannot be read: " + e.getMessage()));
+            throw new InvalidConfigurationException(
+                    List.of(folder + ": cannot be read: " + e.getMessage()));
         }
         List<ResultFile> results = new ArrayList<>();
         List<String> faults = new ArrayList<>();
         for (Path file : files) {
             try {
                 results.add(read(file));
-            } catch (BadFile e) {
+            } catch (InvalidConfigurationException e) {
                 faults.addAll(e.faults());
             }
         }
         if (!faults.isEmpty()) {
-            throw new BadFile(faults);
+            throw new InvalidConfigurationException(faults);
         }
         results.sort(
                 Comparator.comparing(ResultFile::kind)
@@ -118,9 +123,10 @@
     }
 
     private void object(Path file, JsonParser json, String path, int depth)
-            throws IOException, BadFile {
+            throws IOException, InvalidConfigurationException {
         if (depth > DEEPEST) {
-            throw new BadFile(List.of(file + ": values lie too deep in each other"));
+            throw new InvalidConfigurationException(
+                    List.of(file + ": values lie too deep in each other"));
         }
         while (json.nextToken() != JsonToken.END_OBJECT) {
             String key = path + json.currentName();
@@ -135,11 +141,11 @@
         }
     }
 
-    private void check(Path file) throws BadFile {
+    private void check(Path file) throws InvalidConfigurationException {
         List<String> faults = new ArrayList<>();
         String kind = texts.getOrDefault("kind", "");
         if (!NEEDED.containsKey(kind)) {
-            throw new BadFile(
+            throw new InvalidConfigurationException(
                     List.of(
                             file
                                     + ": kind: expected one of "
@@ -187,7 +193,7 @@
                     }
                 });
         if (!faults.isEmpty()) {
-            throw new BadFile(faults);
+            throw new InvalidConfigurationException(faults);
         }
     }
 
--- a/src/main/java/cottonlock/lab/scale/ScaleFile.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleFile.java
@@ -1,11 +1,11 @@
 package cottonlock.lab.scale;
 
-import cottonlock.config.BadFile;
-import cottonlock.config.Doc;
+import cottonlock.config.ConfigurationDocument;
 import cottonlock.config.Fields;
+import cottonlock.config.InvalidConfigurationException;
 import cottonlock.config.OperatorFile;
-import cottonlock.setup.MembershipPlan;
-import cottonlock.setup.MembershipRules;
+import cottonlock.setup.MembershipConfig;
+import cottonlock.setup.MembershipProtocolConfig;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -66,7 +66,7 @@
     final int memoryMb;
 
     /** Null: the proxies don't know one another. */
-    final MembershipRules membership;
+    final MembershipProtocolConfig membership;
 
     /** The table of the operator's file. */
     final String membershipToml;
@@ -74,8 +74,9 @@
     final Expect expect;
 
     /** Reads a file with some of its values set anew; a seed of null is the file's. */
-    static ScaleFile read(Path file, List<String> sets, Long seed) throws BadFile {
-        Doc doc = Doc.toml(file);
+    static ScaleFile read(Path file, List<String> sets, Long seed)
+            throws InvalidConfigurationException {
+        ConfigurationDocument doc = ConfigurationDocument.toml(file);
         for (String set : sets) {
             doc.set(set);
         }
@@ -95,8 +96,8 @@
     }
 
     /** Whether a TOML file is one of these, by what only they have. */
-    static boolean isOne(Path file) throws BadFile {
-        return Doc.toml(file).has("fleet");
+    static boolean isOne(Path file) throws InvalidConfigurationException {
+        return ConfigurationDocument.toml(file).has("fleet");
     }
 
     private ScaleFile(Fields top, String stem, Path file) {
@@ -151,7 +152,7 @@
         Fields m = top.table("membership");
         membershipToml = m.toml(Set.of("enabled", "listen", "advertise", "seeds"));
         // The process's own reader, so that a file means here what it means in service.
-        MembershipPlan plan = OperatorFile.membership(m, file);
+        MembershipConfig plan = OperatorFile.membership(m, file);
         membership = plan == null ? null : plan.rules();
         if (membership != null && membership.most() < fleet.size) {
             m.fault(
--- a/src/main/java/cottonlock/lab/scale/ScaleLab.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleLab.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.scale;
 
-import cottonlock.config.BadFile;
+import cottonlock.config.InvalidConfigurationException;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Path;
@@ -26,12 +26,12 @@
     }
 
     /** Checks a file without playing it; throws what is wrong. */
-    public static void check(Path file) throws BadFile {
+    public static void check(Path file) throws InvalidConfigurationException {
         ScaleFile.read(file, List.of(), null);
     }
 
     /** Whether a TOML file is one of a scale run. */
-    public static boolean isScaleFile(Path file) throws BadFile {
+    public static boolean isScaleFile(Path file) throws InvalidConfigurationException {
         return ScaleFile.isOne(file);
     }
 
@@ -58,7 +58,7 @@
                 case FAIL -> 1;
                 default -> 3;
             };
-        } catch (BadFile e) {
+        } catch (InvalidConfigurationException e) {
             e.faults().forEach(err::println);
         } catch (IOException | RuntimeException e) {
             err.println(file + ": " + e);
--- a/src/main/java/cottonlock/lab/scale/ScaleRun.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleRun.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.scale;
 
-import cottonlock.config.BadFile;
+import cottonlock.config.InvalidConfigurationException;
 import cottonlock.lab.ServeCommand;
 import cottonlock.lab.Watcher;
 import cottonlock.lab.scale.Samples.What;
@@ -88,7 +88,7 @@
     long wholeBytes;
 
     /** Builds it; throws, before anything starts, what it would take too much of. */
-    ScaleRun(ScaleFile file, Consumer<String> progress) throws BadFile {
+    ScaleRun(ScaleFile file, Consumer<String> progress) throws InvalidConfigurationException {
         this.file = file;
         this.progress = progress;
         this.bounds = new Bounds(file);
--- a/src/main/java/cottonlock/lab/scale/Slope.java
+++ b/src/main/java/cottonlock/lab/scale/Slope.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.scale;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -20,7 +20,7 @@
  * @param sizes how many sizes it rests on
  * @param largest of the sizes
  */
-@Decides
+@Deterministic
 record Slope(
         String law,
         double base,
--- a/src/main/java/cottonlock/lab/scale/Topology.java
+++ b/src/main/java/cottonlock/lab/scale/Topology.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.scale;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -9,7 +9,7 @@
  * Zones are dealt out to regions in rows, proxies to zones in turn; the zone can be read off an
  * address.
  */
-@Decides
+@Deterministic
 final class Topology {
     /**
      * The second byte of addresses: of control, and of the first zone; all of 127/8 is loopback.
--- a/src/main/java/cottonlock/lab/scale/WorkedOut.java
+++ b/src/main/java/cottonlock/lab/scale/WorkedOut.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.scale;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -9,7 +9,7 @@
  * and measured slopes. One that rests on something not measured is not a number. Times are in
  * seconds where the name doesn't say otherwise.
  */
-@Decides
+@Deterministic
 final class WorkedOut {
     private static final double DAY = 86_400;
     private static final double MEGA = 1 << 20;
--- a/src/main/java/cottonlock/lab/world/Fleet.java
+++ b/src/main/java/cottonlock/lab/world/Fleet.java
@@ -1,10 +1,10 @@
 package cottonlock.lab.world;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import cottonlock.membership.Membership;
 import cottonlock.membership.State;
 import cottonlock.membership.View;
-import cottonlock.setup.MembershipRules;
+import cottonlock.setup.MembershipProtocolConfig;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -22,7 +22,7 @@
  * Processes that know one another, in a world: started, killed, paused, hung and cut off from
  * outside, and judged by what is true of them.
  */
-@Decides
+@Deterministic
 public final class Fleet {
     /** Datagrams that a paused process's socket holds: some 200 KB as the kernel counts them. */
     private static final int HELD = 256;
@@ -45,7 +45,7 @@
     /** Makes the machine of one process; tests put other ones in its place. */
     public interface Maker {
         Membership make(
-                MembershipRules rules,
+                MembershipProtocolConfig rules,
                 Membership.Outlet outlet,
                 String name,
                 String address,
@@ -257,7 +257,7 @@
     /** Who called whom failed while it lived and could be reached. */
     public final List<False> falseFailures = new ArrayList<>();
 
-    private final MembershipRules rules;
+    private final MembershipProtocolConfig rules;
     private final Maker maker;
     private final List<String> contacts = new ArrayList<>();
     private final Map<String, Node> byName = new HashMap<>();
@@ -281,7 +281,7 @@
     private long spent;
     private long readings;
 
-    public Fleet(World world, int size, MembershipRules rules, Maker maker) {
+    public Fleet(World world, int size, MembershipProtocolConfig rules, Maker maker) {
         this(world, size, rules, maker, size);
     }
 
@@ -289,7 +289,7 @@
      * Known: how many addresses each is told, evenly spread; where they are all, it takes no
      * other's.
      */
-    public Fleet(World world, int size, MembershipRules rules, Maker maker, int known) {
+    public Fleet(World world, int size, MembershipProtocolConfig rules, Maker maker, int known) {
         this.world = world;
         this.rules = rules;
         this.maker = maker;
@@ -305,7 +305,7 @@
         }
     }
 
-    public Fleet(World world, int size, MembershipRules rules) {
+    public Fleet(World world, int size, MembershipProtocolConfig rules) {
         this(world, size, rules, Membership::new);
     }
 
--- a/src/main/java/cottonlock/lab/world/RegionsStudy.java
+++ b/src/main/java/cottonlock/lab/world/RegionsStudy.java
@@ -1,8 +1,8 @@
 package cottonlock.lab.world;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import cottonlock.membership.Membership;
-import cottonlock.setup.MembershipRules;
+import cottonlock.setup.MembershipProtocolConfig;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -15,7 +15,7 @@
  * rack dies and is back; a zone is cut off and back; regions are apart and meet again; many restart
  * within a minute.
  */
-@Decides
+@Deterministic
 public final class RegionsStudy {
     private static final long SECOND = 10_000;
 
@@ -68,7 +68,7 @@
 
     private RegionsStudy(
             Play play,
-            MembershipRules rules,
+            MembershipProtocolConfig rules,
             Gauge gauge,
             BiConsumer<String, Map<String, Long>> told) {
         this.play = play;
@@ -87,7 +87,7 @@
      */
     public static Map<String, Long> of(
             Play play,
-            MembershipRules rules,
+            MembershipProtocolConfig rules,
             Gauge gauge,
             BiConsumer<String, Map<String, Long>> told) {
         return new RegionsStudy(play, rules, gauge, told).play();
--- a/src/main/java/cottonlock/lab/world/Study.java
+++ b/src/main/java/cottonlock/lab/world/Study.java
@@ -1,7 +1,7 @@
 package cottonlock.lab.world;
 
-import cottonlock.decision.Decides;
-import cottonlock.setup.MembershipRules;
+import cottonlock.decision.Deterministic;
+import cottonlock.setup.MembershipProtocolConfig;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -10,7 +10,7 @@
  * What knowing one another costs and brings at one size and loss, in virtual time: deaths found one
  * after the other, a quiet stretch, a split into halves and its heal.
  */
-@Decides
+@Deterministic
 public final class Study {
     private static final long SECOND = 10_000;
     private static final long MOST = 120 * SECOND;
@@ -50,7 +50,12 @@
      * @param quiet seconds without a fault, for false failures and bytes
      */
     public static Row of(
-            long seed, int size, double loss, int deaths, int quiet, MembershipRules rules) {
+            long seed,
+            int size,
+            double loss,
+            int deaths,
+            int quiet,
+            MembershipProtocolConfig rules) {
         World world = new World(seed);
         Fleet fleet = new Fleet(world, size, rules);
         // As between machines of one room: a millisecond or so.
--- a/src/main/java/cottonlock/lab/world/Topology.java
+++ b/src/main/java/cottonlock/lab/world/Topology.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.world;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 
 /**
  * Which zone and region each numbered place is in: zones take places in turn, regions take zones in
@@ -9,7 +9,7 @@
  * @param regions 1 at least
  * @param zones over all regions; as many as regions at least
  */
-@Decides
+@Deterministic
 public record Topology(int regions, int zones) implements World.Delay {
     /**
      * Tenths of a millisecond one way: across a room, a town and a continent, and what each varies
--- a/src/main/java/cottonlock/lab/world/World.java
+++ b/src/main/java/cottonlock/lab/world/World.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.world;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.zip.CRC32;
@@ -10,7 +10,7 @@
  * spoilt, and what is cut. Times are tenths of a millisecond. Tasks of one moment run in the order
  * of their setting.
  */
-@Decides
+@Deterministic
 public final class World {
     /** Whether nothing gets through from one place to another. */
     public interface Cut {
--- a/src/main/java/cottonlock/membership/Addresses.java
+++ b/src/main/java/cottonlock/membership/Addresses.java
@@ -1,6 +1,6 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -13,7 +13,7 @@
  * failed at which no living member is known. Kept with each word: looking through all members for
  * it cost more than all else.
  */
-@Decides
+@Deterministic
 final class Addresses {
     private final Set<String> contacts;
 
--- a/src/main/java/cottonlock/membership/Allowance.java
+++ b/src/main/java/cottonlock/membership/Allowance.java
@@ -1,12 +1,12 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 
 /**
  * The bytes that may be sent: in no second more than are allowed. A quarter of them may go at once,
  * three quarters come back in a second.
  */
-@Decides
+@Deterministic
 final class Allowance {
     /** Tenths of a millisecond in a second. */
     private static final long SECOND = 10_000;
--- a/src/main/java/cottonlock/membership/Codec.java
+++ b/src/main/java/cottonlock/membership/Codec.java
@@ -2,7 +2,7 @@
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import cottonlock.membership.Message.Kind;
 import java.util.Arrays;
 import java.util.zip.CRC32;
@@ -12,7 +12,7 @@
  * own datagrams on the same socket; the last four are a check of all before, as UDP's own is short.
  * Numbers are big-endian. docs/membership.md has the layout.
  */
-@Decides
+@Deterministic
 final class Codec {
     /** The platform's limit for a datagram. */
     static final int LONGEST = 256;
--- a/src/main/java/cottonlock/membership/Exchange.java
+++ b/src/main/java/cottonlock/membership/Exchange.java
@@ -1,8 +1,8 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import cottonlock.membership.Message.Kind;
-import cottonlock.setup.MembershipRules;
+import cottonlock.setup.MembershipProtocolConfig;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -11,7 +11,7 @@
 /**
  * Mends views that differ: in short first, part by part of the names; then page by page, each way.
  */
-@Decides
+@Deterministic
 final class Exchange {
     /**
      * Pages sent at one request, so that a large view takes several requests, and several givers.
@@ -29,7 +29,7 @@
     /** Members of one part of the names, about: what a datagram holds. */
     private static final int PART = 8;
 
-    private final MembershipRules rules;
+    private final MembershipProtocolConfig rules;
     private final Table table;
     private final Ring ring;
     private final Post post;
@@ -45,7 +45,7 @@
     private int brought;
 
     Exchange(
-            MembershipRules rules,
+            MembershipProtocolConfig rules,
             Table table,
             Ring ring,
             Post post,
--- a/src/main/java/cottonlock/membership/Habits.java
+++ b/src/main/java/cottonlock/membership/Habits.java
@@ -1,12 +1,12 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 
 /**
  * The choices on which it rests that no view ends in a falsehood; tests put wrong ones in their
  * place.
  */
-@Decides
+@Deterministic
 class Habits {
 
     /** Whether a word holds in place of another. */
--- a/src/main/java/cottonlock/membership/Known.java
+++ b/src/main/java/cottonlock/membership/Known.java
@@ -1,11 +1,11 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 
 /**
  * One other member as this proxy knows it. Times are tenths of a millisecond; NEVER is before all.
  */
-@Decides
+@Deterministic
 final class Known {
     static final long NEVER = Long.MIN_VALUE / 4;
 
--- a/src/main/java/cottonlock/membership/MembersActor.java
+++ b/src/main/java/cottonlock/membership/MembersActor.java
@@ -1,6 +1,6 @@
 package cottonlock.membership;
 
-import cottonlock.setup.MembershipPlan;
+import cottonlock.setup.MembershipConfig;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -68,7 +68,7 @@
      * @throws IOException for a key that can't be had
      */
     public MembersActor(
-            MembershipPlan plan,
+            MembershipConfig plan,
             DatagramSocket socket,
             String name,
             String address,
--- a/src/main/java/cottonlock/membership/Membership.java
+++ b/src/main/java/cottonlock/membership/Membership.java
@@ -1,8 +1,8 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import cottonlock.membership.Message.Kind;
-import cottonlock.setup.MembershipRules;
+import cottonlock.setup.MembershipProtocolConfig;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.LinkedHashSet;
@@ -23,7 +23,7 @@
  * sent anyway; a digest in each datagram tells whose view differs, and what differs is exchanged.
  * docs/membership.md tells why.
  */
-@Decides
+@Deterministic
 public final class Membership {
     /**
      * Tenths of a millisecond: called so much too late, it has stood still itself, as a busy core
@@ -56,7 +56,7 @@
         default void rode(String name, long life, int topic, byte[] body) {}
     }
 
-    private final MembershipRules rules;
+    private final MembershipProtocolConfig rules;
     private final Habits habits;
     private final Outlet outlet;
     private final SplittableRandom random;
@@ -107,7 +107,7 @@
      * @throws IllegalArgumentException for a name that can't be a member's
      */
     public Membership(
-            MembershipRules rules,
+            MembershipProtocolConfig rules,
             Outlet outlet,
             String name,
             String address,
@@ -120,7 +120,7 @@
     }
 
     Membership(
-            MembershipRules rules,
+            MembershipProtocolConfig rules,
             Outlet outlet,
             String name,
             String address,
--- a/src/main/java/cottonlock/membership/Message.java
+++ b/src/main/java/cottonlock/membership/Message.java
@@ -1,11 +1,11 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import java.util.ArrayList;
 import java.util.List;
 
 /** One datagram, read. Each kind uses some of the fields; the rest stay as they are here. */
-@Decides
+@Deterministic
 final class Message {
 
     enum Kind {
--- a/src/main/java/cottonlock/membership/Post.java
+++ b/src/main/java/cottonlock/membership/Post.java
@@ -1,11 +1,11 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import cottonlock.membership.Message.Kind;
-import cottonlock.setup.MembershipRules;
+import cottonlock.setup.MembershipProtocolConfig;
 
 /** Writes and sends datagrams within the allowance, and has changes ride on them. */
-@Decides
+@Deterministic
 final class Post {
     /**
      * Part of the allowance that must be left beside what is less urgent than a probe or its
@@ -13,7 +13,7 @@
      */
     static final double SPARE = 0.4;
 
-    private final MembershipRules rules;
+    private final MembershipProtocolConfig rules;
     private final Table table;
     private final Membership.Outlet outlet;
     private final long[] counts;
@@ -29,7 +29,7 @@
 
     /** Tag: bytes of each datagram that stay free. */
     Post(
-            MembershipRules rules,
+            MembershipProtocolConfig rules,
             Table table,
             Membership.Outlet outlet,
             long[] counts,
--- a/src/main/java/cottonlock/membership/Prober.java
+++ b/src/main/java/cottonlock/membership/Prober.java
@@ -1,8 +1,8 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import cottonlock.membership.Message.Kind;
-import cottonlock.setup.MembershipRules;
+import cottonlock.setup.MembershipProtocolConfig;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -14,7 +14,7 @@
  * Probes one member after the other, directly and by others' help, and makes probes for others. The
  * less it is answered at all, the more it doubts itself, and the longer it takes over everything.
  */
-@Decides
+@Deterministic
 final class Prober {
 
     /** Answers over which losses are remembered: ten seconds of probes. */
@@ -64,7 +64,7 @@
     /** A probe made for another member. */
     private record Favour(int seq, int theirSeq, String asker, String target, long until) {}
 
-    private final MembershipRules rules;
+    private final MembershipProtocolConfig rules;
     private final Table table;
     private final Ring ring;
     private final Post post;
@@ -86,7 +86,7 @@
 
     /** Suspects: all that are in doubt, as they stand at any time. */
     Prober(
-            MembershipRules rules,
+            MembershipProtocolConfig rules,
             Table table,
             Ring ring,
             Post post,
--- a/src/main/java/cottonlock/membership/Repeats.java
+++ b/src/main/java/cottonlock/membership/Repeats.java
@@ -1,6 +1,6 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -12,7 +12,7 @@
 /**
  * Changes that ride on what is sent anyway: the least told first, each a bounded number of times.
  */
-@Decides
+@Deterministic
 final class Repeats {
     /** A word that is being told, until another on the same name is. */
     private static final class Telling {
--- a/src/main/java/cottonlock/membership/Ring.java
+++ b/src/main/java/cottonlock/membership/Ring.java
@@ -1,6 +1,6 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -8,7 +8,7 @@
 import java.util.function.Predicate;
 
 /** The order in which members are probed: each once in a round, and each round shuffled anew. */
-@Decides
+@Deterministic
 final class Ring {
     private final SplittableRandom random;
     private final List<Known> order = new ArrayList<>();
--- a/src/main/java/cottonlock/membership/Suspicion.java
+++ b/src/main/java/cottonlock/membership/Suspicion.java
@@ -1,6 +1,6 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -8,7 +8,7 @@
  * One doubt of one member: it lasts long while one accuser stands alone, whose own ears may be at
  * fault, and the shorter the more others say the same. Times are tenths of a millisecond.
  */
-@Decides
+@Deterministic
 final class Suspicion {
     private final long least;
     private final long most;
--- a/src/main/java/cottonlock/membership/Table.java
+++ b/src/main/java/cottonlock/membership/Table.java
@@ -1,6 +1,6 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -12,7 +12,7 @@
  * The members that one process knows, itself among them, in the order of their names, and their
  * digest.
  */
-@Decides
+@Deterministic
 final class Table {
     private final int most;
     private final List<Known> others = new ArrayList<>();
--- a/src/main/java/cottonlock/membership/Word.java
+++ b/src/main/java/cottonlock/membership/Word.java
@@ -1,7 +1,7 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Decides;
-import cottonlock.decision.Hash;
+import cottonlock.decision.Deterministic;
+import cottonlock.decision.RendezvousHash;
 
 /**
  * What is said of one member. Words on the same name are in one order, and the highest holds
@@ -16,7 +16,7 @@
  * @param by a hash of the name of whoever doubts it or holds it for failed; 0 for its own word. It
  *     does not count in the order
  */
-@Decides
+@Deterministic
 record Word(String name, String address, long life, int turn, State state, int by) {
 
     /** Whether it holds in place of the other. */
@@ -46,15 +46,15 @@
      * and go, and what they lead to does.
      */
     long mark() {
-        long who = Hash.of((state == State.JOINING ? 1 : 0) + 2 * turn, name);
+        long who = RendezvousHash.of((state == State.JOINING ? 1 : 0) + 2 * turn, name);
         // A product: of sums of parts, two members that exchange their addresses would go
         // unnoticed.
-        return who * (Hash.of(Long.hashCode(life), address) | 1);
+        return who * (RendezvousHash.of(Long.hashCode(life), address) | 1);
     }
 
     /** What stands for a name where there is no room for it; never 0. */
     static int hash(String name) {
-        int hash = (int) Hash.of(0, name);
+        int hash = (int) RendezvousHash.of(0, name);
         return hash == 0 ? 1 : hash;
     }
 }
--- a/src/main/java/cottonlock/net/Admission.java
+++ b/src/main/java/cottonlock/proxy/Admission.java
@@ -1,6 +1,6 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
-import cottonlock.decision.Category;
+import cottonlock.decision.RequestClass;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
@@ -59,15 +59,15 @@
             long patience) {}
 
     /** Judges a head by itself: a long body behind a bad one need not be read. */
-    Asked asked(Head head) throws BadMessage {
+    Asked asked(Head head) throws MalformedMessageException {
         Rules in = rules;
         String method = head.start[0];
         if (!method.equals("GET") && !method.equals("POST")) {
-            throw new BadMessage(405, "neither GET nor POST");
+            throw new MalformedMessageException(405, "neither GET nor POST");
         }
         String requestId = head.only("X-Request-ID");
         if (requestId == null || requestId.isEmpty()) {
-            throw new BadMessage(400, "no X-Request-ID");
+            throw new MalformedMessageException(400, "no X-Request-ID");
         }
         String name = head.only("X-Priority-Class");
         String target = head.start[1];
@@ -78,26 +78,28 @@
         String first = target.substring(1, end);
         int category = in.number(name == null ? first : name);
         if (category < 0) {
-            throw new BadMessage(404, "unknown category; the first part of the path names one");
+            throw new MalformedMessageException(
+                    404, "unknown category; the first part of the path names one");
         }
         if (name != null && !first.equals(name)) {
-            throw new BadMessage(400, "the path and X-Priority-Class differ");
+            throw new MalformedMessageException(400, "the path and X-Priority-Class differ");
         }
         String tenantName = head.only("X-Tenant-Id");
         int tenant = in.tenantNames.isEmpty() ? 0 : in.tenantNames.indexOf(tenantName);
         if (tenant < 0) {
-            throw new BadMessage(
+            throw new MalformedMessageException(
                     400, tenantName == null ? "no X-Tenant-Id" : "unknown tenant in X-Tenant-Id");
         }
         String idempotencyKey = head.only("Idempotency-Key");
         if (idempotencyKey == null
-                && in.categories.get(category).repeat() == Category.Repeat.KEYED) {
+                && in.categories.get(category).repeat() == RequestClass.Repeat.KEYED) {
             // Sent on without it, a repeat could not be known, and would have its effect twice.
-            throw new BadMessage(400, "no Idempotency-Key, which this category needs");
+            throw new MalformedMessageException(
+                    400, "no Idempotency-Key, which this category needs");
         }
         String patience = head.only("X-Timeout-Ms");
         if (patience == null || !HttpReader.digits(patience)) {
-            throw new BadMessage(
+            throw new MalformedMessageException(
                     400,
                     patience == null
                             ? "no X-Timeout-Ms"
@@ -113,7 +115,8 @@
      * may have waited behind another one, and would be given, and its backends told, time that its
      * client has not.
      */
-    ClientRequest request(Client client, Asked asked, Body body, long age) throws BadMessage {
+    ClientRequest request(Client client, Asked asked, Body body, long age)
+            throws MalformedMessageException {
         long spent = (age + 99_999) / 100_000;
         // Taken but unanswered when the program is killed, it would be lost.
         long expiry = Math.min(clock.now() - spent + asked.patience, leaving);
@@ -121,7 +124,7 @@
         if (!openIds.add(asked.id)) {
             // Backends know a request by its id: the other one would get this one's answer, or
             // none.
-            throw new BadMessage(409, "the id of a request that is under way");
+            throw new MalformedMessageException(409, "the id of a request that is under way");
         }
         return request;
     }
--- a/src/main/java/cottonlock/net/BackendActor.java
+++ b/src/main/java/cottonlock/proxy/BackendActor.java
@@ -1,7 +1,7 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import cottonlock.admin.Figures;
-import cottonlock.decision.Outcome;
+import cottonlock.decision.AttemptOutcome;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -288,11 +288,11 @@
     private void send(ClientRequest.Attempt attempt) {
         if (!attempt.mayBegin(clock.now())) {
             // It waited in the mailbox: for a client that has left no connection is made or used.
-            attempt.settle(Outcome.NOT_SENT);
+            attempt.settle(AttemptOutcome.NOT_SENT);
             return;
         }
         if (threadless) {
-            attempt.settle(Outcome.NO_CONNECTION);
+            attempt.settle(AttemptOutcome.NO_CONNECTION);
             return;
         }
         // Looked through now and then only, some had rested too long when they were used, and were
@@ -323,7 +323,7 @@
         }
         if (!permits.take()) {
             log.warn("out of sockets", "an attempt got no connection");
-            attempt.settle(Outcome.NO_CONNECTION);
+            attempt.settle(AttemptOutcome.NO_CONNECTION);
             return;
         }
         BackendConnection connection =
@@ -346,7 +346,7 @@
             log.warn("no thread", "an attempt got no connection");
             connections.remove(connection);
             permits.give();
-            attempt.settle(Outcome.NO_CONNECTION);
+            attempt.settle(AttemptOutcome.NO_CONNECTION);
         }
     }
 
--- a/src/main/java/cottonlock/net/BackendConnection.java
+++ b/src/main/java/cottonlock/proxy/BackendConnection.java
@@ -1,7 +1,7 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import cottonlock.admin.Figures;
-import cottonlock.decision.Outcome;
+import cottonlock.decision.AttemptOutcome;
 import java.io.FilterOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -83,7 +83,7 @@
                     }
                 }
             }
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             log.warn("bad answer", e.getMessage() + ", from " + address);
         } catch (IOException e) {
             // What was under way is settled below.
@@ -113,7 +113,7 @@
             if (broken != first && !broken.settled()) {
                 backend.brokeWhenUsedAgain(after);
             }
-            broken.settle(written ? Outcome.BROKEN_OFF : Outcome.NO_CONNECTION);
+            broken.settle(written ? AttemptOutcome.BROKEN_OFF : AttemptOutcome.NO_CONNECTION);
         }
         backend.ended(this);
     }
@@ -141,7 +141,7 @@
             writing = true;
             written = false;
         }
-        Outcome skipped = write(attempt);
+        AttemptOutcome skipped = write(attempt);
         boolean over;
         synchronized (this) {
             writing = false;
@@ -158,7 +158,7 @@
         }
         if (over) {
             // It went out whole, but the other side had ended: it may have been read before that.
-            attempt.settle(Outcome.BROKEN_OFF);
+            attempt.settle(AttemptOutcome.BROKEN_OFF);
         }
         return !over;
     }
@@ -177,15 +177,15 @@
     }
 
     /** Writes it whole and returns null, or tells why its last byte was never written. */
-    private Outcome write(ClientRequest.Attempt attempt) {
+    private AttemptOutcome write(ClientRequest.Attempt attempt) {
         attempt.req.awaitLook();
         if (!attempt.req.hold()) {
-            return Outcome.NOT_SENT;
+            return AttemptOutcome.NOT_SENT;
         }
         try {
             if (!backend.ready()) {
                 // It waited in a mailbox or for a connection: meanwhile a drain may have been told.
-                return Outcome.NOT_SENT;
+                return AttemptOutcome.NOT_SENT;
             }
             String host = address.getHostString() + ":" + address.getPort();
             watchdog.write(
@@ -201,8 +201,8 @@
         } catch (IOException e) {
             long now = clock.now();
             return now >= attempt.sendBy || !attempt.mayBegin(now)
-                    ? Outcome.NOT_SENT
-                    : Outcome.NO_CONNECTION;
+                    ? AttemptOutcome.NOT_SENT
+                    : AttemptOutcome.NO_CONNECTION;
         } finally {
             attempt.req.release();
         }
@@ -230,7 +230,7 @@
     }
 
     /** Reads one answer; false when the connection is to end. */
-    private boolean exchange(HttpReader reader) throws IOException, BadMessage {
+    private boolean exchange(HttpReader reader) throws IOException, MalformedMessageException {
         reader.within(0);
         Head head = reader.answer(GAP);
         Body body = reader.first(buffers);
@@ -267,19 +267,19 @@
 
     /** Settles the attempt and passes its answer on; false when some of it is left unread. */
     private boolean pass(ClientRequest.Attempt attempt, Head head, Body body, HttpReader reader)
-            throws BadMessage {
+            throws MalformedMessageException {
         int status = Integer.parseInt(head.start[1]);
         boolean notRun = "1".equals(head.only("X-Not-Processed"));
         if (status != 200) {
             attempt.settle(
                     (status == 503 || status == 504) && notRun
-                            ? Outcome.TURNED_AWAY
-                            : Outcome.ERROR);
+                            ? AttemptOutcome.TURNED_AWAY
+                            : AttemptOutcome.ERROR);
             return reader.over();
         }
         // Claimed first: the module must learn that the request is over, by this attempt.
         boolean owed = attempt.req.claim();
-        attempt.settle(Outcome.FINISHED);
+        attempt.settle(AttemptOutcome.FINISHED);
         if (!reader.over()) {
             // Begun, it is the client's: no other attempt could answer it any more, nor would one
             // be needed.
--- a/src/main/java/cottonlock/net/Bans.java
+++ b/src/main/java/cottonlock/proxy/Bans.java
@@ -1,6 +1,6 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
-import cottonlock.decision.Member;
+import cottonlock.decision.Endpoint;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -52,23 +52,23 @@
     }
 
     /** What the module is told of a backend that discovery has told this of. */
-    Member told(Member m) {
+    Endpoint told(Endpoint m) {
         State now = state;
         if (now.out.contains(m.id())) {
-            return m.state() != Member.State.READY
+            return m.state() != Endpoint.State.READY
                     ? m
-                    : new Member(
+                    : new Endpoint(
                             m.id(),
                             m.zone(),
                             m.kind(),
                             m.cell(),
-                            Member.State.DRAINING,
+                            Endpoint.State.DRAINING,
                             m.size(),
                             m.startedAt());
         }
         // Operators have restarted it meanwhile, whatever discovery still says of its start.
         long back = Math.max(m.startedAt(), now.back.getOrDefault(m.id(), 0L));
-        return new Member(m.id(), m.zone(), m.kind(), m.cell(), m.state(), m.size(), back);
+        return new Endpoint(m.id(), m.zone(), m.kind(), m.cell(), m.state(), m.size(), back);
     }
 
     /** Takes a backend out or back; in force when this returns. False when too many are out. */
--- a/src/main/java/cottonlock/net/Client.java
+++ b/src/main/java/cottonlock/proxy/Client.java
@@ -1,4 +1,4 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import cottonlock.admin.Figures;
 import java.io.IOException;
@@ -252,17 +252,17 @@
             body = reader.body(buffers, spools, Body.MOST);
             if (reader.stray()) {
                 body.release();
-                throw new BadMessage(400, "more than its length");
+                throw new MalformedMessageException(400, "more than its length");
             }
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             refuse(e, reader);
             return false;
         } catch (SocketTimeoutException e) {
-            refuse(new BadMessage(408, "half a request"), reader);
+            refuse(new MalformedMessageException(408, "half a request"), reader);
             return false;
         } catch (Buffers.NoneFree e) {
             // Closed without an answer, what has come whole by now would be lost.
-            refuse(new BadMessage(500, e.getMessage()), reader);
+            refuse(new MalformedMessageException(500, e.getMessage()), reader);
             return false;
         }
         boolean keep = head.keepsAlive(head.start[2]);
@@ -279,7 +279,7 @@
         ClientRequest next;
         try {
             next = admission.request(this, judged, body, System.nanoTime() - reader.readAt());
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             body.release();
             refuse(e, reader);
             return false;
@@ -305,7 +305,7 @@
     }
 
     /** Ends the connection too: some send the same again at once, or hundreds of it in a row. */
-    private void refuse(BadMessage e, HttpReader reader) throws IOException {
+    private void refuse(MalformedMessageException e, HttpReader reader) throws IOException {
         log.warn(
                 "bad request",
                 e.getMessage() + ", from " + socket.getInetAddress().getHostAddress());
--- a/src/main/java/cottonlock/net/ClientRequest.java
+++ b/src/main/java/cottonlock/proxy/ClientRequest.java
@@ -1,7 +1,7 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
-import cottonlock.decision.Outcome;
-import cottonlock.decision.Reason;
+import cottonlock.decision.AttemptOutcome;
+import cottonlock.decision.RejectionReason;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -51,7 +51,7 @@
     private final AtomicInteger holds = new AtomicInteger(1);
 
     /** What it ended by, where no backend's answer ended it; told before its client is answered. */
-    volatile Reason why = Reason.ANSWER_LOST;
+    volatile RejectionReason why = RejectionReason.ANSWER_LOST;
 
     /**
      * The module's number for it, its attempts, and how many are out: the module's thread alone.
@@ -68,7 +68,7 @@
     boolean unseen;
 
     ClientRequest(Client client, Admission.Asked asked, Body body, long expiry, Set<String> openIds)
-            throws BadMessage {
+            throws MalformedMessageException {
         Head head = asked.head();
         this.openIds = openIds;
         this.client = client;
@@ -170,7 +170,7 @@
         }
 
         /** The first outcome counts, and reaches the module; true for that one. */
-        boolean settle(Outcome outcome) {
+        boolean settle(AttemptOutcome outcome) {
             synchronized (this) {
                 if (settled) {
                     return false;
--- a/src/main/java/cottonlock/net/Clock.java
+++ b/src/main/java/cottonlock/proxy/Clock.java
@@ -1,4 +1,4 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 /**
  * The module's time: tenths of a millisecond since 1970, read at the start, monotonic since then.
--- a/src/main/java/cottonlock/net/Config.java
+++ b/src/main/java/cottonlock/proxy/Config.java
@@ -1,6 +1,6 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
-import cottonlock.setup.Malformed;
+import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.Settings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,7 +11,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads the configuration file of one proxy; whatever is wrong with it is a {@link Malformed}. */
+/**
+ * Reads the configuration file of one proxy; whatever is wrong with it is a {@link
+ * InvalidSettingsException}.
+ */
 final class Config {
     private final Map<?, ?> root;
 
@@ -24,11 +27,11 @@
             if (Json.read(Files.readString(file)) instanceof Map<?, ?> map) {
                 return new Config(map);
             }
-            throw new Malformed("the configuration is no JSON object");
+            throw new InvalidSettingsException("the configuration is no JSON object");
         } catch (IOException e) {
-            throw new Malformed("the configuration cannot be read: " + e);
+            throw new InvalidSettingsException("the configuration cannot be read: " + e);
         } catch (IllegalArgumentException e) {
-            throw new Malformed("the configuration is not JSON: " + e.getMessage());
+            throw new InvalidSettingsException("the configuration is not JSON: " + e.getMessage());
         }
     }
 
@@ -42,7 +45,7 @@
             if (!root.containsKey(key)
                     && !String.valueOf(key).startsWith("peer")
                     && !key.equals("known")) {
-                throw new Malformed("the key " + key + " is missing");
+                throw new InvalidSettingsException("the key " + key + " is missing");
             }
         }
         sameKeys("settings", before.root.get("settings"), root.get("settings"));
@@ -52,7 +55,7 @@
         List<String> tenants = before.settings().each("Projects", "Name");
         if (!tenants.equals(settings.each("Projects", "Name"))) {
             // Lanes and quotas are laid out by their order: one moved would get another's.
-            throw new Malformed(
+            throw new InvalidSettingsException(
                     "settings.Projects names other tenants, for which a new process is needed");
         }
     }
@@ -61,7 +64,7 @@
     static void servable(Settings settings) {
         List<String> names = settings.each("Categories", "Name");
         if (names.isEmpty() || names.contains("") || Set.copyOf(names).size() < names.size()) {
-            throw new Malformed(
+            throw new InvalidSettingsException(
                     "settings.Categories has no category, or one without a name of its own");
         }
         for (int i = 0; i < names.size(); i++) {
@@ -77,12 +80,13 @@
     private static void sameKeys(String path, Object before, Object now) {
         if (before instanceof Map<?, ?> old) {
             if (!(now instanceof Map<?, ?> map)) {
-                throw new Malformed(path + " is no object");
+                throw new InvalidSettingsException(path + " is no object");
             }
             old.forEach(
                     (key, value) -> {
                         if (map.get(key) == null) {
-                            throw new Malformed("the key " + path + "." + key + " is missing");
+                            throw new InvalidSettingsException(
+                                    "the key " + path + "." + key + " is missing");
                         }
                         sameKeys(path + "." + key, value, map.get(key));
                     });
@@ -90,14 +94,14 @@
                 && !old.isEmpty()
                 && old.get(0) instanceof Map<?, ?> first) {
             if (!(now instanceof List<?> list)) {
-                throw new Malformed(path + " is no list");
+                throw new InvalidSettingsException(path + " is no list");
             }
             for (Object key : first.keySet()) {
                 boolean inAll =
                         old.stream().allMatch(o -> o instanceof Map<?, ?> m && m.containsKey(key));
                 for (int i = 0; inAll && i < list.size(); i++) {
                     if (!(list.get(i) instanceof Map<?, ?> map) || map.get(key) == null) {
-                        throw new Malformed(
+                        throw new InvalidSettingsException(
                                 "the key " + path + "." + i + "." + key + " is missing");
                     }
                 }
@@ -108,7 +112,7 @@
     private static void above(Settings settings, String path) {
         double value = settings.number(path, Double.NaN);
         if (!(value > 0 && value < Double.POSITIVE_INFINITY)) {
-            throw new Malformed(
+            throw new InvalidSettingsException(
                     "settings."
                             + path
                             + " must be over 0, found "
@@ -124,7 +128,7 @@
     /** The settings as paths and values, as the module is built from them. */
     Settings settings() {
         if (!(root.get("settings") instanceof Map<?, ?> map)) {
-            throw new Malformed("no settings");
+            throw new InvalidSettingsException("no settings");
         }
         return settings(map);
     }
@@ -159,7 +163,7 @@
     InetSocketAddress address(String name) {
         InetSocketAddress address = addressIfAny(name);
         if (address == null) {
-            throw new Malformed("no " + name);
+            throw new InvalidSettingsException("no " + name);
         }
         return address;
     }
@@ -181,7 +185,7 @@
         try {
             return Sockets.address(String.valueOf(value));
         } catch (IllegalArgumentException e) {
-            throw new Malformed(name + " is not an address: " + value);
+            throw new InvalidSettingsException(name + " is not an address: " + value);
         }
     }
 
@@ -190,7 +194,7 @@
         try {
             return Long.parseUnsignedLong(String.valueOf(root.get("seed")), 16);
         } catch (NumberFormatException e) {
-            throw new Malformed("seed is not a hex number: " + root.get("seed"));
+            throw new InvalidSettingsException("seed is not a hex number: " + root.get("seed"));
         }
     }
 
@@ -200,7 +204,7 @@
         try {
             return value == null ? otherwise : (int) Double.parseDouble(value.toString());
         } catch (NumberFormatException e) {
-            throw new Malformed("limit " + name + " is not a number: " + value);
+            throw new InvalidSettingsException("limit " + name + " is not a number: " + value);
         }
     }
 
--- a/src/main/java/cottonlock/net/ConnectionPermits.java
+++ b/src/main/java/cottonlock/proxy/ConnectionPermits.java
@@ -1,4 +1,4 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
--- a/src/main/java/cottonlock/net/ControlPart.java
+++ b/src/main/java/cottonlock/proxy/ControlPart.java
@@ -1,4 +1,4 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -68,7 +68,7 @@
             listed.clear();
         }
         for (Directory.Entry entry : news.entries()) {
-            if (entry.member().state() == cottonlock.decision.Member.State.GONE) {
+            if (entry.member().state() == cottonlock.decision.Endpoint.State.GONE) {
                 listed.remove(entry.member().id());
             } else {
                 listed.put(entry.member().id(), entry);
--- a/src/main/java/cottonlock/net/Directory.java
+++ b/src/main/java/cottonlock/proxy/Directory.java
@@ -1,7 +1,7 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
-import cottonlock.decision.Member;
-import cottonlock.setup.Malformed;
+import cottonlock.decision.Endpoint;
+import cottonlock.setup.InvalidSettingsException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -13,7 +13,7 @@
     record News(long version, boolean whole, List<Entry> entries) {}
 
     /** One backend: the module's line of it and where it listens. */
-    record Entry(Member member, InetSocketAddress dial) {}
+    record Entry(Endpoint member, InetSocketAddress dial) {}
 
     private final Log log;
     private final List<String> zones;
@@ -27,16 +27,16 @@
 
     News read(Object json) {
         if (!(json instanceof Map<?, ?> map) || !(map.get("hosts") instanceof List<?> hosts)) {
-            throw new Malformed("a list without hosts");
+            throw new InvalidSettingsException("a list without hosts");
         }
         List<Entry> entries = new ArrayList<>();
         for (Object host : hosts) {
             try {
                 if (!(host instanceof Map<?, ?> fields)) {
-                    throw new Malformed("a host that is no object");
+                    throw new InvalidSettingsException("a host that is no object");
                 }
                 entries.add(entry(fields));
-            } catch (Malformed e) {
+            } catch (InvalidSettingsException e) {
                 // One odd line must not cost the news of all the others.
                 log.warn("list", "left out a host: " + e.getMessage());
             }
@@ -46,38 +46,38 @@
 
     private Entry entry(Map<?, ?> fields) {
         String id = text(fields, "host", null);
-        Member.State state =
+        Endpoint.State state =
                 switch (text(fields, "health", null)) {
-                    case "active" -> Member.State.READY;
-                    case "leaving" -> Member.State.DRAINING;
-                    case "left" -> Member.State.GONE;
-                    default -> throw new Malformed("unknown health of " + id);
+                    case "active" -> Endpoint.State.READY;
+                    case "leaving" -> Endpoint.State.DRAINING;
+                    case "left" -> Endpoint.State.GONE;
+                    default -> throw new InvalidSettingsException("unknown health of " + id);
                 };
         try {
             return entry(fields, id, state);
-        } catch (Malformed e) {
-            if (state == Member.State.READY) {
+        } catch (InvalidSettingsException e) {
+            if (state == Endpoint.State.READY) {
                 throw e;
             }
             // That it drains or is gone binds, whatever else is odd about it.
             log.warn("list", "only the health of a host is taken: " + e.getMessage());
             return new Entry(
-                    new Member(id, number(zones, ""), number(kinds, ""), 0, state, 0, 0), null);
+                    new Endpoint(id, number(zones, ""), number(kinds, ""), 0, state, 0, 0), null);
         }
     }
 
-    private Entry entry(Map<?, ?> fields, String id, Member.State state) {
+    private Entry entry(Map<?, ?> fields, String id, Endpoint.State state) {
         double size;
         try {
             size = Double.parseDouble(text(fields, "share", "1"));
         } catch (NumberFormatException e) {
-            throw new Malformed("the share of " + id + " is not a number");
+            throw new InvalidSettingsException("the share of " + id + " is not a number");
         }
         if (!(size >= 0 && size < Double.POSITIVE_INFINITY)) {
-            throw new Malformed("the share of " + id + " is out of range");
+            throw new InvalidSettingsException("the share of " + id + " is out of range");
         }
-        Member member =
-                new Member(
+        Endpoint member =
+                new Endpoint(
                         id,
                         number(zones, text(fields, "site", "")),
                         number(kinds, text(fields, "class", "")),
@@ -86,13 +86,13 @@
                         size,
                         whole(fields, "born_ms", "0") * 10);
         String dial = text(fields, "dial", "");
-        if (dial.isEmpty() && state != Member.State.READY) {
+        if (dial.isEmpty() && state != Endpoint.State.READY) {
             return new Entry(member, null);
         }
         try {
             return new Entry(member, Sockets.address(dial));
         } catch (IllegalArgumentException e) {
-            throw new Malformed("the dial of " + id + " is not an address: " + dial);
+            throw new InvalidSettingsException("the dial of " + id + " is not an address: " + dial);
         }
     }
 
@@ -102,7 +102,7 @@
             return text;
         }
         if (otherwise == null) {
-            throw new Malformed("a host without " + name);
+            throw new InvalidSettingsException("a host without " + name);
         }
         return otherwise;
     }
@@ -111,7 +111,7 @@
         try {
             return Long.parseLong(text(fields, name, otherwise));
         } catch (NumberFormatException e) {
-            throw new Malformed(name + " is not a whole number");
+            throw new InvalidSettingsException(name + " is not a whole number");
         }
     }
 
--- a/src/main/java/cottonlock/net/Head.java
+++ b/src/main/java/cottonlock/proxy/Head.java
@@ -1,4 +1,4 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -21,12 +21,12 @@
     }
 
     /** The value of a field that may stand only once, or null. */
-    String only(String name) throws BadMessage {
+    String only(String name) throws MalformedMessageException {
         String found = null;
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
                 if (found != null) {
-                    throw new BadMessage(400, "more than one " + name);
+                    throw new MalformedMessageException(400, "more than one " + name);
                 }
                 found = values.get(i);
             }
--- a/src/main/java/cottonlock/net/HttpReader.java
+++ b/src/main/java/cottonlock/proxy/HttpReader.java
@@ -1,4 +1,4 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -172,7 +172,7 @@
         return buffer[at++];
     }
 
-    Head request() throws IOException, BadMessage {
+    Head request() throws IOException, MalformedMessageException {
         Head head = head();
         String[] s = head.start;
         if (s.length == 3 && s[1].startsWith("http://")) {
@@ -181,13 +181,13 @@
             s[1] = path < 0 ? "/" : s[1].substring(path);
         }
         if (s.length != 3 || !token(s[0]) || !target(s[1]) || !s[2].startsWith("HTTP/")) {
-            throw new BadMessage(400, "not a request line");
+            throw new MalformedMessageException(400, "not a request line");
         }
         if (!s[2].equals("HTTP/1.1") && !s[2].equals("HTTP/1.0")) {
-            throw new BadMessage(505, "neither HTTP/1.1 nor HTTP/1.0");
+            throw new MalformedMessageException(505, "neither HTTP/1.1 nor HTTP/1.0");
         }
         if (s[2].equals("HTTP/1.1") && head.only("Host") == null) {
-            throw new BadMessage(400, "no Host");
+            throw new MalformedMessageException(400, "no Host");
         }
         frame(head, 0);
         return head;
@@ -197,7 +197,7 @@
      * The head of the final answer: milliseconds for any pause once one has begun; 0: the limit
      * that is set.
      */
-    Head answer(long gap) throws IOException, BadMessage {
+    Head answer(long gap) throws IOException, MalformedMessageException {
         while (true) {
             if (!await()) {
                 throw new IOException("the answer ends early");
@@ -209,7 +209,7 @@
             String[] s = head.start;
             boolean version = s[0].equals("HTTP/1.1") || s[0].equals("HTTP/1.0");
             if (s.length < 2 || !version || s[1].length() != 3 || !digits(s[1])) {
-                throw new BadMessage(502, "not a status line");
+                throw new MalformedMessageException(502, "not a status line");
             }
             boolean none = s[1].startsWith("1") || s[1].equals("204") || s[1].equals("304");
             frame(head, none ? 0 : TO_THE_END);
@@ -226,7 +226,7 @@
         }
     }
 
-    private Head head() throws IOException, BadMessage {
+    private Head head() throws IOException, MalformedMessageException {
         // Some senders end a body with a line end too many.
         while (at + 1 < filled && buffer[at] == '\r' && buffer[at + 1] == '\n') {
             at += 2;
@@ -239,7 +239,7 @@
                 if (afterReturn != (b == '\n')
                         || b >= 0 && b < ' ' && b != '\t' && b != '\r' && b != '\n'
                         || b == 127) {
-                    throw new BadMessage(400, "a control character in the head");
+                    throw new MalformedMessageException(400, "a control character in the head");
                 }
                 if (b == '\n' && seen >= 3 && buffer[at + seen - 2] == '\n') {
                     String text = new String(buffer, at, seen - 3, StandardCharsets.ISO_8859_1);
@@ -248,7 +248,7 @@
                 }
             }
             if (filled - at == buffer.length) {
-                throw new BadMessage(431, "the head is too large");
+                throw new MalformedMessageException(431, "the head is too large");
             }
             if (!fill()) {
                 throw new IOException("the head ends early");
@@ -256,7 +256,7 @@
         }
     }
 
-    private static Head parse(String text) throws BadMessage {
+    private static Head parse(String text) throws MalformedMessageException {
         // Without patterns: until they were compiled, the first requests waited milliseconds for
         // them.
         int end = lineEnd(text, 0);
@@ -266,7 +266,7 @@
             end = lineEnd(text, from);
             int colon = text.indexOf(':', from);
             if (colon <= from || colon >= end || !token(text.substring(from, colon))) {
-                throw new BadMessage(400, "not a header field");
+                throw new MalformedMessageException(400, "not a header field");
             }
             head.add(text.substring(from, colon), text.substring(colon + 1, end).trim());
         }
@@ -308,25 +308,26 @@
         return !word.isEmpty();
     }
 
-    private void frame(Head head, long withoutLength) throws BadMessage {
+    private void frame(Head head, long withoutLength) throws MalformedMessageException {
         String coding = head.only("Transfer-Encoding");
         String length = head.only("Content-Length");
         chunked = coding != null;
         bodyOver = false;
         if (chunked) {
             if (length != null) {
-                throw new BadMessage(400, "both Transfer-Encoding and Content-Length");
+                throw new MalformedMessageException(
+                        400, "both Transfer-Encoding and Content-Length");
             }
             if (List.of(head.start).contains("HTTP/1.0")) {
-                throw new BadMessage(400, "a transfer coding in HTTP/1.0");
+                throw new MalformedMessageException(400, "a transfer coding in HTTP/1.0");
             }
             if (!coding.equalsIgnoreCase("chunked")) {
-                throw new BadMessage(501, "a transfer coding other than chunked");
+                throw new MalformedMessageException(501, "a transfer coding other than chunked");
             }
             left = 0;
         } else if (length != null) {
             if (!digits(length)) {
-                throw new BadMessage(400, "Content-Length is not a number");
+                throw new MalformedMessageException(400, "Content-Length is not a number");
             }
             left = Long.parseLong(length);
             bodyOver = left == 0;
@@ -347,16 +348,18 @@
     }
 
     /** Reads the whole body of the message whose head came last; on failure it is given back. */
-    Body body(Buffers buffers, Spools spools, long most) throws IOException, BadMessage {
+    Body body(Buffers buffers, Spools spools, long most)
+            throws IOException, MalformedMessageException {
         return read(new Body(buffers, spools), most, true);
     }
 
     /** Reads the body if it can be held, else none or only the first of it; see {@link #over}. */
-    Body first(Buffers buffers) throws IOException, BadMessage {
+    Body first(Buffers buffers) throws IOException, MalformedMessageException {
         return read(new Body(buffers, null), Body.IN_HAND, false);
     }
 
-    private Body read(Body body, long most, boolean whole) throws IOException, BadMessage {
+    private Body read(Body body, long most, boolean whole)
+            throws IOException, MalformedMessageException {
         boolean done = false;
         try {
             while (length() <= most && goesOn() && body.length() < most) {
@@ -365,7 +368,7 @@
                 took(n);
             }
             if (whole && (length() > most || goesOn())) {
-                throw new BadMessage(413, "the body is too large");
+                throw new MalformedMessageException(413, "the body is too large");
             }
             done = true;
             return body;
@@ -389,13 +392,13 @@
                 taker.piece(buffer, at, n);
                 took(n);
             }
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
     /** The next line of a body of lines, without its end; null at the end of the body. */
-    String line(int longest) throws IOException, BadMessage {
+    String line(int longest) throws IOException, MalformedMessageException {
         StringBuilder line = new StringBuilder();
         while (goesOn()) {
             byte b = buffer[at];
@@ -404,7 +407,7 @@
                 return line.toString();
             }
             if (line.length() >= longest) {
-                throw new BadMessage(502, "a line is too long");
+                throw new MalformedMessageException(502, "a line is too long");
             }
             line.append((char) (b & 0xff));
         }
@@ -412,7 +415,7 @@
     }
 
     /** Whether the body goes on; there is a byte of it in the buffer then. */
-    private boolean goesOn() throws IOException, BadMessage {
+    private boolean goesOn() throws IOException, MalformedMessageException {
         if (!bodyOver && chunked && left == 0) {
             left = chunkSize();
             if (left == 0) {
@@ -435,7 +438,7 @@
         return true;
     }
 
-    private void took(int n) throws IOException, BadMessage {
+    private void took(int n) throws IOException, MalformedMessageException {
         at += n;
         if (left == TO_THE_END) {
             return;
@@ -445,21 +448,21 @@
             if (!chunked) {
                 bodyOver = true;
             } else if (!chunkLine().isEmpty()) {
-                throw new BadMessage(400, "a chunk is longer than its size");
+                throw new MalformedMessageException(400, "a chunk is longer than its size");
             }
         }
     }
 
-    private long chunkSize() throws IOException, BadMessage {
+    private long chunkSize() throws IOException, MalformedMessageException {
         String size = chunkLine().split(";", 2)[0].trim();
         // Some pad it with zeros.
         if (!size.matches("0{0,16}[0-9a-fA-F]{1,8}")) {
-            throw new BadMessage(400, "not the size of a chunk");
+            throw new MalformedMessageException(400, "not the size of a chunk");
         }
         return Long.parseLong(size, 16);
     }
 
-    private String chunkLine() throws IOException, BadMessage {
+    private String chunkLine() throws IOException, MalformedMessageException {
         StringBuilder line = new StringBuilder();
         while (true) {
             char c = (char) (next() & 0xff);
@@ -468,7 +471,7 @@
                 return line.toString();
             }
             if (c == '\n' || line.length() >= CHUNK_LINE) {
-                throw new BadMessage(400, "not a line between chunks");
+                throw new MalformedMessageException(400, "not a line between chunks");
             }
             line.append(c);
         }
--- a/src/main/java/cottonlock/net/KeepAlive.java
+++ b/src/main/java/cottonlock/proxy/KeepAlive.java
@@ -1,4 +1,4 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 /**
  * Whether connections to backends are kept for the next attempt. Some networks and backends end
--- a/src/main/java/cottonlock/net/ListWatch.java
+++ b/src/main/java/cottonlock/proxy/ListWatch.java
@@ -1,4 +1,4 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -111,7 +111,7 @@
                 long before = lists;
                 try {
                     watch(at);
-                } catch (IOException | BadMessage | RuntimeException | Error e) {
+                } catch (IOException | MalformedMessageException | RuntimeException | Error e) {
                     // An error too, such as memory short for a moment: without its thread no list
                     // would ever
                     // come again.
@@ -139,7 +139,7 @@
         }
     }
 
-    private void watch(InetSocketAddress at) throws IOException, BadMessage {
+    private void watch(InetSocketAddress at) throws IOException, MalformedMessageException {
         byte[] buffer = buffers.take();
         try {
             socket = new Socket();
--- a/src/main/java/cottonlock/net/BadMessage.java
+++ b/src/main/java/cottonlock/proxy/MalformedMessageException.java
@@ -1,12 +1,12 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 /** A message that does not keep to the protocol, with the status that tells its sender so. */
-final class BadMessage extends Exception {
+final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
     final int status;
 
-    BadMessage(int status, String fault) {
+    MalformedMessageException(int status, String fault) {
         super(fault);
         this.status = status;
     }
--- a/src/main/java/cottonlock/net/Members.java
+++ b/src/main/java/cottonlock/proxy/Members.java
@@ -1,8 +1,8 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import cottonlock.membership.MembersActor;
-import cottonlock.setup.Malformed;
-import cottonlock.setup.MembershipPlan;
+import cottonlock.setup.InvalidSettingsException;
+import cottonlock.setup.MembershipConfig;
 import java.io.IOException;
 import java.net.DatagramSocket;
 import java.net.InetSocketAddress;
@@ -32,10 +32,10 @@
      * Opens a socket of its own, or shares that of the module's datagrams.
      *
      * @param succession tells of the proxy's other process; null where there can be none
-     * @throws Malformed for files that name nobody else, or no address of its own
+     * @throws InvalidSettingsException for files that name nobody else, or no address of its own
      */
     Members(
-            MembershipPlan plan,
+            MembershipConfig plan,
             Config config,
             DatagramSocket peerSocket,
             Peers peers,
@@ -51,7 +51,7 @@
                         ? peerListen
                         : Config.address("membership.listen", plan.listen());
         if (listen == null) {
-            throw new Malformed(
+            throw new InvalidSettingsException(
                     "membership needs an address: peer_listen here, or membership.listen in the "
                             + "operator's file");
         }
@@ -66,7 +66,7 @@
                                         MembersActor.text(
                                                 Config.address("membership.seeds", seed))));
         if (contacts.isEmpty()) {
-            throw new Malformed(
+            throw new InvalidSettingsException(
                     "membership needs others: peers here, or membership.seeds in the operator's "
                             + "file");
         }
@@ -100,7 +100,7 @@
                             line -> log.each("members", line));
         } catch (IllegalArgumentException e) {
             close();
-            throw new Malformed("name: " + e.getMessage());
+            throw new InvalidSettingsException("name: " + e.getMessage());
         } catch (IOException e) {
             close();
             throw e;
--- a/src/main/java/cottonlock/net/ModuleActor.java
+++ b/src/main/java/cottonlock/proxy/ModuleActor.java
@@ -1,12 +1,12 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import cottonlock.admin.Figures;
-import cottonlock.decision.Balancer;
-import cottonlock.decision.Category;
-import cottonlock.decision.Member;
-import cottonlock.decision.Outcome;
-import cottonlock.decision.Outlet;
-import cottonlock.decision.Reason;
+import cottonlock.decision.AttemptOutcome;
+import cottonlock.decision.Endpoint;
+import cottonlock.decision.LoadBalancer;
+import cottonlock.decision.LoadBalancerActions;
+import cottonlock.decision.RejectionReason;
+import cottonlock.decision.RequestClass;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -25,7 +25,7 @@
 /**
  * The module's actor: its thread alone calls the module, and it waits for nobody but its mailbox.
  */
-final class ModuleActor implements Runnable, Outlet, ListWatch.Sink {
+final class ModuleActor implements Runnable, LoadBalancerActions, ListWatch.Sink {
     /** More than the sockets there are: each has a message or two under way at most. */
     private static final int MOST = 4_096;
 
@@ -62,7 +62,7 @@
     private final Log log;
 
     /** The backends in the list, as discovery has told them, and their ids for others to see. */
-    private final Map<String, Member> listed = new TreeMap<>();
+    private final Map<String, Endpoint> listed = new TreeMap<>();
 
     private final Set<String> unlisted = new TreeSet<>();
     private volatile Set<String> ids = Set.of();
@@ -72,7 +72,7 @@
     private final Map<String, BackendActor> backends = new TreeMap<>();
     private final PriorityQueue<ClientRequest> expiries =
             new PriorityQueue<>(Comparator.comparingLong((ClientRequest req) -> req.expiry));
-    private Balancer balancer;
+    private LoadBalancer balancer;
     private ListWatch watch;
     private Peers peers;
 
@@ -107,7 +107,7 @@
      * Before the thread starts: the module, where its asks for the list go, and its messages to
      * peers.
      */
-    void join(Balancer module, ListWatch list, Peers others, Bans taken) {
+    void join(LoadBalancer module, ListWatch list, Peers others, Bans taken) {
         balancer = module;
         bans = taken;
         watch = list;
@@ -155,12 +155,12 @@
             ClientRequest req = expiries.poll();
             for (ClientRequest.Attempt attempt : req.attempts) {
                 if (attempt.abandon()) {
-                    ended(attempt, Outcome.TIMED_OUT);
+                    ended(attempt, AttemptOutcome.TIMED_OUT);
                 }
             }
             // The module has given each its answer by now; this is for one that it lost in a fault.
             if (requests.containsKey(req.number) && req.out == 0) {
-                writeOff(req.number, Reason.ANSWER_LOST);
+                writeOff(req.number, RejectionReason.ANSWER_LOST);
             }
         }
         if (now >= wakeAt) {
@@ -242,7 +242,7 @@
                 () -> {
                     req.unseen = true;
                     if (req.attempts.isEmpty()) {
-                        answer(req.number, Reason.NO_ROOM, 503, null, null);
+                        answer(req.number, RejectionReason.NO_ROOM, 503, null, null);
                         if (shadow != null) {
                             shadow.left(clock.now(), req.number);
                         }
@@ -252,11 +252,11 @@
     }
 
     /** An attempt has been settled, by the thread that saw how it ended. */
-    void settled(ClientRequest.Attempt attempt, Outcome outcome) {
+    void settled(ClientRequest.Attempt attempt, AttemptOutcome outcome) {
         mailbox.put(() -> ended(attempt, outcome));
     }
 
-    private void ended(ClientRequest.Attempt attempt, Outcome outcome) {
+    private void ended(ClientRequest.Attempt attempt, AttemptOutcome outcome) {
         attempt.req.out--;
         if (shadow != null) {
             shadow.settled(clock.now(), attempt.req.number, outcome, attempt.req.claimed());
@@ -280,7 +280,7 @@
     public void list(Directory.News news, boolean cached) {
         mailbox.put(
                 () -> {
-                    List<Member> members = new ArrayList<>();
+                    List<Endpoint> members = new ArrayList<>();
                     Map<String, BackendActor> absent =
                             news.whole() ? new TreeMap<>(backends) : new TreeMap<>();
                     listLost = false;
@@ -288,15 +288,15 @@
                         listed.clear();
                     }
                     for (Directory.Entry entry : news.entries()) {
-                        Member m = entry.member();
+                        Endpoint m = entry.member();
                         members.add(bans.told(m));
-                        if (m.state() == Member.State.GONE) {
+                        if (m.state() == Endpoint.State.GONE) {
                             listed.remove(m.id());
                         } else {
                             listed.put(m.id(), m);
                         }
                         BackendActor actor = backends.get(m.id());
-                        if (m.state() == Member.State.GONE) {
+                        if (m.state() == Endpoint.State.GONE) {
                             absent.put(m.id(), actor);
                             continue;
                         }
@@ -321,10 +321,10 @@
     }
 
     /** What is on its way to a connection must not go out after a drain or a ban was told. */
-    private void ready(Member m) {
+    private void ready(Endpoint m) {
         BackendActor actor = backends.get(m.id());
         if (actor != null) {
-            actor.ready(bans.told(m).state() == Member.State.READY);
+            actor.ready(bans.told(m).state() == Endpoint.State.READY);
         }
     }
 
@@ -345,7 +345,7 @@
                 listed.size(),
                 (int)
                                 listed.values().stream()
-                                        .filter(m -> bans.told(m).state() != Member.State.READY)
+                                        .filter(m -> bans.told(m).state() != Endpoint.State.READY)
                                         .count()
                         + (int) balancer.avoided(clock.now()));
     }
@@ -380,8 +380,8 @@
     void bansChanged() {
         mailbox.put(
                 () -> {
-                    List<Member> members = new ArrayList<>();
-                    for (Member m : listed.values()) {
+                    List<Endpoint> members = new ArrayList<>();
+                    for (Endpoint m : listed.values()) {
                         members.add(bans.told(m));
                         ready(m);
                         if (bans.out(m.id()) && backends.containsKey(m.id())) {
@@ -403,7 +403,7 @@
     }
 
     /** Other categories, by number, and most attempts are in force for what comes from now on. */
-    void retune(List<Category> categories, int most) {
+    void retune(List<RequestClass> categories, int most) {
         mailbox.put(
                 () -> {
                     if (shadow != null) {
@@ -448,10 +448,10 @@
             // The yes to the operator went out before the module could hear of it; and a client
             // that nobody
             // sees may have left.
-            next.add(() -> ended(attempt, Outcome.NOT_SENT));
+            next.add(() -> ended(attempt, AttemptOutcome.NOT_SENT));
         } else if ((actor == null || !actor.attempt(attempt) || !begun(actor))
                 && attempt.abandon()) {
-            next.add(() -> ended(attempt, Outcome.NO_CONNECTION));
+            next.add(() -> ended(attempt, AttemptOutcome.NO_CONNECTION));
         }
     }
 
@@ -471,12 +471,12 @@
     public void recall(long number, int attempt) {
         ClientRequest req = requests.get(number);
         if (req != null && req.attempts.get(attempt).abandon()) {
-            next.add(() -> ended(req.attempts.get(attempt), Outcome.RECALLED));
+            next.add(() -> ended(req.attempts.get(attempt), AttemptOutcome.RECALLED));
         }
     }
 
     @Override
-    public void defer(long number, long comeBack, Reason why) {
+    public void defer(long number, long comeBack, RejectionReason why) {
         answer(
                 number,
                 why,
@@ -486,11 +486,11 @@
     }
 
     @Override
-    public void writeOff(long number, Reason why) {
+    public void writeOff(long number, RejectionReason why) {
         answer(number, why, 502, null, null);
     }
 
-    private void answer(long number, Reason why, int status, String name, String value) {
+    private void answer(long number, RejectionReason why, int status, String name, String value) {
         ClientRequest req = requests.get(number);
         if (req != null && req.claim()) {
             req.why = why;
--- a/src/main/java/cottonlock/net/Proxy.java
+++ b/src/main/java/cottonlock/proxy/Proxy.java
@@ -1,9 +1,9 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import cottonlock.admin.Figures;
 import cottonlock.admin.Management;
-import cottonlock.setup.Assembly;
-import cottonlock.setup.Operator;
+import cottonlock.setup.LoadBalancerFactory;
+import cottonlock.setup.OperatorConfig;
 import cottonlock.setup.Settings;
 import java.io.IOException;
 import java.net.DatagramSocket;
@@ -110,7 +110,7 @@
 
     /** Starts a proxy by its configuration file; it serves when this returns. */
     public Proxy(Path configuration) throws IOException {
-        this(configuration, Operator.NONE, null, null);
+        this(configuration, OperatorConfig.NONE, null, null);
     }
 
     /**
@@ -118,14 +118,14 @@
      * address, else at the given one, if any. What the processes of one proxy share is kept in the
      * folder; null: nothing is.
      */
-    public Proxy(Path configuration, Operator operator, String calledAt, Path folder)
+    public Proxy(Path configuration, OperatorConfig operator, String calledAt, Path folder)
             throws IOException {
         this.configuration = configuration;
         Config config = Config.read(configuration);
         String operators = config.text("mgmt", calledAt);
         boolean shares = operators != null;
         Settings settings = config.settings();
-        Assembly assembly = new Assembly(settings);
+        LoadBalancerFactory assembly = new LoadBalancerFactory(settings);
         log = new Log(System.getLogger("cottonlock"));
         Clock clock = new Clock();
         SplittableRandom random = new SplittableRandom(config.seed());
@@ -200,7 +200,7 @@
             Settings others = config.settings();
             operator.watched().forEach(others::put);
             shadow = new Shadow(log);
-            shadow.join(new Assembly(others).balancer(shadow, random.nextLong()));
+            shadow.join(new LoadBalancerFactory(others).balancer(shadow, random.nextLong()));
             module.watch(shadow);
         }
         module.list(known, true);
@@ -323,7 +323,7 @@
             Settings settings = config.settings();
             InetSocketAddress discovery = config.address("discovery");
             // A file that could not start a proxy is not trusted with where discovery is either.
-            Assembly assembly = tried(settings);
+            LoadBalancerFactory assembly = tried(settings);
             if (!told) {
                 takeIn(settings, assembly);
             }
@@ -345,8 +345,8 @@
     }
 
     /** A module by these settings, to the side: whatever can't be built ends here. */
-    private Assembly tried(Settings settings) {
-        Assembly assembly = new Assembly(settings);
+    private LoadBalancerFactory tried(Settings settings) {
+        LoadBalancerFactory assembly = new LoadBalancerFactory(settings);
         assembly.balancer(module, 0);
         return assembly;
     }
@@ -359,7 +359,7 @@
         told = true;
     }
 
-    private void takeIn(Settings settings, Assembly assembly) {
+    private void takeIn(Settings settings, LoadBalancerFactory assembly) {
         int most = settings.count("Limits.MaxHandOffs", 1);
         rules = new Rules(rules, assembly, settings);
         rules.names().forEach(figures::category);
--- a/src/main/java/cottonlock/net/RolloutActor.java
+++ b/src/main/java/cottonlock/proxy/RolloutActor.java
@@ -1,9 +1,9 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import cottonlock.rollout.Rollout;
 import cottonlock.rollout.Version;
-import cottonlock.setup.Malformed;
-import cottonlock.setup.RolloutPlan;
+import cottonlock.setup.InvalidSettingsException;
+import cottonlock.setup.RolloutConfig;
 import cottonlock.setup.Settings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -33,7 +33,7 @@
      */
     private static final int ENDS = 3;
 
-    private final RolloutPlan plan;
+    private final RolloutConfig plan;
     private final List<InetSocketAddress> machines = new ArrayList<>();
     private final Consumer<Settings> takeIn;
     private final String base;
@@ -58,7 +58,7 @@
      * @param kept where the version in force is kept for the next process
      */
     RolloutActor(
-            RolloutPlan plan,
+            RolloutConfig plan,
             Settings built,
             Consumer<Settings> takeIn,
             Shared kept,
@@ -142,7 +142,7 @@
                 try {
                     watch(machines.get(call.machine()), call.limit());
                     rollout.left(clock.now());
-                } catch (IOException | BadMessage | RuntimeException e) {
+                } catch (IOException | MalformedMessageException | RuntimeException e) {
                     rollout.ended(clock.now());
                     if (!closed) {
                         log.info(
@@ -164,7 +164,8 @@
     }
 
     /** Watches a machine until another knows more. */
-    private void watch(InetSocketAddress at, long limit) throws IOException, BadMessage {
+    private void watch(InetSocketAddress at, long limit)
+            throws IOException, MalformedMessageException {
         Version asks = rollout.asks();
         long answerBy = clock.now() + limit;
         try (Socket watching = new Socket()) {
@@ -216,7 +217,7 @@
 
     private HttpReader call(
             Socket with, byte[] buffer, InetSocketAddress at, long answerBy, String target)
-            throws IOException, BadMessage {
+            throws IOException, MalformedMessageException {
         with.connect(at, (int) Math.max(1, (answerBy - clock.now()) / 10));
         with.getOutputStream()
                 .write(
@@ -284,7 +285,7 @@
             String line = reader.line(LONGEST_ANSWER);
             rollout.compared(
                     clock.now(), other, VersionLine.read(line == null ? "" : utf8(line)).version);
-        } catch (IOException | BadMessage | RuntimeException e) {
+        } catch (IOException | MalformedMessageException | RuntimeException e) {
             rollout.compareFailed();
             if (!closed) {
                 log.info("control", at + " could not be compared with: " + e.getMessage());
@@ -332,7 +333,7 @@
             takeIn.accept(settings);
             unmark(line.version);
             return null;
-        } catch (Malformed e) {
+        } catch (InvalidSettingsException e) {
             unmark(line.version);
             return e.getMessage();
         } catch (RuntimeException e) {
--- a/src/main/java/cottonlock/net/Rules.java
+++ b/src/main/java/cottonlock/proxy/Rules.java
@@ -1,7 +1,7 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
-import cottonlock.decision.Category;
-import cottonlock.setup.Assembly;
+import cottonlock.decision.RequestClass;
+import cottonlock.setup.LoadBalancerFactory;
 import cottonlock.setup.Settings;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -19,7 +19,7 @@
     private static final long LONGEST = 600_000;
 
     /** By number; those that are no longer in force among them. */
-    final List<Category> categories;
+    final List<RequestClass> categories;
 
     private final List<String> names;
 
@@ -35,7 +35,7 @@
     private final long[] longest;
 
     /** The rules of the given settings, after the given ones (null at the start). */
-    Rules(Rules before, Assembly assembly, Settings settings) {
+    Rules(Rules before, LoadBalancerFactory assembly, Settings settings) {
         categories = before == null ? new ArrayList<>() : new ArrayList<>(before.categories);
         names = before == null ? new ArrayList<>() : new ArrayList<>(before.names);
         tenantNames = settings.each("Projects", "Name");
--- a/src/main/java/cottonlock/net/Shadow.java
+++ b/src/main/java/cottonlock/proxy/Shadow.java
@@ -1,11 +1,11 @@
-package cottonlock.net;
-
-import cottonlock.decision.Balancer;
-import cottonlock.decision.Category;
-import cottonlock.decision.Member;
-import cottonlock.decision.Outcome;
-import cottonlock.decision.Outlet;
-import cottonlock.decision.Reason;
+package cottonlock.proxy;
+
+import cottonlock.decision.AttemptOutcome;
+import cottonlock.decision.Endpoint;
+import cottonlock.decision.LoadBalancer;
+import cottonlock.decision.LoadBalancerActions;
+import cottonlock.decision.RejectionReason;
+import cottonlock.decision.RequestClass;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -19,7 +19,7 @@
  * become of its own, so it learns of the backends as they are under the real decisions. A fault
  * ends the watch, never the service.
  */
-final class Shadow implements Outlet {
+final class Shadow implements LoadBalancerActions {
     /** Tenths of a millisecond between two lines in the log. */
     private static final long TELL = 100_000;
 
@@ -44,7 +44,7 @@
     private final Log log;
     private final Map<Kind, Long> counts = new TreeMap<>();
     private final Map<Long, Deed> deeds = new HashMap<>();
-    private Balancer balancer;
+    private LoadBalancer balancer;
     private long wakeAt = Long.MAX_VALUE;
     private long tellAt;
 
@@ -53,7 +53,7 @@
     }
 
     /** Before the module's thread starts: the module that is watched. */
-    void join(Balancer module) {
+    void join(LoadBalancer module) {
         balancer = module;
     }
 
@@ -76,7 +76,7 @@
     }
 
     /** The categories are what is served, the rest its own settings. */
-    void retune(List<Category> categories, int most) {
+    void retune(List<RequestClass> categories, int most) {
         guard(() -> balancer.retune(categories, most));
     }
 
@@ -105,7 +105,7 @@
                                 0));
     }
 
-    void list(long now, List<Member> members, boolean whole, boolean cached) {
+    void list(long now, List<Endpoint> members, boolean whole, boolean cached) {
         guard(() -> balancer.list(now, members, whole, cached));
     }
 
@@ -135,7 +135,7 @@
     }
 
     /** A real attempt has ended: so has the one that stands beside it. */
-    void settled(long now, long number, Outcome outcome, boolean over) {
+    void settled(long now, long number, AttemptOutcome outcome, boolean over) {
         Deed deed = deeds.get(number);
         if (deed != null && deed.out) {
             deed.out = false;
@@ -148,7 +148,7 @@
     void forget(long now, long number) {
         // Where only the watched module would have sent, nothing is known of how that would have
         // ended.
-        settled(now, number, Outcome.NOT_SENT, true);
+        settled(now, number, AttemptOutcome.NOT_SENT, true);
         deeds.remove(number);
     }
 
@@ -177,12 +177,12 @@
     }
 
     @Override
-    public void defer(long number, long comeBack, Reason why) {
+    public void defer(long number, long comeBack, RejectionReason why) {
         // Seen from there being no attempt.
     }
 
     @Override
-    public void writeOff(long number, Reason why) {
+    public void writeOff(long number, RejectionReason why) {
         // As for a deferral.
     }
 
--- a/src/main/java/cottonlock/net/Sockets.java
+++ b/src/main/java/cottonlock/proxy/Sockets.java
@@ -1,4 +1,4 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/src/main/java/cottonlock/net/Spools.java
+++ b/src/main/java/cottonlock/proxy/Spools.java
@@ -1,4 +1,4 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
--- a/src/main/java/cottonlock/net/VersionLine.java
+++ b/src/main/java/cottonlock/proxy/VersionLine.java
@@ -1,7 +1,7 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import cottonlock.rollout.Version;
-import cottonlock.setup.Malformed;
+import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.Settings;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -42,21 +42,24 @@
     /**
      * Reads a line.
      *
-     * @throws Malformed for what is no whole version: the fault of who told it, not of the version
+     * @throws InvalidSettingsException for what is no whole version: the fault of who told it, not
+     *     of the version
      */
     static VersionLine read(String line) {
         Object value;
         try {
             value = Json.read(line);
         } catch (IllegalArgumentException e) {
-            throw new Malformed("no version was told, but no JSON: " + e.getMessage());
+            throw new InvalidSettingsException(
+                    "no version was told, but no JSON: " + e.getMessage());
         }
         if (!(value instanceof Map<?, ?> map)) {
-            throw new Malformed("no version was told, but no object");
+            throw new InvalidSettingsException("no version was told, but no object");
         }
         String seq = String.valueOf(map.get("seq"));
         if (!HttpReader.digits(seq) || Long.parseLong(seq) > Version.HIGHEST) {
-            throw new Malformed("the version's seq is no whole number of 2^53 at most: " + seq);
+            throw new InvalidSettingsException(
+                    "the version's seq is no whole number of 2^53 at most: " + seq);
         }
         String digest = hex(map, "digest");
         Version version = new Version(Long.parseLong(seq), Long.parseUnsignedLong(digest, 16));
@@ -64,10 +67,10 @@
             return new VersionLine(version, null, null);
         }
         if (!(map.get("settings") instanceof String content)) {
-            throw new Malformed("version " + version + " has no settings");
+            throw new InvalidSettingsException("version " + version + " has no settings");
         }
         if (digest(content) != version.digest()) {
-            throw new Malformed(
+            throw new InvalidSettingsException(
                     "version " + version + " came damaged: what was told has another digest");
         }
         return new VersionLine(version, hex(map, "base"), content);
@@ -76,7 +79,8 @@
     private static String hex(Map<?, ?> map, String key) {
         String value = String.valueOf(map.get(key));
         if (!value.matches(HEX)) {
-            throw new Malformed("the version's " + key + " is not 16 hex digits: " + value);
+            throw new InvalidSettingsException(
+                    "the version's " + key + " is not 16 hex digits: " + value);
         }
         return value;
     }
@@ -93,21 +97,21 @@
     /**
      * Its settings, for a process of that base.
      *
-     * @throws Malformed for what no process of the base can use
+     * @throws InvalidSettingsException for what no process of the base can use
      */
     Settings judged(String ofProcess) {
         Object value;
         try {
             value = Json.read(content);
         } catch (IllegalArgumentException e) {
-            throw new Malformed("its settings are not JSON: " + e.getMessage());
+            throw new InvalidSettingsException("its settings are not JSON: " + e.getMessage());
         }
         if (!(value instanceof Map<?, ?> map)) {
-            throw new Malformed("its settings are no object");
+            throw new InvalidSettingsException("its settings are no object");
         }
         for (String own : OWN) {
             if (map.containsKey(own)) {
-                throw new Malformed("settings." + own + " is each process's own");
+                throw new InvalidSettingsException("settings." + own + " is each process's own");
             }
         }
         Settings settings = Config.settings(map);
@@ -121,7 +125,7 @@
             }
         }
         if (!base(settings).equals(base)) {
-            throw new Malformed(
+            throw new InvalidSettingsException(
                     "its settings are built on "
                             + base(settings)
                             + ", but it names "
@@ -129,7 +133,7 @@
                             + " as its base");
         }
         if (!base.equals(ofProcess)) {
-            throw new Malformed(
+            throw new InvalidSettingsException(
                     "it is built on other settings than this process ("
                             + base
                             + ", here "
@@ -141,7 +145,7 @@
 
     private static void told(Settings settings, String path) {
         if (settings.text(path, "").isEmpty()) {
-            throw new Malformed("the key settings." + path + " is missing");
+            throw new InvalidSettingsException("the key settings." + path + " is missing");
         }
     }
 
--- a/src/main/java/cottonlock/rollout/Habits.java
+++ b/src/main/java/cottonlock/rollout/Habits.java
@@ -1,12 +1,12 @@
 package cottonlock.rollout;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 
 /**
  * The choices on which it rests that a change comes into force; tests put wrong ones in their
  * place.
  */
-@Decides
+@Deterministic
 public class Habits {
     /** What holds. */
     public static final Habits USUAL = new Habits();
--- a/src/main/java/cottonlock/rollout/Rollout.java
+++ b/src/main/java/cottonlock/rollout/Rollout.java
@@ -1,7 +1,7 @@
 package cottonlock.rollout;
 
-import cottonlock.decision.Decides;
-import cottonlock.setup.RolloutPlan;
+import cottonlock.decision.Deterministic;
+import cottonlock.setup.RolloutConfig;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -12,7 +12,7 @@
  * comes of it; between lines, and at {@link #lookAt}, it asks {@link #leaves} and {@link #compare}.
  * Times are tenths of a millisecond and never go back. Not for several threads.
  */
-@Decides
+@Deterministic
 public final class Rollout {
     /**
      * A watch without a line for this long is lost: two of the empty lines that come every two
@@ -66,7 +66,7 @@
             long calls,
             long failed) {}
 
-    private final RolloutPlan plan;
+    private final RolloutConfig plan;
     private final int near;
     private final int machines;
     private final SplittableRandom chance;
@@ -120,13 +120,13 @@
     private long moveAt;
 
     /** Begins with what an earlier process kept, {@link Version#NONE} without any. */
-    public Rollout(long now, RolloutPlan plan, Version kept, SplittableRandom chance) {
+    public Rollout(long now, RolloutConfig plan, Version kept, SplittableRandom chance) {
         this(now, plan, kept, chance, Habits.USUAL);
     }
 
     /** The same with other habits, for tests. */
     public Rollout(
-            long now, RolloutPlan plan, Version kept, SplittableRandom chance, Habits habits) {
+            long now, RolloutConfig plan, Version kept, SplittableRandom chance, Habits habits) {
         this.plan = plan;
         this.near = plan.control().size();
         this.machines = near + plan.far().size();
--- a/src/main/java/cottonlock/rollout/Version.java
+++ b/src/main/java/cottonlock/rollout/Version.java
@@ -1,6 +1,6 @@
 package cottonlock.rollout;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 
 /**
  * Which configuration it is. Versions have one order, the same everywhere: by number, then by
@@ -10,7 +10,7 @@
  * @param number as control counts its changes; 0: none
  * @param digest the first eight bytes of the content's SHA-256, as one unsigned number
  */
-@Decides
+@Deterministic
 public record Version(long number, long digest) implements Comparable<Version> {
     /** Before any. */
     public static final Version NONE = new Version(0, 0);
--- a/src/main/java/cottonlock/setup/Malformed.java
+++ b/src/main/java/cottonlock/setup/InvalidSettingsException.java
@@ -1,10 +1,10 @@
 package cottonlock.setup;
 
 /** Settings or input that do not keep to their form. */
-public final class Malformed extends RuntimeException {
+public final class InvalidSettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public Malformed(String fault) {
+    public InvalidSettingsException(String fault) {
         super(fault);
     }
 }
