--- a/src/main/java/cottonlock/setup/Assembly.java
+++ b/src/main/java/cottonlock/setup/LoadBalancerFactory.java
@@ -1,10 +1,10 @@
 package cottonlock.setup;
 
-import cottonlock.decision.Balancer;
-import cottonlock.decision.Category;
-import cottonlock.decision.Cold;
-import cottonlock.decision.Outlet;
-import cottonlock.decision.Shape;
+import cottonlock.decision.DeploymentTopology;
+import cottonlock.decision.LoadBalancer;
+import cottonlock.decision.LoadBalancerActions;
+import cottonlock.decision.RequestClass;
+import cottonlock.decision.SlowStartConfig;
 import cottonlock.decision.Tenant;
 import java.util.ArrayList;
 import java.util.List;
@@ -13,12 +13,12 @@
 /**
  * Builds the decision module from the settings of one balancer, for the bench and the proxy alike.
  */
-public final class Assembly {
-    public final List<Category> categories;
+public final class LoadBalancerFactory {
+    public final List<RequestClass> categories;
     public final List<Tenant> tenants;
     private final Settings settings;
 
-    public Assembly(Settings settings) {
+    public LoadBalancerFactory(Settings settings) {
         this.settings = settings;
         this.categories = categories(settings);
         this.tenants = tenants(settings);
@@ -30,9 +30,9 @@
     }
 
     /** How the deployment is laid out. */
-    private Shape shape() {
+    private DeploymentTopology shape() {
         Settings s = settings;
-        return new Shape(
+        return new DeploymentTopology(
                 s.count("FleetSize", 1),
                 s.count("Me", 0),
                 !s.text("Workload", "chain").equals("mesh"),
@@ -41,32 +41,34 @@
                 mustAsk(),
                 s.timeDown("Obligations.AskWithin"),
                 !s.flag("Obligations.RemovalNotBinding", false),
-                (long) categories.stream().mapToLong(Category::dueTime).average().orElse(0));
+                (long) categories.stream().mapToLong(RequestClass::dueTime).average().orElse(0));
     }
 
     /** A module that answers through the given outlet. */
-    public Balancer balancer(Outlet outlet, long seed) {
+    public LoadBalancer balancer(LoadBalancerActions outlet, long seed) {
         Settings s = settings;
         SplittableRandom random = new SplittableRandom(seed);
         boolean first = s.count("Stage", 0) == 0;
         long longestComeBack =
                 s.flag("Limits.RetryAfter", false) ? s.timeDown("Limits.MaxRetryAfter") : 0;
-        Shape shape = shape();
-        Cold cold =
-                new Cold(
+        DeploymentTopology shape = shape();
+        SlowStartConfig cold =
+                new SlowStartConfig(
                         s.number("Obligations.ColdShare", 1),
                         s.timeUp("Obligations.Cold"),
                         s.number("Obligations.FallMultiple", 1),
                         s.timeUp("Obligations.Fall"));
-        Balancer.Fleet fleet = new Balancer.Fleet(outlet, random.split(), tenants, shape, cold);
-        Balancer.Line line = new Balancer.Line(fleet, random.split(), tenants, shape, first);
-        return new Balancer(
+        LoadBalancer.Fleet fleet =
+                new LoadBalancer.Fleet(outlet, random.split(), tenants, shape, cold);
+        LoadBalancer.Line line =
+                new LoadBalancer.Line(fleet, random.split(), tenants, shape, first);
+        return new LoadBalancer(
                 outlet,
-                new Balancer.Intake(outlet, categories, tenants, first, shape, longestComeBack),
+                new LoadBalancer.Intake(outlet, categories, tenants, first, shape, longestComeBack),
                 line,
-                new Balancer.Lane(line, fleet),
-                new Balancer.Pick(fleet, random.split()),
-                new Balancer.Attempts(
+                new LoadBalancer.Lane(line, fleet),
+                new LoadBalancer.Pick(fleet, random.split()),
+                new LoadBalancer.Attempts(
                         outlet,
                         line,
                         fleet,
@@ -89,25 +91,25 @@
     private double fee(String path) {
         double fee = settings.number(path, 0);
         if (fee < 0) {
-            throw new Malformed("setting " + path + " is below 0: " + fee);
+            throw new InvalidSettingsException("setting " + path + " is below 0: " + fee);
         }
         return fee;
     }
 
-    private static List<Category> categories(Settings s) {
-        List<Category> list = new ArrayList<>();
+    private static List<RequestClass> categories(Settings s) {
+        List<RequestClass> list = new ArrayList<>();
         int n = s.count("Categories.count", 0);
         for (int i = 0; i < n; i++) {
             String at = "Categories." + i + ".";
             list.add(
-                    new Category(
+                    new RequestClass(
                             i,
                             s.timeDown(at + "DueTime"),
                             s.number(at + "Credit", 1),
                             s.number(at + "LateCredit", 0),
-                            Category.Repeat.values()[
+                            RequestClass.Repeat.values()[
                                     s.choice(at + "Repeat", "safe", "keyed", "unsafe")],
-                            Category.Scope.values()[
+                            RequestClass.Scope.values()[
                                     s.choice(at + "KeyScope", "all", "zone", "cell")],
                             s.timeDown(at + "RepeatWindow")));
         }
--- a/src/main/java/cottonlock/setup/MembershipPlan.java
+++ b/src/main/java/cottonlock/setup/MembershipConfig.java
@@ -13,10 +13,10 @@
  * @param key a file with the key that tags are made with; empty: there are none
  * @param nextKey a file with a key whose tags count too; empty: there is none
  */
-public record MembershipPlan(
+public record MembershipConfig(
         String listen,
         String advertise,
         List<String> seeds,
         String key,
         String nextKey,
-        MembershipRules rules) {}
+        MembershipProtocolConfig rules) {}
--- a/src/main/java/cottonlock/setup/MembershipRules.java
+++ b/src/main/java/cottonlock/setup/MembershipProtocolConfig.java
@@ -21,7 +21,7 @@
  * @param join how long it waits for an answer before it takes itself for the first
  * @param contact periods between two calls at an address where nobody is known to live
  */
-public record MembershipRules(
+public record MembershipProtocolConfig(
         long period,
         long answer,
         int helpers,
@@ -38,7 +38,7 @@
         int contact) {
 
     /** What holds where the operator's file says nothing else. */
-    public static final MembershipRules USUAL =
-            new MembershipRules(
+    public static final MembershipProtocolConfig USUAL =
+            new MembershipProtocolConfig(
                     5_000, 1_500, 3, 3, 3, 3, 20_000, 2, 4_096, 6_000_000, 4_096, 3, 20_000, 2);
 }
--- a/src/main/java/cottonlock/setup/Operator.java
+++ b/src/main/java/cottonlock/setup/OperatorConfig.java
@@ -10,13 +10,13 @@
  * @param membership how proxies know one another; null: they don't
  * @param rollout where changes of the settings are learnt of; null: from the file alone
  */
-public record Operator(
-        Map<String, String> watched, MembershipPlan membership, RolloutPlan rollout) {
+public record OperatorConfig(
+        Map<String, String> watched, MembershipConfig membership, RolloutConfig rollout) {
     /** Without a file. */
-    public static final Operator NONE = new Operator(Map.of(), null);
+    public static final OperatorConfig NONE = new OperatorConfig(Map.of(), null);
 
     /** Without anybody to learn of changes from. */
-    public Operator(Map<String, String> watched, MembershipPlan membership) {
+    public OperatorConfig(Map<String, String> watched, MembershipConfig membership) {
         this(watched, membership, null);
     }
 }
--- a/src/main/java/cottonlock/setup/RolloutPlan.java
+++ b/src/main/java/cottonlock/setup/RolloutConfig.java
@@ -13,7 +13,7 @@
  *     600,000
  * @param retry the longest wait between two calls while control is lost; 5,000 to 600,000
  */
-public record RolloutPlan(
+public record RolloutConfig(
         String service,
         List<String> control,
         List<String> far,
--- a/src/main/java/cottonlock/setup/Settings.java
+++ b/src/main/java/cottonlock/setup/Settings.java
@@ -18,7 +18,7 @@
     public void put(String pair) {
         int equals = pair.indexOf('=');
         if (equals <= 0) {
-            throw new Malformed("a setting is not of the form path=value: " + pair);
+            throw new InvalidSettingsException("a setting is not of the form path=value: " + pair);
         }
         put(pair.substring(0, equals), pair.substring(equals + 1));
     }
@@ -45,7 +45,8 @@
             case "true", "1" -> true;
             case "false", "0" -> false;
             default ->
-                    throw new Malformed("setting " + path + " is neither true nor false: " + value);
+                    throw new InvalidSettingsException(
+                            "setting " + path + " is neither true nor false: " + value);
         };
     }
 
@@ -62,7 +63,7 @@
         } catch (NumberFormatException e) {
             // Told below, as for a value that is no number at all.
         }
-        throw new Malformed("setting " + path + " is not a number: " + value);
+        throw new InvalidSettingsException("setting " + path + " is not a number: " + value);
     }
 
     public int count(String path, int otherwise) {
@@ -108,6 +109,6 @@
                 return i;
             }
         }
-        throw new Malformed("setting " + path + " has an unknown value: " + value);
+        throw new InvalidSettingsException("setting " + path + " has an unknown value: " + value);
     }
 }
--- a/src/main/java/cottonlock/bench/Instance.java
+++ b/src/main/java/cottonlock/simulator/Instance.java
@@ -1,24 +1,24 @@
-package cottonlock.bench;
+package cottonlock.simulator;
 
-import cottonlock.decision.Balancer;
-import cottonlock.decision.Outlet;
-import cottonlock.decision.Reason;
-import cottonlock.setup.Assembly;
+import cottonlock.decision.LoadBalancer;
+import cottonlock.decision.LoadBalancerActions;
+import cottonlock.decision.RejectionReason;
+import cottonlock.setup.LoadBalancerFactory;
 import cottonlock.setup.Settings;
 import java.util.Base64;
 
 /** One balancer of the bench: built from its settings, answering through the wire's messages. */
-final class Instance implements Outlet {
+final class Instance implements LoadBalancerActions {
     private final String name;
     private final Reply reply;
-    final Balancer balancer;
+    final LoadBalancer balancer;
     final int categories;
     final int tenants;
 
     Instance(String name, Reply reply, long seed, Settings s) {
         this.name = name;
         this.reply = reply;
-        Assembly assembly = new Assembly(s);
+        LoadBalancerFactory assembly = new LoadBalancerFactory(s);
         this.categories = assembly.categories.size();
         this.tenants = assembly.tenants.size();
         this.balancer = assembly.balancer(this, seed);
@@ -36,12 +36,12 @@
     }
 
     @Override
-    public void defer(long req, long comeBack, Reason why) {
+    public void defer(long req, long comeBack, RejectionReason why) {
         reply.start("overload_reply", name).field(req).field(comeBack * Settings.MICROS).end();
     }
 
     @Override
-    public void writeOff(long req, Reason why) {
+    public void writeOff(long req, RejectionReason why) {
         reply.start("give_up", name).field(req).end();
     }
 
--- a/src/main/java/cottonlock/bench/LineReader.java
+++ b/src/main/java/cottonlock/simulator/LineReader.java
@@ -1,6 +1,6 @@
-package cottonlock.bench;
+package cottonlock.simulator;
 
-import cottonlock.setup.Malformed;
+import cottonlock.setup.InvalidSettingsException;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -48,7 +48,7 @@
             if (n < 0) {
                 if (kept > 0) {
                     number++;
-                    throw new Malformed("the input ends within a line");
+                    throw new InvalidSettingsException("the input ends within a line");
                 }
                 return false;
             }
@@ -62,14 +62,14 @@
 
     private int fieldEnd(String what) {
         if (at >= lineEnd) {
-            throw new Malformed("no " + what);
+            throw new InvalidSettingsException("no " + what);
         }
         int end = at;
         while (end < lineEnd && buffer[end] != ' ') {
             end++;
         }
         if (end == at) {
-            throw new Malformed("no " + what);
+            throw new InvalidSettingsException("no " + what);
         }
         return end;
     }
@@ -103,7 +103,7 @@
         for (; i < end; i++) {
             int digit = buffer[i] - '0';
             if (digit < 0 || digit > 9 || value > (Long.MAX_VALUE - digit) / 10) {
-                throw new Malformed(what + " is not a whole number: " + word(what));
+                throw new InvalidSettingsException(what + " is not a whole number: " + word(what));
             }
             value = value * 10 + digit;
         }
@@ -117,7 +117,7 @@
         long value = whole(what);
         if (value < 0 || value >= limit) {
             at = start;
-            throw new Malformed(what + " is out of range: " + word(what));
+            throw new InvalidSettingsException(what + " is out of range: " + word(what));
         }
         return (int) value;
     }
--- a/src/main/java/cottonlock/bench/Reply.java
+++ b/src/main/java/cottonlock/simulator/Reply.java
@@ -1,4 +1,4 @@
-package cottonlock.bench;
+package cottonlock.simulator;
 
 import java.io.IOException;
 import java.io.OutputStream;
--- a/src/main/java/cottonlock/bench/WireHost.java
+++ b/src/main/java/cottonlock/simulator/WireHost.java
@@ -1,8 +1,8 @@
-package cottonlock.bench;
+package cottonlock.simulator;
 
-import cottonlock.decision.Member;
-import cottonlock.decision.Outcome;
-import cottonlock.setup.Malformed;
+import cottonlock.decision.AttemptOutcome;
+import cottonlock.decision.Endpoint;
+import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.Settings;
 import java.io.IOException;
 import java.io.InputStream;
@@ -28,7 +28,7 @@
     private final Reply reply;
     private final PrintStream complaints;
     private final Map<String, Instance> instances = new HashMap<>();
-    private final List<List<Member>> buffers = new ArrayList<>();
+    private final List<List<Endpoint>> buffers = new ArrayList<>();
     private long now;
 
     public WireHost(InputStream in, OutputStream out, PrintStream complaints) {
@@ -47,7 +47,7 @@
                 batch();
             }
             return 0;
-        } catch (Malformed e) {
+        } catch (InvalidSettingsException e) {
             complaints.println("cottonlock: line " + in.number() + ": " + e.getMessage());
             return 1;
         }
@@ -55,17 +55,17 @@
 
     private void batch() throws IOException {
         if (!in.word("message").equals("tick")) {
-            throw new Malformed("a batch must start with 'tick'");
+            throw new InvalidSettingsException("a batch must start with 'tick'");
         }
         long clock = in.whole("clock");
         if (clock < 0 || clock / MICROS < now) {
-            throw new Malformed("the clock goes backwards: " + clock);
+            throw new InvalidSettingsException("the clock goes backwards: " + clock);
         }
         now = clock / MICROS;
         long number = in.whole("batch number");
         while (true) {
             if (!in.next()) {
-                throw new Malformed("the input ends within a batch");
+                throw new InvalidSettingsException("the input ends within a batch");
             }
             String message = in.word("message");
             if (message.equals("eob")) {
@@ -92,7 +92,7 @@
             case "retire" -> {
                 String name = in.word("Proxy");
                 if (instances.remove(name) == null) {
-                    throw new Malformed("unknown instance: " + name);
+                    throw new InvalidSettingsException("unknown instance: " + name);
                 }
             }
             case "left" -> {
@@ -117,7 +117,7 @@
                 int attempt = in.index("SendNo", ANY);
                 i.balancer.underWay(now, id, attempt);
             }
-            default -> throw new Malformed("unknown message: " + message);
+            default -> throw new InvalidSettingsException("unknown message: " + message);
         }
     }
 
@@ -125,7 +125,7 @@
         String name = in.word("Proxy");
         Instance i = instances.get(name);
         if (i == null) {
-            throw new Malformed("unknown instance: " + name);
+            throw new InvalidSettingsException("unknown instance: " + name);
         }
         return i;
     }
@@ -145,27 +145,27 @@
     private void register() throws IOException {
         int buffer = in.index("Buffer", BUFFERS);
         int n = in.index("MembersList", ANY);
-        List<Member> members = new ArrayList<>();
+        List<Endpoint> members = new ArrayList<>();
         for (int k = 0; k < n; k++) {
             if (!in.next() || !in.word("message").equals("item")) {
-                throw new Malformed("a list of " + n + " ends after " + k);
+                throw new InvalidSettingsException("a list of " + n + " ends after " + k);
             }
             String id = in.word("Backend");
             int zone = in.index("FailureDomain", ANY);
             int kind = in.index("ClassOfHost", ANY);
             int cell = in.index("UnitGroup", ANY);
-            Member.State state =
+            Endpoint.State state =
                     switch (in.word("Lifecycle")) {
-                        case "ready" -> Member.State.READY;
-                        case "draining" -> Member.State.DRAINING;
-                        case "gone" -> Member.State.GONE;
-                        default -> throw new Malformed("unknown Lifecycle of " + id);
+                        case "ready" -> Endpoint.State.READY;
+                        case "draining" -> Endpoint.State.DRAINING;
+                        case "gone" -> Endpoint.State.GONE;
+                        default -> throw new InvalidSettingsException("unknown Lifecycle of " + id);
                     };
             double size = size(in.word("Size"));
             // Rounded up: a backend taken for younger than it is gets less, never more, than it can
             // bear.
             long startedAt = (in.whole("ReadyAt") + MICROS - 1) / MICROS;
-            members.add(new Member(id, zone, kind, cell, state, size, startedAt));
+            members.add(new Endpoint(id, zone, kind, cell, state, size, startedAt));
         }
         buffers.set(buffer, members);
     }
@@ -182,7 +182,7 @@
         } catch (NumberFormatException e) {
             // Told below, as for a number out of range.
         }
-        throw new Malformed("Size is not a number: " + word);
+        throw new InvalidSettingsException("Size is not a number: " + word);
     }
 
     private void endpoints(Instance i) {
@@ -192,15 +192,15 @@
             i.balancer.listFailed(now);
             return;
         }
-        List<Member> members = buffers.get(in.index("Buffer", BUFFERS));
+        List<Endpoint> members = buffers.get(in.index("Buffer", BUFFERS));
         if (members == null) {
-            throw new Malformed("no list has been registered under this Buffer");
+            throw new InvalidSettingsException("no list has been registered under this Buffer");
         }
         switch (scope) {
             case "delta" -> i.balancer.list(now, members, false, false);
             case "full" -> i.balancer.list(now, members, true, false);
             case "cached" -> i.balancer.list(now, members, true, true);
-            default -> throw new Malformed("unknown Scope: " + scope);
+            default -> throw new InvalidSettingsException("unknown Scope: " + scope);
         }
     }
 
@@ -218,7 +218,7 @@
 
     private void settled(Instance i) {
         long id = in.whole("Rid");
-        Outcome outcome = outcome(in.word("Outcome"));
+        AttemptOutcome outcome = outcome(in.word("Outcome"));
         int attempt = in.index("SendNo", ANY);
         in.whole("Latency");
         boolean over = in.whole("NoMore") != 0;
@@ -227,17 +227,17 @@
         i.balancer.settled(now, id, attempt, outcome, over);
     }
 
-    private static Outcome outcome(String word) {
+    private static AttemptOutcome outcome(String word) {
         return switch (word) {
-            case "completed" -> Outcome.FINISHED;
-            case "errored" -> Outcome.ERROR;
-            case "saturated" -> Outcome.TURNED_AWAY;
-            case "overdue" -> Outcome.TIMED_OUT;
-            case "refused_conn" -> Outcome.NO_CONNECTION;
-            case "severed" -> Outcome.BROKEN_OFF;
-            case "recalled" -> Outcome.RECALLED;
-            case "superseded" -> Outcome.NOT_SENT;
-            default -> throw new Malformed("unknown Outcome: " + word);
+            case "completed" -> AttemptOutcome.FINISHED;
+            case "errored" -> AttemptOutcome.ERROR;
+            case "saturated" -> AttemptOutcome.TURNED_AWAY;
+            case "overdue" -> AttemptOutcome.TIMED_OUT;
+            case "refused_conn" -> AttemptOutcome.NO_CONNECTION;
+            case "severed" -> AttemptOutcome.BROKEN_OFF;
+            case "recalled" -> AttemptOutcome.RECALLED;
+            case "superseded" -> AttemptOutcome.NOT_SENT;
+            default -> throw new InvalidSettingsException("unknown Outcome: " + word);
         };
     }
 
@@ -245,7 +245,7 @@
         try {
             return word.equals("-") ? new byte[0] : Base64.getDecoder().decode(word);
         } catch (IllegalArgumentException e) {
-            throw new Malformed("Msg is not base64: " + word);
+            throw new InvalidSettingsException("Msg is not base64: " + word);
         }
     }
 
--- a/src/test/java/cottonlock/ArchitectureTest.java
+++ b/src/test/java/cottonlock/ArchitectureTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import net.jqwik.api.Example;
 
 /**
@@ -38,7 +38,7 @@
         };
         noClasses()
                 .that()
-                .areAnnotatedWith(Decides.class)
+                .areAnnotatedWith(Deterministic.class)
                 .or()
                 .resideInAPackage("cottonlock.decision")
                 .should()
@@ -49,7 +49,7 @@
                 .check(all);
         noClasses()
                 .that()
-                .areAnnotatedWith(Decides.class)
+                .areAnnotatedWith(Deterministic.class)
                 .or()
                 .resideInAPackage("cottonlock.decision")
                 .should()
@@ -95,10 +95,10 @@
                 .definedBy("cottonlock.cli")
                 .layer("lab")
                 .definedBy("cottonlock.lab..")
-                .layer("bench")
-                .definedBy("cottonlock.bench")
-                .layer("net")
-                .definedBy("cottonlock.net..")
+                .layer("simulator")
+                .definedBy("cottonlock.simulator")
+                .layer("proxy")
+                .definedBy("cottonlock.proxy..")
                 .layer("config")
                 .definedBy("cottonlock.config")
                 .layer("admin")
@@ -117,21 +117,28 @@
                 .mayOnlyBeAccessedByLayers("main")
                 .whereLayer("lab")
                 .mayOnlyBeAccessedByLayers("cli")
-                .whereLayer("bench")
+                .whereLayer("simulator")
                 .mayOnlyBeAccessedByLayers("main")
-                .whereLayer("net")
+                .whereLayer("proxy")
                 .mayOnlyBeAccessedByLayers("main", "lab")
                 .whereLayer("admin")
-                .mayOnlyBeAccessedByLayers("net")
+                .mayOnlyBeAccessedByLayers("proxy")
                 .whereLayer("config")
                 .mayOnlyBeAccessedByLayers("cli", "lab")
                 .whereLayer("membership")
-                .mayOnlyBeAccessedByLayers("net", "lab")
+                .mayOnlyBeAccessedByLayers("proxy", "lab")
                 .whereLayer("rollout")
-                .mayOnlyBeAccessedByLayers("net", "lab")
+                .mayOnlyBeAccessedByLayers("proxy", "lab")
                 .whereLayer("setup")
                 .mayOnlyBeAccessedByLayers(
-                        "main", "bench", "net", "cli", "lab", "config", "membership", "rollout")
+                        "main",
+                        "simulator",
+                        "proxy",
+                        "cli",
+                        "lab",
+                        "config",
+                        "membership",
+                        "rollout")
                 .check(all);
         slices().matching("cottonlock.(*)..").should().beFreeOfCycles().check(all);
     }
@@ -141,12 +148,12 @@
         noClasses()
                 .that()
                 .resideInAnyPackage(
-                        "cottonlock.net..",
+                        "cottonlock.proxy..",
                         "cottonlock.admin",
                         "cottonlock.membership",
                         "cottonlock.rollout",
                         "cottonlock.setup",
-                        "cottonlock.bench",
+                        "cottonlock.simulator",
                         "cottonlock.decision")
                 .should()
                 .dependOnClassesThat()
--- a/src/test/java/cottonlock/cli/CliTest.java
+++ b/src/test/java/cottonlock/cli/CliTest.java
@@ -123,15 +123,15 @@
             serve.destroyForcibly().waitFor();
         }
         String classes = Files.readString(loaded);
-        assertTrue(classes.contains("cottonlock.net.Proxy "), "the log is there");
+        assertTrue(classes.contains("cottonlock.proxy.Proxy "), "the log is there");
         for (String far :
                 List.of(
                         "cottonlock.membership",
-                        "cottonlock.net.Members",
+                        "cottonlock.proxy.Members",
                         "cottonlock.setup.Membership",
                         "cottonlock.rollout",
-                        "cottonlock.net.Rollout",
-                        "cottonlock.net.VersionLine",
+                        "cottonlock.proxy.Rollout",
+                        "cottonlock.proxy.VersionLine",
                         "cottonlock.setup.Rollout",
                         "javax.crypto",
                         "cottonlock.config",
--- a/src/test/java/cottonlock/config/ConfigTest.java
+++ b/src/test/java/cottonlock/config/ConfigTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.setup.RolloutPlan;
+import cottonlock.setup.RolloutConfig;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -19,7 +19,7 @@
 /** What people write is read whole or refused with all that is wrong. */
 class ConfigTest {
     private interface Reading {
-        void read(Path file) throws BadFile;
+        void read(Path file) throws InvalidConfigurationException;
     }
 
     private static List<String> faults(String ending, String text, Reading reading)
@@ -29,7 +29,7 @@
         List<String> faults = new ArrayList<>();
         try {
             reading.read(file);
-        } catch (BadFile e) {
+        } catch (InvalidConfigurationException e) {
             e.faults().forEach(f -> faults.add(f.replace(file.toString(), "F")));
         } finally {
             Files.delete(file);
@@ -83,17 +83,19 @@
                         Files.createTempFile("rollout", ".toml"),
                         "[rollout]\nenabled = true\nservice = \"s\"\ncontrol = [\"127.0.0.1:1\"]\n");
         assertEquals(
-                new RolloutPlan(
+                new RolloutConfig(
                         "s",
                         List.of("127.0.0.1:1"),
                         List.of(),
-                        RolloutPlan.CALL,
-                        RolloutPlan.COMPARE,
-                        RolloutPlan.RETRY),
+                        RolloutConfig.CALL,
+                        RolloutConfig.COMPARE,
+                        RolloutConfig.RETRY),
                 OperatorFile.read(rollout).rollout());
         assertEquals(1, faults(".toml", "[log\n", OperatorFile::read).size());
-        BadFile missing =
-                assertThrows(BadFile.class, () -> OperatorFile.read(Path.of("no/such.toml")));
+        InvalidConfigurationException missing =
+                assertThrows(
+                        InvalidConfigurationException.class,
+                        () -> OperatorFile.read(Path.of("no/such.toml")));
         assertEquals(List.of("no/such.toml: there is no such file"), missing.faults());
     }
 
--- a/src/test/java/cottonlock/decision/ColdFleet.java
+++ b/src/test/java/cottonlock/decision/ColdFleet.java
@@ -1,7 +1,7 @@
 package cottonlock.decision;
 
-import cottonlock.decision.Category.Repeat;
-import cottonlock.decision.Category.Scope;
+import cottonlock.decision.RequestClass.Repeat;
+import cottonlock.decision.RequestClass.Scope;
 import cottonlock.lab.world.World;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
  * counts what all of them together send a cold one, against what it bears. One seed gives one run.
  */
 final class ColdFleet {
-    static final Cold COLD = new Cold(0.35, 87_000, 3, 30_000);
+    static final SlowStartConfig COLD = new SlowStartConfig(0.35, 87_000, 3, 30_000);
 
     /** When backends come cold and the traffic changes, and until when the run goes on. */
     private static final long EVENT = 200_000;
@@ -30,11 +30,11 @@
 
     private static final double[] PARTS = {0.45, 0.4, 0.15};
     private static final long[] PATIENCE = {20_000, 40_000, 60_000};
-    private static final List<Category> CATEGORIES =
+    private static final List<RequestClass> CATEGORIES =
             List.of(
-                    new Category(0, 7_500, 1, 0, Repeat.SAFE, Scope.ALL, 50_000),
-                    new Category(1, 15_000, 1, 0, Repeat.SAFE, Scope.ALL, 50_000),
-                    new Category(2, 25_000, 1, 0, Repeat.KEYED, Scope.ZONE, 100_000));
+                    new RequestClass(0, 7_500, 1, 0, Repeat.SAFE, Scope.ALL, 50_000),
+                    new RequestClass(1, 15_000, 1, 0, Repeat.SAFE, Scope.ALL, 50_000),
+                    new RequestClass(2, 25_000, 1, 0, Repeat.KEYED, Scope.ZONE, 100_000));
     private static final int WORKERS = 4;
     private static final int QUEUE = 20;
 
@@ -115,7 +115,7 @@
     }
 
     private final class Machine {
-        Member member;
+        Endpoint member;
         final Deque<Job> queue = new ArrayDeque<>();
         int busy;
         int start;
@@ -131,7 +131,7 @@
         int oldest;
         boolean broken;
 
-        Machine(Member member) {
+        Machine(Endpoint member) {
             this.member = member;
         }
 
@@ -141,13 +141,15 @@
 
         void comes(Job job) {
             if (dead) {
-                world.at(world.now() + 1_500, () -> job.proxy.settle(job, Outcome.NO_CONNECTION));
+                world.at(
+                        world.now() + 1_500,
+                        () -> job.proxy.settle(job, AttemptOutcome.NO_CONNECTION));
             } else if (busy < WORKERS) {
                 run(job);
             } else if (queue.size() < QUEUE) {
                 queue.add(job);
             } else {
-                answer(job, Outcome.TURNED_AWAY);
+                answer(job, AttemptOutcome.TURNED_AWAY);
             }
         }
 
@@ -160,7 +162,7 @@
                     () -> {
                         if (life == start) {
                             busy--;
-                            answer(job, Outcome.FINISHED);
+                            answer(job, AttemptOutcome.FINISHED);
                             while (!queue.isEmpty() && busy < WORKERS) {
                                 Job next = queue.poll();
                                 if (next.expiry > world.now()) {
@@ -168,12 +170,12 @@
                                 }
                             }
                         } else {
-                            answer(job, Outcome.BROKEN_OFF);
+                            answer(job, AttemptOutcome.BROKEN_OFF);
                         }
                     });
         }
 
-        private void answer(Job job, Outcome outcome) {
+        private void answer(Job job, AttemptOutcome outcome) {
             world.at(world.now() + 3, () -> job.proxy.settle(job, outcome));
         }
 
@@ -184,17 +186,17 @@
             busy = 0;
             List<Job> lost = new ArrayList<>(queue);
             queue.clear();
-            lost.forEach(job -> answer(job, Outcome.BROKEN_OFF));
+            lost.forEach(job -> answer(job, AttemptOutcome.BROKEN_OFF));
             member =
-                    new Member(
+                    new Endpoint(
                             member.id(),
                             member.zone(),
                             member.kind(),
                             member.cell(),
-                            Member.State.READY,
+                            Endpoint.State.READY,
                             member.size(),
                             world.now());
-            Member m = member;
+            Endpoint m = member;
             for (Proxy p : proxies) {
                 long late = day.late > 0 ? world.chance().nextLong(day.late) : 0;
                 world.at(world.now() + late, () -> p.told(m));
@@ -251,9 +253,9 @@
         }
     }
 
-    private final class Proxy implements Outlet {
+    private final class Proxy implements LoadBalancerActions {
         final int number;
-        Balancer balancer;
+        LoadBalancer balancer;
         int life;
         private final Map<Long, Open> open = new HashMap<>();
         private final Map<String, Long> heardOf = new HashMap<>();
@@ -265,8 +267,8 @@
         void start() {
             life++;
             open.clear();
-            Shape shape =
-                    new Shape(
+            DeploymentTopology shape =
+                    new DeploymentTopology(
                             day.fleetSize > 0 ? day.fleetSize : day.proxies,
                             number,
                             true,
@@ -277,26 +279,27 @@
                             true,
                             15_000);
             SplittableRandom random = new SplittableRandom(world.chance().nextLong());
-            Balancer.Fleet fleet = new Balancer.Fleet(this, random.split(), tenants, shape, COLD);
-            Balancer.Line line =
-                    new Balancer.Line(fleet, random.split(), tenants, shape, day.first);
+            LoadBalancer.Fleet fleet =
+                    new LoadBalancer.Fleet(this, random.split(), tenants, shape, COLD);
+            LoadBalancer.Line line =
+                    new LoadBalancer.Line(fleet, random.split(), tenants, shape, day.first);
             balancer =
-                    new Balancer(
+                    new LoadBalancer(
                             this,
-                            new Balancer.Intake(
+                            new LoadBalancer.Intake(
                                     this, CATEGORIES, tenants, day.first, shape, 10_000),
                             line,
-                            new Balancer.Lane(line, fleet),
-                            new Balancer.Pick(fleet, random.split()),
-                            new Balancer.Attempts(this, line, fleet, 4, true),
+                            new LoadBalancer.Lane(line, fleet),
+                            new LoadBalancer.Pick(fleet, random.split()),
+                            new LoadBalancer.Attempts(this, line, fleet, 4, true),
                             fleet);
             balancer.start(world.now());
-            List<Member> members = machines.values().stream().map(m -> m.member).toList();
+            List<Endpoint> members = machines.values().stream().map(m -> m.member).toList();
             members.forEach(m -> heardOf.put(m.id(), m.startedAt()));
             balancer.list(world.now(), members, true, false);
         }
 
-        void told(Member m) {
+        void told(Endpoint m) {
             heardOf.put(m.id(), m.startedAt());
             balancer.list(world.now(), List.of(m), false, false);
         }
@@ -307,14 +310,17 @@
             balancer.arrive(world.now(), id, category, tenant, PATIENCE[category], again, 0);
         }
 
-        void settle(Job job, Outcome outcome) {
+        void settle(Job job, AttemptOutcome outcome) {
             Open of = open.get(job.id);
             if (job.life != life || of == null || !of.out.get(job.attempt)) {
                 return;
             }
             of.out.set(job.attempt, false);
-            served += outcome == Outcome.FINISHED && !of.answered && world.now() > EVENT ? 1 : 0;
-            of.answered |= outcome == Outcome.FINISHED;
+            served +=
+                    outcome == AttemptOutcome.FINISHED && !of.answered && world.now() > EVENT
+                            ? 1
+                            : 0;
+            of.answered |= outcome == AttemptOutcome.FINISHED;
             balancer.settled(world.now(), job.id, job.attempt, outcome, of.answered);
             if (of.answered && !of.out.contains(true)) {
                 open.remove(job.id);
@@ -329,17 +335,17 @@
             Job job = new Job(this, life, req, of.out.size() - 1, of.work, of.expiry);
             machine.count(of.work, heardOf.getOrDefault(backend, 0L) == machine.member.startedAt());
             world.at(world.now() + 3, () -> machine.comes(job));
-            world.at(of.expiry, () -> settle(job, Outcome.TIMED_OUT));
+            world.at(of.expiry, () -> settle(job, AttemptOutcome.TIMED_OUT));
         }
 
         @Override
         public void recall(long req, int attempt) {
             Job job = new Job(this, life, req, attempt, 0, 0);
-            world.at(world.now() + 1, () -> settle(job, Outcome.RECALLED));
+            world.at(world.now() + 1, () -> settle(job, AttemptOutcome.RECALLED));
         }
 
         @Override
-        public void defer(long req, long comeBack, Reason why) {
+        public void defer(long req, long comeBack, RejectionReason why) {
             Open of = open.get(req);
             writeOff(req, why);
             if (!of.again && world.chance().nextInt(2) == 0) {
@@ -350,7 +356,7 @@
         }
 
         @Override
-        public void writeOff(long req, Reason why) {
+        public void writeOff(long req, RejectionReason why) {
             Open of = open.get(req);
             of.answered = true;
             if (!of.out.contains(true)) {
@@ -416,12 +422,12 @@
 
     private Machine machine(int n, long startedAt) {
         return new Machine(
-                new Member(
+                new Endpoint(
                         "b" + n,
                         n % 3,
                         n % 2,
                         n / 2,
-                        Member.State.READY,
+                        Endpoint.State.READY,
                         n % 4 == 0 ? 2 : 1,
                         startedAt));
     }
--- a/src/test/java/cottonlock/decision/Ledger.java
+++ b/src/test/java/cottonlock/decision/Ledger.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.decision.Category.Repeat;
-import cottonlock.decision.Category.Scope;
+import cottonlock.decision.RequestClass.Repeat;
+import cottonlock.decision.RequestClass.Scope;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -21,7 +21,7 @@
  * Keeps its own account of what a balancer does, and fails at once where one of the four rules is
  * broken.
  */
-final class Ledger implements Outlet {
+final class Ledger implements LoadBalancerActions {
     static final long SLACK = 200;
     static final long COLD = 80_000;
     static final long FALL = 30_000;
@@ -31,13 +31,13 @@
 
     /** A request as the ledger knows it. */
     static final class Item {
-        final Category category;
+        final RequestClass category;
         final long expiry;
         final List<Sent> sent = new ArrayList<>();
         boolean answered;
         boolean deferred;
 
-        Item(Category category, long expiry) {
+        Item(RequestClass category, long expiry) {
             this.category = category;
             this.expiry = expiry;
         }
@@ -45,21 +45,21 @@
 
     /** An attempt as the ledger knows it. */
     static final class Sent {
-        final Member to;
+        final Endpoint to;
         final long at;
         boolean out = true;
         boolean recalled;
         boolean mayHaveRun = true;
 
-        Sent(Member to, long at) {
+        Sent(Endpoint to, long at) {
             this.to = to;
             this.at = at;
         }
     }
 
-    final List<Category> categories;
+    final List<RequestClass> categories;
     final Map<Long, Item> items = new LinkedHashMap<>();
-    final Map<String, Member> listed = new LinkedHashMap<>();
+    final Map<String, Endpoint> listed = new LinkedHashMap<>();
     final Map<String, List<Long>> sends = new LinkedHashMap<>();
 
     /** By tenant, the backends that requests were first handed to. */
@@ -68,19 +68,19 @@
     final List<String> told = new ArrayList<>();
 
     /** Why requests were deferred. */
-    final Map<Reason, Integer> ends = new EnumMap<>(Reason.class);
+    final Map<RejectionReason, Integer> ends = new EnumMap<>(RejectionReason.class);
 
     final List<String> released = new ArrayList<>();
     final List<Long> wakes = new ArrayList<>();
-    final Balancer balancer;
-    final Balancer.Fleet fleet;
+    final LoadBalancer balancer;
+    final LoadBalancer.Fleet fleet;
     long now;
     int asked;
     private double busiest;
     private long nextId = 1;
 
     Ledger(
-            List<Category> categories,
+            List<RequestClass> categories,
             List<Tenant> tenants,
             long seed,
             boolean first,
@@ -89,7 +89,7 @@
     }
 
     Ledger(
-            List<Category> categories,
+            List<RequestClass> categories,
             List<Tenant> tenants,
             long seed,
             boolean first,
@@ -99,7 +99,7 @@
     }
 
     Ledger(
-            List<Category> categories,
+            List<RequestClass> categories,
             List<Tenant> tenants,
             long seed,
             boolean first,
@@ -112,63 +112,64 @@
                 seed,
                 first,
                 mayRecall,
-                new Shape(balancers, 0, true, 0, true, mustAsk, 100_000, true, 0));
+                new DeploymentTopology(balancers, 0, true, 0, true, mustAsk, 100_000, true, 0));
     }
 
     Ledger(
-            List<Category> categories,
+            List<RequestClass> categories,
             List<Tenant> tenants,
             long seed,
             boolean first,
             boolean mayRecall,
-            Shape shape) {
+            DeploymentTopology shape) {
         this.categories = categories;
         SplittableRandom random = new SplittableRandom(seed);
-        Cold cold = new Cold(COLD_SHARE, COLD, FALL_MULTIPLE, FALL);
-        fleet = new Balancer.Fleet(this, random.split(), tenants, shape, cold);
-        Balancer.Line line = new Balancer.Line(fleet, random.split(), tenants, shape, first);
+        SlowStartConfig cold = new SlowStartConfig(COLD_SHARE, COLD, FALL_MULTIPLE, FALL);
+        fleet = new LoadBalancer.Fleet(this, random.split(), tenants, shape, cold);
+        LoadBalancer.Line line =
+                new LoadBalancer.Line(fleet, random.split(), tenants, shape, first);
         balancer =
-                new Balancer(
+                new LoadBalancer(
                         this,
-                        new Balancer.Intake(this, categories, tenants, first, shape, 10_000),
+                        new LoadBalancer.Intake(this, categories, tenants, first, shape, 10_000),
                         line,
-                        new Balancer.Lane(line, fleet),
-                        new Balancer.Pick(fleet, random.split()),
-                        new Balancer.Attempts(this, line, fleet, MOST, mayRecall),
+                        new LoadBalancer.Lane(line, fleet),
+                        new LoadBalancer.Pick(fleet, random.split()),
+                        new LoadBalancer.Attempts(this, line, fleet, MOST, mayRecall),
                         fleet);
         balancer.start(now);
     }
 
-    static Category category(int number, Repeat repeat, Scope scope) {
-        return new Category(number, 10_000, 1, 0, repeat, scope, 15_000);
+    static RequestClass category(int number, Repeat repeat, Scope scope) {
+        return new RequestClass(number, 10_000, 1, 0, repeat, scope, 15_000);
     }
 
-    static Member ready(int n) {
-        return new Member("b" + n, n % 3, n % 2, n / 2, Member.State.READY, 1, 0);
+    static Endpoint ready(int n) {
+        return new Endpoint("b" + n, n % 3, n % 2, n / 2, Endpoint.State.READY, 1, 0);
     }
 
-    static List<Member> ready(int from, int to) {
-        List<Member> members = new ArrayList<>();
+    static List<Endpoint> ready(int from, int to) {
+        List<Endpoint> members = new ArrayList<>();
         for (int n = from; n < to; n++) {
             members.add(ready(n));
         }
         return members;
     }
 
-    void list(List<Member> members, boolean whole, boolean cached) {
+    void list(List<Endpoint> members, boolean whole, boolean cached) {
         if (whole) {
             listed.replaceAll(
                     (id, m) ->
-                            new Member(
+                            new Endpoint(
                                     id,
                                     m.zone(),
                                     m.kind(),
                                     m.cell(),
-                                    Member.State.GONE,
+                                    Endpoint.State.GONE,
                                     m.size(),
                                     m.startedAt()));
         }
-        for (Member m : members) {
+        for (Endpoint m : members) {
             listed.put(m.id(), m);
         }
         balancer.list(now, members, whole, cached);
@@ -192,12 +193,12 @@
         return id;
     }
 
-    void settle(long id, int number, Outcome outcome) {
+    void settle(long id, int number, AttemptOutcome outcome) {
         Item item = items.get(id);
         Sent sent = item.sent.get(number);
         sent.out = false;
         sent.mayHaveRun = !outcome.neverRan();
-        boolean over = item.answered || outcome == Outcome.FINISHED;
+        boolean over = item.answered || outcome == AttemptOutcome.FINISHED;
         item.answered = over;
         balancer.settled(now, id, number, outcome, over);
         check();
@@ -226,7 +227,7 @@
                     && ids.test(id)) {
                 left--;
                 finished[item.category.number()]++;
-                settle(id, last, Outcome.FINISHED);
+                settle(id, last, AttemptOutcome.FINISHED);
             }
         }
         return finished;
@@ -240,7 +241,12 @@
                 Item item = items.get(id);
                 for (int n = 0; item != null && n < item.sent.size(); n++) {
                     if (item.sent.get(n).out && (now >= item.expiry || item.sent.get(n).recalled)) {
-                        settle(id, n, now >= item.expiry ? Outcome.TIMED_OUT : Outcome.RECALLED);
+                        settle(
+                                id,
+                                n,
+                                now >= item.expiry
+                                        ? AttemptOutcome.TIMED_OUT
+                                        : AttemptOutcome.RECALLED);
                     }
                 }
             }
@@ -274,9 +280,9 @@
         assertTrue(
                 now < sendBy && sendBy <= item.expiry,
                 "may be written until " + sendBy + " at " + now);
-        Member to = listed.get(backend);
+        Endpoint to = listed.get(backend);
         assertNotNull(to, "attempt to a backend that no list has named");
-        assertEquals(Member.State.READY, to.state(), "attempt to a backend that leaves");
+        assertEquals(Endpoint.State.READY, to.state(), "attempt to a backend that leaves");
         assertTrue(item.sent.size() < MOST, "too many attempts");
         assertTrue(item.sent.stream().noneMatch(s -> s.out), "two attempts out at once");
         item.sent.stream()
@@ -309,7 +315,7 @@
      * The fourth rule, as this balancer's part: in proportion no more than a warm backend was ever
      * sent.
      */
-    private void checkCold(Member to) {
+    private void checkCold(Endpoint to) {
         long age = now - to.startedAt();
         double size = to.size() > 0 ? to.size() : 1;
         if (to.startedAt() == 0 || age >= COLD) {
@@ -334,7 +340,7 @@
         return (int) to.stream().filter(b -> !lane.contains(b)).count();
     }
 
-    long recent(Member member, long span) {
+    long recent(Endpoint member, long span) {
         return sends.getOrDefault(member.id(), List.of()).stream()
                 .filter(at -> at > now - span)
                 .filter(at -> at >= member.startedAt())
@@ -349,7 +355,7 @@
     }
 
     @Override
-    public void defer(long req, long comeBack, Reason why) {
+    public void defer(long req, long comeBack, RejectionReason why) {
         Item item = open(req, "deferral");
         boolean harmless =
                 item.sent.stream().noneMatch(s -> s.mayHaveRun)
@@ -371,7 +377,7 @@
     }
 
     @Override
-    public void writeOff(long req, Reason why) {
+    public void writeOff(long req, RejectionReason why) {
         open(req, "write-off").answered = true;
     }
 
--- a/src/test/java/cottonlock/decision/BalancerTest.java
+++ b/src/test/java/cottonlock/decision/LoadBalancerTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.decision.Category.Repeat;
-import cottonlock.decision.Category.Scope;
+import cottonlock.decision.RequestClass.Repeat;
+import cottonlock.decision.RequestClass.Scope;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -18,8 +18,8 @@
 import net.jqwik.api.Example;
 
 /** Plain cases, and one small case for each failure found. */
-class BalancerTest {
-    private static final List<Category> PLAIN =
+class LoadBalancerTest {
+    private static final List<RequestClass> PLAIN =
             List.of(
                     Ledger.category(0, Repeat.SAFE, Scope.ALL),
                     Ledger.category(1, Repeat.UNSAFE, Scope.ALL));
@@ -41,7 +41,7 @@
             Ledger.Item item = ledger.items.get(id);
             for (int n = 0; item != null && n < item.sent.size(); n++) {
                 if (item.sent.get(n).out) {
-                    ledger.settle(id, n, Outcome.FINISHED);
+                    ledger.settle(id, n, AttemptOutcome.FINISHED);
                 }
             }
         }
@@ -51,11 +51,12 @@
     void lanesHoldTheSharesAndAtLeastOneBackend() {
         List<Tenant> tenants =
                 List.of(new Tenant(0.5, 0), new Tenant(0.45, 0), new Tenant(0.05, 0));
-        assertArrayEquals(new int[] {5, 4, 1}, Balancer.Fleet.laneSizes(tenants, 10));
-        assertArrayEquals(new int[] {1, 1, 0}, Balancer.Fleet.laneSizes(tenants, 2));
-        assertArrayEquals(new int[] {0, 0, 0}, Balancer.Fleet.laneSizes(tenants, 0));
-        assertArrayEquals(new int[] {2}, Balancer.Fleet.laneSizes(List.of(new Tenant(0.2, 0)), 10));
-        assertArrayEquals(new int[0], Balancer.Fleet.laneSizes(List.of(), 10));
+        assertArrayEquals(new int[] {5, 4, 1}, LoadBalancer.Fleet.laneSizes(tenants, 10));
+        assertArrayEquals(new int[] {1, 1, 0}, LoadBalancer.Fleet.laneSizes(tenants, 2));
+        assertArrayEquals(new int[] {0, 0, 0}, LoadBalancer.Fleet.laneSizes(tenants, 0));
+        assertArrayEquals(
+                new int[] {2}, LoadBalancer.Fleet.laneSizes(List.of(new Tenant(0.2, 0)), 10));
+        assertArrayEquals(new int[0], LoadBalancer.Fleet.laneSizes(List.of(), 10));
     }
 
     @Example
@@ -68,14 +69,14 @@
                             5,
                             false,
                             true,
-                            new Shape(2, 0, true, 0, true, false, 100_000, binds, 0));
+                            new DeploymentTopology(2, 0, true, 0, true, false, 100_000, binds, 0));
             ledger.list(Ledger.ready(0, 3), true, true);
             for (int i = 0; i < 30; i++) {
                 ledger.arrive(0, i % 2, 20_000);
                 ledger.pass(100);
                 finishAll(ledger);
             }
-            Member draining = new Member("b2", 2, 0, 1, Member.State.DRAINING, 1, 0);
+            Endpoint draining = new Endpoint("b2", 2, 0, 1, Endpoint.State.DRAINING, 1, 0);
             ledger.list(List.of(draining), false, false);
             // Past the ledger, which holds all to what binds elsewhere: the list loses both others.
             ledger.balancer.list(ledger.now, List.of(), true, false);
@@ -124,8 +125,8 @@
     void aLaneWithoutUsableBackendsSpills() {
         Ledger ledger = ledger(false, TWO, 8);
         long id = ledger.arrive(0, 1, 20_000);
-        ledger.settle(id, 0, Outcome.NO_CONNECTION);
-        ledger.settle(id, 1, Outcome.NO_CONNECTION);
+        ledger.settle(id, 0, AttemptOutcome.NO_CONNECTION);
+        ledger.settle(id, 1, AttemptOutcome.NO_CONNECTION);
         List<String> tried = ledger.items.get(id).sent.stream().map(s -> s.to.id()).toList();
         assertEquals(ids(ledger.fleet.lane(1)), Set.copyOf(tried.subList(0, 2)));
         assertFalse(ids(ledger.fleet.lane(1)).contains(tried.get(2)));
@@ -139,7 +140,7 @@
     void aSoleBackendThatFailedOnceGetsSafeWorkAtOnce() {
         for (int n = 0; n < 20; n++) {
             Ledger ledger = ledger(true, TWO, 1);
-            ledger.settle(ledger.arrive(0, 0, 20_000), 0, Outcome.BROKEN_OFF);
+            ledger.settle(ledger.arrive(0, 0, 20_000), 0, AttemptOutcome.BROKEN_OFF);
             ledger.pass(1_000 + 10 * n);
             long id = ledger.arrive(0, 0, 20_000);
             assertEquals(1, ledger.items.get(id).sent.size());
@@ -153,12 +154,12 @@
     @Example
     void whatMayHaveRunIsDeferredOnlyWhileItIsStillKnownWhenItsClientComesBack() {
         for (long window : new long[] {2_000, 100_000}) {
-            Category keyed = new Category(0, 10_000, 1, 0, Repeat.KEYED, Scope.ALL, window);
+            RequestClass keyed = new RequestClass(0, 10_000, 1, 0, Repeat.KEYED, Scope.ALL, window);
             Ledger ledger = new Ledger(List.of(keyed), TWO, 7, true, false);
             ledger.list(Ledger.ready(0, 1), true, true);
             long id = ledger.arrive(0, 0, 20_000);
             ledger.pass(100);
-            ledger.settle(id, 0, Outcome.BROKEN_OFF);
+            ledger.settle(id, 0, AttemptOutcome.BROKEN_OFF);
             assertEquals(
                     window > 10_000 ? 1 : 0, ledger.ends.values().stream().mapToInt(n -> n).sum());
         }
@@ -172,7 +173,7 @@
         ledger.balancer.endBy(ledger.now + 500);
         ledger.pass(500);
         // Safe, well before its due time, but there is no time left for another try.
-        ledger.settle(id, 0, Outcome.TIMED_OUT);
+        ledger.settle(id, 0, AttemptOutcome.TIMED_OUT);
         assertTrue(!ledger.items.containsKey(id) || ledger.items.get(id).answered);
     }
 
@@ -187,7 +188,7 @@
                         7 + me,
                         true,
                         true,
-                        new Shape(200, me, false, rest, false, false, 0, true, 0));
+                        new DeploymentTopology(200, me, false, rest, false, false, 0, true, 0));
         ledger.list(Ledger.ready(0, backends), true, true);
         return ledger;
     }
@@ -304,7 +305,7 @@
                     && item.sent.size() == 1
                     && item.sent.get(0).out
                     && ledger.now - sentAt.get(id) >= age) {
-                ledger.settle(id, 0, Outcome.FINISHED);
+                ledger.settle(id, 0, AttemptOutcome.FINISHED);
             }
         }
         return (int)
@@ -338,10 +339,14 @@
     @Example
     void spansOfMeasuresFollowDueTimes() {
         assertEquals(
-                20_000, Math.round(1.28 * new Shape(1, 0, true, 0, true, true, 0, true, 0).due()));
+                20_000,
+                Math.round(
+                        1.28
+                                * new DeploymentTopology(1, 0, true, 0, true, true, 0, true, 0)
+                                        .due()));
         assertEquals(
                 15_625,
-                new Shape(8, 0, true, 0, true, true, 0, true, 60_000).due(),
+                new DeploymentTopology(8, 0, true, 0, true, true, 0, true, 60_000).due(),
                 "few balancers");
         Ledger ledger =
                 new Ledger(
@@ -350,7 +355,7 @@
                         7,
                         true,
                         true,
-                        new Shape(9, 0, true, 0, true, false, 100_000, true, 60_000));
+                        new DeploymentTopology(9, 0, true, 0, true, false, 100_000, true, 60_000));
         ledger.list(Ledger.ready(0, 3), true, true);
         ledger.arrive(0, 0, 20_000);
         finishAll(ledger);
@@ -418,7 +423,7 @@
             for (long id : List.copyOf(ledger.items.keySet())) {
                 Ledger.Item item = ledger.items.get(id);
                 if (!item.sent.isEmpty() && item.sent.get(0).to.zone() != 0) {
-                    ledger.settle(id, 0, Outcome.FINISHED);
+                    ledger.settle(id, 0, AttemptOutcome.FINISHED);
                 }
             }
         }
@@ -438,7 +443,7 @@
             for (long id : List.copyOf(ledger.items.keySet())) {
                 Ledger.Sent sent = ledger.items.get(id).sent.get(0);
                 if (sent.out && ledger.now - sent.at >= (sent.to.id().equals("b0") ? 3_000 : 100)) {
-                    ledger.settle(id, 0, Outcome.FINISHED);
+                    ledger.settle(id, 0, AttemptOutcome.FINISHED);
                 }
             }
         }
@@ -462,7 +467,7 @@
                                 shape[0],
                                 true,
                                 true,
-                                new Shape(
+                                new DeploymentTopology(
                                         shape[0], 0, true, 0, true, false, 100_000, true, 60_000));
                 ledger.list(Ledger.ready(0, shape[1]), true, true);
                 for (int i = 0; i < 10 * shape[1]; i++) {
@@ -501,7 +506,8 @@
                             shape[0],
                             true,
                             true,
-                            new Shape(shape[0], 0, true, 0, true, false, 100_000, true, 10_000));
+                            new DeploymentTopology(
+                                    shape[0], 0, true, 0, true, false, 100_000, true, 10_000));
             ledger.list(Ledger.ready(0, shape[1]), true, true);
             for (int i = 0; i < 1_000; i++) {
                 // A share of what this balancer's part of the backends can hold, and a tenth of it
@@ -523,10 +529,10 @@
     @Example
     void noCategoryStarvesInTheLineOfOthers() {
         for (int[] shape : new int[][] {{1, 4}, {2, 8}, {16, 35}, {90, 150}}) {
-            List<Category> categories =
+            List<RequestClass> categories =
                     List.of(
-                            new Category(0, 5_000, 1, 0, Repeat.SAFE, Scope.ALL, 0),
-                            new Category(1, 50_000, 1, 0, Repeat.SAFE, Scope.ALL, 0));
+                            new RequestClass(0, 5_000, 1, 0, Repeat.SAFE, Scope.ALL, 0),
+                            new RequestClass(1, 50_000, 1, 0, Repeat.SAFE, Scope.ALL, 0));
             Ledger ledger =
                     new Ledger(
                             categories,
@@ -534,7 +540,8 @@
                             shape[0],
                             true,
                             true,
-                            new Shape(shape[0], 0, true, 0, true, false, 100_000, true, 27_500));
+                            new DeploymentTopology(
+                                    shape[0], 0, true, 0, true, false, 100_000, true, 27_500));
             ledger.list(Ledger.ready(0, shape[1]), true, true);
             SplittableRandom random = new SplittableRandom(shape[0]);
             int[] finished = new int[2];
@@ -574,7 +581,7 @@
                         ledger.items.containsKey(id) && n < ledger.items.get(id).sent.size();
                         n++) {
                     if (ledger.items.get(id).sent.get(n).out) {
-                        ledger.settle(id, n, Outcome.TURNED_AWAY);
+                        ledger.settle(id, n, AttemptOutcome.TURNED_AWAY);
                     }
                 }
             }
@@ -600,7 +607,7 @@
                     finder.items.containsKey(id) && n < finder.items.get(id).sent.size();
                     n++) {
                 boolean lost = finder.items.get(id).sent.get(n).to.id().equals("b0");
-                finder.settle(id, n, lost ? Outcome.NO_CONNECTION : Outcome.FINISHED);
+                finder.settle(id, n, lost ? AttemptOutcome.NO_CONNECTION : AttemptOutcome.FINISHED);
             }
             finder.pass(300);
         }
@@ -615,7 +622,7 @@
             hearer.pass(300);
             for (long id : List.copyOf(hearer.items.keySet())) {
                 if (hearer.items.get(id).sent.get(0).to.id().equals("b1")) {
-                    hearer.settle(id, 0, Outcome.FINISHED);
+                    hearer.settle(id, 0, AttemptOutcome.FINISHED);
                 }
             }
         }
@@ -638,14 +645,15 @@
         int balancers = 200;
         List<Long> sent = new ArrayList<>();
         for (Ledger ledger : many(balancers, List.of())) {
-            List<Member> members = new ArrayList<>(Ledger.ready(0, 20));
+            List<Endpoint> members = new ArrayList<>(Ledger.ready(0, 20));
             ledger.list(members, true, true);
             for (int i = 0; i < 60; i++) {
                 ledger.arrive(0, 0, 20_000);
                 ledger.pass(1_000);
                 finishAll(ledger);
                 if (i == 20) {
-                    Member fresh = new Member("b3", 0, 0, 1, Member.State.READY, 1, ledger.now);
+                    Endpoint fresh =
+                            new Endpoint("b3", 0, 0, 1, Endpoint.State.READY, 1, ledger.now);
                     ledger.list(List.of(fresh), false, false);
                 }
             }
@@ -674,7 +682,7 @@
                 ledger.pass(1_000);
                 for (long id : List.copyOf(ledger.items.keySet())) {
                     if (ledger.now - ledger.items.get(id).sent.get(0).at >= 3_000) {
-                        ledger.settle(id, 0, Outcome.FINISHED);
+                        ledger.settle(id, 0, AttemptOutcome.FINISHED);
                     }
                 }
             }
@@ -720,7 +728,7 @@
                     for (Ledger.Sent sent : List.copyOf(ledger.items.get(id).sent)) {
                         long time = small.contains(sent.to.id()) ? 4_000 : 500;
                         if (sent.out && ledger.now - sent.at >= time) {
-                            ledger.settle(id, 0, Outcome.FINISHED);
+                            ledger.settle(id, 0, AttemptOutcome.FINISHED);
                         }
                     }
                 }
@@ -742,7 +750,8 @@
             for (int n = 0;
                     ledger.items.containsKey(id) && n < ledger.items.get(id).sent.size();
                     n++) {
-                ledger.settle(id, n, i < 400 ? Outcome.TURNED_AWAY : Outcome.FINISHED);
+                ledger.settle(
+                        id, n, i < 400 ? AttemptOutcome.TURNED_AWAY : AttemptOutcome.FINISHED);
             }
             ledger.pass(500);
         }
@@ -764,7 +773,7 @@
             for (long out : List.copyOf(ledger.items.keySet())) {
                 Ledger.Sent sent = ledger.items.get(out).sent.get(0);
                 if (ledger.now - sent.at >= (sent.to.kind() == 1 ? 600 : 300)) {
-                    ledger.settle(out, 0, Outcome.FINISHED);
+                    ledger.settle(out, 0, AttemptOutcome.FINISHED);
                 }
             }
         }
@@ -798,7 +807,7 @@
                 for (int n = 0;
                         ledger.items.containsKey(id) && n < ledger.items.get(id).sent.size();
                         n++) {
-                    ledger.settle(id, n, Outcome.NO_CONNECTION);
+                    ledger.settle(id, n, AttemptOutcome.NO_CONNECTION);
                 }
                 ledger.pass(300);
             }
--- a/src/test/java/cottonlock/decision/RulesTest.java
+++ b/src/test/java/cottonlock/decision/RulesTest.java
@@ -1,7 +1,7 @@
 package cottonlock.decision;
 
-import cottonlock.decision.Category.Repeat;
-import cottonlock.decision.Category.Scope;
+import cottonlock.decision.RequestClass.Repeat;
+import cottonlock.decision.RequestClass.Scope;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -22,7 +22,7 @@
             @ForAll boolean mustAsk,
             @ForAll boolean mayRecall) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Category> categories = new ArrayList<>();
+        List<RequestClass> categories = new ArrayList<>();
         for (Repeat repeat : Repeat.values()) {
             for (Scope scope : Scope.values()) {
                 categories.add(Ledger.category(categories.size(), repeat, scope));
@@ -32,8 +32,8 @@
         for (int t = 0; t < tenantCount; t++) {
             tenants.add(new Tenant(random.nextInt(4) / 4.0, random.nextInt(40)));
         }
-        Shape shape =
-                new Shape(
+        DeploymentTopology shape =
+                new DeploymentTopology(
                         1 + random.nextInt(60),
                         random.nextInt(9),
                         random.nextBoolean(),
@@ -92,23 +92,24 @@
         Ledger.Item item = ledger.items.get(id);
         for (int n = 0; item != null && n < item.sent.size(); n++) {
             if (item.sent.get(n).out && random.nextInt(3) == 0) {
-                Outcome outcome =
+                AttemptOutcome outcome =
                         random.nextInt(3) > 0
-                                ? Outcome.FINISHED
-                                : Outcome.values()[random.nextInt(Outcome.values().length)];
+                                ? AttemptOutcome.FINISHED
+                                : AttemptOutcome.values()[
+                                        random.nextInt(AttemptOutcome.values().length)];
                 ledger.settle(id, n, outcome);
             }
         }
     }
 
     private static void changeList(Ledger ledger, SplittableRandom random, int backends) {
-        List<Member> members = new ArrayList<>();
+        List<Endpoint> members = new ArrayList<>();
         for (int n = random.nextInt(4); n > 0; n--) {
-            Member m = Ledger.ready(random.nextInt(backends + 1));
-            Member.State state = Member.State.values()[random.nextInt(3)];
+            Endpoint m = Ledger.ready(random.nextInt(backends + 1));
+            Endpoint.State state = Endpoint.State.values()[random.nextInt(3)];
             long started = random.nextBoolean() ? m.startedAt() : ledger.now;
             members.add(
-                    new Member(
+                    new Endpoint(
                             m.id(),
                             m.zone(),
                             m.kind(),
--- a/src/test/java/cottonlock/lab/RegionsStudyTest.java
+++ b/src/test/java/cottonlock/lab/RegionsStudyTest.java
@@ -6,7 +6,7 @@
 
 import cottonlock.lab.world.RegionsStudy;
 import cottonlock.lab.world.Topology;
-import cottonlock.setup.MembershipRules;
+import cottonlock.setup.MembershipProtocolConfig;
 import java.util.Map;
 import java.util.function.LongSupplier;
 import net.jqwik.api.Example;
@@ -42,7 +42,7 @@
     private static Map<String, Long> play(long seed, int size, int quiet, int apart) {
         return RegionsStudy.of(
                 new RegionsStudy.Play(seed, size, TOPOLOGY, quiet, apart, size),
-                MembershipRules.USUAL,
+                MembershipProtocolConfig.USUAL,
                 new NoGauge(),
                 (name, figures) -> {});
     }
@@ -62,7 +62,8 @@
                                 name + " never was: " + figures));
         assertEquals(0, figures.get("false_failed"), figures.toString());
         assertTrue(
-                figures.get("bytes_s_worst") <= MembershipRules.USUAL.bytes(), figures.toString());
+                figures.get("bytes_s_worst") <= MembershipProtocolConfig.USUAL.bytes(),
+                figures.toString());
         if (size <= 100) {
             // What docs/membership.md gives for this size, and as much again.
             Map.of(
--- a/src/test/java/cottonlock/lab/ScenarioTest.java
+++ b/src/test/java/cottonlock/lab/ScenarioTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.config.BadFile;
+import cottonlock.config.InvalidConfigurationException;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -49,7 +49,10 @@
     private static List<String> faults(String text, String... sets) throws IOException {
         Path file = file(text);
         List<String> faults = new ArrayList<>();
-        BadFile e = assertThrows(BadFile.class, () -> Scenario.read(file, List.of(sets), null));
+        InvalidConfigurationException e =
+                assertThrows(
+                        InvalidConfigurationException.class,
+                        () -> Scenario.read(file, List.of(sets), null));
         e.faults().forEach(fault -> faults.add(fault.replace(file.toString(), "F")));
         return faults;
     }
@@ -238,7 +241,7 @@
         try {
             Files.write(file, bytes);
             Scenario.read(file, List.of(), null);
-        } catch (BadFile e) {
+        } catch (InvalidConfigurationException e) {
             assertTrue(e.faults().size() > 0 && e.faults().get(0).startsWith(file.toString()));
         } finally {
             Files.delete(file);
--- a/src/test/java/cottonlock/lab/scale/CapacityPageTest.java
+++ b/src/test/java/cottonlock/lab/scale/CapacityPageTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.config.BadFile;
+import cottonlock.config.InvalidConfigurationException;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -89,7 +89,8 @@
     void aFigureInTheProseIsAFault() throws Exception {
         Path folder = copy(FIXTURE);
         change(folder.resolve("page.md"), "Budgets:", "Budgets, of 17 machines:");
-        BadFile bad = assertThrows(BadFile.class, () -> CapacityPage.of(folder));
+        InvalidConfigurationException bad =
+                assertThrows(InvalidConfigurationException.class, () -> CapacityPage.of(folder));
         assertTrue(bad.getMessage().contains("page.md:3: a figure in the prose"), bad.getMessage());
     }
 
@@ -97,7 +98,8 @@
     void aPlaceThatNothingFillsIsAFault() throws Exception {
         Path folder = copy(FIXTURE);
         change(folder.resolve("page.md"), "{{operators.backends}}", "{{operators.backend}}");
-        BadFile bad = assertThrows(BadFile.class, () -> CapacityPage.of(folder));
+        InvalidConfigurationException bad =
+                assertThrows(InvalidConfigurationException.class, () -> CapacityPage.of(folder));
         assertTrue(
                 bad.getMessage().contains("page.md:3: there is no operators.backend"),
                 bad.getMessage());
@@ -308,7 +310,10 @@
     private static void assertBudget(String one, String other, String told) throws Exception {
         Path folder = copy(FIXTURE);
         change(folder.resolve("budget.toml"), one, other);
-        BadFile bad = assertThrows(BadFile.class, () -> Budget.read(folder.resolve("budget.toml")));
+        InvalidConfigurationException bad =
+                assertThrows(
+                        InvalidConfigurationException.class,
+                        () -> Budget.read(folder.resolve("budget.toml")));
         assertTrue(
                 bad.getMessage().contains(told) && bad.getMessage().contains("budget.toml:"),
                 bad.getMessage());
@@ -324,7 +329,7 @@
         try {
             ResultFile.read(file);
             return "";
-        } catch (BadFile e) {
+        } catch (InvalidConfigurationException e) {
             assertTrue(e.getMessage().startsWith(file.toString()), e.getMessage());
             return e.getMessage().substring(file.toString().length()).replaceFirst("^[:0-9]* ", "");
         }
--- a/src/test/java/cottonlock/lab/scale/ScaleTest.java
+++ b/src/test/java/cottonlock/lab/scale/ScaleTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.config.BadFile;
+import cottonlock.config.InvalidConfigurationException;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.net.DatagramPacket;
@@ -228,9 +228,10 @@
                         "fleet.real: expected no more than the proxies of one region, found 40"
                     }
                 }) {
-            BadFile e =
+            InvalidConfigurationException e =
                     assertThrows(
-                            BadFile.class, () -> ScaleFile.read(SHORT, List.of(fault[0]), null));
+                            InvalidConfigurationException.class,
+                            () -> ScaleFile.read(SHORT, List.of(fault[0]), null));
             assertEquals(1, e.faults().size(), e.getMessage());
             assertTrue(e.getMessage().contains(fault[1]), e.getMessage());
         }
--- a/src/test/java/cottonlock/membership/ExchangeTest.java
+++ b/src/test/java/cottonlock/membership/ExchangeTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
-import cottonlock.setup.MembershipRules;
+import cottonlock.setup.MembershipProtocolConfig;
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
@@ -41,7 +41,7 @@
         Set<String> told = new TreeSet<>();
         Membership machine =
                 new Membership(
-                        MembershipRules.USUAL,
+                        MembershipProtocolConfig.USUAL,
                         new Membership.Outlet() {
                             @Override
                             public void send(String to, byte[] datagram) {
--- a/src/test/java/cottonlock/membership/MembershipTest.java
+++ b/src/test/java/cottonlock/membership/MembershipTest.java
@@ -8,7 +8,7 @@
 
 import cottonlock.lab.world.Fleet;
 import cottonlock.lab.world.World;
-import cottonlock.setup.MembershipRules;
+import cottonlock.setup.MembershipProtocolConfig;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -24,9 +24,9 @@
  */
 class MembershipTest {
     private static final long SECOND = 10_000;
-    private static final MembershipRules USUAL = MembershipRules.USUAL;
+    private static final MembershipProtocolConfig USUAL = MembershipProtocolConfig.USUAL;
 
-    private static MembershipRules rules(
+    private static MembershipProtocolConfig rules(
             int helpers,
             double suspicion,
             long hung,
@@ -34,7 +34,7 @@
             long forget,
             int doubts,
             int contact) {
-        return new MembershipRules(
+        return new MembershipProtocolConfig(
                 USUAL.period(),
                 USUAL.answer(),
                 helpers,
@@ -51,11 +51,11 @@
                 contact);
     }
 
-    private static MembershipRules usual() {
+    private static MembershipProtocolConfig usual() {
         return rules(3, 3, 20_000, 1_024, 6_000_000, 3, 2);
     }
 
-    private static Fleet fleet(long seed, int size, MembershipRules rules, Habits habits) {
+    private static Fleet fleet(long seed, int size, MembershipProtocolConfig rules, Habits habits) {
         Fleet fleet =
                 new Fleet(
                         new World(seed),
@@ -155,7 +155,7 @@
         }
     }
 
-    private static boolean healed(long seed, int groups, MembershipRules rules) {
+    private static boolean healed(long seed, int groups, MembershipProtocolConfig rules) {
         Fleet fleet = fleet(seed, 9, rules, new Habits());
         fleet.split(groups);
         pass(fleet, 6);
@@ -252,7 +252,7 @@
                 seed -> oneWay(seed, rules(0, 3, 20_000, 1_024, 6_000_000, 3, 2)));
     }
 
-    private static boolean oneWay(long seed, MembershipRules rules) {
+    private static boolean oneWay(long seed, MembershipProtocolConfig rules) {
         Fleet fleet = fleet(seed, 6, rules, new Habits());
         fleet.world.cut((from, to) -> from == 0 && to == 1);
         pass(fleet, 60);
@@ -378,7 +378,7 @@
                 seed -> hung(seed, rules(3, 3, Long.MAX_VALUE, 1_024, 6_000_000, 3, 2)));
     }
 
-    private static boolean hung(long seed, MembershipRules rules) {
+    private static boolean hung(long seed, MembershipProtocolConfig rules) {
         Fleet fleet = fleet(seed, 5, rules, new Habits());
         fleet.nodes.get(3).hang(20 * SECOND);
         boolean found = fleet.untilFailed(fleet.nodes.get(3), true, 15 * SECOND) >= 0;
--- a/src/test/java/cottonlock/membership/SmallWorldsTest.java
+++ b/src/test/java/cottonlock/membership/SmallWorldsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.setup.MembershipRules;
+import cottonlock.setup.MembershipProtocolConfig;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -23,8 +23,8 @@
  * well, views must become right.
  */
 class SmallWorldsTest {
-    private static final MembershipRules RULES =
-            new MembershipRules(
+    private static final MembershipProtocolConfig RULES =
+            new MembershipProtocolConfig(
                     5_000, 1_500, 1, 1, 1, 1, 20_000, 1, 16, 6_000_000, 4_096, 3, 3_000, 1);
 
     /** Steps, beside those of the beginnings. */
--- a/src/test/java/cottonlock/net/BackendThreadsTest.java
+++ b/src/test/java/cottonlock/proxy/BackendThreadsTest.java
@@ -1,4 +1,4 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/cottonlock/net/ClientsThatLeaveTest.java
+++ b/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
@@ -1,11 +1,11 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cottonlock.admin.Figures;
-import cottonlock.setup.Assembly;
+import cottonlock.setup.LoadBalancerFactory;
 import cottonlock.setup.Settings;
 import java.io.IOException;
 import java.io.InputStream;
@@ -658,7 +658,7 @@
     void whatIsReadAfterItsConnectionWasEndedIsNotSentOn() throws Exception {
         Settings settings = Config.read(config(settings(256, 1, ""))).settings();
         Admission admission =
-                new Admission(clock, new Rules(null, new Assembly(settings), settings));
+                new Admission(clock, new Rules(null, new LoadBalancerFactory(settings), settings));
         Listener listener =
                 new Listener(
                         new InetSocketAddress("127.0.0.1", 0),
--- a/src/test/java/cottonlock/net/ListsTest.java
+++ b/src/test/java/cottonlock/proxy/ListsTest.java
@@ -1,4 +1,4 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,11 +6,11 @@
 
 import cottonlock.admin.Figures;
 import cottonlock.admin.Management;
-import cottonlock.decision.Balancer;
-import cottonlock.decision.Member;
-import cottonlock.decision.Outlet;
-import cottonlock.decision.Reason;
-import cottonlock.setup.Assembly;
+import cottonlock.decision.Endpoint;
+import cottonlock.decision.LoadBalancer;
+import cottonlock.decision.LoadBalancerActions;
+import cottonlock.decision.RejectionReason;
+import cottonlock.setup.LoadBalancerFactory;
 import cottonlock.setup.Settings;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -120,7 +120,7 @@
     // Told after 6 s
 
     /** Counts calls for the list, and keeps the time to wake. */
-    private static final class Asks implements Outlet {
+    private static final class Asks implements LoadBalancerActions {
         private int asked;
         private long wakeAt;
 
@@ -131,10 +131,10 @@
         public void recall(long req, int attempt) {}
 
         @Override
-        public void defer(long req, long comeBack, Reason why) {}
+        public void defer(long req, long comeBack, RejectionReason why) {}
 
         @Override
-        public void writeOff(long req, Reason why) {}
+        public void writeOff(long req, RejectionReason why) {}
 
         @Override
         public void wakeMe(long at) {
@@ -162,7 +162,7 @@
     /**
      * Tenths of a millisecond from a failure until the next call; the module is woken when it asks.
      */
-    private static long pause(Balancer module, Asks asks, long now) {
+    private static long pause(LoadBalancer module, Asks asks, long now) {
         int before = asks.asked;
         module.listFailed(now);
         long at = now;
@@ -187,10 +187,13 @@
                                                                 "\"AskWithin\":" + within)))
                                 .settings();
                 Asks asks = new Asks();
-                Balancer module = new Assembly(settings).balancer(asks, seed);
+                LoadBalancer module = new LoadBalancerFactory(settings).balancer(asks, seed);
                 module.start(0);
                 module.list(
-                        0, List.of(new Member("b", 0, 0, 0, Member.State.READY, 1, 0)), true, true);
+                        0,
+                        List.of(new Endpoint("b", 0, 0, 0, Endpoint.State.READY, 1, 0)),
+                        true,
+                        true);
                 assertEquals(1, asks.asked, "a new process asks at once");
                 long now = 0;
                 for (int failed = 0; failed < 12; failed++) {
@@ -224,7 +227,7 @@
                                                             "\"AskWithin\":10000000")))
                             .settings();
             Asks asks = new Asks();
-            Balancer module = new Assembly(settings).balancer(asks, seed);
+            LoadBalancer module = new LoadBalancerFactory(settings).balancer(asks, seed);
             module.start(0);
             List<Long> own = new ArrayList<>();
             for (long now = 0; own.size() < 8; own.add(now)) {
@@ -269,7 +272,8 @@
                                         log),
                         new Figures(),
                         log);
-        Assembly assembly = new Assembly(Config.read(config(settings(256, 1, ""))).settings());
+        LoadBalancerFactory assembly =
+                new LoadBalancerFactory(Config.read(config(settings(256, 1, ""))).settings());
         ListWatch watch =
                 new ListWatch(
                         at,
@@ -841,7 +845,7 @@
                                         e ->
                                                 e.member().id().equals("b")
                                                         && (e.member().state()
-                                                                        == Member.State.READY)
+                                                                        == Endpoint.State.READY)
                                                                 == health.equals("active")),
                         text);
             }
--- a/src/test/java/cottonlock/net/OperatorDaysTest.java
+++ b/src/test/java/cottonlock/proxy/OperatorDaysTest.java
@@ -1,12 +1,12 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.decision.Member;
-import cottonlock.setup.Operator;
+import cottonlock.decision.Endpoint;
+import cottonlock.setup.OperatorConfig;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.ServerSocket;
@@ -26,7 +26,7 @@
 
     private void startManaged(Path folder, String text) throws IOException {
         file = config(text.replace("{\"listen\"", "{\"mgmt\":\"127.0.0.1:0\",\"listen\""));
-        proxy = new Proxy(file, Operator.NONE, null, folder);
+        proxy = new Proxy(file, OperatorConfig.NONE, null, folder);
         buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
     }
 
@@ -164,11 +164,11 @@
         List<String> told = new ArrayList<>();
         Bans here = new Bans(new Shared(folder, "p", "bans", log), clock, () -> {});
         Bans there = new Bans(new Shared(folder, "p", "bans", log), clock, () -> told.add("there"));
-        Member listed = new Member("b", 0, 0, 0, Member.State.READY, 1, 5);
+        Endpoint listed = new Endpoint("b", 0, 0, 0, Endpoint.State.READY, 1, 5);
         assertTrue(here.change("b", true));
         there.look();
         assertTrue(there.out("b"));
-        assertEquals(Member.State.DRAINING, there.told(listed).state());
+        assertEquals(Endpoint.State.DRAINING, there.told(listed).state());
         assertTrue(there.change("b", false));
         here.look();
         assertFalse(here.out("b"));
--- a/src/test/java/cottonlock/net/ProxyTest.java
+++ b/src/test/java/cottonlock/proxy/ProxyTest.java
@@ -1,12 +1,12 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.setup.Malformed;
-import cottonlock.setup.Operator;
+import cottonlock.setup.InvalidSettingsException;
+import cottonlock.setup.OperatorConfig;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.net.ConnectException;
@@ -48,7 +48,7 @@
         proxy =
                 new Proxy(
                         config(settings),
-                        new Operator(
+                        new OperatorConfig(
                                 Map.of(
                                         "Workload",
                                         "mesh",
@@ -84,13 +84,13 @@
     @Example
     void watchedSettingsThatCannotBeUsedAreToldAtTheStart() throws Exception {
         Path config = config(settings(256, 1, ""));
-        Malformed fault =
+        InvalidSettingsException fault =
                 assertThrows(
-                        Malformed.class,
+                        InvalidSettingsException.class,
                         () ->
                                 new Proxy(
                                         config,
-                                        new Operator(
+                                        new OperatorConfig(
                                                 Map.of(
                                                         "Fees.Handshake",
                                                         "-1",
@@ -877,10 +877,13 @@
                         "{\"settings\":{\"MembershipMode\":\"never\"},\"seed\":\"1\"}",
                         "{\"settings\":{\"FleetSize\":\"many\"},\"seed\":\"1\",\"discovery\":\"127.0.0.1:1\"}",
                         "{\"settings\":{},\"seed\":\"xyz\",\"discovery\":\"127.0.0.1:1\",\"listen\":\"127.0.0.1:0\"}")) {
-            Malformed fault = assertThrows(Malformed.class, () -> new Proxy(config(text)), text);
+            InvalidSettingsException fault =
+                    assertThrows(
+                            InvalidSettingsException.class, () -> new Proxy(config(text)), text);
             assertEquals(1, fault.getMessage().lines().count());
         }
-        assertThrows(Malformed.class, () -> new Proxy(Path.of("/nowhere/config.json")));
+        assertThrows(
+                InvalidSettingsException.class, () -> new Proxy(Path.of("/nowhere/config.json")));
     }
 
     /**
@@ -934,7 +937,7 @@
                 Body read = reader.body(buffers, null, Body.IN_HAND);
                 assertTrue(spoilt || read.length() == body.length());
                 read.release();
-            } catch (BadMessage | IOException e) {
+            } catch (MalformedMessageException | IOException e) {
                 assertTrue(spoilt, "a good message was refused: " + e);
             }
         }
--- a/src/test/java/cottonlock/net/RolloutProcessesTest.java
+++ b/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
@@ -1,12 +1,12 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cottonlock.lab.ControlMachine;
 import cottonlock.lab.ControlMachine.Trouble;
-import cottonlock.setup.Operator;
-import cottonlock.setup.RolloutPlan;
+import cottonlock.setup.OperatorConfig;
+import cottonlock.setup.RolloutConfig;
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -308,16 +308,16 @@
         proxy =
                 new Proxy(
                         file,
-                        new Operator(
+                        new OperatorConfig(
                                 Map.of(),
                                 null,
-                                new RolloutPlan(
+                                new RolloutConfig(
                                         "s",
                                         addresses,
                                         List.of(),
-                                        RolloutPlan.CALL,
-                                        RolloutPlan.COMPARE,
-                                        RolloutPlan.RETRY)),
+                                        RolloutConfig.CALL,
+                                        RolloutConfig.COMPARE,
+                                        RolloutConfig.RETRY)),
                         null,
                         folder);
         buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
--- a/src/test/java/cottonlock/net/VersionLineTest.java
+++ b/src/test/java/cottonlock/proxy/VersionLineTest.java
@@ -1,4 +1,4 @@
-package cottonlock.net;
+package cottonlock.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cottonlock.lab.ControlMachine;
-import cottonlock.setup.Malformed;
+import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.Settings;
 import java.util.Map;
 import net.jqwik.api.Example;
@@ -69,7 +69,7 @@
                     line(43, "0123456789abcdef", "x", SETTINGS),
                     "{\"seq\":43,\"digest\":\"0123456789abcdef\",\"settings\":{}}"
                 }) {
-            assertThrows(Malformed.class, () -> VersionLine.read(bad), bad);
+            assertThrows(InvalidSettingsException.class, () -> VersionLine.read(bad), bad);
         }
     }
 
@@ -105,9 +105,9 @@
             },
         };
         for (String[] one : bad) {
-            Malformed fault =
+            InvalidSettingsException fault =
                     assertThrows(
-                            Malformed.class,
+                            InvalidSettingsException.class,
                             () -> VersionLine.read(line(one[0])).judged(base(SETTINGS)),
                             one[0]);
             assertTrue(fault.getMessage().contains(one[1]), fault.getMessage());
@@ -115,7 +115,8 @@
         String others = SETTINGS.replace("\"z\"", "\"z\",\"y\"");
         VersionLine onOthers =
                 VersionLine.read(line(43, ControlMachine.digest(others), base(others), others));
-        Malformed fault = assertThrows(Malformed.class, () -> onOthers.judged(base(SETTINGS)));
+        InvalidSettingsException fault =
+                assertThrows(InvalidSettingsException.class, () -> onOthers.judged(base(SETTINGS)));
         assertTrue(
                 fault.getMessage().contains("for which a new process is needed"),
                 fault.getMessage());
--- a/src/test/java/cottonlock/rollout/RolloutTest.java
+++ b/src/test/java/cottonlock/rollout/RolloutTest.java
@@ -7,7 +7,7 @@
 
 import cottonlock.lab.rollout.RolloutStudy;
 import cottonlock.lab.rollout.RolloutStudy.Outcome;
-import cottonlock.setup.RolloutPlan;
+import cottonlock.setup.RolloutConfig;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -264,18 +264,18 @@
                 "off: who is turned away calls at once: " + off);
     }
 
-    private static RolloutPlan plan(int near, int far) {
+    private static RolloutConfig plan(int near, int far) {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < near + far; i++) {
             names.add("127.0.0.1:" + (1 + i));
         }
-        return new RolloutPlan(
+        return new RolloutConfig(
                 "s",
                 names.subList(0, near),
                 names.subList(near, near + far),
-                RolloutPlan.CALL,
-                RolloutPlan.COMPARE,
-                RolloutPlan.RETRY);
+                RolloutConfig.CALL,
+                RolloutConfig.COMPARE,
+                RolloutConfig.RETRY);
     }
 
     @Property(tries = 200)
@@ -295,7 +295,7 @@
     @Property(tries = 200)
     void versionsNeverGoBackAndWaitsAreBounded(@ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
-        RolloutPlan plan = plan(1 + chance.nextInt(4), chance.nextInt(4));
+        RolloutConfig plan = plan(1 + chance.nextInt(4), chance.nextInt(4));
         int machines = plan.control().size() + plan.far().size();
         Rollout r = new Rollout(0, plan, Version.NONE, chance.split());
         long now = 0;
@@ -354,7 +354,7 @@
         assertTrue(now <= 20_000 + 17 * 6_500, "0.65 s each behind the first: " + now);
         long waited = r.watch(now).at() - now;
         assertTrue(
-                waited >= RolloutPlan.RETRY / 2 && waited <= RolloutPlan.RETRY,
+                waited >= RolloutConfig.RETRY / 2 && waited <= RolloutConfig.RETRY,
                 "then one by one: " + waited);
     }
 }
--- a/src/test/java/cottonlock/bench/WireHostTest.java
+++ b/src/test/java/cottonlock/simulator/WireHostTest.java
@@ -1,4 +1,4 @@
-package cottonlock.bench;
+package cottonlock.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
