--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 # What a newcomer needs: make build, make test, make lint, EDGE_CONFIG=config.json make run
 
-.PHONY: build test lint run clean
+.PHONY: build test lint format run clean
 
 # The program, and the archive of classes that makes its starts quick.
 build:
@@ -12,7 +12,11 @@
 	mvn -B -ntp clean verify
 
 lint:
-	mvn -B -ntp checkstyle:check
+	mvn -B -ntp spotless:check checkstyle:check
+
+# Rewrites the sources in the project's format.
+format:
+	mvn -B -ntp -q spotless:apply
 
 # Serves until it gets SIGTERM (Ctrl-C).
 run:
--- a/src/main/java/cottonlock/lab/Arrivals.java
+++ b/src/main/java/cottonlock/lab/Arrivals.java
@@ -1,6 +1,6 @@
 package cottonlock.lab;
 
-import cottonlock.decision.Decides;
+import cottonlock.decision.Deterministic;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -12,7 +12,7 @@
  * so that two runs of one seed are given the same. Each tenant draws from a generator of its own: a
  * change of one tenant's rate moves no arrival of another's.
  */
-@Decides
+@Deterministic
 final class Arrivals {
     /** The largest work, as a multiple of the mean: one draw must not decide a run. */
     private static final double MOST = 20;
@@ -68,7 +68,8 @@
                 // Drawn at the highest rate and thinned out: an arrival before a burst is the same
                 // without
                 // it.
-                for (double at = 0; rate > 0; ) {
+                double at = 0;
+                while (rate > 0) {
                     at += even ? 1 / rate / most : -Math.log(1 - random.nextDouble()) / rate / most;
                     if (at >= length) {
                         break;
