--- /dev/null
+++ b/src/main/java/cottonlock/decision/AttemptTracker.java
@@ -0,0 +1,134 @@
+package cottonlock.decision;
+
+import cottonlock.decision.Request.Attempt;
+import cottonlock.decision.RequestClass.Repeat;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Sends, and decides whether what failed may and should be sent again. */
+public final class AttemptTracker extends RequestStage {
+    /** Repeats of work that may have run, per attempt: more would feed an overload. */
+    private static final double REPEATS = 0.1;
+
+    /** A backend is silent when its silence has a chance of e^-8 given the gaps before. */
+    private static final double SILENT = 8;
+
+    private final LoadBalancerActions outlet;
+    private final AdmissionController line;
+    private final BackendRegistry fleet;
+    int most;
+    private final boolean mayRecall;
+    final Map<Long, Request> open = new HashMap<>();
+    private double repeats;
+
+    public AttemptTracker(
+            LoadBalancerActions outlet,
+            AdmissionController line,
+            BackendRegistry fleet,
+            int most,
+            boolean mayRecall) {
+        this.outlet = outlet;
+        this.line = line;
+        this.fleet = fleet;
+        this.most = most;
+        this.mayRecall = mayRecall;
+    }
+
+    @Override
+    void take(Request req, long now) {
+        Backend b = req.candidates.get(0);
+        repeats = Math.min(5, repeats + REPEATS);
+        open.put(req.id, req);
+        outlet.attempt(req.id, b.id, req.sendBy());
+        req.attempts.add(new Attempt(b, now));
+        fleet.sent(b, req, now);
+    }
+
+    void settled(long now, long id, int number, AttemptOutcome outcome, boolean over) {
+        Request req = open.get(id);
+        if (req == null || number >= req.attempts.size() || !req.attempts.get(number).out) {
+            return;
+        }
+        Attempt attempt = req.attempts.get(number);
+        attempt.out = false;
+        attempt.neverRan = outcome.neverRan();
+        req.why = RejectionReason.of(outcome);
+        fleet.settled(attempt, req, outcome, now);
+        // In the batch after a standstill, times tell of the balancer and not of the backends.
+        if (now != fleet.stoodAt
+                && outcome != AttemptOutcome.RECALLED
+                && outcome != AttemptOutcome.NOT_SENT) {
+            line.lanes[req.tenant].learn(outcome, now - attempt.sentAt, req.category.dueTime());
+        }
+        boolean wasEnded = req.ended;
+        req.ended |= over;
+        if (!req.anyOut()) {
+            open.remove(id);
+        }
+        if (!req.ended && !req.anyOut() && mayRepeat(req, outcome, now)) {
+            before.before.take(req, now);
+        } else if (req.ended ? !wasEnded : !req.anyOut()) {
+            before.back(req, now);
+        }
+    }
+
+    private boolean mayRepeat(Request req, AttemptOutcome last, long now) {
+        if (req.attempts.size() >= most || now >= req.due) {
+            return false;
+        }
+        boolean ran = req.mayHaveRun() != null;
+        if (!ran
+                && !(last == AttemptOutcome.TURNED_AWAY
+                        && fleet.shape.balancers() > 2 * fleet.ready.size())) {
+            return true;
+        }
+        boolean may = (!ran || req.category.repeat() != Repeat.UNSAFE) && repeats >= 1;
+        repeats -= may ? 1 : 0;
+        return may;
+    }
+
+    void left(long now, long id) {
+        Request req = open.get(id);
+        if (req != null && !req.ended) {
+            req.ended = true;
+            before.back(req, now);
+        }
+    }
+
+    /**
+     * Frees the room of what is held by backends gone silent, and sends again elsewhere what may
+     * be.
+     */
+    void rescue(long now) {
+        long silent =
+                fleet.known.values().stream().filter(b -> fleet.silence(b, now) >= SILENT).count();
+        // Where most are silent the fault is not theirs alone, and sending again would feed it.
+        boolean few = silent * 2 <= fleet.ready.size();
+        for (Backend b : fleet.known.values()) {
+            boolean isSilent = fleet.silence(b, now) >= SILENT;
+            for (Request req : List.copyOf(b.held.values())) {
+                Attempt attempt = req.last();
+                // Work stuck at backends that are lost filled the room, and all else was turned
+                // away.
+                if (isSilent || fleet.overdue(req, now - attempt.sentAt, now)) {
+                    line.release(req);
+                }
+                if (isSilent && !attempt.missed) {
+                    fleet.missed(attempt, now);
+                    if (mayRecall
+                            && !req.ended
+                            && !attempt.recalled
+                            && now < req.due
+                            && (few || repeats >= 1)
+                            && req.category.repeat() == Repeat.SAFE
+                            && req.attempts.size() < most) {
+                        attempt.recalled = true;
+                        repeats += few ? 1 : 0;
+                        outlet.recall(req.id, req.attempts.size() - 1);
+                    }
+                }
+            }
+        }
+    }
+}
--- a/src/main/java/cottonlock/setup/LoadBalancerFactory.java
+++ b/src/main/java/cottonlock/setup/LoadBalancerFactory.java
@@ -1,9 +1,15 @@
 package cottonlock.setup;
 
+import cottonlock.decision.AdmissionController;
+import cottonlock.decision.AttemptTracker;
+import cottonlock.decision.BackendPicker;
+import cottonlock.decision.BackendRegistry;
 import cottonlock.decision.DeploymentTopology;
+import cottonlock.decision.LaneSelector;
 import cottonlock.decision.LoadBalancer;
 import cottonlock.decision.LoadBalancerActions;
 import cottonlock.decision.RequestClass;
+import cottonlock.decision.RequestIntake;
 import cottonlock.decision.SlowStartConfig;
 import cottonlock.decision.Tenant;
 import java.util.ArrayList;
@@ -58,17 +64,16 @@
                         s.timeUp("Obligations.Cold"),
                         s.number("Obligations.FallMultiple", 1),
                         s.timeUp("Obligations.Fall"));
-        LoadBalancer.Fleet fleet =
-                new LoadBalancer.Fleet(outlet, random.split(), tenants, shape, cold);
-        LoadBalancer.Line line =
-                new LoadBalancer.Line(fleet, random.split(), tenants, shape, first);
+        BackendRegistry fleet = new BackendRegistry(outlet, random.split(), tenants, shape, cold);
+        AdmissionController line =
+                new AdmissionController(fleet, random.split(), tenants, shape, first);
         return new LoadBalancer(
                 outlet,
-                new LoadBalancer.Intake(outlet, categories, tenants, first, shape, longestComeBack),
+                new RequestIntake(outlet, categories, tenants, first, shape, longestComeBack),
                 line,
-                new LoadBalancer.Lane(line, fleet),
-                new LoadBalancer.Pick(fleet, random.split()),
-                new LoadBalancer.Attempts(
+                new LaneSelector(line, fleet),
+                new BackendPicker(fleet, random.split()),
+                new AttemptTracker(
                         outlet,
                         line,
                         fleet,
--- a/src/test/java/cottonlock/decision/ColdFleet.java
+++ b/src/test/java/cottonlock/decision/ColdFleet.java
@@ -279,19 +279,17 @@
                             true,
                             15_000);
             SplittableRandom random = new SplittableRandom(world.chance().nextLong());
-            LoadBalancer.Fleet fleet =
-                    new LoadBalancer.Fleet(this, random.split(), tenants, shape, COLD);
-            LoadBalancer.Line line =
-                    new LoadBalancer.Line(fleet, random.split(), tenants, shape, day.first);
+            BackendRegistry fleet = new BackendRegistry(this, random.split(), tenants, shape, COLD);
+            AdmissionController line =
+                    new AdmissionController(fleet, random.split(), tenants, shape, day.first);
             balancer =
                     new LoadBalancer(
                             this,
-                            new LoadBalancer.Intake(
-                                    this, CATEGORIES, tenants, day.first, shape, 10_000),
+                            new RequestIntake(this, CATEGORIES, tenants, day.first, shape, 10_000),
                             line,
-                            new LoadBalancer.Lane(line, fleet),
-                            new LoadBalancer.Pick(fleet, random.split()),
-                            new LoadBalancer.Attempts(this, line, fleet, 4, true),
+                            new LaneSelector(line, fleet),
+                            new BackendPicker(fleet, random.split()),
+                            new AttemptTracker(this, line, fleet, 4, true),
                             fleet);
             balancer.start(world.now());
             List<Endpoint> members = machines.values().stream().map(m -> m.member).toList();
--- a/src/test/java/cottonlock/decision/Ledger.java
+++ b/src/test/java/cottonlock/decision/Ledger.java
@@ -73,7 +73,7 @@
     final List<String> released = new ArrayList<>();
     final List<Long> wakes = new ArrayList<>();
     final LoadBalancer balancer;
-    final LoadBalancer.Fleet fleet;
+    final BackendRegistry fleet;
     long now;
     int asked;
     private double busiest;
@@ -125,17 +125,17 @@
         this.categories = categories;
         SplittableRandom random = new SplittableRandom(seed);
         SlowStartConfig cold = new SlowStartConfig(COLD_SHARE, COLD, FALL_MULTIPLE, FALL);
-        fleet = new LoadBalancer.Fleet(this, random.split(), tenants, shape, cold);
-        LoadBalancer.Line line =
-                new LoadBalancer.Line(fleet, random.split(), tenants, shape, first);
+        fleet = new BackendRegistry(this, random.split(), tenants, shape, cold);
+        AdmissionController line =
+                new AdmissionController(fleet, random.split(), tenants, shape, first);
         balancer =
                 new LoadBalancer(
                         this,
-                        new LoadBalancer.Intake(this, categories, tenants, first, shape, 10_000),
+                        new RequestIntake(this, categories, tenants, first, shape, 10_000),
                         line,
-                        new LoadBalancer.Lane(line, fleet),
-                        new LoadBalancer.Pick(fleet, random.split()),
-                        new LoadBalancer.Attempts(this, line, fleet, MOST, mayRecall),
+                        new LaneSelector(line, fleet),
+                        new BackendPicker(fleet, random.split()),
+                        new AttemptTracker(this, line, fleet, MOST, mayRecall),
                         fleet);
         balancer.start(now);
     }
--- a/src/test/java/cottonlock/decision/LoadBalancerTest.java
+++ b/src/test/java/cottonlock/decision/LoadBalancerTest.java
@@ -51,12 +51,12 @@
     void lanesHoldTheSharesAndAtLeastOneBackend() {
         List<Tenant> tenants =
                 List.of(new Tenant(0.5, 0), new Tenant(0.45, 0), new Tenant(0.05, 0));
-        assertArrayEquals(new int[] {5, 4, 1}, LoadBalancer.Fleet.laneSizes(tenants, 10));
-        assertArrayEquals(new int[] {1, 1, 0}, LoadBalancer.Fleet.laneSizes(tenants, 2));
-        assertArrayEquals(new int[] {0, 0, 0}, LoadBalancer.Fleet.laneSizes(tenants, 0));
+        assertArrayEquals(new int[] {5, 4, 1}, BackendRegistry.laneSizes(tenants, 10));
+        assertArrayEquals(new int[] {1, 1, 0}, BackendRegistry.laneSizes(tenants, 2));
+        assertArrayEquals(new int[] {0, 0, 0}, BackendRegistry.laneSizes(tenants, 0));
         assertArrayEquals(
-                new int[] {2}, LoadBalancer.Fleet.laneSizes(List.of(new Tenant(0.2, 0)), 10));
-        assertArrayEquals(new int[0], LoadBalancer.Fleet.laneSizes(List.of(), 10));
+                new int[] {2}, BackendRegistry.laneSizes(List.of(new Tenant(0.2, 0)), 10));
+        assertArrayEquals(new int[0], BackendRegistry.laneSizes(List.of(), 10));
     }
 
     @Example
