--- a/src/main/java/cottonlock/Main.java
+++ b/src/main/java/cottonlock/Main.java
@@ -78,8 +78,8 @@
             System.getLogger("cottonlock")
                     .log(
                             System.Logger.Level.WARNING,
-                            "signals: SIGHUP was ignored"
-                                    + " before the start, as under nohup: a new configuration will never be taken in");
+                            "signals: SIGHUP was ignored before the start, as under nohup: a new"
+                                    + " configuration will never be taken in");
         }
 
         /** The proxy serves, or could not be started: null. */
--- a/src/main/java/cottonlock/cli/Cli.java
+++ b/src/main/java/cottonlock/cli/Cli.java
@@ -98,8 +98,8 @@
                 paramLabel = "FILE",
                 defaultValue = "${env:COTTONLOCK_OPERATOR}",
                 description =
-                        "The operator's file (TOML); else COTTONLOCK_OPERATOR names one, else there is "
-                                + "none.")
+                        "The operator's file (TOML); else COTTONLOCK_OPERATOR names one, else there"
+                                + " is none.")
         private Path operator;
 
         @Override
@@ -207,10 +207,8 @@
                 footer = {
                     "",
                     "The last line on standard output is the verdict.",
-                    "Exit status: 0 pass; 1 a rule or an "
-                            + "expectation broke; 2 the scenario or an argument can't be used; 3 the machine ran "
-                            + "late, so "
-                            + "there is no verdict."
+                    "Exit status: 0 pass; 1 a rule or an expectation broke; 2 the scenario or an"
+                        + " argument can't be used; 3 the machine ran late, so there is no verdict."
                 })
         int run(
                 @Parameters(paramLabel = "SCENARIO") Path file,
@@ -219,8 +217,8 @@
                                 names = "--set",
                                 paramLabel = "PATH=VALUE",
                                 description =
-                                        "Sets a value of the scenario: "
-                                                + "--set proxy.count=4, --set fault.0.at=2. May be given again.")
+                                        "Sets a value of the scenario: --set proxy.count=4, --set"
+                                                + " fault.0.at=2. May be given again.")
                         List<String> sets,
                 @Option(
                                 names = "--out",
@@ -252,8 +250,8 @@
                 description = "Works out docs/CAPACITY.md from the results in a folder.",
                 footer = {
                     "",
-                    "Exit status: 0 done; 1 a measured run broke a rule; 2 a file can't be used; 3 the "
-                            + "machine ran late, so a measured run shows nothing."
+                    "Exit status: 0 done; 1 a measured run broke a rule; 2 a file can't be used; 3"
+                            + " the machine ran late, so a measured run shows nothing."
                 })
         int capacity(
                 @Parameters(paramLabel = "DIR", description = "docs/capacity.") Path folder,
@@ -280,7 +278,8 @@
                 name = "members",
                 mixinStandardHelpOptions = true,
                 description =
-                        "Plays fleets that know one another in virtual time: what it costs and brings.",
+                        "Plays fleets that know one another in virtual time: what it costs and"
+                                + " brings.",
                 footer = {"", "One seed gives the same figures on any machine."})
         int members(
                 @Option(
@@ -323,8 +322,8 @@
                                 names = "--regions",
                                 defaultValue = "1",
                                 description =
-                                        "Regions with zones: "
-                                                + "racks, zones and regions fail in place of single members.")
+                                        "Regions with zones: racks, zones and regions fail in place"
+                                                + " of single members.")
                         int regions,
                 @Option(names = "--zones", defaultValue = "1", description = "Over all regions.")
                         int zones,
@@ -359,8 +358,9 @@
                     spec.commandLine()
                             .getErr()
                             .println(
-                                    "cottonlock lab members: expected 2 to 64 zones, no "
-                                            + "more regions than zones, sizes from the zones to 4096, and one second or more");
+                                    "cottonlock lab members: expected 2 to 64 zones, no more"
+                                        + " regions than zones, sizes from the zones to 4096, and"
+                                        + " one second or more");
                     return UNUSABLE;
                 }
                 return lab().membersOver(
@@ -381,8 +381,8 @@
                 spec.commandLine()
                         .getErr()
                         .println(
-                                "cottonlock lab members: expected sizes of 2 to 4096, "
-                                        + "losses of 0 to 0.9, and one death and one second or more");
+                                "cottonlock lab members: expected sizes of 2 to 4096, losses of 0"
+                                        + " to 0.9, and one death and one second or more");
                 return UNUSABLE;
             }
             return lab().members(sizes, losses, seed, deaths, quiet, operator, out);
@@ -396,8 +396,8 @@
                 footer = {
                     "",
                     "The last line on standard output is the verdict.",
-                    "Exit status: 0 pass; 1 a bound broke; 2 the file can't be used, or takes too much of this "
-                            + "machine; 3 the machine ran late, so there is no verdict."
+                    "Exit status: 0 pass; 1 a bound broke; 2 the file can't be used, or takes too"
+                        + " much of this machine; 3 the machine ran late, so there is no verdict."
                 })
         int scale(
                 @Parameters(paramLabel = "FILE") Path file,
@@ -426,8 +426,8 @@
                 footer = {
                     "",
                     "One seed gives the same figures on any machine.",
-                    "Exit status: 0 played; 1 a change was not in force in time, or a version went back; "
-                            + "2 an argument can't be used."
+                    "Exit status: 0 played; 1 a change was not in force in time, or a version went"
+                            + " back; 2 an argument can't be used."
                 })
         int rollout(
                 @Option(
@@ -473,9 +473,8 @@
                                 paramLabel = "PATH=V1,V2,...",
                                 required = true,
                                 description =
-                                        "The one "
-                                                + "with commas is swept; others, with one value each, are set in all "
-                                                + "runs.")
+                                        "The one with commas is swept; others, with one value each,"
+                                                + " are set in all runs.")
                         List<String> sets,
                 @Option(
                                 names = "--seeds",
--- a/src/main/java/cottonlock/lab/MembersStudy.java
+++ b/src/main/java/cottonlock/lab/MembersStudy.java
@@ -29,9 +29,11 @@
     /** Plays each, and prints a line for it as soon as it is known. */
     void play(long seed, int deaths, int quiet, PrintStream out) {
         out.println(
-                "size  loss  first knows, ms  all know, ms   false failures    bytes/s     joined  heal");
+                "size  loss  first knows, ms  all know, ms   false failures    bytes/s     joined "
+                        + " heal");
         out.println(
-                "            median  worst    median  worst  an hour   hours   mean worst  ms      ms");
+                "            median  worst    median  worst  an hour   hours   mean worst  ms     "
+                        + " ms");
         for (double loss : losses) {
             for (int size : sizes) {
                 Study.Row r = Study.of(seed, size, loss, deaths, quiet, rules);
--- a/src/main/java/cottonlock/lab/scale/Calls.java
+++ b/src/main/java/cottonlock/lab/scale/Calls.java
@@ -99,7 +99,10 @@
 
     private void call(int port) {
         byte[] ask =
-                ("GET /quote HTTP/1.1\r\nHost: lab\r\nX-Priority-Class: quote\r\nX-Tenant-Id: acme\r\n"
+                ("GET /quote HTTP/1.1\r\n"
+                                + "Host: lab\r\n"
+                                + "X-Priority-Class: quote\r\n"
+                                + "X-Tenant-Id: acme\r\n"
                                 + "X-Timeout-Ms: "
                                 + PATIENCE_MS
                                 + "\r\nX-Request-ID: ")
