--- a/src/main/java/cottonlock/admin/Management.java
+++ b/src/main/java/cottonlock/admin/ManagementServer.java
@@ -13,7 +13,7 @@
  * Answers operators' calls, one line to a connection, on threads and descriptors of its own: it
  * must answer within a second also while everything else is full.
  */
-public final class Management implements Runnable {
+public final class ManagementServer implements Runnable {
     /**
      * Connections at most: some hold theirs for seconds, and each takes a descriptor and a thread.
      */
@@ -55,7 +55,7 @@
     private int open;
 
     /** Listens from now on, and answers when it is run. */
-    public Management(InetSocketAddress address, Desk desk) throws IOException {
+    public ManagementServer(InetSocketAddress address, Desk desk) throws IOException {
         this.desk = desk;
         server.setReuseAddress(true);
         try {
--- a/src/main/java/cottonlock/admin/Figures.java
+++ b/src/main/java/cottonlock/admin/Metrics.java
@@ -14,7 +14,7 @@
  * What this process has counted since it started; each count is defined here, and kept where it
  * happens.
  */
-public final class Figures {
+public final class Metrics {
     /** How a request ended, as its client saw it. */
     private enum End {
         SUCCESS,
--- a/src/main/java/cottonlock/decision/Deterministic.java
+++ b/src/main/java/cottonlock/core/Deterministic.java
@@ -1,4 +1,4 @@
-package cottonlock.decision;
+package cottonlock.core;
 
 import java.lang.annotation.ElementType;
 import java.lang.annotation.Retention;
--- a/src/main/java/cottonlock/lab/BackendModel.java
+++ b/src/main/java/cottonlock/lab/BackendModel.java
@@ -1,6 +1,6 @@
 package cottonlock.lab;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import java.util.ArrayDeque;
 import java.util.Deque;
 
--- a/src/main/java/cottonlock/lab/MembersJudge.java
+++ b/src/main/java/cottonlock/lab/MembersJudge.java
@@ -1,6 +1,6 @@
 package cottonlock.lab;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
--- a/src/main/java/cottonlock/lab/PeerPaths.java
+++ b/src/main/java/cottonlock/lab/PeerPaths.java
@@ -1,6 +1,6 @@
 package cottonlock.lab;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/src/main/java/cottonlock/lab/RolloutReport.java
+++ b/src/main/java/cottonlock/lab/RolloutReport.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import cottonlock.lab.rollout.RolloutStudy;
 import cottonlock.lab.rollout.RolloutStudy.Outcome;
-import cottonlock.rollout.Habits;
+import cottonlock.rollout.RolloutVariants;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -41,7 +41,7 @@
                         + " back  harmed  differ");
         for (int size : sizes) {
             for (long seed : seeds) {
-                RolloutStudy study = new RolloutStudy(size, seed, Habits.USUAL);
+                RolloutStudy study = new RolloutStudy(size, seed, RolloutVariants.USUAL);
                 Outcome quiet = study.quiet();
                 kept &= tell(size, seed, "quiet", quiet);
                 Map<String, Outcome> events = new LinkedHashMap<>();
--- a/src/main/java/cottonlock/lab/Verdict.java
+++ b/src/main/java/cottonlock/lab/Verdict.java
@@ -10,7 +10,7 @@
  * What a run comes to: figures by name, and each breach of a rule or a bound as a line. Pure: it is
  * told figures and judges them.
  */
-@cottonlock.decision.Deterministic
+@cottonlock.core.Deterministic
 final class Verdict {
     /** The figures in the order of the line; all but the decimal ones are counts. */
     static final List<String> KEYS =
--- a/src/main/java/cottonlock/lab/package-info.java
+++ b/src/main/java/cottonlock/lab/package-info.java
@@ -4,7 +4,7 @@
  * by {@code serve}.
  *
  * <p>All stand-ins live on one thread, a {@link cottonlock.lab.Loop}, and so need no locks; what
- * they decide stands in classes free of I/O, marked {@link cottonlock.decision.Deterministic}.
+ * they decide stands in classes free of I/O, marked {@link cottonlock.core.Deterministic}.
  * docs/lab.md says why.
  */
 package cottonlock.lab;
--- a/src/main/java/cottonlock/lab/rollout/ControlModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ControlModel.java
@@ -1,8 +1,8 @@
 package cottonlock.lab.rollout;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import cottonlock.lab.world.World;
-import cottonlock.rollout.Version;
+import cottonlock.rollout.ConfigurationVersion;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -35,7 +35,7 @@
         int zone();
 
         /** A version with its content, or without where the call named it; null: an empty line. */
-        void line(Version version, boolean whole);
+        void line(ConfigurationVersion version, boolean whole);
 
         /** The connection has ended, or was refused. */
         void ended();
@@ -46,7 +46,7 @@
     private final World world;
     private final Links links;
     private final Set<Caller> watches = new LinkedHashSet<>();
-    private Version held = Version.NONE;
+    private ConfigurationVersion held = ConfigurationVersion.NONE;
     private boolean down;
     private boolean frozen;
     private boolean halved;
@@ -66,12 +66,12 @@
         world.at(world.chance().nextLong(BEAT), this::beat);
     }
 
-    Version held() {
+    ConfigurationVersion held() {
         return held;
     }
 
     /** It hears of a version; one that lies behind does not. */
-    void hear(Version version) {
+    void hear(ConfigurationVersion version) {
         if (!down && !frozen && version.compareTo(held) > 0) {
             held = version;
             for (Caller watch : watches) {
@@ -120,7 +120,7 @@
     /**
      * A call has come, for a watch that names what it has, or for the number of what is held here.
      */
-    void called(Caller caller, Version has, boolean watch) {
+    void called(Caller caller, ConfigurationVersion has, boolean watch) {
         long now = world.now();
         if (now / SECOND != second) {
             second = now / SECOND;
@@ -149,7 +149,7 @@
                 });
     }
 
-    private void tell(Caller caller, Version version, boolean whole, long work) {
+    private void tell(Caller caller, ConfigurationVersion version, boolean whole, long work) {
         busyUntil = Math.max(world.now(), busyUntil) + work;
         world.at(
                 work == 0 ? world.now() : busyUntil,
--- a/src/main/java/cottonlock/lab/rollout/Deployment.java
+++ b/src/main/java/cottonlock/lab/rollout/Deployment.java
@@ -1,9 +1,9 @@
 package cottonlock.lab.rollout;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import cottonlock.lab.world.World;
-import cottonlock.rollout.Habits;
-import cottonlock.rollout.Version;
+import cottonlock.rollout.ConfigurationVersion;
+import cottonlock.rollout.RolloutVariants;
 import cottonlock.setup.RolloutConfig;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -37,9 +37,9 @@
     final List<ProxyModel> proxies = new ArrayList<>();
 
     /** Versions that can't be used, by whoever tries them. */
-    final Set<Version> poison = new HashSet<>();
+    final Set<ConfigurationVersion> poison = new HashSet<>();
 
-    private Version target;
+    private ConfigurationVersion target;
     private long since;
 
     /** How long each proxy took until it held the target; -1: it does not yet. */
@@ -47,7 +47,7 @@
 
     private long[] startedAt;
 
-    Deployment(int size, long seed, Habits habits) {
+    Deployment(int size, long seed, RolloutVariants habits) {
         world = new World(seed);
         links = new Links(world, REGIONS);
         for (int i = 0; i < CONTROL; i++) {
@@ -60,12 +60,12 @@
         ProxyModel.Content content =
                 new ProxyModel.Content() {
                     @Override
-                    public String fault(Version version) {
+                    public String fault(ConfigurationVersion version) {
                         return poison.contains(version) ? "cannot be used" : null;
                     }
 
                     @Override
-                    public int bytes(Version version) {
+                    public int bytes(ConfigurationVersion version) {
                         return CONTENT;
                     }
                 };
@@ -103,7 +103,7 @@
         for (int i = 0; i < size; i++) {
             start(i);
         }
-        publish(0, new Version(1, 1));
+        publish(0, new ConfigurationVersion(1, 1));
         world.until(world.now() + 20 * SECOND);
         worstCalls();
         worstBytes();
@@ -128,13 +128,13 @@
     /**
      * A version is published at a control machine; from now on it is the one that is waited for.
      */
-    void publish(int at, Version version) {
+    void publish(int at, ConfigurationVersion version) {
         expect(version);
         tell(at, version);
     }
 
     /** Published, but not the one that is waited for. */
-    void tell(int at, Version version) {
+    void tell(int at, ConfigurationVersion version) {
         ControlModel origin = control.get(at);
         origin.hear(version);
         for (ControlModel other : control) {
@@ -147,7 +147,7 @@
     }
 
     /** Times count from now on, until a proxy holds this version. */
-    void expect(Version version) {
+    void expect(ConfigurationVersion version) {
         target = version;
         since = world.now();
         Arrays.fill(took, -1);
--- a/src/main/java/cottonlock/lab/rollout/Links.java
+++ b/src/main/java/cottonlock/lab/rollout/Links.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.rollout;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import cottonlock.lab.world.World;
 
 /**
--- a/src/main/java/cottonlock/lab/rollout/ProxyModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ProxyModel.java
@@ -1,17 +1,17 @@
 package cottonlock.lab.rollout;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import cottonlock.lab.world.World;
-import cottonlock.rollout.Habits;
-import cottonlock.rollout.Rollout;
-import cottonlock.rollout.Version;
+import cottonlock.rollout.ConfigurationRollout;
+import cottonlock.rollout.ConfigurationVersion;
+import cottonlock.rollout.RolloutVariants;
 import cottonlock.setup.RolloutConfig;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 
 /**
- * A proxy in virtual time: {@link Rollout} as it serves, carried as {@code
+ * A proxy in virtual time: {@link ConfigurationRollout} as it serves, carried as {@code
  * cottonlock.proxy.RolloutActor} does on sockets: one thread, one watch, and a second connection
  * during a comparison.
  */
@@ -31,9 +31,9 @@
     /** What a version does where it is tried. */
     interface Content {
         /** Why a version can't be used; null: it can. */
-        String fault(Version version);
+        String fault(ConfigurationVersion version);
 
-        int bytes(Version version);
+        int bytes(ConfigurationVersion version);
     }
 
     final int zone;
@@ -42,18 +42,18 @@
     private final List<ControlModel> near;
     private final RolloutConfig plan;
     private final Content content;
-    private final Habits habits;
+    private final RolloutVariants habits;
     private final SplittableRandom chance;
 
     /** Called at each change of what is in force. */
     private final Runnable changed;
 
-    private Rollout rollout;
+    private ConfigurationRollout rollout;
 
     /** On its disk. */
-    private Version kept = Version.NONE;
+    private ConfigurationVersion kept = ConfigurationVersion.NONE;
 
-    private Version inForce = Version.NONE;
+    private ConfigurationVersion inForce = ConfigurationVersion.NONE;
     private boolean alive;
     private boolean paused;
     private Connection watch;
@@ -63,7 +63,7 @@
     private final List<Runnable> heldBack = new ArrayList<>();
     private int life;
     private int wentBack;
-    private Version highest = Version.NONE;
+    private ConfigurationVersion highest = ConfigurationVersion.NONE;
     private boolean harmed;
     private int judged;
     private long bytes;
@@ -78,7 +78,7 @@
             List<ControlModel> nearFirst,
             RolloutConfig plan,
             Content content,
-            Habits habits,
+            RolloutVariants habits,
             Runnable changed) {
         this.zone = zone;
         this.world = world;
@@ -111,7 +111,7 @@
 
         void open(long limit) {
             count(CALL_BYTES);
-            Version has = rollout.asks();
+            ConfigurationVersion has = rollout.asks();
             // A first packet is sent again after a second, beyond any limit here.
             if (!links.cut(zone, machine.zone)) {
                 world.at(
@@ -128,7 +128,7 @@
         }
 
         @Override
-        public void line(Version version, boolean whole) {
+        public void line(ConfigurationVersion version, boolean whole) {
             inOrder(
                     this,
                     () -> {
@@ -162,7 +162,7 @@
         }
 
         private void silentFrom(long at) {
-            long silence = habits.silence(Rollout.SILENCE);
+            long silence = habits.silence(ConfigurationRollout.SILENCE);
             world.at(
                     at + silence,
                     () ->
@@ -224,7 +224,7 @@
         all.forEach(Runnable::run);
     }
 
-    private void heard(Version version, boolean whole, boolean half) {
+    private void heard(ConfigurationVersion version, boolean whole, boolean half) {
         if (!rollout.told(world.now(), version) || !whole) {
             return;
         }
@@ -286,7 +286,7 @@
 
     private void dial() {
         looksAt = Long.MAX_VALUE;
-        Rollout.Call call = rollout.watch(world.now());
+        ConfigurationRollout.Call call = rollout.watch(world.now());
         lineAt = -1;
         Connection mine = new Connection(call.machine(), true);
         watch = mine;
@@ -305,7 +305,7 @@
         life++;
         heldBack.clear();
         inForce = kept;
-        rollout = new Rollout(world.now(), plan, kept, chance.split(), habits);
+        rollout = new ConfigurationRollout(world.now(), plan, kept, chance.split(), habits);
         note();
         dial();
     }
@@ -342,11 +342,11 @@
         worst = Math.max(worst, inSecond);
     }
 
-    Version inForce() {
+    ConfigurationVersion inForce() {
         return inForce;
     }
 
-    Rollout.Figures figures() {
+    ConfigurationRollout.Figures figures() {
         return rollout.figures();
     }
 
--- a/src/main/java/cottonlock/lab/rollout/RolloutStudy.java
+++ b/src/main/java/cottonlock/lab/rollout/RolloutStudy.java
@@ -1,8 +1,8 @@
 package cottonlock.lab.rollout;
 
-import cottonlock.decision.Deterministic;
-import cottonlock.rollout.Habits;
-import cottonlock.rollout.Version;
+import cottonlock.core.Deterministic;
+import cottonlock.rollout.ConfigurationVersion;
+import cottonlock.rollout.RolloutVariants;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.LinkedHashMap;
@@ -36,10 +36,13 @@
 
     private final int size;
     private final long seed;
-    private final Habits habits;
+    private final RolloutVariants habits;
 
-    /** Of a deployment of that size; habits are {@link Habits#USUAL} unless a test plays others. */
-    public RolloutStudy(int size, long seed, Habits habits) {
+    /**
+     * Of a deployment of that size; habits are {@link RolloutVariants#USUAL} unless a test plays
+     * others.
+     */
+    public RolloutStudy(int size, long seed, RolloutVariants habits) {
         this.size = size;
         this.seed = seed;
         this.habits = habits;
@@ -89,8 +92,8 @@
         return new Deployment(size, seed, habits);
     }
 
-    private static Version version(long number) {
-        return new Version(number, number * 0x9E3779B97F4A7C15L);
+    private static ConfigurationVersion version(long number) {
+        return new ConfigurationVersion(number, number * 0x9E3779B97F4A7C15L);
     }
 
     /** Changes on quiet days; with {@code mean}: bytes a second of one proxy. */
@@ -131,12 +134,12 @@
         Deployment d = deployment();
         d.links.split(true);
         d.world.until(d.world.now() + 5 * SECOND);
-        d.tell(0, new Version(2, 5));
-        d.tell(1, new Version(2, -3));
+        d.tell(0, new ConfigurationVersion(2, 5));
+        d.tell(1, new ConfigurationVersion(2, -3));
         d.world.until(d.world.now() + 20 * SECOND);
         long sides = d.proxies.stream().map(ProxyModel::inForce).distinct().count();
         d.links.split(false);
-        d.expect(new Version(2, -3));
+        d.expect(new ConfigurationVersion(2, -3));
         return outcome(d, d.times(MOST, d.all()), Map.of("versions_while_split", sides));
     }
 
@@ -185,7 +188,10 @@
         Deployment d = deployment();
         d.control.forEach(c -> c.down(true));
         d.world.until(d.world.now() + 600 * SECOND);
-        long kept = d.proxies.stream().filter(p -> p.inForce().equals(new Version(1, 1))).count();
+        long kept =
+                d.proxies.stream()
+                        .filter(p -> p.inForce().equals(new ConfigurationVersion(1, 1)))
+                        .count();
         long down = d.worstCalls();
         d.control.forEach(c -> c.down(false));
         d.publish(0, version(2));
@@ -220,7 +226,10 @@
         d.tell(0, version(2));
         d.world.until(d.world.now() + 20 * SECOND);
         long refused = d.proxies.stream().mapToLong(p -> p.figures().refused()).sum();
-        long kept = d.proxies.stream().filter(p -> p.inForce().equals(new Version(1, 1))).count();
+        long kept =
+                d.proxies.stream()
+                        .filter(p -> p.inForce().equals(new ConfigurationVersion(1, 1)))
+                        .count();
         judged = d.proxies.stream().mapToInt(ProxyModel::judged).sum() - judged;
         d.publish(0, version(3));
         return outcome(
@@ -276,7 +285,7 @@
         long never = times.stream().filter(t -> t < 0).count();
         List<Long> sorted = new ArrayList<>(times.subList((int) never, times.size()));
         sorted.addAll(Collections.nCopies((int) never, -10L));
-        Map<Version, Long> held = new LinkedHashMap<>();
+        Map<ConfigurationVersion, Long> held = new LinkedHashMap<>();
         d.proxies.forEach(p -> held.merge(p.inForce(), 1L, Long::sum));
         long same = Collections.max(held.values());
         int n = sorted.size();
--- a/src/main/java/cottonlock/lab/scale/HollowHost.java
+++ b/src/main/java/cottonlock/lab/scale/HollowHost.java
@@ -2,9 +2,9 @@
 
 import cottonlock.config.InvalidConfigurationException;
 import cottonlock.config.OperatorFile;
-import cottonlock.membership.MembersActor;
-import cottonlock.membership.View;
-import cottonlock.proxy.ControlPart;
+import cottonlock.membership.MembershipService;
+import cottonlock.membership.MembershipView;
+import cottonlock.proxy.DiscoveryClient;
 import cottonlock.setup.MembershipConfig;
 import cottonlock.setup.MembershipProtocolConfig;
 import java.io.BufferedReader;
@@ -41,7 +41,7 @@
     private static final int KEPT = 1_024;
 
     /** One hollow proxy. */
-    private final class Proxy implements ControlPart.Held {
+    private final class Proxy implements DiscoveryClient.Held {
         final String name;
         final InetSocketAddress address;
         final InetSocketAddress discovery;
@@ -49,9 +49,9 @@
         private final long[] versions = new long[KEPT];
         private final long[] times = new long[KEPT];
         private int told;
-        private ControlPart part;
+        private DiscoveryClient part;
         private DatagramSocket socket;
-        private MembersActor members;
+        private MembershipService members;
 
         Proxy(String name, InetSocketAddress address, InetSocketAddress discovery) {
             this.name = name;
@@ -60,17 +60,17 @@
         }
 
         void start() throws IOException {
-            part = new ControlPart(discovery, zones, random.split(), this);
+            part = new DiscoveryClient(discovery, zones, random.split(), this);
             part.start();
             if (rules != null) {
                 socket = new CountedSocket(address, cuts, traffic, real, realOnes);
                 MembershipConfig plan = new MembershipConfig("", "", seeds, "", "", rules);
                 members =
-                        new MembersActor(
+                        new MembershipService(
                                 plan,
                                 socket,
                                 name,
-                                MembersActor.text(address),
+                                MembershipService.text(address),
                                 seeds,
                                 false,
                                 System.currentTimeMillis(),
@@ -211,7 +211,7 @@
                 List<Proxy> asked = living();
                 for (int i = 0; i < asked.size(); i += every) {
                     if (asked.get(i).members != null) {
-                        View view = asked.get(i).members.view();
+                        MembershipView view = asked.get(i).members.view();
                         line.append(' ').append(view.alive());
                     }
                 }
--- a/src/main/java/cottonlock/lab/world/Fleet.java
+++ b/src/main/java/cottonlock/lab/world/Fleet.java
@@ -1,9 +1,9 @@
 package cottonlock.lab.world;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
+import cottonlock.membership.MemberState;
 import cottonlock.membership.Membership;
-import cottonlock.membership.State;
-import cottonlock.membership.View;
+import cottonlock.membership.MembershipView;
 import cottonlock.setup.MembershipProtocolConfig;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -180,9 +180,9 @@
                                 }
 
                                 @Override
-                                public void changed(String who, State state, String reason) {
+                                public void changed(String who, MemberState state, String reason) {
                                     Node other = named(who);
-                                    if (state == State.FAILED
+                                    if (state == MemberState.FAILED
                                             && other != null
                                             && other != Node.this
                                             && reachable(Node.this, other.number)) {
@@ -246,7 +246,7 @@
             world.at(world.now() + length, () -> hung &= life != start);
         }
 
-        public View view() {
+        public MembershipView view() {
             return machine.view(world.now());
         }
     }
@@ -421,7 +421,7 @@
             return false;
         }
         for (Node other : nodes) {
-            State state = other == node ? null : node.machine.stateOf(other.name);
+            MemberState state = other == node ? null : node.machine.stateOf(other.name);
             if (other != node && (state != null && state.lives()) != isThere(node, other)) {
                 return false;
             }
@@ -495,7 +495,7 @@
             int there = 0;
             for (Node n : nodes) {
                 if (n.up && n != dead && !n.paused) {
-                    State state = n.machine.stateOf(dead.name);
+                    MemberState state = n.machine.stateOf(dead.name);
                     there++;
                     know += state == null || !state.lives() ? 1 : 0;
                 }
--- a/src/main/java/cottonlock/lab/world/RegionsStudy.java
+++ b/src/main/java/cottonlock/lab/world/RegionsStudy.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.world;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import cottonlock.membership.Membership;
 import cottonlock.setup.MembershipProtocolConfig;
 import java.util.ArrayList;
--- a/src/main/java/cottonlock/lab/world/Study.java
+++ b/src/main/java/cottonlock/lab/world/Study.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.world;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import cottonlock.setup.MembershipProtocolConfig;
 import java.util.ArrayList;
 import java.util.Collections;
--- a/src/main/java/cottonlock/lab/world/Topology.java
+++ b/src/main/java/cottonlock/lab/world/Topology.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.world;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 
 /**
  * Which zone and region each numbered place is in: zones take places in turn, regions take zones in
--- a/src/main/java/cottonlock/lab/world/World.java
+++ b/src/main/java/cottonlock/lab/world/World.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.world;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.zip.CRC32;
--- a/src/main/java/cottonlock/membership/Exchange.java
+++ b/src/main/java/cottonlock/membership/AntiEntropy.java
@@ -1,6 +1,6 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import cottonlock.membership.Message.Kind;
 import cottonlock.setup.MembershipProtocolConfig;
 import java.util.ArrayList;
@@ -12,7 +12,7 @@
  * Mends views that differ: in short first, part by part of the names; then page by page, each way.
  */
 @Deterministic
-final class Exchange {
+final class AntiEntropy {
     /**
      * Pages sent at one request, so that a large view takes several requests, and several givers.
      */
@@ -30,27 +30,27 @@
     private static final int PART = 8;
 
     private final MembershipProtocolConfig rules;
-    private final Table table;
-    private final Ring ring;
-    private final Post post;
+    private final MemberTable table;
+    private final ProbeSchedule ring;
+    private final DatagramSender post;
     private final long[] counts;
-    private final Habits habits;
+    private final ProtocolVariants habits;
     private final SplittableRandom random;
-    private long at = Known.NEVER;
-    private long last = Known.NEVER;
+    private long at = MemberRecord.NEVER;
+    private long last = MemberRecord.NEVER;
 
     /** Between two exchanges, in periods; and what the last one has brought. */
     private int rest = 1;
 
     private int brought;
 
-    Exchange(
+    AntiEntropy(
             MembershipProtocolConfig rules,
-            Table table,
-            Ring ring,
-            Post post,
+            MemberTable table,
+            ProbeSchedule ring,
+            DatagramSender post,
             long[] counts,
-            Habits habits,
+            ProtocolVariants habits,
             SplittableRandom random) {
         this.rules = rules;
         this.table = table;
@@ -67,7 +67,7 @@
     }
 
     private boolean joining() {
-        return table.me().state() == State.JOINING;
+        return table.me().state() == MemberState.JOINING;
     }
 
     private long pause() {
@@ -85,12 +85,12 @@
     }
 
     /** A member's digest has come; returns whether it is this one's. */
-    boolean compare(long now, Known k, long digest) {
+    boolean compare(long now, MemberRecord k, long digest) {
         if (digest == table.digest()) {
-            table.differs(k, Known.NEVER);
+            table.differs(k, MemberRecord.NEVER);
             return true;
         }
-        if (k.differsSince == Known.NEVER) {
+        if (k.differsSince == MemberRecord.NEVER) {
             rest = table.differing() == 0 ? 1 : rest;
             table.differs(k, now);
             at = Math.min(at, Math.max(now, last + pause()) + settle());
@@ -101,7 +101,7 @@
     /** Begins with one of those whose view has differed for long enough. */
     void wake(long now) {
         at = now + pause();
-        List<Known> differing =
+        List<MemberRecord> differing =
                 ring.some(
                         1,
                         table.differing() > 0,
@@ -118,10 +118,10 @@
         brought = 0;
         at = now + pause();
         last = now;
-        counts[Count.EXCHANGES.ordinal()]++;
-        Known k = differing.get(0);
+        counts[MembershipMetric.EXCHANGES.ordinal()]++;
+        MemberRecord k = differing.get(0);
         int wanted = Math.max(1, (table.alive() + 1) / PART);
-        int parts = Math.min(Codec.MOST_PARTS, Integer.highestOneBit(wanted));
+        int parts = Math.min(DatagramCodec.MOST_PARTS, Integer.highestOneBit(wanted));
         while (4 * parts > post.room(Kind.MARKS)) {
             parts /= 2;
         }
@@ -130,12 +130,12 @@
         } else {
             Message m = post.message(Kind.MARKS);
             m.marks = table.marks(parts);
-            post.send(now, k.word.address(), post.begin(m), Post.SPARE);
+            post.send(now, k.word.address(), post.begin(m), DatagramSender.SPARE);
         }
     }
 
     /** Another's view in short: sends pages of the parts that differ, from a random one on. */
-    void marks(long now, Message m, Known k, int from) {
+    void marks(long now, Message m, MemberRecord k, int from) {
         int[] mine = table.marks(m.marks.length);
         int left = PAGES;
         for (int i = 0; i < mine.length && left > 0; i++) {
@@ -150,13 +150,13 @@
      * Sends the words of one part of the names, in several pages if need be; returns how many it
      * sent.
      */
-    private int page(long now, Known to, int parts, int part, int most) {
-        List<Word> words = table.words(parts, part);
+    private int page(long now, MemberRecord to, int parts, int part, int most) {
+        List<MemberUpdate> words = table.words(parts, part);
         // Where parts can't get finer they grow beyond what the allowance holds at once, two pages:
         // begun at
         // the first name each time, the rest would never come.
         boolean anywhere =
-                parts == Codec.MOST_PARTS && words.size() > PART && habits.beginsAnywhere();
+                parts == DatagramCodec.MOST_PARTS && words.size() > PART && habits.beginsAnywhere();
         int first = anywhere ? random.nextInt(words.size()) : 0;
         String after = first == 0 ? "" : words.get(first - 1).name();
         int next = first;
@@ -166,14 +166,14 @@
             m.parts = parts;
             m.part = part;
             m.after = after;
-            Codec.Writer out = post.begin(m);
+            DatagramCodec.Writer out = post.begin(m);
             while (next < end && out.word(words.get(next))) {
                 after = words.get(next++).name();
             }
             if (next == words.size()) {
                 out.end();
             }
-            if (!post.send(now, to.word.address(), out, Post.SPARE)) {
+            if (!post.send(now, to.word.address(), out, DatagramSender.SPARE)) {
                 break;
             }
             sent++;
@@ -191,13 +191,13 @@
     }
 
     /** A page has been taken: its sender is told what is newer here, or lacking there. */
-    void correct(long now, Message m, Known k) {
-        TreeMap<String, Word> theirs = new TreeMap<>();
+    void correct(long now, Message m, MemberRecord k) {
+        TreeMap<String, MemberUpdate> theirs = new TreeMap<>();
         m.words.forEach(w -> theirs.put(w.name(), w));
         String last = m.end || theirs.isEmpty() ? null : theirs.lastKey();
-        List<Word> news = new ArrayList<>();
-        for (Known mine : table.between(m.parts, m.part, m.after, last)) {
-            Word their = theirs.get(mine.word.name());
+        List<MemberUpdate> news = new ArrayList<>();
+        for (MemberRecord mine : table.between(m.parts, m.part, m.after, last)) {
+            MemberUpdate their = theirs.get(mine.word.name());
             if (mine != k
                     && (their == null ? mine.word.state().lives() : mine.word.outweighs(their))) {
                 news.add(mine.word);
@@ -205,11 +205,11 @@
         }
         int next = 0;
         for (int sent = 0; next < news.size() && sent < PAGES; sent++) {
-            Codec.Writer out = post.begin(post.message(Kind.WORDS));
+            DatagramCodec.Writer out = post.begin(post.message(Kind.WORDS));
             while (next < news.size() && out.word(news.get(next))) {
                 next++;
             }
-            if (!post.send(now, k.word.address(), out, Post.SPARE)) {
+            if (!post.send(now, k.word.address(), out, DatagramSender.SPARE)) {
                 return;
             }
         }
--- a/src/main/java/cottonlock/membership/Allowance.java
+++ b/src/main/java/cottonlock/membership/BandwidthLimit.java
@@ -1,22 +1,22 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 
 /**
  * The bytes that may be sent: in no second more than are allowed. A quarter of them may go at once,
  * three quarters come back in a second.
  */
 @Deterministic
-final class Allowance {
+final class BandwidthLimit {
     /** Tenths of a millisecond in a second. */
     private static final long SECOND = 10_000;
 
     private final int bytes;
     private final double depth;
     private double level;
-    private long at = Known.NEVER;
+    private long at = MemberRecord.NEVER;
 
-    Allowance(int bytes) {
+    BandwidthLimit(int bytes) {
         this.bytes = bytes;
         this.depth = bytes / 4.0;
     }
--- a/src/main/java/cottonlock/membership/Addresses.java
+++ b/src/main/java/cottonlock/membership/ContactAddresses.java
@@ -1,6 +1,6 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -14,7 +14,7 @@
  * it cost more than all else.
  */
 @Deterministic
-final class Addresses {
+final class ContactAddresses {
     private final Set<String> contacts;
 
     /** How many members that may live, and how many that have failed, have each address. */
@@ -23,24 +23,24 @@
     private final Map<String, Integer> failed = new HashMap<>();
     private final TreeSet<String> open;
 
-    Addresses(Set<String> contacts) {
+    ContactAddresses(Set<String> contacts) {
         this.contacts = contacts;
         this.open = new TreeSet<>(contacts);
     }
 
     /** A word counts from now on. */
-    void add(Word w) {
+    void add(MemberUpdate w) {
         count(w, 1);
     }
 
     /** A word no longer counts. */
-    void remove(Word w) {
+    void remove(MemberUpdate w) {
         count(w, -1);
     }
 
-    private void count(Word w, int by) {
+    private void count(MemberUpdate w, int by) {
         Map<String, Integer> which =
-                w.state().lives() ? living : w.state() == State.FAILED ? failed : null;
+                w.state().lives() ? living : w.state() == MemberState.FAILED ? failed : null;
         if (which == null) {
             return;
         }
--- a/src/main/java/cottonlock/membership/Seal.java
+++ b/src/main/java/cottonlock/membership/DatagramAuthenticator.java
@@ -14,7 +14,7 @@
  * Tags datagrams with a key that the fleet shares, and tells which bear another's tag. For one
  * thread.
  */
-final class Seal {
+final class DatagramAuthenticator {
     /** Bytes of a tag: half of what the algorithm makes, as its standard allows. */
     static final int TAG = 16;
 
@@ -32,7 +32,7 @@
      *
      * @throws IOException for a file that can't be read or holds no key
      */
-    Seal(List<Path> files) throws IOException {
+    DatagramAuthenticator(List<Path> files) throws IOException {
         for (Path file : files) {
             byte[] key = key(file);
             try {
--- a/src/main/java/cottonlock/membership/Codec.java
+++ b/src/main/java/cottonlock/membership/DatagramCodec.java
@@ -2,7 +2,7 @@
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import cottonlock.membership.Message.Kind;
 import java.util.Arrays;
 import java.util.zip.CRC32;
@@ -13,7 +13,7 @@
  * Numbers are big-endian. docs/membership.md has the layout.
  */
 @Deterministic
-final class Codec {
+final class DatagramCodec {
     /** The platform's limit for a datagram. */
     static final int LONGEST = 256;
 
@@ -43,7 +43,7 @@
     /** Where the flags stand. */
     private static final int FLAGS = 2;
 
-    private Codec() {}
+    private DatagramCodec() {}
 
     /** Writes a message's head and its own fields; words may follow. */
     static Writer begin(Message m, int most) {
@@ -112,8 +112,9 @@
                 || flags > 31) {
             return null;
         }
-        State state = State.values()[flags & 7];
-        Word sender = new Word(in.name(), in.address(), in.life(), in.turn(), state, 0);
+        MemberState state = MemberState.values()[flags & 7];
+        MemberUpdate sender =
+                new MemberUpdate(in.name(), in.address(), in.life(), in.turn(), state, 0);
         Message m =
                 new Message(
                         Kind.values()[kind & 15],
@@ -159,7 +160,7 @@
             m.words.add(in.word());
         }
         // A process that has failed does not say so itself, and one in doubt only others doubt.
-        in.expect(state != State.SUSPECT && state != State.FAILED);
+        in.expect(state != MemberState.SUSPECT && state != MemberState.FAILED);
         return in.good() && in.over() ? m : null;
     }
 
@@ -227,7 +228,7 @@
         }
 
         /** Adds a word if there is room for it. */
-        boolean word(Word w) {
+        boolean word(MemberUpdate w) {
             int size = size(w);
             if (at + size > most || (bytes[count] & 0xff) == 255) {
                 return false;
@@ -244,7 +245,7 @@
             return true;
         }
 
-        private static int size(Word w) {
+        private static int size(MemberUpdate w) {
             int address = parts(w.address()) == null ? 1 + w.address().length() : 7;
             return 1 + 1 + w.name().length() + address + 10 + (accused(w.state()) ? 4 : 0);
         }
@@ -267,8 +268,8 @@
         }
     }
 
-    private static boolean accused(State state) {
-        return state == State.SUSPECT || state == State.FAILED;
+    private static boolean accused(MemberState state) {
+        return state == MemberState.SUSPECT || state == MemberState.FAILED;
     }
 
     /** The four bytes and the port of an IPv4 address in its one usual form, or null. */
@@ -381,13 +382,14 @@
             return turn;
         }
 
-        Word word() {
+        MemberUpdate word() {
             int state = (int) number(1);
-            if (!expect(state < State.values().length)) {
+            if (!expect(state < MemberState.values().length)) {
                 return null;
             }
-            State s = State.values()[state];
-            return new Word(name(), address(), life(), turn(), s, accused(s) ? (int) number(4) : 0);
+            MemberState s = MemberState.values()[state];
+            return new MemberUpdate(
+                    name(), address(), life(), turn(), s, accused(s) ? (int) number(4) : 0);
         }
     }
 
--- a/src/main/java/cottonlock/membership/Post.java
+++ b/src/main/java/cottonlock/membership/DatagramSender.java
@@ -1,12 +1,12 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import cottonlock.membership.Message.Kind;
 import cottonlock.setup.MembershipProtocolConfig;
 
 /** Writes and sends datagrams within the allowance, and has changes ride on them. */
 @Deterministic
-final class Post {
+final class DatagramSender {
     /**
      * Part of the allowance that must be left beside what is less urgent than a probe or its
      * answer.
@@ -14,13 +14,13 @@
     static final double SPARE = 0.4;
 
     private final MembershipProtocolConfig rules;
-    private final Table table;
+    private final MemberTable table;
     private final Membership.Outlet outlet;
     private final long[] counts;
-    private final Habits habits;
+    private final ProtocolVariants habits;
     private final int tag;
-    private final Allowance allowance;
-    private final Repeats repeats;
+    private final BandwidthLimit allowance;
+    private final UpdateBroadcastQueue repeats;
     private long counter;
     private int sequence;
 
@@ -28,25 +28,25 @@
     private int lag;
 
     /** Tag: bytes of each datagram that stay free. */
-    Post(
+    DatagramSender(
             MembershipProtocolConfig rules,
-            Table table,
+            MemberTable table,
             Membership.Outlet outlet,
             long[] counts,
             int tag,
-            Habits habits) {
+            ProtocolVariants habits) {
         this.rules = rules;
         this.table = table;
         this.outlet = outlet;
         this.counts = counts;
         this.habits = habits;
         this.tag = tag;
-        this.allowance = new Allowance(rules.bytes());
-        this.repeats = new Repeats(rules.most());
+        this.allowance = new BandwidthLimit(rules.bytes());
+        this.repeats = new UpdateBroadcastQueue(rules.most());
     }
 
     /** A change to be told on. */
-    void repeat(Word w) {
+    void repeat(MemberUpdate w) {
         repeats.add(w);
     }
 
@@ -85,17 +85,17 @@
         return m;
     }
 
-    Codec.Writer begin(Message m) {
-        return Codec.begin(m, Codec.LONGEST - tag);
+    DatagramCodec.Writer begin(Message m) {
+        return DatagramCodec.begin(m, DatagramCodec.LONGEST - tag);
     }
 
     /** What a message of that kind leaves for more. */
     int room(Kind kind) {
-        return Codec.LONGEST - tag - begin(message(kind)).size();
+        return DatagramCodec.LONGEST - tag - begin(message(kind)).size();
     }
 
     /** Sends an urgent message to a member with what there is to tell. */
-    boolean send(long now, Known to, Message m) {
+    boolean send(long now, MemberRecord to, Message m) {
         return send(now, to.word.address(), to, m, 0);
     }
 
@@ -103,21 +103,21 @@
      * The same; to null where nobody is known there yet. First what is held of it, if it is not
      * well.
      */
-    boolean send(long now, String address, Known to, Message m, double rest) {
-        Codec.Writer out = begin(m);
+    boolean send(long now, String address, MemberRecord to, Message m, double rest) {
+        DatagramCodec.Writer out = begin(m);
         if (to != null && to.accused()) {
             out.word(to.word);
         }
-        if (allowance.has(now, Codec.LONGEST, SPARE)) {
+        if (allowance.has(now, DatagramCodec.LONGEST, SPARE)) {
             repeats.fill(out, times(), to == null ? "" : to.word.name());
         }
         return send(now, address, out, rest);
     }
 
     /** Sends what was written, if that part of the allowance is left then. */
-    boolean send(long now, String address, Codec.Writer out, double rest) {
+    boolean send(long now, String address, DatagramCodec.Writer out, double rest) {
         boolean may = allowance.has(now, out.size() + tag, rest);
-        counts[(may ? Count.SENT : Count.HELD).ordinal()]++;
+        counts[(may ? MembershipMetric.SENT : MembershipMetric.HELD).ordinal()]++;
         if (may) {
             allowance.take(now, out.size() + tag);
             outlet.send(address, out.done());
--- a/src/main/java/cottonlock/membership/Prober.java
+++ b/src/main/java/cottonlock/membership/FailureDetector.java
@@ -1,6 +1,6 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import cottonlock.membership.Message.Kind;
 import cottonlock.setup.MembershipProtocolConfig;
 import java.util.ArrayDeque;
@@ -15,7 +15,7 @@
  * less it is answered at all, the more it doubts itself, and the longer it takes over everything.
  */
 @Deterministic
-final class Prober {
+final class FailureDetector {
 
     /** Answers over which losses are remembered: ten seconds of probes. */
     private static final double REMEMBERED = 20;
@@ -31,12 +31,12 @@
     /** Who is told what came of a probe. */
     interface Judge {
         /** A member has not answered, or badly, for a reason in words. */
-        void doubt(long now, Known k, String reason);
+        void doubt(long now, MemberRecord k, String reason);
     }
 
     /** A probe that has begun. */
     private static final class Probe {
-        final Known target;
+        final MemberRecord target;
         final int seq;
         final long askAt;
 
@@ -49,7 +49,7 @@
         int refused;
         boolean over;
 
-        Probe(Known target, int seq, long askAt, int periods) {
+        Probe(MemberRecord target, int seq, long askAt, int periods) {
             this.target = target;
             this.seq = seq;
             this.askAt = askAt;
@@ -65,13 +65,13 @@
     private record Favour(int seq, int theirSeq, String asker, String target, long until) {}
 
     private final MembershipProtocolConfig rules;
-    private final Table table;
-    private final Ring ring;
-    private final Post post;
+    private final MemberTable table;
+    private final ProbeSchedule ring;
+    private final DatagramSender post;
     private final Judge judge;
-    private final Collection<Known> suspects;
+    private final Collection<MemberRecord> suspects;
     private final SplittableRandom random;
-    private final Deque<Known> urgent = new ArrayDeque<>();
+    private final Deque<MemberRecord> urgent = new ArrayDeque<>();
     private final List<Favour> favours = new ArrayList<>();
     private Probe probe;
     private int doubt;
@@ -82,16 +82,16 @@
     private long roundAt;
 
     /** When this process last heard anybody. */
-    private long heardAt = Known.NEVER;
+    private long heardAt = MemberRecord.NEVER;
 
     /** Suspects: all that are in doubt, as they stand at any time. */
-    Prober(
+    FailureDetector(
             MembershipProtocolConfig rules,
-            Table table,
-            Ring ring,
-            Post post,
+            MemberTable table,
+            ProbeSchedule ring,
+            DatagramSender post,
             Judge judge,
-            Collection<Known> suspects,
+            Collection<MemberRecord> suspects,
             SplittableRandom random) {
         this.rules = rules;
         this.table = table;
@@ -131,7 +131,7 @@
      * Somebody else doubts it: of a large fleet some look at once, by chance, or it could not
      * answer all.
      */
-    void urge(Known k) {
+    void urge(MemberRecord k) {
         if (random.nextInt(1 + table.alive()) < 2 * rules.confirmations()
                 && urgent.size() < rules.most()) {
             urgent.add(k);
@@ -142,7 +142,7 @@
      * Others hold one for failed, or are about to, whom this process has not found so: it looks
      * soon.
      */
-    void contest(Known k) {
+    void contest(MemberRecord k) {
         if (!k.contested && urgent.size() < rules.most()) {
             k.contested = true;
             urgent.addFirst(k);
@@ -179,7 +179,7 @@
             if (probe.asked > 0 ? probe.refused == 0 : now - heardAt > 2 * rules.period()) {
                 doubtMore(1);
             }
-            if (probe.target.word.state() == State.ALIVE && probe.periods < periodsNeeded()) {
+            if (probe.target.word.state() == MemberState.ALIVE && probe.periods < periodsNeeded()) {
                 roundAt = now + rules.period() * (1 + doubt);
                 begin(now, probe.target, probe.periods + 1);
                 return;
@@ -196,7 +196,7 @@
         }
         roundAt = now + rules.period() * (1 + doubt);
         remind(now);
-        Known target = next();
+        MemberRecord target = next();
         if (target == null) {
             probe = null;
         } else {
@@ -204,7 +204,7 @@
         }
     }
 
-    private void begin(long now, Known target, int periods) {
+    private void begin(long now, MemberRecord target, int periods) {
         probe = new Probe(target, post.next(), now + rules.answer() * (1 + doubt), periods);
         ping(now, target, probe.seq);
     }
@@ -230,7 +230,7 @@
         doubtLess();
     }
 
-    private void ping(long now, Known target, int seq) {
+    private void ping(long now, MemberRecord target, int seq) {
         Message m = post.message(Kind.PING, seq);
         m.target = target.word.name();
         post.send(now, target, m);
@@ -240,8 +240,8 @@
      * Whom this process doubts hears of it from here, and need not wait for the word to go round.
      */
     private void remind(long now) {
-        int self = Word.hash(table.me().name());
-        List<Known> mine =
+        int self = MemberUpdate.hash(table.me().name());
+        List<MemberRecord> mine =
                 ring.some(
                         1,
                         !suspects.isEmpty(),
@@ -251,10 +251,10 @@
         }
     }
 
-    private Known next() {
-        int self = Word.hash(table.me().name());
+    private MemberRecord next() {
+        int self = MemberUpdate.hash(table.me().name());
         while (!urgent.isEmpty()) {
-            Known k = urgent.poll();
+            MemberRecord k = urgent.poll();
             if (!k.gone
                     && k.word.state().lives()
                     && (k.contested || k.suspicion != null && !k.suspicion.accusedBy(self))) {
@@ -268,20 +268,20 @@
     private void askOthers(long now) {
         // Of those that were heard of late: beyond a cut nobody helps, and that says nothing of
         // this side.
-        List<Known> helpers =
+        List<MemberRecord> helpers =
                 ring.some(
                         rules.helpers(),
                         k ->
                                 k != probe.target
-                                        && k.word.state() == State.ALIVE
+                                        && k.word.state() == MemberState.ALIVE
                                         && now - k.heardAt < 4 * rules.period());
         if (helpers.isEmpty()) {
             helpers =
                     ring.some(
                             rules.helpers(),
-                            k -> k != probe.target && k.word.state() == State.ALIVE);
+                            k -> k != probe.target && k.word.state() == MemberState.ALIVE);
         }
-        for (Known helper : helpers) {
+        for (MemberRecord helper : helpers) {
             Message m = post.message(Kind.ASK, probe.seq);
             m.target = probe.target.word.name();
             m.address = probe.target.word.address();
@@ -293,7 +293,7 @@
     }
 
     /** An answer has come, to a probe of one's own or to one made for another. */
-    void answered(long now, Message m, Known k) {
+    void answered(long now, Message m, MemberRecord k) {
         if (probe != null && probe.seq == m.seq && !probe.over) {
             probe.over = true;
             if (probe.target != k) {
@@ -338,7 +338,7 @@
     }
 
     /** Another asks for help. */
-    void favour(long now, Message m, Known asker) {
+    void favour(long now, Message m, MemberRecord asker) {
         if (m.target.equals(table.me().name()) || favours.size() >= rules.most()) {
             return;
         }
@@ -350,7 +350,7 @@
     }
 
     private void done(long now, Favour f, Kind kind, boolean heard) {
-        Known asker = table.get(f.asker);
+        MemberRecord asker = table.get(f.asker);
         if (asker != null && asker.word.state().lives()) {
             Message m = post.message(kind, f.theirSeq);
             m.heard = heard;
--- a/src/main/java/cottonlock/membership/Known.java
+++ b/src/main/java/cottonlock/membership/MemberRecord.java
@@ -1,18 +1,18 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 
 /**
  * One other member as this proxy knows it. Times are tenths of a millisecond; NEVER is before all.
  */
 @Deterministic
-final class Known {
+final class MemberRecord {
     static final long NEVER = Long.MIN_VALUE / 4;
 
     /** Datagrams that may overtake one another; what is older counts as a repetition. */
     private static final int WINDOW = 64;
 
-    Word word;
+    MemberUpdate word;
 
     /** Of the word, kept: all are added up often. */
     long mark;
@@ -44,7 +44,7 @@
     long toldAt = NEVER;
 
     /** While it is in doubt. */
-    Suspicion suspicion;
+    SuspicionTimer suspicion;
 
     /** Whether others hold it for failed, and it has not been probed from here since. */
     boolean contested;
@@ -55,11 +55,11 @@
     private long counter = -1;
     private long seen;
 
-    Known(Word word, long now) {
+    MemberRecord(MemberUpdate word, long now) {
         this.word = word;
         this.mark = word.mark();
         this.since = now;
-        this.hash = Word.hash(word.name());
+        this.hash = MemberUpdate.hash(word.name());
     }
 
     /**
@@ -93,7 +93,7 @@
 
     /** Whether others hold, or are to be told, that it is not well. */
     boolean accused() {
-        return word.state() == State.SUSPECT || word.state() == State.FAILED;
+        return word.state() == MemberState.SUSPECT || word.state() == MemberState.FAILED;
     }
 
     boolean differs() {
--- a/src/main/java/cottonlock/membership/State.java
+++ b/src/main/java/cottonlock/membership/MemberState.java
@@ -4,7 +4,7 @@
  * What a member is held for. Of the same turn of the same life, a later one outweighs an earlier
  * one.
  */
-public enum State {
+public enum MemberState {
     /** It has started, and does not know the others yet. */
     JOINING,
     ALIVE,
--- a/src/main/java/cottonlock/membership/Table.java
+++ b/src/main/java/cottonlock/membership/MemberTable.java
@@ -1,6 +1,6 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -13,28 +13,28 @@
  * digest.
  */
 @Deterministic
-final class Table {
+final class MemberTable {
     private final int most;
-    private final List<Known> others = new ArrayList<>();
+    private final List<MemberRecord> others = new ArrayList<>();
 
     /** Whether they stand in the order of their names just now. */
     private boolean sorted = true;
 
     /** The same by the hashes of their names. */
-    private final Map<Integer, Known> byHash = new HashMap<>();
+    private final Map<Integer, MemberRecord> byHash = new HashMap<>();
 
     /** Whether two names have ever had one hash: then all are looked through. */
     private boolean alike;
 
-    private final Addresses addresses;
+    private final ContactAddresses addresses;
 
     /**
      * By part of the names, each in the order of the names; and the sum of the marks of its living.
      */
-    private final List<List<Known>> byPart = new ArrayList<>();
+    private final List<List<MemberRecord>> byPart = new ArrayList<>();
 
-    private final int[] marks = new int[Codec.MOST_PARTS];
-    private Word me;
+    private final int[] marks = new int[DatagramCodec.MOST_PARTS];
+    private MemberUpdate me;
     private long digest;
     private int alive;
 
@@ -42,22 +42,22 @@
     private int differing;
 
     /** Most: members at most, those that are dead but not forgotten among them. */
-    Table(Word me, int most, Addresses addresses) {
+    MemberTable(MemberUpdate me, int most, ContactAddresses addresses) {
         this.me = me;
         this.most = most;
         this.addresses = addresses;
-        for (int i = 0; i < Codec.MOST_PARTS; i++) {
+        for (int i = 0; i < DatagramCodec.MOST_PARTS; i++) {
             byPart.add(new ArrayList<>());
         }
         this.digest = me.mark();
     }
 
-    Word me() {
+    MemberUpdate me() {
         return me;
     }
 
     /** This process says something else of itself. */
-    void be(Word w) {
+    void be(MemberUpdate w) {
         digest += w.mark() - me.mark();
         me = w;
     }
@@ -72,9 +72,9 @@
         return alive;
     }
 
-    Known get(String name) {
+    MemberRecord get(String name) {
         if (alike) {
-            for (Known k : others) {
+            for (MemberRecord k : others) {
                 if (k.word.name().equals(name)) {
                     return k;
                 }
@@ -83,11 +83,11 @@
         }
         // A tree asks a dozen names for each word of each datagram, and none of them is near the
         // processor.
-        Known k = byHash.get(Word.hash(name));
+        MemberRecord k = byHash.get(MemberUpdate.hash(name));
         return k != null && k.word.name().equals(name) ? k : null;
     }
 
-    List<Known> all() {
+    List<MemberRecord> all() {
         if (!sorted) {
             others.sort(Comparator.comparing(k -> k.word.name()));
             sorted = true;
@@ -96,8 +96,8 @@
     }
 
     /** Whether there is one like that, in whatever order. */
-    boolean any(Predicate<Known> wanted) {
-        for (Known k : others) {
+    boolean any(Predicate<MemberRecord> wanted) {
+        for (MemberRecord k : others) {
             if (wanted.test(k)) {
                 return true;
             }
@@ -106,7 +106,7 @@
     }
 
     /** Where somebody may be found whom nobody here holds for alive. */
-    Addresses addresses() {
+    ContactAddresses addresses() {
         return addresses;
     }
 
@@ -116,19 +116,19 @@
     }
 
     /** Since when a member's view has differed; NEVER: it does not. */
-    void differs(Known k, long since) {
+    void differs(MemberRecord k, long since) {
         differing -= k.differs() ? 1 : 0;
         k.differsSince = since;
         differing += k.differs() ? 1 : 0;
     }
 
     /** Whoever has a name of this hash; null: nobody. */
-    Known hashed(int hash) {
+    MemberRecord hashed(int hash) {
         return alike ? firstHashed(hash) : byHash.get(hash);
     }
 
-    private Known firstHashed(int hash) {
-        for (Known k : all()) {
+    private MemberRecord firstHashed(int hash) {
+        for (MemberRecord k : all()) {
             if (k.hash == hash) {
                 return k;
             }
@@ -137,18 +137,18 @@
     }
 
     /** One that was not known; its word counts as soon as it is replaced. */
-    Known add(Word w, long now) {
-        Known k = new Known(w, now);
+    MemberRecord add(MemberUpdate w, long now) {
+        MemberRecord k = new MemberRecord(w, now);
         others.add(k);
         sorted = false;
         alike |= byHash.put(k.hash, k) != null;
-        List<Known> part = byPart.get(k.part(Codec.MOST_PARTS));
+        List<MemberRecord> part = byPart.get(k.part(DatagramCodec.MOST_PARTS));
         part.add(place(part, w.name()), k);
         return k;
     }
 
     /** Where a name is among these, or would be. */
-    private static int place(List<Known> part, String name) {
+    private static int place(List<MemberRecord> part, String name) {
         int from = 0;
         int to = part.size();
         while (from < to) {
@@ -163,13 +163,13 @@
     }
 
     /** Another word on a member; before: whether the old one counted. */
-    void replace(Known k, Word w, boolean counted) {
+    void replace(MemberRecord k, MemberUpdate w, boolean counted) {
         boolean lived = counted && k.word.state().lives();
         boolean lives = w.state().lives();
         long mark = w.mark();
         digest += (lives ? mark : 0) - (lived ? k.mark : 0);
         alive += (lives ? 1 : 0) - (lived ? 1 : 0);
-        marks[k.part(Codec.MOST_PARTS)] +=
+        marks[k.part(DatagramCodec.MOST_PARTS)] +=
                 (lives ? (int) (mark >>> 32) : 0) - (lived ? (int) (k.mark >>> 32) : 0);
         differing -= k.differs() ? 1 : 0;
         if (counted) {
@@ -186,9 +186,9 @@
     }
 
     /** The one that has been dead for longest; null where all may live. */
-    Known longestDead() {
-        Known oldest = null;
-        for (Known k : all()) {
+    MemberRecord longestDead() {
+        MemberRecord oldest = null;
+        for (MemberRecord k : all()) {
             if (!k.word.state().lives() && (oldest == null || k.since < oldest.since)) {
                 oldest = k;
             }
@@ -196,14 +196,14 @@
         return oldest;
     }
 
-    void drop(Known k) {
-        differs(k, Known.NEVER);
+    void drop(MemberRecord k) {
+        differs(k, MemberRecord.NEVER);
         addresses.remove(k.word);
-        List<Known> part = byPart.get(k.part(Codec.MOST_PARTS));
+        List<MemberRecord> part = byPart.get(k.part(DatagramCodec.MOST_PARTS));
         if (k.word.state().lives()) {
             digest -= k.mark;
             alive--;
-            marks[k.part(Codec.MOST_PARTS)] -= (int) (k.mark >>> 32);
+            marks[k.part(DatagramCodec.MOST_PARTS)] -= (int) (k.mark >>> 32);
         }
         part.remove(place(part, k.word.name()));
         byHash.remove(k.hash, k);
@@ -214,12 +214,12 @@
     /** A short digest of each of so many parts of the names. */
     int[] marks(int parts) {
         int[] some = new int[parts];
-        if (Codec.MOST_PARTS % parts == 0) {
+        if (DatagramCodec.MOST_PARTS % parts == 0) {
             for (int i = 0; i < marks.length; i++) {
                 some[i % parts] += marks[i];
             }
         } else {
-            for (Known k : others) {
+            for (MemberRecord k : others) {
                 some[k.part(parts)] += k.word.state().lives() ? (int) (k.mark >>> 32) : 0;
             }
         }
@@ -228,16 +228,16 @@
     }
 
     private int myPart(int parts) {
-        return Math.floorMod(Word.hash(me.name()), parts);
+        return Math.floorMod(MemberUpdate.hash(me.name()), parts);
     }
 
     /**
      * The words on all that may live in one part of the names, this process among them, by name.
      */
-    List<Word> words(int parts, int part) {
-        List<Word> words = new ArrayList<>();
+    List<MemberUpdate> words(int parts, int part) {
+        List<MemberUpdate> words = new ArrayList<>();
         boolean mine = myPart(parts) == part;
-        for (Known k : parts == Codec.MOST_PARTS ? byPart.get(part) : all()) {
+        for (MemberRecord k : parts == DatagramCodec.MOST_PARTS ? byPart.get(part) : all()) {
             if (mine && k.word.name().compareTo(me.name()) > 0) {
                 words.add(me);
                 mine = false;
@@ -253,12 +253,12 @@
     }
 
     /** Those of a part behind a name, up to another one; last null: to the end. */
-    List<Known> between(int parts, int part, String after, String last) {
-        List<Known> some = new ArrayList<>();
-        List<Known> whole = parts == Codec.MOST_PARTS ? byPart.get(part) : all();
+    List<MemberRecord> between(int parts, int part, String after, String last) {
+        List<MemberRecord> some = new ArrayList<>();
+        List<MemberRecord> whole = parts == DatagramCodec.MOST_PARTS ? byPart.get(part) : all();
         int from = place(whole, after);
         boolean there = from < whole.size() && whole.get(from).word.name().equals(after);
-        for (Known k : whole.subList(there ? from + 1 : from, whole.size())) {
+        for (MemberRecord k : whole.subList(there ? from + 1 : from, whole.size())) {
             if (last != null && k.word.name().compareTo(last) > 0) {
                 break;
             }
--- a/src/main/java/cottonlock/membership/Word.java
+++ b/src/main/java/cottonlock/membership/MemberUpdate.java
@@ -1,6 +1,6 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import cottonlock.decision.RendezvousHash;
 
 /**
@@ -17,10 +17,10 @@
  *     does not count in the order
  */
 @Deterministic
-record Word(String name, String address, long life, int turn, State state, int by) {
+record MemberUpdate(String name, String address, long life, int turn, MemberState state, int by) {
 
     /** Whether it holds in place of the other. */
-    boolean outweighs(Word other) {
+    boolean outweighs(MemberUpdate other) {
         int order = compareLives(other);
         if (order == 0) {
             order = Integer.compare(turn, other.turn);
@@ -31,14 +31,14 @@
     /**
      * Which process is the later one of that name; two of the same millisecond are told by address.
      */
-    int compareLives(Word other) {
+    int compareLives(MemberUpdate other) {
         return life != other.life
                 ? Long.compare(life, other.life)
                 : address.compareTo(other.address);
     }
 
-    Word with(State other, int accuser) {
-        return new Word(name, address, life, turn, other, accuser);
+    MemberUpdate with(MemberState other, int accuser) {
+        return new MemberUpdate(name, address, life, turn, other, accuser);
     }
 
     /**
@@ -46,7 +46,7 @@
      * and go, and what they lead to does.
      */
     long mark() {
-        long who = RendezvousHash.of((state == State.JOINING ? 1 : 0) + 2 * turn, name);
+        long who = RendezvousHash.of((state == MemberState.JOINING ? 1 : 0) + 2 * turn, name);
         // A product: of sums of parts, two members that exchange their addresses would go
         // unnoticed.
         return who * (RendezvousHash.of(Long.hashCode(life), address) | 1);
--- a/src/main/java/cottonlock/membership/Membership.java
+++ b/src/main/java/cottonlock/membership/Membership.java
@@ -1,6 +1,6 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import cottonlock.membership.Message.Kind;
 import cottonlock.setup.MembershipProtocolConfig;
 import java.util.ArrayList;
@@ -48,7 +48,7 @@
         void send(String address, byte[] datagram);
 
         /** A member is something else now, for a reason in words. */
-        void changed(String name, State state, String reason);
+        void changed(String name, MemberState state, String reason);
 
         /**
          * Another subsystem of that member's process has told something; {@code topic} says which.
@@ -57,18 +57,18 @@
     }
 
     private final MembershipProtocolConfig rules;
-    private final Habits habits;
+    private final ProtocolVariants habits;
     private final Outlet outlet;
     private final SplittableRandom random;
     private final Set<String> contacts;
     private final boolean closed;
-    private final long[] counts = new long[Count.values().length];
-    private final Table table;
-    private final Post post;
-    private final Ring ring;
-    private final Prober prober;
-    private final Exchange exchange;
-    private final Set<Known> suspects = new LinkedHashSet<>();
+    private final long[] counts = new long[MembershipMetric.values().length];
+    private final MemberTable table;
+    private final DatagramSender post;
+    private final ProbeSchedule ring;
+    private final FailureDetector prober;
+    private final AntiEntropy exchange;
+    private final Set<MemberRecord> suspects = new LinkedHashSet<>();
 
     /** When the first of their doubts ends; looked for anew after any of them has changed. */
     private long firstEnd;
@@ -76,13 +76,13 @@
     private boolean endsChanged = true;
 
     /** Whoever else goes by this name and is the later one; null: nobody. */
-    private Word displacedBy;
+    private MemberUpdate displacedBy;
 
     /** When that one was last heard itself. */
     private long displacedAt;
 
     /** A doubt of this process that it must not clear while its module stands still. */
-    private Word accused;
+    private MemberUpdate accused;
 
     private int raises;
     private int farewells;
@@ -116,7 +116,17 @@
             long life,
             int tag,
             SplittableRandom random) {
-        this(rules, outlet, name, address, contacts, closed, life, tag, random, new Habits());
+        this(
+                rules,
+                outlet,
+                name,
+                address,
+                contacts,
+                closed,
+                life,
+                tag,
+                random,
+                new ProtocolVariants());
     }
 
     Membership(
@@ -129,11 +139,11 @@
             long life,
             int tag,
             SplittableRandom random,
-            Habits habits) {
-        if (!Codec.isName(name)) {
+            ProtocolVariants habits) {
+        if (!DatagramCodec.isName(name)) {
             throw new IllegalArgumentException(
                     "expected a name of 1 to "
-                            + Codec.LONGEST_NAME
+                            + DatagramCodec.LONGEST_NAME
                             + " letters, digits and marks, found \""
                             + name
                             + "\"");
@@ -145,16 +155,16 @@
         this.contacts.remove(address);
         this.closed = closed;
         this.random = random;
-        long begun = Math.max(1, Math.min(life, Codec.LAST_LIFE / 2));
+        long begun = Math.max(1, Math.min(life, DatagramCodec.LAST_LIFE / 2));
         this.table =
-                new Table(
-                        new Word(name, address, begun, 0, State.JOINING, 0),
+                new MemberTable(
+                        new MemberUpdate(name, address, begun, 0, MemberState.JOINING, 0),
                         rules.most(),
-                        new Addresses(this.contacts));
-        this.post = new Post(rules, table, outlet, counts, tag, habits);
-        this.ring = new Ring(random);
-        this.prober = new Prober(rules, table, ring, post, this::doubt, suspects, random);
-        this.exchange = new Exchange(rules, table, ring, post, counts, habits, random);
+                        new ContactAddresses(this.contacts));
+        this.post = new DatagramSender(rules, table, outlet, counts, tag, habits);
+        this.ring = new ProbeSchedule(random);
+        this.prober = new FailureDetector(rules, table, ring, post, this::doubt, suspects, random);
+        this.exchange = new AntiEntropy(rules, table, ring, post, counts, habits, random);
     }
 
     /**
@@ -162,9 +172,12 @@
      * returned.
      */
     public long start(long now) {
-        Word me = table.me();
-        if (me.state() != State.JOINING) {
-            be(now, new Word(me.name(), me.address(), me.life() + 1, 0, State.JOINING, 0));
+        MemberUpdate me = table.me();
+        if (me.state() != MemberState.JOINING) {
+            be(
+                    now,
+                    new MemberUpdate(
+                            me.name(), me.address(), me.life() + 1, 0, MemberState.JOINING, 0));
         }
         List.copyOf(table.all()).forEach(this::drop);
         displacedBy = null;
@@ -197,7 +210,7 @@
     /**
      * Something is counted that happened outside: a datagram was turned down before it came here.
      */
-    public void count(Count what) {
+    public void count(MembershipMetric what) {
         counts[what.ordinal()]++;
     }
 
@@ -215,13 +228,13 @@
     /** A datagram has come; returns when to be called again. */
     public long heard(long now, String from, byte[] bytes, int length) {
         begin(now);
-        Message m = deaf ? null : Codec.read(bytes, length);
+        Message m = deaf ? null : DatagramCodec.read(bytes, length);
         if (deaf) {
-            count(Count.OUTDATED);
+            count(MembershipMetric.OUTDATED);
         } else if (m == null) {
-            count(Count.MALFORMED);
+            count(MembershipMetric.MALFORMED);
         } else if (!m.sender.address().equals(from) || closed && !contacts.contains(from)) {
-            count(Count.STRANGERS);
+            count(MembershipMetric.STRANGERS);
         } else if (m.sender.name().equals(table.me().name())) {
             // Another process of this name; from this very address it is an echo.
             aboutMe(now, m.sender, m.sender.name());
@@ -237,12 +250,12 @@
     }
 
     private void heard(long now, Message m, String from) {
-        Known k = table.get(m.sender.name());
+        MemberRecord k = table.get(m.sender.name());
         if (k != null && k.word.compareLives(m.sender) > 0) {
             // Of a former life: it may be late, or the process does not know yet that it was there
             // before.
-            count(Count.OUTDATED);
-            for (Word w : m.words) {
+            count(MembershipMetric.OUTDATED);
+            for (MemberUpdate w : m.words) {
                 // Two that take each other for outdated would never hear why from one another.
                 if (w.name().equals(table.me().name())) {
                     aboutMe(now, w, m.sender.name());
@@ -255,7 +268,7 @@
         }
         boolean anew = k == null || k.word.compareLives(m.sender) < 0;
         if (!anew && !k.fresh(m.counter)) {
-            count(Count.REPEATED);
+            count(MembershipMetric.REPEATED);
             return;
         }
         take(now, m.sender, m.sender.name());
@@ -274,7 +287,7 @@
         k.heardAt = now;
         k.lag = m.lag;
         int news = 0;
-        for (Word w : m.words) {
+        for (MemberUpdate w : m.words) {
             news += take(now, w, m.sender.name()) ? 1 : 0;
         }
         if (m.kind == Kind.PAGE || m.kind == Kind.WORDS) {
@@ -283,8 +296,8 @@
         if (displacedBy == null) {
             act(now, m, k);
             if (exchange.compare(now, k, m.digest)
-                    && table.me().state() == State.JOINING
-                    && m.sender.state() == State.ALIVE) {
+                    && table.me().state() == MemberState.JOINING
+                    && m.sender.state() == MemberState.ALIVE) {
                 join(now);
             }
             if (k.accused() && m.kind != Kind.PING) {
@@ -293,18 +306,18 @@
         }
     }
 
-    private void act(long now, Message m, Known k) {
+    private void act(long now, Message m, MemberRecord k) {
         switch (m.kind) {
             case PING -> {
                 Message answer = post.message(Kind.ACK, m.seq);
-                Known asker = m.behalf.isEmpty() ? k : table.get(m.behalf);
+                MemberRecord asker = m.behalf.isEmpty() ? k : table.get(m.behalf);
                 answer.heard = asker != null && now - asker.heardAt < 3 * rules.period();
                 post.send(now, k, answer);
             }
             case ACK -> prober.answered(now, m, k);
             case ASK -> prober.favour(now, m, k);
             case RELAY, NACK -> prober.helped(now, m);
-            case MARKS -> exchange.marks(now, m, k, random.nextInt(Codec.MOST_PARTS));
+            case MARKS -> exchange.marks(now, m, k, random.nextInt(DatagramCodec.MOST_PARTS));
             case PAGE -> exchange.correct(now, m, k);
             case RIDER -> outlet.rode(k.word.name(), k.word.life(), m.topic, m.body);
             default -> {}
@@ -314,12 +327,12 @@
     // What is said of members
 
     /** Takes a word into the view if it outweighs what is there; returns whether it did. */
-    private boolean take(long now, Word w, String teller) {
+    private boolean take(long now, MemberUpdate w, String teller) {
         if (w.name().equals(table.me().name())) {
             aboutMe(now, w, teller);
             return false;
         }
-        Known k = table.get(w.name());
+        MemberRecord k = table.get(w.name());
         if (k == null) {
             if (w.state().lives() && (!closed || contacts.contains(w.address())) && room()) {
                 k = table.add(w, now);
@@ -328,7 +341,7 @@
                 return true;
             }
         } else if (habits.outweighs(w, k.word)) {
-            if (w.state() == State.FAILED
+            if (w.state() == MemberState.FAILED
                     && k.word.state().lives()
                     && !habits.believes(k, w, now)) {
                 // Both sides of a cut have called each other failed: when it heals, that is no news
@@ -340,7 +353,7 @@
                 changed(now, k, w, false, by(w, teller));
                 return true;
             }
-        } else if (w.state() == State.SUSPECT
+        } else if (w.state() == MemberState.SUSPECT
                 && k.suspicion != null
                 && !k.word.outweighs(w)
                 && k.suspicion.confirm(w.by())) {
@@ -350,11 +363,11 @@
         return false;
     }
 
-    private String by(Word w, String teller) {
+    private String by(MemberUpdate w, String teller) {
         if (w.name().equals(teller)) {
-            return w.state() == State.LEFT ? "it says so itself" : "heard from it";
+            return w.state() == MemberState.LEFT ? "it says so itself" : "heard from it";
         }
-        Known accuser = w.by() == 0 ? null : table.hashed(w.by());
+        MemberRecord accuser = w.by() == 0 ? null : table.hashed(w.by());
         return (accuser != null && !accuser.word.name().equals(teller)
                         ? "by the word of " + accuser.word.name() + ", "
                         : "")
@@ -363,22 +376,22 @@
     }
 
     /** A member's word is another now; first: nothing was known of it. */
-    private void changed(long now, Known k, Word w, boolean first, String reason) {
+    private void changed(long now, MemberRecord k, MemberUpdate w, boolean first, String reason) {
         boolean anew = !first && k.word.compareLives(w) != 0;
         boolean other = first || anew || k.word.state() != w.state();
         if (anew) {
-            table.differs(k, Known.NEVER);
+            table.differs(k, MemberRecord.NEVER);
             k.startedAnew();
         }
         table.replace(k, w, !first);
         suspects.remove(k);
         endsChanged = true;
         k.suspicion = null;
-        if (w.state() == State.SUSPECT) {
+        if (w.state() == MemberState.SUSPECT) {
             double fleet = Math.max(1, Math.log10(table.alive() + 1));
             long least = Math.round(rules.suspicion() * fleet * rules.period());
             k.suspicion =
-                    new Suspicion(
+                    new SuspicionTimer(
                             now,
                             w.by(),
                             least,
@@ -400,32 +413,32 @@
         if (!table.full()) {
             return true;
         }
-        Known oldest = table.longestDead();
+        MemberRecord oldest = table.longestDead();
         if (oldest == null) {
-            count(Count.FULL);
+            count(MembershipMetric.FULL);
             return false;
         }
         drop(oldest);
         return true;
     }
 
-    private void drop(Known k) {
+    private void drop(MemberRecord k) {
         table.drop(k);
         ring.remove(k);
         suspects.remove(k);
         endsChanged = true;
     }
 
-    private void doubt(long now, Known k, String reason) {
-        int self = Word.hash(table.me().name());
+    private void doubt(long now, MemberRecord k, String reason) {
+        int self = MemberUpdate.hash(table.me().name());
         endsChanged = true;
-        if (k.word.state() == State.SUSPECT) {
+        if (k.word.state() == MemberState.SUSPECT) {
             if (k.suspicion.confirm(self)) {
-                post.repeat(k.word.with(State.SUSPECT, self));
+                post.repeat(k.word.with(MemberState.SUSPECT, self));
             }
         } else if (k.word.state().lives()) {
-            count(Count.SUSPICIONS);
-            changed(now, k, k.word.with(State.SUSPECT, self), false, reason);
+            count(MembershipMetric.SUSPICIONS);
+            changed(now, k, k.word.with(MemberState.SUSPECT, self), false, reason);
             if (k.contested) {
                 k.suspicion.certain();
             }
@@ -436,7 +449,7 @@
     private long firstEnd() {
         if (endsChanged) {
             firstEnd = Long.MAX_VALUE;
-            for (Known k : suspects) {
+            for (MemberRecord k : suspects) {
                 firstEnd = Math.min(firstEnd, habits.end(k.suspicion));
             }
             endsChanged = false;
@@ -449,7 +462,7 @@
             return;
         }
         endsChanged = true;
-        for (Known k : List.copyOf(suspects)) {
+        for (MemberRecord k : List.copyOf(suspects)) {
             if (now < habits.end(k.suspicion)) {
                 continue;
             }
@@ -461,36 +474,41 @@
             }
             // Nobody is called failed at others' word alone, who may have missed that it has
             // cleared itself.
-            if (!k.suspicion.accusedBy(Word.hash(table.me().name()))
+            if (!k.suspicion.accusedBy(MemberUpdate.hash(table.me().name()))
                     && habits.looksItself()
                     && k.suspicion.defer(now, rules.period())) {
                 prober.contest(k);
                 continue;
             }
-            count(Count.FAILURES);
+            count(MembershipMetric.FAILURES);
             String reason =
                     "doubted for "
                             + (now - k.suspicion.since()) / 10
                             + " ms by "
                             + k.suspicion.accusers()
                             + ", not cleared";
-            changed(now, k, k.word.with(State.FAILED, Word.hash(table.me().name())), false, reason);
+            changed(
+                    now,
+                    k,
+                    k.word.with(MemberState.FAILED, MemberUpdate.hash(table.me().name())),
+                    false,
+                    reason);
         }
     }
 
     // What is said of this process itself
 
-    private void aboutMe(long now, Word w, String teller) {
-        Word me = table.me();
+    private void aboutMe(long now, MemberUpdate w, String teller) {
+        MemberUpdate me = table.me();
         int lives = w.compareLives(me);
         boolean stranger =
                 closed && !w.address().equals(me.address()) && !contacts.contains(w.address());
-        if (lives < 0 || me.state() == State.LEFT || stranger) {
+        if (lives < 0 || me.state() == MemberState.LEFT || stranger) {
             return;
         }
         if (lives > 0) {
             boolean starting =
-                    me.state() == State.JOINING && displacedBy == null && raises < RAISES;
+                    me.state() == MemberState.JOINING && displacedBy == null && raises < RAISES;
             if (!w.state().lives() || w.address().equals(me.address()) || starting) {
                 // It was this proxy in its former life, whatever the clocks say, or has given the
                 // name free.
@@ -500,7 +518,7 @@
                 if (displacedBy == null) {
                     outlet.changed(
                             me.name(),
-                            State.LEFT,
+                            MemberState.LEFT,
                             "displaced: another process at "
                                     + w.address()
                                     + " goes by this name and has started later, told by "
@@ -511,34 +529,43 @@
             }
         } else if (displacedBy != null) {
             return;
-        } else if (w.state() == State.LEFT) {
-            be(now, new Word(me.name(), me.address(), habits.begun(w.life()), 0, me.state(), 0));
+        } else if (w.state() == MemberState.LEFT) {
+            be(
+                    now,
+                    new MemberUpdate(
+                            me.name(), me.address(), habits.begun(w.life()), 0, me.state(), 0));
         } else if (w.turn() > me.turn()
-                || w.turn() == me.turn() && w.state().compareTo(State.ALIVE) > 0) {
+                || w.turn() == me.turn() && w.state().compareTo(MemberState.ALIVE) > 0) {
             accused = accused == null || w.outweighs(accused) ? w : accused;
             refute(now, teller);
         }
     }
 
     /** Begins a life after the one that is told of. */
-    private void comeBack(long now, Word before) {
-        Word me = table.me();
+    private void comeBack(long now, MemberUpdate before) {
+        MemberUpdate me = table.me();
         be(
                 now,
-                new Word(
-                        me.name(), me.address(), habits.begun(before.life()), 0, State.JOINING, 0));
+                new MemberUpdate(
+                        me.name(),
+                        me.address(),
+                        habits.begun(before.life()),
+                        0,
+                        MemberState.JOINING,
+                        0));
         joinUntil = now + rules.join();
         if (displacedBy != null) {
             displacedBy = null;
             prober.start(now);
-            outlet.changed(me.name(), State.JOINING, "the other process of this name is gone");
+            outlet.changed(
+                    me.name(), MemberState.JOINING, "the other process of this name is gone");
         }
     }
 
     private void refute(long now, String teller) {
         if (accused != null && !hung(now)) {
-            Word me = table.me();
-            count(Count.REFUTATIONS);
+            MemberUpdate me = table.me();
+            count(MembershipMetric.REFUTATIONS);
             outlet.changed(
                     me.name(),
                     me.state(),
@@ -548,7 +575,7 @@
                             + teller);
             if (accused.compareLives(me) == 0 && accused.turn() >= me.turn()) {
                 int turn = habits.raised(accused.turn());
-                be(now, new Word(me.name(), me.address(), me.life(), turn, me.state(), 0));
+                be(now, new MemberUpdate(me.name(), me.address(), me.life(), turn, me.state(), 0));
             }
             accused = null;
             prober.doubtMore(1);
@@ -556,7 +583,7 @@
     }
 
     /** This process says something else of itself. */
-    private void be(long now, Word w) {
+    private void be(long now, MemberUpdate w) {
         if (w.compareLives(table.me()) != 0) {
             post.startAnew();
         }
@@ -574,7 +601,7 @@
         begin(now);
         deaf = false;
         refute(now, "others");
-        if (table.me().state() == State.LEFT) {
+        if (table.me().state() == MemberState.LEFT) {
             farewell(now);
         } else if (displacedBy != null) {
             if (now >= contactAt) {
@@ -586,7 +613,7 @@
             if (now >= contactAt) {
                 call(now);
             }
-            if (table.me().state() == State.JOINING && now >= joinUntil) {
+            if (table.me().state() == MemberState.JOINING && now >= joinUntil) {
                 join(now);
             }
             if (now >= exchange.at()) {
@@ -606,10 +633,10 @@
 
     private long plan(long now) {
         long at = Math.min(tidyAt, contactAt);
-        if (table.me().state() != State.LEFT && displacedBy == null) {
+        if (table.me().state() != MemberState.LEFT && displacedBy == null) {
             at = Math.min(at, Math.min(prober.at(), exchange.at()));
             at = Math.min(at, firstEnd());
-            if (table.me().state() == State.JOINING) {
+            if (table.me().state() == MemberState.JOINING) {
                 at = Math.min(at, joinUntil);
             }
         }
@@ -624,28 +651,36 @@
         if (rules.doubts() == 0 || !habits.doubtsItself()) {
             return;
         }
-        count(Count.STANDSTILLS);
+        count(MembershipMetric.STANDSTILLS);
         prober.doubtMore(late > rules.period() ? 2 : 1);
         prober.start(now);
         endsChanged = true;
-        for (Known k : suspects) {
+        for (MemberRecord k : suspects) {
             k.suspicion.stood(now, late);
         }
-        if (late > rules.forget() / 2 && table.me().state() != State.LEFT) {
+        if (late > rules.forget() / 2 && table.me().state() != MemberState.LEFT) {
             // Others may have forgotten who has died meanwhile: nothing that it knows, or that has
             // waited in
             // its socket, may pass for news.
             deaf = true;
             List.copyOf(table.all()).forEach(this::drop);
-            Word me = table.me();
-            be(now, new Word(me.name(), me.address(), me.life(), me.turn() + 1, State.JOINING, 0));
+            MemberUpdate me = table.me();
+            be(
+                    now,
+                    new MemberUpdate(
+                            me.name(),
+                            me.address(),
+                            me.life(),
+                            me.turn() + 1,
+                            MemberState.JOINING,
+                            0));
             joinUntil = now + rules.join();
         }
     }
 
     /** Calls where nobody is known to live: who has failed may be back, or beyond a cut. */
     private void call(long now) {
-        boolean alone = table.me().state() == State.JOINING || table.alive() == 0;
+        boolean alone = table.me().state() == MemberState.JOINING || table.alive() == 0;
         List<String> open = table.addresses().open(table.me().address());
         for (int n = alone ? 2 : 1; n > 0 && !open.isEmpty(); n--) {
             String address = open.remove(random.nextInt(open.size()));
@@ -664,7 +699,7 @@
             return;
         }
         post.send(now, displacedBy.address(), null, post.message(Kind.PING, post.next()), 0);
-        for (Known k : ring.some(1, k -> k.word.state().lives())) {
+        for (MemberRecord k : ring.some(1, k -> k.word.state().lives())) {
             post.send(now, k.word.address(), null, post.message(Kind.PING, post.next()), 0);
         }
         contactAt = now + 4 * rules.period();
@@ -680,10 +715,10 @@
                                                 && k.heardAt >= startedAt
                                                 && !k.differs());
         if (agrees || now - startedAt > 5 * rules.join()) {
-            be(now, table.me().with(State.ALIVE, 0));
+            be(now, table.me().with(MemberState.ALIVE, 0));
             outlet.changed(
                     table.me().name(),
-                    State.ALIVE,
+                    MemberState.ALIVE,
                     table.alive() == 0 ? "nobody else is there" : "its view is that of others");
         } else {
             joinUntil = now + rules.join() / 4;
@@ -692,7 +727,7 @@
 
     private void tidy(long now) {
         tidyAt = now + rules.forget() / 4;
-        for (Known k : List.copyOf(table.all())) {
+        for (MemberRecord k : List.copyOf(table.all())) {
             if (!k.word.state().lives() && now - k.since >= rules.forget()) {
                 drop(k);
             }
@@ -701,8 +736,8 @@
 
     /** The process ends on purpose: it says so, and answers on until it has ended. */
     public long leave(long now) {
-        if (table.me().state() != State.LEFT) {
-            be(now, table.me().with(State.LEFT, 0));
+        if (table.me().state() != MemberState.LEFT) {
+            be(now, table.me().with(MemberState.LEFT, 0));
             contactAt = now;
             farewell(now);
         }
@@ -716,14 +751,14 @@
         farewells++;
         contactAt = farewells < FAREWELLS ? now + rules.period() / 4 : Long.MAX_VALUE;
         if (displacedBy == null) {
-            for (Known k : ring.some(2 + rules.helpers(), k -> k.word.state().lives())) {
+            for (MemberRecord k : ring.some(2 + rules.helpers(), k -> k.word.state().lives())) {
                 post.send(now, k, post.message(Kind.WORDS));
             }
         }
     }
 
     /** Tells a member what is held of it, so that it can contradict. */
-    private void tell(long now, Known k) {
+    private void tell(long now, MemberRecord k) {
         if (now - k.toldAt >= rules.answer()) {
             k.toldAt = now;
             post.send(now, k, post.message(Kind.WORDS));
@@ -731,11 +766,11 @@
     }
 
     /** Tells whoever speaks for a former life what is known of a later one. */
-    private void tellOutdated(long now, String address, Word newer) {
+    private void tellOutdated(long now, String address, MemberUpdate newer) {
         if (!address.equals(table.me().address())) {
-            Codec.Writer out = post.begin(post.message(Kind.WORDS));
+            DatagramCodec.Writer out = post.begin(post.message(Kind.WORDS));
             out.word(newer);
-            post.send(now, address, out, Post.SPARE);
+            post.send(now, address, out, DatagramSender.SPARE);
         }
     }
 
@@ -748,17 +783,17 @@
 
     /** Sends what another subsystem tells a live member; false: it could not be sent now. */
     public boolean ride(long now, String name, int topic, byte[] body) {
-        Known k = table.get(name);
+        MemberRecord k = table.get(name);
         if (k == null
                 || !k.word.state().lives()
-                || table.me().state() == State.LEFT
+                || table.me().state() == MemberState.LEFT
                 || displacedBy != null) {
             return false;
         }
         Message m = post.message(Kind.RIDER);
         m.topic = topic;
         m.body = body;
-        return post.send(now, k.word.address(), post.begin(m), Post.SPARE);
+        return post.send(now, k.word.address(), post.begin(m), DatagramSender.SPARE);
     }
 
     /** How many others may be alive, as far as is known here. */
@@ -774,17 +809,17 @@
     }
 
     /** What another is held for; null: it is not known. */
-    public State stateOf(String name) {
-        Known k = table.get(name);
+    public MemberState stateOf(String name) {
+        MemberRecord k = table.get(name);
         return k == null ? null : k.word.state();
     }
 
     /** The view as it stands. */
-    public View view(long now) {
-        List<View.Line> lines = new ArrayList<>();
-        Word me = table.me();
+    public MembershipView view(long now) {
+        List<MembershipView.Line> lines = new ArrayList<>();
+        MemberUpdate me = table.me();
         lines.add(
-                new View.Line(
+                new MembershipView.Line(
                         me.name(),
                         me.address(),
                         me.life(),
@@ -794,11 +829,11 @@
                         displacedBy == null
                                 ? "this process"
                                 : "displaced by one at " + displacedBy.address(),
-                        View.Reach.SELF,
+                        MembershipView.Reach.SELF,
                         -1));
-        for (Known k : table.all()) {
+        for (MemberRecord k : table.all()) {
             lines.add(
-                    new View.Line(
+                    new MembershipView.Line(
                             k.word.name(),
                             k.word.address(),
                             k.word.life(),
@@ -809,25 +844,27 @@
                             reach(k, now),
                             k.differs() ? now - k.differsSince : -1));
         }
-        Map<Count, Long> counted = new EnumMap<>(Count.class);
-        for (Count c : Count.values()) {
+        Map<MembershipMetric, Long> counted = new EnumMap<>(MembershipMetric.class);
+        for (MembershipMetric c : MembershipMetric.values()) {
             counted.put(c, counts[c.ordinal()]);
         }
-        return new View(lines, table.digest(), prober.doubt(), hung(now), counted);
+        return new MembershipView(lines, table.digest(), prober.doubt(), hung(now), counted);
     }
 
     /** Whether it is reached directly, and which way is cut where it is not. */
-    private View.Reach reach(Known k, long now) {
+    private MembershipView.Reach reach(MemberRecord k, long now) {
         if (!k.word.state().lives()) {
-            return View.Reach.NONE;
+            return MembershipView.Reach.NONE;
         }
         if (k.answeredAt >= k.relayedAt) {
-            return k.answeredAt == Known.NEVER ? View.Reach.UNTRIED : View.Reach.BOTH;
+            return k.answeredAt == MemberRecord.NEVER
+                    ? MembershipView.Reach.UNTRIED
+                    : MembershipView.Reach.BOTH;
         }
         long round = rules.period() * (table.alive() + 2) * (1 + prober.doubt());
         return now - k.heardAt < 2 * round
-                ? View.Reach.HEARS_NOT
-                : k.hearsMe ? View.Reach.NOT_HEARD : View.Reach.BY_OTHERS;
+                ? MembershipView.Reach.HEARS_NOT
+                : k.hearsMe ? MembershipView.Reach.NOT_HEARD : MembershipView.Reach.BY_OTHERS;
     }
 
     /**
@@ -850,7 +887,7 @@
                 .append(prober.fingerprint(now))
                 .append('\n')
                 .append(ring);
-        for (Known k : table.all()) {
+        for (MemberRecord k : table.all()) {
             text.append('\n')
                     .append(k.word)
                     .append(k.differs())
--- a/src/main/java/cottonlock/membership/Count.java
+++ b/src/main/java/cottonlock/membership/MembershipMetric.java
@@ -1,7 +1,7 @@
 package cottonlock.membership;
 
 /** What one process counts of its part in the fleet since it started. */
-public enum Count {
+public enum MembershipMetric {
     SENT,
     /** Datagrams that were not sent for want of allowance. */
     HELD,
--- a/src/main/java/cottonlock/membership/MembersActor.java
+++ b/src/main/java/cottonlock/membership/MembershipService.java
@@ -21,7 +21,7 @@
  * Carries a {@link Membership} on one UDP socket with one thread. Datagrams that are none of the
  * fleet's go to whoever shares the socket. Its calls may come from any thread.
  */
-public final class MembersActor implements Runnable {
+public final class MembershipService implements Runnable {
     /** Milliseconds between looks at whether another process of this proxy has taken over. */
     private static final int LOOK = 100;
 
@@ -43,7 +43,7 @@
     private final BooleanSupplier replaced;
     private final Others others;
     private final Consumer<String> log;
-    private final Seal seal;
+    private final DatagramAuthenticator seal;
     private final Membership machine;
     private final String name;
 
@@ -67,7 +67,7 @@
      * @param replaced whether another process of this proxy serves in its place
      * @throws IOException for a key that can't be had
      */
-    public MembersActor(
+    public MembershipService(
             MembershipConfig plan,
             DatagramSocket socket,
             String name,
@@ -95,7 +95,7 @@
                 keys.add(Path.of(key));
             }
         }
-        this.seal = keys.isEmpty() ? null : new Seal(keys);
+        this.seal = keys.isEmpty() ? null : new DatagramAuthenticator(keys);
         int most = plan.rules().most() * 2;
         this.addresses =
                 new LinkedHashMap<>() {
@@ -116,7 +116,7 @@
                         contacts,
                         closed,
                         life,
-                        seal == null ? 0 : Seal.TAG,
+                        seal == null ? 0 : DatagramAuthenticator.TAG,
                         random);
     }
 
@@ -126,7 +126,8 @@
         public void send(String address, byte[] datagram) {
             byte[] bytes = seal == null ? datagram : seal.seal(datagram);
             try {
-                InetSocketAddress to = addresses.computeIfAbsent(address, MembersActor::parsed);
+                InetSocketAddress to =
+                        addresses.computeIfAbsent(address, MembershipService::parsed);
                 socket.send(new DatagramPacket(bytes, bytes.length, to));
             } catch (IOException | IllegalArgumentException e) {
                 // It counts as lost, as any may be.
@@ -138,7 +139,7 @@
         }
 
         @Override
-        public void changed(String who, State state, String reason) {
+        public void changed(String who, MemberState state, String reason) {
             log.accept(
                     (who.equals(name) ? "this process is " : who + " is ")
                             + state.name().toLowerCase(Locale.ROOT)
@@ -174,7 +175,8 @@
         synchronized (machine) {
             wakeAt = machine.start(clock.getAsLong());
         }
-        DatagramPacket packet = new DatagramPacket(new byte[Codec.LONGEST + 1], Codec.LONGEST + 1);
+        DatagramPacket packet =
+                new DatagramPacket(new byte[DatagramCodec.LONGEST + 1], DatagramCodec.LONGEST + 1);
         boolean quiet = false;
         int read = 0;
         long lookAt = 0;
@@ -192,7 +194,7 @@
             }
             try {
                 socket.setSoTimeout((int) Math.max(1, Math.min(LOOK, (wakeAt - now) / 10)));
-                packet.setLength(Codec.LONGEST + 1);
+                packet.setLength(DatagramCodec.LONGEST + 1);
                 socket.receive(packet);
                 read++;
                 came(
@@ -217,14 +219,14 @@
     }
 
     private void came(InetSocketAddress from, byte[] bytes, int length) {
-        if (length == 0 || (bytes[0] & 0xff) != Codec.MAGIC) {
+        if (length == 0 || (bytes[0] & 0xff) != DatagramCodec.MAGIC) {
             others.came(from, bytes, length);
             return;
         }
         synchronized (machine) {
             int inner = seal == null ? length : seal.open(bytes, length);
             if (inner < 0) {
-                machine.count(Count.FORGED);
+                machine.count(MembershipMetric.FORGED);
             } else if (!standingBy) {
                 long now = clock.getAsLong();
                 machine.module(moduleAt.getAsLong());
@@ -262,7 +264,7 @@
     }
 
     /** The view as it stands. */
-    public View view() {
+    public MembershipView view() {
         synchronized (machine) {
             return machine.view(clock.getAsLong());
         }
@@ -273,7 +275,7 @@
      */
     public String lines() {
         long now = clock.getAsLong();
-        View view = view();
+        MembershipView view = view();
         StringBuilder text = new StringBuilder();
         text.append("view=")
                 .append(Long.toHexString(view.digest()))
@@ -294,7 +296,7 @@
                                         .append(count.name().toLowerCase(Locale.ROOT))
                                         .append('=')
                                         .append(n));
-        for (View.Line l : view.lines()) {
+        for (MembershipView.Line l : view.lines()) {
             text.append('\n')
                     .append(l.name())
                     .append(' ')
@@ -319,9 +321,9 @@
 
     /** For the figures: how many are what, as fields of a JSON object, each behind a comma. */
     public String figures() {
-        View view = view();
+        MembershipView view = view();
         StringBuilder json = new StringBuilder();
-        for (State state : State.values()) {
+        for (MemberState state : MemberState.values()) {
             json.append(",\"members_")
                     .append(state.name().toLowerCase(Locale.ROOT))
                     .append("\":")
--- a/src/main/java/cottonlock/membership/View.java
+++ b/src/main/java/cottonlock/membership/MembershipView.java
@@ -10,8 +10,12 @@
  * @param selfDoubt how far this process doubts itself; 0: not at all
  * @param hung whether its module stands still
  */
-public record View(
-        List<Line> lines, long digest, int selfDoubt, boolean hung, Map<Count, Long> counts) {
+public record MembershipView(
+        List<Line> lines,
+        long digest,
+        int selfDoubt,
+        boolean hung,
+        Map<MembershipMetric, Long> counts) {
 
     /** How one proxy reaches another. */
     public enum Reach {
@@ -44,7 +48,7 @@
             String address,
             long life,
             int turn,
-            State state,
+            MemberState state,
             long since,
             String reason,
             Reach reach,
--- a/src/main/java/cottonlock/membership/Message.java
+++ b/src/main/java/cottonlock/membership/Message.java
@@ -1,6 +1,6 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -36,7 +36,7 @@
     final Kind kind;
 
     /** What the sender says of itself. */
-    final Word sender;
+    final MemberUpdate sender;
 
     /** Counts the sender's datagrams in this life: what comes twice or too late is known by it. */
     final long counter;
@@ -67,9 +67,9 @@
     int[] marks = {};
     int topic;
     byte[] body = {};
-    final List<Word> words = new ArrayList<>();
+    final List<MemberUpdate> words = new ArrayList<>();
 
-    Message(Kind kind, Word sender, long counter, long digest, int lag) {
+    Message(Kind kind, MemberUpdate sender, long counter, long digest, int lag) {
         this.kind = kind;
         this.sender = sender;
         this.counter = counter;
--- a/src/main/java/cottonlock/membership/Ring.java
+++ b/src/main/java/cottonlock/membership/ProbeSchedule.java
@@ -1,6 +1,6 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -9,23 +9,23 @@
 
 /** The order in which members are probed: each once in a round, and each round shuffled anew. */
 @Deterministic
-final class Ring {
+final class ProbeSchedule {
     private final SplittableRandom random;
-    private final List<Known> order = new ArrayList<>();
+    private final List<MemberRecord> order = new ArrayList<>();
     private int place;
 
-    Ring(SplittableRandom random) {
+    ProbeSchedule(SplittableRandom random) {
         this.random = random;
     }
 
     /**
      * A newcomer gets a random place in what is left of the round, so that rounds stay shuffled.
      */
-    void add(Known k) {
+    void add(MemberRecord k) {
         order.add(place + random.nextInt(order.size() - place + 1), k);
     }
 
-    void remove(Known k) {
+    void remove(MemberRecord k) {
         int at = order.indexOf(k);
         if (at >= 0) {
             order.remove(at);
@@ -34,7 +34,7 @@
     }
 
     /** The next that may live; null: nobody. */
-    Known next() {
+    MemberRecord next() {
         for (int left = order.size(); left > 0; left--) {
             if (place >= order.size()) {
                 for (int j = order.size() - 1; j > 0; j--) {
@@ -42,7 +42,7 @@
                 }
                 place = 0;
             }
-            Known k = order.get(place++);
+            MemberRecord k = order.get(place++);
             if (k.word.state().lives()) {
                 return k;
             }
@@ -54,17 +54,17 @@
      * Some of those that are wanted, from a random place on: a stretch of what is shuffled is
      * random.
      */
-    List<Known> some(int most, Predicate<Known> wanted) {
+    List<MemberRecord> some(int most, Predicate<MemberRecord> wanted) {
         return some(most, true, wanted);
     }
 
     /** The same; {@code any} false: there are none, and need not be looked for. */
-    List<Known> some(int most, boolean any, Predicate<Known> wanted) {
-        List<Known> some = new ArrayList<>();
+    List<MemberRecord> some(int most, boolean any, Predicate<MemberRecord> wanted) {
+        List<MemberRecord> some = new ArrayList<>();
         int n = order.size();
         int from = n == 0 ? 0 : random.nextInt(n);
         for (int i = 0; i < n && any && some.size() < most; i++) {
-            Known k = order.get((from + i) % n);
+            MemberRecord k = order.get((from + i) % n);
             if (wanted.test(k)) {
                 some.add(k);
             }
--- a/src/main/java/cottonlock/membership/Habits.java
+++ b/src/main/java/cottonlock/membership/ProtocolVariants.java
@@ -1,16 +1,16 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 
 /**
  * The choices on which it rests that no view ends in a falsehood; tests put wrong ones in their
  * place.
  */
 @Deterministic
-class Habits {
+class ProtocolVariants {
 
     /** Whether a word holds in place of another. */
-    boolean outweighs(Word one, Word other) {
+    boolean outweighs(MemberUpdate one, MemberUpdate other) {
         return one.outweighs(other);
     }
 
@@ -25,7 +25,7 @@
     }
 
     /** When a doubt is certain enough. */
-    long end(Suspicion s) {
+    long end(SuspicionTimer s) {
         return s.end();
     }
 
@@ -33,7 +33,7 @@
      * Whether a failure is taken at another's word: of whoever has been in doubt here for long
      * enough.
      */
-    boolean believes(Known k, Word failed, long now) {
+    boolean believes(MemberRecord k, MemberUpdate failed, long now) {
         return k.suspicion != null
                 && k.word.turn() == failed.turn()
                 && k.word.compareLives(failed) == 0
--- a/src/main/java/cottonlock/membership/Suspicion.java
+++ b/src/main/java/cottonlock/membership/SuspicionTimer.java
@@ -1,6 +1,6 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -9,7 +9,7 @@
  * fault, and the shorter the more others say the same. Times are tenths of a millisecond.
  */
 @Deterministic
-final class Suspicion {
+final class SuspicionTimer {
     private final long least;
     private final long most;
     private final int needed;
@@ -28,7 +28,7 @@
     private long notBefore;
 
     /** Needed: how many others must confirm it for the shortest time to hold. */
-    Suspicion(long now, int accuser, long least, long most, int needed) {
+    SuspicionTimer(long now, int accuser, long least, long most, int needed) {
         this.since = now;
         this.least = least;
         this.most = Math.max(least, most);
--- a/src/main/java/cottonlock/membership/Repeats.java
+++ b/src/main/java/cottonlock/membership/UpdateBroadcastQueue.java
@@ -1,6 +1,6 @@
 package cottonlock.membership;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -13,14 +13,14 @@
  * Changes that ride on what is sent anyway: the least told first, each a bounded number of times.
  */
 @Deterministic
-final class Repeats {
+final class UpdateBroadcastQueue {
     /** A word that is being told, until another on the same name is. */
     private static final class Telling {
-        final Word word;
+        final MemberUpdate word;
         int times;
         boolean outdated;
 
-        Telling(Word word) {
+        Telling(MemberUpdate word) {
             this.word = word;
         }
     }
@@ -37,12 +37,12 @@
     private int count;
 
     /** Room: names at most, beyond which those that were told most are not told any more. */
-    Repeats(int room) {
+    UpdateBroadcastQueue(int room) {
         this.room = room;
     }
 
     /** A change; it takes the place of what was told of the same name. */
-    void add(Word w) {
+    void add(MemberUpdate w) {
         Telling telling = new Telling(w);
         Telling before = newest.put(w.name(), telling);
         if (before != null) {
@@ -78,7 +78,7 @@
      * Fills a datagram; {@code most} times is each told. Without {@code about}, which is in it
      * already.
      */
-    void fill(Codec.Writer out, int most, String about) {
+    void fill(DatagramCodec.Writer out, int most, String about) {
         boolean room = true;
         List<Telling> again = new ArrayList<>();
         for (int times = 0; times < told.size() && room; times++) {
--- a/src/main/java/cottonlock/proxy/BackendActor.java
+++ b/src/main/java/cottonlock/proxy/BackendActor.java
@@ -1,6 +1,6 @@
 package cottonlock.proxy;
 
-import cottonlock.admin.Figures;
+import cottonlock.admin.Metrics;
 import cottonlock.decision.AttemptOutcome;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -28,17 +28,17 @@
 
     private final Mailbox mailbox;
     private final ConnectionPermits permits;
-    private final KeepAlive keepAlive;
-    private final Workers workers;
+    private final KeepAlivePolicy keepAlive;
+    private final ConnectionThreads workers;
     private final int connectLimit;
     private final long retireAfter;
     private final long settle;
-    private final Buffers buffers;
+    private final BufferPool buffers;
     private final HttpWriter writer;
-    private final Watchdog watchdog;
-    private final Clock clock;
-    private final Figures figures;
-    private final Log log;
+    private final WriteTimeoutWatchdog watchdog;
+    private final TickClock clock;
+    private final Metrics figures;
+    private final RateLimitedLog log;
     private InetSocketAddress address;
     private final Deque<BackendConnection> resting = new ArrayDeque<>();
     private final Set<BackendConnection> connections = new HashSet<>();
@@ -73,17 +73,17 @@
     BackendActor(
             InetSocketAddress address,
             ConnectionPermits permits,
-            KeepAlive keepAlive,
-            Workers workers,
+            KeepAlivePolicy keepAlive,
+            ConnectionThreads workers,
             long connectLimit,
             long idle,
             long settle,
-            Buffers buffers,
+            BufferPool buffers,
             HttpWriter writer,
-            Watchdog watchdog,
-            Clock clock,
-            Figures figures,
-            Log log) {
+            WriteTimeoutWatchdog watchdog,
+            TickClock clock,
+            Metrics figures,
+            RateLimitedLog log) {
         this.address = address;
         this.permits = permits;
         this.keepAlive = keepAlive;
--- a/src/main/java/cottonlock/proxy/BackendConnection.java
+++ b/src/main/java/cottonlock/proxy/BackendConnection.java
@@ -1,6 +1,6 @@
 package cottonlock.proxy;
 
-import cottonlock.admin.Figures;
+import cottonlock.admin.Metrics;
 import cottonlock.decision.AttemptOutcome;
 import java.io.FilterOutputStream;
 import java.io.IOException;
@@ -22,12 +22,12 @@
     private final BackendActor backend;
     private final InetSocketAddress address;
     private final int connectLimit;
-    private final Buffers buffers;
+    private final BufferPool buffers;
     private final HttpWriter writer;
-    private final Watchdog watchdog;
-    private final Clock clock;
-    private final Figures figures;
-    private final Log log;
+    private final WriteTimeoutWatchdog watchdog;
+    private final TickClock clock;
+    private final Metrics figures;
+    private final RateLimitedLog log;
     private final Socket socket = new Socket();
     private final ClientRequest.Attempt first;
 
@@ -44,12 +44,12 @@
             BackendActor backend,
             InetSocketAddress address,
             int connectLimit,
-            Buffers buffers,
+            BufferPool buffers,
             HttpWriter writer,
-            Watchdog watchdog,
-            Clock clock,
-            Figures figures,
-            Log log,
+            WriteTimeoutWatchdog watchdog,
+            TickClock clock,
+            Metrics figures,
+            RateLimitedLog log,
             ClientRequest.Attempt first) {
         this.backend = backend;
         this.address = address;
@@ -232,8 +232,8 @@
     /** Reads one answer; false when the connection is to end. */
     private boolean exchange(HttpReader reader) throws IOException, MalformedMessageException {
         reader.within(0);
-        Head head = reader.answer(GAP);
-        Body body = reader.first(buffers);
+        MessageHead head = reader.answer(GAP);
+        MessageBody body = reader.first(buffers);
         try {
             ClientRequest.Attempt attempt;
             boolean keep = head.keepsAlive(head.start[0]);
@@ -266,7 +266,8 @@
     }
 
     /** Settles the attempt and passes its answer on; false when some of it is left unread. */
-    private boolean pass(ClientRequest.Attempt attempt, Head head, Body body, HttpReader reader)
+    private boolean pass(
+            ClientRequest.Attempt attempt, MessageHead head, MessageBody body, HttpReader reader)
             throws MalformedMessageException {
         int status = Integer.parseInt(head.start[1]);
         boolean notRun = "1".equals(head.only("X-Not-Processed"));
--- a/src/main/java/cottonlock/proxy/Spools.java
+++ b/src/main/java/cottonlock/proxy/BodySpillFiles.java
@@ -13,7 +13,7 @@
  * The files that long bodies go on into: each is deleted as it is opened, and gone with its
  * descriptor.
  */
-final class Spools {
+final class BodySpillFiles {
     /** Milliseconds that a body waits for a descriptor: its client is not read for as long. */
     private static final long WAIT = 1_000;
 
@@ -24,7 +24,7 @@
     private final Semaphore places;
     private final AtomicLong bytes = new AtomicLong();
 
-    Spools(Path folder, int most) {
+    BodySpillFiles(Path folder, int most) {
         this.folder = folder;
         this.places = new Semaphore(most);
     }
@@ -32,7 +32,7 @@
     FileChannel open() throws IOException {
         try {
             if (!places.tryAcquire(WAIT, TimeUnit.MILLISECONDS)) {
-                throw new Buffers.NoneFree();
+                throw new BufferPool.NoneFree();
             }
         } catch (InterruptedException e) {
             throw new IOException("interrupted while waiting for a file", e);
@@ -52,7 +52,7 @@
     /** Counts bytes that are about to be written: a full disk is everybody's trouble. */
     void grow(int count) throws IOException {
         if (bytes.addAndGet(count) > MOST) {
-            throw new Buffers.NoneFree();
+            throw new BufferPool.NoneFree();
         }
     }
 
--- a/src/main/java/cottonlock/proxy/Buffers.java
+++ b/src/main/java/cottonlock/proxy/BufferPool.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** The pool of buffers, all of one size; who takes one gives it back in one place. */
-final class Buffers {
+final class BufferPool {
     /** The head of a message must fit into one; most bodies do. */
     static final int SIZE = 8 << 10;
 
@@ -21,7 +21,7 @@
     private final int reserved;
 
     /** So many, of which some are kept for connections. */
-    Buffers(int most, int reserved) {
+    BufferPool(int most, int reserved) {
         this.left = new Semaphore(most);
         this.reserved = reserved;
     }
--- a/src/main/java/cottonlock/proxy/Client.java
+++ b/src/main/java/cottonlock/proxy/ClientConnection.java
@@ -1,6 +1,6 @@
 package cottonlock.proxy;
 
-import cottonlock.admin.Figures;
+import cottonlock.admin.Metrics;
 import java.io.IOException;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
@@ -9,7 +9,7 @@
  * One connection of a client. Its thread reads all the time, so that a client that leaves is
  * noticed while its request is out; answers are written by the thread that has them.
  */
-final class Client implements Runnable {
+final class ClientConnection implements Runnable {
     /**
      * Milliseconds between requests: many clients ask once and stay, and may be left after two
      * seconds.
@@ -58,15 +58,15 @@
     private static final int DROP = 256 << 10;
 
     private final Socket socket;
-    private final Listener listener;
-    private final ModuleActor module;
-    private final Admission admission;
-    private final Buffers buffers;
-    private final Spools spools;
+    private final ClientListener listener;
+    private final LoadBalancerActor module;
+    private final RequestValidator admission;
+    private final BufferPool buffers;
+    private final BodySpillFiles spools;
     private final HttpWriter writer;
-    private final Watchdog watchdog;
-    private final Figures figures;
-    private final Log log;
+    private final WriteTimeoutWatchdog watchdog;
+    private final Metrics figures;
+    private final RateLimitedLog log;
     private ClientRequest req;
     private HttpReader coming;
     private boolean reading;
@@ -94,17 +94,17 @@
      */
     volatile Runnable afterRead;
 
-    Client(
+    ClientConnection(
             Socket socket,
-            Listener listener,
-            ModuleActor module,
-            Admission admission,
-            Buffers buffers,
-            Spools spools,
+            ClientListener listener,
+            LoadBalancerActor module,
+            RequestValidator admission,
+            BufferPool buffers,
+            BodySpillFiles spools,
             HttpWriter writer,
-            Watchdog watchdog,
-            Figures figures,
-            Log log) {
+            WriteTimeoutWatchdog watchdog,
+            Metrics figures,
+            RateLimitedLog log) {
         this.socket = socket;
         this.listener = listener;
         this.module = module;
@@ -233,9 +233,9 @@
 
     /** Reads one request and brings it on its way; false when the connection is to end. */
     private boolean serve(HttpReader reader) throws IOException {
-        Body body = null;
-        Head head;
-        Admission.Asked judged = null;
+        MessageBody body = null;
+        MessageHead head;
+        RequestValidator.Asked judged = null;
         try {
             if (asked) {
                 reader.within(READ);
@@ -249,7 +249,7 @@
                         socket, out -> out.write("HTTP/1.1 100 Continue\r\n\r\n".getBytes()));
             }
             reader.paced(READ, SLOWEST);
-            body = reader.body(buffers, spools, Body.MOST);
+            body = reader.body(buffers, spools, MessageBody.MOST);
             if (reader.stray()) {
                 body.release();
                 throw new MalformedMessageException(400, "more than its length");
@@ -260,7 +260,7 @@
         } catch (SocketTimeoutException e) {
             refuse(new MalformedMessageException(408, "half a request"), reader);
             return false;
-        } catch (Buffers.NoneFree e) {
+        } catch (BufferPool.NoneFree e) {
             // Closed without an answer, what has come whole by now would be lost.
             refuse(new MalformedMessageException(500, e.getMessage()), reader);
             return false;
@@ -318,7 +318,7 @@
         reader.drop(DROP);
     }
 
-    private void answer(int status, String name, String value, Body body, boolean close)
+    private void answer(int status, String name, String value, MessageBody body, boolean close)
             throws IOException {
         synchronized (this) {
             told |= close;
@@ -331,7 +331,7 @@
     }
 
     /** The final answer to the request under way, by whoever has claimed it. */
-    void finish(ClientRequest done, int status, String name, String value, Body body) {
+    void finish(ClientRequest done, int status, String name, String value, MessageBody body) {
         boolean close;
         synchronized (this) {
             close = closing || last;
@@ -368,7 +368,7 @@
      * hand, the reader has the rest. False when it could not be passed on whole: the client sees
      * that it is not.
      */
-    boolean relay(ClientRequest done, Body part, HttpReader rest) {
+    boolean relay(ClientRequest done, MessageBody part, HttpReader rest) {
         long length = part.length() > 0 ? -1 : rest.length();
         boolean chunked = length < 0 && done.knowsChunks;
         boolean close;
--- a/src/main/java/cottonlock/proxy/Listener.java
+++ b/src/main/java/cottonlock/proxy/ClientListener.java
@@ -15,7 +15,7 @@
 import java.util.function.BiFunction;
 
 /** Takes in clients' connections, and keeps them within the sockets that are theirs. */
-final class Listener implements Runnable {
+final class ClientListener implements Runnable {
     /**
      * As many may wait to be accepted as a burst brings within the time of one garbage collection.
      */
@@ -37,20 +37,20 @@
     private static final int EMPTY = 1;
 
     private final Semaphore places;
-    private final BiFunction<Socket, Listener, Client> clientOf;
-    private final Workers workers;
-    private final Log log;
+    private final BiFunction<Socket, ClientListener, ClientConnection> clientOf;
+    private final ConnectionThreads workers;
+    private final RateLimitedLog log;
     private volatile boolean leaving;
-    private final Set<Client> clients = ConcurrentHashMap.newKeySet();
+    private final Set<ClientConnection> clients = ConcurrentHashMap.newKeySet();
 
     /** Shares: another process of this proxy may listen there too. */
-    Listener(
+    ClientListener(
             InetSocketAddress address,
             boolean shares,
             int most,
-            BiFunction<Socket, Listener, Client> clientOf,
-            Workers workers,
-            Log log)
+            BiFunction<Socket, ClientListener, ClientConnection> clientOf,
+            ConnectionThreads workers,
+            RateLimitedLog log)
             throws IOException {
         this.places = new Semaphore(most);
         this.clientOf = clientOf;
@@ -101,7 +101,7 @@
             Sockets.close(socket);
             return;
         }
-        Client client = clientOf.apply(socket, this);
+        ClientConnection client = clientOf.apply(socket, this);
         clients.add(client);
         if (leaving) {
             client.lastOne();
@@ -133,10 +133,10 @@
             clients.stream()
                     .filter(client -> !client.owed())
                     .min(
-                            Comparator.comparing(Client::busy)
-                                    .thenComparing(Client::worked)
-                                    .thenComparingLong(Client::since))
-                    .ifPresent(Client::giveWay);
+                            Comparator.comparing(ClientConnection::busy)
+                                    .thenComparing(ClientConnection::worked)
+                                    .thenComparingLong(ClientConnection::since))
+                    .ifPresent(ClientConnection::giveWay);
         }
         return false;
     }
@@ -151,7 +151,7 @@
     }
 
     /** From a client's thread, once: it has given back all that it held. */
-    void ended(Client client) {
+    void ended(ClientConnection client) {
         clients.remove(client);
         places.release();
     }
@@ -162,7 +162,7 @@
      */
     void leave() {
         leaving = true;
-        List.copyOf(clients).forEach(Client::lastOne);
+        List.copyOf(clients).forEach(ClientConnection::lastOne);
     }
 
     /**
@@ -170,7 +170,7 @@
      * taken in.
      */
     void endResting() {
-        clients.forEach(Client::close);
+        clients.forEach(ClientConnection::close);
     }
 
     /** Whether no connection is left, and none can come. */
@@ -186,11 +186,11 @@
 
     /** Ends all connections at once. */
     void abort() {
-        List.copyOf(clients).forEach(Client::abort);
+        List.copyOf(clients).forEach(ClientConnection::abort);
     }
 
     /** For tests alone: who is connected now. */
-    Set<Client> clients() {
+    Set<ClientConnection> clients() {
         return clients;
     }
 
--- a/src/main/java/cottonlock/proxy/ClientRequest.java
+++ b/src/main/java/cottonlock/proxy/ClientRequest.java
@@ -17,7 +17,7 @@
     /** How often that is waited for the look: whoever reads has had a core by then. */
     private static final int LOOKS = 20;
 
-    final Client client;
+    final ClientConnection client;
     final String method;
     final String target;
     final String requestId;
@@ -25,7 +25,7 @@
     final String tenantName;
     final String idempotencyKey;
     final String contentType;
-    final Body body;
+    final MessageBody body;
     final int category;
     final int tenant;
     final boolean repeated;
@@ -67,9 +67,14 @@
     /** Whether its client may leave unseen; the module's thread alone. */
     boolean unseen;
 
-    ClientRequest(Client client, Admission.Asked asked, Body body, long expiry, Set<String> openIds)
+    ClientRequest(
+            ClientConnection client,
+            RequestValidator.Asked asked,
+            MessageBody body,
+            long expiry,
+            Set<String> openIds)
             throws MalformedMessageException {
-        Head head = asked.head();
+        MessageHead head = asked.head();
         this.openIds = openIds;
         this.client = client;
         this.method = head.start[0];
@@ -142,11 +147,11 @@
         /** By the module's clock: its last byte may be written until then. */
         final long sendBy;
 
-        private final ModuleActor module;
+        private final LoadBalancerActor module;
         private BackendConnection connection;
         private boolean settled;
 
-        Attempt(ClientRequest req, int number, long sendBy, ModuleActor module) {
+        Attempt(ClientRequest req, int number, long sendBy, LoadBalancerActor module) {
             this.req = req;
             this.number = number;
             this.sendBy = sendBy;
--- a/src/main/java/cottonlock/proxy/VersionLine.java
+++ b/src/main/java/cottonlock/proxy/ConfigurationVersionParser.java
@@ -1,6 +1,6 @@
 package cottonlock.proxy;
 
-import cottonlock.rollout.Version;
+import cottonlock.rollout.ConfigurationVersion;
 import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.Settings;
 import java.nio.charset.StandardCharsets;
@@ -15,7 +15,7 @@
  * verdict on its content hangs on its bytes and on the base, which all processes of a service
  * share, so that all come to the same one.
  */
-final class VersionLine {
+final class ConfigurationVersionParser {
     /** What a process can follow: all other settings are the base that it was built on. */
     private static final String CATEGORIES = "Categories.";
 
@@ -27,13 +27,13 @@
     private static final int DIGEST = 8;
     private static final String HEX = "[0-9a-f]{16}";
 
-    final Version version;
+    final ConfigurationVersion version;
     private final String base;
 
     /** Null where only the number and digest were told. */
     final String content;
 
-    private VersionLine(Version version, String base, String content) {
+    private ConfigurationVersionParser(ConfigurationVersion version, String base, String content) {
         this.version = version;
         this.base = base;
         this.content = content;
@@ -45,10 +45,10 @@
      * @throws InvalidSettingsException for what is no whole version: the fault of who told it, not
      *     of the version
      */
-    static VersionLine read(String line) {
+    static ConfigurationVersionParser read(String line) {
         Object value;
         try {
-            value = Json.read(line);
+            value = JsonReader.read(line);
         } catch (IllegalArgumentException e) {
             throw new InvalidSettingsException(
                     "no version was told, but no JSON: " + e.getMessage());
@@ -57,14 +57,15 @@
             throw new InvalidSettingsException("no version was told, but no object");
         }
         String seq = String.valueOf(map.get("seq"));
-        if (!HttpReader.digits(seq) || Long.parseLong(seq) > Version.HIGHEST) {
+        if (!HttpReader.digits(seq) || Long.parseLong(seq) > ConfigurationVersion.HIGHEST) {
             throw new InvalidSettingsException(
                     "the version's seq is no whole number of 2^53 at most: " + seq);
         }
         String digest = hex(map, "digest");
-        Version version = new Version(Long.parseLong(seq), Long.parseUnsignedLong(digest, 16));
+        ConfigurationVersion version =
+                new ConfigurationVersion(Long.parseLong(seq), Long.parseUnsignedLong(digest, 16));
         if (!map.containsKey("settings")) {
-            return new VersionLine(version, null, null);
+            return new ConfigurationVersionParser(version, null, null);
         }
         if (!(map.get("settings") instanceof String content)) {
             throw new InvalidSettingsException("version " + version + " has no settings");
@@ -73,7 +74,7 @@
             throw new InvalidSettingsException(
                     "version " + version + " came damaged: what was told has another digest");
         }
-        return new VersionLine(version, hex(map, "base"), content);
+        return new ConfigurationVersionParser(version, hex(map, "base"), content);
     }
 
     private static String hex(Map<?, ?> map, String key) {
@@ -86,8 +87,9 @@
     }
 
     /** The line again, as it is kept. */
-    static VersionLine of(Version version, String base, String content) {
-        return new VersionLine(version, base, content);
+    static ConfigurationVersionParser of(
+            ConfigurationVersion version, String base, String content) {
+        return new ConfigurationVersionParser(version, base, content);
     }
 
     String base() {
@@ -102,7 +104,7 @@
     Settings judged(String ofProcess) {
         Object value;
         try {
-            value = Json.read(content);
+            value = JsonReader.read(content);
         } catch (IllegalArgumentException e) {
             throw new InvalidSettingsException("its settings are not JSON: " + e.getMessage());
         }
@@ -114,8 +116,8 @@
                 throw new InvalidSettingsException("settings." + own + " is each process's own");
             }
         }
-        Settings settings = Config.settings(map);
-        Config.servable(settings);
+        Settings settings = ProxyConfiguration.settings(map);
+        ProxyConfiguration.servable(settings);
         for (int i = 0; i < settings.count(CATEGORIES + "count", 0); i++) {
             // Left out, it would read as safe: what must not run twice would run twice.
             told(settings, CATEGORIES + i + ".Repeat");
@@ -161,7 +163,7 @@
                                 text.append(path).append('=').append(value).append('\n');
                             }
                         });
-        return new Version(0, digest(text.toString())).hex();
+        return new ConfigurationVersion(0, digest(text.toString())).hex();
     }
 
     /** The first eight bytes of the text's SHA-256, as UTF-8. */
--- a/src/main/java/cottonlock/proxy/Workers.java
+++ b/src/main/java/cottonlock/proxy/ConnectionThreads.java
@@ -9,7 +9,7 @@
  * where a crowd connects a hundred times a second, starting and ending a thread each time took most
  * of the core.
  */
-final class Workers {
+final class ConnectionThreads {
     /**
      * Milliseconds that a thread waits: longer than the gaps in a crowd, and no memory is held for
      * long.
--- a/src/main/java/cottonlock/proxy/ControlPart.java
+++ b/src/main/java/cottonlock/proxy/DiscoveryClient.java
@@ -12,7 +12,7 @@
  * experiments on how much control costs and how fast a change is in force; {@code serve} loads
  * none.
  */
-public final class ControlPart implements ListWatch.Sink {
+public final class DiscoveryClient implements EndpointListWatch.Sink {
     /** Buffers of one watch: it holds one at a time. */
     private static final int BUFFERS = 2;
 
@@ -28,25 +28,25 @@
     private final Held held;
 
     /** As the module's actor holds it; on the watch's thread alone. */
-    private final Map<String, Directory.Entry> listed = new TreeMap<>();
+    private final Map<String, EndpointListParser.Entry> listed = new TreeMap<>();
 
-    private final ListWatch watch;
+    private final EndpointListWatch watch;
     private Thread thread;
 
     /** A part that is to watch at an address; rooms: the settings' names of zones. */
-    public ControlPart(
+    public DiscoveryClient(
             InetSocketAddress discovery, List<String> rooms, SplittableRandom random, Held held) {
         this.held = held;
-        Log log = new Log(System.getLogger("cottonlock"));
+        RateLimitedLog log = new RateLimitedLog(System.getLogger("cottonlock"));
         this.watch =
-                new ListWatch(
+                new EndpointListWatch(
                         discovery,
-                        new Directory(log, rooms, List.of()),
+                        new EndpointListParser(log, rooms, List.of()),
                         0,
                         false,
-                        ListWatch.SILENCE,
+                        EndpointListWatch.SILENCE,
                         this,
-                        new Buffers(BUFFERS, 0),
+                        new BufferPool(BUFFERS, 0),
                         log,
                         random);
     }
@@ -63,11 +63,11 @@
     }
 
     @Override
-    public void list(Directory.News news, boolean cached) {
+    public void list(EndpointListParser.News news, boolean cached) {
         if (news.whole()) {
             listed.clear();
         }
-        for (Directory.Entry entry : news.entries()) {
+        for (EndpointListParser.Entry entry : news.entries()) {
             if (entry.member().state() == cottonlock.decision.Endpoint.State.GONE) {
                 listed.remove(entry.member().id());
             } else {
--- a/src/main/java/cottonlock/proxy/Directory.java
+++ b/src/main/java/cottonlock/proxy/EndpointListParser.java
@@ -8,18 +8,18 @@
 import java.util.Map;
 
 /** Turns discovery's JSON into lines of the module's list and the addresses to dial. */
-final class Directory {
+final class EndpointListParser {
     /** A list as told: whole, or only what changed. */
     record News(long version, boolean whole, List<Entry> entries) {}
 
     /** One backend: the module's line of it and where it listens. */
     record Entry(Endpoint member, InetSocketAddress dial) {}
 
-    private final Log log;
+    private final RateLimitedLog log;
     private final List<String> zones;
     private final List<String> kinds;
 
-    Directory(Log log, List<String> zones, List<String> kinds) {
+    EndpointListParser(RateLimitedLog log, List<String> zones, List<String> kinds) {
         this.log = log;
         this.zones = new ArrayList<>(zones);
         this.kinds = new ArrayList<>(kinds);
--- a/src/main/java/cottonlock/proxy/ListWatch.java
+++ b/src/main/java/cottonlock/proxy/EndpointListWatch.java
@@ -15,7 +15,7 @@
  * So these add up to less: SILENCE, the pause until the next call (here LONGEST_AGAIN, or what the
  * module waits), CONNECT. The sum stands in docs/races.md; what it leaves is for the answer.
  */
-final class ListWatch implements Runnable {
+final class EndpointListWatch implements Runnable {
     /** Milliseconds: discovery answers from within the network or not at all. */
     static final int CONNECT = 1_000;
 
@@ -36,7 +36,7 @@
     /** Who is told what the watch brings, on its thread. */
     interface Sink {
         /** News of the list; cached: as this balancer last held it. */
-        void list(Directory.News news, boolean cached);
+        void list(EndpointListParser.News news, boolean cached);
 
         /** A watch has ended, and none runs. */
         void listFailed();
@@ -45,15 +45,15 @@
     /** Where discovery is: it moves with the configuration. */
     private volatile InetSocketAddress address;
 
-    private final Directory directory;
+    private final EndpointListParser directory;
     private final boolean onlyWhenAsked;
 
     /** Milliseconds without a line after which a watch is broken. */
     private final long silence;
 
     private final Sink module;
-    private final Buffers buffers;
-    private final Log log;
+    private final BufferPool buffers;
+    private final RateLimitedLog log;
     private final SplittableRandom random;
     private final Semaphore asks = new Semaphore(0);
 
@@ -67,15 +67,15 @@
 
     private volatile Socket socket;
 
-    ListWatch(
+    EndpointListWatch(
             InetSocketAddress address,
-            Directory directory,
+            EndpointListParser directory,
             long version,
             boolean onlyWhenAsked,
             long silence,
             Sink module,
-            Buffers buffers,
-            Log log,
+            BufferPool buffers,
+            RateLimitedLog log,
             SplittableRandom random) {
         this.address = address;
         this.directory = directory;
@@ -165,12 +165,12 @@
             HttpReader reader = new HttpReader(socket, buffer);
             // A head or a line that trickles renews nothing: only a whole one does.
             reader.within(silence);
-            Head head = reader.answer(0);
+            MessageHead head = reader.answer(0);
             if (!head.start[1].equals("200")) {
                 throw new IOException("status " + head.start[1]);
             }
             StringBuilder text = new StringBuilder();
-            Json.Nesting nesting = new Json.Nesting();
+            JsonReader.Nesting nesting = new JsonReader.Nesting();
             for (String line = reader.line(LONGEST_LINE);
                     line != null;
                     line = reader.line(LONGEST_LINE)) {
@@ -184,7 +184,7 @@
                     continue;
                 }
                 if (!line.isBlank()) {
-                    Directory.News news = directory.read(Json.read(text.toString()));
+                    EndpointListParser.News news = directory.read(JsonReader.read(text.toString()));
                     version = news.version();
                     toldBy = at;
                     lists++;
--- a/src/main/java/cottonlock/proxy/HttpReader.java
+++ b/src/main/java/cottonlock/proxy/HttpReader.java
@@ -172,8 +172,8 @@
         return buffer[at++];
     }
 
-    Head request() throws IOException, MalformedMessageException {
-        Head head = head();
+    MessageHead request() throws IOException, MalformedMessageException {
+        MessageHead head = head();
         String[] s = head.start;
         if (s.length == 3 && s[1].startsWith("http://")) {
             // The absolute form means the same here, wherever it is sent.
@@ -197,7 +197,7 @@
      * The head of the final answer: milliseconds for any pause once one has begun; 0: the limit
      * that is set.
      */
-    Head answer(long gap) throws IOException, MalformedMessageException {
+    MessageHead answer(long gap) throws IOException, MalformedMessageException {
         while (true) {
             if (!await()) {
                 throw new IOException("the answer ends early");
@@ -205,7 +205,7 @@
             if (gap > 0) {
                 paced(gap, ANY_RATE);
             }
-            Head head = head();
+            MessageHead head = head();
             String[] s = head.start;
             boolean version = s[0].equals("HTTP/1.1") || s[0].equals("HTTP/1.0");
             if (s.length < 2 || !version || s[1].length() != 3 || !digits(s[1])) {
@@ -226,7 +226,7 @@
         }
     }
 
-    private Head head() throws IOException, MalformedMessageException {
+    private MessageHead head() throws IOException, MalformedMessageException {
         // Some senders end a body with a line end too many.
         while (at + 1 < filled && buffer[at] == '\r' && buffer[at + 1] == '\n') {
             at += 2;
@@ -256,11 +256,11 @@
         }
     }
 
-    private static Head parse(String text) throws MalformedMessageException {
+    private static MessageHead parse(String text) throws MalformedMessageException {
         // Without patterns: until they were compiled, the first requests waited milliseconds for
         // them.
         int end = lineEnd(text, 0);
-        Head head = new Head(text.substring(0, end).split(" ", 3));
+        MessageHead head = new MessageHead(text.substring(0, end).split(" ", 3));
         while (end < text.length()) {
             int from = end + 2;
             end = lineEnd(text, from);
@@ -308,7 +308,7 @@
         return !word.isEmpty();
     }
 
-    private void frame(Head head, long withoutLength) throws MalformedMessageException {
+    private void frame(MessageHead head, long withoutLength) throws MalformedMessageException {
         String coding = head.only("Transfer-Encoding");
         String length = head.only("Content-Length");
         chunked = coding != null;
@@ -348,17 +348,17 @@
     }
 
     /** Reads the whole body of the message whose head came last; on failure it is given back. */
-    Body body(Buffers buffers, Spools spools, long most)
+    MessageBody body(BufferPool buffers, BodySpillFiles spools, long most)
             throws IOException, MalformedMessageException {
-        return read(new Body(buffers, spools), most, true);
+        return read(new MessageBody(buffers, spools), most, true);
     }
 
     /** Reads the body if it can be held, else none or only the first of it; see {@link #over}. */
-    Body first(Buffers buffers) throws IOException, MalformedMessageException {
-        return read(new Body(buffers, null), Body.IN_HAND, false);
+    MessageBody first(BufferPool buffers) throws IOException, MalformedMessageException {
+        return read(new MessageBody(buffers, null), MessageBody.IN_HAND, false);
     }
 
-    private Body read(Body body, long most, boolean whole)
+    private MessageBody read(MessageBody body, long most, boolean whole)
             throws IOException, MalformedMessageException {
         boolean done = false;
         try {
--- a/src/main/java/cottonlock/proxy/HttpWriter.java
+++ b/src/main/java/cottonlock/proxy/HttpWriter.java
@@ -12,9 +12,9 @@
     private static final byte[] LINE_END = {'\r', '\n'};
     private static final byte[] LAST_CHUNK = {'0', '\r', '\n', '\r', '\n'};
 
-    private final Buffers buffers;
+    private final BufferPool buffers;
 
-    HttpWriter(Buffers buffers) {
+    HttpWriter(BufferPool buffers) {
         this.buffers = buffers;
     }
 
@@ -44,7 +44,13 @@
     }
 
     /** An answer to a client; a body of null is an empty one. */
-    void answer(OutputStream out, int status, String name, String value, Body body, boolean close)
+    void answer(
+            OutputStream out,
+            int status,
+            String name,
+            String value,
+            MessageBody body,
+            boolean close)
             throws IOException {
         StringBuilder head = new StringBuilder(128);
         head.append("HTTP/1.1 ").append(status).append(' ').append(reason(status)).append("\r\n");
@@ -58,7 +64,7 @@
      * The head of a long answer that is passed on as it comes, and what of it is in hand; -1:
      * length unknown, and the rest follows in chunks where the client knows them.
      */
-    void begin(OutputStream out, long length, boolean chunked, Body part, boolean close)
+    void begin(OutputStream out, long length, boolean chunked, MessageBody part, boolean close)
             throws IOException {
         StringBuilder head = new StringBuilder(128);
         head.append("HTTP/1.1 200 OK\r\n");
@@ -113,17 +119,17 @@
         }
     }
 
-    private void send(OutputStream out, Supplier<StringBuilder> head, Body body)
+    private void send(OutputStream out, Supplier<StringBuilder> head, MessageBody body)
             throws IOException {
         if (body == null || body.length() == 0) {
             out.write(bytes(head));
             return;
         }
-        if (!body.spooled() && body.length() <= Buffers.SIZE) {
+        if (!body.spooled() && body.length() <= BufferPool.SIZE) {
             byte[] whole = buffers.take();
             try {
                 byte[] bytes = bytes(head);
-                if (bytes.length + body.length() <= Buffers.SIZE) {
+                if (bytes.length + body.length() <= BufferPool.SIZE) {
                     System.arraycopy(bytes, 0, whole, 0, bytes.length);
                     body.copyTo(whole, bytes.length);
                     out.write(whole, 0, bytes.length + (int) body.length());
--- a/src/main/java/cottonlock/proxy/Json.java
+++ b/src/main/java/cottonlock/proxy/JsonReader.java
@@ -6,19 +6,19 @@
 import java.util.Map;
 
 /** Reads JSON: objects become maps, arrays lists, strings and numbers strings as written. */
-final class Json {
+final class JsonReader {
     /** Deeper than any list or settings; the small stacks bear it. */
     private static final int DEEPEST = 32;
 
     private final String text;
     private int at;
 
-    private Json(String text) {
+    private JsonReader(String text) {
         this.text = text;
     }
 
     static Object read(String text) {
-        Json json = new Json(text);
+        JsonReader json = new JsonReader(text);
         Object value = json.value(0);
         json.space();
         if (json.at < text.length()) {
--- a/src/main/java/cottonlock/proxy/KeepAlive.java
+++ b/src/main/java/cottonlock/proxy/KeepAlivePolicy.java
@@ -5,7 +5,7 @@
  * kept ones without a word, or as soon as they are used: an attempt lost that way may have run, and
  * counts against a sound backend, while a new connection costs little.
  */
-final class KeepAlive {
+final class KeepAlivePolicy {
     /**
      * Nanoseconds: a request that was read and begun is not broken off so soon after it was sent.
      */
--- a/src/main/java/cottonlock/proxy/ModuleActor.java
+++ b/src/main/java/cottonlock/proxy/LoadBalancerActor.java
@@ -1,6 +1,6 @@
 package cottonlock.proxy;
 
-import cottonlock.admin.Figures;
+import cottonlock.admin.Metrics;
 import cottonlock.decision.AttemptOutcome;
 import cottonlock.decision.Endpoint;
 import cottonlock.decision.LoadBalancer;
@@ -25,7 +25,7 @@
 /**
  * The module's actor: its thread alone calls the module, and it waits for nobody but its mailbox.
  */
-final class ModuleActor implements Runnable, LoadBalancerActions, ListWatch.Sink {
+final class LoadBalancerActor implements Runnable, LoadBalancerActions, EndpointListWatch.Sink {
     /** More than the sockets there are: each has a message or two under way at most. */
     private static final int MOST = 4_096;
 
@@ -56,10 +56,10 @@
     /** What the module's own answers lead to, after the call that made them. */
     private final Deque<Runnable> next = new ArrayDeque<>();
 
-    private final Clock clock;
-    private final Function<Directory.Entry, BackendActor> actorOf;
-    private final Figures figures;
-    private final Log log;
+    private final TickClock clock;
+    private final Function<EndpointListParser.Entry, BackendActor> actorOf;
+    private final Metrics figures;
+    private final RateLimitedLog log;
 
     /** The backends in the list, as discovery has told them, and their ids for others to see. */
     private final Map<String, Endpoint> listed = new TreeMap<>();
@@ -67,17 +67,17 @@
     private final Set<String> unlisted = new TreeSet<>();
     private volatile Set<String> ids = Set.of();
     private boolean listLost;
-    private Bans bans;
+    private ManualEjections bans;
     private final Map<Long, ClientRequest> requests = new HashMap<>();
     private final Map<String, BackendActor> backends = new TreeMap<>();
     private final PriorityQueue<ClientRequest> expiries =
             new PriorityQueue<>(Comparator.comparingLong((ClientRequest req) -> req.expiry));
     private LoadBalancer balancer;
-    private ListWatch watch;
-    private Peers peers;
+    private EndpointListWatch watch;
+    private PeerMessenger peers;
 
     /** The module that is only watched, or null. */
-    private Shadow shadow;
+    private ShadowLoadBalancer shadow;
 
     /** When its thread last came round, for whoever watches over it. */
     private volatile long progressAt;
@@ -89,11 +89,11 @@
 
     private long wakeAt;
 
-    ModuleActor(
-            Clock clock,
-            Function<Directory.Entry, BackendActor> actorOf,
-            Figures figures,
-            Log log) {
+    LoadBalancerActor(
+            TickClock clock,
+            Function<EndpointListParser.Entry, BackendActor> actorOf,
+            Metrics figures,
+            RateLimitedLog log) {
         this.clock = clock;
         this.actorOf = actorOf;
         this.figures = figures;
@@ -107,7 +107,11 @@
      * Before the thread starts: the module, where its asks for the list go, and its messages to
      * peers.
      */
-    void join(LoadBalancer module, ListWatch list, Peers others, Bans taken) {
+    void join(
+            LoadBalancer module,
+            EndpointListWatch list,
+            PeerMessenger others,
+            ManualEjections taken) {
         balancer = module;
         bans = taken;
         watch = list;
@@ -115,7 +119,7 @@
     }
 
     /** Before the thread starts: a module that is told all and whose decisions are only counted. */
-    void watch(Shadow watched) {
+    void watch(ShadowLoadBalancer watched) {
         shadow = watched;
     }
 
@@ -277,7 +281,7 @@
     }
 
     @Override
-    public void list(Directory.News news, boolean cached) {
+    public void list(EndpointListParser.News news, boolean cached) {
         mailbox.put(
                 () -> {
                     List<Endpoint> members = new ArrayList<>();
@@ -287,7 +291,7 @@
                     if (news.whole()) {
                         listed.clear();
                     }
-                    for (Directory.Entry entry : news.entries()) {
+                    for (EndpointListParser.Entry entry : news.entries()) {
                         Endpoint m = entry.member();
                         members.add(bans.told(m));
                         if (m.state() == Endpoint.State.GONE) {
--- a/src/main/java/cottonlock/proxy/Mailbox.java
+++ b/src/main/java/cottonlock/proxy/Mailbox.java
@@ -9,9 +9,9 @@
  */
 final class Mailbox implements Runnable {
     private final BlockingQueue<Runnable> messages;
-    private final Log log;
+    private final RateLimitedLog log;
 
-    Mailbox(int most, Log log) {
+    Mailbox(int most, RateLimitedLog log) {
         // An array of all its places would take 16 KB for each backend that a list names, used or
         // not.
         this.messages = new LinkedBlockingQueue<>(most);
--- a/src/main/java/cottonlock/proxy/Bans.java
+++ b/src/main/java/cottonlock/proxy/ManualEjections.java
@@ -12,7 +12,7 @@
  * The backends that operators have taken out, in front of discovery's news; kept for the proxy's
  * next process and shared with another that serves beside this one.
  */
-final class Bans implements Runnable {
+final class ManualEjections implements Runnable {
     /**
      * Milliseconds between looks at what another process has changed: far below any grace on
      * drains.
@@ -31,14 +31,14 @@
     /** Who is out, and who came back when, by the module's clock. */
     private record State(Set<String> out, Map<String, Long> back) {}
 
-    private final Shared shared;
-    private final Clock clock;
+    private final SharedFile shared;
+    private final TickClock clock;
     private final Runnable changed;
     private volatile State state;
     private volatile Object seen;
 
     /** Changed is called after each change, from any thread. */
-    Bans(Shared shared, Clock clock, Runnable changed) {
+    ManualEjections(SharedFile shared, TickClock clock, Runnable changed) {
         this.shared = shared;
         this.clock = clock;
         this.changed = changed;
--- a/src/main/java/cottonlock/proxy/Members.java
+++ b/src/main/java/cottonlock/proxy/MembershipAdapter.java
@@ -1,6 +1,6 @@
 package cottonlock.proxy;
 
-import cottonlock.membership.MembersActor;
+import cottonlock.membership.MembershipService;
 import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.MembershipConfig;
 import java.io.IOException;
@@ -15,7 +15,7 @@
  * Joins a proxy to the fleet of those that know one another; loaded only where an operator's file
  * asks.
  */
-final class Members {
+final class MembershipAdapter {
     /** Milliseconds that this process's wall clock is wrong by, for tests alone. */
     private static final String CLOCK = "cottonlock.test.clock_ms";
 
@@ -24,7 +24,7 @@
 
     private static final long LOOK = 20;
 
-    private final MembersActor actor;
+    private final MembershipService actor;
     private final DatagramSocket socket;
     private final boolean sharesSocket;
 
@@ -34,22 +34,22 @@
      * @param succession tells of the proxy's other process; null where there can be none
      * @throws InvalidSettingsException for files that name nobody else, or no address of its own
      */
-    Members(
+    MembershipAdapter(
             MembershipConfig plan,
-            Config config,
+            ProxyConfiguration config,
             DatagramSocket peerSocket,
-            Peers peers,
-            ModuleActor module,
-            Clock clock,
-            Succession succession,
+            PeerMessenger peers,
+            LoadBalancerActor module,
+            TickClock clock,
+            ProcessHandover succession,
             SplittableRandom random,
-            Log log)
+            RateLimitedLog log)
             throws IOException {
         InetSocketAddress peerListen = config.addressIfAny("peer_listen");
         InetSocketAddress listen =
                 plan.listen().isEmpty()
                         ? peerListen
-                        : Config.address("membership.listen", plan.listen());
+                        : ProxyConfiguration.address("membership.listen", plan.listen());
         if (listen == null) {
             throw new InvalidSettingsException(
                     "membership needs an address: peer_listen here, or membership.listen in the "
@@ -58,13 +58,14 @@
         sharesSocket = peerSocket != null && listen.equals(peerListen);
         List<InetSocketAddress> fixed = config.addresses("peers");
         List<String> contacts = new ArrayList<>();
-        fixed.forEach(address -> contacts.add(MembersActor.text(address)));
+        fixed.forEach(address -> contacts.add(MembershipService.text(address)));
         plan.seeds()
                 .forEach(
                         seed ->
                                 contacts.add(
-                                        MembersActor.text(
-                                                Config.address("membership.seeds", seed))));
+                                        MembershipService.text(
+                                                ProxyConfiguration.address(
+                                                        "membership.seeds", seed))));
         if (contacts.isEmpty()) {
             throw new InvalidSettingsException(
                     "membership needs others: peers here, or membership.seeds in the operator's "
@@ -72,19 +73,20 @@
         }
         int me = config.settings().count("Me", -1);
         String address =
-                MembersActor.text(
+                MembershipService.text(
                         !plan.advertise().isEmpty()
-                                ? Config.address("membership.advertise", plan.advertise())
+                                ? ProxyConfiguration.address(
+                                        "membership.advertise", plan.advertise())
                                 : plan.listen().isEmpty() && me >= 0 && me < fixed.size()
                                         ? fixed.get(me)
                                         : listen);
         String name = config.text("name", "");
         BooleanSupplier replaced = succession == null ? null : succession::replaced;
-        socket = sharesSocket ? peerSocket : Peers.socket(listen, succession != null);
+        socket = sharesSocket ? peerSocket : PeerMessenger.socket(listen, succession != null);
         long life = System.currentTimeMillis() + Long.getLong(CLOCK, 0);
         try {
             actor =
-                    new MembersActor(
+                    new MembershipService(
                             plan,
                             socket,
                             name,
@@ -111,7 +113,7 @@
         }
     }
 
-    private static void hangs(java.io.File file, ModuleActor module) {
+    private static void hangs(java.io.File file, LoadBalancerActor module) {
         try {
             while (true) {
                 if (file.exists()) {
@@ -130,7 +132,7 @@
         }
     }
 
-    MembersActor actor() {
+    MembershipService actor() {
         return actor;
     }
 
--- a/src/main/java/cottonlock/proxy/Body.java
+++ b/src/main/java/cottonlock/proxy/MessageBody.java
@@ -11,22 +11,22 @@
  * The body of one message, until it is given back: in buffers of the pool, a long one's rest in a
  * file.
  */
-final class Body {
+final class MessageBody {
     /** Bytes in buffers: more of each would crowd the pool's others. */
     static final int IN_HAND = 64 << 10;
 
     /** For what clients send: the longest that operators allow, 32 MB, and a little. */
     static final long MOST = 34L << 20;
 
-    private final Buffers buffers;
-    private final Spools spools;
+    private final BufferPool buffers;
+    private final BodySpillFiles spools;
     private final List<byte[]> parts = new ArrayList<>(1);
     private int inHand;
     private FileChannel rest;
     private long restLength;
 
-    /** Spools null: it must fit into what may be in hand. */
-    Body(Buffers buffers, Spools spools) {
+    /** With null files it must fit into what may be in hand. */
+    MessageBody(BufferPool buffers, BodySpillFiles spools) {
         this.buffers = buffers;
         this.spools = spools;
     }
@@ -42,7 +42,7 @@
 
     void add(byte[] from, int at, int count) throws IOException {
         while (count > 0 && inHand < IN_HAND && rest == null) {
-            int used = inHand % Buffers.SIZE;
+            int used = inHand % BufferPool.SIZE;
             if (used == 0) {
                 // The first may be waited for; where more bodies come than fit, the rest goes into
                 // files.
@@ -52,7 +52,7 @@
                 }
                 parts.add(part);
             }
-            int n = Math.min(count, Buffers.SIZE - used);
+            int n = Math.min(count, BufferPool.SIZE - used);
             System.arraycopy(from, at, parts.get(parts.size() - 1), used, n);
             inHand += n;
             at += n;
@@ -78,8 +78,8 @@
     void writeTo(OutputStream out) throws IOException {
         int left = inHand;
         for (byte[] part : parts) {
-            out.write(part, 0, Math.min(left, Buffers.SIZE));
-            left -= Buffers.SIZE;
+            out.write(part, 0, Math.min(left, BufferPool.SIZE));
+            left -= BufferPool.SIZE;
         }
         if (rest != null) {
             byte[] buffer = buffers.take();
--- a/src/main/java/cottonlock/proxy/Head.java
+++ b/src/main/java/cottonlock/proxy/MessageHead.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /** The start line and the header fields of one message. */
-final class Head {
+final class MessageHead {
     /** Method, target and version of a request; version, status and reason of an answer. */
     final String[] start;
 
     private final List<String> names = new ArrayList<>();
     private final List<String> values = new ArrayList<>();
 
-    Head(String[] start) {
+    MessageHead(String[] start) {
         this.start = start;
     }
 
--- a/src/main/java/cottonlock/proxy/Peers.java
+++ b/src/main/java/cottonlock/proxy/PeerMessenger.java
@@ -11,23 +11,23 @@
 import java.util.Set;
 
 /** The datagrams between the balancers of a tier; without an address of its own it does nothing. */
-final class Peers implements Runnable {
+final class PeerMessenger implements Runnable {
     /** The protocol's limit for one datagram. */
     private static final int LONGEST = 256;
 
     private final DatagramSocket socket;
     private final Set<InetSocketAddress> others;
     private final InetSocketAddress all;
-    private final ModuleActor module;
-    private final Log log;
+    private final LoadBalancerActor module;
+    private final RateLimitedLog log;
 
     /** Socket and address may be null where the settings give none. */
-    Peers(
+    PeerMessenger(
             DatagramSocket socket,
             List<InetSocketAddress> others,
             InetSocketAddress all,
-            ModuleActor module,
-            Log log) {
+            LoadBalancerActor module,
+            RateLimitedLog log) {
         this.socket = all == null ? null : socket;
         this.others = Set.copyOf(others);
         this.all = all;
--- a/src/main/java/cottonlock/proxy/Succession.java
+++ b/src/main/java/cottonlock/proxy/ProcessHandover.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /** Tells whether another process has taken over from this one: whoever said last that it serves. */
-final class Succession {
-    private final Shared shared;
+final class ProcessHandover {
+    private final SharedFile shared;
     private final String me = named(ProcessHandle.current());
 
-    Succession(Shared shared) {
+    ProcessHandover(SharedFile shared) {
         this.shared = shared;
     }
 
--- a/src/main/java/cottonlock/proxy/Proxy.java
+++ b/src/main/java/cottonlock/proxy/Proxy.java
@@ -1,7 +1,7 @@
 package cottonlock.proxy;
 
-import cottonlock.admin.Figures;
-import cottonlock.admin.Management;
+import cottonlock.admin.ManagementServer;
+import cottonlock.admin.Metrics;
 import cottonlock.setup.LoadBalancerFactory;
 import cottonlock.setup.OperatorConfig;
 import cottonlock.setup.Settings;
@@ -74,30 +74,30 @@
     private final Path configuration;
 
     /** What is in force: the file as it was last taken, and what its requests are taken in by. */
-    private Config inForce;
+    private ProxyConfiguration inForce;
 
-    private Rules rules;
-    private final Figures figures = new Figures();
-    private final Bans bans;
-    private final Succession succession;
+    private RequestRules rules;
+    private final Metrics figures = new Metrics();
+    private final ManualEjections bans;
+    private final ProcessHandover succession;
 
     /** Null where operators have no address to call. */
-    private Management management;
+    private ManagementServer management;
 
     private volatile boolean serves;
-    private final Log log;
+    private final RateLimitedLog log;
     private final List<Thread> threads = new ArrayList<>();
-    private final Admission admission;
-    private final Listener listener;
-    private final Peers peers;
+    private final RequestValidator admission;
+    private final ClientListener listener;
+    private final PeerMessenger peers;
 
     /** What it knows of the other proxies; null where it knows nothing. */
-    private Members members;
+    private MembershipAdapter members;
 
-    private final ModuleActor module;
-    private final ListWatch watch;
-    private final Workers workers = new Workers();
-    private final Buffers buffers;
+    private final LoadBalancerActor module;
+    private final EndpointListWatch watch;
+    private final ConnectionThreads workers = new ConnectionThreads();
+    private final BufferPool buffers;
 
     /** What learns of changes to the settings; null where nothing does. */
     private RolloutActor rollout;
@@ -106,7 +106,7 @@
     private boolean told;
 
     /** The module that is only watched, or null. */
-    private Shadow shadow;
+    private ShadowLoadBalancer shadow;
 
     /** Starts a proxy by its configuration file; it serves when this returns. */
     public Proxy(Path configuration) throws IOException {
@@ -121,17 +121,17 @@
     public Proxy(Path configuration, OperatorConfig operator, String calledAt, Path folder)
             throws IOException {
         this.configuration = configuration;
-        Config config = Config.read(configuration);
+        ProxyConfiguration config = ProxyConfiguration.read(configuration);
         String operators = config.text("mgmt", calledAt);
         boolean shares = operators != null;
         Settings settings = config.settings();
         LoadBalancerFactory assembly = new LoadBalancerFactory(settings);
-        log = new Log(System.getLogger("cottonlock"));
-        Clock clock = new Clock();
+        log = new RateLimitedLog(System.getLogger("cottonlock"));
+        TickClock clock = new TickClock();
         SplittableRandom random = new SplittableRandom(config.seed());
         // Operators' calls hold theirs for seconds: taken from what is left for the list, they kept
         // it away.
-        int own = OWN_SOCKETS + (shares ? Management.MOST : 0);
+        int own = OWN_SOCKETS + (shares ? ManagementServer.MOST : 0);
         int sockets = Math.max(4, config.limit("sockets", 1024) - own);
         sockets -= sockets / FOR_BODIES;
         int toBackends = Math.max(2, (int) (sockets * TO_BACKENDS));
@@ -143,20 +143,20 @@
         // for bodies.
         long bytes = Math.min(((long) memoryMb << 20) / 8, Runtime.getRuntime().maxMemory() / 3);
         int connections = fromClients + toBackends;
-        buffers = new Buffers((int) Math.max(connections, bytes / Buffers.SIZE), connections);
+        buffers = new BufferPool((int) Math.max(connections, bytes / BufferPool.SIZE), connections);
         Path spooled = folder == null ? Path.of(System.getProperty("java.io.tmpdir")) : folder;
-        Spools spools = new Spools(spooled, Math.max(2, sockets / FOR_BODIES));
+        BodySpillFiles spools = new BodySpillFiles(spooled, Math.max(2, sockets / FOR_BODIES));
         HttpWriter writer = new HttpWriter(buffers);
-        Watchdog watchdog = new Watchdog();
+        WriteTimeoutWatchdog watchdog = new WriteTimeoutWatchdog();
         ConnectionPermits permits = new ConnectionPermits(toBackends);
-        KeepAlive keepAlive = new KeepAlive();
+        KeepAlivePolicy keepAlive = new KeepAlivePolicy();
         long connect = settings.timeDown("Limits.ConnectTimeout", CONNECT) / 10;
         long idle = settings.timeDown("Limits.ConnIdle", IDLE) / 10;
         String name = config.text("name", "proxy") + "-" + config.text("listen", "");
         Path kept = shares ? folder : null;
-        succession = new Succession(new Shared(kept, name, "serving", log));
+        succession = new ProcessHandover(new SharedFile(kept, name, "serving", log));
         module =
-                new ModuleActor(
+                new LoadBalancerActor(
                         clock,
                         entry ->
                                 new BackendActor(
@@ -175,17 +175,19 @@
                                         log),
                         figures,
                         log);
-        bans = new Bans(new Shared(kept, name, "bans", log), clock, module::bansChanged);
-        Directory directory =
-                new Directory(log, settings.words("Zones"), settings.words("Flavors"));
-        Directory.News known = config.known(directory);
+        bans =
+                new ManualEjections(
+                        new SharedFile(kept, name, "bans", log), clock, module::bansChanged);
+        EndpointListParser directory =
+                new EndpointListParser(log, settings.words("Zones"), settings.words("Flavors"));
+        EndpointListParser.News known = config.known(directory);
         watch =
-                new ListWatch(
+                new EndpointListWatch(
                         config.address("discovery"),
                         directory,
                         known.version(),
                         assembly.mustAsk(),
-                        ListWatch.SILENCE,
+                        EndpointListWatch.SILENCE,
                         module,
                         buffers,
                         log,
@@ -193,30 +195,30 @@
         InetSocketAddress all = config.addressIfAny("peers_all");
         InetSocketAddress peerListen = config.addressIfAny("peer_listen");
         boolean talks = peerListen != null && all != null;
-        DatagramSocket peerSocket = talks ? Peers.socket(peerListen, shares) : null;
-        peers = new Peers(peerSocket, config.addresses("peers"), all, module, log);
+        DatagramSocket peerSocket = talks ? PeerMessenger.socket(peerListen, shares) : null;
+        peers = new PeerMessenger(peerSocket, config.addresses("peers"), all, module, log);
         module.join(assembly.balancer(module, random.nextLong()), watch, peers, bans);
         if (!operator.watched().isEmpty()) {
             Settings others = config.settings();
             operator.watched().forEach(others::put);
-            shadow = new Shadow(log);
+            shadow = new ShadowLoadBalancer(log);
             shadow.join(new LoadBalancerFactory(others).balancer(shadow, random.nextLong()));
             module.watch(shadow);
         }
         module.list(known, true);
         inForce = config;
-        rules = new Rules(null, assembly, settings);
+        rules = new RequestRules(null, assembly, settings);
         rules.names().forEach(figures::category);
         rules.tenantNames.forEach(figures::tenant);
-        admission = new Admission(clock, rules);
+        admission = new RequestValidator(clock, rules);
         InetSocketAddress listen = config.address("listen");
         listener =
-                new Listener(
+                new ClientListener(
                         listen,
                         shares,
                         fromClients,
                         (socket, from) ->
-                                new Client(
+                                new ClientConnection(
                                         socket, from, module, admission, buffers, spools, writer,
                                         watchdog, figures, log),
                         workers,
@@ -227,7 +229,7 @@
                             operator.rollout(),
                             settings,
                             this::takeIn,
-                            new Shared(folder, name, "configuration", log),
+                            new SharedFile(folder, name, "configuration", log),
                             clock,
                             random.split(),
                             log);
@@ -239,7 +241,7 @@
         threads.add(Sockets.start("list", watch));
         if (operator.membership() != null) {
             members =
-                    new Members(
+                    new MembershipAdapter(
                             operator.membership(),
                             config,
                             peerSocket,
@@ -258,7 +260,8 @@
         if (shares) {
             // Called before the module had the list, ids that are there were told to be nobody's.
             module.settle();
-            management = new Management(Config.address("mgmt", operators), new Desk());
+            management =
+                    new ManagementServer(ProxyConfiguration.address("mgmt", operators), new Desk());
             threads.add(Sockets.start("management", management));
             threads.add(Sockets.start("bans", bans));
         }
@@ -273,7 +276,7 @@
     }
 
     /** What operators ask for, carried out on the threads of their calls. */
-    private final class Desk implements Management.Desk {
+    private final class Desk implements ManagementServer.Desk {
         @Override
         public boolean serves() {
             return serves;
@@ -318,7 +321,7 @@
      */
     public synchronized void reload() {
         try {
-            Config config = Config.read(configuration);
+            ProxyConfiguration config = ProxyConfiguration.read(configuration);
             config.mayFollow(inForce);
             Settings settings = config.settings();
             InetSocketAddress discovery = config.address("discovery");
@@ -361,7 +364,7 @@
 
     private void takeIn(Settings settings, LoadBalancerFactory assembly) {
         int most = settings.count("Limits.MaxHandOffs", 1);
-        rules = new Rules(rules, assembly, settings);
+        rules = new RequestRules(rules, assembly, settings);
         rules.names().forEach(figures::category);
         // The module first: it must know a category before a request of it comes.
         module.retune(rules.categories, most);
@@ -446,17 +449,17 @@
     /**
      * What the watched module would have decided otherwise, by kind; null where none is watched.
      */
-    Map<Shadow.Kind, Long> watched() {
+    Map<ShadowLoadBalancer.Kind, Long> watched() {
         return shadow == null ? null : shadow.counts();
     }
 
     /** For tests alone. */
-    Listener listener() {
+    ClientListener listener() {
         return listener;
     }
 
     /** For tests alone. */
-    ModuleActor module() {
+    LoadBalancerActor module() {
         return module;
     }
 
--- a/src/main/java/cottonlock/proxy/Config.java
+++ b/src/main/java/cottonlock/proxy/ProxyConfiguration.java
@@ -15,17 +15,17 @@
  * Reads the configuration file of one proxy; whatever is wrong with it is a {@link
  * InvalidSettingsException}.
  */
-final class Config {
+final class ProxyConfiguration {
     private final Map<?, ?> root;
 
-    private Config(Map<?, ?> root) {
+    private ProxyConfiguration(Map<?, ?> root) {
         this.root = root;
     }
 
-    static Config read(Path file) {
+    static ProxyConfiguration read(Path file) {
         try {
-            if (Json.read(Files.readString(file)) instanceof Map<?, ?> map) {
-                return new Config(map);
+            if (JsonReader.read(Files.readString(file)) instanceof Map<?, ?> map) {
+                return new ProxyConfiguration(map);
             }
             throw new InvalidSettingsException("the configuration is no JSON object");
         } catch (IOException e) {
@@ -39,7 +39,7 @@
      * Turns it down unless it may follow the one in force: a file that lacks a key that stands
      * there, or that no work could be served by, is taken for one that was cut off or mistyped.
      */
-    void mayFollow(Config before) {
+    void mayFollow(ProxyConfiguration before) {
         for (Object key : before.root.keySet()) {
             // Who serves beside us and what was last known may come and go; the rest may not.
             if (!root.containsKey(key)
@@ -209,9 +209,9 @@
     }
 
     /** The list of backends as this proxy last had it. */
-    Directory.News known(Directory directory) {
+    EndpointListParser.News known(EndpointListParser directory) {
         return root.get("known") == null
-                ? new Directory.News(0, true, List.of())
+                ? new EndpointListParser.News(0, true, List.of())
                 : directory.read(root.get("known"));
     }
 }
--- a/src/main/java/cottonlock/proxy/Log.java
+++ b/src/main/java/cottonlock/proxy/RateLimitedLog.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** Lines for whoever is on call: one of each kind a second at most, with how many were left out. */
-final class Log {
+final class RateLimitedLog {
     private static final long GAP = 1_000_000_000L;
 
     /** Lines a second of what is told each by each: more than a fleet in a storm can be read at. */
@@ -13,7 +13,7 @@
     private final System.Logger logger;
     private final Map<String, long[]> kinds = new HashMap<>();
 
-    Log(System.Logger logger) {
+    RateLimitedLog(System.Logger logger) {
         this.logger = logger;
     }
 
--- a/src/main/java/cottonlock/proxy/Rules.java
+++ b/src/main/java/cottonlock/proxy/RequestRules.java
@@ -14,7 +14,7 @@
  * category keeps its number as long as the process lives, and a name that comes again gets its old
  * one.
  */
-final class Rules {
+final class RequestRules {
     /** The patience of categories without an expiry, in tenths of a millisecond: a minute. */
     private static final long LONGEST = 600_000;
 
@@ -35,7 +35,7 @@
     private final long[] longest;
 
     /** The rules of the given settings, after the given ones (null at the start). */
-    Rules(Rules before, LoadBalancerFactory assembly, Settings settings) {
+    RequestRules(RequestRules before, LoadBalancerFactory assembly, Settings settings) {
         categories = before == null ? new ArrayList<>() : new ArrayList<>(before.categories);
         names = before == null ? new ArrayList<>() : new ArrayList<>(before.names);
         tenantNames = settings.each("Projects", "Name");
--- a/src/main/java/cottonlock/proxy/Admission.java
+++ b/src/main/java/cottonlock/proxy/RequestValidator.java
@@ -5,22 +5,22 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** Takes in a client's request, or says what is wrong with it. */
-final class Admission {
+final class RequestValidator {
     /**
      * What passing the answer on may take, in tenths of a millisecond: a busy core's few
      * milliseconds.
      */
     private static final long RESERVE = 100;
 
-    private final Clock clock;
-    private volatile Rules rules;
+    private final TickClock clock;
+    private volatile RequestRules rules;
 
     /** By the module's clock: all requests are over by then, as the program leaves. */
     private volatile long leaving = Long.MAX_VALUE;
 
     private final Set<String> openIds = ConcurrentHashMap.newKeySet();
 
-    Admission(Clock clock, Rules rules) {
+    RequestValidator(TickClock clock, RequestRules rules) {
         this.clock = clock;
         this.rules = rules;
     }
@@ -29,7 +29,7 @@
      * What comes from now on is taken in by these; what has been taken keeps the category it came
      * with.
      */
-    void follow(Rules other) {
+    void follow(RequestRules other) {
         rules = other;
     }
 
@@ -49,7 +49,7 @@
 
     /** A request that is taken in as soon as its body is there. */
     record Asked(
-            Head head,
+            MessageHead head,
             String id,
             String idempotencyKey,
             int category,
@@ -59,8 +59,8 @@
             long patience) {}
 
     /** Judges a head by itself: a long body behind a bad one need not be read. */
-    Asked asked(Head head) throws MalformedMessageException {
-        Rules in = rules;
+    Asked asked(MessageHead head) throws MalformedMessageException {
+        RequestRules in = rules;
         String method = head.start[0];
         if (!method.equals("GET") && !method.equals("POST")) {
             throw new MalformedMessageException(405, "neither GET nor POST");
@@ -115,7 +115,7 @@
      * may have waited behind another one, and would be given, and its backends told, time that its
      * client has not.
      */
-    ClientRequest request(Client client, Asked asked, Body body, long age)
+    ClientRequest request(ClientConnection client, Asked asked, MessageBody body, long age)
             throws MalformedMessageException {
         long spent = (age + 99_999) / 100_000;
         // Taken but unanswered when the program is killed, it would be lost.
--- a/src/main/java/cottonlock/proxy/RolloutActor.java
+++ b/src/main/java/cottonlock/proxy/RolloutActor.java
@@ -1,7 +1,7 @@
 package cottonlock.proxy;
 
-import cottonlock.rollout.Rollout;
-import cottonlock.rollout.Version;
+import cottonlock.rollout.ConfigurationRollout;
+import cottonlock.rollout.ConfigurationVersion;
 import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.RolloutConfig;
 import cottonlock.setup.Settings;
@@ -17,8 +17,8 @@
 import java.util.function.Consumer;
 
 /**
- * Carries a {@link Rollout}: one thread, with one watch on a control machine and a second
- * connection while it compares. Loaded only where an operator's file asks for it.
+ * Carries a {@link ConfigurationRollout}: one thread, with one watch on a control machine and a
+ * second connection while it compares. Loaded only where an operator's file asks for it.
  */
 final class RolloutActor implements Runnable {
     /** Characters of a line: settings of some hundred request classes. */
@@ -37,17 +37,17 @@
     private final List<InetSocketAddress> machines = new ArrayList<>();
     private final Consumer<Settings> takeIn;
     private final String base;
-    private final Shared kept;
-    private final Clock clock;
+    private final SharedFile kept;
+    private final TickClock clock;
     private final SplittableRandom random;
-    private final Log log;
+    private final RateLimitedLog log;
 
     /** Its own: requests must not wait for what control's lines are read with. */
-    private final byte[] watchBuffer = new byte[Buffers.SIZE];
+    private final byte[] watchBuffer = new byte[BufferPool.SIZE];
 
-    private final byte[] compareBuffer = new byte[Buffers.SIZE];
-    private Rollout rollout;
-    private volatile Rollout.Figures figures;
+    private final byte[] compareBuffer = new byte[BufferPool.SIZE];
+    private ConfigurationRollout rollout;
+    private volatile ConfigurationRollout.Figures figures;
     private volatile Socket socket;
     private volatile boolean closed;
 
@@ -61,15 +61,15 @@
             RolloutConfig plan,
             Settings built,
             Consumer<Settings> takeIn,
-            Shared kept,
-            Clock clock,
+            SharedFile kept,
+            TickClock clock,
             SplittableRandom random,
-            Log log) {
+            RateLimitedLog log) {
         this.plan = plan;
-        plan.control().forEach(a -> machines.add(Config.address("rollout.control", a)));
-        plan.far().forEach(a -> machines.add(Config.address("rollout.far", a)));
+        plan.control().forEach(a -> machines.add(ProxyConfiguration.address("rollout.control", a)));
+        plan.far().forEach(a -> machines.add(ProxyConfiguration.address("rollout.far", a)));
         this.takeIn = takeIn;
-        this.base = VersionLine.base(built);
+        this.base = ConfigurationVersionParser.base(built);
         this.kept = kept;
         this.clock = clock;
         this.random = random;
@@ -78,8 +78,8 @@
 
     /** Before the proxy serves: takes in what an earlier process has kept. */
     void begin() {
-        Version last = Version.NONE;
-        VersionLine line = keptLine();
+        ConfigurationVersion last = ConfigurationVersion.NONE;
+        ConfigurationVersionParser line = keptLine();
         if (line != null && !line.base().equals(base)) {
             log.each(
                     "version",
@@ -99,13 +99,13 @@
                                 + fault);
             }
         }
-        rollout = new Rollout(clock.now(), plan, last, random);
+        rollout = new ConfigurationRollout(clock.now(), plan, last, random);
         figures = rollout.figures();
     }
 
     /** For the figures: fields of a JSON object, each behind a comma. */
     String figures() {
-        Rollout.Figures f = figures;
+        ConfigurationRollout.Figures f = figures;
         return ",\"configuration_version\":"
                 + f.inForce().number()
                 + ",\"configuration_digest\":\""
@@ -137,7 +137,7 @@
     public void run() {
         try {
             while (!closed) {
-                Rollout.Call call = rollout.watch(clock.now());
+                ConfigurationRollout.Call call = rollout.watch(clock.now());
                 Thread.sleep(Math.max(0, call.at() - clock.now()) / 10);
                 try {
                     watch(machines.get(call.machine()), call.limit());
@@ -166,7 +166,7 @@
     /** Watches a machine until another knows more. */
     private void watch(InetSocketAddress at, long limit)
             throws IOException, MalformedMessageException {
-        Version asks = rollout.asks();
+        ConfigurationVersion asks = rollout.asks();
         long answerBy = clock.now() + limit;
         try (Socket watching = new Socket()) {
             socket = watching;
@@ -185,7 +185,7 @@
                                     + asks.hex());
             long silentAt = answerBy;
             StringBuilder text = new StringBuilder();
-            Json.Nesting nesting = new Json.Nesting();
+            JsonReader.Nesting nesting = new JsonReader.Nesting();
             while (comes(reader, silentAt)) {
                 reader.within(Math.max(1, (silentAt - clock.now()) / 10));
                 String line = reader.line(LONGEST_LINE);
@@ -201,10 +201,10 @@
                     continue;
                 }
                 if (!text.toString().isBlank()) {
-                    told(at, VersionLine.read(utf8(text)));
+                    told(at, ConfigurationVersionParser.read(utf8(text)));
                 }
                 text.setLength(0);
-                silentAt = clock.now() + Rollout.SILENCE;
+                silentAt = clock.now() + ConfigurationRollout.SILENCE;
             }
         }
     }
@@ -231,7 +231,7 @@
                                 .getBytes(StandardCharsets.ISO_8859_1));
         HttpReader reader = new HttpReader(with, buffer);
         reader.within(Math.max(1, (answerBy - clock.now()) / 10));
-        Head head = reader.answer(0);
+        MessageHead head = reader.answer(0);
         if (!head.start[1].equals("200")) {
             throw new IOException("status " + head.start[1]);
         }
@@ -284,7 +284,9 @@
                             "/catalog/configuration/version?service=" + plan.service());
             String line = reader.line(LONGEST_ANSWER);
             rollout.compared(
-                    clock.now(), other, VersionLine.read(line == null ? "" : utf8(line)).version);
+                    clock.now(),
+                    other,
+                    ConfigurationVersionParser.read(line == null ? "" : utf8(line)).version);
         } catch (IOException | MalformedMessageException | RuntimeException e) {
             rollout.compareFailed();
             if (!closed) {
@@ -293,8 +295,8 @@
         }
     }
 
-    private void told(InetSocketAddress by, VersionLine line) throws IOException {
-        Version before = rollout.figures().inForce();
+    private void told(InetSocketAddress by, ConfigurationVersionParser line) throws IOException {
+        ConfigurationVersion before = rollout.figures().inForce();
         if (!rollout.told(clock.now(), line.version)) {
             return;
         }
@@ -311,7 +313,7 @@
             warn(
                     line.version
                             + " is refused, "
-                            + (before.equals(Version.NONE)
+                            + (before.equals(ConfigurationVersion.NONE)
                                     ? "the file's settings stay"
                                     : before + " stays")
                             + " in force: "
@@ -324,7 +326,7 @@
     }
 
     /** Takes a version in; else why it can't be, and nothing of it is in force. */
-    private String tried(VersionLine line) {
+    private String tried(ConfigurationVersionParser line) {
         try {
             Settings settings = line.judged(base);
             if (mark(line.version) > ENDS) {
@@ -343,7 +345,7 @@
     }
 
     /** The version that is kept, or null. */
-    private VersionLine keptLine() {
+    private ConfigurationVersionParser keptLine() {
         for (String line : kept.read()) {
             String[] words = line.split(" ");
             if (words.length == 5 && words[0].equals("version") && HttpReader.digits(words[1])) {
@@ -351,11 +353,11 @@
                     String content =
                             new String(
                                     Base64.getDecoder().decode(words[4]), StandardCharsets.UTF_8);
-                    Version version =
-                            new Version(
+                    ConfigurationVersion version =
+                            new ConfigurationVersion(
                                     Long.parseLong(words[1]), Long.parseUnsignedLong(words[2], 16));
-                    if (VersionLine.digest(content) == version.digest()) {
-                        return VersionLine.of(version, words[3], content);
+                    if (ConfigurationVersionParser.digest(content) == version.digest()) {
+                        return ConfigurationVersionParser.of(version, words[3], content);
                     }
                 } catch (IllegalArgumentException e) {
                     // Told below, as what has another digest.
@@ -370,10 +372,10 @@
      * Keeps a version for the next process and forgets what was tried before, unless another
      * process of this proxy has kept a later one.
      */
-    private void keep(VersionLine line) {
+    private void keep(ConfigurationVersionParser line) {
         kept.change(
                 lines -> {
-                    VersionLine there = keptLine();
+                    ConfigurationVersionParser there = keptLine();
                     if (there != null
                             && there.base().equals(base)
                             && there.version.compareTo(line.version) > 0) {
@@ -396,7 +398,7 @@
     /**
      * Notes that a version is about to be taken in; how often that was noted and never crossed out.
      */
-    private int mark(Version version) {
+    private int mark(ConfigurationVersion version) {
         int[] ends = {1};
         kept.change(
                 lines -> {
@@ -418,7 +420,7 @@
         return ends[0];
     }
 
-    private void unmark(Version version) {
+    private void unmark(ConfigurationVersion version) {
         kept.change(
                 lines ->
                         lines.stream()
--- a/src/main/java/cottonlock/proxy/Shadow.java
+++ b/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
@@ -19,7 +19,7 @@
  * become of its own, so it learns of the backends as they are under the real decisions. A fault
  * ends the watch, never the service.
  */
-final class Shadow implements LoadBalancerActions {
+final class ShadowLoadBalancer implements LoadBalancerActions {
     /** Tenths of a millisecond between two lines in the log. */
     private static final long TELL = 100_000;
 
@@ -41,14 +41,14 @@
         boolean compared;
     }
 
-    private final Log log;
+    private final RateLimitedLog log;
     private final Map<Kind, Long> counts = new TreeMap<>();
     private final Map<Long, Deed> deeds = new HashMap<>();
     private LoadBalancer balancer;
     private long wakeAt = Long.MAX_VALUE;
     private long tellAt;
 
-    Shadow(Log log) {
+    ShadowLoadBalancer(RateLimitedLog log) {
         this.log = log;
     }
 
--- a/src/main/java/cottonlock/proxy/Shared.java
+++ b/src/main/java/cottonlock/proxy/SharedFile.java
@@ -17,7 +17,7 @@
  * replaced whole. One that holds anything else, or can't be read, counts as empty and is replaced
  * at the next change.
  */
-final class Shared {
+final class SharedFile {
     /** Bytes: some thousand lines; more is no file of ours. */
     private static final long LONGEST = 256 << 10;
 
@@ -29,10 +29,10 @@
 
     private final Path file;
     private final String header;
-    private final Log log;
+    private final RateLimitedLog log;
 
     /** In the folder, for the proxy of that name; folder null: nothing is kept or shared. */
-    Shared(Path folder, String proxy, String what, Log log) {
+    SharedFile(Path folder, String proxy, String what, RateLimitedLog log) {
         this.file =
                 folder == null
                         ? null
--- a/src/main/java/cottonlock/proxy/Watchdog.java
+++ b/src/main/java/cottonlock/proxy/WriteTimeoutWatchdog.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** Closes sockets whose writes take too long: a machine that has gone silent never takes them. */
-final class Watchdog implements Runnable {
+final class WriteTimeoutWatchdog implements Runnable {
     /** How often it looks, in milliseconds: the limits are far longer. */
     private static final long LOOK = 200;
 
