--- a/src/main/java/cottonlock/rollout/Rollout.java
+++ b/src/main/java/cottonlock/rollout/ConfigurationRollout.java
@@ -1,6 +1,6 @@
 package cottonlock.rollout;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import cottonlock.setup.RolloutConfig;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -13,7 +13,7 @@
  * Times are tenths of a millisecond and never go back. Not for several threads.
  */
 @Deterministic
-public final class Rollout {
+public final class ConfigurationRollout {
     /**
      * A watch without a line for this long is lost: two of the empty lines that come every two
      * seconds.
@@ -47,7 +47,7 @@
     /**
      * What a pager is told; times since when, -1: it isn't so.
      *
-     * @param inForce the version in force; {@link Version#NONE}: the file's settings
+     * @param inForce the version in force; {@link ConfigurationVersion#NONE}: the file's settings
      * @param known the highest that has been told
      * @param behind since when a higher one is known than is in force
      * @param lost since when no control machine is watched
@@ -57,8 +57,8 @@
      * @param failed calls and watches that failed
      */
     public record Figures(
-            Version inForce,
-            Version known,
+            ConfigurationVersion inForce,
+            ConfigurationVersion known,
             long behind,
             long lost,
             long ahead,
@@ -70,14 +70,14 @@
     private final int near;
     private final int machines;
     private final SplittableRandom chance;
-    private final Habits habits;
-    private Version inForce;
-    private Version known;
+    private final RolloutVariants habits;
+    private ConfigurationVersion inForce;
+    private ConfigurationVersion known;
 
     /** Those that can't be used, by what was wrong with them; the oldest are forgotten. */
-    private final Map<Version, String> refused = new LinkedHashMap<>();
+    private final Map<ConfigurationVersion, String> refused = new LinkedHashMap<>();
 
-    private Version lastRefused = Version.NONE;
+    private ConfigurationVersion lastRefused = ConfigurationVersion.NONE;
     private long behindSince = -1;
     private long lostSince;
     private long refusals;
@@ -103,7 +103,7 @@
     private int watched = -1;
 
     private long standsSince = -1;
-    private Version toldByWatched;
+    private ConfigurationVersion toldByWatched;
 
     /** Since when the watched machine has told of less than is known; -1: it has not. */
     private long aheadSince = -1;
@@ -116,17 +116,22 @@
      */
     private int moveTo = -1;
 
-    private Version moveFor;
+    private ConfigurationVersion moveFor;
     private long moveAt;
 
-    /** Begins with what an earlier process kept, {@link Version#NONE} without any. */
-    public Rollout(long now, RolloutConfig plan, Version kept, SplittableRandom chance) {
-        this(now, plan, kept, chance, Habits.USUAL);
+    /** Begins with what an earlier process kept, {@link ConfigurationVersion#NONE} without any. */
+    public ConfigurationRollout(
+            long now, RolloutConfig plan, ConfigurationVersion kept, SplittableRandom chance) {
+        this(now, plan, kept, chance, RolloutVariants.USUAL);
     }
 
     /** The same with other habits, for tests. */
-    public Rollout(
-            long now, RolloutConfig plan, Version kept, SplittableRandom chance, Habits habits) {
+    public ConfigurationRollout(
+            long now,
+            RolloutConfig plan,
+            ConfigurationVersion kept,
+            SplittableRandom chance,
+            RolloutVariants habits) {
         this.plan = plan;
         this.near = plan.control().size();
         this.machines = near + plan.far().size();
@@ -160,7 +165,7 @@
      * The watched machine has told of a version with its content, or which one it holds. Whether
      * the content is to be judged: {@link #taken} or {@link #refused} says how that ended.
      */
-    public boolean told(long now, Version version) {
+    public boolean told(long now, ConfigurationVersion version) {
         if (standsSince < 0) {
             standsSince = now;
             lostSince = -1;
@@ -175,7 +180,7 @@
     }
 
     /** A machine that was asked by {@link #compare} has told which version it holds. */
-    public void compared(long now, int machine, Version version) {
+    public void compared(long now, int machine, ConfigurationVersion version) {
         hears(now, version);
         if (machine != watched
                 && toldByWatched != null
@@ -187,7 +192,7 @@
         }
     }
 
-    private void hears(long now, Version version) {
+    private void hears(long now, ConfigurationVersion version) {
         if (habits.outweighs(version, known)) {
             known = version;
             behindSince = behindSince < 0 ? now : behindSince;
@@ -197,7 +202,7 @@
     }
 
     /** A version is in force: all of it. */
-    public void taken(Version version) {
+    public void taken(ConfigurationVersion version) {
         inForce = version;
         if (!habits.outweighs(known, inForce)) {
             behindSince = -1;
@@ -205,7 +210,7 @@
     }
 
     /** A version can't be used: what is in force stays so, and this one is not judged again. */
-    public void refused(Version version, String why) {
+    public void refused(ConfigurationVersion version, String why) {
         refusals++;
         refused.put(version, why);
         if (refused.size() > REFUSED) {
@@ -217,7 +222,7 @@
     }
 
     /** The version that a call names, so that only what is newer is told whole. */
-    public Version asks() {
+    public ConfigurationVersion asks() {
         return habits.outweighs(lastRefused, inForce) ? lastRefused : inForce;
     }
 
@@ -313,7 +318,7 @@
     }
 
     /** Why a version was refused; null: it was not, or is forgotten. */
-    public String whyRefused(Version version) {
+    public String whyRefused(ConfigurationVersion version) {
         return refused.get(version);
     }
 
--- a/src/main/java/cottonlock/rollout/Version.java
+++ b/src/main/java/cottonlock/rollout/ConfigurationVersion.java
@@ -1,6 +1,6 @@
 package cottonlock.rollout;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 
 /**
  * Which configuration it is. Versions have one order, the same everywhere: by number, then by
@@ -11,15 +11,16 @@
  * @param digest the first eight bytes of the content's SHA-256, as one unsigned number
  */
 @Deterministic
-public record Version(long number, long digest) implements Comparable<Version> {
+public record ConfigurationVersion(long number, long digest)
+        implements Comparable<ConfigurationVersion> {
     /** Before any. */
-    public static final Version NONE = new Version(0, 0);
+    public static final ConfigurationVersion NONE = new ConfigurationVersion(0, 0);
 
     /** Above it a number is a slip: 2 to the 53rd, which every reader of JSON can hold. */
     public static final long HIGHEST = 1L << 53;
 
     @Override
-    public int compareTo(Version other) {
+    public int compareTo(ConfigurationVersion other) {
         return number != other.number
                 ? Long.compare(number, other.number)
                 : Long.compareUnsigned(digest, other.digest);
--- a/src/main/java/cottonlock/rollout/Habits.java
+++ b/src/main/java/cottonlock/rollout/RolloutVariants.java
@@ -1,18 +1,18 @@
 package cottonlock.rollout;
 
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 
 /**
  * The choices on which it rests that a change comes into force; tests put wrong ones in their
  * place.
  */
 @Deterministic
-public class Habits {
+public class RolloutVariants {
     /** What holds. */
-    public static final Habits USUAL = new Habits();
+    public static final RolloutVariants USUAL = new RolloutVariants();
 
     /** Whether one version holds in place of another. */
-    public boolean outweighs(Version one, Version other) {
+    public boolean outweighs(ConfigurationVersion one, ConfigurationVersion other) {
         return one.compareTo(other) > 0;
     }
 
--- a/src/test/java/cottonlock/ArchitectureTest.java
+++ b/src/test/java/cottonlock/ArchitectureTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
-import cottonlock.decision.Deterministic;
+import cottonlock.core.Deterministic;
 import net.jqwik.api.Example;
 
 /**
@@ -40,7 +40,7 @@
                 .that()
                 .areAnnotatedWith(Deterministic.class)
                 .or()
-                .resideInAPackage("cottonlock.decision")
+                .resideInAnyPackage("cottonlock.decision..", "cottonlock.core")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(far)
@@ -51,7 +51,7 @@
                 .that()
                 .areAnnotatedWith(Deterministic.class)
                 .or()
-                .resideInAPackage("cottonlock.decision")
+                .resideInAnyPackage("cottonlock.decision..", "cottonlock.core")
                 .should()
                 .dependOnClassesThat()
                 .belongToAnyOf(
@@ -71,11 +71,12 @@
                 .check(all);
         classes()
                 .that()
-                .resideInAPackage("cottonlock.decision")
+                .resideInAnyPackage("cottonlock.decision..", "cottonlock.core")
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage(
-                        "cottonlock.decision",
+                        "cottonlock.decision..",
+                        "cottonlock.core",
                         "java.lang..",
                         "java.util",
                         "java.util.function",
@@ -110,7 +111,7 @@
                 .layer("setup")
                 .definedBy("cottonlock.setup")
                 .layer("decision")
-                .definedBy("cottonlock.decision")
+                .definedBy("cottonlock.decision..")
                 .whereLayer("main")
                 .mayNotBeAccessedByAnyLayer()
                 .whereLayer("cli")
@@ -154,7 +155,8 @@
                         "cottonlock.rollout",
                         "cottonlock.setup",
                         "cottonlock.simulator",
-                        "cottonlock.decision")
+                        "cottonlock.decision..",
+                        "cottonlock.core")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("com..", "org..", "picocli..")
--- a/src/test/java/cottonlock/cli/CliTest.java
+++ b/src/test/java/cottonlock/cli/CliTest.java
@@ -128,11 +128,11 @@
         for (String far :
                 List.of(
                         "cottonlock.membership",
-                        "cottonlock.proxy.Members",
+                        "cottonlock.proxy.MembershipAdapter",
                         "cottonlock.setup.Membership",
                         "cottonlock.rollout",
                         "cottonlock.proxy.Rollout",
-                        "cottonlock.proxy.VersionLine",
+                        "cottonlock.proxy.ConfigurationVersionParser",
                         "cottonlock.setup.Rollout",
                         "javax.crypto",
                         "cottonlock.config",
@@ -193,7 +193,7 @@
             serve.destroyForcibly().waitFor();
         }
         assertTrue(
-                Files.readString(loaded).contains("cottonlock.rollout.Rollout "),
+                Files.readString(loaded).contains("cottonlock.rollout.ConfigurationRollout "),
                 "the log is there");
     }
 
--- a/src/test/java/cottonlock/membership/ExchangeTest.java
+++ b/src/test/java/cottonlock/membership/AntiEntropyTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Example;
 
 /** Views that are larger than what one exchange carries. */
-class ExchangeTest {
+class AntiEntropyTest {
     private static final int MEMBERS = 1_200;
     private static final int REQUESTS = 2_500;
 
@@ -21,11 +21,11 @@
      */
     @Example
     void allOfALongPartIsToldInTime() {
-        assertEquals(MEMBERS, told(new Habits()));
+        assertEquals(MEMBERS, told(new ProtocolVariants()));
         assertNotEquals(
                 MEMBERS,
                 told(
-                        new Habits() {
+                        new ProtocolVariants() {
                             @Override
                             boolean beginsAnywhere() {
                                 return false;
@@ -37,7 +37,7 @@
     /**
      * How many members one that knows all tells to one that asks again and again and knows nobody.
      */
-    private static int told(Habits habits) {
+    private static int told(ProtocolVariants habits) {
         Set<String> told = new TreeSet<>();
         Membership machine =
                 new Membership(
@@ -45,7 +45,7 @@
                         new Membership.Outlet() {
                             @Override
                             public void send(String to, byte[] datagram) {
-                                Message m = Codec.read(datagram, datagram.length);
+                                Message m = DatagramCodec.read(datagram, datagram.length);
                                 if (m.kind == Message.Kind.PAGE) {
                                     m.words.stream()
                                             .filter(w -> w.name().startsWith("x"))
@@ -54,7 +54,7 @@
                             }
 
                             @Override
-                            public void changed(String who, State state, String reason) {}
+                            public void changed(String who, MemberState state, String reason) {}
                         },
                         "me",
                         "10.0.0.1:1",
@@ -65,23 +65,31 @@
                         new SplittableRandom(1),
                         habits);
         machine.start(0);
-        Word asker = new Word("asker", "10.0.0.2:1", 1_000, 0, State.ALIVE, 0);
+        MemberUpdate asker =
+                new MemberUpdate("asker", "10.0.0.2:1", 1_000, 0, MemberState.ALIVE, 0);
         long counter = 0;
         for (int i = 0; i < MEMBERS; ) {
-            Codec.Writer out =
-                    Codec.begin(
-                            new Message(Message.Kind.WORDS, asker, ++counter, 0, 0), Codec.LONGEST);
+            DatagramCodec.Writer out =
+                    DatagramCodec.begin(
+                            new Message(Message.Kind.WORDS, asker, ++counter, 0, 0),
+                            DatagramCodec.LONGEST);
             while (i < MEMBERS
                     && out.word(
-                            new Word("x" + i, "10.1.0.1:" + (1 + i), 1_000, 0, State.ALIVE, 0))) {
+                            new MemberUpdate(
+                                    "x" + i,
+                                    "10.1.0.1:" + (1 + i),
+                                    1_000,
+                                    0,
+                                    MemberState.ALIVE,
+                                    0))) {
                 i++;
             }
             machine.heard(0, asker.address(), out.done(), out.size());
         }
         for (int i = 1; i <= REQUESTS; i++) {
             Message m = new Message(Message.Kind.MARKS, asker, ++counter, 0, 0);
-            m.marks = new int[Codec.MOST_PARTS];
-            Codec.Writer out = Codec.begin(m, Codec.LONGEST);
+            m.marks = new int[DatagramCodec.MOST_PARTS];
+            DatagramCodec.Writer out = DatagramCodec.begin(m, DatagramCodec.LONGEST);
             // A tenth of a second apart: a page or so can be sent meanwhile.
             machine.heard(i * 1_000L, asker.address(), out.done(), out.size());
         }
--- a/src/test/java/cottonlock/membership/SealTest.java
+++ b/src/test/java/cottonlock/membership/DatagramAuthenticatorTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Example;
 
 /** Tags of the fleet's keys, and of nobody else's. */
-class SealTest {
+class DatagramAuthenticatorTest {
     private static Path key(String text) throws IOException {
         Path file = Files.createTempFile("key", "");
         file.toFile().deleteOnExit();
@@ -24,12 +24,12 @@
     void onlyTagsOfTheKeysCountAndTwoCountWhileTheyAreChanged() throws Exception {
         Path one = key("0123456789abcdef\n");
         Path two = key("  fedcba9876543210");
-        Seal before = new Seal(List.of(one));
-        Seal changing = new Seal(List.of(two, one));
-        Seal after = new Seal(List.of(two));
-        byte[] datagram = {(byte) Codec.MAGIC, 1, 2, 3};
+        DatagramAuthenticator before = new DatagramAuthenticator(List.of(one));
+        DatagramAuthenticator changing = new DatagramAuthenticator(List.of(two, one));
+        DatagramAuthenticator after = new DatagramAuthenticator(List.of(two));
+        byte[] datagram = {(byte) DatagramCodec.MAGIC, 1, 2, 3};
         byte[] sealed = before.seal(datagram);
-        assertEquals(datagram.length + Seal.TAG, sealed.length);
+        assertEquals(datagram.length + DatagramAuthenticator.TAG, sealed.length);
         assertArrayEquals(
                 datagram, Arrays.copyOf(sealed, 4), "the datagram itself can be read by anybody");
         assertEquals(4, before.open(sealed, sealed.length));
@@ -51,12 +51,14 @@
     @Example
     void whatIsNoKeyIsRefused() throws Exception {
         assertTrue(
-                assertThrows(IOException.class, () -> new Seal(List.of(Path.of("/no/such"))))
+                assertThrows(
+                                IOException.class,
+                                () -> new DatagramAuthenticator(List.of(Path.of("/no/such"))))
                         .getMessage()
                         .contains("is not there"));
         Path spaces = key("            \n\n         x       ");
         assertTrue(
-                assertThrows(IOException.class, () -> new Seal(List.of(spaces)))
+                assertThrows(IOException.class, () -> new DatagramAuthenticator(List.of(spaces)))
                         .getMessage()
                         .contains("holds no key"));
     }
--- a/src/test/java/cottonlock/membership/TableTest.java
+++ b/src/test/java/cottonlock/membership/MemberTableTest.java
@@ -14,14 +14,15 @@
 import net.jqwik.api.Property;
 
 /** What the table keeps with each word is what a look through all members finds. */
-class TableTest {
-    private static final Word ME = new Word("me", "10.0.0.1:1", 1, 0, State.ALIVE, 0);
+class MemberTableTest {
+    private static final MemberUpdate ME =
+            new MemberUpdate("me", "10.0.0.1:1", 1, 0, MemberState.ALIVE, 0);
 
     @Property(seed = "20261202", tries = 40)
     void whatIsKeptIsWhatALookFinds(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Set<String> contacts = new TreeSet<>(List.of("10.0.0.2:1", "10.0.0.3:1", "10.0.0.200:1"));
-        Table table = new Table(ME, 400, new Addresses(contacts));
+        MemberTable table = new MemberTable(ME, 400, new ContactAddresses(contacts));
         for (int step = 0; step < 600; step++) {
             change(table, random);
             if (step % 40 == 0) {
@@ -30,40 +31,40 @@
         }
     }
 
-    private static void change(Table table, SplittableRandom random) {
+    private static void change(MemberTable table, SplittableRandom random) {
         // Addresses are shared by some, so that one that is gone may leave another there.
         String name = "n" + random.nextInt(300);
-        Word w =
-                new Word(
+        MemberUpdate w =
+                new MemberUpdate(
                         name,
                         "10.0.0." + random.nextInt(2, 120) + ":1",
                         1 + random.nextInt(3),
                         random.nextInt(4),
-                        State.values()[random.nextInt(5)],
+                        MemberState.values()[random.nextInt(5)],
                         0);
-        Known k = table.get(name);
+        MemberRecord k = table.get(name);
         int what = random.nextInt(5);
         if (k == null) {
             table.replace(table.add(w, 0), w, false);
         } else if (what == 0) {
             table.drop(k);
         } else if (what == 1) {
-            table.differs(k, random.nextBoolean() ? Known.NEVER : 7);
+            table.differs(k, random.nextBoolean() ? MemberRecord.NEVER : 7);
         } else {
             table.replace(k, w, true);
         }
     }
 
-    private static void compare(Table table, Set<String> contacts) {
+    private static void compare(MemberTable table, Set<String> contacts) {
         int alive = 0;
         int differing = 0;
         long digest = ME.mark();
         Set<String> open = new TreeSet<>(contacts);
-        for (Known k : table.all()) {
+        for (MemberRecord k : table.all()) {
             alive += k.word.state().lives() ? 1 : 0;
             digest += k.word.state().lives() ? k.word.mark() : 0;
             differing += k.differs() ? 1 : 0;
-            if (k.word.state() == State.FAILED) {
+            if (k.word.state() == MemberState.FAILED) {
                 open.add(k.word.address());
             }
             assertSame(k, table.get(k.word.name()));
@@ -82,13 +83,13 @@
         }
     }
 
-    private static void parts(Table table, int parts) {
+    private static void parts(MemberTable table, int parts) {
         int[] marks = new int[parts];
         for (int part = 0; part < parts; part++) {
-            List<Word> words = new ArrayList<>();
-            List<Known> between = new ArrayList<>();
-            boolean me = Math.floorMod(Word.hash("me"), parts) == part;
-            for (Known k : table.all()) {
+            List<MemberUpdate> words = new ArrayList<>();
+            List<MemberRecord> between = new ArrayList<>();
+            boolean me = Math.floorMod(MemberUpdate.hash("me"), parts) == part;
+            for (MemberRecord k : table.all()) {
                 if (me && k.word.name().compareTo("me") > 0) {
                     words.add(ME);
                     me = false;
@@ -106,7 +107,7 @@
             if (me) {
                 words.add(ME);
             }
-            for (Word w : words) {
+            for (MemberUpdate w : words) {
                 marks[part] += (int) (w.mark() >>> 32);
             }
             assertEquals(words, table.words(parts, part), "part " + part + " of " + parts);
@@ -122,9 +123,9 @@
     @Example
     void namesOfOneHashAreToldApart() {
         String[] alike = alike();
-        Table table = new Table(ME, 400, new Addresses(Set.of()));
+        MemberTable table = new MemberTable(ME, 400, new ContactAddresses(Set.of()));
         for (String name : alike) {
-            Word w = new Word(name, "10.0.0.9:1", 1, 0, State.ALIVE, 0);
+            MemberUpdate w = new MemberUpdate(name, "10.0.0.9:1", 1, 0, MemberState.ALIVE, 0);
             table.replace(table.add(w, 0), w, false);
         }
         for (String name : alike) {
@@ -133,7 +134,7 @@
         table.drop(table.get(alike[0]));
         assertEquals(null, table.get(alike[0]));
         assertEquals(alike[1], table.get(alike[1]).word.name());
-        assertEquals(alike[1], table.hashed(Word.hash(alike[1])).word.name());
+        assertEquals(alike[1], table.hashed(MemberUpdate.hash(alike[1])).word.name());
         assertEquals(1, table.alive());
     }
 
@@ -141,7 +142,7 @@
         java.util.Map<Integer, String> seen = new java.util.HashMap<>();
         for (int i = 0; ; i++) {
             String name = "x" + i;
-            String before = seen.put(Word.hash(name), name);
+            String before = seen.put(MemberUpdate.hash(name), name);
             if (before != null) {
                 return new String[] {before, name};
             }
--- a/src/test/java/cottonlock/membership/MembershipTest.java
+++ b/src/test/java/cottonlock/membership/MembershipTest.java
@@ -55,7 +55,8 @@
         return rules(3, 3, 20_000, 1_024, 6_000_000, 3, 2);
     }
 
-    private static Fleet fleet(long seed, int size, MembershipProtocolConfig rules, Habits habits) {
+    private static Fleet fleet(
+            long seed, int size, MembershipProtocolConfig rules, ProtocolVariants habits) {
         Fleet fleet =
                 new Fleet(
                         new World(seed),
@@ -71,7 +72,7 @@
     }
 
     private static Fleet fleet(long seed, int size) {
-        return fleet(seed, size, usual(), new Habits());
+        return fleet(seed, size, usual(), new ProtocolVariants());
     }
 
     private static void pass(Fleet fleet, double seconds) {
@@ -133,7 +134,7 @@
         pass(fleet, 2);
         for (Fleet.Node node : fleet.nodes) {
             if (node.up) {
-                assertEquals(State.LEFT, node.machine.stateOf("n2"), node.name);
+                assertEquals(MemberState.LEFT, node.machine.stateOf("n2"), node.name);
             }
         }
     }
@@ -156,7 +157,7 @@
     }
 
     private static boolean healed(long seed, int groups, MembershipProtocolConfig rules) {
-        Fleet fleet = fleet(seed, 9, rules, new Habits());
+        Fleet fleet = fleet(seed, 9, rules, new ProtocolVariants());
         fleet.split(groups);
         pass(fleet, 6);
         fleet.split(1);
@@ -176,20 +177,21 @@
     @Example
     void aHealMakesNobodyCallItsOwnFailed() {
         defended(
-                seed -> ownFailures(seed, new Habits()) == 0,
+                seed -> ownFailures(seed, new ProtocolVariants()) == 0,
                 seed ->
                         ownFailures(
                                         seed,
-                                        new Habits() {
+                                        new ProtocolVariants() {
                                             @Override
-                                            boolean believes(Known k, Word failed, long now) {
+                                            boolean believes(
+                                                    MemberRecord k, MemberUpdate failed, long now) {
                                                 return true;
                                             }
                                         })
                                 == 0);
     }
 
-    private static int ownFailures(long seed, Habits habits) {
+    private static int ownFailures(long seed, ProtocolVariants habits) {
         int[] own = {0};
         Fleet[] at = new Fleet[1];
         at[0] =
@@ -208,11 +210,11 @@
 
                                             @Override
                                             public void changed(
-                                                    String who, State state, String reason) {
+                                                    String who, MemberState state, String reason) {
                                                 boolean same =
                                                         (number(who) + number(name)) % 2 == 0;
                                                 own[0] +=
-                                                        state == State.FAILED
+                                                        state == MemberState.FAILED
                                                                         && same
                                                                         && at[0].world.now()
                                                                                 > 30 * SECOND
@@ -253,15 +255,15 @@
     }
 
     private static boolean oneWay(long seed, MembershipProtocolConfig rules) {
-        Fleet fleet = fleet(seed, 6, rules, new Habits());
+        Fleet fleet = fleet(seed, 6, rules, new ProtocolVariants());
         fleet.world.cut((from, to) -> from == 0 && to == 1);
         pass(fleet, 60);
         return fleet.falseFailures.isEmpty()
-                && reach(fleet, 0, "n1") == View.Reach.HEARS_NOT
-                && reach(fleet, 1, "n0") == View.Reach.NOT_HEARD;
+                && reach(fleet, 0, "n1") == MembershipView.Reach.HEARS_NOT
+                && reach(fleet, 1, "n0") == MembershipView.Reach.NOT_HEARD;
     }
 
-    private static View.Reach reach(Fleet fleet, int viewer, String name) {
+    private static MembershipView.Reach reach(Fleet fleet, int viewer, String name) {
         return fleet.nodes.get(viewer).view().lines().stream()
                 .filter(l -> l.name().equals(name))
                 .findFirst()
@@ -300,7 +302,11 @@
 
     private static boolean lossy(long seed, double suspicion) {
         Fleet fleet =
-                fleet(seed, 12, rules(3, suspicion, 20_000, 1_024, 6_000_000, 3, 2), new Habits());
+                fleet(
+                        seed,
+                        12,
+                        rules(3, suspicion, 20_000, 1_024, 6_000_000, 3, 2),
+                        new ProtocolVariants());
         fleet.world.trouble(0.3, 0, 0);
         pass(fleet, 120);
         return fleet.falseFailures.isEmpty();
@@ -327,7 +333,7 @@
     }
 
     /** Calls failed whom others doubt, without a look of its own. */
-    private static class Hasty extends Habits {
+    private static class Hasty extends ProtocolVariants {
         @Override
         boolean looksItself() {
             return false;
@@ -340,17 +346,17 @@
      */
     @Example
     void nobodyIsCalledFailedWithoutALook() {
-        defended(seed -> looks(seed, new Habits()), seed -> looks(seed, new Hasty()));
+        defended(seed -> looks(seed, new ProtocolVariants()), seed -> looks(seed, new Hasty()));
     }
 
-    private static boolean looks(long seed, Habits habits) {
+    private static boolean looks(long seed, ProtocolVariants habits) {
         Fleet fleet = fleet(seed, 50, usual(), habits);
         fleet.world.trouble(0.3, 0, 0);
         pass(fleet, 200);
         return fleet.falseFailures.isEmpty();
     }
 
-    private static boolean wakes(long seed, Habits habits) {
+    private static boolean wakes(long seed, ProtocolVariants habits) {
         // Datagrams are lost, so that there are doubts at any time.
         Fleet fleet = fleet(seed, 10, usual(), habits);
         fleet.world.trouble(0.25, 0, 0);
@@ -379,7 +385,7 @@
     }
 
     private static boolean hung(long seed, MembershipProtocolConfig rules) {
-        Fleet fleet = fleet(seed, 5, rules, new Habits());
+        Fleet fleet = fleet(seed, 5, rules, new ProtocolVariants());
         fleet.nodes.get(3).hang(20 * SECOND);
         boolean found = fleet.untilFailed(fleet.nodes.get(3), true, 15 * SECOND) >= 0;
         pass(fleet, 20);
@@ -393,11 +399,11 @@
     @Example
     void aWrongClockMakesNobodyItsOwnPast() {
         defended(
-                seed -> backInTime(seed, new Habits()),
+                seed -> backInTime(seed, new ProtocolVariants()),
                 seed ->
                         backInTime(
                                 seed,
-                                new Habits() {
+                                new ProtocolVariants() {
                                     @Override
                                     long begun(long life) {
                                         return life - 1;
@@ -405,7 +411,7 @@
                                 }));
     }
 
-    private static boolean backInTime(long seed, Habits habits) {
+    private static boolean backInTime(long seed, ProtocolVariants habits) {
         Fleet fleet = fleet(seed, 5, usual(), habits);
         fleet.nodes.get(1).kill();
         pass(fleet, 0.5);
@@ -439,7 +445,7 @@
                             }
 
                             @Override
-                            public void changed(String who, State state, String reason) {}
+                            public void changed(String who, MemberState state, String reason) {}
                         },
                         moved.name,
                         moved.address,
@@ -462,7 +468,7 @@
             pass(fleet, 0.3);
         }
         assertTrue(fleet.agree());
-        assertTrue(fleet.nodes.get(0).view().counts().get(Count.OUTDATED) >= 20);
+        assertTrue(fleet.nodes.get(0).view().counts().get(MembershipMetric.OUTDATED) >= 20);
         assertEquals(List.of(), fleet.falseFailures);
     }
 
@@ -510,7 +516,7 @@
                                 }
 
                                 @Override
-                                public void changed(String who, State state, String reason) {
+                                public void changed(String who, MemberState state, String reason) {
                                     told.add(me + " " + who + " " + state + " " + reason);
                                 }
                             },
@@ -541,7 +547,7 @@
         world.until(40 * SECOND);
         assertEquals(
                 "127.0.0.1:3", address(machines.get(0), world), "and the first one again after it");
-        assertEquals(State.ALIVE, machines.get(0).stateOf("twin"));
+        assertEquals(MemberState.ALIVE, machines.get(0).stateOf("twin"));
     }
 
     private static void wake(World world, Membership machine, boolean[] up, int number, long at) {
@@ -568,12 +574,12 @@
      */
     @Example
     void theGreatestFleetIsABound() {
-        Fleet fleet = fleet(2, 12, rules(3, 3, 20_000, 8, 6_000_000, 3, 2), new Habits());
+        Fleet fleet = fleet(2, 12, rules(3, 3, 20_000, 8, 6_000_000, 3, 2), new ProtocolVariants());
         pass(fleet, 30);
         long full = 0;
         for (Fleet.Node node : fleet.nodes) {
             assertTrue(node.view().lines().size() <= 8, "members of " + node.name);
-            full += node.view().counts().get(Count.FULL);
+            full += node.view().counts().get(MembershipMetric.FULL);
         }
         assertTrue(full > 0, "who found no room is counted");
         Membership one =
@@ -584,7 +590,7 @@
                             public void send(String to, byte[] datagram) {}
 
                             @Override
-                            public void changed(String who, State state, String reason) {}
+                            public void changed(String who, MemberState state, String reason) {}
                         },
                         "me",
                         "127.0.0.1:1",
@@ -596,13 +602,17 @@
         one.start(0);
         long now = 0;
         for (int i = 0; i < 5_000; i++) {
-            Word other = new Word("x" + i, "127.0.0.1:" + (2 + i), 1_000, 0, State.ALIVE, 0);
-            Codec.Writer hello =
-                    Codec.begin(new Message(Message.Kind.PING, other, 1, 0, 0), Codec.LONGEST);
+            MemberUpdate other =
+                    new MemberUpdate(
+                            "x" + i, "127.0.0.1:" + (2 + i), 1_000, 0, MemberState.ALIVE, 0);
+            DatagramCodec.Writer hello =
+                    DatagramCodec.begin(
+                            new Message(Message.Kind.PING, other, 1, 0, 0), DatagramCodec.LONGEST);
             one.heard(now, other.address(), hello.done(), hello.size());
-            Word left = other.with(State.LEFT, 0);
-            Codec.Writer bye =
-                    Codec.begin(new Message(Message.Kind.WORDS, left, 2, 0, 0), Codec.LONGEST);
+            MemberUpdate left = other.with(MemberState.LEFT, 0);
+            DatagramCodec.Writer bye =
+                    DatagramCodec.begin(
+                            new Message(Message.Kind.WORDS, left, 2, 0, 0), DatagramCodec.LONGEST);
             one.heard(now, other.address(), bye.done(), bye.size());
             now += 100;
             one.wake(now);
@@ -618,7 +628,8 @@
      */
     @Example
     void whoSleptThroughADeathDoesNotBringItBack() {
-        Fleet fleet = fleet(6, 5, rules(3, 3, 20_000, 1_024, 20 * SECOND, 3, 2), new Habits());
+        Fleet fleet =
+                fleet(6, 5, rules(3, 3, 20_000, 1_024, 20 * SECOND, 3, 2), new ProtocolVariants());
         fleet.nodes.get(1).pause(60 * SECOND);
         pass(fleet, 8);
         fleet.nodes.get(2).kill();
@@ -627,7 +638,7 @@
         for (int i = 0; i < 40; i++) {
             pass(fleet, 0.1);
             for (int other : new int[] {0, 3, 4}) {
-                State state = fleet.nodes.get(other).machine.stateOf("n2");
+                MemberState state = fleet.nodes.get(other).machine.stateOf("n2");
                 if (state != null && state.lives()) {
                     told.add("n" + other + " holds n2 for " + state);
                 }
@@ -665,7 +676,9 @@
         pass(fleet, 10);
         assertEquals(0, fleet.nodes.get(3).machine.alive(), "nobody can be found");
         assertEquals(
-                State.ALIVE, fleet.nodes.get(3).view().lines().get(0).state(), "and it serves");
+                MemberState.ALIVE,
+                fleet.nodes.get(3).view().lines().get(0).state(),
+                "and it serves");
         fleet.nodes.get(0).start(0);
         assertTrue(fleet.untilAgreed(6 * SECOND) >= 0);
         fleet.nodes.get(0).kill();
@@ -704,15 +717,15 @@
         fleet.nodes.get(3).start(5 * SECOND);
         pass(fleet, 12);
         for (int viewer : new int[] {0, 1}) {
-            View view = fleet.nodes.get(viewer).view();
+            MembershipView view = fleet.nodes.get(viewer).view();
             assertEquals("127.0.0.1:10002", line(view, "n3").address());
-            assertEquals(State.ALIVE, line(view, "n3").state());
+            assertEquals(MemberState.ALIVE, line(view, "n3").state());
             assertEquals("127.0.0.1:10003", line(view, "other").address());
             assertFalse(line(view, "n2").state().lives(), "nobody goes by that name any more");
         }
     }
 
-    private static View.Line line(View view, String name) {
+    private static MembershipView.Line line(MembershipView view, String name) {
         return view.lines().stream().filter(l -> l.name().equals(name)).findFirst().orElseThrow();
     }
 
@@ -723,11 +736,11 @@
     @Example
     void membersThatComeAndGoEverySecond() {
         defended(
-                seed -> churn(seed, new Habits()) < 2_000,
+                seed -> churn(seed, new ProtocolVariants()) < 2_000,
                 seed ->
                         churn(
                                         seed,
-                                        new Habits() {
+                                        new ProtocolVariants() {
                                             @Override
                                             int times(int usual) {
                                                 return 1_000_000;
@@ -737,7 +750,7 @@
     }
 
     /** Bytes a second in the mean of the quiet minute after a minute of comings and goings. */
-    private static long churn(long seed, Habits habits) {
+    private static long churn(long seed, ProtocolVariants habits) {
         Fleet fleet = fleet(seed, 16, usual(), habits);
         for (int i = 0; i < 60; i++) {
             Fleet.Node node = fleet.nodes.get(4 + i % 12);
@@ -766,13 +779,13 @@
     @Property(seed = "20261201", tries = 2_000)
     void hostileBytesAreDropped(@ForAll int seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Word me =
-                new Word(
+        MemberUpdate me =
+                new MemberUpdate(
                         "n" + random.nextInt(99),
                         random.nextBoolean() ? "10.0.0.1:7946" : "[::1]:7946",
                         random.nextLong(1L << 46),
                         random.nextInt(1 << 30),
-                        State.ALIVE,
+                        MemberState.ALIVE,
                         0);
         Message.Kind kind = Message.Kind.values()[random.nextInt(Message.Kind.values().length)];
         Message m =
@@ -789,10 +802,17 @@
         m.part = random.nextInt(4);
         m.marks = new int[] {random.nextInt(), 2, 3, 4};
         m.body = new byte[random.nextInt(20)];
-        Codec.Writer out = Codec.begin(m, Codec.LONGEST);
-        Word word = new Word("other", "10.0.0.3:65535", 5, 6, State.values()[random.nextInt(5)], 7);
+        DatagramCodec.Writer out = DatagramCodec.begin(m, DatagramCodec.LONGEST);
+        MemberUpdate word =
+                new MemberUpdate(
+                        "other",
+                        "10.0.0.3:65535",
+                        5,
+                        6,
+                        MemberState.values()[random.nextInt(5)],
+                        7);
         boolean fits = out.word(word);
-        Message read = Codec.read(out.done(), out.size());
+        Message read = DatagramCodec.read(out.done(), out.size());
         assertNotNull(read);
         assertEquals(me, read.sender);
         assertEquals(fits ? 1 : 0, read.words.size());
@@ -802,7 +822,7 @@
             bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
         }
         int length = random.nextInt(bytes.length + 1);
-        Codec.read(bytes, length);
+        DatagramCodec.read(bytes, length);
         Membership victim = fleet(1, 2).nodes.get(0).machine;
         victim.heard(7 * SECOND, "10.0.0.1:7946", bytes, length);
         byte[] noise = new byte[random.nextInt(300)];
@@ -826,9 +846,12 @@
             pass(fleet, 60);
             for (Fleet.Node node : fleet.nodes) {
                 for (Fleet.Node other : fleet.nodes) {
-                    State state = node == other ? State.ALIVE : node.machine.stateOf(other.name);
+                    MemberState state =
+                            node == other ? MemberState.ALIVE : node.machine.stateOf(other.name);
                     assertEquals(
-                            State.ALIVE, state, node.name + " of " + other.name + ", seed " + seed);
+                            MemberState.ALIVE,
+                            state,
+                            node.name + " of " + other.name + ", seed " + seed);
                 }
             }
         }
--- a/src/test/java/cottonlock/membership/SmallWorldsTest.java
+++ b/src/test/java/cottonlock/membership/SmallWorldsTest.java
@@ -56,7 +56,7 @@
 
     /** One world, played by a path of steps. */
     private static final class Play {
-        final Habits habits;
+        final ProtocolVariants habits;
         final boolean bySeed;
         final Membership[] machines = new Membership[3];
         final long[] now = {0, 0, 0};
@@ -64,17 +64,17 @@
         final boolean[] up = new boolean[3];
         final int[] starts = new int[3];
         final List<Datagram> underWay = new ArrayList<>();
-        final List<Map<String, Word>> held = new ArrayList<>();
+        final List<Map<String, MemberUpdate>> held = new ArrayList<>();
 
         /** The last that each has said of itself, in any of its lives. */
-        final Map<String, Word> said = new TreeMap<>();
+        final Map<String, MemberUpdate> said = new TreeMap<>();
 
         boolean[][] cut = new boolean[3][3];
         int kills;
         int stalls;
         String failedInCall;
 
-        Play(Beginning beginning, Habits habits) {
+        Play(Beginning beginning, ProtocolVariants habits) {
             this.habits = habits;
             this.bySeed = beginning == Beginning.JOINING_BY_ONE;
             for (int p = 0; p < 3; p++) {
@@ -102,7 +102,7 @@
                 cut[2][1] = true;
                 cut[1][0] = true;
                 cut[1][2] = true;
-                until(() -> machines[0].stateOf("b") == State.SUSPECT);
+                until(() -> machines[0].stateOf("b") == MemberState.SUSPECT);
                 cut = new boolean[3][3];
             } else if (beginning == Beginning.APART) {
                 cut[0][1] = true;
@@ -112,8 +112,8 @@
                 until(
                         () ->
                                 machines[0].alive() == 0
-                                        && machines[1].stateOf("a") == State.FAILED
-                                        && machines[2].stateOf("a") == State.FAILED);
+                                        && machines[1].stateOf("a") == MemberState.FAILED
+                                        && machines[2].stateOf("a") == MemberState.FAILED);
                 cut = new boolean[3][3];
             }
             underWay.clear();
@@ -147,8 +147,8 @@
                                 }
 
                                 @Override
-                                public void changed(String who, State state, String reason) {
-                                    failedInCall = state == State.FAILED ? who : failedInCall;
+                                public void changed(String who, MemberState state, String reason) {
+                                    failedInCall = state == MemberState.FAILED ? who : failedInCall;
                                 }
                             },
                             name(p),
@@ -230,14 +230,14 @@
         /** Words move forward only, and none goes beyond what its subject has said of itself. */
         private void check() {
             for (int p = 0; p < 3; p++) {
-                View.Line own = machines[p].view(now[p]).lines().get(0);
-                Word w =
-                        new Word(
+                MembershipView.Line own = machines[p].view(now[p]).lines().get(0);
+                MemberUpdate w =
+                        new MemberUpdate(
                                 own.name(),
                                 own.address(),
                                 own.life(),
                                 own.turn(),
-                                State.JOINING,
+                                MemberState.JOINING,
                                 0);
                 said.merge(own.name(), w, (one, other) -> one.outweighs(other) ? one : other);
             }
@@ -245,13 +245,15 @@
                 if (!up[p]) {
                     continue;
                 }
-                for (View.Line l : machines[p].view(now[p]).lines()) {
-                    Word w = new Word(l.name(), l.address(), l.life(), l.turn(), l.state(), 0);
-                    Word before = held.get(p).put(w.name(), w);
+                for (MembershipView.Line l : machines[p].view(now[p]).lines()) {
+                    MemberUpdate w =
+                            new MemberUpdate(
+                                    l.name(), l.address(), l.life(), l.turn(), l.state(), 0);
+                    MemberUpdate before = held.get(p).put(w.name(), w);
                     if (before != null && before.outweighs(w)) {
                         throw new Wrong(name(p) + " believes " + w + " after " + before);
                     }
-                    Word own = said.get(l.name());
+                    MemberUpdate own = said.get(l.name());
                     if (l.life() > own.life() || l.life() == own.life() && l.turn() > own.turn()) {
                         throw new Wrong(
                                 name(p)
@@ -309,7 +311,7 @@
         /** The same without what it says of others than its receiver. */
         private static Datagram without(Datagram d) {
             Message m = read(d);
-            Codec.Writer out = Codec.begin(m, Codec.LONGEST);
+            DatagramCodec.Writer out = DatagramCodec.begin(m, DatagramCodec.LONGEST);
             m.words.stream().filter(w -> w.name().equals(name(d.to))).forEach(out::word);
             return new Datagram(d.from, d.to, out.done());
         }
@@ -319,7 +321,7 @@
             calm(200_000);
             for (int p = 0; p < 3; p++) {
                 for (int q = 0; q < 3; q++) {
-                    State state = p == q ? State.ALIVE : machines[p].stateOf(name(q));
+                    MemberState state = p == q ? MemberState.ALIVE : machines[p].stateOf(name(q));
                     boolean lives = state != null && state.lives();
                     // With the only seed dead, two that have not met have nobody to tell them.
                     boolean apart = bySeed && !up[0] && state == null;
@@ -344,7 +346,7 @@
         }
 
         private static Message read(Datagram d) {
-            return Codec.read(d.bytes, d.bytes.length);
+            return DatagramCodec.read(d.bytes, d.bytes.length);
         }
 
         private static String text(Datagram d) {
@@ -367,12 +369,12 @@
     /** All worlds from one beginning. */
     private static final class Explorer {
         final Beginning beginning;
-        final Habits habits;
+        final ProtocolVariants habits;
         final Set<String> keys = new HashSet<>();
         final int depth;
         long closings;
 
-        Explorer(Beginning beginning, Habits habits, int depth) {
+        Explorer(Beginning beginning, ProtocolVariants habits, int depth) {
             this.beginning = beginning;
             this.habits = habits;
             this.depth = depth;
@@ -414,7 +416,7 @@
         }
     }
 
-    private static long explore(Habits habits, int depth) {
+    private static long explore(ProtocolVariants habits, int depth) {
         AtomicLong states = new AtomicLong();
         Stream.of(Beginning.values())
                 .parallel()
@@ -430,7 +432,7 @@
     @Example
     void everyOrderEndsInViewsThatAreRight() {
         long from = System.nanoTime();
-        long states = explore(new Habits(), DEPTH);
+        long states = explore(new ProtocolVariants(), DEPTH);
         System.out.printf(
                 "small worlds: %d states to a depth of %d from %d beginnings, %.1f s%n",
                 states, DEPTH, Beginning.values().length, (System.nanoTime() - from) / 1e9);
@@ -440,18 +442,18 @@
     /** Faults planted one by one are found, each with a shortest path to it. */
     @Example
     void plantedFaultsAreFound() {
-        Map<String, Habits> faults = new TreeMap<>();
+        Map<String, ProtocolVariants> faults = new TreeMap<>();
         faults.put(
                 "an old word is believed",
-                new Habits() {
+                new ProtocolVariants() {
                     @Override
-                    boolean outweighs(Word one, Word other) {
+                    boolean outweighs(MemberUpdate one, MemberUpdate other) {
                         return !one.equals(other);
                     }
                 });
         faults.put(
                 "the turn is not raised",
-                new Habits() {
+                new ProtocolVariants() {
                     @Override
                     int raised(int turn) {
                         return turn;
@@ -459,7 +461,7 @@
                 });
         faults.put(
                 "the life is not raised",
-                new Habits() {
+                new ProtocolVariants() {
                     @Override
                     long begun(long life) {
                         return life - 1;
@@ -467,7 +469,7 @@
                 });
         faults.put(
                 "views are not mended",
-                new Habits() {
+                new ProtocolVariants() {
                     @Override
                     boolean mends() {
                         return false;
@@ -475,15 +477,15 @@
                 });
         faults.put(
                 "a doubt has no end",
-                new Habits() {
+                new ProtocolVariants() {
                     @Override
-                    long end(Suspicion s) {
+                    long end(SuspicionTimer s) {
                         return Long.MAX_VALUE / 8;
                     }
                 });
         faults.put(
                 "its own standstill is ignored",
-                new Habits() {
+                new ProtocolVariants() {
                     @Override
                     boolean doubtsItself() {
                         return false;
@@ -496,7 +498,7 @@
                 });
         faults.put(
                 "changes are told for ever",
-                new Habits() {
+                new ProtocolVariants() {
                     @Override
                     int times(int usual) {
                         return 1_000_000;
--- a/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
+++ b/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.admin.Figures;
+import cottonlock.admin.Metrics;
 import cottonlock.setup.LoadBalancerFactory;
 import cottonlock.setup.Settings;
 import java.io.IOException;
@@ -35,26 +35,27 @@
     /** Where the thread of a connection to a backend stands between two answers. */
     private static final String RESTS = "NioSocketImpl.*HttpReader.awaitOne";
 
-    private final Log log = new Log(System.getLogger("test"));
-    private final Clock clock = new Clock();
-    private final Figures figures = new Figures();
-    private final Buffers buffers = new Buffers(16, 4);
-    private final Workers workers = new Workers();
-    private final Watchdog watchdog = new Watchdog();
+    private final RateLimitedLog log = new RateLimitedLog(System.getLogger("test"));
+    private final TickClock clock = new TickClock();
+    private final Metrics figures = new Metrics();
+    private final BufferPool buffers = new BufferPool(16, 4);
+    private final ConnectionThreads workers = new ConnectionThreads();
+    private final WriteTimeoutWatchdog watchdog = new WriteTimeoutWatchdog();
 
     /** Its thread is never started: what it is told stays in its mailbox. */
-    private final ModuleActor module = new ModuleActor(clock, entry -> null, figures, log);
+    private final LoadBalancerActor module =
+            new LoadBalancerActor(clock, entry -> null, figures, log);
 
     private record Sent(ClientRequest request, ClientRequest.Attempt attempt) {}
 
     private Sent attempt(BackendActor actor) throws Exception {
-        Head head = new Head(new String[] {"POST", "/once", "HTTP/1.1"});
-        Body body = new Body(buffers, null);
+        MessageHead head = new MessageHead(new String[] {"POST", "/once", "HTTP/1.1"});
+        MessageBody body = new MessageBody(buffers, null);
         body.add("body".getBytes(StandardCharsets.ISO_8859_1), 0, 4);
         ClientRequest request =
                 new ClientRequest(
                         null,
-                        new Admission.Asked(head, "id", null, 0, "once", 0, "acme", 0),
+                        new RequestValidator.Asked(head, "id", null, 0, "once", 0, "acme", 0),
                         body,
                         clock.now() + 100_000,
                         ConcurrentHashMap.newKeySet());
@@ -72,7 +73,7 @@
         return new BackendActor(
                 address(backend),
                 new ConnectionPermits(4),
-                new KeepAlive(),
+                new KeepAlivePolicy(),
                 workers,
                 8_000,
                 60_000,
@@ -130,7 +131,7 @@
                                         .replace("1500000", "20000000")
                                         .replace("800000", "80000000")
                                         .replace("\"Stage\":1", "\"Stage\":0")));
-        buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
+        buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
     }
 
     private static String patient(String category, String id) {
@@ -138,7 +139,7 @@
                 category, id, "X-Timeout-Ms: 20000\r\n", category.equals("read") ? "" : "body");
     }
 
-    private Client onlyClient() throws Exception {
+    private ClientConnection onlyClient() throws Exception {
         eventually(() -> proxy.listener().clients().size() == 1, "the client is taken in");
         return proxy.listener().clients().iterator().next();
     }
@@ -179,7 +180,8 @@
             eventually(
                     () ->
                             proxy.listener().clients().size() == sockets.size()
-                                    && proxy.listener().clients().stream().allMatch(Client::owed),
+                                    && proxy.listener().clients().stream()
+                                            .allMatch(ClientConnection::owed),
                     "taken in");
         }
         proxy.module()
@@ -235,21 +237,26 @@
         CountDownLatch goOn = new CountDownLatch(1);
         List<Socket> sockets = fill(1, goOn);
         flood(sockets.remove(8));
-        eventually(() -> stands("Object.wait.*Client.awaitAnswer"), "it is read no further");
+        eventually(
+                () -> stands("Object.wait.*ClientConnection.awaitAnswer"), "it is read no further");
         long since = clock.now();
         eventually(() -> clock.now() - since > 1_000, "it may have left 0.1 s ago");
         CountDownLatch further = new CountDownLatch(1);
         proxy.module().hang(() -> awaits(further));
         goOn.countDown();
         eventually(
-                () -> proxy.listener().clients().stream().filter(Client::owed).count() == 8,
+                () ->
+                        proxy.listener().clients().stream().filter(ClientConnection::owed).count()
+                                == 8,
                 "answered at once, by no attempt's end");
         answer.countDown();
         further.countDown();
         for (Socket socket : sockets) {
             assertEquals(200, status(receive(socket)));
         }
-        eventually(() -> proxy.listener().clients().stream().noneMatch(Client::owed), "answered");
+        eventually(
+                () -> proxy.listener().clients().stream().noneMatch(ClientConnection::owed),
+                "answered");
         assertEquals(200, status(call(patient("read", "quick-after"))));
         assertEquals(
                 15, backend.requests.size(), "sent on though it might have left: " + ids(backend));
@@ -304,7 +311,7 @@
                 taken.add(buffers.take());
             }
             Thread thread = Sockets.start("connection", connection(backend, sent));
-            eventually(() -> stands("Buffers.take.*BackendConnection.run"), "connected");
+            eventually(() -> stands("BufferPool.take.*BackendConnection.run"), "connected");
             if (leaves) {
                 assertTrue(sent.request.claim());
             }
@@ -358,7 +365,7 @@
                 taken.add(buffers.take());
             }
             Thread writer = Sockets.start("writer", () -> connection.send(next.attempt));
-            eventually(() -> stands("Buffers.take.*HttpWriter.send"), "its write has begun");
+            eventually(() -> stands("BufferPool.take.*HttpWriter.send"), "its write has begun");
             if (leaves) {
                 assertTrue(next.request.claim());
             }
@@ -517,9 +524,10 @@
         Socket socket = connect();
         send(socket, patient("once", "flood"));
         eventually(() -> one.requests.size() + other.requests.size() == 1, "the first is out");
-        Client client = onlyClient();
+        ClientConnection client = onlyClient();
         flood(socket);
-        eventually(() -> stands("Object.wait.*Client.awaitAnswer"), "it is read no further");
+        eventually(
+                () -> stands("Object.wait.*ClientConnection.awaitAnswer"), "it is read no further");
         settle();
         assertTrue(client.owed(), "its first attempt is waited for");
         goOn.countDown();
@@ -570,7 +578,7 @@
         // One that has just come up has time for its first request.
         send(socket, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
         assertEquals(200, status(receive(socket)));
-        Client client = onlyClient();
+        ClientConnection client = onlyClient();
         CountDownLatch read = new CountDownLatch(1);
         CountDownLatch ended = new CountDownLatch(1);
         client.afterRead =
@@ -584,7 +592,7 @@
         assertTrue(client.ends());
         ended.countDown();
         eventually(() -> one.requests.size() + other.requests.size() == 1, "served all the same");
-        eventually(() -> stands("Client.unanswered"), "it is not read any more");
+        eventually(() -> stands("ClientConnection.unanswered"), "it is not read any more");
         settle();
         goOn.countDown();
         String answer = receive(socket);
@@ -656,16 +664,17 @@
      */
     @Example
     void whatIsReadAfterItsConnectionWasEndedIsNotSentOn() throws Exception {
-        Settings settings = Config.read(config(settings(256, 1, ""))).settings();
-        Admission admission =
-                new Admission(clock, new Rules(null, new LoadBalancerFactory(settings), settings));
-        Listener listener =
-                new Listener(
+        Settings settings = ProxyConfiguration.read(config(settings(256, 1, ""))).settings();
+        RequestValidator admission =
+                new RequestValidator(
+                        clock, new RequestRules(null, new LoadBalancerFactory(settings), settings));
+        ClientListener listener =
+                new ClientListener(
                         new InetSocketAddress("127.0.0.1", 0),
                         false,
                         50,
                         (socket, from) ->
-                                new Client(
+                                new ClientConnection(
                                         new LateSocket(socket, request("once", "late", "", "body")),
                                         from,
                                         module,
@@ -682,8 +691,8 @@
         try (Socket socket = new Socket("127.0.0.1", listener.port())) {
             socket.setSoTimeout(8_000);
             eventually(() -> listener.clients().size() == 1, "taken in");
-            Client client = listener.clients().iterator().next();
-            eventually(() -> stands("LateSocket.*Client.awaitRequest"), "it rests");
+            ClientConnection client = listener.clients().iterator().next();
+            eventually(() -> stands("LateSocket.*ClientConnection.awaitRequest"), "it rests");
             eventually(
                     () -> {
                         client.close();
@@ -738,7 +747,7 @@
             taken.add(buffers.take());
         }
         Thread writer = Sockets.start("writer", () -> connection.send(next.attempt));
-        eventually(() -> stands("Buffers.take.*HttpWriter.send"), "its write has begun");
+        eventually(() -> stands("BufferPool.take.*HttpWriter.send"), "its write has begun");
         long since = clock.now();
         eventually(() -> clock.now() - since >= 1_000, "some time is spent");
         long left = (next.request.expiry - clock.now()) / 10;
--- a/src/test/java/cottonlock/proxy/VersionLineTest.java
+++ b/src/test/java/cottonlock/proxy/ConfigurationVersionParserTest.java
@@ -12,18 +12,18 @@
 import net.jqwik.api.Example;
 
 /** What is a version, and which can be used: told apart by its bytes and the base alone. */
-class VersionLineTest {
+class ConfigurationVersionParserTest {
     static final String SETTINGS =
             "{\"Categories\":[{\"Name\":\"read\",\"DueTime\":800000,"
                     + "\"Expiry\":1500000,\"Repeat\":\"safe\"}],"
                     + "\"Zones\":[\"z\"],\"Limits\":{\"MaxHandOffs\":3}}";
 
     private static String base(String settings) {
-        return VersionLine.base(settings(settings));
+        return ConfigurationVersionParser.base(settings(settings));
     }
 
     private static Settings settings(String json) {
-        return Config.settings((Map<?, ?>) Json.read(json));
+        return ProxyConfiguration.settings((Map<?, ?>) JsonReader.read(json));
     }
 
     static String line(long seq, String digest, String base, String settings) {
@@ -44,13 +44,17 @@
 
     @Example
     void aWholeVersionIsRead() {
-        VersionLine line = VersionLine.read(line(SETTINGS));
+        ConfigurationVersionParser line = ConfigurationVersionParser.read(line(SETTINGS));
         assertEquals("43." + ControlMachine.digest(SETTINGS), line.version.toString());
         assertEquals(3, line.judged(base(SETTINGS)).count("Limits.MaxHandOffs", 0));
-        VersionLine number = VersionLine.read("{\"seq\":43,\"digest\":\"00000000000000ff\"}");
+        ConfigurationVersionParser number =
+                ConfigurationVersionParser.read("{\"seq\":43,\"digest\":\"00000000000000ff\"}");
         assertNull(number.content);
         assertEquals(255, number.version.digest());
-        assertEquals(0x2cf24dba5fb0a30eL, VersionLine.digest("hello"), "as sha256sum has it");
+        assertEquals(
+                0x2cf24dba5fb0a30eL,
+                ConfigurationVersionParser.digest("hello"),
+                "as sha256sum has it");
     }
 
     @Example
@@ -70,7 +74,10 @@
                     line(43, "0123456789abcdef", "x", SETTINGS),
                     "{\"seq\":43,\"digest\":\"0123456789abcdef\",\"settings\":{}}"
                 }) {
-            assertThrows(InvalidSettingsException.class, () -> VersionLine.read(bad), bad);
+            assertThrows(
+                    InvalidSettingsException.class,
+                    () -> ConfigurationVersionParser.read(bad),
+                    bad);
         }
     }
 
@@ -109,13 +116,16 @@
             InvalidSettingsException fault =
                     assertThrows(
                             InvalidSettingsException.class,
-                            () -> VersionLine.read(line(one[0])).judged(base(SETTINGS)),
+                            () ->
+                                    ConfigurationVersionParser.read(line(one[0]))
+                                            .judged(base(SETTINGS)),
                             one[0]);
             assertTrue(fault.getMessage().contains(one[1]), fault.getMessage());
         }
         String others = SETTINGS.replace("\"z\"", "\"z\",\"y\"");
-        VersionLine onOthers =
-                VersionLine.read(line(43, ControlMachine.digest(others), base(others), others));
+        ConfigurationVersionParser onOthers =
+                ConfigurationVersionParser.read(
+                        line(43, ControlMachine.digest(others), base(others), others));
         InvalidSettingsException fault =
                 assertThrows(InvalidSettingsException.class, () -> onOthers.judged(base(SETTINGS)));
         assertTrue(
--- a/src/test/java/cottonlock/proxy/ListsTest.java
+++ b/src/test/java/cottonlock/proxy/ListsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.admin.Figures;
-import cottonlock.admin.Management;
+import cottonlock.admin.ManagementServer;
+import cottonlock.admin.Metrics;
 import cottonlock.decision.Endpoint;
 import cottonlock.decision.LoadBalancer;
 import cottonlock.decision.LoadBalancerActions;
@@ -179,7 +179,7 @@
             long longest = 0;
             for (int seed = 0; seed < 200; seed++) {
                 Settings settings =
-                        Config.read(
+                        ProxyConfiguration.read(
                                         config(
                                                 settings(256, 1, "")
                                                         .replace(
@@ -202,13 +202,16 @@
                     now += pause;
                 }
             }
-            long sum = ListWatch.SILENCE * 10 + longest + ListWatch.CONNECT * 10;
+            long sum = EndpointListWatch.SILENCE * 10 + longest + EndpointListWatch.CONNECT * 10;
             assertTrue(sum + ANSWER <= TOLD, "of " + within + ": " + sum);
         }
         // Where nobody decides when to ask: what is pushed counts at once, and drains bind after
         // that.
         assertTrue(
-                ListWatch.SILENCE + ListWatch.LONGEST_AGAIN + ListWatch.CONNECT + ANSWER / 10
+                EndpointListWatch.SILENCE
+                                + EndpointListWatch.LONGEST_AGAIN
+                                + EndpointListWatch.CONNECT
+                                + ANSWER / 10
                         <= TOLD / 10);
     }
 
@@ -219,7 +222,7 @@
         List<List<Long>> times = new ArrayList<>();
         for (int seed = 0; seed < 400; seed++) {
             Settings settings =
-                    Config.read(
+                    ProxyConfiguration.read(
                                     config(
                                             settings(256, 1, "")
                                                     .replace(
@@ -250,47 +253,50 @@
     /**
      * The module, the watch and what lies between, with a short silence in place of four seconds.
      */
-    private ModuleActor chain(InetSocketAddress at, long silence, Log log) throws IOException {
-        Clock clock = new Clock();
-        ModuleActor module =
-                new ModuleActor(
+    private LoadBalancerActor chain(InetSocketAddress at, long silence, RateLimitedLog log)
+            throws IOException {
+        TickClock clock = new TickClock();
+        LoadBalancerActor module =
+                new LoadBalancerActor(
                         clock,
                         entry ->
                                 new BackendActor(
                                         entry.dial(),
                                         new ConnectionPermits(4),
-                                        new KeepAlive(),
-                                        new Workers(),
+                                        new KeepAlivePolicy(),
+                                        new ConnectionThreads(),
                                         1_000,
                                         60_000,
                                         BackendActor.SETTLE,
-                                        new Buffers(16, 4),
+                                        new BufferPool(16, 4),
                                         null,
                                         null,
                                         clock,
                                         null,
                                         log),
-                        new Figures(),
+                        new Metrics(),
                         log);
         LoadBalancerFactory assembly =
-                new LoadBalancerFactory(Config.read(config(settings(256, 1, ""))).settings());
-        ListWatch watch =
-                new ListWatch(
+                new LoadBalancerFactory(
+                        ProxyConfiguration.read(config(settings(256, 1, ""))).settings());
+        EndpointListWatch watch =
+                new EndpointListWatch(
                         at,
-                        new Directory(log, List.of("z"), List.of("k")),
+                        new EndpointListParser(log, List.of("z"), List.of("k")),
                         0,
                         true,
                         silence,
                         module,
-                        new Buffers(16, 4),
+                        new BufferPool(16, 4),
                         log,
                         new SplittableRandom(1));
         module.join(
                 assembly.balancer(module, 1),
                 watch,
-                new Peers(null, List.of(), null, module, log),
-                new Bans(new Shared(null, "p", "bans", log), clock, module::bansChanged));
-        module.list(new Directory.News(0, true, List.of()), true);
+                new PeerMessenger(null, List.of(), null, module, log),
+                new ManualEjections(
+                        new SharedFile(null, "p", "bans", log), clock, module::bansChanged));
+        module.list(new EndpointListParser.News(0, true, List.of()), true);
         Thread list = Sockets.start("list", watch);
         Thread actor = Sockets.start("module", module);
         open.add(
@@ -305,8 +311,8 @@
     }
 
     /** A log whose lines go there. */
-    private static Log log(Consumer<String> lines) {
-        return new Log(
+    private static RateLimitedLog log(Consumer<String> lines) {
+        return new RateLimitedLog(
                 new System.Logger() {
                     @Override
                     public String getName() {
@@ -343,7 +349,7 @@
 
     @Example
     void whateverACallComesToItIsFollowedByAnother() throws Exception {
-        Log log = new Log(System.getLogger("test"));
+        RateLimitedLog log = new RateLimitedLog(System.getLogger("test"));
         Map<String, Call> faults =
                 Map.of(
                         "no head", socket -> hold(),
@@ -400,7 +406,7 @@
                                     hold();
                                 }
                             });
-            ModuleActor module =
+            LoadBalancerActor module =
                     chain(new InetSocketAddress("127.0.0.1", server.getLocalPort()), 300, log);
             sometime(() -> module.lists("b9"), "told behind: " + fault.getKey());
             assertFalse(module.lists("b1"), fault.getKey());
@@ -409,7 +415,7 @@
 
     @Example
     void aDialThatIsRefusedOrNeverComesUpIsFollowedByAnother() throws Exception {
-        Log log = new Log(System.getLogger("test"));
+        RateLimitedLog log = new RateLimitedLog(System.getLogger("test"));
         Call tells =
                 socket -> {
                     send(socket, HEAD + list(9, true, entry("b9", "active")) + "\n");
@@ -417,7 +423,7 @@
                 };
         Socket place = refusing();
         int port = place.getLocalPort();
-        ModuleActor refused = chain(new InetSocketAddress("127.0.0.1", port), 300, log);
+        LoadBalancerActor refused = chain(new InetSocketAddress("127.0.0.1", port), 300, log);
         refused.settle();
         place.close();
         discovery(port, tells);
@@ -425,7 +431,7 @@
 
         ServerSocket silent = full();
         AtomicInteger ended = new AtomicInteger();
-        ModuleActor unanswered =
+        LoadBalancerActor unanswered =
                 chain(
                         new InetSocketAddress("127.0.0.1", silent.getLocalPort()),
                         300,
@@ -468,7 +474,7 @@
                                         .replace(
                                                 "\"AskWithin\":1000000",
                                                 "\"AskWithin\":120000000")));
-        buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
+        buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
         // At 0.8 s at most each, 5.4 s; doubled without end, 25 s at least.
         assertTrue(calls.await(20, TimeUnit.SECONDS), "calls left: " + calls.getCount());
     }
@@ -489,7 +495,7 @@
                         config(
                                 settings(256, server.getLocalPort(), "")
                                         .replace("subscribe", "automatic")));
-        buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
+        buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
         // At 50 ms at most each, 1 s; with half a second or more, 9.5 s at least.
         assertTrue(calls.await(8, TimeUnit.SECONDS), "calls left: " + calls.getCount());
     }
@@ -501,7 +507,7 @@
     @Example
     void anErrorDoesNotEndTheListForGood() throws Exception {
         AtomicInteger errors = new AtomicInteger();
-        Log log =
+        RateLimitedLog log =
                 log(
                         line -> {
                             if (line.contains("left out a host") && errors.incrementAndGet() == 1) {
@@ -515,7 +521,7 @@
                             send(socket, HEAD + list(9, true, "{}", entry("b9", "active")) + "\n");
                             hold();
                         });
-        ModuleActor module =
+        LoadBalancerActor module =
                 chain(new InetSocketAddress("127.0.0.1", server.getLocalPort()), 4_000, log);
         eventually(() -> module.lists("b9"), "told by the next call");
         assertTrue(errors.get() >= 1);
@@ -605,7 +611,7 @@
         }
         CountDownLatch ready = new CountDownLatch(1);
         proxy = new Proxy(config(settings(256, nobody.getLocalPort(), "", hosts)));
-        buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
+        buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
         Sockets.start(
                 "client",
                 () -> {
@@ -667,7 +673,7 @@
         Process process = serve(jars + "; ", text, output);
         sometime(() -> healthy(port), "it has started");
         while (open.stream().filter(o -> o instanceof Socket s && s.getPort() == operators).count()
-                < Management.MOST) {
+                < ManagementServer.MOST) {
             sometime(
                     () -> {
                         try {
@@ -771,7 +777,7 @@
                                                 stays.host("stays"))
                                         .replace("800000", "20000000")
                                         .replace("1500000", "20000000")));
-        buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
+        buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
         String patient = "X-Timeout-Ms: 20000\r\n";
         for (int i = 0; i < 20 || gone.requests.isEmpty(); i++) {
             assertEquals(200, status(call(request("read", "a" + i, patient, ""))));
@@ -831,13 +837,14 @@
                         "\"born_ms\":0.5",
                         "\"block\":0",
                         "\"block\":0.5");
-        Directory directory =
-                new Directory(new Log(System.getLogger("test")), List.of("z"), List.of("k"));
+        EndpointListParser directory =
+                new EndpointListParser(
+                        new RateLimitedLog(System.getLogger("test")), List.of("z"), List.of("k"));
         for (Map.Entry<String, String> field : odd.entrySet()) {
             for (String health : List.of("leaving", "left", "active")) {
                 String text = entry("b", health).replace(field.getKey(), field.getValue());
-                List<Directory.Entry> entries =
-                        directory.read(Json.read(list(2, false, text))).entries();
+                List<EndpointListParser.Entry> entries =
+                        directory.read(JsonReader.read(list(2, false, text))).entries();
                 assertEquals(health.equals("active") ? 0 : 1, entries.size(), text);
                 assertTrue(
                         entries.stream()
@@ -876,7 +883,7 @@
                                         .replace("800000", "20000000")
                                         .replace("1500000", "20000000")
                                         .replace("150000", "20000000")));
-        buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
+        buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
         Socket socket = connect();
         send(socket, request("once", "held", "X-Timeout-Ms: 20000\r\n", "body"));
         eventually(
--- a/src/test/java/cottonlock/proxy/MailboxTest.java
+++ b/src/test/java/cottonlock/proxy/MailboxTest.java
@@ -20,7 +20,7 @@
      */
     private static final long FEW = 2_048;
 
-    private final Log log = new Log(System.getLogger("cottonlock.test"));
+    private final RateLimitedLog log = new RateLimitedLog(System.getLogger("cottonlock.test"));
 
     @Example
     void anEmptyOneTakesNoMemoryForWhatItMayHold() {
--- a/src/test/java/cottonlock/proxy/OperatorDaysTest.java
+++ b/src/test/java/cottonlock/proxy/OperatorDaysTest.java
@@ -27,7 +27,7 @@
     private void startManaged(Path folder, String text) throws IOException {
         file = config(text.replace("{\"listen\"", "{\"mgmt\":\"127.0.0.1:0\",\"listen\""));
         proxy = new Proxy(file, OperatorConfig.NONE, null, folder);
-        buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
+        buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
     }
 
     private static String ask(int port, String call) throws IOException {
@@ -43,7 +43,7 @@
     }
 
     private Object figure(String name) throws IOException {
-        return ((Map<?, ?>) Json.read(ask("DUMP").split("\n")[0])).get(name);
+        return ((Map<?, ?>) JsonReader.read(ask("DUMP").split("\n")[0])).get(name);
     }
 
     @Example
@@ -158,12 +158,15 @@
 
     @Example
     void bansAreSharedWithAnotherProcessAndReturnsAreColdThereToo() throws Exception {
-        Log log = new Log(System.getLogger("test"));
+        RateLimitedLog log = new RateLimitedLog(System.getLogger("test"));
         Path folder = Files.createTempDirectory("bans");
-        Clock clock = new Clock();
+        TickClock clock = new TickClock();
         List<String> told = new ArrayList<>();
-        Bans here = new Bans(new Shared(folder, "p", "bans", log), clock, () -> {});
-        Bans there = new Bans(new Shared(folder, "p", "bans", log), clock, () -> told.add("there"));
+        ManualEjections here =
+                new ManualEjections(new SharedFile(folder, "p", "bans", log), clock, () -> {});
+        ManualEjections there =
+                new ManualEjections(
+                        new SharedFile(folder, "p", "bans", log), clock, () -> told.add("there"));
         Endpoint listed = new Endpoint("b", 0, 0, 0, Endpoint.State.READY, 1, 5);
         assertTrue(here.change("b", true));
         there.look();
@@ -179,7 +182,7 @@
         Files.writeString(folder.resolve("cottonlock-p.bans"), "something else\nout b\n");
         here.look();
         assertFalse(here.out("b"), "a foreign file counts as empty");
-        assertNull(new Shared(null, "p", "bans", log).stamp());
+        assertNull(new SharedFile(null, "p", "bans", log).stamp());
     }
 
     @Example
@@ -412,9 +415,9 @@
                 settings(128, 1, "", backend.host("b"))
                         .replace("\"memory_mb\":64", "\"memory_mb\":4"));
         // An eighth of the memory: asked of the pool now, the watch of the list might hold one.
-        buffersAtFirst = (4 << 20) / 8 / Buffers.SIZE;
+        buffersAtFirst = (4 << 20) / 8 / BufferPool.SIZE;
         String body = "0123456789".repeat(6_500);
-        assertTrue(buffersAtFirst < 12 * body.length() / Buffers.SIZE, "fewer than come");
+        assertTrue(buffersAtFirst < 12 * body.length() / BufferPool.SIZE, "fewer than come");
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             Socket socket = connect();
@@ -484,9 +487,9 @@
      * off.
      */
     private static int readBulk(Socket socket, int pauseEach) throws Exception {
-        HttpReader reader = new HttpReader(socket, new byte[Buffers.SIZE]);
+        HttpReader reader = new HttpReader(socket, new byte[BufferPool.SIZE]);
         reader.within(0);
-        Head head = reader.answer(8_000);
+        MessageHead head = reader.answer(8_000);
         assertEquals("200", head.start[1]);
         int[] read = {0};
         try {
@@ -569,7 +572,9 @@
             send(slow, head.substring(40));
             for (int i = 0; i < 3; i++) {
                 send(slow, body.substring(i * 1_000_000, (i + 1) * 1_000_000));
-                assertTrue(before - proxy.freeBuffers() <= 2 * (Body.IN_HAND / Buffers.SIZE + 2));
+                assertTrue(
+                        before - proxy.freeBuffers()
+                                <= 2 * (MessageBody.IN_HAND / BufferPool.SIZE + 2));
                 pause(i < 2 ? 600 : 0);
             }
             assertEquals(200, status(receive(slow)));
--- a/src/test/java/cottonlock/proxy/ProxyFixture.java
+++ b/src/test/java/cottonlock/proxy/ProxyFixture.java
@@ -174,7 +174,7 @@
 
     void start(int sockets, int discovery, String more, String... hosts) throws IOException {
         proxy = new Proxy(config(settings(sockets, discovery, more, hosts)));
-        buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
+        buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
     }
 
     void start(StandIn... backends) throws IOException {
--- a/src/test/java/cottonlock/proxy/ProxyTest.java
+++ b/src/test/java/cottonlock/proxy/ProxyTest.java
@@ -44,7 +44,7 @@
         String settings =
                 settings(256, 1, "", backends[0].host("b0"), backends[1].host("b1"))
                         .replace("\"Stage\":1", "\"Stage\":0,\"FleetSize\":40");
-        buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
+        buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
         proxy =
                 new Proxy(
                         config(settings),
@@ -71,13 +71,14 @@
         eventually(
                 () ->
                         proxy.watched().values().stream().mapToLong(n -> n).sum()
-                                        - proxy.watched().get(Shadow.Kind.WOULD_CLOSE)
+                                        - proxy.watched().get(ShadowLoadBalancer.Kind.WOULD_CLOSE)
                                 == 60,
                 "each decision is compared once");
         assertTrue(
-                proxy.watched().get(Shadow.Kind.WOULD_HAND_OFF) > 10, all + " " + proxy.watched());
+                proxy.watched().get(ShadowLoadBalancer.Kind.WOULD_HAND_OFF) > 10,
+                all + " " + proxy.watched());
         eventually(
-                () -> proxy.watched().get(Shadow.Kind.WOULD_CLOSE) > 0,
+                () -> proxy.watched().get(ShadowLoadBalancer.Kind.WOULD_CLOSE) > 0,
                 "connections that rest are seen");
     }
 
@@ -262,7 +263,7 @@
 
     @Example
     void connectionsOneAfterTheOtherNeedOneThread() throws Exception {
-        Workers workers = new Workers();
+        ConnectionThreads workers = new ConnectionThreads();
         Set<Thread> threads = ConcurrentHashMap.newKeySet();
         for (int i = 0; i < 20; i++) {
             AtomicInteger done = new AtomicInteger();
@@ -332,7 +333,7 @@
                         config(
                                 settings(256, 1, "", backend.host("b"))
                                         .replace("\"ConnIdle\":60000000", "\"ConnIdle\":200000")));
-        buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
+        buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
         for (int i = 0; i < 6; i++) {
             assertEquals(200, status(call(request("once", "i" + i, "", "body"))));
             Thread.sleep(180);
@@ -488,14 +489,14 @@
 
     @Example
     void oneAnswerIsClaimedAndThenTheBodyIsGone() throws Exception {
-        Buffers buffers = new Buffers(1, 0);
-        Body body = new Body(buffers, null);
+        BufferPool buffers = new BufferPool(1, 0);
+        MessageBody body = new MessageBody(buffers, null);
         body.add(new byte[10], 0, 10);
-        Head head = new Head(new String[] {"POST", "/once", "HTTP/1.1"});
+        MessageHead head = new MessageHead(new String[] {"POST", "/once", "HTTP/1.1"});
         ClientRequest req =
                 new ClientRequest(
                         null,
-                        new Admission.Asked(head, "id", null, 0, "once", 0, null, 0),
+                        new RequestValidator.Asked(head, "id", null, 0, "once", 0, null, 0),
                         body,
                         0,
                         new HashSet<>());
@@ -808,7 +809,7 @@
                         lines.add(format);
                     }
                 };
-        Mailbox mailbox = new Mailbox(3, new Log(logger));
+        Mailbox mailbox = new Mailbox(3, new RateLimitedLog(logger));
         AtomicInteger done = new AtomicInteger();
         mailbox.put(
                 () -> {
@@ -912,7 +913,7 @@
         for (int i = 0; spoilt && i < 3; i++) {
             text.setCharAt(random.nextInt(text.length()), (char) random.nextInt(256));
         }
-        Buffers buffers = new Buffers(40, 0);
+        BufferPool buffers = new BufferPool(40, 0);
         byte[] buffer = buffers.take();
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
                 Socket sender = new Socket("127.0.0.1", server.getLocalPort());
@@ -936,7 +937,7 @@
                 assertTrue(reader.await());
                 reader.within(3_000);
                 reader.request();
-                Body read = reader.body(buffers, null, Body.IN_HAND);
+                MessageBody read = reader.body(buffers, null, MessageBody.IN_HAND);
                 assertTrue(spoilt || read.length() == body.length());
                 read.release();
             } catch (MalformedMessageException | IOException e) {
@@ -951,11 +952,11 @@
     void jsonIsReadOrRefused(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         String good = "{\"a\":[1,-2.5e3,true,null,\"\\u0041\\n\"],\"b\":{\"c\":{}}}";
-        assertEquals("A\n", ((List<?>) ((Map<?, ?>) Json.read(good)).get("a")).get(4));
+        assertEquals("A\n", ((List<?>) ((Map<?, ?>) JsonReader.read(good)).get("a")).get(4));
         StringBuilder text = new StringBuilder(good);
         text.setCharAt(random.nextInt(text.length()), (char) random.nextInt(128));
         text.setLength(random.nextInt(text.length()));
-        assertThrows(IllegalArgumentException.class, () -> Json.read(text.toString()));
-        assertThrows(IllegalArgumentException.class, () -> Json.read("[".repeat(100_000)));
+        assertThrows(IllegalArgumentException.class, () -> JsonReader.read(text.toString()));
+        assertThrows(IllegalArgumentException.class, () -> JsonReader.read("[".repeat(100_000)));
     }
 }
--- a/src/test/java/cottonlock/proxy/RacesTest.java
+++ b/src/test/java/cottonlock/proxy/RacesTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.admin.Figures;
+import cottonlock.admin.Metrics;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -31,15 +31,16 @@
     private static final String STRAY = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
     private static final String FAILED = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n";
 
-    private final Log log = new Log(System.getLogger("test"));
-    private final Clock clock = new Clock();
-    private final Figures figures = new Figures();
-    private final Buffers buffers = new Buffers(16, 4);
-    private final Workers workers = new Workers();
-    private final Watchdog watchdog = new Watchdog();
+    private final RateLimitedLog log = new RateLimitedLog(System.getLogger("test"));
+    private final TickClock clock = new TickClock();
+    private final Metrics figures = new Metrics();
+    private final BufferPool buffers = new BufferPool(16, 4);
+    private final ConnectionThreads workers = new ConnectionThreads();
+    private final WriteTimeoutWatchdog watchdog = new WriteTimeoutWatchdog();
 
     /** Its thread is never started: what it is told stays in its mailbox. */
-    private final ModuleActor module = new ModuleActor(clock, entry -> null, figures, log);
+    private final LoadBalancerActor module =
+            new LoadBalancerActor(clock, entry -> null, figures, log);
 
     private static InetSocketAddress address(StandIn at) {
         return new InetSocketAddress("127.0.0.1", at.server.getLocalPort());
@@ -76,16 +77,16 @@
             hosts[i] = backends[i].host("b" + i);
         }
         proxy = new Proxy(config(settings(256, 1, "", hosts).replace("1500000", "20000000")));
-        buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
+        buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
     }
 
-    private Client onlyClient() throws Exception {
+    private ClientConnection onlyClient() throws Exception {
         eventually(() -> proxy.listener().clients().size() == 1, "the client is taken in");
         return proxy.listener().clients().iterator().next();
     }
 
     /** Its last answer is done with, and its thread waits for the next byte. */
-    private static Client resting(Client client) throws Exception {
+    private static ClientConnection resting(ClientConnection client) throws Exception {
         eventually(
                 () ->
                         !client.owed()
@@ -96,7 +97,7 @@
                                                                 .toString()
                                                                 .matches(
                                                                         "(?s).*NioSocketImpl."
-                                                                            + "*Client.awaitRequest.*")),
+                                                                            + "*ClientConnection.awaitRequest.*")),
                 "it rests");
         return client;
     }
@@ -110,7 +111,7 @@
         Socket socket = connect();
         send(socket, request("once", "first", "", "body"));
         assertEquals(200, status(receive(socket)));
-        Client client = resting(onlyClient());
+        ClientConnection client = resting(onlyClient());
         synchronized (client) {
             send(socket, request("once", "read", "", "body"));
             eventually(RacesTest::anyBlocked, "read, and not yet told of");
@@ -130,7 +131,7 @@
         Socket socket = connect();
         send(socket, request("once", "first", "", "body"));
         assertEquals(200, status(receive(socket)));
-        Client client = resting(onlyClient());
+        ClientConnection client = resting(onlyClient());
         CountDownLatch read = new CountDownLatch(1);
         CountDownLatch goOn = new CountDownLatch(1);
         client.afterRead =
@@ -175,15 +176,15 @@
     void whatTheKernelHasQueuedAsTheListenerLeavesIsServed() throws Exception {
         CountDownLatch accepted = new CountDownLatch(1);
         CountDownLatch goOn = new CountDownLatch(1);
-        Listener listener =
-                new Listener(
+        ClientListener listener =
+                new ClientListener(
                         new InetSocketAddress("127.0.0.1", 0),
                         false,
                         50,
                         (socket, from) -> {
                             accepted.countDown();
                             awaits(goOn);
-                            return new Client(
+                            return new ClientConnection(
                                     socket,
                                     from,
                                     module,
@@ -233,7 +234,7 @@
         for (int tries = 0; tries < 20; tries++) {
             long before = System.nanoTime();
             Socket socket = connect();
-            Client client = onlyClient();
+            ClientConnection client = onlyClient();
             client.close();
             boolean ends = client.ends();
             if (System.nanoTime() - before < 250_000_000L) {
@@ -342,11 +343,11 @@
 
     // Lists
 
-    private ListWatch watch(StandIn at, long silence) throws IOException {
-        ListWatch watch =
-                new ListWatch(
+    private EndpointListWatch watch(StandIn at, long silence) throws IOException {
+        EndpointListWatch watch =
+                new EndpointListWatch(
                         address(at),
-                        new Directory(log, List.of("z"), List.of("k")),
+                        new EndpointListParser(log, List.of("z"), List.of("k")),
                         7,
                         true,
                         silence,
@@ -368,7 +369,7 @@
     void theNewPlaceIsAskedForTheWholeListAlsoWhereItMovesBetweenTwoWatches() throws Exception {
         StandIn old = new StandIn(request -> "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
         StandIn now = new StandIn(request -> SILENT);
-        ListWatch watch = watch(old, 4_000);
+        EndpointListWatch watch = watch(old, 4_000);
         watch.ask();
         eventually(() -> old.requests.size() == 1, "the old place is asked");
         assertTrue(old.requests.get(0).get(0).contains("index=7 "));
@@ -426,13 +427,13 @@
     // Attempts on their way
 
     private Sent attempt(BackendActor actor, long sendBy) throws Exception {
-        Head head = new Head(new String[] {"POST", "/once", "HTTP/1.1"});
-        Body body = new Body(buffers, null);
+        MessageHead head = new MessageHead(new String[] {"POST", "/once", "HTTP/1.1"});
+        MessageBody body = new MessageBody(buffers, null);
         body.add("body".getBytes(StandardCharsets.ISO_8859_1), 0, 4);
         ClientRequest request =
                 new ClientRequest(
                         null,
-                        new Admission.Asked(head, "id", null, 0, "once", 0, "acme", 0),
+                        new RequestValidator.Asked(head, "id", null, 0, "once", 0, "acme", 0),
                         body,
                         clock.now() + 100_000,
                         ConcurrentHashMap.newKeySet());
@@ -447,7 +448,7 @@
         return new BackendActor(
                 address(backend),
                 new ConnectionPermits(4),
-                new KeepAlive(),
+                new KeepAlivePolicy(),
                 workers,
                 1_000,
                 60_000,
@@ -642,7 +643,7 @@
         send(socket, request("once", "first", "", "body"));
         eventually(() -> backend.requests.size() == 1, "the first is out");
         send(socket, request("once", "flood", "", "body").repeat(200));
-        Client client = onlyClient();
+        ClientConnection client = onlyClient();
         eventually(client::last, "more has come than is kept");
         goOn.countDown();
         String answer = receive(socket);
--- a/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
+++ b/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
@@ -100,7 +100,8 @@
 
         String figure(String key) throws IOException {
             try {
-                return String.valueOf(((Map<?, ?>) Json.read(ask("DUMP").split("\n")[0])).get(key));
+                return String.valueOf(
+                        ((Map<?, ?>) JsonReader.read(ask("DUMP").split("\n")[0])).get(key));
             } catch (java.net.ConnectException e) {
                 return null;
             }
@@ -165,7 +166,9 @@
                 file.substring(
                         file.indexOf("\"settings\":") + "\"settings\":".length(),
                         file.length() - 1);
-        base = VersionLine.base(Config.settings((Map<?, ?>) Json.read(content)));
+        base =
+                ConfigurationVersionParser.base(
+                        ProxyConfiguration.settings((Map<?, ?>) JsonReader.read(content)));
         int[] ports = freePorts(2 * processes);
         for (int i = 0; i < processes; i++) {
             Instance instance = new Instance(ports[2 * i], ports[2 * i + 1]);
@@ -283,7 +286,9 @@
         // Another base: tenants need new processes, and all say so.
         control.forEach(c -> c.trouble(Trouble.NONE));
         String others = named("fifth").replace("\"acme\"", "\"amce\"");
-        String othersBase = VersionLine.base(Config.settings((Map<?, ?>) Json.read(others)));
+        String othersBase =
+                ConfigurationVersionParser.base(
+                        ProxyConfiguration.settings((Map<?, ?>) JsonReader.read(others)));
         control.forEach(c -> c.publish("s", 5, othersBase, others));
         for (Instance i : instances) {
             inTime(() -> i.figure("configuration_refused_count").equals("2"), "refused");
@@ -303,7 +308,9 @@
                 text.substring(
                         text.indexOf("\"settings\":") + "\"settings\":".length(),
                         text.length() - 1);
-        base = VersionLine.base(Config.settings((Map<?, ?>) Json.read(content)));
+        base =
+                ConfigurationVersionParser.base(
+                        ProxyConfiguration.settings((Map<?, ?>) JsonReader.read(content)));
         List<String> addresses = new ArrayList<>();
         for (ControlMachine m : machines) {
             addresses.add(m.address());
@@ -324,7 +331,7 @@
                                         RolloutConfig.RETRY)),
                         null,
                         folder);
-        buffersAtFirst = (64 << 20) / 8 / Buffers.SIZE;
+        buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
     }
 
     @Example
--- a/src/test/java/cottonlock/rollout/RolloutTest.java
+++ b/src/test/java/cottonlock/rollout/ConfigurationRolloutTest.java
@@ -21,7 +21,7 @@
  * Fleets of the deciding class in virtual time: each hard case of docs/rollout.md, and what fails
  * where its defence is switched off. One seed gives the same play on any machine.
  */
-class RolloutTest {
+class ConfigurationRolloutTest {
     private static final int SIZE = 300;
     private static final long SEED = 7;
 
@@ -35,12 +35,12 @@
     /** Bytes of a second in which a proxy was told one version twice, half and whole. */
     private static final long TWICE = 10 << 10;
 
-    private static Outcome play(String name, Habits habits) {
+    private static Outcome play(String name, RolloutVariants habits) {
         return new RolloutStudy(SIZE, SEED, habits).cases().get(name).get();
     }
 
     /** What holds in each case. */
-    private static Outcome holds(String name, Habits habits, long bytes) {
+    private static Outcome holds(String name, RolloutVariants habits, long bytes) {
         Outcome o = play(name, habits);
         assertTrue(o.all() >= 0 && o.all() <= IN_FORCE, name + " " + o);
         assertEquals(0, o.back() + o.harmed() + o.differ(), name + " " + o);
@@ -54,7 +54,7 @@
 
     @Example
     void onQuietDaysAChangeIsInForceAtOnce() {
-        Outcome o = new RolloutStudy(SIZE, SEED, Habits.USUAL).quiet();
+        Outcome o = new RolloutStudy(SIZE, SEED, RolloutVariants.USUAL).quiet();
         assertTrue(o.all() >= 0 && o.all() < 1_000, o.toString());
         assertTrue(o.bytes() <= BYTES && o.more().get("mean") < 500, o.toString());
         assertEquals(0, o.back() + o.harmed() + o.differ());
@@ -62,10 +62,10 @@
 
     @Example
     void aChangeDuringARegionSplit() {
-        Outcome o = holds("region_split", Habits.USUAL, BYTES);
+        Outcome o = holds("region_split", RolloutVariants.USUAL, BYTES);
         assertFalse(late(o.more().get("healed_ms_all")), o.toString());
-        Habits farToo =
-                new Habits() {
+        RolloutVariants farToo =
+                new RolloutVariants() {
                     @Override
                     public boolean nearFirst() {
                         return false;
@@ -77,7 +77,7 @@
                 late(
                         play(
                                         "region_split",
-                                        new Habits() {
+                                        new RolloutVariants() {
                                             @Override
                                             public boolean nearFirst() {
                                                 return false;
@@ -94,14 +94,15 @@
 
     @Example
     void twoChangesThatCrossEndAsOne() {
-        Outcome o = holds("crossing", Habits.USUAL, BYTES);
+        Outcome o = holds("crossing", RolloutVariants.USUAL, BYTES);
         assertEquals(2, o.more().get("versions_while_split"));
         Outcome off =
                 play(
                         "crossing",
-                        new Habits() {
+                        new RolloutVariants() {
                             @Override
-                            public boolean outweighs(Version one, Version other) {
+                            public boolean outweighs(
+                                    ConfigurationVersion one, ConfigurationVersion other) {
                                 return one.number() > other.number();
                             }
                         });
@@ -110,9 +111,9 @@
 
     @Example
     void aProxyStoppedForAnHour() {
-        Outcome o = holds("stopped", Habits.USUAL, BYTES);
+        Outcome o = holds("stopped", RolloutVariants.USUAL, BYTES);
         assertTrue(o.more().get("changes_missed") > 80);
-        class Endless extends Habits {
+        class Endless extends RolloutVariants {
             @Override
             public long silence(long usual) {
                 return Long.MAX_VALUE / 4;
@@ -136,13 +137,13 @@
 
     @Example
     void aFlappingZone() {
-        Outcome o = holds("flapping_zone", Habits.USUAL, BYTES);
+        Outcome o = holds("flapping_zone", RolloutVariants.USUAL, BYTES);
         assertFalse(late(o.more().get("inside_ms_all")), o.toString());
         assertFalse(late(o.more().get("after_ms_all")), o.toString());
         Outcome off =
                 play(
                         "flapping_zone",
-                        new Habits() {
+                        new RolloutVariants() {
                             @Override
                             public boolean movesOn() {
                                 return false;
@@ -155,7 +156,7 @@
 
     @Example
     void allOfControlDownForTenMinutesAndBackAtOnce() {
-        Outcome o = holds("control_down", Habits.USUAL, BYTES);
+        Outcome o = holds("control_down", RolloutVariants.USUAL, BYTES);
         assertEquals(SIZE, o.more().get("kept"), "the last good version is kept by all");
         // One call in retry / 2 at most, drawn by chance over as long: three times the mean at a
         // machine.
@@ -164,7 +165,7 @@
                 late(
                         play(
                                         "control_down",
-                                        new Habits() {
+                                        new RolloutVariants() {
                                             @Override
                                             public long longestWait(long retry, int failures) {
                                                 return retry << Math.min(failures, 16);
@@ -175,7 +176,7 @@
         Outcome unpaced =
                 play(
                         "control_down",
-                        new Habits() {
+                        new RolloutVariants() {
                             @Override
                             public boolean paces() {
                                 return false;
@@ -189,12 +190,12 @@
 
     @Example
     void oneControlMachineThatLiesBehind() {
-        Outcome o = holds("behind", Habits.USUAL, BYTES);
+        Outcome o = holds("behind", RolloutVariants.USUAL, BYTES);
         assertTrue(o.more().get("next_ms_all") < 1_000, "it has been left for others: " + o);
         Outcome off =
                 play(
                         "behind",
-                        new Habits() {
+                        new RolloutVariants() {
                             @Override
                             public boolean compares() {
                                 return false;
@@ -203,8 +204,8 @@
         assertTrue(late(off.all()) && off.differ() > 0, "off: who watches it never knows: " + off);
     }
 
-    private static final Habits NOTHING_TRIED =
-            new Habits() {
+    private static final RolloutVariants NOTHING_TRIED =
+            new RolloutVariants() {
                 @Override
                 public boolean tries() {
                     return false;
@@ -213,13 +214,13 @@
 
     @Example
     void halfAVersionIsNone() {
-        holds("half", Habits.USUAL, TWICE);
+        holds("half", RolloutVariants.USUAL, TWICE);
         assertNotEquals(0, play("half", NOTHING_TRIED).harmed(), "off: it comes into force");
     }
 
     @Example
     void aPoisonVersionIsRefusedByAllOnceAndRolledBack() {
-        Outcome o = holds("poison", Habits.USUAL, BYTES);
+        Outcome o = holds("poison", RolloutVariants.USUAL, BYTES);
         assertEquals(SIZE, o.more().get("refused"));
         assertEquals(SIZE, o.more().get("judged"), "and not judged again");
         assertEquals(SIZE, o.more().get("kept"));
@@ -228,12 +229,12 @@
 
     @Example
     void manyRestartsWithinAMinuteWhileControlIsLost() {
-        holds("restarts", Habits.USUAL, BYTES);
+        holds("restarts", RolloutVariants.USUAL, BYTES);
         assertNotEquals(
                 0,
                 play(
                                 "restarts",
-                                new Habits() {
+                                new RolloutVariants() {
                                     @Override
                                     public boolean keeps() {
                                         return false;
@@ -245,7 +246,7 @@
 
     @Example
     void aChangeWhileControlIsOverloaded() {
-        Outcome o = holds("overload", Habits.USUAL, BYTES);
+        Outcome o = holds("overload", RolloutVariants.USUAL, BYTES);
         // A call each 0.45 s at most by each proxy, spread over near machines; half as much again
         // by chance.
         double most = 1.5 * SIZE / 0.45 / RolloutStudy.CONTROL;
@@ -253,7 +254,7 @@
         Outcome off =
                 play(
                         "overload",
-                        new Habits() {
+                        new RolloutVariants() {
                             @Override
                             public boolean paces() {
                                 return false;
@@ -280,8 +281,8 @@
 
     @Property(tries = 200)
     void versionsHaveOneOrder(@ForAll long a, @ForAll long b, @ForAll byte m, @ForAll byte n) {
-        Version one = new Version(m, a);
-        Version other = new Version(n, b);
+        ConfigurationVersion one = new ConfigurationVersion(m, a);
+        ConfigurationVersion other = new ConfigurationVersion(n, b);
         assertEquals(Integer.signum(one.compareTo(other)), -Integer.signum(other.compareTo(one)));
         assertEquals(one.equals(other), one.compareTo(other) == 0);
         assertEquals(16, one.hex().length());
@@ -297,18 +298,20 @@
         SplittableRandom chance = new SplittableRandom(seed);
         RolloutConfig plan = plan(1 + chance.nextInt(4), chance.nextInt(4));
         int machines = plan.control().size() + plan.far().size();
-        Rollout r = new Rollout(0, plan, Version.NONE, chance.split());
+        ConfigurationRollout r =
+                new ConfigurationRollout(0, plan, ConfigurationVersion.NONE, chance.split());
         long now = 0;
-        Version held = Version.NONE;
-        Set<Version> judged = new HashSet<>();
+        ConfigurationVersion held = ConfigurationVersion.NONE;
+        Set<ConfigurationVersion> judged = new HashSet<>();
         for (int i = 0; i < 200; i++) {
-            Rollout.Call call = r.watch(now);
+            ConfigurationRollout.Call call = r.watch(now);
             assertTrue(call.at() >= now && call.at() <= now + plan.retry(), "a bounded wait");
             assertTrue(call.machine() >= 0 && call.machine() < machines);
             now = call.at();
             for (int line = chance.nextInt(5); line > 0; line--) {
                 now += chance.nextInt(30_000);
-                Version v = new Version(1 + chance.nextInt(30), chance.nextInt(3));
+                ConfigurationVersion v =
+                        new ConfigurationVersion(1 + chance.nextInt(30), chance.nextInt(3));
                 if (r.told(now, v)) {
                     assertTrue(v.compareTo(held) > 0 && judged.add(v), v + " over " + held);
                     if (chance.nextInt(3) == 0) {
@@ -323,7 +326,10 @@
                 int other = r.compare(now);
                 if (other >= 0) {
                     assertNotEquals(call.machine(), other);
-                    r.compared(now, other, new Version(1 + chance.nextInt(30), chance.nextInt(3)));
+                    r.compared(
+                            now,
+                            other,
+                            new ConfigurationVersion(1 + chance.nextInt(30), chance.nextInt(3)));
                 }
                 if (r.leaves(now)) {
                     r.left(now);
@@ -341,11 +347,13 @@
     /** All but the last of 17 can't be reached: a round calls each, within the worked-out time. */
     @Example
     void aRoundReachesEachMachine() {
-        Rollout r = new Rollout(0, plan(8, 9), Version.NONE, new SplittableRandom(3));
+        ConfigurationRollout r =
+                new ConfigurationRollout(
+                        0, plan(8, 9), ConfigurationVersion.NONE, new SplittableRandom(3));
         Set<Integer> called = new HashSet<>();
         long now = 0;
         for (int i = 0; i < 17; i++) {
-            Rollout.Call call = r.watch(now);
+            ConfigurationRollout.Call call = r.watch(now);
             assertTrue(called.add(call.machine()), "each once");
             assertEquals(i < 8, call.machine() < 8, "near ones first");
             now = call.at() + call.limit();
