--- a/src/test/java/cottonlock/proxy/ProxyFixture.java
+++ b/src/test/java/cottonlock/proxy/ProxyFixture.java
@@ -14,6 +14,8 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Queue;
+import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CopyOnWriteArrayList;
 import net.jqwik.api.lifecycle.AfterTry;
 
@@ -32,7 +34,9 @@
     /** Never answers. */
     static final String SILENT = "silent";
 
-    final List<AutoCloseable> open = new ArrayList<>();
+    /** What a test has opened; threads of stand-ins add to it while it is being closed. */
+    final Queue<AutoCloseable> open = new ConcurrentLinkedQueue<>();
+
     Proxy proxy;
     int buffersAtFirst;
 
@@ -192,13 +196,12 @@
             proxy.close();
             proxy.join();
         }
-        for (AutoCloseable closeable : open) {
+        for (AutoCloseable closeable = open.poll(); closeable != null; closeable = open.poll()) {
             closeable.close();
         }
         if (proxy != null) {
             eventually(() -> proxy.freeBuffers() == buffersAtFirst, "all buffers are back");
         }
-        open.clear();
         proxy = null;
     }
 
