--- a/src/main/java/cottonlock/admin/Metrics.java
+++ b/src/main/java/cottonlock/admin/Metrics.java
@@ -1,6 +1,6 @@
 package cottonlock.admin;
 
-import cottonlock.decision.RejectionReason;
+import cottonlock.decision.api.RejectionReason;
 import java.util.EnumMap;
 import java.util.Locale;
 import java.util.Map;
--- a/src/main/java/cottonlock/decision/AdmissionController.java
+++ b/src/main/java/cottonlock/decision/AdmissionController.java
@@ -1,5 +1,12 @@
 package cottonlock.decision;
 
+import cottonlock.decision.api.AttemptOutcome;
+import cottonlock.decision.api.DeploymentTopology;
+import cottonlock.decision.api.RejectionReason;
+import cottonlock.decision.api.Tenant;
+import cottonlock.decision.stats.SlidingWindowMean;
+import cottonlock.decision.stats.SlidingWindowMin;
+import cottonlock.decision.stats.SlidingWindowSum;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
--- a/src/main/java/cottonlock/decision/AttemptTracker.java
+++ b/src/main/java/cottonlock/decision/AttemptTracker.java
@@ -1,7 +1,10 @@
 package cottonlock.decision;
 
 import cottonlock.decision.Request.Attempt;
-import cottonlock.decision.RequestClass.Repeat;
+import cottonlock.decision.api.AttemptOutcome;
+import cottonlock.decision.api.LoadBalancerActions;
+import cottonlock.decision.api.RejectionReason;
+import cottonlock.decision.api.RequestClass.Repeat;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/cottonlock/decision/Backend.java
+++ b/src/main/java/cottonlock/decision/Backend.java
@@ -1,5 +1,7 @@
 package cottonlock.decision;
 
+import cottonlock.decision.api.Endpoint;
+import cottonlock.decision.stats.SlidingWindowSum;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
--- a/src/main/java/cottonlock/decision/BackendRegistry.java
+++ b/src/main/java/cottonlock/decision/BackendRegistry.java
@@ -5,7 +5,16 @@
 import static java.util.stream.Collectors.toSet;
 
 import cottonlock.decision.Request.Attempt;
-import cottonlock.decision.RequestClass.Repeat;
+import cottonlock.decision.api.AttemptOutcome;
+import cottonlock.decision.api.DeploymentTopology;
+import cottonlock.decision.api.Endpoint;
+import cottonlock.decision.api.LoadBalancerActions;
+import cottonlock.decision.api.RequestClass.Repeat;
+import cottonlock.decision.api.SlowStartConfig;
+import cottonlock.decision.api.Tenant;
+import cottonlock.decision.stats.BetaDistribution;
+import cottonlock.decision.stats.SlidingWindowMean;
+import cottonlock.decision.stats.SlidingWindowSum;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/cottonlock/decision/LaneSelector.java
+++ b/src/main/java/cottonlock/decision/LaneSelector.java
@@ -1,5 +1,6 @@
 package cottonlock.decision;
 
+import cottonlock.decision.api.RejectionReason;
 import java.util.List;
 
 /** The design: the tenant's own lane; the public part or all backends when none of it is usable. */
--- a/src/main/java/cottonlock/decision/LoadBalancer.java
+++ b/src/main/java/cottonlock/decision/LoadBalancer.java
@@ -1,5 +1,9 @@
 package cottonlock.decision;
 
+import cottonlock.decision.api.AttemptOutcome;
+import cottonlock.decision.api.Endpoint;
+import cottonlock.decision.api.LoadBalancerActions;
+import cottonlock.decision.api.RequestClass;
 import java.util.List;
 
 /**
--- a/src/main/java/cottonlock/decision/Request.java
+++ b/src/main/java/cottonlock/decision/Request.java
@@ -1,5 +1,7 @@
 package cottonlock.decision;
 
+import cottonlock.decision.api.RejectionReason;
+import cottonlock.decision.api.RequestClass;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/cottonlock/decision/RequestIntake.java
+++ b/src/main/java/cottonlock/decision/RequestIntake.java
@@ -1,6 +1,11 @@
 package cottonlock.decision;
 
-import cottonlock.decision.RequestClass.Repeat;
+import cottonlock.decision.api.DeploymentTopology;
+import cottonlock.decision.api.LoadBalancerActions;
+import cottonlock.decision.api.RejectionReason;
+import cottonlock.decision.api.RequestClass;
+import cottonlock.decision.api.RequestClass.Repeat;
+import cottonlock.decision.api.Tenant;
 import java.util.Arrays;
 import java.util.List;
 
--- a/src/main/java/cottonlock/decision/AttemptOutcome.java
+++ b/src/main/java/cottonlock/decision/api/AttemptOutcome.java
@@ -1,4 +1,4 @@
-package cottonlock.decision;
+package cottonlock.decision.api;
 
 /** How an attempt or a probe ended. */
 public enum AttemptOutcome {
--- a/src/main/java/cottonlock/decision/DeploymentTopology.java
+++ b/src/main/java/cottonlock/decision/api/DeploymentTopology.java
@@ -1,4 +1,4 @@
-package cottonlock.decision;
+package cottonlock.decision.api;
 
 /**
  * How a deployment is laid out, as far as its settings tell. Times are in tenths of a millisecond.
@@ -38,7 +38,7 @@
     }
 
     /** Whether there are so many balancers that each sees little of what comes to all. */
-    boolean many() {
+    public boolean many() {
         return balancers > FEW;
     }
 }
--- a/src/main/java/cottonlock/decision/Endpoint.java
+++ b/src/main/java/cottonlock/decision/api/Endpoint.java
@@ -1,4 +1,4 @@
-package cottonlock.decision;
+package cottonlock.decision.api;
 
 /**
  * One line of the list of backends.
--- a/src/main/java/cottonlock/decision/LoadBalancerActions.java
+++ b/src/main/java/cottonlock/decision/api/LoadBalancerActions.java
@@ -1,4 +1,6 @@
-package cottonlock.decision;
+package cottonlock.decision.api;
+
+import cottonlock.decision.LoadBalancer;
 
 /**
  * What the balancer answers through; each call is carried out at the time of the call that led to
--- a/src/main/java/cottonlock/decision/RejectionReason.java
+++ b/src/main/java/cottonlock/decision/api/RejectionReason.java
@@ -1,4 +1,4 @@
-package cottonlock.decision;
+package cottonlock.decision.api;
 
 /** What ended a request unfinished: the last thing that decided it, one for each. */
 public enum RejectionReason {
@@ -20,7 +20,7 @@
     ANSWER_LOST;
 
     /** What an attempt that ended so, and is the last, ends its request by. */
-    static RejectionReason of(AttemptOutcome outcome) {
+    public static RejectionReason of(AttemptOutcome outcome) {
         return switch (outcome) {
             case TURNED_AWAY -> TURNED_AWAY;
             case NO_CONNECTION, NOT_SENT -> NO_CONNECTION;
--- a/src/main/java/cottonlock/decision/RequestClass.java
+++ b/src/main/java/cottonlock/decision/api/RequestClass.java
@@ -1,4 +1,4 @@
-package cottonlock.decision;
+package cottonlock.decision.api;
 
 /**
  * A category of requests. Times are in tenths of a millisecond.
@@ -38,7 +38,7 @@
         CELL;
 
         /** Whether two backends are in the same group. */
-        boolean joins(Endpoint one, Endpoint other) {
+        public boolean joins(Endpoint one, Endpoint other) {
             return switch (this) {
                 case ALL -> true;
                 case ZONE -> one.zone() == other.zone();
--- a/src/main/java/cottonlock/decision/SlowStartConfig.java
+++ b/src/main/java/cottonlock/decision/api/SlowStartConfig.java
@@ -1,4 +1,4 @@
-package cottonlock.decision;
+package cottonlock.decision.api;
 
 /**
  * What is known of backends that have just started. Times are in tenths of a millisecond.
@@ -11,7 +11,7 @@
 public record SlowStartConfig(double share, long time, double multiple, long fall) {
 
     /** The part of its capacity that a backend has at least: it grows evenly while cold. */
-    double warmth(Endpoint m, long now) {
+    public double warmth(Endpoint m, long now) {
         if (m.startedAt() <= 0 || now - m.startedAt() >= time) {
             return 1;
         }
--- a/src/main/java/cottonlock/decision/Tenant.java
+++ b/src/main/java/cottonlock/decision/api/Tenant.java
@@ -1,4 +1,4 @@
-package cottonlock.decision;
+package cottonlock.decision.api;
 
 /**
  * A tenant as configured.
--- a/src/main/java/cottonlock/decision/BetaDistribution.java
+++ b/src/main/java/cottonlock/decision/stats/BetaDistribution.java
@@ -1,12 +1,12 @@
-package cottonlock.decision;
+package cottonlock.decision.stats;
 
 import java.util.SplittableRandom;
 
 /** Draws from the beta distribution, the posterior of a chance of success. */
-final class BetaDistribution {
+public final class BetaDistribution {
     private BetaDistribution() {}
 
-    static double draw(SplittableRandom random, int a, int b) {
+    public static double draw(SplittableRandom random, int a, int b) {
         double x = gamma(random, a);
         return x / (x + gamma(random, b));
     }
--- a/src/main/java/cottonlock/decision/SlidingWindowMin.java
+++ b/src/main/java/cottonlock/decision/stats/SlidingWindowMin.java
@@ -1,4 +1,4 @@
-package cottonlock.decision;
+package cottonlock.decision.stats;
 
 import java.util.Arrays;
 
@@ -6,18 +6,18 @@
  * The lowest value of the recent past, kept in buckets of fixed length that are used again in a
  * ring.
  */
-final class SlidingWindowMin {
+public final class SlidingWindowMin {
     private final double[] buckets;
     private final long bucketLength;
     private long newest = Long.MIN_VALUE;
 
-    SlidingWindowMin(long span, int buckets) {
+    public SlidingWindowMin(long span, int buckets) {
         this.buckets = new double[buckets];
         this.bucketLength = Math.max(1, (span + buckets - 1) / buckets);
         Arrays.fill(this.buckets, Double.POSITIVE_INFINITY);
     }
 
-    void add(long now, double value) {
+    public void add(long now, double value) {
         long bucket = Math.floorDiv(now, bucketLength);
         if (bucket - buckets.length >= newest) {
             Arrays.fill(buckets, Double.POSITIVE_INFINITY);
@@ -32,7 +32,7 @@
     }
 
     /** The lowest value still kept; infinite when there is none. */
-    double value() {
+    public double value() {
         double lowest = Double.POSITIVE_INFINITY;
         for (double v : buckets) {
             lowest = Math.min(lowest, v);
--- a/src/main/java/cottonlock/decision/SlidingWindowSum.java
+++ b/src/main/java/cottonlock/decision/stats/SlidingWindowSum.java
@@ -1,18 +1,18 @@
-package cottonlock.decision;
+package cottonlock.decision.stats;
 
 /** A sum over the recent past, kept in buckets of fixed length that are used again in a ring. */
-final class SlidingWindowSum {
+public final class SlidingWindowSum {
     private final long[] buckets;
     private final long bucketLength;
     private long newest = Long.MIN_VALUE;
     private long total;
 
-    SlidingWindowSum(long span, int buckets) {
+    public SlidingWindowSum(long span, int buckets) {
         this.buckets = new long[buckets];
         this.bucketLength = Math.max(1, (span + buckets - 1) / buckets);
     }
 
-    void add(long now, long amount) {
+    public void add(long now, long amount) {
         roll(now);
         buckets[(int) Math.floorMod(newest, (long) buckets.length)] += amount;
         total += amount;
@@ -21,12 +21,12 @@
     /**
      * The sum over the span up to now; the oldest bucket counts whole until all of it is too old.
      */
-    long sum(long now) {
+    public long sum(long now) {
         roll(now);
         return total;
     }
 
-    void clear() {
+    public void clear() {
         java.util.Arrays.fill(buckets, 0);
         total = 0;
     }
--- a/src/main/java/cottonlock/proxy/BackendActor.java
+++ b/src/main/java/cottonlock/proxy/BackendActor.java
@@ -1,7 +1,7 @@
 package cottonlock.proxy;
 
 import cottonlock.admin.Metrics;
-import cottonlock.decision.AttemptOutcome;
+import cottonlock.decision.api.AttemptOutcome;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
--- a/src/main/java/cottonlock/proxy/BackendConnection.java
+++ b/src/main/java/cottonlock/proxy/BackendConnection.java
@@ -1,7 +1,7 @@
 package cottonlock.proxy;
 
 import cottonlock.admin.Metrics;
-import cottonlock.decision.AttemptOutcome;
+import cottonlock.decision.api.AttemptOutcome;
 import java.io.FilterOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
--- a/src/main/java/cottonlock/proxy/ClientRequest.java
+++ b/src/main/java/cottonlock/proxy/ClientRequest.java
@@ -1,7 +1,7 @@
 package cottonlock.proxy;
 
-import cottonlock.decision.AttemptOutcome;
-import cottonlock.decision.RejectionReason;
+import cottonlock.decision.api.AttemptOutcome;
+import cottonlock.decision.api.RejectionReason;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
--- a/src/main/java/cottonlock/proxy/DiscoveryClient.java
+++ b/src/main/java/cottonlock/proxy/DiscoveryClient.java
@@ -68,7 +68,7 @@
             listed.clear();
         }
         for (EndpointListParser.Entry entry : news.entries()) {
-            if (entry.member().state() == cottonlock.decision.Endpoint.State.GONE) {
+            if (entry.member().state() == cottonlock.decision.api.Endpoint.State.GONE) {
                 listed.remove(entry.member().id());
             } else {
                 listed.put(entry.member().id(), entry);
--- a/src/main/java/cottonlock/proxy/EndpointListParser.java
+++ b/src/main/java/cottonlock/proxy/EndpointListParser.java
@@ -1,6 +1,6 @@
 package cottonlock.proxy;
 
-import cottonlock.decision.Endpoint;
+import cottonlock.decision.api.Endpoint;
 import cottonlock.setup.InvalidSettingsException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/src/main/java/cottonlock/proxy/LoadBalancerActor.java
+++ b/src/main/java/cottonlock/proxy/LoadBalancerActor.java
@@ -1,12 +1,12 @@
 package cottonlock.proxy;
 
 import cottonlock.admin.Metrics;
-import cottonlock.decision.AttemptOutcome;
-import cottonlock.decision.Endpoint;
 import cottonlock.decision.LoadBalancer;
-import cottonlock.decision.LoadBalancerActions;
-import cottonlock.decision.RejectionReason;
-import cottonlock.decision.RequestClass;
+import cottonlock.decision.api.AttemptOutcome;
+import cottonlock.decision.api.Endpoint;
+import cottonlock.decision.api.LoadBalancerActions;
+import cottonlock.decision.api.RejectionReason;
+import cottonlock.decision.api.RequestClass;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/cottonlock/proxy/ManualEjections.java
+++ b/src/main/java/cottonlock/proxy/ManualEjections.java
@@ -1,6 +1,6 @@
 package cottonlock.proxy;
 
-import cottonlock.decision.Endpoint;
+import cottonlock.decision.api.Endpoint;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/main/java/cottonlock/proxy/RequestRules.java
+++ b/src/main/java/cottonlock/proxy/RequestRules.java
@@ -1,6 +1,6 @@
 package cottonlock.proxy;
 
-import cottonlock.decision.RequestClass;
+import cottonlock.decision.api.RequestClass;
 import cottonlock.setup.LoadBalancerFactory;
 import cottonlock.setup.Settings;
 import java.util.ArrayList;
--- a/src/main/java/cottonlock/proxy/RequestValidator.java
+++ b/src/main/java/cottonlock/proxy/RequestValidator.java
@@ -1,6 +1,6 @@
 package cottonlock.proxy;
 
-import cottonlock.decision.RequestClass;
+import cottonlock.decision.api.RequestClass;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
--- a/src/main/java/cottonlock/simulator/Instance.java
+++ b/src/main/java/cottonlock/simulator/Instance.java
@@ -1,8 +1,8 @@
 package cottonlock.simulator;
 
 import cottonlock.decision.LoadBalancer;
-import cottonlock.decision.LoadBalancerActions;
-import cottonlock.decision.RejectionReason;
+import cottonlock.decision.api.LoadBalancerActions;
+import cottonlock.decision.api.RejectionReason;
 import cottonlock.setup.LoadBalancerFactory;
 import cottonlock.setup.Settings;
 import java.util.Base64;
--- a/src/main/java/cottonlock/simulator/WireHost.java
+++ b/src/main/java/cottonlock/simulator/WireHost.java
@@ -1,7 +1,7 @@
 package cottonlock.simulator;
 
-import cottonlock.decision.AttemptOutcome;
-import cottonlock.decision.Endpoint;
+import cottonlock.decision.api.AttemptOutcome;
+import cottonlock.decision.api.Endpoint;
 import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.Settings;
 import java.io.IOException;
--- a/src/test/java/cottonlock/decision/ColdFleet.java
+++ b/src/test/java/cottonlock/decision/ColdFleet.java
@@ -1,7 +1,15 @@
 package cottonlock.decision;
 
-import cottonlock.decision.RequestClass.Repeat;
-import cottonlock.decision.RequestClass.Scope;
+import cottonlock.decision.api.AttemptOutcome;
+import cottonlock.decision.api.DeploymentTopology;
+import cottonlock.decision.api.Endpoint;
+import cottonlock.decision.api.LoadBalancerActions;
+import cottonlock.decision.api.RejectionReason;
+import cottonlock.decision.api.RequestClass;
+import cottonlock.decision.api.RequestClass.Repeat;
+import cottonlock.decision.api.RequestClass.Scope;
+import cottonlock.decision.api.SlowStartConfig;
+import cottonlock.decision.api.Tenant;
 import cottonlock.lab.world.World;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/test/java/cottonlock/decision/LoadBalancerTest.java
+++ b/src/test/java/cottonlock/decision/LoadBalancerTest.java
@@ -5,8 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.decision.RequestClass.Repeat;
-import cottonlock.decision.RequestClass.Scope;
+import cottonlock.decision.api.AttemptOutcome;
+import cottonlock.decision.api.DeploymentTopology;
+import cottonlock.decision.api.Endpoint;
+import cottonlock.decision.api.RequestClass;
+import cottonlock.decision.api.RequestClass.Repeat;
+import cottonlock.decision.api.RequestClass.Scope;
+import cottonlock.decision.api.Tenant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/test/java/cottonlock/decision/RulesTest.java
+++ b/src/test/java/cottonlock/decision/RulesTest.java
@@ -1,7 +1,12 @@
 package cottonlock.decision;
 
-import cottonlock.decision.RequestClass.Repeat;
-import cottonlock.decision.RequestClass.Scope;
+import cottonlock.decision.api.AttemptOutcome;
+import cottonlock.decision.api.DeploymentTopology;
+import cottonlock.decision.api.Endpoint;
+import cottonlock.decision.api.RequestClass;
+import cottonlock.decision.api.RequestClass.Repeat;
+import cottonlock.decision.api.RequestClass.Scope;
+import cottonlock.decision.api.Tenant;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/cottonlock/proxy/ListsTest.java
+++ b/src/test/java/cottonlock/proxy/ListsTest.java
@@ -6,10 +6,10 @@
 
 import cottonlock.admin.ManagementServer;
 import cottonlock.admin.Metrics;
-import cottonlock.decision.Endpoint;
 import cottonlock.decision.LoadBalancer;
-import cottonlock.decision.LoadBalancerActions;
-import cottonlock.decision.RejectionReason;
+import cottonlock.decision.api.Endpoint;
+import cottonlock.decision.api.LoadBalancerActions;
+import cottonlock.decision.api.RejectionReason;
 import cottonlock.setup.LoadBalancerFactory;
 import cottonlock.setup.Settings;
 import java.io.BufferedReader;
--- a/src/test/java/cottonlock/proxy/OperatorDaysTest.java
+++ b/src/test/java/cottonlock/proxy/OperatorDaysTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.decision.Endpoint;
+import cottonlock.decision.api.Endpoint;
 import cottonlock.setup.OperatorConfig;
 import java.io.IOException;
 import java.io.OutputStream;
