--- a/src/test/java/cottonlock/proxy/RacesTest.java
+++ b/src/test/java/cottonlock/proxy/RacesTest.java
@@ -97,7 +97,8 @@
                                                                 .toString()
                                                                 .matches(
                                                                         "(?s).*NioSocketImpl."
-                                                                            + "*ClientConnection.awaitRequest.*")),
+                                                                            + "*ClientConnection"
+                                                                            + ".awaitRequest.*")),
                 "it rests");
         return client;
     }
