--- a/src/main/java/cottonlock/proxy/BackendConnection.java
+++ b/src/main/java/cottonlock/proxy/BackendConnection.java
@@ -221,7 +221,7 @@
         @Override
         public void write(byte[] bytes, int from, int count) throws IOException {
             long now = clock.now();
-            if (now >= attempt.sendBy || !begun && !attempt.mayBegin(now)) {
+            if (now >= attempt.sendBy || (!begun && !attempt.mayBegin(now))) {
                 throw new IOException("too late to be sent, or for nobody");
             }
             begun = true;
--- a/src/main/java/cottonlock/proxy/ClientConnection.java
+++ b/src/main/java/cottonlock/proxy/ClientConnection.java
@@ -4,6 +4,7 @@
 import java.io.IOException;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
+import java.nio.charset.StandardCharsets;
 
 /**
  * One connection of a client. Its thread reads all the time, so that a client that leaves is
@@ -57,6 +58,9 @@
      */
     private static final int DROP = 256 << 10;
 
+    private static final byte[] CONTINUE =
+            "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+
     private final Socket socket;
     private final ClientListener listener;
     private final LoadBalancerActor module;
@@ -245,8 +249,7 @@
             boolean health = head.start[1].equals("/_health");
             judged = health ? null : admission.asked(head);
             if (head.lists("Expect", "100-continue")) {
-                watchdog.write(
-                        socket, out -> out.write("HTTP/1.1 100 Continue\r\n\r\n".getBytes()));
+                watchdog.write(socket, out -> out.write(CONTINUE));
             }
             reader.paced(READ, SLOWEST);
             body = reader.body(buffers, spools, MessageBody.MOST);
@@ -373,7 +376,7 @@
         boolean chunked = length < 0 && done.knowsChunks;
         boolean close;
         synchronized (this) {
-            close = closing || last || length < 0 && !chunked;
+            close = closing || last || (length < 0 && !chunked);
             told |= close;
         }
         boolean whole = false;
@@ -426,7 +429,8 @@
     void close() {
         synchronized (this) {
             closing = true;
-            if (reading || req != null || inputEnded || !asked && System.nanoTime() - since < NEW) {
+            boolean awaitsFirstRequest = !asked && System.nanoTime() - since < NEW;
+            if (reading || req != null || inputEnded || awaitsFirstRequest) {
                 return;
             }
         }
@@ -474,7 +478,7 @@
     /** Ends it, unless a request is under way or may be just about to come in whole. */
     void giveWay() {
         synchronized (this) {
-            if (req != null || reading && System.nanoTime() - since() < HALF) {
+            if (req != null || (reading && System.nanoTime() - since() < HALF)) {
                 return;
             }
             closing = true;
--- a/src/main/java/cottonlock/proxy/HttpReader.java
+++ b/src/main/java/cottonlock/proxy/HttpReader.java
@@ -17,6 +17,10 @@
     /** Bytes a second that any sender reaches: only its pauses count. */
     static final long ANY_RATE = 16;
 
+    /** What a token may hold besides letters and digits (RFC 9110, section 5.6.2). */
+    private static final String TOKEN_PUNCTUATION = "!#$%&'*+-.^_`|~";
+
+    private static final byte DELETE = 127;
     private static final long TO_THE_END = Long.MAX_VALUE;
 
     private final Socket socket;
@@ -236,9 +240,7 @@
             for (; at + seen < filled; seen++) {
                 byte b = buffer[at + seen];
                 boolean afterReturn = seen > 0 && buffer[at + seen - 1] == '\r';
-                if (afterReturn != (b == '\n')
-                        || b >= 0 && b < ' ' && b != '\t' && b != '\r' && b != '\n'
-                        || b == 127) {
+                if (afterReturn != (b == '\n') || isForbiddenControl(b)) {
                     throw new MalformedMessageException(400, "a control character in the head");
                 }
                 if (b == '\n' && seen >= 3 && buffer[at + seen - 2] == '\n') {
@@ -256,6 +258,11 @@
         }
     }
 
+    private static boolean isForbiddenControl(byte octet) {
+        boolean permitted = octet == '\t' || octet == '\r' || octet == '\n';
+        return octet == DELETE || (octet >= 0 && octet < ' ' && !permitted);
+    }
+
     private static MessageHead parse(String text) throws MalformedMessageException {
         // Without patterns: until they were compiled, the first requests waited milliseconds for
         // them.
@@ -300,8 +307,9 @@
     private static boolean token(String word) {
         for (int i = 0; i < word.length(); i++) {
             char c = word.charAt(i);
-            boolean letter = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-';
-            if (!letter && (c < '0' || c > '9') && "!#$%&'*+.^_`|~".indexOf(c) < 0) {
+            boolean letter = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z');
+            boolean digit = c >= '0' && c <= '9';
+            if (!letter && !digit && TOKEN_PUNCTUATION.indexOf(c) < 0) {
                 return false;
             }
         }
--- a/src/main/java/cottonlock/proxy/MessageHead.java
+++ b/src/main/java/cottonlock/proxy/MessageHead.java
@@ -38,7 +38,7 @@
     boolean lists(String name, String word) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
-                for (String part : values.get(i).split(",")) {
+                for (String part : values.get(i).split(",", -1)) {
                     if (part.trim().equalsIgnoreCase(word)) {
                         return true;
                     }
