--- a/src/main/java/cottonlock/admin/Metrics.java
+++ b/src/main/java/cottonlock/admin/Metrics.java
@@ -2,7 +2,6 @@
 
 import cottonlock.decision.api.RejectionReason;
 import java.util.EnumMap;
-import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.ConcurrentSkipListMap;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -158,10 +157,7 @@
                                                 .map(
                                                         e ->
                                                                 '"'
-                                                                        + e.getKey()
-                                                                                .name()
-                                                                                .toLowerCase(
-                                                                                        Locale.ROOT)
+                                                                        + label(e.getKey())
                                                                         + "\":"
                                                                         + e.getValue().sum())
                                                 .collect(Collectors.joining(","))
@@ -169,6 +165,20 @@
                 .collect(Collectors.joining(",", ",\"" + field + "\":{", "}"));
     }
 
+    /** The name of a reason in the management interface. */
+    private static String label(RejectionReason rejectionReason) {
+        return switch (rejectionReason) {
+            case OVER_QUOTA -> "over_quota";
+            case NO_CAPACITY -> "no_room";
+            case QUEUE_FULL -> "line_full";
+            case DEADLINE_EXCEEDED -> "expiry";
+            case NO_BACKEND -> "no_backend";
+            case CONNECT_FAILED -> "no_connection";
+            case REJECTED_BY_BACKEND -> "turned_away";
+            case RESPONSE_LOST -> "answer_lost";
+        };
+    }
+
     private void counts(StringBuilder json, String name, End end) {
         json.append('"').append(name).append("\":{");
         String comma = "";
--- a/src/main/java/cottonlock/decision/AdmissionController.java
+++ b/src/main/java/cottonlock/decision/AdmissionController.java
@@ -117,11 +117,12 @@
                     req.overQuota
                             ? RejectionReason.OVER_QUOTA
                             : now + 4 * LoadBalancer.TICK >= req.expiry
-                                    ? RejectionReason.EXPIRY
+                                    ? RejectionReason.DEADLINE_EXCEEDED
                                     : waiting.size() >= dues.sum(now) * WAIT / span(now)
-                                            ? RejectionReason.LINE_FULL
-                                            : RejectionReason.NO_ROOM;
-            if (req.why == RejectionReason.NO_ROOM && SPARSE * balancers <= fleet.ready.size()) {
+                                            ? RejectionReason.QUEUE_FULL
+                                            : RejectionReason.NO_CAPACITY;
+            if (req.why == RejectionReason.NO_CAPACITY
+                    && SPARSE * balancers <= fleet.ready.size()) {
                 req.inLineSince = now;
                 waiting.add(req);
             } else {
@@ -254,7 +255,7 @@
         void learn(AttemptOutcome outcome, long took, long due) {
             // A quick failure must not pass for a quick answer. Eight: fewer are chance, more
             // too late.
-            double shown = outcome == AttemptOutcome.FINISHED ? took : Math.max(took, 2 * time);
+            double shown = outcome == AttemptOutcome.COMPLETED ? took : Math.max(took, 2 * time);
             time += (Math.min(shown, quota > 0 ? 4 * due : due) - time) / 8;
         }
     }
--- a/src/main/java/cottonlock/decision/AttemptTracker.java
+++ b/src/main/java/cottonlock/decision/AttemptTracker.java
@@ -43,7 +43,7 @@
         Backend b = req.candidates.get(0);
         repeats = Math.min(5, repeats + REPEATS);
         open.put(req.id, req);
-        outlet.attempt(req.id, b.id, req.sendBy());
+        outlet.startAttempt(req.id, b.id, req.sendBy());
         req.attempts.add(new Attempt(b, now));
         fleet.sent(b, req, now);
     }
@@ -55,12 +55,12 @@
         }
         Attempt attempt = req.attempts.get(number);
         attempt.out = false;
-        attempt.neverRan = outcome.neverRan();
+        attempt.neverRan = outcome.neverExecuted();
         req.why = RejectionReason.of(outcome);
         fleet.settled(attempt, req, outcome, now);
         // In the batch after a standstill, times tell of the balancer and not of the backends.
         if (now != fleet.stoodAt
-                && outcome != AttemptOutcome.RECALLED
+                && outcome != AttemptOutcome.CANCELLED
                 && outcome != AttemptOutcome.NOT_SENT) {
             line.lanes[req.tenant].learn(outcome, now - attempt.sentAt, req.category.dueTime());
         }
@@ -82,7 +82,7 @@
         }
         boolean ran = req.mayHaveRun() != null;
         if (!ran
-                && !(last == AttemptOutcome.TURNED_AWAY
+                && !(last == AttemptOutcome.REJECTED
                         && fleet.shape.balancers() > 2 * fleet.ready.size())) {
             return true;
         }
@@ -128,7 +128,7 @@
                             && req.attempts.size() < most) {
                         attempt.recalled = true;
                         repeats += few ? 1 : 0;
-                        outlet.recall(req.id, req.attempts.size() - 1);
+                        outlet.cancelAttempt(req.id, req.attempts.size() - 1);
                     }
                 }
             }
--- a/src/main/java/cottonlock/decision/BackendRegistry.java
+++ b/src/main/java/cottonlock/decision/BackendRegistry.java
@@ -170,7 +170,7 @@
             failedAsks = 0;
             askAt = Long.MAX_VALUE;
             if (cached) {
-                outlet.askList();
+                outlet.subscribeEndpointList();
             }
         }
     }
@@ -197,7 +197,7 @@
     void keepList(long now) {
         if (now >= askAt) {
             askAt = Long.MAX_VALUE;
-            outlet.askList();
+            outlet.subscribeEndpointList();
         }
         double size = 0;
         long finished = 0;
@@ -211,7 +211,7 @@
             boolean spent = now - b.restsSince > shape.rest() * ready.size();
             if (spent && shape.rest() > 0 && b.connected && b.out == 0) {
                 b.connected = false;
-                outlet.release(b.id);
+                outlet.closeIdleConnections(b.id);
             }
         }
         for (Backend b : ready) {
@@ -465,7 +465,8 @@
                 known.values().stream().filter(b -> b.lost).map(b -> b.id + " ").collect(joining());
         known.values().forEach(b -> b.lost = false);
         if (shape.mayTell() && shape.balancers() <= ready.size() && !lost.isEmpty()) {
-            outlet.tellPeers(lost.substring(0, lost.lastIndexOf(' ', LONGEST)).getBytes(UTF_8));
+            outlet.broadcastToPeers(
+                    lost.substring(0, lost.lastIndexOf(' ', LONGEST)).getBytes(UTF_8));
         }
     }
 
@@ -513,15 +514,15 @@
 
     void settled(Attempt attempt, Request req, AttemptOutcome outcome, long now) {
         Backend b = attempt.backend;
-        if (outcome == AttemptOutcome.FINISHED
+        if (outcome == AttemptOutcome.COMPLETED
                 || outcome == AttemptOutcome.ERROR
-                || outcome == AttemptOutcome.TURNED_AWAY) {
+                || outcome == AttemptOutcome.REJECTED) {
             b.gapCount.add(now, 1);
             b.gapSum.add(now, (now - b.quietSince) * b.awaited());
             b.quietSince = now;
         }
         b.missed -= attempt.missed ? 1 : 0;
-        if (outcome == AttemptOutcome.FINISHED) {
+        if (outcome == AttemptOutcome.COMPLETED) {
             // One that has slowed down still answers, and would draw work for as long as it
             // does.
             boolean slow =
@@ -535,16 +536,16 @@
             b.finished.add(now, 1);
             answered.add(now, 0, now - attempt.sentAt);
         } else if (!attempt.missed
-                && outcome != AttemptOutcome.RECALLED
+                && outcome != AttemptOutcome.CANCELLED
                 && outcome != AttemptOutcome.NOT_SENT) {
             b.failures.add(now, 1);
             b.streak++;
             // Where each must find out alone, a lost zone costs every balancer work at each
             // backend.
-            b.lost |= outcome == AttemptOutcome.NO_CONNECTION && b.streak >= 2;
+            b.lost |= outcome == AttemptOutcome.CONNECT_FAILED && b.streak >= 2;
         }
         if (now != stoodAt
-                && (outcome == AttemptOutcome.FINISHED || outcome == AttemptOutcome.TIMED_OUT)) {
+                && (outcome == AttemptOutcome.COMPLETED || outcome == AttemptOutcome.TIMED_OUT)) {
             stays.add(now, 0, now - attempt.sentAt);
             stays.add(now, 1 + 2 * b.lane, now - attempt.sentAt);
             stays.add(now, 2 + 2 * b.member.kind(), now - attempt.sentAt);
--- a/src/main/java/cottonlock/decision/LoadBalancer.java
+++ b/src/main/java/cottonlock/decision/LoadBalancer.java
@@ -53,10 +53,10 @@
         attempts.join(pick, null);
     }
 
-    /** The balancer starts; the list that it last held follows through {@link #list}. */
+    /** The balancer starts; the list that it last held follows through {@link #onEndpointList}. */
     public void start(long now) {
         wakeAt = now + TICK;
-        outlet.wakeMe(wakeAt);
+        outlet.scheduleTimer(wakeAt);
     }
 
     /**
@@ -71,7 +71,7 @@
     }
 
     /** Other categories, by number, and most attempts hold for what comes from now on. */
-    public void retune(List<RequestClass> categories, int most) {
+    public void reconfigure(List<RequestClass> categories, int most) {
         intake.retune(categories);
         attempts.most = most;
     }
@@ -79,7 +79,7 @@
     /**
      * A request has come; its client waits for {@code patience}. Hint: its work, 0 where not told.
      */
-    public void arrive(
+    public void onRequest(
             long now,
             long id,
             int category,
@@ -93,13 +93,14 @@
     }
 
     /** An attempt has ended; {@code over} tells that the request has had its final answer. */
-    public void settled(long now, long id, int attempt, AttemptOutcome outcome, boolean over) {
+    public void onAttemptCompleted(
+            long now, long id, int attempt, AttemptOutcome outcome, boolean over) {
         doubtClock(now);
         attempts.settled(now, id, attempt, outcome, over);
     }
 
     /** The answer to a streamed request has begun: it belongs to the client from now on. */
-    public void underWay(long now, long id, int attempt) {
+    public void onResponseStarted(long now, long id, int attempt) {
         Request req = attempts.open.get(id);
         if (req != null && attempt < req.attempts.size()) {
             req.attempts.get(attempt).recalled = true;
@@ -107,13 +108,13 @@
     }
 
     /** The client of a request has left, so nothing more is owed. */
-    public void left(long now, long id) {
+    public void onClientDisconnected(long now, long id) {
         line.waiting.removeIf(req -> req.id == id);
         attempts.left(now, id);
     }
 
     /** The balancer leaves: what it holds now is over by then, with its final answer. */
-    public void endBy(long latest) {
+    public void limitDeadlines(long latest) {
         line.waiting.forEach(req -> req.endBy(latest));
         attempts.open.values().forEach(req -> req.endBy(latest));
     }
@@ -122,42 +123,43 @@
      * News of the list of backends, whole or only what changed; cached: as this balancer last held
      * it.
      */
-    public void list(long now, List<Endpoint> members, boolean whole, boolean cached) {
+    public void onEndpointList(long now, List<Endpoint> members, boolean whole, boolean cached) {
         fleet.list(now, members, whole, cached);
     }
 
     /** Whether a backend may get work, also one that has gone from a list that binds nobody. */
-    public boolean uses(String id) {
+    public boolean mayUse(String id) {
         return fleet.known.containsKey(id) && fleet.known.get(id).leavingSince < 0;
     }
 
     /** A call for the list failed, or its changes no longer come. */
-    public void listFailed(long now) {
+    public void onEndpointListFailed(long now) {
         fleet.listFailed(now);
     }
 
     /** How many of the ready backends get next to nothing now, as they are in doubt. */
-    public long avoided(long now) {
+    public long avoidedBackendCount(long now) {
         return fleet.ready.stream()
                 .filter(b -> fleet.doubts(b, now) > 2 * b.answers.sum(now) + 1)
                 .count();
     }
 
     /**
-     * Another balancer of the tier has sent what it told by {@link LoadBalancerActions#tellPeers}.
+     * Another balancer of the tier has sent what it told by {@link
+     * LoadBalancerActions#broadcastToPeers}.
      */
-    public void heard(long now, byte[] message) {
+    public void onPeerMessage(long now, byte[] message) {
         fleet.heard(now, message);
     }
 
-    /** The time asked for by {@link LoadBalancerActions#wakeMe} has come. */
-    public void wake(long now) {
+    /** The time asked for by {@link LoadBalancerActions#scheduleTimer} has come. */
+    public void onTimer(long now) {
         doubtClock(now);
         fleet.keepList(now);
         attempts.rescue(now);
         fleet.tell();
         line.tidy(now);
         wakeAt = now + TICK;
-        outlet.wakeMe(wakeAt);
+        outlet.scheduleTimer(wakeAt);
     }
 }
--- a/src/main/java/cottonlock/decision/Request.java
+++ b/src/main/java/cottonlock/decision/Request.java
@@ -27,7 +27,7 @@
     boolean overQuota;
 
     /** What it would end by if it ended now. */
-    RejectionReason why = RejectionReason.NO_ROOM;
+    RejectionReason why = RejectionReason.NO_CAPACITY;
 
     /** Whether it takes up room in its lane. */
     boolean inLane;
--- a/src/main/java/cottonlock/decision/RequestIntake.java
+++ b/src/main/java/cottonlock/decision/RequestIntake.java
@@ -87,7 +87,7 @@
     @Override
     void take(Request req, long now) {
         if (req.expiry <= now) {
-            req.why = RejectionReason.EXPIRY;
+            req.why = RejectionReason.DEADLINE_EXCEEDED;
             back(req, now);
         } else {
             after.take(req, now);
@@ -102,9 +102,9 @@
         req.ended = true;
         long comeBack = Math.min(longestComeBack, req.category.dueTime() / 2);
         if (mayDefer(req, now + comeBack)) {
-            outlet.defer(req.id, comeBack, req.why);
+            outlet.reject(req.id, comeBack, req.why);
         } else {
-            outlet.writeOff(req.id, req.why);
+            outlet.fail(req.id, req.why);
         }
     }
 
--- a/src/main/java/cottonlock/decision/api/AttemptOutcome.java
+++ b/src/main/java/cottonlock/decision/api/AttemptOutcome.java
@@ -1,18 +1,26 @@
 package cottonlock.decision.api;
 
-/** How an attempt or a probe ended. */
+/** How an attempt, or a health probe, ended. */
 public enum AttemptOutcome {
-    FINISHED,
+    /** The backend answered, and the answer arrived complete. */
+    COMPLETED,
+    /** The backend answered with an error. */
     ERROR,
-    TURNED_AWAY,
+    /** The backend refused the request without executing it. */
+    REJECTED,
+    /** No answer had come by the deadline. */
     TIMED_OUT,
-    NO_CONNECTION,
-    BROKEN_OFF,
-    RECALLED,
+    /** No connection to the backend could be opened. */
+    CONNECT_FAILED,
+    /** The connection broke after the request was written. */
+    CONNECTION_BROKEN,
+    /** The load balancer cancelled the attempt. */
+    CANCELLED,
+    /** The request was not written, for instance because its deadline had passed. */
     NOT_SENT;
 
-    /** Whether the outcome proves that the request never ran on that backend. */
-    public boolean neverRan() {
-        return this == TURNED_AWAY || this == NO_CONNECTION || this == NOT_SENT;
+    /** Whether the outcome proves that the backend did not execute the request. */
+    public boolean neverExecuted() {
+        return this == REJECTED || this == CONNECT_FAILED || this == NOT_SENT;
     }
 }
--- a/src/main/java/cottonlock/decision/api/LoadBalancerActions.java
+++ b/src/main/java/cottonlock/decision/api/LoadBalancerActions.java
@@ -3,43 +3,52 @@
 import cottonlock.decision.LoadBalancer;
 
 /**
- * What the balancer answers through; each call is carried out at the time of the call that led to
- * it.
+ * What the load balancer asks its host to do. Called on the load balancer's thread, within one of
+ * its {@code on...} methods, and carried out at that call's time. Times are in {@link
+ * cottonlock.core.Ticks}.
+ *
+ * <p>Every request ends with exactly one response to its client: the response of an attempt, {@link
+ * #reject} or {@link #fail}.
  */
 public interface LoadBalancerActions {
 
     /**
-     * Hands a request to a backend; it ends with the request's expiry at the latest. Its last byte
-     * may only be written before {@code sendBy}: later, what may have run already would run again.
+     * Sends a request to a backend as its next attempt; the attempt ends with the request's
+     * deadline at the latest.
+     *
+     * @param sendByTicks the request's last byte may only be written before this time: a later
+     *     repeat would no longer be recognised by the backends and could be executed twice
      */
-    void attempt(long req, String backend, long sendBy);
+    void startAttempt(long requestId, String backendId, long sendByTicks);
 
-    /** Stops waiting for one attempt; what came of it is still reported. */
-    void recall(long req, int attempt);
+    /** Cancels an attempt, numbered from 0; its outcome is still reported. */
+    void cancelAttempt(long requestId, int attemptNumber);
 
     /**
-     * Ends a request: turned away unharmed, with the time after which to come back (0: no advice).
+     * Ends a request that is safe to send again.
+     *
+     * @param retryAfterTicks the time after which the client may send it again, 0 for no advice
      */
-    void defer(long req, long comeBack, RejectionReason why);
+    void reject(long requestId, long retryAfterTicks, RejectionReason rejectionReason);
 
-    /** Ends a request without promising anything about its effect. */
-    void writeOff(long req, RejectionReason why);
+    /** Ends a request that may have been executed and is not safe to send again. */
+    void fail(long requestId, RejectionReason rejectionReason);
 
-    /** Calls {@link LoadBalancer#wake} back at the given time or soon after. */
-    void wakeMe(long at);
+    /** Schedules a call of {@link LoadBalancer#onTimer} at the given time or soon after. */
+    void scheduleTimer(long atTicks);
 
-    /** Asks for the list of backends and for its changes from now on. */
-    void askList();
+    /** Requests the endpoint list and a notification of each later change. */
+    void subscribeEndpointList();
 
-    /** Closes the connections to a backend on which nothing is out. */
-    void release(String backend);
+    /** Closes the connections to a backend that carry no request. */
+    void closeIdleConnections(String backendId);
 
-    /** Asks a backend for its load report. */
-    void probe(String backend);
+    /** Requests a backend's load report. */
+    void probe(String backendId);
 
-    /** Sends a few bytes to every other balancer of the tier. */
-    void tellPeers(byte[] message);
+    /** Sends a short message to every other load balancer of the deployment. */
+    void broadcastToPeers(byte[] message);
 
-    /** Writes a line for whoever is on call. */
-    void note(String line);
+    /** Writes a log line for the operators. */
+    void log(String line);
 }
--- a/src/main/java/cottonlock/decision/api/RejectionReason.java
+++ b/src/main/java/cottonlock/decision/api/RejectionReason.java
@@ -1,30 +1,30 @@
 package cottonlock.decision.api;
 
-/** What ended a request unfinished: the last thing that decided it, one for each. */
+/** Why a request ended without a successful response: the decision that ended it. */
 public enum RejectionReason {
-    /** Beyond its tenant's quota, and no room for that. */
+    /** The tenant is over its quota, and no capacity is spare. */
     OVER_QUOTA,
-    /** No room, and none came while it waited or nothing waits here. */
-    NO_ROOM,
-    /** No room, and as much waits for it as can be let in soon. */
-    LINE_FULL,
-    /** Its expiry is too near for another step. */
-    EXPIRY,
-    /** No backend that it may go to. */
+    /** No capacity was free, and none became free while the request was queued. */
+    NO_CAPACITY,
+    /** No capacity was free, and the queue holds as much as can be admitted soon. */
+    QUEUE_FULL,
+    /** The deadline is too near for another step, or has passed. */
+    DEADLINE_EXCEEDED,
+    /** No backend may receive the request. */
     NO_BACKEND,
-    /** The last backend could not be reached, or nothing was sent. */
-    NO_CONNECTION,
-    /** The last backend turned it away. */
-    TURNED_AWAY,
-    /** The last answer was lost, failed or did not come; it may have run and is not sent again. */
-    ANSWER_LOST;
+    /** The last attempt could not connect, or was not sent. */
+    CONNECT_FAILED,
+    /** The backend of the last attempt rejected it. */
+    REJECTED_BY_BACKEND,
+    /** The last attempt may have been executed, its response is missing and it is not retried. */
+    RESPONSE_LOST;
 
-    /** What an attempt that ended so, and is the last, ends its request by. */
+    /** The reason for ending a request whose last attempt ended with this outcome. */
     public static RejectionReason of(AttemptOutcome outcome) {
         return switch (outcome) {
-            case TURNED_AWAY -> TURNED_AWAY;
-            case NO_CONNECTION, NOT_SENT -> NO_CONNECTION;
-            default -> ANSWER_LOST;
+            case REJECTED -> REJECTED_BY_BACKEND;
+            case CONNECT_FAILED, NOT_SENT -> CONNECT_FAILED;
+            default -> RESPONSE_LOST;
         };
     }
 }
--- a/src/main/java/cottonlock/proxy/BackendActor.java
+++ b/src/main/java/cottonlock/proxy/BackendActor.java
@@ -292,7 +292,7 @@
             return;
         }
         if (threadless) {
-            attempt.settle(AttemptOutcome.NO_CONNECTION);
+            attempt.settle(AttemptOutcome.CONNECT_FAILED);
             return;
         }
         // Looked through now and then only, some had rested too long when they were used, and were
@@ -323,7 +323,7 @@
         }
         if (!permits.take()) {
             log.warn("out of sockets", "an attempt got no connection");
-            attempt.settle(AttemptOutcome.NO_CONNECTION);
+            attempt.settle(AttemptOutcome.CONNECT_FAILED);
             return;
         }
         BackendConnection connection =
@@ -346,7 +346,7 @@
             log.warn("no thread", "an attempt got no connection");
             connections.remove(connection);
             permits.give();
-            attempt.settle(AttemptOutcome.NO_CONNECTION);
+            attempt.settle(AttemptOutcome.CONNECT_FAILED);
         }
     }
 
--- a/src/main/java/cottonlock/proxy/BackendConnection.java
+++ b/src/main/java/cottonlock/proxy/BackendConnection.java
@@ -113,7 +113,8 @@
             if (broken != first && !broken.settled()) {
                 backend.brokeWhenUsedAgain(after);
             }
-            broken.settle(written ? AttemptOutcome.BROKEN_OFF : AttemptOutcome.NO_CONNECTION);
+            broken.settle(
+                    written ? AttemptOutcome.CONNECTION_BROKEN : AttemptOutcome.CONNECT_FAILED);
         }
         backend.ended(this);
     }
@@ -158,7 +159,7 @@
         }
         if (over) {
             // It went out whole, but the other side had ended: it may have been read before that.
-            attempt.settle(AttemptOutcome.BROKEN_OFF);
+            attempt.settle(AttemptOutcome.CONNECTION_BROKEN);
         }
         return !over;
     }
@@ -202,7 +203,7 @@
             long now = clock.now();
             return now >= attempt.sendBy || !attempt.mayBegin(now)
                     ? AttemptOutcome.NOT_SENT
-                    : AttemptOutcome.NO_CONNECTION;
+                    : AttemptOutcome.CONNECT_FAILED;
         } finally {
             attempt.req.release();
         }
@@ -274,13 +275,13 @@
         if (status != 200) {
             attempt.settle(
                     (status == 503 || status == 504) && notRun
-                            ? AttemptOutcome.TURNED_AWAY
+                            ? AttemptOutcome.REJECTED
                             : AttemptOutcome.ERROR);
             return reader.over();
         }
         // Claimed first: the module must learn that the request is over, by this attempt.
         boolean owed = attempt.req.claim();
-        attempt.settle(AttemptOutcome.FINISHED);
+        attempt.settle(AttemptOutcome.COMPLETED);
         if (!reader.over()) {
             // Begun, it is the client's: no other attempt could answer it any more, nor would one
             // be needed.
--- a/src/main/java/cottonlock/proxy/ClientRequest.java
+++ b/src/main/java/cottonlock/proxy/ClientRequest.java
@@ -51,7 +51,7 @@
     private final AtomicInteger holds = new AtomicInteger(1);
 
     /** What it ended by, where no backend's answer ended it; told before its client is answered. */
-    volatile RejectionReason why = RejectionReason.ANSWER_LOST;
+    volatile RejectionReason why = RejectionReason.RESPONSE_LOST;
 
     /**
      * The module's number for it, its attempts, and how many are out: the module's thread alone.
--- a/src/main/java/cottonlock/proxy/LoadBalancerActor.java
+++ b/src/main/java/cottonlock/proxy/LoadBalancerActor.java
@@ -164,14 +164,14 @@
             }
             // The module has given each its answer by now; this is for one that it lost in a fault.
             if (requests.containsKey(req.number) && req.out == 0) {
-                writeOff(req.number, RejectionReason.ANSWER_LOST);
+                fail(req.number, RejectionReason.RESPONSE_LOST);
             }
         }
         if (now >= wakeAt) {
             // The module sets its next time itself; if it failed on the way, it would never be
             // woken again.
             wakeAt = now + AGAIN;
-            balancer.wake(now);
+            balancer.onTimer(now);
             retireUnlisted();
             count();
         }
@@ -185,7 +185,7 @@
         mailbox.put(
                 () -> {
                     latestEnd = latest;
-                    balancer.endBy(latest);
+                    balancer.limitDeadlines(latest);
                     List<ClientRequest> held = new ArrayList<>(expiries);
                     expiries.clear();
                     held.forEach(req -> req.expiry = Math.min(req.expiry, latest));
@@ -212,7 +212,7 @@
                     if (shadow != null) {
                         shadow.arrive(req, now);
                     }
-                    balancer.arrive(
+                    balancer.onRequest(
                             now,
                             req.number,
                             req.category,
@@ -230,7 +230,7 @@
                     if (shadow != null) {
                         shadow.left(clock.now(), req.number);
                     }
-                    balancer.left(clock.now(), req.number);
+                    balancer.onClientDisconnected(clock.now(), req.number);
                     forget(req);
                 });
     }
@@ -246,11 +246,11 @@
                 () -> {
                     req.unseen = true;
                     if (req.attempts.isEmpty()) {
-                        answer(req.number, RejectionReason.NO_ROOM, 503, null, null);
+                        answer(req.number, RejectionReason.NO_CAPACITY, 503, null, null);
                         if (shadow != null) {
                             shadow.left(clock.now(), req.number);
                         }
-                        balancer.left(clock.now(), req.number);
+                        balancer.onClientDisconnected(clock.now(), req.number);
                     }
                 });
     }
@@ -265,7 +265,7 @@
         if (shadow != null) {
             shadow.settled(clock.now(), attempt.req.number, outcome, attempt.req.claimed());
         }
-        balancer.settled(
+        balancer.onAttemptCompleted(
                 clock.now(), attempt.req.number, attempt.number, outcome, attempt.req.claimed());
         forget(attempt.req);
     }
@@ -315,7 +315,7 @@
                     if (shadow != null) {
                         shadow.list(clock.now(), members, news.whole(), cached);
                     }
-                    balancer.list(clock.now(), members, news.whole(), cached);
+                    balancer.onEndpointList(clock.now(), members, news.whole(), cached);
                     unlisted.addAll(absent.keySet());
                     listed.keySet().forEach(unlisted::remove);
                     retireUnlisted();
@@ -336,11 +336,11 @@
     private void retireUnlisted() {
         unlisted.removeIf(
                 id -> {
-                    BackendActor actor = balancer.uses(id) ? null : backends.remove(id);
+                    BackendActor actor = balancer.mayUse(id) ? null : backends.remove(id);
                     if (actor != null) {
                         actor.leave();
                     }
-                    return !balancer.uses(id);
+                    return !balancer.mayUse(id);
                 });
     }
 
@@ -351,7 +351,7 @@
                                 listed.values().stream()
                                         .filter(m -> bans.told(m).state() != Endpoint.State.READY)
                                         .count()
-                        + (int) balancer.avoided(clock.now()));
+                        + (int) balancer.avoidedBackendCount(clock.now()));
     }
 
     /** When its thread last made progress, by the module's clock; from any thread. */
@@ -397,10 +397,10 @@
                     if (shadow != null) {
                         shadow.list(clock.now(), members, false, false);
                     }
-                    balancer.list(clock.now(), members, false, false);
+                    balancer.onEndpointList(clock.now(), members, false, false);
                     if (listLost) {
                         // This was no news from discovery: it still has to be asked again.
-                        balancer.listFailed(clock.now());
+                        balancer.onEndpointListFailed(clock.now());
                     }
                     count();
                 });
@@ -413,7 +413,7 @@
                     if (shadow != null) {
                         shadow.retune(categories, most);
                     }
-                    balancer.retune(categories, most);
+                    balancer.reconfigure(categories, most);
                 });
     }
 
@@ -422,7 +422,7 @@
         mailbox.put(
                 () -> {
                     listLost = true;
-                    balancer.listFailed(clock.now());
+                    balancer.onEndpointListFailed(clock.now());
                 });
     }
 
@@ -433,12 +433,12 @@
                     if (shadow != null) {
                         shadow.heard(clock.now(), message);
                     }
-                    balancer.heard(clock.now(), message);
+                    balancer.onPeerMessage(clock.now(), message);
                 });
     }
 
     @Override
-    public void attempt(long number, String backend, long sendBy) {
+    public void startAttempt(long number, String backend, long sendBy) {
         ClientRequest req = requests.get(number);
         ClientRequest.Attempt attempt =
                 new ClientRequest.Attempt(req, req.attempts.size(), sendBy, this);
@@ -455,7 +455,7 @@
             next.add(() -> ended(attempt, AttemptOutcome.NOT_SENT));
         } else if ((actor == null || !actor.attempt(attempt) || !begun(actor))
                 && attempt.abandon()) {
-            next.add(() -> ended(attempt, AttemptOutcome.NO_CONNECTION));
+            next.add(() -> ended(attempt, AttemptOutcome.CONNECT_FAILED));
         }
     }
 
@@ -472,15 +472,15 @@
     }
 
     @Override
-    public void recall(long number, int attempt) {
+    public void cancelAttempt(long number, int attempt) {
         ClientRequest req = requests.get(number);
         if (req != null && req.attempts.get(attempt).abandon()) {
-            next.add(() -> ended(req.attempts.get(attempt), AttemptOutcome.RECALLED));
+            next.add(() -> ended(req.attempts.get(attempt), AttemptOutcome.CANCELLED));
         }
     }
 
     @Override
-    public void defer(long number, long comeBack, RejectionReason why) {
+    public void reject(long number, long comeBack, RejectionReason why) {
         answer(
                 number,
                 why,
@@ -490,7 +490,7 @@
     }
 
     @Override
-    public void writeOff(long number, RejectionReason why) {
+    public void fail(long number, RejectionReason why) {
         answer(number, why, 502, null, null);
     }
 
@@ -510,17 +510,17 @@
     }
 
     @Override
-    public void wakeMe(long at) {
+    public void scheduleTimer(long at) {
         wakeAt = at;
     }
 
     @Override
-    public void askList() {
+    public void subscribeEndpointList() {
         watch.ask();
     }
 
     @Override
-    public void release(String backend) {
+    public void closeIdleConnections(String backend) {
         BackendActor actor = backends.get(backend);
         if (actor != null) {
             actor.release();
@@ -533,12 +533,12 @@
     }
 
     @Override
-    public void tellPeers(byte[] message) {
+    public void broadcastToPeers(byte[] message) {
         clerk.offer(() -> peers.tell(message));
     }
 
     @Override
-    public void note(String line) {
+    public void log(String line) {
         log.info("module", line);
     }
 }
--- a/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
+++ b/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
@@ -77,13 +77,13 @@
 
     /** The categories are what is served, the rest its own settings. */
     void retune(List<RequestClass> categories, int most) {
-        guard(() -> balancer.retune(categories, most));
+        guard(() -> balancer.reconfigure(categories, most));
     }
 
     void due(long now) {
         if (now >= wakeAt) {
             wakeAt = Long.MAX_VALUE;
-            guard(() -> balancer.wake(now));
+            guard(() -> balancer.onTimer(now));
         }
         if (now >= tellAt) {
             tellAt = now + TELL;
@@ -95,7 +95,7 @@
         deeds.put(req.number, new Deed());
         guard(
                 () ->
-                        balancer.arrive(
+                        balancer.onRequest(
                                 now,
                                 req.number,
                                 req.category,
@@ -106,15 +106,15 @@
     }
 
     void list(long now, List<Endpoint> members, boolean whole, boolean cached) {
-        guard(() -> balancer.list(now, members, whole, cached));
+        guard(() -> balancer.onEndpointList(now, members, whole, cached));
     }
 
     void heard(long now, byte[] message) {
-        guard(() -> balancer.heard(now, message));
+        guard(() -> balancer.onPeerMessage(now, message));
     }
 
     void left(long now, long number) {
-        guard(() -> balancer.left(now, number));
+        guard(() -> balancer.onClientDisconnected(now, number));
     }
 
     /** The real module has sent (a backend) or answered (null): its first decision is compared. */
@@ -140,7 +140,7 @@
         if (deed != null && deed.out) {
             deed.out = false;
             deed.over |= over;
-            guard(() -> balancer.settled(now, number, deed.sent - 1, outcome, over));
+            guard(() -> balancer.onAttemptCompleted(now, number, deed.sent - 1, outcome, over));
         }
     }
 
@@ -162,7 +162,7 @@
     }
 
     @Override
-    public void attempt(long number, String backend, long sendBy) {
+    public void startAttempt(long number, String backend, long sendBy) {
         Deed deed = deeds.get(number);
         if (deed != null) {
             deed.first = deed.first == null ? backend : deed.first;
@@ -172,32 +172,32 @@
     }
 
     @Override
-    public void recall(long number, int attempt) {
+    public void cancelAttempt(long number, int attempt) {
         // The real attempt runs on, and how it ends is told.
     }
 
     @Override
-    public void defer(long number, long comeBack, RejectionReason why) {
+    public void reject(long number, long comeBack, RejectionReason why) {
         // Seen from there being no attempt.
     }
 
     @Override
-    public void writeOff(long number, RejectionReason why) {
+    public void fail(long number, RejectionReason why) {
         // As for a deferral.
     }
 
     @Override
-    public void wakeMe(long at) {
+    public void scheduleTimer(long at) {
         wakeAt = at;
     }
 
     @Override
-    public void askList() {
+    public void subscribeEndpointList() {
         // The real module asks for both.
     }
 
     @Override
-    public void release(String backend) {
+    public void closeIdleConnections(String backend) {
         counts.merge(Kind.WOULD_CLOSE, 1L, Long::sum);
     }
 
@@ -207,12 +207,12 @@
     }
 
     @Override
-    public void tellPeers(byte[] message) {
+    public void broadcastToPeers(byte[] message) {
         // Nothing is sent for the watched module.
     }
 
     @Override
-    public void note(String line) {
+    public void log(String line) {
         log.info("watched module", line);
     }
 }
--- a/src/main/java/cottonlock/simulator/Instance.java
+++ b/src/main/java/cottonlock/simulator/Instance.java
@@ -25,38 +25,38 @@
     }
 
     @Override
-    public void attempt(long req, String backend, long sendBy) {
+    public void startAttempt(long req, String backend, long sendBy) {
         // Sent in the moment of the call, it needs no bound; it ends with the request.
         reply.start("dispatch", name).field(req).field(backend).field(0).end();
     }
 
     @Override
-    public void recall(long req, int attempt) {
+    public void cancelAttempt(long req, int attempt) {
         reply.start("retract", name).field(req).field(attempt).end();
     }
 
     @Override
-    public void defer(long req, long comeBack, RejectionReason why) {
+    public void reject(long req, long comeBack, RejectionReason why) {
         reply.start("overload_reply", name).field(req).field(comeBack * Settings.MICROS).end();
     }
 
     @Override
-    public void writeOff(long req, RejectionReason why) {
+    public void fail(long req, RejectionReason why) {
         reply.start("give_up", name).field(req).end();
     }
 
     @Override
-    public void wakeMe(long at) {
+    public void scheduleTimer(long at) {
         reply.start("set_timer", name).field(at * Settings.MICROS).field(0).end();
     }
 
     @Override
-    public void askList() {
+    public void subscribeEndpointList() {
         reply.start("listen", name).field(1).end();
     }
 
     @Override
-    public void release(String backend) {
+    public void closeIdleConnections(String backend) {
         reply.start("release", name).field(backend).end();
     }
 
@@ -66,13 +66,13 @@
     }
 
     @Override
-    public void tellPeers(byte[] message) {
+    public void broadcastToPeers(byte[] message) {
         String coded = message.length == 0 ? "-" : Base64.getEncoder().encodeToString(message);
         reply.start("share", name).field("all").field(coded).end();
     }
 
     @Override
-    public void note(String line) {
+    public void log(String line) {
         reply.start("trace", name).field(line).end();
     }
 }
--- a/src/main/java/cottonlock/simulator/WireHost.java
+++ b/src/main/java/cottonlock/simulator/WireHost.java
@@ -84,7 +84,7 @@
             case "timer" -> {
                 Instance i = instance();
                 in.skip("Ref");
-                i.balancer.wake(now);
+                i.balancer.onTimer(now);
             }
             case "register" -> register();
             case "endpoints" -> endpoints(instance());
@@ -97,7 +97,7 @@
             }
             case "left" -> {
                 Instance i = instance();
-                i.balancer.left(now, in.whole("Rid"));
+                i.balancer.onClientDisconnected(now, in.whole("Rid"));
             }
             case "ping_result" -> {
                 instance();
@@ -109,13 +109,13 @@
             case "inbox" -> {
                 Instance i = instance();
                 in.whole("SrcPeer");
-                i.balancer.heard(now, bytes(in.word("Msg")));
+                i.balancer.onPeerMessage(now, bytes(in.word("Msg")));
             }
             case "under_way" -> {
                 Instance i = instance();
                 long id = in.whole("Rid");
                 int attempt = in.index("SendNo", ANY);
-                i.balancer.underWay(now, id, attempt);
+                i.balancer.onResponseStarted(now, id, attempt);
             }
             default -> throw new InvalidSettingsException("unknown message: " + message);
         }
@@ -189,7 +189,7 @@
         String scope = in.word("Scope");
         in.whole("Revision");
         if (scope.equals("failed")) {
-            i.balancer.listFailed(now);
+            i.balancer.onEndpointListFailed(now);
             return;
         }
         List<Endpoint> members = buffers.get(in.index("Buffer", BUFFERS));
@@ -197,9 +197,9 @@
             throw new InvalidSettingsException("no list has been registered under this Buffer");
         }
         switch (scope) {
-            case "delta" -> i.balancer.list(now, members, false, false);
-            case "full" -> i.balancer.list(now, members, true, false);
-            case "cached" -> i.balancer.list(now, members, true, true);
+            case "delta" -> i.balancer.onEndpointList(now, members, false, false);
+            case "full" -> i.balancer.onEndpointList(now, members, true, false);
+            case "cached" -> i.balancer.onEndpointList(now, members, true, true);
             default -> throw new InvalidSettingsException("unknown Scope: " + scope);
         }
     }
@@ -213,7 +213,7 @@
         long cost = in.whole("Cost");
         long bits = in.whole("Bitmap");
         long hint = (bits & 1) != 0 ? cost / MICROS : 0;
-        i.balancer.arrive(now, id, category, tenant, patience, (bits & 2) != 0, hint);
+        i.balancer.onRequest(now, id, category, tenant, patience, (bits & 2) != 0, hint);
     }
 
     private void settled(Instance i) {
@@ -224,18 +224,18 @@
         boolean over = in.whole("NoMore") != 0;
         in.skip("Backend");
         feedback();
-        i.balancer.settled(now, id, attempt, outcome, over);
+        i.balancer.onAttemptCompleted(now, id, attempt, outcome, over);
     }
 
     private static AttemptOutcome outcome(String word) {
         return switch (word) {
-            case "completed" -> AttemptOutcome.FINISHED;
+            case "completed" -> AttemptOutcome.COMPLETED;
             case "errored" -> AttemptOutcome.ERROR;
-            case "saturated" -> AttemptOutcome.TURNED_AWAY;
+            case "saturated" -> AttemptOutcome.REJECTED;
             case "overdue" -> AttemptOutcome.TIMED_OUT;
-            case "refused_conn" -> AttemptOutcome.NO_CONNECTION;
-            case "severed" -> AttemptOutcome.BROKEN_OFF;
-            case "recalled" -> AttemptOutcome.RECALLED;
+            case "refused_conn" -> AttemptOutcome.CONNECT_FAILED;
+            case "severed" -> AttemptOutcome.CONNECTION_BROKEN;
+            case "recalled" -> AttemptOutcome.CANCELLED;
             case "superseded" -> AttemptOutcome.NOT_SENT;
             default -> throw new InvalidSettingsException("unknown Outcome: " + word);
         };
--- a/src/test/java/cottonlock/decision/ColdFleet.java
+++ b/src/test/java/cottonlock/decision/ColdFleet.java
@@ -151,13 +151,13 @@
             if (dead) {
                 world.at(
                         world.now() + 1_500,
-                        () -> job.proxy.settle(job, AttemptOutcome.NO_CONNECTION));
+                        () -> job.proxy.settle(job, AttemptOutcome.CONNECT_FAILED));
             } else if (busy < WORKERS) {
                 run(job);
             } else if (queue.size() < QUEUE) {
                 queue.add(job);
             } else {
-                answer(job, AttemptOutcome.TURNED_AWAY);
+                answer(job, AttemptOutcome.REJECTED);
             }
         }
 
@@ -170,7 +170,7 @@
                     () -> {
                         if (life == start) {
                             busy--;
-                            answer(job, AttemptOutcome.FINISHED);
+                            answer(job, AttemptOutcome.COMPLETED);
                             while (!queue.isEmpty() && busy < WORKERS) {
                                 Job next = queue.poll();
                                 if (next.expiry > world.now()) {
@@ -178,7 +178,7 @@
                                 }
                             }
                         } else {
-                            answer(job, AttemptOutcome.BROKEN_OFF);
+                            answer(job, AttemptOutcome.CONNECTION_BROKEN);
                         }
                     });
         }
@@ -194,7 +194,7 @@
             busy = 0;
             List<Job> lost = new ArrayList<>(queue);
             queue.clear();
-            lost.forEach(job -> answer(job, AttemptOutcome.BROKEN_OFF));
+            lost.forEach(job -> answer(job, AttemptOutcome.CONNECTION_BROKEN));
             member =
                     new Endpoint(
                             member.id(),
@@ -302,18 +302,18 @@
             balancer.start(world.now());
             List<Endpoint> members = machines.values().stream().map(m -> m.member).toList();
             members.forEach(m -> heardOf.put(m.id(), m.startedAt()));
-            balancer.list(world.now(), members, true, false);
+            balancer.onEndpointList(world.now(), members, true, false);
         }
 
         void told(Endpoint m) {
             heardOf.put(m.id(), m.startedAt());
-            balancer.list(world.now(), List.of(m), false, false);
+            balancer.onEndpointList(world.now(), List.of(m), false, false);
         }
 
         void arrive(int category, int tenant, double work, boolean again) {
             long id = nextId++;
             open.put(id, new Open(work, world.now() + PATIENCE[category], category, tenant, again));
-            balancer.arrive(world.now(), id, category, tenant, PATIENCE[category], again, 0);
+            balancer.onRequest(world.now(), id, category, tenant, PATIENCE[category], again, 0);
         }
 
         void settle(Job job, AttemptOutcome outcome) {
@@ -323,18 +323,18 @@
             }
             of.out.set(job.attempt, false);
             served +=
-                    outcome == AttemptOutcome.FINISHED && !of.answered && world.now() > EVENT
+                    outcome == AttemptOutcome.COMPLETED && !of.answered && world.now() > EVENT
                             ? 1
                             : 0;
-            of.answered |= outcome == AttemptOutcome.FINISHED;
-            balancer.settled(world.now(), job.id, job.attempt, outcome, of.answered);
+            of.answered |= outcome == AttemptOutcome.COMPLETED;
+            balancer.onAttemptCompleted(world.now(), job.id, job.attempt, outcome, of.answered);
             if (of.answered && !of.out.contains(true)) {
                 open.remove(job.id);
             }
         }
 
         @Override
-        public void attempt(long req, String backend, long sendBy) {
+        public void startAttempt(long req, String backend, long sendBy) {
             Open of = open.get(req);
             of.out.add(true);
             Machine machine = machines.get(backend);
@@ -345,15 +345,15 @@
         }
 
         @Override
-        public void recall(long req, int attempt) {
+        public void cancelAttempt(long req, int attempt) {
             Job job = new Job(this, life, req, attempt, 0, 0);
-            world.at(world.now() + 1, () -> settle(job, AttemptOutcome.RECALLED));
+            world.at(world.now() + 1, () -> settle(job, AttemptOutcome.CANCELLED));
         }
 
         @Override
-        public void defer(long req, long comeBack, RejectionReason why) {
+        public void reject(long req, long comeBack, RejectionReason why) {
             Open of = open.get(req);
-            writeOff(req, why);
+            fail(req, why);
             if (!of.again && world.chance().nextInt(2) == 0) {
                 world.at(
                         world.now() + comeBack,
@@ -362,7 +362,7 @@
         }
 
         @Override
-        public void writeOff(long req, RejectionReason why) {
+        public void fail(long req, RejectionReason why) {
             Open of = open.get(req);
             of.answered = true;
             if (!of.out.contains(true)) {
@@ -371,39 +371,39 @@
         }
 
         @Override
-        public void wakeMe(long at) {
+        public void scheduleTimer(long at) {
             int now = life;
             world.at(
                     at,
                     () -> {
                         if (now == life) {
-                            balancer.wake(world.now());
+                            balancer.onTimer(world.now());
                         }
                     });
         }
 
         @Override
-        public void askList() {}
+        public void subscribeEndpointList() {}
 
         @Override
-        public void release(String backend) {}
+        public void closeIdleConnections(String backend) {}
 
         @Override
         public void probe(String backend) {}
 
         @Override
-        public void tellPeers(byte[] message) {
+        public void broadcastToPeers(byte[] message) {
             proxies.stream()
                     .filter(p -> p != this)
                     .forEach(
                             p ->
                                     world.at(
                                             world.now() + 5,
-                                            () -> p.balancer.heard(world.now(), message)));
+                                            () -> p.balancer.onPeerMessage(world.now(), message)));
         }
 
         @Override
-        public void note(String line) {}
+        public void log(String line) {}
     }
 
     private final World world;
--- a/src/test/java/cottonlock/decision/Ledger.java
+++ b/src/test/java/cottonlock/decision/Ledger.java
@@ -180,7 +180,7 @@
         for (Endpoint m : members) {
             listed.put(m.id(), m);
         }
-        balancer.list(now, members, whole, cached);
+        balancer.onEndpointList(now, members, whole, cached);
         check();
     }
 
@@ -191,7 +191,7 @@
     long arrive(int category, int tenant, long patience, long hint) {
         long id = nextId++;
         items.put(id, new Item(categories.get(category), now + patience));
-        balancer.arrive(now, id, category, tenant, patience, id % 5 == 0, hint);
+        balancer.onRequest(now, id, category, tenant, patience, id % 5 == 0, hint);
         if (items.get(id).sent.size() > 0) {
             firstSent
                     .computeIfAbsent(tenant, t -> new ArrayList<>())
@@ -205,16 +205,16 @@
         Item item = items.get(id);
         Sent sent = item.sent.get(number);
         sent.out = false;
-        sent.mayHaveRun = !outcome.neverRan();
-        boolean over = item.answered || outcome == AttemptOutcome.FINISHED;
+        sent.mayHaveRun = !outcome.neverExecuted();
+        boolean over = item.answered || outcome == AttemptOutcome.COMPLETED;
         item.answered = over;
-        balancer.settled(now, id, number, outcome, over);
+        balancer.onAttemptCompleted(now, id, number, outcome, over);
         check();
     }
 
     void left(long id) {
         items.get(id).answered = true;
-        balancer.left(now, id);
+        balancer.onClientDisconnected(now, id);
         check();
     }
 
@@ -235,7 +235,7 @@
                     && ids.test(id)) {
                 left--;
                 finished[item.category.number()]++;
-                settle(id, last, AttemptOutcome.FINISHED);
+                settle(id, last, AttemptOutcome.COMPLETED);
             }
         }
         return finished;
@@ -254,12 +254,12 @@
                                 n,
                                 now >= item.expiry
                                         ? AttemptOutcome.TIMED_OUT
-                                        : AttemptOutcome.RECALLED);
+                                        : AttemptOutcome.CANCELLED);
                     }
                 }
             }
             if (wakes.removeIf(at -> at <= now)) {
-                balancer.wake(now);
+                balancer.onTimer(now);
             }
             check();
         }
@@ -283,7 +283,7 @@
     }
 
     @Override
-    public void attempt(long req, String backend, long sendBy) {
+    public void startAttempt(long req, String backend, long sendBy) {
         Item item = open(req, "attempt");
         assertTrue(
                 now < sendBy && sendBy <= item.expiry,
@@ -356,14 +356,14 @@
     }
 
     @Override
-    public void recall(long req, int attempt) {
+    public void cancelAttempt(long req, int attempt) {
         Sent sent = items.get(req).sent.get(attempt);
         assertTrue(sent.out, "recall of what is not out");
         sent.recalled = true;
     }
 
     @Override
-    public void defer(long req, long comeBack, RejectionReason why) {
+    public void reject(long req, long comeBack, RejectionReason why) {
         Item item = open(req, "deferral");
         boolean harmless =
                 item.sent.stream().noneMatch(s -> s.mayHaveRun)
@@ -385,22 +385,22 @@
     }
 
     @Override
-    public void writeOff(long req, RejectionReason why) {
+    public void fail(long req, RejectionReason why) {
         open(req, "write-off").answered = true;
     }
 
     @Override
-    public void wakeMe(long at) {
+    public void scheduleTimer(long at) {
         wakes.add(at);
     }
 
     @Override
-    public void askList() {
+    public void subscribeEndpointList() {
         asked++;
     }
 
     @Override
-    public void release(String backend) {
+    public void closeIdleConnections(String backend) {
         assertTrue(listed.containsKey(backend), "closes connections to one that is not listed");
         released.add(backend);
     }
@@ -411,13 +411,13 @@
     }
 
     @Override
-    public void tellPeers(byte[] message) {
+    public void broadcastToPeers(byte[] message) {
         told.add(new String(message, StandardCharsets.UTF_8));
         assertTrue(message.length <= 256, "too long a message to peers");
     }
 
     @Override
-    public void note(String line) {
+    public void log(String line) {
         assertFalse(line.contains("\n"), "a note of several lines");
     }
 }
--- a/src/test/java/cottonlock/decision/LoadBalancerTest.java
+++ b/src/test/java/cottonlock/decision/LoadBalancerTest.java
@@ -46,7 +46,7 @@
             Ledger.Item item = ledger.items.get(id);
             for (int n = 0; item != null && n < item.sent.size(); n++) {
                 if (item.sent.get(n).out) {
-                    ledger.settle(id, n, AttemptOutcome.FINISHED);
+                    ledger.settle(id, n, AttemptOutcome.COMPLETED);
                 }
             }
         }
@@ -84,13 +84,14 @@
             Endpoint draining = new Endpoint("b2", 2, 0, 1, Endpoint.State.DRAINING, 1, 0);
             ledger.list(List.of(draining), false, false);
             // Past the ledger, which holds all to what binds elsewhere: the list loses both others.
-            ledger.balancer.list(ledger.now, List.of(), true, false);
-            assertEquals(!binds, ledger.balancer.uses("b0") && ledger.balancer.uses("b1"));
+            ledger.balancer.onEndpointList(ledger.now, List.of(), true, false);
+            assertEquals(!binds, ledger.balancer.mayUse("b0") && ledger.balancer.mayUse("b1"));
             assertFalse(
-                    ledger.balancer.uses("b2"), "draining binds, whatever the list says after it");
+                    ledger.balancer.mayUse("b2"),
+                    "draining binds, whatever the list says after it");
             ledger.pass(25_000);
             assertFalse(
-                    ledger.balancer.uses("b0") || ledger.balancer.uses("b1"),
+                    ledger.balancer.mayUse("b0") || ledger.balancer.mayUse("b1"),
                     "they answer no more");
         }
     }
@@ -130,8 +131,8 @@
     void aLaneWithoutUsableBackendsSpills() {
         Ledger ledger = ledger(false, TWO, 8);
         long id = ledger.arrive(0, 1, 20_000);
-        ledger.settle(id, 0, AttemptOutcome.NO_CONNECTION);
-        ledger.settle(id, 1, AttemptOutcome.NO_CONNECTION);
+        ledger.settle(id, 0, AttemptOutcome.CONNECT_FAILED);
+        ledger.settle(id, 1, AttemptOutcome.CONNECT_FAILED);
         List<String> tried = ledger.items.get(id).sent.stream().map(s -> s.to.id()).toList();
         assertEquals(ids(ledger.fleet.lane(1)), Set.copyOf(tried.subList(0, 2)));
         assertFalse(ids(ledger.fleet.lane(1)).contains(tried.get(2)));
@@ -145,7 +146,7 @@
     void aSoleBackendThatFailedOnceGetsSafeWorkAtOnce() {
         for (int n = 0; n < 20; n++) {
             Ledger ledger = ledger(true, TWO, 1);
-            ledger.settle(ledger.arrive(0, 0, 20_000), 0, AttemptOutcome.BROKEN_OFF);
+            ledger.settle(ledger.arrive(0, 0, 20_000), 0, AttemptOutcome.CONNECTION_BROKEN);
             ledger.pass(1_000 + 10 * n);
             long id = ledger.arrive(0, 0, 20_000);
             assertEquals(1, ledger.items.get(id).sent.size());
@@ -164,7 +165,7 @@
             ledger.list(Ledger.ready(0, 1), true, true);
             long id = ledger.arrive(0, 0, 20_000);
             ledger.pass(100);
-            ledger.settle(id, 0, AttemptOutcome.BROKEN_OFF);
+            ledger.settle(id, 0, AttemptOutcome.CONNECTION_BROKEN);
             assertEquals(
                     window > 10_000 ? 1 : 0, ledger.ends.values().stream().mapToInt(n -> n).sum());
         }
@@ -175,7 +176,7 @@
         Ledger ledger = ledger(true, TWO, 1);
         long id = ledger.arrive(0, 0, 100_000);
         assertEquals(1, ledger.items.get(id).sent.size());
-        ledger.balancer.endBy(ledger.now + 500);
+        ledger.balancer.limitDeadlines(ledger.now + 500);
         ledger.pass(500);
         // Safe, well before its due time, but there is no time left for another try.
         ledger.settle(id, 0, AttemptOutcome.TIMED_OUT);
@@ -254,7 +255,7 @@
         }
         long id = ledger.arrive(0, 0, 20_000);
         ledger.now += 4_000;
-        ledger.balancer.wake(ledger.now);
+        ledger.balancer.onTimer(ledger.now);
         assertFalse(ledger.items.get(id).sent.get(0).recalled);
         ledger.pass(5_000);
         assertTrue(ledger.items.get(id).sent.get(0).recalled, "but silence after it is");
@@ -310,7 +311,7 @@
                     && item.sent.size() == 1
                     && item.sent.get(0).out
                     && ledger.now - sentAt.get(id) >= age) {
-                ledger.settle(id, 0, AttemptOutcome.FINISHED);
+                ledger.settle(id, 0, AttemptOutcome.COMPLETED);
             }
         }
         return (int)
@@ -382,7 +383,7 @@
         ledger.list(Ledger.ready(0, 3), true, true);
         assertEquals(1, ledger.asked);
         for (int i = 2; i < 20; i++) {
-            ledger.balancer.listFailed(ledger.now);
+            ledger.balancer.onEndpointListFailed(ledger.now);
             ledger.pass(26_000);
             assertEquals(i, ledger.asked);
         }
@@ -428,7 +429,7 @@
             for (long id : List.copyOf(ledger.items.keySet())) {
                 Ledger.Item item = ledger.items.get(id);
                 if (!item.sent.isEmpty() && item.sent.get(0).to.zone() != 0) {
-                    ledger.settle(id, 0, AttemptOutcome.FINISHED);
+                    ledger.settle(id, 0, AttemptOutcome.COMPLETED);
                 }
             }
         }
@@ -448,7 +449,7 @@
             for (long id : List.copyOf(ledger.items.keySet())) {
                 Ledger.Sent sent = ledger.items.get(id).sent.get(0);
                 if (sent.out && ledger.now - sent.at >= (sent.to.id().equals("b0") ? 3_000 : 100)) {
-                    ledger.settle(id, 0, AttemptOutcome.FINISHED);
+                    ledger.settle(id, 0, AttemptOutcome.COMPLETED);
                 }
             }
         }
@@ -586,7 +587,7 @@
                         ledger.items.containsKey(id) && n < ledger.items.get(id).sent.size();
                         n++) {
                     if (ledger.items.get(id).sent.get(n).out) {
-                        ledger.settle(id, n, AttemptOutcome.TURNED_AWAY);
+                        ledger.settle(id, n, AttemptOutcome.REJECTED);
                     }
                 }
             }
@@ -612,22 +613,23 @@
                     finder.items.containsKey(id) && n < finder.items.get(id).sent.size();
                     n++) {
                 boolean lost = finder.items.get(id).sent.get(n).to.id().equals("b0");
-                finder.settle(id, n, lost ? AttemptOutcome.NO_CONNECTION : AttemptOutcome.FINISHED);
+                finder.settle(
+                        id, n, lost ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.COMPLETED);
             }
             finder.pass(300);
         }
         assertEquals(Set.of("b0"), Set.copyOf(finder.told));
         Ledger hearer = ledger(false, List.of(), 2);
-        hearer.balancer.heard(hearer.now, "b0".getBytes());
+        hearer.balancer.onPeerMessage(hearer.now, "b0".getBytes());
         hearer.pass(600);
         assertTrue(hearer.told.isEmpty());
         for (int i = 0; i < 40; i++) {
-            hearer.balancer.heard(hearer.now, "b0".getBytes());
+            hearer.balancer.onPeerMessage(hearer.now, "b0".getBytes());
             hearer.arrive(0, 0, 20_000);
             hearer.pass(300);
             for (long id : List.copyOf(hearer.items.keySet())) {
                 if (hearer.items.get(id).sent.get(0).to.id().equals("b1")) {
-                    hearer.settle(id, 0, AttemptOutcome.FINISHED);
+                    hearer.settle(id, 0, AttemptOutcome.COMPLETED);
                 }
             }
         }
@@ -687,7 +689,7 @@
                 ledger.pass(1_000);
                 for (long id : List.copyOf(ledger.items.keySet())) {
                     if (ledger.now - ledger.items.get(id).sent.get(0).at >= 3_000) {
-                        ledger.settle(id, 0, AttemptOutcome.FINISHED);
+                        ledger.settle(id, 0, AttemptOutcome.COMPLETED);
                     }
                 }
             }
@@ -733,7 +735,7 @@
                     for (Ledger.Sent sent : List.copyOf(ledger.items.get(id).sent)) {
                         long time = small.contains(sent.to.id()) ? 4_000 : 500;
                         if (sent.out && ledger.now - sent.at >= time) {
-                            ledger.settle(id, 0, AttemptOutcome.FINISHED);
+                            ledger.settle(id, 0, AttemptOutcome.COMPLETED);
                         }
                     }
                 }
@@ -755,8 +757,7 @@
             for (int n = 0;
                     ledger.items.containsKey(id) && n < ledger.items.get(id).sent.size();
                     n++) {
-                ledger.settle(
-                        id, n, i < 400 ? AttemptOutcome.TURNED_AWAY : AttemptOutcome.FINISHED);
+                ledger.settle(id, n, i < 400 ? AttemptOutcome.REJECTED : AttemptOutcome.COMPLETED);
             }
             ledger.pass(500);
         }
@@ -778,7 +779,7 @@
             for (long out : List.copyOf(ledger.items.keySet())) {
                 Ledger.Sent sent = ledger.items.get(out).sent.get(0);
                 if (ledger.now - sent.at >= (sent.to.kind() == 1 ? 600 : 300)) {
-                    ledger.settle(out, 0, AttemptOutcome.FINISHED);
+                    ledger.settle(out, 0, AttemptOutcome.COMPLETED);
                 }
             }
         }
@@ -812,7 +813,7 @@
                 for (int n = 0;
                         ledger.items.containsKey(id) && n < ledger.items.get(id).sent.size();
                         n++) {
-                    ledger.settle(id, n, AttemptOutcome.NO_CONNECTION);
+                    ledger.settle(id, n, AttemptOutcome.CONNECT_FAILED);
                 }
                 ledger.pass(300);
             }
--- a/src/test/java/cottonlock/decision/RulesTest.java
+++ b/src/test/java/cottonlock/decision/RulesTest.java
@@ -76,9 +76,10 @@
             }
             case 8 -> changeList(ledger, random, backends);
             case 9 -> {
-                ledger.balancer.heard(ledger.now, ("b" + random.nextInt(9) + "  x").getBytes());
+                ledger.balancer.onPeerMessage(
+                        ledger.now, ("b" + random.nextInt(9) + "  x").getBytes());
                 if (random.nextBoolean()) {
-                    ledger.balancer.listFailed(ledger.now);
+                    ledger.balancer.onEndpointListFailed(ledger.now);
                 }
             }
             case 10 -> {
@@ -99,7 +100,7 @@
             if (item.sent.get(n).out && random.nextInt(3) == 0) {
                 AttemptOutcome outcome =
                         random.nextInt(3) > 0
-                                ? AttemptOutcome.FINISHED
+                                ? AttemptOutcome.COMPLETED
                                 : AttemptOutcome.values()[
                                         random.nextInt(AttemptOutcome.values().length)];
                 ledger.settle(id, n, outcome);
--- a/src/test/java/cottonlock/proxy/ListsTest.java
+++ b/src/test/java/cottonlock/proxy/ListsTest.java
@@ -125,38 +125,38 @@
         private long wakeAt;
 
         @Override
-        public void attempt(long req, String backend, long sendBy) {}
+        public void startAttempt(long req, String backend, long sendBy) {}
 
         @Override
-        public void recall(long req, int attempt) {}
+        public void cancelAttempt(long req, int attempt) {}
 
         @Override
-        public void defer(long req, long comeBack, RejectionReason why) {}
+        public void reject(long req, long comeBack, RejectionReason why) {}
 
         @Override
-        public void writeOff(long req, RejectionReason why) {}
+        public void fail(long req, RejectionReason why) {}
 
         @Override
-        public void wakeMe(long at) {
+        public void scheduleTimer(long at) {
             wakeAt = at;
         }
 
         @Override
-        public void askList() {
+        public void subscribeEndpointList() {
             asked++;
         }
 
         @Override
-        public void release(String backend) {}
+        public void closeIdleConnections(String backend) {}
 
         @Override
         public void probe(String backend) {}
 
         @Override
-        public void tellPeers(byte[] message) {}
+        public void broadcastToPeers(byte[] message) {}
 
         @Override
-        public void note(String line) {}
+        public void log(String line) {}
     }
 
     /**
@@ -164,11 +164,11 @@
      */
     private static long pause(LoadBalancer module, Asks asks, long now) {
         int before = asks.asked;
-        module.listFailed(now);
+        module.onEndpointListFailed(now);
         long at = now;
         while (asks.asked == before) {
             at = asks.wakeAt;
-            module.wake(at);
+            module.onTimer(at);
         }
         return at - now;
     }
@@ -189,7 +189,7 @@
                 Asks asks = new Asks();
                 LoadBalancer module = new LoadBalancerFactory(settings).balancer(asks, seed);
                 module.start(0);
-                module.list(
+                module.onEndpointList(
                         0,
                         List.of(new Endpoint("b", 0, 0, 0, Endpoint.State.READY, 1, 0)),
                         true,
