--- /dev/null
+++ b/src/test/java/cottonlock/membership/DatagramCodecTest.java
@@ -0,0 +1,174 @@
+package cottonlock.membership;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+
+import cottonlock.lab.world.Fleet;
+import cottonlock.lab.world.World;
+import cottonlock.setup.MembershipProtocolConfig;
+import java.security.MessageDigest;
+import java.util.HexFormat;
+import java.util.List;
+import net.jqwik.api.Example;
+
+/**
+ * The datagrams and their order, by bytes recorded at 9f2b593, before the members of these classes
+ * were renamed.
+ */
+class DatagramCodecTest {
+    private static final long SECOND = 10_000;
+
+    /** The sender's part of each recorded datagram, behind magic, kind and flags. */
+    private static final String SENDER =
+            "0770726f78792d31040a0000011f0a018bcfe5687b00000003fedcba980123456789abcdef0203";
+
+    /** Five updates, one of each state. */
+    private static final String UPDATES =
+            "0500026d3004c0a80019ffff0000000000000000000101026d310b5b666538303a3a315d3a31000000000001"
+                + "0000000202026d3204c0a80019ffff000000000002000000039abcdef003026d330b5b66653830"
+                + "3a3a315d3a31000000000003000000049abcdef004026d3404c0a80019ffff0000000000040000"
+                + "0005";
+
+    /** Fields and checksum of a datagram of each kind, in the order of the kinds' numbers. */
+    private static final List<String> RECORDED =
+            List.of(
+                    "887766550770726f78792d320770726f78792d33" + UPDATES + "a8e7e2f5",
+                    "88776655" + UPDATES + "1bd5c625",
+                    "887766550770726f78792d320a5b3a3a315d3a37393436" + UPDATES + "a41e24e5",
+                    "88776655" + UPDATES + "8b1214f4",
+                    "88776655" + UPDATES + "44f00f8e",
+                    "0400000001fffffffe7fffffff00000004" + UPDATES + "f40121e2",
+                    "201f0770726f78792d34" + UPDATES + "81e68ab8",
+                    UPDATES + "f380ee3a",
+                    "070300ff64" + UPDATES + "8e1407fc");
+
+    private static String recorded(int number) {
+        return "fb1" + number + "18" + SENDER + RECORDED.get(number);
+    }
+
+    private static Message sample(Message.Kind kind) {
+        MemberUpdate sender =
+                new MemberUpdate(
+                        "proxy-1", "10.0.0.1:7946", 1_700_000_000_123L, 3, MemberState.JOINING, 0);
+        Message m = new Message(kind, sender, 0xfedc_ba98L, 0x0123_4567_89ab_cdefL, 515);
+        m.seq = 0x8877_6655;
+        m.target = "proxy-2";
+        m.address = "[::1]:7946";
+        m.behalf = "proxy-3";
+        m.heard = true;
+        m.parts = 32;
+        m.part = 31;
+        m.after = "proxy-4";
+        m.end = true;
+        m.marks = new int[] {1, -2, 0x7fff_ffff, 4};
+        m.topic = 7;
+        m.body = new byte[] {0, -1, 100};
+        return m;
+    }
+
+    private static byte[] encoded(Message m) {
+        DatagramCodec.Writer out = DatagramCodec.begin(m, DatagramCodec.LONGEST);
+        int number = 0;
+        for (MemberState state : MemberState.values()) {
+            out.word(
+                    new MemberUpdate(
+                            "m" + number,
+                            number % 2 == 0 ? "192.168.0.25:65535" : "[fe80::1]:1",
+                            number,
+                            number + 1,
+                            state,
+                            state == MemberState.SUSPECT || state == MemberState.FAILED
+                                    ? 0x9abc_def0
+                                    : 0));
+            number++;
+        }
+        return out.done();
+    }
+
+    @Example
+    void eachKindIsWrittenAsRecorded() {
+        int number = 0;
+        for (Message.Kind kind : Message.Kind.values()) {
+            assertEquals(
+                    recorded(number),
+                    HexFormat.of().formatHex(encoded(sample(kind))),
+                    kind.toString());
+            number++;
+        }
+        assertEquals(RECORDED.size(), number);
+    }
+
+    @Example
+    void recordedDatagramsAreReadAndWrittenAgainUnchanged() {
+        for (int number = 0; number < RECORDED.size(); number++) {
+            byte[] bytes = HexFormat.of().parseHex(recorded(number));
+            Message read = DatagramCodec.read(bytes, bytes.length);
+            assertNotNull(read, "kind " + number);
+            DatagramCodec.Writer out = DatagramCodec.begin(read, DatagramCodec.LONGEST);
+            read.words.forEach(out::word);
+            assertEquals(recorded(number), HexFormat.of().formatHex(out.done()));
+        }
+    }
+
+    /** Every datagram of a fleet under faults: who sends what to whom, and when. */
+    @Example
+    void datagramsOfASeededFleetAreThoseRecorded() throws Exception {
+        MessageDigest digest = MessageDigest.getInstance("SHA-256");
+        Fleet[] at = new Fleet[1];
+        long[] count = new long[1];
+        at[0] =
+                new Fleet(
+                        new World(20261203),
+                        14,
+                        MembershipProtocolConfig.USUAL,
+                        (r, out, name, address, contacts, closed, life, tag, random) ->
+                                new Membership(
+                                        r,
+                                        new Membership.Outlet() {
+                                            @Override
+                                            public void send(String to, byte[] datagram) {
+                                                digest.update(
+                                                        (at[0].world.now() + name + to)
+                                                                .getBytes(UTF_8));
+                                                digest.update(datagram);
+                                                count[0]++;
+                                                out.send(to, datagram);
+                                            }
+
+                                            @Override
+                                            public void changed(
+                                                    String who, MemberState state, String reason) {
+                                                digest.update((who + state).getBytes(UTF_8));
+                                                out.changed(who, state, reason);
+                                            }
+                                        },
+                                        name,
+                                        address,
+                                        contacts,
+                                        closed,
+                                        life,
+                                        tag,
+                                        random));
+        Fleet fleet = at[0];
+        fleet.startAll(SECOND);
+        fleet.world.until(8 * SECOND);
+        fleet.split(2);
+        fleet.world.until(30 * SECOND);
+        fleet.split(1);
+        fleet.world.until(45 * SECOND);
+        fleet.world.trouble(0.3, 0.1, 0.02);
+        fleet.nodes.get(1).kill();
+        fleet.nodes.get(2).pause(12 * SECOND);
+        fleet.nodes.get(3).hang(15 * SECOND);
+        fleet.nodes.get(4).leave();
+        fleet.world.until(75 * SECOND);
+        fleet.nodes.get(1).start(-100 * SECOND);
+        fleet.nodes.get(4).start(0);
+        fleet.world.until(100 * SECOND);
+        assertEquals(14_159, count[0], "datagrams");
+        assertEquals(
+                "8ed472e911fa7cab9b6303ec1a1fc1d399ec846f6c68031683da5b7be75e7431",
+                HexFormat.of().formatHex(digest.digest()));
+    }
+}
