--- a/src/main/java/cottonlock/lab/scale/HollowHost.java
+++ b/src/main/java/cottonlock/lab/scale/HollowHost.java
@@ -70,7 +70,7 @@
                                 plan,
                                 socket,
                                 name,
-                                MembershipService.text(address),
+                                MembershipService.addressText(address),
                                 seeds,
                                 false,
                                 System.currentTimeMillis(),
@@ -212,7 +212,7 @@
                 for (int i = 0; i < asked.size(); i += every) {
                     if (asked.get(i).members != null) {
                         MembershipView view = asked.get(i).members.view();
-                        line.append(' ').append(view.alive());
+                        line.append(' ').append(view.liveCount());
                     }
                 }
                 System.out.println(line);
--- a/src/main/java/cottonlock/lab/world/Fleet.java
+++ b/src/main/java/cottonlock/lab/world/Fleet.java
@@ -3,6 +3,7 @@
 import cottonlock.core.Deterministic;
 import cottonlock.membership.MemberState;
 import cottonlock.membership.Membership;
+import cottonlock.membership.MembershipActions;
 import cottonlock.membership.MembershipView;
 import cottonlock.setup.MembershipProtocolConfig;
 import java.util.ArrayDeque;
@@ -46,7 +47,7 @@
     public interface Maker {
         Membership make(
                 MembershipProtocolConfig rules,
-                Membership.Outlet outlet,
+                MembershipActions outlet,
                 String name,
                 String address,
                 List<String> contacts,
@@ -123,13 +124,13 @@
             int life = start;
             progress();
             meter(true);
-            long time = machine.heard(world.now(), from, datagram, datagram.length);
+            long time = machine.datagramReceived(world.now(), from, datagram, datagram.length);
             meter(false);
             wakeAt(time, life);
         }
 
         private void progress() {
-            machine.module(hung ? hungSince : world.now());
+            machine.workerProgressedAt(hung ? hungSince : world.now());
         }
 
         private long planned;
@@ -153,7 +154,7 @@
             planned = -1;
             progress();
             meter(true);
-            long next = machine.wake(world.now());
+            long next = machine.timerFired(world.now());
             meter(false);
             wakeAt(next, life);
         }
@@ -171,7 +172,7 @@
             machine =
                     maker.make(
                             rules,
-                            new Membership.Outlet() {
+                            new MembershipActions() {
                                 @Override
                                 public void send(String address, byte[] datagram) {
                                     if (life == start) {
@@ -180,7 +181,8 @@
                                 }
 
                                 @Override
-                                public void changed(String who, MemberState state, String reason) {
+                                public void memberStateChanged(
+                                        String who, MemberState state, String reason) {
                                     Node other = named(who);
                                     if (state == MemberState.FAILED
                                             && other != null
@@ -417,12 +419,12 @@
         for (Node other : nodes) {
             there += other != node && isThere(node, other) ? 1 : 0;
         }
-        if (node.machine.alive() != there) {
+        if (node.machine.liveOthers() != there) {
             return false;
         }
         for (Node other : nodes) {
             MemberState state = other == node ? null : node.machine.stateOf(other.name);
-            if (other != node && (state != null && state.lives()) != isThere(node, other)) {
+            if (other != node && (state != null && state.isLive()) != isThere(node, other)) {
                 return false;
             }
         }
@@ -457,7 +459,7 @@
                 continue;
             }
             int side = sides[n.number];
-            boolean wrong = n.machine.alive() != there.get(side) - (n.hung ? 0 : 1);
+            boolean wrong = n.machine.liveOthers() != there.get(side) - (n.hung ? 0 : 1);
             if (!wrong && (right.get(side) == null || right.get(side) != n.machine.digest())) {
                 wrong = !right(n);
                 right.put(side, n.machine.digest());
@@ -497,7 +499,7 @@
                 if (n.up && n != dead && !n.paused) {
                     MemberState state = n.machine.stateOf(dead.name);
                     there++;
-                    know += state == null || !state.lives() ? 1 : 0;
+                    know += state == null || !state.isLive() ? 1 : 0;
                 }
             }
             if (all ? know == there : know > 0) {
--- a/src/main/java/cottonlock/membership/AntiEntropy.java
+++ b/src/main/java/cottonlock/membership/AntiEntropy.java
@@ -62,12 +62,12 @@
     }
 
     /** When it wants to be called. */
-    long at() {
+    long dueAtTicks() {
         return at;
     }
 
     private boolean joining() {
-        return table.me().state() == MemberState.JOINING;
+        return table.self().state() == MemberState.JOINING;
     }
 
     private long pause() {
@@ -75,7 +75,7 @@
     }
 
     /** So many words that a page held were news here. */
-    void brought(int news) {
+    void countNewUpdates(int news) {
         brought += news;
     }
 
@@ -85,32 +85,32 @@
     }
 
     /** A member's digest has come; returns whether it is this one's. */
-    boolean compare(long now, MemberRecord k, long digest) {
+    boolean compareDigest(long now, MemberRecord k, long digest) {
         if (digest == table.digest()) {
-            table.differs(k, MemberRecord.NEVER);
+            table.setDivergedSince(k, MemberRecord.NEVER);
             return true;
         }
-        if (k.differsSince == MemberRecord.NEVER) {
-            rest = table.differing() == 0 ? 1 : rest;
-            table.differs(k, now);
+        if (k.divergedSinceTicks == MemberRecord.NEVER) {
+            rest = table.divergingCount() == 0 ? 1 : rest;
+            table.setDivergedSince(k, now);
             at = Math.min(at, Math.max(now, last + pause()) + settle());
         }
         return false;
     }
 
     /** Begins with one of those whose view has differed for long enough. */
-    void wake(long now) {
+    void timerFired(long now) {
         at = now + pause();
         List<MemberRecord> differing =
-                ring.some(
+                ring.sample(
                         1,
-                        table.differing() > 0,
+                        table.divergingCount() > 0,
                         k ->
-                                k.differs()
-                                        && now - k.differsSince >= settle()
-                                        && now - k.heardAt < 4 * rules.period());
-        if (differing.isEmpty() || !habits.mends()) {
-            at = now + (table.differing() > 0 ? pause() : 4 * rules.period());
+                                k.diverges()
+                                        && now - k.divergedSinceTicks >= settle()
+                                        && now - k.heardAtTicks < 4 * rules.period());
+        if (differing.isEmpty() || !habits.repairsDivergence()) {
+            at = now + (table.divergingCount() > 0 ? pause() : 4 * rules.period());
             return;
         }
         // Where changes never end, views never are alike, and an exchange brings next to nothing.
@@ -120,27 +120,31 @@
         last = now;
         counts[MembershipMetric.EXCHANGES.ordinal()]++;
         MemberRecord k = differing.get(0);
-        int wanted = Math.max(1, (table.alive() + 1) / PART);
-        int parts = Math.min(DatagramCodec.MOST_PARTS, Integer.highestOneBit(wanted));
-        while (4 * parts > post.room(Kind.MARKS)) {
+        int wanted = Math.max(1, (table.liveCount() + 1) / PART);
+        int parts = Math.min(DatagramCodec.MAX_PARTITIONS, Integer.highestOneBit(wanted));
+        while (4 * parts > post.freeBytes(Kind.PARTITION_DIGESTS)) {
             parts /= 2;
         }
         if (parts == 1) {
             page(now, k, 1, 0, PAGES);
         } else {
-            Message m = post.message(Kind.MARKS);
-            m.marks = table.marks(parts);
-            post.send(now, k.word.address(), post.begin(m), DatagramSender.SPARE);
+            Message m = post.newMessage(Kind.PARTITION_DIGESTS);
+            m.partitionDigests = table.partitionDigests(parts);
+            post.send(
+                    now,
+                    k.update.address(),
+                    post.writerFor(m),
+                    DatagramSender.LOW_PRIORITY_RESERVE);
         }
     }
 
     /** Another's view in short: sends pages of the parts that differ, from a random one on. */
-    void marks(long now, Message m, MemberRecord k, int from) {
-        int[] mine = table.marks(m.marks.length);
+    void digestsReceived(long now, Message m, MemberRecord k, int from) {
+        int[] mine = table.partitionDigests(m.partitionDigests.length);
         int left = PAGES;
         for (int i = 0; i < mine.length && left > 0; i++) {
             int part = Math.floorMod(from + i, mine.length);
-            if (mine[part] != m.marks[part]) {
+            if (mine[part] != m.partitionDigests[part]) {
                 left -= page(now, k, mine.length, part, left);
             }
         }
@@ -151,29 +155,31 @@
      * sent.
      */
     private int page(long now, MemberRecord to, int parts, int part, int most) {
-        List<MemberUpdate> words = table.words(parts, part);
+        List<MemberUpdate> words = table.liveUpdates(parts, part);
         // Where parts can't get finer they grow beyond what the allowance holds at once, two pages:
         // begun at
         // the first name each time, the rest would never come.
         boolean anywhere =
-                parts == DatagramCodec.MOST_PARTS && words.size() > PART && habits.beginsAnywhere();
+                parts == DatagramCodec.MAX_PARTITIONS
+                        && words.size() > PART
+                        && habits.startsPagesAtRandomName();
         int first = anywhere ? random.nextInt(words.size()) : 0;
         String after = first == 0 ? "" : words.get(first - 1).name();
         int next = first;
         int end = words.size();
         for (int sent = 0; sent < most; ) {
-            Message m = post.message(Kind.PAGE);
-            m.parts = parts;
-            m.part = part;
-            m.after = after;
-            DatagramCodec.Writer out = post.begin(m);
-            while (next < end && out.word(words.get(next))) {
+            Message m = post.newMessage(Kind.PARTITION_PAGE);
+            m.partitions = parts;
+            m.partition = part;
+            m.afterName = after;
+            DatagramCodec.Writer out = post.writerFor(m);
+            while (next < end && out.addUpdate(words.get(next))) {
                 after = words.get(next++).name();
             }
             if (next == words.size()) {
-                out.end();
+                out.markLastPage();
             }
-            if (!post.send(now, to.word.address(), out, DatagramSender.SPARE)) {
+            if (!post.send(now, to.update.address(), out, DatagramSender.LOW_PRIORITY_RESERVE)) {
                 break;
             }
             sent++;
@@ -191,25 +197,28 @@
     }
 
     /** A page has been taken: its sender is told what is newer here, or lacking there. */
-    void correct(long now, Message m, MemberRecord k) {
+    void pageReceived(long now, Message m, MemberRecord k) {
         TreeMap<String, MemberUpdate> theirs = new TreeMap<>();
-        m.words.forEach(w -> theirs.put(w.name(), w));
-        String last = m.end || theirs.isEmpty() ? null : theirs.lastKey();
+        m.updates.forEach(w -> theirs.put(w.name(), w));
+        String last = m.lastPage || theirs.isEmpty() ? null : theirs.lastKey();
         List<MemberUpdate> news = new ArrayList<>();
-        for (MemberRecord mine : table.between(m.parts, m.part, m.after, last)) {
-            MemberUpdate their = theirs.get(mine.word.name());
+        for (MemberRecord mine :
+                table.membersBetween(m.partitions, m.partition, m.afterName, last)) {
+            MemberUpdate their = theirs.get(mine.update.name());
             if (mine != k
-                    && (their == null ? mine.word.state().lives() : mine.word.outweighs(their))) {
-                news.add(mine.word);
+                    && (their == null
+                            ? mine.update.state().isLive()
+                            : mine.update.supersedes(their))) {
+                news.add(mine.update);
             }
         }
         int next = 0;
         for (int sent = 0; next < news.size() && sent < PAGES; sent++) {
-            DatagramCodec.Writer out = post.begin(post.message(Kind.WORDS));
-            while (next < news.size() && out.word(news.get(next))) {
+            DatagramCodec.Writer out = post.writerFor(post.newMessage(Kind.UPDATES));
+            while (next < news.size() && out.addUpdate(news.get(next))) {
                 next++;
             }
-            if (!post.send(now, k.word.address(), out, DatagramSender.SPARE)) {
+            if (!post.send(now, k.update.address(), out, DatagramSender.LOW_PRIORITY_RESERVE)) {
                 return;
             }
         }
--- a/src/main/java/cottonlock/membership/BandwidthLimit.java
+++ b/src/main/java/cottonlock/membership/BandwidthLimit.java
@@ -22,7 +22,7 @@
     }
 
     /** Whether so many may go now, and this part of the depth is still left after them. */
-    boolean has(long now, int size, double rest) {
+    boolean allows(long now, int size, double rest) {
         if (now > at) {
             level = Math.min(depth, level + bytes * 0.75 * (now - at) / SECOND);
             at = now;
@@ -30,8 +30,8 @@
         return level - size >= rest * depth;
     }
 
-    void take(long now, int size) {
-        has(now, size, 0);
+    void consume(long now, int size) {
+        allows(now, size, 0);
         level -= size;
     }
 }
--- a/src/main/java/cottonlock/membership/ContactAddresses.java
+++ b/src/main/java/cottonlock/membership/ContactAddresses.java
@@ -38,14 +38,14 @@
         count(w, -1);
     }
 
-    private void count(MemberUpdate w, int by) {
+    private void count(MemberUpdate w, int delta) {
         Map<String, Integer> which =
-                w.state().lives() ? living : w.state() == MemberState.FAILED ? failed : null;
+                w.state().isLive() ? living : w.state() == MemberState.FAILED ? failed : null;
         if (which == null) {
             return;
         }
         String address = w.address();
-        which.merge(address, by, (a, b) -> a + b == 0 ? null : a + b);
+        which.merge(address, delta, (a, b) -> a + b == 0 ? null : a + b);
         if (!living.containsKey(address)
                 && (contacts.contains(address) || failed.containsKey(address))) {
             open.add(address);
@@ -55,7 +55,7 @@
     }
 
     /** They, in their order, without one. */
-    List<String> open(String without) {
+    List<String> candidates(String without) {
         List<String> some = new ArrayList<>(open);
         some.remove(without);
         return some;
--- a/src/main/java/cottonlock/membership/DatagramAuthenticator.java
+++ b/src/main/java/cottonlock/membership/DatagramAuthenticator.java
@@ -16,7 +16,7 @@
  */
 final class DatagramAuthenticator {
     /** Bytes of a tag: half of what the algorithm makes, as its standard allows. */
-    static final int TAG = 16;
+    static final int TAG_BYTES = 16;
 
     private static final String ALGORITHM = "HmacSHA256";
 
@@ -73,15 +73,15 @@
     }
 
     /** The datagram with its tag behind it. */
-    byte[] seal(byte[] datagram) {
-        byte[] sealed = Arrays.copyOf(datagram, datagram.length + TAG);
-        System.arraycopy(macs.get(0).doFinal(datagram), 0, sealed, datagram.length, TAG);
+    byte[] sign(byte[] datagram) {
+        byte[] sealed = Arrays.copyOf(datagram, datagram.length + TAG_BYTES);
+        System.arraycopy(macs.get(0).doFinal(datagram), 0, sealed, datagram.length, TAG_BYTES);
         return sealed;
     }
 
     /** How many bytes there are before a right tag; -1: it bears none. */
-    int open(byte[] sealed, int length) {
-        int inner = length - TAG;
+    int verify(byte[] sealed, int length) {
+        int inner = length - TAG_BYTES;
         if (inner <= 0) {
             return -1;
         }
@@ -90,7 +90,7 @@
             byte[] right = mac.doFinal();
             int wrong = 0;
             // All bytes are looked at: how long it takes must tell nothing of where it differs.
-            for (int i = 0; i < TAG; i++) {
+            for (int i = 0; i < TAG_BYTES; i++) {
                 wrong |= right[i] ^ sealed[inner + i];
             }
             if (wrong == 0) {
--- a/src/main/java/cottonlock/membership/DatagramCodec.java
+++ b/src/main/java/cottonlock/membership/DatagramCodec.java
@@ -15,7 +15,7 @@
 @Deterministic
 final class DatagramCodec {
     /** The platform's limit for a datagram. */
-    static final int LONGEST = 256;
+    static final int MAX_DATAGRAM_BYTES = 256;
 
     static final int MAGIC = 0xFB;
 
@@ -23,16 +23,16 @@
     private static final int VERSION = 1;
 
     /** Characters of a name: two words and a head with such names still fit. */
-    static final int LONGEST_NAME = 32;
+    static final int MAX_NAME_LENGTH = 32;
 
     /** An address as text, IPv6 in brackets with a port. */
-    static final int LONGEST_ADDRESS = 47;
+    static final int MAX_ADDRESS_LENGTH = 47;
 
     /** Parts of the names that a view in short has at most. */
-    static final int MOST_PARTS = 32;
+    static final int MAX_PARTITIONS = 32;
 
     /** Lives beyond this are nobody's: the year 6429 in milliseconds, with room to raise them. */
-    static final long LAST_LIFE = 1L << 47;
+    static final long MAX_GENERATION = 1L << 47;
 
     private static final int HEARD = 1 << 3;
     private static final int END = 1 << 4;
@@ -46,45 +46,47 @@
     private DatagramCodec() {}
 
     /** Writes a message's head and its own fields; words may follow. */
-    static Writer begin(Message m, int most) {
+    static Writer writerFor(Message m, int most) {
         Writer out = new Writer(most);
         out.number(MAGIC, 1);
         out.number(VERSION << 4 | m.kind.ordinal(), 1);
-        out.number(m.sender.state().ordinal() | (m.heard ? HEARD : 0) | (m.end ? END : 0), 1);
+        out.number(
+                m.sender.state().ordinal() | (m.heardRecently ? HEARD : 0) | (m.lastPage ? END : 0),
+                1);
         out.text(m.sender.name());
         out.address(m.sender.address());
-        out.number(m.sender.life(), 6);
-        out.number(m.sender.turn(), 4);
-        out.number(m.counter, 4);
-        out.number(m.digest, 8);
-        out.number(m.lag, 2);
+        out.number(m.sender.generation(), 6);
+        out.number(m.sender.incarnation(), 4);
+        out.number(m.datagramNumber, 4);
+        out.number(m.viewDigest, 8);
+        out.number(m.stallCentis, 2);
         switch (m.kind) {
             case PING -> {
-                out.number(m.seq, 4);
+                out.number(m.sequenceNumber, 4);
                 out.text(m.target);
-                out.text(m.behalf);
+                out.text(m.onBehalfOf);
             }
-            case ASK -> {
-                out.number(m.seq, 4);
+            case PING_REQUEST -> {
+                out.number(m.sequenceNumber, 4);
                 out.text(m.target);
-                out.address(m.address);
+                out.address(m.targetAddress);
             }
-            case ACK, RELAY, NACK -> out.number(m.seq, 4);
-            case MARKS -> {
-                out.number(m.marks.length, 1);
-                for (int mark : m.marks) {
+            case ACK, INDIRECT_ACK, NACK -> out.number(m.sequenceNumber, 4);
+            case PARTITION_DIGESTS -> {
+                out.number(m.partitionDigests.length, 1);
+                for (int mark : m.partitionDigests) {
                     out.number(mark, 4);
                 }
             }
-            case PAGE -> {
-                out.number(m.parts, 1);
-                out.number(m.part, 1);
-                out.text(m.after);
+            case PARTITION_PAGE -> {
+                out.number(m.partitions, 1);
+                out.number(m.partition, 1);
+                out.text(m.afterName);
             }
-            case RIDER -> {
+            case PAYLOAD -> {
                 out.number(m.topic, 1);
-                out.number(m.body.length, 1);
-                out.bytes(m.body);
+                out.number(m.payload.length, 1);
+                out.bytes(m.payload);
             }
             default -> {}
         }
@@ -93,9 +95,9 @@
     }
 
     /** Reads a datagram; null for bytes that are none of ours, whatever they are. */
-    static Message read(byte[] bytes, int length) {
+    static Message decode(byte[] bytes, int length) {
         int inner = Math.min(length, bytes.length) - CHECK;
-        if (length > LONGEST
+        if (length > MAX_DATAGRAM_BYTES
                 || inner < 1
                 || new Reader(bytes, inner, CHECK).number(CHECK) != check(bytes, inner)) {
             return null;
@@ -114,7 +116,8 @@
         }
         MemberState state = MemberState.values()[flags & 7];
         MemberUpdate sender =
-                new MemberUpdate(in.name(), in.address(), in.life(), in.turn(), state, 0);
+                new MemberUpdate(
+                        in.name(), in.address(), in.generation(), in.incarnation(), state, 0);
         Message m =
                 new Message(
                         Kind.values()[kind & 15],
@@ -122,42 +125,45 @@
                         in.number(4),
                         in.number(8),
                         (int) in.number(2));
-        m.heard = (flags & HEARD) != 0;
-        m.end = (flags & END) != 0;
+        m.heardRecently = (flags & HEARD) != 0;
+        m.lastPage = (flags & END) != 0;
         switch (m.kind) {
             case PING -> {
-                m.seq = (int) in.number(4);
+                m.sequenceNumber = (int) in.number(4);
                 m.target = in.text();
-                m.behalf = in.text();
+                m.onBehalfOf = in.text();
             }
-            case ASK -> {
-                m.seq = (int) in.number(4);
+            case PING_REQUEST -> {
+                m.sequenceNumber = (int) in.number(4);
                 m.target = in.name();
-                m.address = in.address();
+                m.targetAddress = in.address();
             }
-            case ACK, RELAY, NACK -> m.seq = (int) in.number(4);
-            case MARKS -> {
+            case ACK, INDIRECT_ACK, NACK -> m.sequenceNumber = (int) in.number(4);
+            case PARTITION_DIGESTS -> {
                 int n = (int) in.number(1);
-                m.marks = new int[in.expect(n >= 1 && n <= MOST_PARTS) ? n : 1];
-                for (int i = 0; i < m.marks.length; i++) {
-                    m.marks[i] = (int) in.number(4);
+                m.partitionDigests = new int[in.expect(n >= 1 && n <= MAX_PARTITIONS) ? n : 1];
+                for (int i = 0; i < m.partitionDigests.length; i++) {
+                    m.partitionDigests[i] = (int) in.number(4);
                 }
             }
-            case PAGE -> {
-                m.parts = (int) in.number(1);
-                m.part = (int) in.number(1);
-                m.after = in.text();
-                in.expect(m.parts >= 1 && m.parts <= MOST_PARTS && m.part < m.parts);
+            case PARTITION_PAGE -> {
+                m.partitions = (int) in.number(1);
+                m.partition = (int) in.number(1);
+                m.afterName = in.text();
+                in.expect(
+                        m.partitions >= 1
+                                && m.partitions <= MAX_PARTITIONS
+                                && m.partition < m.partitions);
             }
-            case RIDER -> {
+            case PAYLOAD -> {
                 m.topic = (int) in.number(1);
-                m.body = in.bytes((int) in.number(1));
+                m.payload = in.bytes((int) in.number(1));
             }
             default -> {}
         }
         int words = (int) in.number(1);
         for (int i = 0; i < words && in.good(); i++) {
-            m.words.add(in.word());
+            m.updates.add(in.update());
         }
         // A process that has failed does not say so itself, and one in doubt only others doubt.
         in.expect(state != MemberState.SUSPECT && state != MemberState.FAILED);
@@ -171,8 +177,8 @@
     }
 
     /** Whether a name can be a member's. */
-    static boolean isName(String name) {
-        boolean right = !name.isEmpty() && name.length() <= LONGEST_NAME;
+    static boolean isValidName(String name) {
+        boolean right = !name.isEmpty() && name.length() <= MAX_NAME_LENGTH;
         for (int i = 0; i < name.length() && right; i++) {
             right = name.charAt(i) > ' ' && name.charAt(i) < 0x7f;
         }
@@ -181,7 +187,7 @@
 
     /** The bytes of a datagram to be. */
     static final class Writer {
-        private final byte[] bytes = new byte[LONGEST];
+        private final byte[] bytes = new byte[MAX_DATAGRAM_BYTES];
         private final int most;
         private int at;
 
@@ -228,7 +234,7 @@
         }
 
         /** Adds a word if there is room for it. */
-        boolean word(MemberUpdate w) {
+        boolean addUpdate(MemberUpdate w) {
             int size = size(w);
             if (at + size > most || (bytes[count] & 0xff) == 255) {
                 return false;
@@ -236,10 +242,10 @@
             number(w.state().ordinal(), 1);
             text(w.name());
             address(w.address());
-            number(w.life(), 6);
-            number(w.turn(), 4);
+            number(w.generation(), 6);
+            number(w.incarnation(), 4);
             if (accused(w.state())) {
-                number(w.by(), 4);
+                number(w.accuserHash(), 4);
             }
             bytes[count]++;
             return true;
@@ -251,7 +257,7 @@
         }
 
         /** The page that was begun goes on to the last name of its part. */
-        void end() {
+        void markLastPage() {
             bytes[FLAGS] |= END;
         }
 
@@ -260,7 +266,7 @@
             return at + CHECK;
         }
 
-        byte[] done() {
+        byte[] toBytes() {
             long check = check(bytes, at);
             number(check, CHECK);
             at -= CHECK;
@@ -343,7 +349,7 @@
 
         String text() {
             String text = new String(bytes((int) number(1)), ISO_8859_1);
-            expect(text.isEmpty() || isName(text));
+            expect(text.isEmpty() || isValidName(text));
             return bad ? "" : text;
         }
 
@@ -364,32 +370,37 @@
             // good.
             expect(
                     kind > 4
-                            && kind <= LONGEST_ADDRESS
+                            && kind <= MAX_ADDRESS_LENGTH
                             && isAddress(address)
                             && parts(address) == null);
             return address;
         }
 
-        long life() {
-            long life = number(6);
-            expect(life <= LAST_LIFE);
-            return life;
+        long generation() {
+            long generation = number(6);
+            expect(generation <= MAX_GENERATION);
+            return generation;
         }
 
-        int turn() {
-            int turn = (int) number(4);
-            expect(turn >= 0 && turn < Integer.MAX_VALUE);
-            return turn;
+        int incarnation() {
+            int incarnation = (int) number(4);
+            expect(incarnation >= 0 && incarnation < Integer.MAX_VALUE);
+            return incarnation;
         }
 
-        MemberUpdate word() {
+        MemberUpdate update() {
             int state = (int) number(1);
             if (!expect(state < MemberState.values().length)) {
                 return null;
             }
             MemberState s = MemberState.values()[state];
             return new MemberUpdate(
-                    name(), address(), life(), turn(), s, accused(s) ? (int) number(4) : 0);
+                    name(),
+                    address(),
+                    generation(),
+                    incarnation(),
+                    s,
+                    accused(s) ? (int) number(4) : 0);
         }
     }
 
--- a/src/main/java/cottonlock/membership/DatagramSender.java
+++ b/src/main/java/cottonlock/membership/DatagramSender.java
@@ -11,11 +11,11 @@
      * Part of the allowance that must be left beside what is less urgent than a probe or its
      * answer.
      */
-    static final double SPARE = 0.4;
+    static final double LOW_PRIORITY_RESERVE = 0.4;
 
     private final MembershipProtocolConfig rules;
     private final MemberTable table;
-    private final Membership.Outlet outlet;
+    private final MembershipActions outlet;
     private final long[] counts;
     private final ProtocolVariants habits;
     private final int tag;
@@ -31,7 +31,7 @@
     DatagramSender(
             MembershipProtocolConfig rules,
             MemberTable table,
-            Membership.Outlet outlet,
+            MembershipActions outlet,
             long[] counts,
             int tag,
             ProtocolVariants habits) {
@@ -46,57 +46,57 @@
     }
 
     /** A change to be told on. */
-    void repeat(MemberUpdate w) {
+    void broadcast(MemberUpdate w) {
         repeats.add(w);
     }
 
     /** How many changes are being told. */
-    int repeating() {
+    int pendingUpdates() {
         return repeats.size();
     }
 
     /** How often a change is told. */
-    int times() {
-        return habits.times(
-                (int) Math.ceil(rules.repeats() * Math.log(table.alive() + 2) / Math.log(2)));
+    int transmitLimit() {
+        return habits.transmitLimit(
+                (int) Math.ceil(rules.repeats() * Math.log(table.liveCount() + 2) / Math.log(2)));
     }
 
     /** Another life of this process begins: its datagrams count anew. */
-    void startAnew() {
+    void resetDatagramNumbers() {
         counter = 0;
     }
 
-    void lag(long tenths) {
+    void setStall(long tenths) {
         lag = (int) Math.min(0xffff, tenths / 100);
     }
 
     /** A number that an answer is known by. */
-    int next() {
+    int nextSequenceNumber() {
         return ++sequence;
     }
 
-    Message message(Kind kind) {
-        return new Message(kind, table.me(), ++counter & 0xffff_ffffL, table.digest(), lag);
+    Message newMessage(Kind kind) {
+        return new Message(kind, table.self(), ++counter & 0xffff_ffffL, table.digest(), lag);
     }
 
-    Message message(Kind kind, int seq) {
-        Message m = message(kind);
-        m.seq = seq;
+    Message newMessage(Kind kind, int seq) {
+        Message m = newMessage(kind);
+        m.sequenceNumber = seq;
         return m;
     }
 
-    DatagramCodec.Writer begin(Message m) {
-        return DatagramCodec.begin(m, DatagramCodec.LONGEST - tag);
+    DatagramCodec.Writer writerFor(Message m) {
+        return DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES - tag);
     }
 
     /** What a message of that kind leaves for more. */
-    int room(Kind kind) {
-        return DatagramCodec.LONGEST - tag - begin(message(kind)).size();
+    int freeBytes(Kind kind) {
+        return DatagramCodec.MAX_DATAGRAM_BYTES - tag - writerFor(newMessage(kind)).size();
     }
 
     /** Sends an urgent message to a member with what there is to tell. */
     boolean send(long now, MemberRecord to, Message m) {
-        return send(now, to.word.address(), to, m, 0);
+        return send(now, to.update.address(), to, m, 0);
     }
 
     /**
@@ -104,23 +104,23 @@
      * well.
      */
     boolean send(long now, String address, MemberRecord to, Message m, double rest) {
-        DatagramCodec.Writer out = begin(m);
-        if (to != null && to.accused()) {
-            out.word(to.word);
+        DatagramCodec.Writer out = writerFor(m);
+        if (to != null && to.isAccused()) {
+            out.addUpdate(to.update);
         }
-        if (allowance.has(now, DatagramCodec.LONGEST, SPARE)) {
-            repeats.fill(out, times(), to == null ? "" : to.word.name());
+        if (allowance.allows(now, DatagramCodec.MAX_DATAGRAM_BYTES, LOW_PRIORITY_RESERVE)) {
+            repeats.fill(out, transmitLimit(), to == null ? "" : to.update.name());
         }
         return send(now, address, out, rest);
     }
 
     /** Sends what was written, if that part of the allowance is left then. */
     boolean send(long now, String address, DatagramCodec.Writer out, double rest) {
-        boolean may = allowance.has(now, out.size() + tag, rest);
-        counts[(may ? MembershipMetric.SENT : MembershipMetric.HELD).ordinal()]++;
+        boolean may = allowance.allows(now, out.size() + tag, rest);
+        counts[(may ? MembershipMetric.SENT : MembershipMetric.THROTTLED).ordinal()]++;
         if (may) {
-            allowance.take(now, out.size() + tag);
-            outlet.send(address, out.done());
+            allowance.consume(now, out.size() + tag);
+            outlet.send(address, out.toBytes());
         }
         return may;
     }
--- a/src/main/java/cottonlock/membership/FailureDetector.java
+++ b/src/main/java/cottonlock/membership/FailureDetector.java
@@ -29,9 +29,9 @@
     private static final int MOST_PERIODS = 4;
 
     /** Who is told what came of a probe. */
-    interface Judge {
+    interface SuspicionListener {
         /** A member has not answered, or badly, for a reason in words. */
-        void doubt(long now, MemberRecord k, String reason);
+        void suspect(long now, MemberRecord k, String reason);
     }
 
     /** A probe that has begun. */
@@ -68,7 +68,7 @@
     private final MemberTable table;
     private final ProbeSchedule ring;
     private final DatagramSender post;
-    private final Judge judge;
+    private final SuspicionListener judge;
     private final Collection<MemberRecord> suspects;
     private final SplittableRandom random;
     private final Deque<MemberRecord> urgent = new ArrayDeque<>();
@@ -82,7 +82,7 @@
     private long roundAt;
 
     /** When this process last heard anybody. */
-    private long heardAt = MemberRecord.NEVER;
+    private long heardAtTicks = MemberRecord.NEVER;
 
     /** Suspects: all that are in doubt, as they stand at any time. */
     FailureDetector(
@@ -90,7 +90,7 @@
             MemberTable table,
             ProbeSchedule ring,
             DatagramSender post,
-            Judge judge,
+            SuspicionListener judge,
             Collection<MemberRecord> suspects,
             SplittableRandom random) {
         this.rules = rules;
@@ -110,20 +110,20 @@
     }
 
     /** Somebody has been heard. */
-    void heard(long now) {
-        heardAt = now;
+    void messageReceived(long now) {
+        heardAtTicks = now;
     }
 
     /** How far this process doubts itself. */
-    int doubt() {
+    int localHealthScore() {
         return doubt;
     }
 
-    void doubtMore(int by) {
-        doubt = Math.min(rules.doubts(), doubt + by);
+    void degradeLocalHealth(int amount) {
+        doubt = Math.min(rules.doubts(), doubt + amount);
     }
 
-    private void doubtLess() {
+    private void improveLocalHealth() {
         doubt = Math.max(0, doubt - 1);
     }
 
@@ -131,8 +131,8 @@
      * Somebody else doubts it: of a large fleet some look at once, by chance, or it could not
      * answer all.
      */
-    void urge(MemberRecord k) {
-        if (random.nextInt(1 + table.alive()) < 2 * rules.confirmations()
+    void maybeProbeSoon(MemberRecord k) {
+        if (random.nextInt(1 + table.liveCount()) < 2 * rules.confirmations()
                 && urgent.size() < rules.most()) {
             urgent.add(k);
         }
@@ -142,7 +142,7 @@
      * Others hold one for failed, or are about to, whom this process has not found so: it looks
      * soon.
      */
-    void contest(MemberRecord k) {
+    void probeBeforeFailing(MemberRecord k) {
         if (!k.contested && urgent.size() < rules.most()) {
             k.contested = true;
             urgent.addFirst(k);
@@ -150,7 +150,7 @@
     }
 
     /** When it wants to be called. */
-    long at() {
+    long dueAtTicks() {
         long at = roundAt;
         if (probe != null && probe.isAsking()) {
             at = Math.min(at, probe.askAt);
@@ -158,7 +158,7 @@
         return favours.isEmpty() ? at : Math.min(at, favours.get(0).until);
     }
 
-    void wake(long now) {
+    void timerFired(long now) {
         if (probe != null && probe.isAsking() && now >= probe.askAt) {
             askOthers(now);
         }
@@ -176,19 +176,20 @@
             probe.over = true;
             // Of those asked for help none has answered either, or nobody at all: the fault may lie
             // here.
-            if (probe.asked > 0 ? probe.refused == 0 : now - heardAt > 2 * rules.period()) {
-                doubtMore(1);
+            if (probe.asked > 0 ? probe.refused == 0 : now - heardAtTicks > 2 * rules.period()) {
+                degradeLocalHealth(1);
             }
-            if (probe.target.word.state() == MemberState.ALIVE && probe.periods < periodsNeeded()) {
+            if (probe.target.update.state() == MemberState.ALIVE
+                    && probe.periods < periodsNeeded()) {
                 roundAt = now + rules.period() * (1 + doubt);
                 begin(now, probe.target, probe.periods + 1);
                 return;
             }
-            judge.doubt(
+            judge.suspect(
                     now,
                     probe.target,
                     "no answer to "
-                            + table.me().name()
+                            + table.self().name()
                             + (probe.asked > 0 ? " nor to " + probe.asked + " others" : ""));
         }
         if (probe != null) {
@@ -205,7 +206,12 @@
     }
 
     private void begin(long now, MemberRecord target, int periods) {
-        probe = new Probe(target, post.next(), now + rules.answer() * (1 + doubt), periods);
+        probe =
+                new Probe(
+                        target,
+                        post.nextSequenceNumber(),
+                        now + rules.answer() * (1 + doubt),
+                        periods);
         ping(now, target, probe.seq);
     }
 
@@ -227,12 +233,12 @@
     /** A living member has answered: at once, or only when asked again or by others. */
     private void answeredBy(boolean atOnce) {
         unanswered += ((atOnce ? 0 : 1) - unanswered) / REMEMBERED;
-        doubtLess();
+        improveLocalHealth();
     }
 
     private void ping(long now, MemberRecord target, int seq) {
-        Message m = post.message(Kind.PING, seq);
-        m.target = target.word.name();
+        Message m = post.newMessage(Kind.PING, seq);
+        m.target = target.update.name();
         post.send(now, target, m);
     }
 
@@ -240,23 +246,23 @@
      * Whom this process doubts hears of it from here, and need not wait for the word to go round.
      */
     private void remind(long now) {
-        int self = MemberUpdate.hash(table.me().name());
+        int self = MemberUpdate.nameHash(table.self().name());
         List<MemberRecord> mine =
-                ring.some(
+                ring.sample(
                         1,
                         !suspects.isEmpty(),
                         k -> k.suspicion != null && k.suspicion.accusedBy(self));
         if (!mine.isEmpty()) {
-            ping(now, mine.get(0), post.next());
+            ping(now, mine.get(0), post.nextSequenceNumber());
         }
     }
 
     private MemberRecord next() {
-        int self = MemberUpdate.hash(table.me().name());
+        int self = MemberUpdate.nameHash(table.self().name());
         while (!urgent.isEmpty()) {
             MemberRecord k = urgent.poll();
-            if (!k.gone
-                    && k.word.state().lives()
+            if (!k.removed
+                    && k.update.state().isLive()
                     && (k.contested || k.suspicion != null && !k.suspicion.accusedBy(self))) {
                 return k;
             }
@@ -269,22 +275,22 @@
         // Of those that were heard of late: beyond a cut nobody helps, and that says nothing of
         // this side.
         List<MemberRecord> helpers =
-                ring.some(
+                ring.sample(
                         rules.helpers(),
                         k ->
                                 k != probe.target
-                                        && k.word.state() == MemberState.ALIVE
-                                        && now - k.heardAt < 4 * rules.period());
+                                        && k.update.state() == MemberState.ALIVE
+                                        && now - k.heardAtTicks < 4 * rules.period());
         if (helpers.isEmpty()) {
             helpers =
-                    ring.some(
+                    ring.sample(
                             rules.helpers(),
-                            k -> k != probe.target && k.word.state() == MemberState.ALIVE);
+                            k -> k != probe.target && k.update.state() == MemberState.ALIVE);
         }
         for (MemberRecord helper : helpers) {
-            Message m = post.message(Kind.ASK, probe.seq);
-            m.target = probe.target.word.name();
-            m.address = probe.target.word.address();
+            Message m = post.newMessage(Kind.PING_REQUEST, probe.seq);
+            m.target = probe.target.update.name();
+            m.targetAddress = probe.target.update.address();
             post.send(now, helper, m);
         }
         probe.asked = helpers.isEmpty() ? -1 : helpers.size();
@@ -293,23 +299,28 @@
     }
 
     /** An answer has come, to a probe of one's own or to one made for another. */
-    void answered(long now, Message m, MemberRecord k) {
-        if (probe != null && probe.seq == m.seq && !probe.over) {
+    void ackReceived(long now, Message m, MemberRecord k) {
+        if (probe != null && probe.seq == m.sequenceNumber && !probe.over) {
             probe.over = true;
             if (probe.target != k) {
-                judge.doubt(now, probe.target, k.word.name() + " answers at its address");
-            } else if (sound(m.lag)) {
-                k.answeredAt = now;
-                k.hearsMe = true;
+                judge.suspect(now, probe.target, k.update.name() + " answers at its address");
+            } else if (isResponsive(m.stallCentis)) {
+                k.ackedAtTicks = now;
+                k.hearsThisProcess = true;
                 answeredBy(probe.asked == 0);
             } else {
-                judge.doubt(now, k, "its module stands still for " + m.lag / 100.0 + " s");
+                judge.suspect(
+                        now, k, "its module stands still for " + m.stallCentis / 100.0 + " s");
             }
         }
         for (Favour f : List.copyOf(favours)) {
-            if (f.seq == m.seq && f.target.equals(k.word.name())) {
+            if (f.seq == m.sequenceNumber && f.target.equals(k.update.name())) {
                 favours.remove(f);
-                done(now, f, sound(m.lag) ? Kind.RELAY : Kind.NACK, m.heard);
+                done(
+                        now,
+                        f,
+                        isResponsive(m.stallCentis) ? Kind.INDIRECT_ACK : Kind.NACK,
+                        m.heardRecently);
             }
         }
     }
@@ -318,42 +329,48 @@
      * Whether a module that has stood still for so many hundredths of a second still counts as
      * serving.
      */
-    boolean sound(int hundredths) {
+    boolean isResponsive(int hundredths) {
         return hundredths * 100L <= rules.hung();
     }
 
     /** One that was asked to help has an answer, or has none. */
-    void helped(long now, Message m) {
-        if (probe == null || probe.seq != m.seq || probe.over) {
+    void indirectResultReceived(long now, Message m) {
+        if (probe == null || probe.seq != m.sequenceNumber || probe.over) {
             return;
         }
         if (m.kind == Kind.NACK) {
             probe.refused++;
         } else {
-            probe.target.relayedAt = now;
-            probe.target.hearsMe = m.heard;
+            probe.target.indirectAckAtTicks = now;
+            probe.target.hearsThisProcess = m.heardRecently;
             probe.over = true;
             answeredBy(false);
         }
     }
 
     /** Another asks for help. */
-    void favour(long now, Message m, MemberRecord asker) {
-        if (m.target.equals(table.me().name()) || favours.size() >= rules.most()) {
+    void pingRequestReceived(long now, Message m, MemberRecord asker) {
+        if (m.target.equals(table.self().name()) || favours.size() >= rules.most()) {
             return;
         }
-        Message ping = post.message(Kind.PING, post.next());
+        Message ping = post.newMessage(Kind.PING, post.nextSequenceNumber());
         ping.target = m.target;
-        ping.behalf = asker.word.name();
-        favours.add(new Favour(ping.seq, m.seq, asker.word.name(), m.target, now + rules.answer()));
-        post.send(now, m.address, table.get(m.target), ping, 0);
+        ping.onBehalfOf = asker.update.name();
+        favours.add(
+                new Favour(
+                        ping.sequenceNumber,
+                        m.sequenceNumber,
+                        asker.update.name(),
+                        m.target,
+                        now + rules.answer()));
+        post.send(now, m.targetAddress, table.get(m.target), ping, 0);
     }
 
     private void done(long now, Favour f, Kind kind, boolean heard) {
         MemberRecord asker = table.get(f.asker);
-        if (asker != null && asker.word.state().lives()) {
-            Message m = post.message(kind, f.theirSeq);
-            m.heard = heard;
+        if (asker != null && asker.update.state().isLive()) {
+            Message m = post.newMessage(kind, f.theirSeq);
+            m.heardRecently = heard;
             post.send(now, asker, m);
         }
     }
@@ -363,7 +380,7 @@
         StringBuilder text = new StringBuilder().append(doubt).append(' ').append(roundAt - now);
         if (probe != null) {
             text.append(' ')
-                    .append(probe.target.word.name())
+                    .append(probe.target.update.name())
                     .append(probe.over)
                     .append(probe.asked)
                     .append(probe.periods)
@@ -373,7 +390,7 @@
         }
         favours.forEach(
                 f -> text.append(' ').append(f.asker).append(f.target).append(f.until - now));
-        urgent.forEach(k -> text.append(' ').append(k.word.name()));
+        urgent.forEach(k -> text.append(' ').append(k.update.name()));
         return text.toString();
     }
 }
--- a/src/main/java/cottonlock/membership/MemberRecord.java
+++ b/src/main/java/cottonlock/membership/MemberRecord.java
@@ -12,36 +12,36 @@
     /** Datagrams that may overtake one another; what is older counts as a repetition. */
     private static final int WINDOW = 64;
 
-    MemberUpdate word;
+    MemberUpdate update;
 
     /** Of the word, kept: all are added up often. */
-    long mark;
+    long updateDigest;
 
     /** Since when it is what it is, and why. */
-    long since;
+    long stateSinceTicks;
 
     String reason = "";
-    final int hash;
+    final int nameHash;
 
     /** The last datagram of its own that came here without a detour. */
-    long heardAt = NEVER;
+    long heardAtTicks = NEVER;
 
     /** For how long its module had stood still by then, in hundredths of a second. */
-    int lag;
+    int stallCentis;
 
     /** The last direct and the last relayed answer to a probe of this proxy. */
-    long answeredAt = NEVER;
+    long ackedAtTicks = NEVER;
 
-    long relayedAt = NEVER;
+    long indirectAckAtTicks = NEVER;
 
     /** Whether it said, on the detour, that it hears this proxy directly. */
-    boolean hearsMe;
+    boolean hearsThisProcess;
 
     /** Since when its view has differed; NEVER: it does not. */
-    long differsSince = NEVER;
+    long divergedSinceTicks = NEVER;
 
     /** When it was last told what is held of it. */
-    long toldAt = NEVER;
+    long notifiedAtTicks = NEVER;
 
     /** While it is in doubt. */
     SuspicionTimer suspicion;
@@ -50,33 +50,33 @@
     boolean contested;
 
     /** Whether it has been dropped. */
-    boolean gone;
+    boolean removed;
 
     private long counter = -1;
     private long seen;
 
-    MemberRecord(MemberUpdate word, long now) {
-        this.word = word;
-        this.mark = word.mark();
-        this.since = now;
-        this.hash = MemberUpdate.hash(word.name());
+    MemberRecord(MemberUpdate update, long now) {
+        this.update = update;
+        this.updateDigest = update.digest();
+        this.stateSinceTicks = now;
+        this.nameHash = MemberUpdate.nameHash(update.name());
     }
 
     /**
      * Another process under the name: what was heard of the one before says nothing of it, nor its
      * view.
      */
-    void startedAnew() {
-        heardAt = NEVER;
-        answeredAt = NEVER;
-        relayedAt = NEVER;
-        lag = 0;
+    void resetForNewGeneration() {
+        heardAtTicks = NEVER;
+        ackedAtTicks = NEVER;
+        indirectAckAtTicks = NEVER;
+        stallCentis = 0;
         counter = -1;
         seen = 0;
     }
 
     /** Whether a datagram is neither a repetition nor so old that nobody can tell. */
-    boolean fresh(long number) {
+    boolean acceptDatagramNumber(long number) {
         if (number > counter) {
             long ahead = number - counter;
             seen = ahead >= WINDOW ? 1 : seen << ahead | 1;
@@ -92,16 +92,16 @@
     }
 
     /** Whether others hold, or are to be told, that it is not well. */
-    boolean accused() {
-        return word.state() == MemberState.SUSPECT || word.state() == MemberState.FAILED;
+    boolean isAccused() {
+        return update.state() == MemberState.SUSPECT || update.state() == MemberState.FAILED;
     }
 
-    boolean differs() {
-        return word.state().lives() && differsSince != NEVER;
+    boolean diverges() {
+        return update.state().isLive() && divergedSinceTicks != NEVER;
     }
 
     /** Which of so many parts of the names it lies in. */
-    int part(int parts) {
-        return Math.floorMod(hash, parts);
+    int partition(int parts) {
+        return Math.floorMod(nameHash, parts);
     }
 }
--- a/src/main/java/cottonlock/membership/MemberState.java
+++ b/src/main/java/cottonlock/membership/MemberState.java
@@ -15,7 +15,7 @@
     LEFT;
 
     /** Whether it may still be there. */
-    public boolean lives() {
+    public boolean isLive() {
         return this == JOINING || this == ALIVE || this == SUSPECT;
     }
 }
--- a/src/main/java/cottonlock/membership/MemberTable.java
+++ b/src/main/java/cottonlock/membership/MemberTable.java
@@ -33,7 +33,7 @@
      */
     private final List<List<MemberRecord>> byPart = new ArrayList<>();
 
-    private final int[] marks = new int[DatagramCodec.MOST_PARTS];
+    private final int[] marks = new int[DatagramCodec.MAX_PARTITIONS];
     private MemberUpdate me;
     private long digest;
     private int alive;
@@ -46,19 +46,19 @@
         this.me = me;
         this.most = most;
         this.addresses = addresses;
-        for (int i = 0; i < DatagramCodec.MOST_PARTS; i++) {
+        for (int i = 0; i < DatagramCodec.MAX_PARTITIONS; i++) {
             byPart.add(new ArrayList<>());
         }
-        this.digest = me.mark();
+        this.digest = me.digest();
     }
 
-    MemberUpdate me() {
+    MemberUpdate self() {
         return me;
     }
 
     /** This process says something else of itself. */
-    void be(MemberUpdate w) {
-        digest += w.mark() - me.mark();
+    void setSelf(MemberUpdate w) {
+        digest += w.digest() - me.digest();
         me = w;
     }
 
@@ -68,14 +68,14 @@
     }
 
     /** How many others may be alive. */
-    int alive() {
+    int liveCount() {
         return alive;
     }
 
     MemberRecord get(String name) {
         if (alike) {
             for (MemberRecord k : others) {
-                if (k.word.name().equals(name)) {
+                if (k.update.name().equals(name)) {
                     return k;
                 }
             }
@@ -83,20 +83,20 @@
         }
         // A tree asks a dozen names for each word of each datagram, and none of them is near the
         // processor.
-        MemberRecord k = byHash.get(MemberUpdate.hash(name));
-        return k != null && k.word.name().equals(name) ? k : null;
+        MemberRecord k = byHash.get(MemberUpdate.nameHash(name));
+        return k != null && k.update.name().equals(name) ? k : null;
     }
 
-    List<MemberRecord> all() {
+    List<MemberRecord> members() {
         if (!sorted) {
-            others.sort(Comparator.comparing(k -> k.word.name()));
+            others.sort(Comparator.comparing(k -> k.update.name()));
             sorted = true;
         }
         return others;
     }
 
     /** Whether there is one like that, in whatever order. */
-    boolean any(Predicate<MemberRecord> wanted) {
+    boolean anyMatch(Predicate<MemberRecord> wanted) {
         for (MemberRecord k : others) {
             if (wanted.test(k)) {
                 return true;
@@ -106,30 +106,30 @@
     }
 
     /** Where somebody may be found whom nobody here holds for alive. */
-    ContactAddresses addresses() {
+    ContactAddresses contactAddresses() {
         return addresses;
     }
 
     /** Members that may live and whose view differs from this one. */
-    int differing() {
+    int divergingCount() {
         return differing;
     }
 
     /** Since when a member's view has differed; NEVER: it does not. */
-    void differs(MemberRecord k, long since) {
-        differing -= k.differs() ? 1 : 0;
-        k.differsSince = since;
-        differing += k.differs() ? 1 : 0;
+    void setDivergedSince(MemberRecord k, long since) {
+        differing -= k.diverges() ? 1 : 0;
+        k.divergedSinceTicks = since;
+        differing += k.diverges() ? 1 : 0;
     }
 
     /** Whoever has a name of this hash; null: nobody. */
-    MemberRecord hashed(int hash) {
+    MemberRecord byNameHash(int hash) {
         return alike ? firstHashed(hash) : byHash.get(hash);
     }
 
     private MemberRecord firstHashed(int hash) {
-        for (MemberRecord k : all()) {
-            if (k.hash == hash) {
+        for (MemberRecord k : members()) {
+            if (k.nameHash == hash) {
                 return k;
             }
         }
@@ -141,8 +141,8 @@
         MemberRecord k = new MemberRecord(w, now);
         others.add(k);
         sorted = false;
-        alike |= byHash.put(k.hash, k) != null;
-        List<MemberRecord> part = byPart.get(k.part(DatagramCodec.MOST_PARTS));
+        alike |= byHash.put(k.nameHash, k) != null;
+        List<MemberRecord> part = byPart.get(k.partition(DatagramCodec.MAX_PARTITIONS));
         part.add(place(part, w.name()), k);
         return k;
     }
@@ -153,7 +153,7 @@
         int to = part.size();
         while (from < to) {
             int middle = (from + to) >>> 1;
-            if (part.get(middle).word.name().compareTo(name) < 0) {
+            if (part.get(middle).update.name().compareTo(name) < 0) {
                 from = middle + 1;
             } else {
                 to = middle;
@@ -164,86 +164,89 @@
 
     /** Another word on a member; before: whether the old one counted. */
     void replace(MemberRecord k, MemberUpdate w, boolean counted) {
-        boolean lived = counted && k.word.state().lives();
-        boolean lives = w.state().lives();
-        long mark = w.mark();
-        digest += (lives ? mark : 0) - (lived ? k.mark : 0);
+        boolean lived = counted && k.update.state().isLive();
+        boolean lives = w.state().isLive();
+        long mark = w.digest();
+        digest += (lives ? mark : 0) - (lived ? k.updateDigest : 0);
         alive += (lives ? 1 : 0) - (lived ? 1 : 0);
-        marks[k.part(DatagramCodec.MOST_PARTS)] +=
-                (lives ? (int) (mark >>> 32) : 0) - (lived ? (int) (k.mark >>> 32) : 0);
-        differing -= k.differs() ? 1 : 0;
+        marks[k.partition(DatagramCodec.MAX_PARTITIONS)] +=
+                (lives ? (int) (mark >>> 32) : 0) - (lived ? (int) (k.updateDigest >>> 32) : 0);
+        differing -= k.diverges() ? 1 : 0;
         if (counted) {
-            addresses.remove(k.word);
+            addresses.remove(k.update);
         }
         addresses.add(w);
-        k.word = w;
-        k.mark = mark;
-        differing += k.differs() ? 1 : 0;
+        k.update = w;
+        k.updateDigest = mark;
+        differing += k.diverges() ? 1 : 0;
     }
 
-    boolean full() {
+    boolean isFull() {
         return others.size() + 1 >= most;
     }
 
     /** The one that has been dead for longest; null where all may live. */
     MemberRecord longestDead() {
         MemberRecord oldest = null;
-        for (MemberRecord k : all()) {
-            if (!k.word.state().lives() && (oldest == null || k.since < oldest.since)) {
+        for (MemberRecord k : members()) {
+            if (!k.update.state().isLive()
+                    && (oldest == null || k.stateSinceTicks < oldest.stateSinceTicks)) {
                 oldest = k;
             }
         }
         return oldest;
     }
 
-    void drop(MemberRecord k) {
-        differs(k, MemberRecord.NEVER);
-        addresses.remove(k.word);
-        List<MemberRecord> part = byPart.get(k.part(DatagramCodec.MOST_PARTS));
-        if (k.word.state().lives()) {
-            digest -= k.mark;
+    void remove(MemberRecord k) {
+        setDivergedSince(k, MemberRecord.NEVER);
+        addresses.remove(k.update);
+        List<MemberRecord> part = byPart.get(k.partition(DatagramCodec.MAX_PARTITIONS));
+        if (k.update.state().isLive()) {
+            digest -= k.updateDigest;
             alive--;
-            marks[k.part(DatagramCodec.MOST_PARTS)] -= (int) (k.mark >>> 32);
+            marks[k.partition(DatagramCodec.MAX_PARTITIONS)] -= (int) (k.updateDigest >>> 32);
         }
-        part.remove(place(part, k.word.name()));
-        byHash.remove(k.hash, k);
+        part.remove(place(part, k.update.name()));
+        byHash.remove(k.nameHash, k);
         others.remove(k);
-        k.gone = true;
+        k.removed = true;
     }
 
     /** A short digest of each of so many parts of the names. */
-    int[] marks(int parts) {
+    int[] partitionDigests(int parts) {
         int[] some = new int[parts];
-        if (DatagramCodec.MOST_PARTS % parts == 0) {
+        if (DatagramCodec.MAX_PARTITIONS % parts == 0) {
             for (int i = 0; i < marks.length; i++) {
                 some[i % parts] += marks[i];
             }
         } else {
             for (MemberRecord k : others) {
-                some[k.part(parts)] += k.word.state().lives() ? (int) (k.mark >>> 32) : 0;
+                some[k.partition(parts)] +=
+                        k.update.state().isLive() ? (int) (k.updateDigest >>> 32) : 0;
             }
         }
-        some[myPart(parts)] += (int) (me.mark() >>> 32);
+        some[myPart(parts)] += (int) (me.digest() >>> 32);
         return some;
     }
 
     private int myPart(int parts) {
-        return Math.floorMod(MemberUpdate.hash(me.name()), parts);
+        return Math.floorMod(MemberUpdate.nameHash(me.name()), parts);
     }
 
     /**
      * The words on all that may live in one part of the names, this process among them, by name.
      */
-    List<MemberUpdate> words(int parts, int part) {
+    List<MemberUpdate> liveUpdates(int parts, int part) {
         List<MemberUpdate> words = new ArrayList<>();
         boolean mine = myPart(parts) == part;
-        for (MemberRecord k : parts == DatagramCodec.MOST_PARTS ? byPart.get(part) : all()) {
-            if (mine && k.word.name().compareTo(me.name()) > 0) {
+        for (MemberRecord k :
+                parts == DatagramCodec.MAX_PARTITIONS ? byPart.get(part) : members()) {
+            if (mine && k.update.name().compareTo(me.name()) > 0) {
                 words.add(me);
                 mine = false;
             }
-            if (k.word.state().lives() && k.part(parts) == part) {
-                words.add(k.word);
+            if (k.update.state().isLive() && k.partition(parts) == part) {
+                words.add(k.update);
             }
         }
         if (mine) {
@@ -253,16 +256,17 @@
     }
 
     /** Those of a part behind a name, up to another one; last null: to the end. */
-    List<MemberRecord> between(int parts, int part, String after, String last) {
+    List<MemberRecord> membersBetween(int parts, int part, String after, String last) {
         List<MemberRecord> some = new ArrayList<>();
-        List<MemberRecord> whole = parts == DatagramCodec.MOST_PARTS ? byPart.get(part) : all();
+        List<MemberRecord> whole =
+                parts == DatagramCodec.MAX_PARTITIONS ? byPart.get(part) : members();
         int from = place(whole, after);
-        boolean there = from < whole.size() && whole.get(from).word.name().equals(after);
+        boolean there = from < whole.size() && whole.get(from).update.name().equals(after);
         for (MemberRecord k : whole.subList(there ? from + 1 : from, whole.size())) {
-            if (last != null && k.word.name().compareTo(last) > 0) {
+            if (last != null && k.update.name().compareTo(last) > 0) {
                 break;
             }
-            if (k.part(parts) == part) {
+            if (k.partition(parts) == part) {
                 some.add(k);
             }
         }
--- a/src/main/java/cottonlock/membership/MemberUpdate.java
+++ b/src/main/java/cottonlock/membership/MemberUpdate.java
@@ -17,13 +17,19 @@
  *     does not count in the order
  */
 @Deterministic
-record MemberUpdate(String name, String address, long life, int turn, MemberState state, int by) {
+record MemberUpdate(
+        String name,
+        String address,
+        long generation,
+        int incarnation,
+        MemberState state,
+        int accuserHash) {
 
     /** Whether it holds in place of the other. */
-    boolean outweighs(MemberUpdate other) {
-        int order = compareLives(other);
+    boolean supersedes(MemberUpdate other) {
+        int order = compareGenerations(other);
         if (order == 0) {
-            order = Integer.compare(turn, other.turn);
+            order = Integer.compare(incarnation, other.incarnation);
         }
         return order != 0 ? order > 0 : state.compareTo(other.state) > 0;
     }
@@ -31,29 +37,30 @@
     /**
      * Which process is the later one of that name; two of the same millisecond are told by address.
      */
-    int compareLives(MemberUpdate other) {
-        return life != other.life
-                ? Long.compare(life, other.life)
+    int compareGenerations(MemberUpdate other) {
+        return generation != other.generation
+                ? Long.compare(generation, other.generation)
                 : address.compareTo(other.address);
     }
 
-    MemberUpdate with(MemberState other, int accuser) {
-        return new MemberUpdate(name, address, life, turn, other, accuser);
+    MemberUpdate withState(MemberState other, int accuser) {
+        return new MemberUpdate(name, address, generation, incarnation, other, accuser);
     }
 
     /**
      * For digests: two views are alike when the sums of these are. Doubts don't count: they come
      * and go, and what they lead to does.
      */
-    long mark() {
-        long who = RendezvousHash.of((state == MemberState.JOINING ? 1 : 0) + 2 * turn, name);
+    long digest() {
+        long who =
+                RendezvousHash.of((state == MemberState.JOINING ? 1 : 0) + 2 * incarnation, name);
         // A product: of sums of parts, two members that exchange their addresses would go
         // unnoticed.
-        return who * (RendezvousHash.of(Long.hashCode(life), address) | 1);
+        return who * (RendezvousHash.of(Long.hashCode(generation), address) | 1);
     }
 
     /** What stands for a name where there is no room for it; never 0. */
-    static int hash(String name) {
+    static int nameHash(String name) {
         int hash = (int) RendezvousHash.of(0, name);
         return hash == 0 ? 1 : hash;
     }
--- a/src/main/java/cottonlock/membership/Membership.java
+++ b/src/main/java/cottonlock/membership/Membership.java
@@ -42,23 +42,9 @@
     /** How often a leaving process says so, a quarter of a period apart. */
     private static final int FAREWELLS = 3;
 
-    /** Where its datagrams go, and who is told of changes. */
-    public interface Outlet {
-        /** Sends a datagram, or loses it. */
-        void send(String address, byte[] datagram);
-
-        /** A member is something else now, for a reason in words. */
-        void changed(String name, MemberState state, String reason);
-
-        /**
-         * Another subsystem of that member's process has told something; {@code topic} says which.
-         */
-        default void rode(String name, long life, int topic, byte[] body) {}
-    }
-
     private final MembershipProtocolConfig rules;
     private final ProtocolVariants habits;
-    private final Outlet outlet;
+    private final MembershipActions outlet;
     private final SplittableRandom random;
     private final Set<String> contacts;
     private final boolean closed;
@@ -108,12 +94,12 @@
      */
     public Membership(
             MembershipProtocolConfig rules,
-            Outlet outlet,
+            MembershipActions outlet,
             String name,
             String address,
             List<String> contacts,
             boolean closed,
-            long life,
+            long generation,
             int tag,
             SplittableRandom random) {
         this(
@@ -123,7 +109,7 @@
                 address,
                 contacts,
                 closed,
-                life,
+                generation,
                 tag,
                 random,
                 new ProtocolVariants());
@@ -131,19 +117,19 @@
 
     Membership(
             MembershipProtocolConfig rules,
-            Outlet outlet,
+            MembershipActions outlet,
             String name,
             String address,
             List<String> contacts,
             boolean closed,
-            long life,
+            long generation,
             int tag,
             SplittableRandom random,
             ProtocolVariants habits) {
-        if (!DatagramCodec.isName(name)) {
+        if (!DatagramCodec.isValidName(name)) {
             throw new IllegalArgumentException(
                     "expected a name of 1 to "
-                            + DatagramCodec.LONGEST_NAME
+                            + DatagramCodec.MAX_NAME_LENGTH
                             + " letters, digits and marks, found \""
                             + name
                             + "\"");
@@ -155,7 +141,7 @@
         this.contacts.remove(address);
         this.closed = closed;
         this.random = random;
-        long begun = Math.max(1, Math.min(life, DatagramCodec.LAST_LIFE / 2));
+        long begun = Math.max(1, Math.min(generation, DatagramCodec.MAX_GENERATION / 2));
         this.table =
                 new MemberTable(
                         new MemberUpdate(name, address, begun, 0, MemberState.JOINING, 0),
@@ -172,14 +158,19 @@
      * returned.
      */
     public long start(long now) {
-        MemberUpdate me = table.me();
+        MemberUpdate me = table.self();
         if (me.state() != MemberState.JOINING) {
             be(
                     now,
                     new MemberUpdate(
-                            me.name(), me.address(), me.life() + 1, 0, MemberState.JOINING, 0));
+                            me.name(),
+                            me.address(),
+                            me.generation() + 1,
+                            0,
+                            MemberState.JOINING,
+                            0));
         }
-        List.copyOf(table.all()).forEach(this::drop);
+        List.copyOf(table.members()).forEach(this::drop);
         displacedBy = null;
         raises = 0;
         startedAt = now;
@@ -195,7 +186,7 @@
     /**
      * When the module's thread last made progress: to be told before each call, by the same clock.
      */
-    public void module(long progressAt) {
+    public void workerProgressedAt(long progressAt) {
         moduleAt = progressAt;
     }
 
@@ -210,13 +201,13 @@
     /**
      * Something is counted that happened outside: a datagram was turned down before it came here.
      */
-    public void count(MembershipMetric what) {
+    public void countEvent(MembershipMetric what) {
         counts[what.ordinal()]++;
     }
 
     /** Each call from outside begins with this. */
     private void begin(long now) {
-        post.lag(lag(now));
+        post.setStall(lag(now));
         if (now > wakeAt + STILL) {
             stood(now, now - wakeAt);
             wakeAt = now;
@@ -226,22 +217,22 @@
     // What has come
 
     /** A datagram has come; returns when to be called again. */
-    public long heard(long now, String from, byte[] bytes, int length) {
+    public long datagramReceived(long now, String from, byte[] bytes, int length) {
         begin(now);
-        Message m = deaf ? null : DatagramCodec.read(bytes, length);
+        Message m = deaf ? null : DatagramCodec.decode(bytes, length);
         if (deaf) {
-            count(MembershipMetric.OUTDATED);
+            countEvent(MembershipMetric.STALE);
         } else if (m == null) {
-            count(MembershipMetric.MALFORMED);
+            countEvent(MembershipMetric.MALFORMED);
         } else if (!m.sender.address().equals(from) || closed && !contacts.contains(from)) {
-            count(MembershipMetric.STRANGERS);
-        } else if (m.sender.name().equals(table.me().name())) {
+            countEvent(MembershipMetric.UNKNOWN_SENDERS);
+        } else if (m.sender.name().equals(table.self().name())) {
             // Another process of this name; from this very address it is an echo.
             aboutMe(now, m.sender, m.sender.name());
             displacedAt =
                     displacedBy != null && from.equals(displacedBy.address()) ? now : displacedAt;
-            if (m.kind != Kind.WORDS) {
-                tellOutdated(now, from, table.me());
+            if (m.kind != Kind.UPDATES) {
+                tellOutdated(now, from, table.self());
             }
         } else {
             heard(now, m, from);
@@ -251,24 +242,24 @@
 
     private void heard(long now, Message m, String from) {
         MemberRecord k = table.get(m.sender.name());
-        if (k != null && k.word.compareLives(m.sender) > 0) {
+        if (k != null && k.update.compareGenerations(m.sender) > 0) {
             // Of a former life: it may be late, or the process does not know yet that it was there
             // before.
-            count(MembershipMetric.OUTDATED);
-            for (MemberUpdate w : m.words) {
+            countEvent(MembershipMetric.STALE);
+            for (MemberUpdate w : m.updates) {
                 // Two that take each other for outdated would never hear why from one another.
-                if (w.name().equals(table.me().name())) {
+                if (w.name().equals(table.self().name())) {
                     aboutMe(now, w, m.sender.name());
                 }
             }
-            if (m.kind != Kind.WORDS) {
-                tellOutdated(now, from, k.word);
+            if (m.kind != Kind.UPDATES) {
+                tellOutdated(now, from, k.update);
             }
             return;
         }
-        boolean anew = k == null || k.word.compareLives(m.sender) < 0;
-        if (!anew && !k.fresh(m.counter)) {
-            count(MembershipMetric.REPEATED);
+        boolean anew = k == null || k.update.compareGenerations(m.sender) < 0;
+        if (!anew && !k.acceptDatagramNumber(m.datagramNumber)) {
+            countEvent(MembershipMetric.DUPLICATES);
             return;
         }
         take(now, m.sender, m.sender.name());
@@ -276,31 +267,31 @@
         if (k == null) {
             if (m.kind == Kind.PING && displacedBy == null) {
                 // There is no room for it; unanswered it would take this process for dead.
-                post.send(now, from, null, post.message(Kind.ACK, m.seq), 0);
+                post.send(now, from, null, post.newMessage(Kind.ACK, m.sequenceNumber), 0);
             }
             return;
         }
         if (anew) {
-            k.fresh(m.counter);
+            k.acceptDatagramNumber(m.datagramNumber);
         }
-        prober.heard(now);
-        k.heardAt = now;
-        k.lag = m.lag;
+        prober.messageReceived(now);
+        k.heardAtTicks = now;
+        k.stallCentis = m.stallCentis;
         int news = 0;
-        for (MemberUpdate w : m.words) {
+        for (MemberUpdate w : m.updates) {
             news += take(now, w, m.sender.name()) ? 1 : 0;
         }
-        if (m.kind == Kind.PAGE || m.kind == Kind.WORDS) {
-            exchange.brought(news);
+        if (m.kind == Kind.PARTITION_PAGE || m.kind == Kind.UPDATES) {
+            exchange.countNewUpdates(news);
         }
         if (displacedBy == null) {
             act(now, m, k);
-            if (exchange.compare(now, k, m.digest)
-                    && table.me().state() == MemberState.JOINING
+            if (exchange.compareDigest(now, k, m.viewDigest)
+                    && table.self().state() == MemberState.JOINING
                     && m.sender.state() == MemberState.ALIVE) {
                 join(now);
             }
-            if (k.accused() && m.kind != Kind.PING) {
+            if (k.isAccused() && m.kind != Kind.PING) {
                 tell(now, k);
             }
         }
@@ -309,17 +300,22 @@
     private void act(long now, Message m, MemberRecord k) {
         switch (m.kind) {
             case PING -> {
-                Message answer = post.message(Kind.ACK, m.seq);
-                MemberRecord asker = m.behalf.isEmpty() ? k : table.get(m.behalf);
-                answer.heard = asker != null && now - asker.heardAt < 3 * rules.period();
+                Message answer = post.newMessage(Kind.ACK, m.sequenceNumber);
+                MemberRecord asker = m.onBehalfOf.isEmpty() ? k : table.get(m.onBehalfOf);
+                answer.heardRecently =
+                        asker != null && now - asker.heardAtTicks < 3 * rules.period();
                 post.send(now, k, answer);
             }
-            case ACK -> prober.answered(now, m, k);
-            case ASK -> prober.favour(now, m, k);
-            case RELAY, NACK -> prober.helped(now, m);
-            case MARKS -> exchange.marks(now, m, k, random.nextInt(DatagramCodec.MOST_PARTS));
-            case PAGE -> exchange.correct(now, m, k);
-            case RIDER -> outlet.rode(k.word.name(), k.word.life(), m.topic, m.body);
+            case ACK -> prober.ackReceived(now, m, k);
+            case PING_REQUEST -> prober.pingRequestReceived(now, m, k);
+            case INDIRECT_ACK, NACK -> prober.indirectResultReceived(now, m);
+            case PARTITION_DIGESTS ->
+                    exchange.digestsReceived(
+                            now, m, k, random.nextInt(DatagramCodec.MAX_PARTITIONS));
+            case PARTITION_PAGE -> exchange.pageReceived(now, m, k);
+            case PAYLOAD ->
+                    outlet.payloadReceived(
+                            k.update.name(), k.update.generation(), m.topic, m.payload);
             default -> {}
         }
     }
@@ -328,94 +324,95 @@
 
     /** Takes a word into the view if it outweighs what is there; returns whether it did. */
     private boolean take(long now, MemberUpdate w, String teller) {
-        if (w.name().equals(table.me().name())) {
+        if (w.name().equals(table.self().name())) {
             aboutMe(now, w, teller);
             return false;
         }
         MemberRecord k = table.get(w.name());
         if (k == null) {
-            if (w.state().lives() && (!closed || contacts.contains(w.address())) && room()) {
+            if (w.state().isLive() && (!closed || contacts.contains(w.address())) && room()) {
                 k = table.add(w, now);
                 ring.add(k);
-                changed(now, k, w, true, by(w, teller));
+                applyUpdate(now, k, w, true, describeSource(w, teller));
                 return true;
             }
-        } else if (habits.outweighs(w, k.word)) {
+        } else if (habits.supersedes(w, k.update)) {
             if (w.state() == MemberState.FAILED
-                    && k.word.state().lives()
-                    && !habits.believes(k, w, now)) {
+                    && k.update.state().isLive()
+                    && !habits.acceptsFailureReport(k, w, now)) {
                 // Both sides of a cut have called each other failed: when it heals, that is no news
                 // of the
                 // dead. It is looked at from here first; who lives hears of it meanwhile, and
                 // contradicts.
-                prober.contest(k);
+                prober.probeBeforeFailing(k);
             } else {
-                changed(now, k, w, false, by(w, teller));
+                applyUpdate(now, k, w, false, describeSource(w, teller));
                 return true;
             }
         } else if (w.state() == MemberState.SUSPECT
                 && k.suspicion != null
-                && !k.word.outweighs(w)
-                && k.suspicion.confirm(w.by())) {
+                && !k.update.supersedes(w)
+                && k.suspicion.confirm(w.accuserHash())) {
             endsChanged = true;
-            post.repeat(w);
+            post.broadcast(w);
         }
         return false;
     }
 
-    private String by(MemberUpdate w, String teller) {
+    private String describeSource(MemberUpdate w, String teller) {
         if (w.name().equals(teller)) {
             return w.state() == MemberState.LEFT ? "it says so itself" : "heard from it";
         }
-        MemberRecord accuser = w.by() == 0 ? null : table.hashed(w.by());
-        return (accuser != null && !accuser.word.name().equals(teller)
-                        ? "by the word of " + accuser.word.name() + ", "
+        MemberRecord accuser = w.accuserHash() == 0 ? null : table.byNameHash(w.accuserHash());
+        return (accuser != null && !accuser.update.name().equals(teller)
+                        ? "by the word of " + accuser.update.name() + ", "
                         : "")
                 + "told by "
                 + teller;
     }
 
     /** A member's word is another now; first: nothing was known of it. */
-    private void changed(long now, MemberRecord k, MemberUpdate w, boolean first, String reason) {
-        boolean anew = !first && k.word.compareLives(w) != 0;
-        boolean other = first || anew || k.word.state() != w.state();
+    private void applyUpdate(
+            long now, MemberRecord k, MemberUpdate w, boolean first, String reason) {
+        boolean anew = !first && k.update.compareGenerations(w) != 0;
+        boolean other = first || anew || k.update.state() != w.state();
         if (anew) {
-            table.differs(k, MemberRecord.NEVER);
-            k.startedAnew();
+            table.setDivergedSince(k, MemberRecord.NEVER);
+            k.resetForNewGeneration();
         }
         table.replace(k, w, !first);
         suspects.remove(k);
         endsChanged = true;
         k.suspicion = null;
         if (w.state() == MemberState.SUSPECT) {
-            double fleet = Math.max(1, Math.log10(table.alive() + 1));
+            double fleet = Math.max(1, Math.log10(table.liveCount() + 1));
             long least = Math.round(rules.suspicion() * fleet * rules.period());
             k.suspicion =
                     new SuspicionTimer(
                             now,
-                            w.by(),
+                            w.accuserHash(),
                             least,
                             Math.round(least * rules.longest()),
-                            Math.min(rules.confirmations(), table.alive() - 1));
+                            Math.min(rules.confirmations(), table.liveCount() - 1));
             suspects.add(k);
-            prober.urge(k);
+            prober.maybeProbeSoon(k);
         }
-        post.repeat(w);
+        post.broadcast(w);
         if (other) {
-            k.since = now;
+            k.stateSinceTicks = now;
             k.reason = anew ? "started again, " + reason : reason;
-            outlet.changed(w.name(), w.state(), k.reason);
+            outlet.memberStateChanged(w.name(), w.state(), k.reason);
         }
     }
 
     /** Makes room for one more, at the cost of the one that has been dead for longest. */
     private boolean room() {
-        if (!table.full()) {
+        if (!table.isFull()) {
             return true;
         }
         MemberRecord oldest = table.longestDead();
         if (oldest == null) {
-            count(MembershipMetric.FULL);
+            countEvent(MembershipMetric.REJECTED_WHEN_FULL);
             return false;
         }
         drop(oldest);
@@ -423,24 +420,24 @@
     }
 
     private void drop(MemberRecord k) {
-        table.drop(k);
+        table.remove(k);
         ring.remove(k);
         suspects.remove(k);
         endsChanged = true;
     }
 
     private void doubt(long now, MemberRecord k, String reason) {
-        int self = MemberUpdate.hash(table.me().name());
+        int self = MemberUpdate.nameHash(table.self().name());
         endsChanged = true;
-        if (k.word.state() == MemberState.SUSPECT) {
+        if (k.update.state() == MemberState.SUSPECT) {
             if (k.suspicion.confirm(self)) {
-                post.repeat(k.word.with(MemberState.SUSPECT, self));
+                post.broadcast(k.update.withState(MemberState.SUSPECT, self));
             }
-        } else if (k.word.state().lives()) {
-            count(MembershipMetric.SUSPICIONS);
-            changed(now, k, k.word.with(MemberState.SUSPECT, self), false, reason);
+        } else if (k.update.state().isLive()) {
+            countEvent(MembershipMetric.SUSPICIONS);
+            applyUpdate(now, k, k.update.withState(MemberState.SUSPECT, self), false, reason);
             if (k.contested) {
-                k.suspicion.certain();
+                k.suspicion.confirmFully();
             }
         }
     }
@@ -450,7 +447,7 @@
         if (endsChanged) {
             firstEnd = Long.MAX_VALUE;
             for (MemberRecord k : suspects) {
-                firstEnd = Math.min(firstEnd, habits.end(k.suspicion));
+                firstEnd = Math.min(firstEnd, habits.suspicionExpiryTicks(k.suspicion));
             }
             endsChanged = false;
         }
@@ -463,34 +460,37 @@
         }
         endsChanged = true;
         for (MemberRecord k : List.copyOf(suspects)) {
-            if (now < habits.end(k.suspicion)) {
+            if (now < habits.suspicionExpiryTicks(k.suspicion)) {
                 continue;
             }
             // Own ears count for more than what others say they have not heard.
-            boolean heard = k.heardAt > k.suspicion.since() && prober.sound(k.lag);
+            boolean heard =
+                    k.heardAtTicks > k.suspicion.startedAtTicks()
+                            && prober.isResponsive(k.stallCentis);
             if (heard && k.suspicion.defer(now, rules.period())) {
                 tell(now, k);
                 continue;
             }
             // Nobody is called failed at others' word alone, who may have missed that it has
             // cleared itself.
-            if (!k.suspicion.accusedBy(MemberUpdate.hash(table.me().name()))
-                    && habits.looksItself()
+            if (!k.suspicion.accusedBy(MemberUpdate.nameHash(table.self().name()))
+                    && habits.probesBeforeFailing()
                     && k.suspicion.defer(now, rules.period())) {
-                prober.contest(k);
+                prober.probeBeforeFailing(k);
                 continue;
             }
-            count(MembershipMetric.FAILURES);
+            countEvent(MembershipMetric.FAILURES);
             String reason =
                     "doubted for "
-                            + (now - k.suspicion.since()) / 10
+                            + (now - k.suspicion.startedAtTicks()) / 10
                             + " ms by "
-                            + k.suspicion.accusers()
+                            + k.suspicion.accuserCount()
                             + ", not cleared";
-            changed(
+            applyUpdate(
                     now,
                     k,
-                    k.word.with(MemberState.FAILED, MemberUpdate.hash(table.me().name())),
+                    k.update.withState(
+                            MemberState.FAILED, MemberUpdate.nameHash(table.self().name())),
                     false,
                     reason);
         }
@@ -499,8 +499,8 @@
     // What is said of this process itself
 
     private void aboutMe(long now, MemberUpdate w, String teller) {
-        MemberUpdate me = table.me();
-        int lives = w.compareLives(me);
+        MemberUpdate me = table.self();
+        int lives = w.compareGenerations(me);
         boolean stranger =
                 closed && !w.address().equals(me.address()) && !contacts.contains(w.address());
         if (lives < 0 || me.state() == MemberState.LEFT || stranger) {
@@ -509,14 +509,14 @@
         if (lives > 0) {
             boolean starting =
                     me.state() == MemberState.JOINING && displacedBy == null && raises < RAISES;
-            if (!w.state().lives() || w.address().equals(me.address()) || starting) {
+            if (!w.state().isLive() || w.address().equals(me.address()) || starting) {
                 // It was this proxy in its former life, whatever the clocks say, or has given the
                 // name free.
                 raises += starting ? 1 : 0;
                 comeBack(now, w);
             } else {
                 if (displacedBy == null) {
-                    outlet.changed(
+                    outlet.memberStateChanged(
                             me.name(),
                             MemberState.LEFT,
                             "displaced: another process at "
@@ -533,23 +533,29 @@
             be(
                     now,
                     new MemberUpdate(
-                            me.name(), me.address(), habits.begun(w.life()), 0, me.state(), 0));
-        } else if (w.turn() > me.turn()
-                || w.turn() == me.turn() && w.state().compareTo(MemberState.ALIVE) > 0) {
-            accused = accused == null || w.outweighs(accused) ? w : accused;
+                            me.name(),
+                            me.address(),
+                            habits.nextGeneration(w.generation()),
+                            0,
+                            me.state(),
+                            0));
+        } else if (w.incarnation() > me.incarnation()
+                || w.incarnation() == me.incarnation()
+                        && w.state().compareTo(MemberState.ALIVE) > 0) {
+            accused = accused == null || w.supersedes(accused) ? w : accused;
             refute(now, teller);
         }
     }
 
     /** Begins a life after the one that is told of. */
     private void comeBack(long now, MemberUpdate before) {
-        MemberUpdate me = table.me();
+        MemberUpdate me = table.self();
         be(
                 now,
                 new MemberUpdate(
                         me.name(),
                         me.address(),
-                        habits.begun(before.life()),
+                        habits.nextGeneration(before.generation()),
                         0,
                         MemberState.JOINING,
                         0));
@@ -557,67 +563,75 @@
         if (displacedBy != null) {
             displacedBy = null;
             prober.start(now);
-            outlet.changed(
+            outlet.memberStateChanged(
                     me.name(), MemberState.JOINING, "the other process of this name is gone");
         }
     }
 
     private void refute(long now, String teller) {
         if (accused != null && !hung(now)) {
-            MemberUpdate me = table.me();
-            count(MembershipMetric.REFUTATIONS);
-            outlet.changed(
+            MemberUpdate me = table.self();
+            countEvent(MembershipMetric.REFUTATIONS);
+            outlet.memberStateChanged(
                     me.name(),
                     me.state(),
                     "contradicts that it is "
                             + accused.state().name().toLowerCase(Locale.ROOT)
                             + ", told by "
                             + teller);
-            if (accused.compareLives(me) == 0 && accused.turn() >= me.turn()) {
-                int turn = habits.raised(accused.turn());
-                be(now, new MemberUpdate(me.name(), me.address(), me.life(), turn, me.state(), 0));
+            if (accused.compareGenerations(me) == 0 && accused.incarnation() >= me.incarnation()) {
+                int incarnation = habits.nextIncarnation(accused.incarnation());
+                be(
+                        now,
+                        new MemberUpdate(
+                                me.name(),
+                                me.address(),
+                                me.generation(),
+                                incarnation,
+                                me.state(),
+                                0));
             }
             accused = null;
-            prober.doubtMore(1);
+            prober.degradeLocalHealth(1);
         }
     }
 
     /** This process says something else of itself. */
     private void be(long now, MemberUpdate w) {
-        if (w.compareLives(table.me()) != 0) {
-            post.startAnew();
+        if (w.compareGenerations(table.self()) != 0) {
+            post.resetDatagramNumbers();
         }
-        if (w.state() != table.me().state()) {
+        if (w.state() != table.self().state()) {
             stateSince = now;
         }
-        table.be(w);
-        post.repeat(w);
+        table.setSelf(w);
+        post.broadcast(w);
     }
 
     // What is done by itself
 
     /** The time asked for has come, or is past; returns when to be called again. */
-    public long wake(long now) {
+    public long timerFired(long now) {
         begin(now);
         deaf = false;
         refute(now, "others");
-        if (table.me().state() == MemberState.LEFT) {
+        if (table.self().state() == MemberState.LEFT) {
             farewell(now);
         } else if (displacedBy != null) {
             if (now >= contactAt) {
                 askAfterMyself(now);
             }
         } else {
-            prober.wake(now);
+            prober.timerFired(now);
             judge(now);
             if (now >= contactAt) {
                 call(now);
             }
-            if (table.me().state() == MemberState.JOINING && now >= joinUntil) {
+            if (table.self().state() == MemberState.JOINING && now >= joinUntil) {
                 join(now);
             }
-            if (now >= exchange.at()) {
-                exchange.wake(now);
+            if (now >= exchange.dueAtTicks()) {
+                exchange.timerFired(now);
             }
         }
         if (now >= tidyAt) {
@@ -627,16 +641,16 @@
     }
 
     /** Whether its time has come: it may have asked to be called earlier or later since. */
-    public boolean wakesBy(long now) {
+    public boolean isDue(long now) {
         return now >= wakeAt;
     }
 
     private long plan(long now) {
         long at = Math.min(tidyAt, contactAt);
-        if (table.me().state() != MemberState.LEFT && displacedBy == null) {
-            at = Math.min(at, Math.min(prober.at(), exchange.at()));
+        if (table.self().state() != MemberState.LEFT && displacedBy == null) {
+            at = Math.min(at, Math.min(prober.dueAtTicks(), exchange.dueAtTicks()));
             at = Math.min(at, firstEnd());
-            if (table.me().state() == MemberState.JOINING) {
+            if (table.self().state() == MemberState.JOINING) {
                 at = Math.min(at, joinUntil);
             }
         }
@@ -648,30 +662,30 @@
      * This process has stood still: what it waited for meanwhile may have come and gone unheard.
      */
     private void stood(long now, long late) {
-        if (rules.doubts() == 0 || !habits.doubtsItself()) {
+        if (rules.doubts() == 0 || !habits.tracksLocalHealth()) {
             return;
         }
-        count(MembershipMetric.STANDSTILLS);
-        prober.doubtMore(late > rules.period() ? 2 : 1);
+        countEvent(MembershipMetric.LOCAL_STALLS);
+        prober.degradeLocalHealth(late > rules.period() ? 2 : 1);
         prober.start(now);
         endsChanged = true;
         for (MemberRecord k : suspects) {
-            k.suspicion.stood(now, late);
+            k.suspicion.extendForStall(now, late);
         }
-        if (late > rules.forget() / 2 && table.me().state() != MemberState.LEFT) {
+        if (late > rules.forget() / 2 && table.self().state() != MemberState.LEFT) {
             // Others may have forgotten who has died meanwhile: nothing that it knows, or that has
             // waited in
             // its socket, may pass for news.
             deaf = true;
-            List.copyOf(table.all()).forEach(this::drop);
-            MemberUpdate me = table.me();
+            List.copyOf(table.members()).forEach(this::drop);
+            MemberUpdate me = table.self();
             be(
                     now,
                     new MemberUpdate(
                             me.name(),
                             me.address(),
-                            me.life(),
-                            me.turn() + 1,
+                            me.generation(),
+                            me.incarnation() + 1,
                             MemberState.JOINING,
                             0));
             joinUntil = now + rules.join();
@@ -680,11 +694,11 @@
 
     /** Calls where nobody is known to live: who has failed may be back, or beyond a cut. */
     private void call(long now) {
-        boolean alone = table.me().state() == MemberState.JOINING || table.alive() == 0;
-        List<String> open = table.addresses().open(table.me().address());
+        boolean alone = table.self().state() == MemberState.JOINING || table.liveCount() == 0;
+        List<String> open = table.contactAddresses().candidates(table.self().address());
         for (int n = alone ? 2 : 1; n > 0 && !open.isEmpty(); n--) {
             String address = open.remove(random.nextInt(open.size()));
-            post.send(now, address, null, post.message(Kind.PING, post.next()), 0);
+            post.send(now, address, null, post.newMessage(Kind.PING, post.nextSequenceNumber()), 0);
         }
         contactAt = now + rules.period() * (alone ? 1 : rules.contact());
     }
@@ -698,9 +712,19 @@
             comeBack(now, displacedBy);
             return;
         }
-        post.send(now, displacedBy.address(), null, post.message(Kind.PING, post.next()), 0);
-        for (MemberRecord k : ring.some(1, k -> k.word.state().lives())) {
-            post.send(now, k.word.address(), null, post.message(Kind.PING, post.next()), 0);
+        post.send(
+                now,
+                displacedBy.address(),
+                null,
+                post.newMessage(Kind.PING, post.nextSequenceNumber()),
+                0);
+        for (MemberRecord k : ring.sample(1, k -> k.update.state().isLive())) {
+            post.send(
+                    now,
+                    k.update.address(),
+                    null,
+                    post.newMessage(Kind.PING, post.nextSequenceNumber()),
+                    0);
         }
         contactAt = now + 4 * rules.period();
     }
@@ -708,18 +732,18 @@
     /** Takes itself for one of them once its view is theirs, or for the first where nobody is. */
     private void join(long now) {
         boolean agrees =
-                table.alive() == 0
-                        || table.any(
+                table.liveCount() == 0
+                        || table.anyMatch(
                                 k ->
-                                        k.word.state().lives()
-                                                && k.heardAt >= startedAt
-                                                && !k.differs());
+                                        k.update.state().isLive()
+                                                && k.heardAtTicks >= startedAt
+                                                && !k.diverges());
         if (agrees || now - startedAt > 5 * rules.join()) {
-            be(now, table.me().with(MemberState.ALIVE, 0));
-            outlet.changed(
-                    table.me().name(),
+            be(now, table.self().withState(MemberState.ALIVE, 0));
+            outlet.memberStateChanged(
+                    table.self().name(),
                     MemberState.ALIVE,
-                    table.alive() == 0 ? "nobody else is there" : "its view is that of others");
+                    table.liveCount() == 0 ? "nobody else is there" : "its view is that of others");
         } else {
             joinUntil = now + rules.join() / 4;
         }
@@ -727,8 +751,8 @@
 
     private void tidy(long now) {
         tidyAt = now + rules.forget() / 4;
-        for (MemberRecord k : List.copyOf(table.all())) {
-            if (!k.word.state().lives() && now - k.since >= rules.forget()) {
+        for (MemberRecord k : List.copyOf(table.members())) {
+            if (!k.update.state().isLive() && now - k.stateSinceTicks >= rules.forget()) {
                 drop(k);
             }
         }
@@ -736,8 +760,8 @@
 
     /** The process ends on purpose: it says so, and answers on until it has ended. */
     public long leave(long now) {
-        if (table.me().state() != MemberState.LEFT) {
-            be(now, table.me().with(MemberState.LEFT, 0));
+        if (table.self().state() != MemberState.LEFT) {
+            be(now, table.self().withState(MemberState.LEFT, 0));
             contactAt = now;
             farewell(now);
         }
@@ -751,54 +775,56 @@
         farewells++;
         contactAt = farewells < FAREWELLS ? now + rules.period() / 4 : Long.MAX_VALUE;
         if (displacedBy == null) {
-            for (MemberRecord k : ring.some(2 + rules.helpers(), k -> k.word.state().lives())) {
-                post.send(now, k, post.message(Kind.WORDS));
+            for (MemberRecord k :
+                    ring.sample(2 + rules.helpers(), k -> k.update.state().isLive())) {
+                post.send(now, k, post.newMessage(Kind.UPDATES));
             }
         }
     }
 
     /** Tells a member what is held of it, so that it can contradict. */
     private void tell(long now, MemberRecord k) {
-        if (now - k.toldAt >= rules.answer()) {
-            k.toldAt = now;
-            post.send(now, k, post.message(Kind.WORDS));
+        if (now - k.notifiedAtTicks >= rules.answer()) {
+            k.notifiedAtTicks = now;
+            post.send(now, k, post.newMessage(Kind.UPDATES));
         }
     }
 
     /** Tells whoever speaks for a former life what is known of a later one. */
     private void tellOutdated(long now, String address, MemberUpdate newer) {
-        if (!address.equals(table.me().address())) {
-            DatagramCodec.Writer out = post.begin(post.message(Kind.WORDS));
-            out.word(newer);
-            post.send(now, address, out, DatagramSender.SPARE);
+        if (!address.equals(table.self().address())) {
+            DatagramCodec.Writer out = post.writerFor(post.newMessage(Kind.UPDATES));
+            out.addUpdate(newer);
+            post.send(now, address, out, DatagramSender.LOW_PRIORITY_RESERVE);
         }
     }
 
     // What others ride on, and what is seen
 
     /** What a rider's body may hold at most, in bytes. */
-    public int riderRoom() {
-        return post.room(Kind.RIDER);
+    public int maxPayloadBytes() {
+        return post.freeBytes(Kind.PAYLOAD);
     }
 
     /** Sends what another subsystem tells a live member; false: it could not be sent now. */
-    public boolean ride(long now, String name, int topic, byte[] body) {
+    public boolean sendPayload(long now, String name, int topic, byte[] body) {
         MemberRecord k = table.get(name);
         if (k == null
-                || !k.word.state().lives()
-                || table.me().state() == MemberState.LEFT
+                || !k.update.state().isLive()
+                || table.self().state() == MemberState.LEFT
                 || displacedBy != null) {
             return false;
         }
-        Message m = post.message(Kind.RIDER);
+        Message m = post.newMessage(Kind.PAYLOAD);
         m.topic = topic;
-        m.body = body;
-        return post.send(now, k.word.address(), post.begin(m), DatagramSender.SPARE);
+        m.payload = body;
+        return post.send(
+                now, k.update.address(), post.writerFor(m), DatagramSender.LOW_PRIORITY_RESERVE);
     }
 
     /** How many others may be alive, as far as is known here. */
-    public int alive() {
-        return table.alive();
+    public int liveOthers() {
+        return table.liveCount();
     }
 
     /**
@@ -811,19 +837,19 @@
     /** What another is held for; null: it is not known. */
     public MemberState stateOf(String name) {
         MemberRecord k = table.get(name);
-        return k == null ? null : k.word.state();
+        return k == null ? null : k.update.state();
     }
 
     /** The view as it stands. */
     public MembershipView view(long now) {
-        List<MembershipView.Line> lines = new ArrayList<>();
-        MemberUpdate me = table.me();
+        List<MembershipView.Member> lines = new ArrayList<>();
+        MemberUpdate me = table.self();
         lines.add(
-                new MembershipView.Line(
+                new MembershipView.Member(
                         me.name(),
                         me.address(),
-                        me.life(),
-                        me.turn(),
+                        me.generation(),
+                        me.incarnation(),
                         me.state(),
                         stateSince,
                         displacedBy == null
@@ -831,40 +857,43 @@
                                 : "displaced by one at " + displacedBy.address(),
                         MembershipView.Reach.SELF,
                         -1));
-        for (MemberRecord k : table.all()) {
+        for (MemberRecord k : table.members()) {
             lines.add(
-                    new MembershipView.Line(
-                            k.word.name(),
-                            k.word.address(),
-                            k.word.life(),
-                            k.word.turn(),
-                            k.word.state(),
-                            k.since,
+                    new MembershipView.Member(
+                            k.update.name(),
+                            k.update.address(),
+                            k.update.generation(),
+                            k.update.incarnation(),
+                            k.update.state(),
+                            k.stateSinceTicks,
                             k.reason,
                             reach(k, now),
-                            k.differs() ? now - k.differsSince : -1));
+                            k.diverges() ? now - k.divergedSinceTicks : -1));
         }
         Map<MembershipMetric, Long> counted = new EnumMap<>(MembershipMetric.class);
         for (MembershipMetric c : MembershipMetric.values()) {
             counted.put(c, counts[c.ordinal()]);
         }
-        return new MembershipView(lines, table.digest(), prober.doubt(), hung(now), counted);
+        return new MembershipView(
+                lines, table.digest(), prober.localHealthScore(), hung(now), counted);
     }
 
     /** Whether it is reached directly, and which way is cut where it is not. */
     private MembershipView.Reach reach(MemberRecord k, long now) {
-        if (!k.word.state().lives()) {
-            return MembershipView.Reach.NONE;
+        if (!k.update.state().isLive()) {
+            return MembershipView.Reach.UNREACHABLE;
         }
-        if (k.answeredAt >= k.relayedAt) {
-            return k.answeredAt == MemberRecord.NEVER
-                    ? MembershipView.Reach.UNTRIED
-                    : MembershipView.Reach.BOTH;
+        if (k.ackedAtTicks >= k.indirectAckAtTicks) {
+            return k.ackedAtTicks == MemberRecord.NEVER
+                    ? MembershipView.Reach.UNKNOWN
+                    : MembershipView.Reach.BIDIRECTIONAL;
         }
-        long round = rules.period() * (table.alive() + 2) * (1 + prober.doubt());
-        return now - k.heardAt < 2 * round
-                ? MembershipView.Reach.HEARS_NOT
-                : k.hearsMe ? MembershipView.Reach.NOT_HEARD : MembershipView.Reach.BY_OTHERS;
+        long round = rules.period() * (table.liveCount() + 2) * (1 + prober.localHealthScore());
+        return now - k.heardAtTicks < 2 * round
+                ? MembershipView.Reach.INBOUND_ONLY
+                : k.hearsThisProcess
+                        ? MembershipView.Reach.OUTBOUND_ONLY
+                        : MembershipView.Reach.INDIRECT;
     }
 
     /**
@@ -873,31 +902,33 @@
      */
     String fingerprint(long now) {
         StringBuilder text = new StringBuilder();
-        text.append(table.me())
+        text.append(table.self())
                 .append(displacedBy)
                 .append(accused)
                 .append(raises)
                 .append(' ')
                 .append(contactAt - now)
                 .append(' ')
-                .append(exchange.at() - now)
+                .append(exchange.dueAtTicks() - now)
                 .append(' ')
                 .append(joinUntil - now)
                 .append('\n')
                 .append(prober.fingerprint(now))
                 .append('\n')
                 .append(ring);
-        for (MemberRecord k : table.all()) {
+        for (MemberRecord k : table.members()) {
             text.append('\n')
-                    .append(k.word)
-                    .append(k.differs())
-                    .append(k.lag)
-                    .append(now - k.heardAt < 3 * rules.period())
-                    .append(k.heardAt >= startedAt);
+                    .append(k.update)
+                    .append(k.diverges())
+                    .append(k.stallCentis)
+                    .append(now - k.heardAtTicks < 3 * rules.period())
+                    .append(k.heardAtTicks >= startedAt);
             if (k.suspicion != null) {
-                text.append(k.suspicion.accusers()).append(' ').append(k.suspicion.end() - now);
+                text.append(k.suspicion.accuserCount())
+                        .append(' ')
+                        .append(k.suspicion.expiresAtTicks() - now);
             }
         }
-        return text.append("\ntelling ").append(post.repeating()).toString();
+        return text.append("\ntelling ").append(post.pendingUpdates()).toString();
     }
 }
--- a/src/main/java/cottonlock/membership/MembershipMetric.java
+++ b/src/main/java/cottonlock/membership/MembershipMetric.java
@@ -1,28 +1,42 @@
 package cottonlock.membership;
 
-/** What one process counts of its part in the fleet since it started. */
+/** Counters of one process's part in the membership protocol, since it started. */
 public enum MembershipMetric {
-    SENT,
-    /** Datagrams that were not sent for want of allowance. */
-    HELD,
-    /** Bytes that are no datagram of this program's. */
-    MALFORMED,
-    /** From an address that is none of the fleet's, or that says it is another's. */
-    STRANGERS,
-    /** What came twice, or too late. */
-    REPEATED,
-    /** Of a former life. */
-    OUTDATED,
-    /** With a tag that no key makes. */
-    FORGED,
-    /** Members that found no room. */
-    FULL,
-    SUSPICIONS,
-    FAILURES,
-    /** Doubts of this process that it has contradicted. */
-    REFUTATIONS,
-    /** Standstills of this process, noticed by itself. */
-    STANDSTILLS,
-    /** Exchanges of views begun. */
-    EXCHANGES
+    /** Datagrams sent. */
+    SENT("sent"),
+    /** Datagrams not sent because the bandwidth limit was reached. */
+    THROTTLED("held"),
+    /** Received bytes that are no datagram of this protocol. */
+    MALFORMED("malformed"),
+    /** Datagrams from an address that no member has, or that name another sender's address. */
+    UNKNOWN_SENDERS("strangers"),
+    /** Datagrams received twice, or too late to tell. */
+    DUPLICATES("repeated"),
+    /** Datagrams of an earlier generation of their sender. */
+    STALE("outdated"),
+    /** Datagrams without a valid authentication tag. */
+    UNAUTHENTICATED("forged"),
+    /** Members not added because the table was full. */
+    REJECTED_WHEN_FULL("full"),
+    /** Suspicions started by this process. */
+    SUSPICIONS("suspicions"),
+    /** Suspicions that became failures here. */
+    FAILURES("failures"),
+    /** Suspicions of this process that it has refuted. */
+    REFUTATIONS("refutations"),
+    /** Stalls of this process that it noticed itself. */
+    LOCAL_STALLS("standstills"),
+    /** Anti-entropy exchanges started. */
+    EXCHANGES("exchanges");
+
+    private final String label;
+
+    MembershipMetric(String label) {
+        this.label = label;
+    }
+
+    /** The metric's name in management lines and in the figures. */
+    public String label() {
+        return label;
+    }
 }
--- a/src/main/java/cottonlock/membership/MembershipService.java
+++ b/src/main/java/cottonlock/membership/MembershipService.java
@@ -74,7 +74,7 @@
             String address,
             List<String> contacts,
             boolean closed,
-            long life,
+            long generation,
             SplittableRandom random,
             LongSupplier clock,
             LongSupplier moduleAt,
@@ -115,16 +115,16 @@
                         address,
                         contacts,
                         closed,
-                        life,
-                        seal == null ? 0 : DatagramAuthenticator.TAG,
+                        generation,
+                        seal == null ? 0 : DatagramAuthenticator.TAG_BYTES,
                         random);
     }
 
     /** What the machine answers through; on this actor's thread, or under its lock. */
-    private final class Sending implements Membership.Outlet {
+    private final class Sending implements MembershipActions {
         @Override
         public void send(String address, byte[] datagram) {
-            byte[] bytes = seal == null ? datagram : seal.seal(datagram);
+            byte[] bytes = seal == null ? datagram : seal.sign(datagram);
             try {
                 InetSocketAddress to =
                         addresses.computeIfAbsent(address, MembershipService::parsed);
@@ -139,7 +139,7 @@
         }
 
         @Override
-        public void changed(String who, MemberState state, String reason) {
+        public void memberStateChanged(String who, MemberState state, String reason) {
             log.accept(
                     (who.equals(name) ? "this process is " : who + " is ")
                             + state.name().toLowerCase(Locale.ROOT)
@@ -159,7 +159,7 @@
     }
 
     /** The form in which members are told one another's addresses. */
-    public static String text(InetSocketAddress address) {
+    public static String addressText(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.indexOf(':') >= 0 ? "[" + host + "]" : host) + ":" + address.getPort();
     }
@@ -176,7 +176,9 @@
             wakeAt = machine.start(clock.getAsLong());
         }
         DatagramPacket packet =
-                new DatagramPacket(new byte[DatagramCodec.LONGEST + 1], DatagramCodec.LONGEST + 1);
+                new DatagramPacket(
+                        new byte[DatagramCodec.MAX_DATAGRAM_BYTES + 1],
+                        DatagramCodec.MAX_DATAGRAM_BYTES + 1);
         boolean quiet = false;
         int read = 0;
         long lookAt = 0;
@@ -194,7 +196,7 @@
             }
             try {
                 socket.setSoTimeout((int) Math.max(1, Math.min(LOOK, (wakeAt - now) / 10)));
-                packet.setLength(DatagramCodec.LONGEST + 1);
+                packet.setLength(DatagramCodec.MAX_DATAGRAM_BYTES + 1);
                 socket.receive(packet);
                 read++;
                 came(
@@ -213,8 +215,8 @@
 
     private void wake(long now) {
         synchronized (machine) {
-            machine.module(moduleAt.getAsLong());
-            wakeAt = standingBy ? now + LOOK * 10L : machine.wake(now);
+            machine.workerProgressedAt(moduleAt.getAsLong());
+            wakeAt = standingBy ? now + LOOK * 10L : machine.timerFired(now);
         }
     }
 
@@ -224,13 +226,13 @@
             return;
         }
         synchronized (machine) {
-            int inner = seal == null ? length : seal.open(bytes, length);
+            int inner = seal == null ? length : seal.verify(bytes, length);
             if (inner < 0) {
-                machine.count(MembershipMetric.FORGED);
+                machine.countEvent(MembershipMetric.UNAUTHENTICATED);
             } else if (!standingBy) {
                 long now = clock.getAsLong();
-                machine.module(moduleAt.getAsLong());
-                wakeAt = machine.heard(now, text(from), bytes, inner);
+                machine.workerProgressedAt(moduleAt.getAsLong());
+                wakeAt = machine.datagramReceived(now, addressText(from), bytes, inner);
             }
         }
     }
@@ -273,30 +275,26 @@
     /**
      * The view as operators are told it: a line of figures, then one for each member, itself first.
      */
-    public String lines() {
+    public String statusLines() {
         long now = clock.getAsLong();
         MembershipView view = view();
         StringBuilder text = new StringBuilder();
         text.append("view=")
                 .append(Long.toHexString(view.digest()))
                 .append(" alive=")
-                .append(view.alive())
+                .append(view.liveCount())
                 .append(" members=")
-                .append(view.lines().size())
+                .append(view.members().size())
                 .append(" differs_ms=")
-                .append(ms(view.differs()))
+                .append(ms(view.divergedForTicks()))
                 .append(" self_doubt=")
-                .append(view.selfDoubt())
+                .append(view.localHealthScore())
                 .append(" hung=")
-                .append(view.hung());
-        view.counts()
+                .append(view.workerStalled());
+        view.metrics()
                 .forEach(
-                        (count, n) ->
-                                text.append(' ')
-                                        .append(count.name().toLowerCase(Locale.ROOT))
-                                        .append('=')
-                                        .append(n));
-        for (MembershipView.Line l : view.lines()) {
+                        (count, n) -> text.append(' ').append(count.label()).append('=').append(n));
+        for (MembershipView.Member l : view.members()) {
             text.append('\n')
                     .append(l.name())
                     .append(' ')
@@ -304,15 +302,15 @@
                     .append(' ')
                     .append(l.address())
                     .append(" life=")
-                    .append(l.life())
+                    .append(l.generation())
                     .append(" turn=")
-                    .append(l.turn())
+                    .append(l.incarnation())
                     .append(" since_ms=")
-                    .append((now - l.since()) / 10)
+                    .append((now - l.stateSinceTicks()) / 10)
                     .append(" reach=")
-                    .append(l.reach().word())
+                    .append(l.reach().label())
                     .append(" differs_ms=")
-                    .append(ms(l.differs()))
+                    .append(ms(l.divergedForTicks()))
                     .append(" why=")
                     .append(l.reason());
         }
@@ -320,24 +318,24 @@
     }
 
     /** For the figures: how many are what, as fields of a JSON object, each behind a comma. */
-    public String figures() {
+    public String metricsJson() {
         MembershipView view = view();
         StringBuilder json = new StringBuilder();
         for (MemberState state : MemberState.values()) {
             json.append(",\"members_")
                     .append(state.name().toLowerCase(Locale.ROOT))
                     .append("\":")
-                    .append(view.lines().stream().filter(l -> l.state() == state).count());
+                    .append(view.members().stream().filter(l -> l.state() == state).count());
         }
         json.append(",\"members_differ_ms\":")
-                .append(ms(view.differs()))
+                .append(ms(view.divergedForTicks()))
                 .append(",\"members_self_doubt\":")
-                .append(view.selfDoubt());
-        view.counts()
+                .append(view.localHealthScore());
+        view.metrics()
                 .forEach(
                         (count, n) ->
                                 json.append(",\"members_")
-                                        .append(count.name().toLowerCase(Locale.ROOT))
+                                        .append(count.label())
                                         .append("_count\":")
                                         .append(n));
         return json.toString();
--- a/src/main/java/cottonlock/membership/MembershipView.java
+++ b/src/main/java/cottonlock/membership/MembershipView.java
@@ -11,28 +11,38 @@
  * @param hung whether its module stands still
  */
 public record MembershipView(
-        List<Line> lines,
+        List<Member> members,
         long digest,
-        int selfDoubt,
-        boolean hung,
-        Map<MembershipMetric, Long> counts) {
+        int localHealthScore,
+        boolean workerStalled,
+        Map<MembershipMetric, Long> metrics) {
 
-    /** How one proxy reaches another. */
+    /** How this process and a member reach each other. */
     public enum Reach {
-        SELF,
-        BOTH,
-        /** It is heard, but does not hear this proxy; others reach it. */
-        HEARS_NOT,
-        /** It hears this proxy, but is not heard; others hear it. */
-        NOT_HEARD,
-        /** Neither way; others reach it. */
-        BY_OTHERS,
-        UNTRIED,
-        NONE;
+        /** The member is this process. */
+        SELF("self"),
+        /** Both directions work. */
+        BIDIRECTIONAL("both"),
+        /** The member is heard here, but does not hear this process; others reach it. */
+        INBOUND_ONLY("hears-not"),
+        /** The member hears this process, but is not heard here; others hear it. */
+        OUTBOUND_ONLY("not-heard"),
+        /** Neither direction works; others reach the member. */
+        INDIRECT("by-others"),
+        /** The member has not been probed yet. */
+        UNKNOWN("untried"),
+        /** The member has failed or left. */
+        UNREACHABLE("none");
 
-        /** In a word, for people and programs. */
-        public String word() {
-            return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
+        private final String label;
+
+        Reach(String label) {
+            this.label = label;
+        }
+
+        /** The name in management lines. */
+        public String label() {
+            return label;
         }
     }
 
@@ -43,27 +53,27 @@
      * @param reason why it is in that state, and by whose word
      * @param differs for how long its view has differed from this one; -1: it does not
      */
-    public record Line(
+    public record Member(
             String name,
             String address,
-            long life,
-            int turn,
+            long generation,
+            int incarnation,
             MemberState state,
-            long since,
+            long stateSinceTicks,
             String reason,
             Reach reach,
-            long differs) {}
+            long divergedForTicks) {}
 
     /** Members that may be there, this one among them. */
-    public int alive() {
-        return (int) lines.stream().filter(l -> l.state().lives()).count();
+    public int liveCount() {
+        return (int) members.stream().filter(l -> l.state().isLive()).count();
     }
 
     /**
      * For how long the view of any live member has differed, tenths of a millisecond; -1: all
      * agree.
      */
-    public long differs() {
-        return lines.stream().mapToLong(Line::differs).max().orElse(-1);
+    public long divergedForTicks() {
+        return members.stream().mapToLong(Member::divergedForTicks).max().orElse(-1);
     }
 }
--- a/src/main/java/cottonlock/membership/Message.java
+++ b/src/main/java/cottonlock/membership/Message.java
@@ -16,21 +16,21 @@
         /** The answer: {@code seq}, {@code heard}. */
         ACK,
         /** Wants the receiver to probe another: {@code seq}, {@code target}, {@code address}. */
-        ASK,
+        PING_REQUEST,
         /** That other has answered well: {@code seq}, {@code heard}. */
-        RELAY,
+        INDIRECT_ACK,
         /** It has not, or badly: {@code seq}. */
         NACK,
         /** The sender's view in short: {@code marks}, one for each part of the names. */
-        MARKS,
+        PARTITION_DIGESTS,
         /**
          * Words of one part of the names, whole from {@code after} on: {@code parts}, {@code part}.
          */
-        PAGE,
+        PARTITION_PAGE,
         /** Words alone. */
-        WORDS,
+        UPDATES,
         /** What another subsystem tells: {@code topic}, {@code body}. */
-        RIDER
+        PAYLOAD
     }
 
     final Kind kind;
@@ -39,41 +39,41 @@
     final MemberUpdate sender;
 
     /** Counts the sender's datagrams in this life: what comes twice or too late is known by it. */
-    final long counter;
+    final long datagramNumber;
 
     /** Of the sender's view. */
-    final long digest;
+    final long viewDigest;
 
     /** For how long the sender's module has stood still, in hundredths of a second. */
-    final int lag;
+    final int stallCentis;
 
-    int seq;
+    int sequenceNumber;
     String target = "";
-    String address = "";
+    String targetAddress = "";
 
     /** The name of whoever the probe is made for; empty for the sender itself. */
-    String behalf = "";
+    String onBehalfOf = "";
 
     /** Whether the one that probes, or had it done, was heard of late without a detour. */
-    boolean heard;
+    boolean heardRecently;
 
-    int parts = 1;
-    int part;
-    String after = "";
+    int partitions = 1;
+    int partition;
+    String afterName = "";
 
     /** Whether a page goes on to the last name of its part. */
-    boolean end;
+    boolean lastPage;
 
-    int[] marks = {};
+    int[] partitionDigests = {};
     int topic;
-    byte[] body = {};
-    final List<MemberUpdate> words = new ArrayList<>();
+    byte[] payload = {};
+    final List<MemberUpdate> updates = new ArrayList<>();
 
     Message(Kind kind, MemberUpdate sender, long counter, long digest, int lag) {
         this.kind = kind;
         this.sender = sender;
-        this.counter = counter;
-        this.digest = digest;
-        this.lag = lag;
+        this.datagramNumber = counter;
+        this.viewDigest = digest;
+        this.stallCentis = lag;
     }
 }
--- a/src/main/java/cottonlock/membership/ProbeSchedule.java
+++ b/src/main/java/cottonlock/membership/ProbeSchedule.java
@@ -43,7 +43,7 @@
                 place = 0;
             }
             MemberRecord k = order.get(place++);
-            if (k.word.state().lives()) {
+            if (k.update.state().isLive()) {
                 return k;
             }
         }
@@ -54,12 +54,12 @@
      * Some of those that are wanted, from a random place on: a stretch of what is shuffled is
      * random.
      */
-    List<MemberRecord> some(int most, Predicate<MemberRecord> wanted) {
-        return some(most, true, wanted);
+    List<MemberRecord> sample(int most, Predicate<MemberRecord> wanted) {
+        return sample(most, true, wanted);
     }
 
     /** The same; {@code any} false: there are none, and need not be looked for. */
-    List<MemberRecord> some(int most, boolean any, Predicate<MemberRecord> wanted) {
+    List<MemberRecord> sample(int most, boolean any, Predicate<MemberRecord> wanted) {
         List<MemberRecord> some = new ArrayList<>();
         int n = order.size();
         int from = n == 0 ? 0 : random.nextInt(n);
@@ -75,7 +75,7 @@
     @Override
     public String toString() {
         StringBuilder names = new StringBuilder().append(place);
-        order.forEach(k -> names.append(' ').append(k.word.name()));
+        order.forEach(k -> names.append(' ').append(k.update.name()));
         return names.toString();
     }
 }
--- a/src/main/java/cottonlock/membership/ProtocolVariants.java
+++ b/src/main/java/cottonlock/membership/ProtocolVariants.java
@@ -10,58 +10,58 @@
 class ProtocolVariants {
 
     /** Whether a word holds in place of another. */
-    boolean outweighs(MemberUpdate one, MemberUpdate other) {
-        return one.outweighs(other);
+    boolean supersedes(MemberUpdate one, MemberUpdate other) {
+        return one.supersedes(other);
     }
 
     /** The turn by which a process contradicts a word of this turn on itself. */
-    int raised(int turn) {
-        return turn + 1;
+    int nextIncarnation(int incarnation) {
+        return incarnation + 1;
     }
 
     /** The life that a process begins where it finds another of its name. */
-    long begun(long life) {
-        return life + 1;
+    long nextGeneration(long generation) {
+        return generation + 1;
     }
 
     /** When a doubt is certain enough. */
-    long end(SuspicionTimer s) {
-        return s.end();
+    long suspicionExpiryTicks(SuspicionTimer s) {
+        return s.expiresAtTicks();
     }
 
     /**
      * Whether a failure is taken at another's word: of whoever has been in doubt here for long
      * enough.
      */
-    boolean believes(MemberRecord k, MemberUpdate failed, long now) {
+    boolean acceptsFailureReport(MemberRecord k, MemberUpdate failed, long now) {
         return k.suspicion != null
-                && k.word.turn() == failed.turn()
-                && k.word.compareLives(failed) == 0
-                && k.suspicion.heard(now);
+                && k.update.incarnation() == failed.incarnation()
+                && k.update.compareGenerations(failed) == 0
+                && k.suspicion.minimumElapsed(now);
     }
 
     /** Whether it probes a member itself before it calls it failed. */
-    boolean looksItself() {
+    boolean probesBeforeFailing() {
         return true;
     }
 
     /** Whether its own standstills keep a process from judging. */
-    boolean doubtsItself() {
+    boolean tracksLocalHealth() {
         return true;
     }
 
     /** Whether views that differ are mended. */
-    boolean mends() {
+    boolean repairsDivergence() {
         return true;
     }
 
     /** Whether the pages of a long part of the names begin at any of them. */
-    boolean beginsAnywhere() {
+    boolean startsPagesAtRandomName() {
         return true;
     }
 
     /** How often a change is told on. */
-    int times(int usual) {
+    int transmitLimit(int usual) {
         return usual;
     }
 }
--- a/src/main/java/cottonlock/membership/SuspicionTimer.java
+++ b/src/main/java/cottonlock/membership/SuspicionTimer.java
@@ -52,14 +52,14 @@
     }
 
     /** Others have waited for long enough; here it still gets the shortest time to clear itself. */
-    void certain() {
+    void confirmFully() {
         while (by.size() <= needed) {
             add(0);
         }
     }
 
     /** Whether it has had the shortest time. */
-    boolean heard(long now) {
+    boolean minimumElapsed(long now) {
         return now - since >= least;
     }
 
@@ -68,14 +68,14 @@
     }
 
     /** When it is certain enough. */
-    long end() {
+    long expiresAtTicks() {
         return Math.max(notBefore, since + Math.round(most - (most - least) * part));
     }
 
     /**
      * Whoever judges has stood still: that time counts for nothing, and a refutation may be late.
      */
-    void stood(long now, long stoodStill) {
+    void extendForStall(long now, long stoodStill) {
         since += stoodStill;
         notBefore = now + least;
     }
@@ -86,11 +86,11 @@
         return notBefore > now;
     }
 
-    long since() {
+    long startedAtTicks() {
         return since;
     }
 
-    int accusers() {
+    int accuserCount() {
         return by.size();
     }
 }
--- a/src/main/java/cottonlock/membership/UpdateBroadcastQueue.java
+++ b/src/main/java/cottonlock/membership/UpdateBroadcastQueue.java
@@ -16,12 +16,12 @@
 final class UpdateBroadcastQueue {
     /** A word that is being told, until another on the same name is. */
     private static final class Telling {
-        final MemberUpdate word;
+        final MemberUpdate update;
         int times;
         boolean outdated;
 
-        Telling(MemberUpdate word) {
-            this.word = word;
+        Telling(MemberUpdate update) {
+            this.update = update;
         }
     }
 
@@ -63,7 +63,7 @@
     private void forget(Telling old) {
         count--;
         if (!old.outdated) {
-            newest.remove(old.word.name());
+            newest.remove(old.update.name());
         }
     }
 
@@ -87,8 +87,8 @@
                 if (t.outdated || times >= most) {
                     i.remove();
                     forget(t);
-                } else if (!t.word.name().equals(about)) {
-                    room = out.word(t.word);
+                } else if (!t.update.name().equals(about)) {
+                    room = out.addUpdate(t.update);
                     if (room) {
                         i.remove();
                         t.times = times + 1;
--- a/src/main/java/cottonlock/proxy/MembershipAdapter.java
+++ b/src/main/java/cottonlock/proxy/MembershipAdapter.java
@@ -58,12 +58,12 @@
         sharesSocket = peerSocket != null && listen.equals(peerListen);
         List<InetSocketAddress> fixed = config.addresses("peers");
         List<String> contacts = new ArrayList<>();
-        fixed.forEach(address -> contacts.add(MembershipService.text(address)));
+        fixed.forEach(address -> contacts.add(MembershipService.addressText(address)));
         plan.seeds()
                 .forEach(
                         seed ->
                                 contacts.add(
-                                        MembershipService.text(
+                                        MembershipService.addressText(
                                                 ProxyConfiguration.address(
                                                         "membership.seeds", seed))));
         if (contacts.isEmpty()) {
@@ -73,7 +73,7 @@
         }
         int me = config.settings().count("Me", -1);
         String address =
-                MembershipService.text(
+                MembershipService.addressText(
                         !plan.advertise().isEmpty()
                                 ? ProxyConfiguration.address(
                                         "membership.advertise", plan.advertise())
--- a/src/main/java/cottonlock/proxy/Proxy.java
+++ b/src/main/java/cottonlock/proxy/Proxy.java
@@ -251,7 +251,7 @@
                             kept == null ? null : succession,
                             random.split(),
                             log);
-            figures.also(members.actor()::figures);
+            figures.also(members.actor()::metricsJson);
         }
         if (members == null || !members.readsForPeers()) {
             threads.add(Sockets.start("peers", peers));
@@ -289,7 +289,7 @@
 
         @Override
         public String members() {
-            return members == null ? null : members.actor().lines();
+            return members == null ? null : members.actor().statusLines();
         }
 
         @Override
--- a/src/test/java/cottonlock/membership/AntiEntropyTest.java
+++ b/src/test/java/cottonlock/membership/AntiEntropyTest.java
@@ -27,7 +27,7 @@
                 told(
                         new ProtocolVariants() {
                             @Override
-                            boolean beginsAnywhere() {
+                            boolean startsPagesAtRandomName() {
                                 return false;
                             }
                         }),
@@ -37,24 +37,25 @@
     /**
      * How many members one that knows all tells to one that asks again and again and knows nobody.
      */
-    private static int told(ProtocolVariants habits) {
+    private static int told(ProtocolVariants variants) {
         Set<String> told = new TreeSet<>();
         Membership machine =
                 new Membership(
                         MembershipProtocolConfig.USUAL,
-                        new Membership.Outlet() {
+                        new MembershipActions() {
                             @Override
                             public void send(String to, byte[] datagram) {
-                                Message m = DatagramCodec.read(datagram, datagram.length);
-                                if (m.kind == Message.Kind.PAGE) {
-                                    m.words.stream()
+                                Message m = DatagramCodec.decode(datagram, datagram.length);
+                                if (m.kind == Message.Kind.PARTITION_PAGE) {
+                                    m.updates.stream()
                                             .filter(w -> w.name().startsWith("x"))
                                             .forEach(w -> told.add(w.name()));
                                 }
                             }
 
                             @Override
-                            public void changed(String who, MemberState state, String reason) {}
+                            public void memberStateChanged(
+                                    String who, MemberState state, String reason) {}
                         },
                         "me",
                         "10.0.0.1:1",
@@ -63,18 +64,18 @@
                         1_000,
                         0,
                         new SplittableRandom(1),
-                        habits);
+                        variants);
         machine.start(0);
         MemberUpdate asker =
                 new MemberUpdate("asker", "10.0.0.2:1", 1_000, 0, MemberState.ALIVE, 0);
         long counter = 0;
         for (int i = 0; i < MEMBERS; ) {
             DatagramCodec.Writer out =
-                    DatagramCodec.begin(
-                            new Message(Message.Kind.WORDS, asker, ++counter, 0, 0),
-                            DatagramCodec.LONGEST);
+                    DatagramCodec.writerFor(
+                            new Message(Message.Kind.UPDATES, asker, ++counter, 0, 0),
+                            DatagramCodec.MAX_DATAGRAM_BYTES);
             while (i < MEMBERS
-                    && out.word(
+                    && out.addUpdate(
                             new MemberUpdate(
                                     "x" + i,
                                     "10.1.0.1:" + (1 + i),
@@ -84,14 +85,14 @@
                                     0))) {
                 i++;
             }
-            machine.heard(0, asker.address(), out.done(), out.size());
+            machine.datagramReceived(0, asker.address(), out.toBytes(), out.size());
         }
         for (int i = 1; i <= REQUESTS; i++) {
-            Message m = new Message(Message.Kind.MARKS, asker, ++counter, 0, 0);
-            m.marks = new int[DatagramCodec.MOST_PARTS];
-            DatagramCodec.Writer out = DatagramCodec.begin(m, DatagramCodec.LONGEST);
+            Message m = new Message(Message.Kind.PARTITION_DIGESTS, asker, ++counter, 0, 0);
+            m.partitionDigests = new int[DatagramCodec.MAX_PARTITIONS];
+            DatagramCodec.Writer out = DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES);
             // A tenth of a second apart: a page or so can be sent meanwhile.
-            machine.heard(i * 1_000L, asker.address(), out.done(), out.size());
+            machine.datagramReceived(i * 1_000L, asker.address(), out.toBytes(), out.size());
         }
         return told.size();
     }
--- a/src/test/java/cottonlock/membership/DatagramAuthenticatorTest.java
+++ b/src/test/java/cottonlock/membership/DatagramAuthenticatorTest.java
@@ -28,23 +28,23 @@
         DatagramAuthenticator changing = new DatagramAuthenticator(List.of(two, one));
         DatagramAuthenticator after = new DatagramAuthenticator(List.of(two));
         byte[] datagram = {(byte) DatagramCodec.MAGIC, 1, 2, 3};
-        byte[] sealed = before.seal(datagram);
-        assertEquals(datagram.length + DatagramAuthenticator.TAG, sealed.length);
+        byte[] sealed = before.sign(datagram);
+        assertEquals(datagram.length + DatagramAuthenticator.TAG_BYTES, sealed.length);
         assertArrayEquals(
                 datagram, Arrays.copyOf(sealed, 4), "the datagram itself can be read by anybody");
-        assertEquals(4, before.open(sealed, sealed.length));
-        assertEquals(4, changing.open(sealed, sealed.length));
-        assertEquals(-1, after.open(sealed, sealed.length));
-        byte[] later = changing.seal(datagram);
-        assertEquals(4, after.open(later, later.length));
-        assertEquals(-1, before.open(later, later.length));
+        assertEquals(4, before.verify(sealed, sealed.length));
+        assertEquals(4, changing.verify(sealed, sealed.length));
+        assertEquals(-1, after.verify(sealed, sealed.length));
+        byte[] later = changing.sign(datagram);
+        assertEquals(4, after.verify(later, later.length));
+        assertEquals(-1, before.verify(later, later.length));
         for (int i = 0; i < sealed.length; i++) {
             byte[] changed = sealed.clone();
             changed[i] ^= 1;
-            assertEquals(-1, before.open(changed, changed.length), "byte " + i);
+            assertEquals(-1, before.verify(changed, changed.length), "byte " + i);
         }
         for (int length = 0; length < sealed.length; length++) {
-            assertEquals(-1, before.open(sealed, length), length + " bytes");
+            assertEquals(-1, before.verify(sealed, length), length + " bytes");
         }
     }
 
--- a/src/test/java/cottonlock/membership/DatagramCodecTest.java
+++ b/src/test/java/cottonlock/membership/DatagramCodecTest.java
@@ -52,26 +52,26 @@
                 new MemberUpdate(
                         "proxy-1", "10.0.0.1:7946", 1_700_000_000_123L, 3, MemberState.JOINING, 0);
         Message m = new Message(kind, sender, 0xfedc_ba98L, 0x0123_4567_89ab_cdefL, 515);
-        m.seq = 0x8877_6655;
+        m.sequenceNumber = 0x8877_6655;
         m.target = "proxy-2";
-        m.address = "[::1]:7946";
-        m.behalf = "proxy-3";
-        m.heard = true;
-        m.parts = 32;
-        m.part = 31;
-        m.after = "proxy-4";
-        m.end = true;
-        m.marks = new int[] {1, -2, 0x7fff_ffff, 4};
+        m.targetAddress = "[::1]:7946";
+        m.onBehalfOf = "proxy-3";
+        m.heardRecently = true;
+        m.partitions = 32;
+        m.partition = 31;
+        m.afterName = "proxy-4";
+        m.lastPage = true;
+        m.partitionDigests = new int[] {1, -2, 0x7fff_ffff, 4};
         m.topic = 7;
-        m.body = new byte[] {0, -1, 100};
+        m.payload = new byte[] {0, -1, 100};
         return m;
     }
 
     private static byte[] encoded(Message m) {
-        DatagramCodec.Writer out = DatagramCodec.begin(m, DatagramCodec.LONGEST);
+        DatagramCodec.Writer out = DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES);
         int number = 0;
         for (MemberState state : MemberState.values()) {
-            out.word(
+            out.addUpdate(
                     new MemberUpdate(
                             "m" + number,
                             number % 2 == 0 ? "192.168.0.25:65535" : "[fe80::1]:1",
@@ -83,7 +83,7 @@
                                     : 0));
             number++;
         }
-        return out.done();
+        return out.toBytes();
     }
 
     @Example
@@ -103,11 +103,12 @@
     void recordedDatagramsAreReadAndWrittenAgainUnchanged() {
         for (int number = 0; number < RECORDED.size(); number++) {
             byte[] bytes = HexFormat.of().parseHex(recorded(number));
-            Message read = DatagramCodec.read(bytes, bytes.length);
+            Message read = DatagramCodec.decode(bytes, bytes.length);
             assertNotNull(read, "kind " + number);
-            DatagramCodec.Writer out = DatagramCodec.begin(read, DatagramCodec.LONGEST);
-            read.words.forEach(out::word);
-            assertEquals(recorded(number), HexFormat.of().formatHex(out.done()));
+            DatagramCodec.Writer out =
+                    DatagramCodec.writerFor(read, DatagramCodec.MAX_DATAGRAM_BYTES);
+            read.updates.forEach(out::addUpdate);
+            assertEquals(recorded(number), HexFormat.of().formatHex(out.toBytes()));
         }
     }
 
@@ -122,10 +123,10 @@
                         new World(20261203),
                         14,
                         MembershipProtocolConfig.USUAL,
-                        (r, out, name, address, contacts, closed, life, tag, random) ->
+                        (r, out, name, address, contacts, closed, generation, tag, random) ->
                                 new Membership(
                                         r,
-                                        new Membership.Outlet() {
+                                        new MembershipActions() {
                                             @Override
                                             public void send(String to, byte[] datagram) {
                                                 digest.update(
@@ -137,17 +138,17 @@
                                             }
 
                                             @Override
-                                            public void changed(
+                                            public void memberStateChanged(
                                                     String who, MemberState state, String reason) {
                                                 digest.update((who + state).getBytes(UTF_8));
-                                                out.changed(who, state, reason);
+                                                out.memberStateChanged(who, state, reason);
                                             }
                                         },
                                         name,
                                         address,
                                         contacts,
                                         closed,
-                                        life,
+                                        generation,
                                         tag,
                                         random));
         Fleet fleet = at[0];
--- a/src/test/java/cottonlock/membership/MemberTableTest.java
+++ b/src/test/java/cottonlock/membership/MemberTableTest.java
@@ -47,9 +47,9 @@
         if (k == null) {
             table.replace(table.add(w, 0), w, false);
         } else if (what == 0) {
-            table.drop(k);
+            table.remove(k);
         } else if (what == 1) {
-            table.differs(k, random.nextBoolean() ? MemberRecord.NEVER : 7);
+            table.setDivergedSince(k, random.nextBoolean() ? MemberRecord.NEVER : 7);
         } else {
             table.replace(k, w, true);
         }
@@ -58,26 +58,26 @@
     private static void compare(MemberTable table, Set<String> contacts) {
         int alive = 0;
         int differing = 0;
-        long digest = ME.mark();
+        long digest = ME.digest();
         Set<String> open = new TreeSet<>(contacts);
-        for (MemberRecord k : table.all()) {
-            alive += k.word.state().lives() ? 1 : 0;
-            digest += k.word.state().lives() ? k.word.mark() : 0;
-            differing += k.differs() ? 1 : 0;
-            if (k.word.state() == MemberState.FAILED) {
-                open.add(k.word.address());
+        for (MemberRecord k : table.members()) {
+            alive += k.update.state().isLive() ? 1 : 0;
+            digest += k.update.state().isLive() ? k.update.digest() : 0;
+            differing += k.diverges() ? 1 : 0;
+            if (k.update.state() == MemberState.FAILED) {
+                open.add(k.update.address());
             }
-            assertSame(k, table.get(k.word.name()));
-            assertSame(k, table.hashed(k.hash));
+            assertSame(k, table.get(k.update.name()));
+            assertSame(k, table.byNameHash(k.nameHash));
         }
-        table.all().stream()
-                .filter(k -> k.word.state().lives())
-                .forEach(k -> open.remove(k.word.address()));
+        table.members().stream()
+                .filter(k -> k.update.state().isLive())
+                .forEach(k -> open.remove(k.update.address()));
         open.remove("10.0.0.7:1");
-        assertEquals(new ArrayList<>(open), table.addresses().open("10.0.0.7:1"));
-        assertEquals(alive, table.alive());
+        assertEquals(new ArrayList<>(open), table.contactAddresses().candidates("10.0.0.7:1"));
+        assertEquals(alive, table.liveCount());
         assertEquals(digest, table.digest());
-        assertEquals(differing, table.differing());
+        assertEquals(differing, table.divergingCount());
         for (int parts : new int[] {1, 2, 7, 8, 16, 31, 32}) {
             parts(table, parts);
         }
@@ -88,17 +88,17 @@
         for (int part = 0; part < parts; part++) {
             List<MemberUpdate> words = new ArrayList<>();
             List<MemberRecord> between = new ArrayList<>();
-            boolean me = Math.floorMod(MemberUpdate.hash("me"), parts) == part;
-            for (MemberRecord k : table.all()) {
-                if (me && k.word.name().compareTo("me") > 0) {
+            boolean me = Math.floorMod(MemberUpdate.nameHash("me"), parts) == part;
+            for (MemberRecord k : table.members()) {
+                if (me && k.update.name().compareTo("me") > 0) {
                     words.add(ME);
                     me = false;
                 }
-                if (k.part(parts) == part) {
-                    if (k.word.state().lives()) {
-                        words.add(k.word);
+                if (k.partition(parts) == part) {
+                    if (k.update.state().isLive()) {
+                        words.add(k.update);
                     }
-                    String name = k.word.name();
+                    String name = k.update.name();
                     if (name.compareTo("n150") > 0 && name.compareTo("n27") <= 0) {
                         between.add(k);
                     }
@@ -108,15 +108,15 @@
                 words.add(ME);
             }
             for (MemberUpdate w : words) {
-                marks[part] += (int) (w.mark() >>> 32);
+                marks[part] += (int) (w.digest() >>> 32);
             }
-            assertEquals(words, table.words(parts, part), "part " + part + " of " + parts);
+            assertEquals(words, table.liveUpdates(parts, part), "part " + part + " of " + parts);
             assertEquals(
                     between,
-                    table.between(parts, part, "n150", "n27"),
+                    table.membersBetween(parts, part, "n150", "n27"),
                     "part " + part + " of " + parts);
         }
-        assertArrayEquals(marks, table.marks(parts), parts + " parts");
+        assertArrayEquals(marks, table.partitionDigests(parts), parts + " parts");
     }
 
     /** Names with one hash are rare by chance, and can be made on purpose: they are told apart. */
@@ -129,20 +129,20 @@
             table.replace(table.add(w, 0), w, false);
         }
         for (String name : alike) {
-            assertEquals(name, table.get(name).word.name());
+            assertEquals(name, table.get(name).update.name());
         }
-        table.drop(table.get(alike[0]));
+        table.remove(table.get(alike[0]));
         assertEquals(null, table.get(alike[0]));
-        assertEquals(alike[1], table.get(alike[1]).word.name());
-        assertEquals(alike[1], table.hashed(MemberUpdate.hash(alike[1])).word.name());
-        assertEquals(1, table.alive());
+        assertEquals(alike[1], table.get(alike[1]).update.name());
+        assertEquals(alike[1], table.byNameHash(MemberUpdate.nameHash(alike[1])).update.name());
+        assertEquals(1, table.liveCount());
     }
 
     private static String[] alike() {
         java.util.Map<Integer, String> seen = new java.util.HashMap<>();
         for (int i = 0; ; i++) {
             String name = "x" + i;
-            String before = seen.put(MemberUpdate.hash(name), name);
+            String before = seen.put(MemberUpdate.nameHash(name), name);
             if (before != null) {
                 return new String[] {before, name};
             }
--- a/src/test/java/cottonlock/membership/MembershipTest.java
+++ b/src/test/java/cottonlock/membership/MembershipTest.java
@@ -56,16 +56,24 @@
     }
 
     private static Fleet fleet(
-            long seed, int size, MembershipProtocolConfig rules, ProtocolVariants habits) {
+            long seed, int size, MembershipProtocolConfig rules, ProtocolVariants variants) {
         Fleet fleet =
                 new Fleet(
                         new World(seed),
                         size,
                         rules,
-                        (r, out, name, at, contacts, closed, life, tag, random) ->
+                        (r, out, name, at, contacts, closed, generation, tag, random) ->
                                 new Membership(
-                                        r, out, name, at, contacts, closed, life, tag, random,
-                                        habits));
+                                        r,
+                                        out,
+                                        name,
+                                        at,
+                                        contacts,
+                                        closed,
+                                        generation,
+                                        tag,
+                                        random,
+                                        variants));
         fleet.startAll(SECOND);
         fleet.world.until(6 * SECOND);
         return fleet;
@@ -183,7 +191,7 @@
                                         seed,
                                         new ProtocolVariants() {
                                             @Override
-                                            boolean believes(
+                                            boolean acceptsFailureReport(
                                                     MemberRecord k, MemberUpdate failed, long now) {
                                                 return true;
                                             }
@@ -191,7 +199,7 @@
                                 == 0);
     }
 
-    private static int ownFailures(long seed, ProtocolVariants habits) {
+    private static int ownFailures(long seed, ProtocolVariants variants) {
         int[] own = {0};
         Fleet[] at = new Fleet[1];
         at[0] =
@@ -199,17 +207,17 @@
                         new World(seed),
                         12,
                         usual(),
-                        (r, out, name, address, contacts, closed, life, tag, random) ->
+                        (r, out, name, address, contacts, closed, generation, tag, random) ->
                                 new Membership(
                                         r,
-                                        new Membership.Outlet() {
+                                        new MembershipActions() {
                                             @Override
                                             public void send(String to, byte[] datagram) {
                                                 out.send(to, datagram);
                                             }
 
                                             @Override
-                                            public void changed(
+                                            public void memberStateChanged(
                                                     String who, MemberState state, String reason) {
                                                 boolean same =
                                                         (number(who) + number(name)) % 2 == 0;
@@ -226,10 +234,10 @@
                                         address,
                                         contacts,
                                         closed,
-                                        life,
+                                        generation,
                                         tag,
                                         random,
-                                        habits));
+                                        variants));
         at[0].startAll(SECOND);
         at[0].world.until(6 * SECOND);
         at[0].split(2);
@@ -259,12 +267,12 @@
         fleet.world.cut((from, to) -> from == 0 && to == 1);
         pass(fleet, 60);
         return fleet.falseFailures.isEmpty()
-                && reach(fleet, 0, "n1") == MembershipView.Reach.HEARS_NOT
-                && reach(fleet, 1, "n0") == MembershipView.Reach.NOT_HEARD;
+                && reach(fleet, 0, "n1") == MembershipView.Reach.INBOUND_ONLY
+                && reach(fleet, 1, "n0") == MembershipView.Reach.OUTBOUND_ONLY;
     }
 
     private static MembershipView.Reach reach(Fleet fleet, int viewer, String name) {
-        return fleet.nodes.get(viewer).view().lines().stream()
+        return fleet.nodes.get(viewer).view().members().stream()
                 .filter(l -> l.name().equals(name))
                 .findFirst()
                 .orElseThrow()
@@ -326,7 +334,7 @@
                                 seed,
                                 new Hasty() {
                                     @Override
-                                    boolean doubtsItself() {
+                                    boolean tracksLocalHealth() {
                                         return false;
                                     }
                                 }));
@@ -335,7 +343,7 @@
     /** Calls failed whom others doubt, without a look of its own. */
     private static class Hasty extends ProtocolVariants {
         @Override
-        boolean looksItself() {
+        boolean probesBeforeFailing() {
             return false;
         }
     }
@@ -349,16 +357,16 @@
         defended(seed -> looks(seed, new ProtocolVariants()), seed -> looks(seed, new Hasty()));
     }
 
-    private static boolean looks(long seed, ProtocolVariants habits) {
-        Fleet fleet = fleet(seed, 50, usual(), habits);
+    private static boolean looks(long seed, ProtocolVariants variants) {
+        Fleet fleet = fleet(seed, 50, usual(), variants);
         fleet.world.trouble(0.3, 0, 0);
         pass(fleet, 200);
         return fleet.falseFailures.isEmpty();
     }
 
-    private static boolean wakes(long seed, ProtocolVariants habits) {
+    private static boolean wakes(long seed, ProtocolVariants variants) {
         // Datagrams are lost, so that there are doubts at any time.
-        Fleet fleet = fleet(seed, 10, usual(), habits);
+        Fleet fleet = fleet(seed, 10, usual(), variants);
         fleet.world.trouble(0.25, 0, 0);
         for (int i = 0; i < 10; i++) {
             int stopped = i;
@@ -405,14 +413,14 @@
                                 seed,
                                 new ProtocolVariants() {
                                     @Override
-                                    long begun(long life) {
-                                        return life - 1;
+                                    long nextGeneration(long generation) {
+                                        return generation - 1;
                                     }
                                 }));
     }
 
-    private static boolean backInTime(long seed, ProtocolVariants habits) {
-        Fleet fleet = fleet(seed, 5, usual(), habits);
+    private static boolean backInTime(long seed, ProtocolVariants variants) {
+        Fleet fleet = fleet(seed, 5, usual(), variants);
         fleet.nodes.get(1).kill();
         pass(fleet, 0.5);
         fleet.nodes.get(1).start(-600 * SECOND);
@@ -432,20 +440,21 @@
         fleet.world.cut((from, to) -> false);
         Fleet.Node moved = fleet.nodes.get(2);
         World world = fleet.world;
-        Membership.Outlet[] spy = new Membership.Outlet[1];
+        MembershipActions[] spy = new MembershipActions[1];
         assertNull(spy[0]);
         // Datagrams as its former life made them, by a machine of the same name and life.
         Membership former =
                 new Membership(
                         usual(),
-                        new Membership.Outlet() {
+                        new MembershipActions() {
                             @Override
                             public void send(String to, byte[] datagram) {
                                 old.add(datagram);
                             }
 
                             @Override
-                            public void changed(String who, MemberState state, String reason) {}
+                            public void memberStateChanged(
+                                    String who, MemberState state, String reason) {}
                         },
                         moved.name,
                         moved.address,
@@ -455,7 +464,7 @@
                         0,
                         new SplittableRandom(1));
         former.start(0);
-        former.wake(0);
+        former.timerFired(0);
         former.leave(10);
         assertFalse(old.isEmpty());
         for (int i = 0; i < 20; i++) {
@@ -463,12 +472,12 @@
                 fleet.nodes
                         .get(0)
                         .machine
-                        .heard(world.now(), moved.address, datagram, datagram.length);
+                        .datagramReceived(world.now(), moved.address, datagram, datagram.length);
             }
             pass(fleet, 0.3);
         }
         assertTrue(fleet.agree());
-        assertTrue(fleet.nodes.get(0).view().counts().get(MembershipMetric.OUTDATED) >= 20);
+        assertTrue(fleet.nodes.get(0).view().metrics().get(MembershipMetric.STALE) >= 20);
         assertEquals(List.of(), fleet.falseFailures);
     }
 
@@ -490,7 +499,7 @@
             machines.add(
                     new Membership(
                             usual(),
-                            new Membership.Outlet() {
+                            new MembershipActions() {
                                 @Override
                                 public void send(String to, byte[] datagram) {
                                     int there = addresses.indexOf(to);
@@ -506,7 +515,7 @@
                                                             it,
                                                             up,
                                                             there,
-                                                            it.heard(
+                                                            it.datagramReceived(
                                                                     world.now(),
                                                                     addresses.get(me),
                                                                     bytes,
@@ -516,7 +525,8 @@
                                 }
 
                                 @Override
-                                public void changed(String who, MemberState state, String reason) {
+                                public void memberStateChanged(
+                                        String who, MemberState state, String reason) {
                                     told.add(me + " " + who + " " + state + " " + reason);
                                 }
                             },
@@ -542,7 +552,7 @@
                 "127.0.0.1:4",
                 address(machines.get(0), world),
                 "the later one speaks for the name");
-        assertEquals(2, machines.get(0).alive());
+        assertEquals(2, machines.get(0).liveOthers());
         up[3] = false;
         world.until(40 * SECOND);
         assertEquals(
@@ -554,14 +564,14 @@
         world.at(
                 at,
                 () -> {
-                    if (up[number] && machine.wakesBy(world.now())) {
-                        wake(world, machine, up, number, machine.wake(world.now()));
+                    if (up[number] && machine.isDue(world.now())) {
+                        wake(world, machine, up, number, machine.timerFired(world.now()));
                     }
                 });
     }
 
     private static String address(Membership machine, World world) {
-        return machine.view(world.now()).lines().stream()
+        return machine.view(world.now()).members().stream()
                 .filter(l -> l.name().equals("twin"))
                 .findFirst()
                 .orElseThrow()
@@ -578,19 +588,20 @@
         pass(fleet, 30);
         long full = 0;
         for (Fleet.Node node : fleet.nodes) {
-            assertTrue(node.view().lines().size() <= 8, "members of " + node.name);
-            full += node.view().counts().get(MembershipMetric.FULL);
+            assertTrue(node.view().members().size() <= 8, "members of " + node.name);
+            full += node.view().metrics().get(MembershipMetric.REJECTED_WHEN_FULL);
         }
         assertTrue(full > 0, "who found no room is counted");
         Membership one =
                 new Membership(
                         rules(3, 3, 20_000, 64, 20 * SECOND, 3, 2),
-                        new Membership.Outlet() {
+                        new MembershipActions() {
                             @Override
                             public void send(String to, byte[] datagram) {}
 
                             @Override
-                            public void changed(String who, MemberState state, String reason) {}
+                            public void memberStateChanged(
+                                    String who, MemberState state, String reason) {}
                         },
                         "me",
                         "127.0.0.1:1",
@@ -606,20 +617,22 @@
                     new MemberUpdate(
                             "x" + i, "127.0.0.1:" + (2 + i), 1_000, 0, MemberState.ALIVE, 0);
             DatagramCodec.Writer hello =
-                    DatagramCodec.begin(
-                            new Message(Message.Kind.PING, other, 1, 0, 0), DatagramCodec.LONGEST);
-            one.heard(now, other.address(), hello.done(), hello.size());
-            MemberUpdate left = other.with(MemberState.LEFT, 0);
+                    DatagramCodec.writerFor(
+                            new Message(Message.Kind.PING, other, 1, 0, 0),
+                            DatagramCodec.MAX_DATAGRAM_BYTES);
+            one.datagramReceived(now, other.address(), hello.toBytes(), hello.size());
+            MemberUpdate left = other.withState(MemberState.LEFT, 0);
             DatagramCodec.Writer bye =
-                    DatagramCodec.begin(
-                            new Message(Message.Kind.WORDS, left, 2, 0, 0), DatagramCodec.LONGEST);
-            one.heard(now, other.address(), bye.done(), bye.size());
+                    DatagramCodec.writerFor(
+                            new Message(Message.Kind.UPDATES, left, 2, 0, 0),
+                            DatagramCodec.MAX_DATAGRAM_BYTES);
+            one.datagramReceived(now, other.address(), bye.toBytes(), bye.size());
             now += 100;
-            one.wake(now);
+            one.timerFired(now);
         }
-        assertTrue(one.view(now).lines().size() <= 64);
-        one.wake(now + 60 * SECOND);
-        assertEquals(1, one.view(now + 60 * SECOND).lines().size(), "who has left is forgotten");
+        assertTrue(one.view(now).members().size() <= 64);
+        one.timerFired(now + 60 * SECOND);
+        assertEquals(1, one.view(now + 60 * SECOND).members().size(), "who has left is forgotten");
     }
 
     /**
@@ -639,7 +652,7 @@
             pass(fleet, 0.1);
             for (int other : new int[] {0, 3, 4}) {
                 MemberState state = fleet.nodes.get(other).machine.stateOf("n2");
-                if (state != null && state.lives()) {
+                if (state != null && state.isLive()) {
                     told.add("n" + other + " holds n2 for " + state);
                 }
             }
@@ -659,7 +672,7 @@
                         new World(9),
                         5,
                         usual(),
-                        (r, out, name, at, contacts, closed, life, tag, random) ->
+                        (r, out, name, at, contacts, closed, generation, tag, random) ->
                                 new Membership(
                                         r,
                                         out,
@@ -667,17 +680,17 @@
                                         at,
                                         contacts.subList(0, 2),
                                         false,
-                                        life,
+                                        generation,
                                         tag,
                                         random));
         for (int i = 2; i < 5; i++) {
             fleet.nodes.get(i).start(0);
         }
         pass(fleet, 10);
-        assertEquals(0, fleet.nodes.get(3).machine.alive(), "nobody can be found");
+        assertEquals(0, fleet.nodes.get(3).machine.liveOthers(), "nobody can be found");
         assertEquals(
                 MemberState.ALIVE,
-                fleet.nodes.get(3).view().lines().get(0).state(),
+                fleet.nodes.get(3).view().members().get(0).state(),
                 "and it serves");
         fleet.nodes.get(0).start(0);
         assertTrue(fleet.untilAgreed(6 * SECOND) >= 0);
@@ -696,7 +709,7 @@
                         new World(11),
                         4,
                         usual(),
-                        (r, out, name, at, contacts, closed, life, tag, random) ->
+                        (r, out, name, at, contacts, closed, generation, tag, random) ->
                                 new Membership(
                                         r,
                                         out,
@@ -704,7 +717,7 @@
                                         at,
                                         contacts,
                                         closed,
-                                        life,
+                                        generation,
                                         tag,
                                         random));
         fleet.startAll(SECOND);
@@ -721,12 +734,12 @@
             assertEquals("127.0.0.1:10002", line(view, "n3").address());
             assertEquals(MemberState.ALIVE, line(view, "n3").state());
             assertEquals("127.0.0.1:10003", line(view, "other").address());
-            assertFalse(line(view, "n2").state().lives(), "nobody goes by that name any more");
+            assertFalse(line(view, "n2").state().isLive(), "nobody goes by that name any more");
         }
     }
 
-    private static MembershipView.Line line(MembershipView view, String name) {
-        return view.lines().stream().filter(l -> l.name().equals(name)).findFirst().orElseThrow();
+    private static MembershipView.Member line(MembershipView view, String name) {
+        return view.members().stream().filter(l -> l.name().equals(name)).findFirst().orElseThrow();
     }
 
     /**
@@ -742,7 +755,7 @@
                                         seed,
                                         new ProtocolVariants() {
                                             @Override
-                                            int times(int usual) {
+                                            int transmitLimit(int usual) {
                                                 return 1_000_000;
                                             }
                                         })
@@ -750,8 +763,8 @@
     }
 
     /** Bytes a second in the mean of the quiet minute after a minute of comings and goings. */
-    private static long churn(long seed, ProtocolVariants habits) {
-        Fleet fleet = fleet(seed, 16, usual(), habits);
+    private static long churn(long seed, ProtocolVariants variants) {
+        Fleet fleet = fleet(seed, 16, usual(), variants);
         for (int i = 0; i < 60; i++) {
             Fleet.Node node = fleet.nodes.get(4 + i % 12);
             if (node.up) {
@@ -795,14 +808,14 @@
                         random.nextLong(1L << 32),
                         random.nextLong(),
                         random.nextInt(1 << 16));
-        m.seq = random.nextInt();
+        m.sequenceNumber = random.nextInt();
         m.target = "n1";
-        m.address = "10.0.0.2:1";
-        m.parts = 4;
-        m.part = random.nextInt(4);
-        m.marks = new int[] {random.nextInt(), 2, 3, 4};
-        m.body = new byte[random.nextInt(20)];
-        DatagramCodec.Writer out = DatagramCodec.begin(m, DatagramCodec.LONGEST);
+        m.targetAddress = "10.0.0.2:1";
+        m.partitions = 4;
+        m.partition = random.nextInt(4);
+        m.partitionDigests = new int[] {random.nextInt(), 2, 3, 4};
+        m.payload = new byte[random.nextInt(20)];
+        DatagramCodec.Writer out = DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES);
         MemberUpdate word =
                 new MemberUpdate(
                         "other",
@@ -811,25 +824,25 @@
                         6,
                         MemberState.values()[random.nextInt(5)],
                         7);
-        boolean fits = out.word(word);
-        Message read = DatagramCodec.read(out.done(), out.size());
+        boolean fits = out.addUpdate(word);
+        Message read = DatagramCodec.decode(out.toBytes(), out.size());
         assertNotNull(read);
         assertEquals(me, read.sender);
-        assertEquals(fits ? 1 : 0, read.words.size());
+        assertEquals(fits ? 1 : 0, read.updates.size());
         assertEquals(kind, read.kind);
-        byte[] bytes = out.done();
+        byte[] bytes = out.toBytes();
         for (int i = 0; i < 1 + random.nextInt(6); i++) {
             bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
         }
         int length = random.nextInt(bytes.length + 1);
-        DatagramCodec.read(bytes, length);
+        DatagramCodec.decode(bytes, length);
         Membership victim = fleet(1, 2).nodes.get(0).machine;
-        victim.heard(7 * SECOND, "10.0.0.1:7946", bytes, length);
+        victim.datagramReceived(7 * SECOND, "10.0.0.1:7946", bytes, length);
         byte[] noise = new byte[random.nextInt(300)];
         for (int i = 0; i < noise.length; i++) {
             noise[i] = (byte) random.nextInt(256);
         }
-        victim.heard(7 * SECOND, "127.0.0.1:10001", noise, noise.length);
+        victim.datagramReceived(7 * SECOND, "127.0.0.1:10001", noise, noise.length);
     }
 
     /**
--- a/src/test/java/cottonlock/membership/SmallWorldsTest.java
+++ b/src/test/java/cottonlock/membership/SmallWorldsTest.java
@@ -56,7 +56,7 @@
 
     /** One world, played by a path of steps. */
     private static final class Play {
-        final ProtocolVariants habits;
+        final ProtocolVariants variants;
         final boolean bySeed;
         final Membership[] machines = new Membership[3];
         final long[] now = {0, 0, 0};
@@ -74,8 +74,8 @@
         int stalls;
         String failedInCall;
 
-        Play(Beginning beginning, ProtocolVariants habits) {
-            this.habits = habits;
+        Play(Beginning beginning, ProtocolVariants variants) {
+            this.variants = variants;
             this.bySeed = beginning == Beginning.JOINING_BY_ONE;
             for (int p = 0; p < 3; p++) {
                 held.add(new TreeMap<>());
@@ -111,7 +111,7 @@
                 cut[2][0] = true;
                 until(
                         () ->
-                                machines[0].alive() == 0
+                                machines[0].liveOthers() == 0
                                         && machines[1].stateOf("a") == MemberState.FAILED
                                         && machines[2].stateOf("a") == MemberState.FAILED);
                 cut = new boolean[3][3];
@@ -138,7 +138,7 @@
             machines[p] =
                     new Membership(
                             RULES,
-                            new Membership.Outlet() {
+                            new MembershipActions() {
                                 @Override
                                 public void send(String to, byte[] datagram) {
                                     underWay.add(
@@ -147,7 +147,8 @@
                                 }
 
                                 @Override
-                                public void changed(String who, MemberState state, String reason) {
+                                public void memberStateChanged(
+                                        String who, MemberState state, String reason) {
                                     failedInCall = state == MemberState.FAILED ? who : failedInCall;
                                 }
                             },
@@ -158,7 +159,7 @@
                             1_000_000 - 1_000L * start,
                             0,
                             new SplittableRandom(p + 10L * start),
-                            habits);
+                            variants);
             wakeAt[p] = machines[p].start(now[p]);
         }
 
@@ -201,7 +202,7 @@
                 }
                 case 1 -> {
                     now[p] = Math.max(now[p], wakeAt[p]);
-                    wakeAt[p] = machines[p].wake(now[p]);
+                    wakeAt[p] = machines[p].timerFired(now[p]);
                 }
                 case 2 -> kill(p);
                 case 3 -> start(p);
@@ -209,7 +210,7 @@
                     stalls++;
                     now[p] = Math.max(now[p], wakeAt[p]) + 100_000;
                     failedInCall = null;
-                    wakeAt[p] = machines[p].wake(now[p]);
+                    wakeAt[p] = machines[p].timerFired(now[p]);
                     if (failedInCall != null) {
                         throw new Wrong(
                                 name(p) + " has stood still and calls " + failedInCall + " failed");
@@ -224,37 +225,45 @@
 
         private void deliver(Datagram d) {
             wakeAt[d.to] =
-                    machines[d.to].heard(now[d.to], address(d.from), d.bytes, d.bytes.length);
+                    machines[d.to].datagramReceived(
+                            now[d.to], address(d.from), d.bytes, d.bytes.length);
         }
 
         /** Words move forward only, and none goes beyond what its subject has said of itself. */
         private void check() {
             for (int p = 0; p < 3; p++) {
-                MembershipView.Line own = machines[p].view(now[p]).lines().get(0);
+                MembershipView.Member own = machines[p].view(now[p]).members().get(0);
                 MemberUpdate w =
                         new MemberUpdate(
                                 own.name(),
                                 own.address(),
-                                own.life(),
-                                own.turn(),
+                                own.generation(),
+                                own.incarnation(),
                                 MemberState.JOINING,
                                 0);
-                said.merge(own.name(), w, (one, other) -> one.outweighs(other) ? one : other);
+                said.merge(own.name(), w, (one, other) -> one.supersedes(other) ? one : other);
             }
             for (int p = 0; p < 3; p++) {
                 if (!up[p]) {
                     continue;
                 }
-                for (MembershipView.Line l : machines[p].view(now[p]).lines()) {
+                for (MembershipView.Member l : machines[p].view(now[p]).members()) {
                     MemberUpdate w =
                             new MemberUpdate(
-                                    l.name(), l.address(), l.life(), l.turn(), l.state(), 0);
+                                    l.name(),
+                                    l.address(),
+                                    l.generation(),
+                                    l.incarnation(),
+                                    l.state(),
+                                    0);
                     MemberUpdate before = held.get(p).put(w.name(), w);
-                    if (before != null && before.outweighs(w)) {
+                    if (before != null && before.supersedes(w)) {
                         throw new Wrong(name(p) + " believes " + w + " after " + before);
                     }
                     MemberUpdate own = said.get(l.name());
-                    if (l.life() > own.life() || l.life() == own.life() && l.turn() > own.turn()) {
+                    if (l.generation() > own.generation()
+                            || l.generation() == own.generation()
+                                    && l.incarnation() > own.incarnation()) {
                         throw new Wrong(
                                 name(p)
                                         + " holds "
@@ -284,7 +293,7 @@
                 java.util.Arrays.fill(now, next);
                 for (int p = 0; p < 3; p++) {
                     if (up[p] && wakeAt[p] <= next) {
-                        wakeAt[p] = machines[p].wake(next);
+                        wakeAt[p] = machines[p].timerFired(next);
                     }
                 }
             }
@@ -311,9 +320,9 @@
         /** The same without what it says of others than its receiver. */
         private static Datagram without(Datagram d) {
             Message m = read(d);
-            DatagramCodec.Writer out = DatagramCodec.begin(m, DatagramCodec.LONGEST);
-            m.words.stream().filter(w -> w.name().equals(name(d.to))).forEach(out::word);
-            return new Datagram(d.from, d.to, out.done());
+            DatagramCodec.Writer out = DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES);
+            m.updates.stream().filter(w -> w.name().equals(name(d.to))).forEach(out::addUpdate);
+            return new Datagram(d.from, d.to, out.toBytes());
         }
 
         /** Once all is well every view is right, and nothing old is told any more. */
@@ -322,7 +331,7 @@
             for (int p = 0; p < 3; p++) {
                 for (int q = 0; q < 3; q++) {
                     MemberState state = p == q ? MemberState.ALIVE : machines[p].stateOf(name(q));
-                    boolean lives = state != null && state.lives();
+                    boolean lives = state != null && state.isLive();
                     // With the only seed dead, two that have not met have nobody to tell them.
                     boolean apart = bySeed && !up[0] && state == null;
                     if (up[p] && lives != up[q] && !apart) {
@@ -339,20 +348,30 @@
                 }
                 // Where there is but one to tell, it is not told of itself.
                 String end = machines[p].fingerprint(now[p]).replaceAll("(?s).*telling ", "");
-                if (up[p] && machines[p].alive() > 0 && Integer.parseInt(end) > 1) {
+                if (up[p] && machines[p].liveOthers() > 0 && Integer.parseInt(end) > 1) {
                     throw new Wrong("in the end " + name(p) + " still tells old changes");
                 }
             }
         }
 
         private static Message read(Datagram d) {
-            return DatagramCodec.read(d.bytes, d.bytes.length);
+            return DatagramCodec.decode(d.bytes, d.bytes.length);
         }
 
         private static String text(Datagram d) {
             Message m = read(d);
-            return d.from + ">" + d.to + m.kind + m.sender + m.digest + m.lag + m.target + m.behalf
-                    + m.heard + m.seq + m.words;
+            return d.from
+                    + ">"
+                    + d.to
+                    + m.kind
+                    + m.sender
+                    + m.viewDigest
+                    + m.stallCentis
+                    + m.target
+                    + m.onBehalfOf
+                    + m.heardRecently
+                    + m.sequenceNumber
+                    + m.updates;
         }
 
         String key() {
@@ -369,19 +388,19 @@
     /** All worlds from one beginning. */
     private static final class Explorer {
         final Beginning beginning;
-        final ProtocolVariants habits;
+        final ProtocolVariants variants;
         final Set<String> keys = new HashSet<>();
         final int depth;
         long closings;
 
-        Explorer(Beginning beginning, ProtocolVariants habits, int depth) {
+        Explorer(Beginning beginning, ProtocolVariants variants, int depth) {
             this.beginning = beginning;
-            this.habits = habits;
+            this.variants = variants;
             this.depth = depth;
         }
 
         private Play play(List<Integer> path) {
-            Play play = new Play(beginning, habits);
+            Play play = new Play(beginning, variants);
             for (int step : path) {
                 play.take(step);
             }
@@ -416,13 +435,13 @@
         }
     }
 
-    private static long explore(ProtocolVariants habits, int depth) {
+    private static long explore(ProtocolVariants variants, int depth) {
         AtomicLong states = new AtomicLong();
         Stream.of(Beginning.values())
                 .parallel()
                 .forEach(
                         beginning -> {
-                            Explorer explorer = new Explorer(beginning, habits, depth);
+                            Explorer explorer = new Explorer(beginning, variants, depth);
                             explorer.explore();
                             states.addAndGet(explorer.keys.size());
                         });
@@ -447,7 +466,7 @@
                 "an old word is believed",
                 new ProtocolVariants() {
                     @Override
-                    boolean outweighs(MemberUpdate one, MemberUpdate other) {
+                    boolean supersedes(MemberUpdate one, MemberUpdate other) {
                         return !one.equals(other);
                     }
                 });
@@ -455,23 +474,23 @@
                 "the turn is not raised",
                 new ProtocolVariants() {
                     @Override
-                    int raised(int turn) {
-                        return turn;
+                    int nextIncarnation(int incarnation) {
+                        return incarnation;
                     }
                 });
         faults.put(
                 "the life is not raised",
                 new ProtocolVariants() {
                     @Override
-                    long begun(long life) {
-                        return life - 1;
+                    long nextGeneration(long generation) {
+                        return generation - 1;
                     }
                 });
         faults.put(
                 "views are not mended",
                 new ProtocolVariants() {
                     @Override
-                    boolean mends() {
+                    boolean repairsDivergence() {
                         return false;
                     }
                 });
@@ -479,7 +498,7 @@
                 "a doubt has no end",
                 new ProtocolVariants() {
                     @Override
-                    long end(SuspicionTimer s) {
+                    long suspicionExpiryTicks(SuspicionTimer s) {
                         return Long.MAX_VALUE / 8;
                     }
                 });
@@ -487,12 +506,12 @@
                 "its own standstill is ignored",
                 new ProtocolVariants() {
                     @Override
-                    boolean doubtsItself() {
+                    boolean tracksLocalHealth() {
                         return false;
                     }
 
                     @Override
-                    boolean looksItself() {
+                    boolean probesBeforeFailing() {
                         return false;
                     }
                 });
@@ -500,15 +519,15 @@
                 "changes are told for ever",
                 new ProtocolVariants() {
                     @Override
-                    int times(int usual) {
+                    int transmitLimit(int usual) {
                         return 1_000_000;
                     }
                 });
         List<String> missed = new ArrayList<>();
         faults.forEach(
-                (name, habits) -> {
+                (name, variants) -> {
                     try {
-                        explore(habits, 3);
+                        explore(variants, 3);
                         missed.add(name);
                     } catch (Wrong e) {
                         System.out.println("planted: " + name + ": " + e.getMessage());
