--- a/src/main/java/cottonlock/decision/AdmissionController.java
+++ b/src/main/java/cottonlock/decision/AdmissionController.java
@@ -107,23 +107,23 @@
     @Override
     void take(Request req, long now) {
         firstAt = firstAt < 0 ? now : firstAt;
-        if (req.hint > 0) {
-            hints.add(now, 0, req.hint);
+        if (req.estimatedWorkTicks > 0) {
+            hints.add(now, 0, req.estimatedWorkTicks);
         }
         if (!bounded || fits(req, now)) {
             enter(req, now);
         } else {
-            req.why =
+            req.rejectionReason =
                     req.overQuota
                             ? RejectionReason.OVER_QUOTA
-                            : now + 4 * LoadBalancer.TICK >= req.expiry
+                            : now + 4 * LoadBalancer.TICK >= req.deadlineTicks
                                     ? RejectionReason.DEADLINE_EXCEEDED
                                     : waiting.size() >= dues.sum(now) * WAIT / span(now)
                                             ? RejectionReason.QUEUE_FULL
                                             : RejectionReason.NO_CAPACITY;
-            if (req.why == RejectionReason.NO_CAPACITY
+            if (req.rejectionReason == RejectionReason.NO_CAPACITY
                     && SPARSE * balancers <= fleet.ready.size()) {
-                req.inLineSince = now;
+                req.queuedAtTicks = now;
                 waiting.add(req);
             } else {
                 before.back(req, now);
@@ -132,8 +132,8 @@
     }
 
     private void enter(Request req, long now) {
-        req.inLane = true;
-        req.enteredAt = now;
+        req.holdsCapacity = true;
+        req.admittedAtTicks = now;
         inside++;
         after.take(req, now);
     }
@@ -219,7 +219,7 @@
         }
 
         boolean letsIn(Request req, double backends, long now) {
-            double usual = req.category.dueTime() / 3.0;
+            double usual = req.requestClass.latencyObjectiveTicks() / 3.0;
             double most = MOST;
             if (quota > 0) {
                 // What the quotas ask of each backend, in cores: it may hold that and a few of
@@ -242,11 +242,17 @@
             // same: with
             // a new draw for each try nearly all got in at the fourth, and a flood choked the
             // fleet.
-            SplittableRandom draw = req.hint > 0 ? new SplittableRandom(req.hint) : random;
+            SplittableRandom draw =
+                    req.estimatedWorkTicks > 0
+                            ? new SplittableRandom(req.estimatedWorkTicks)
+                            : random;
             // What can't end by its due time any more is worth its late credit at most, or
             // nothing.
-            double late = req.due < req.expiry ? req.category.lateCredit() : 0;
-            double worth = now + time / 2 < req.due ? 1 : late;
+            double late =
+                    req.objectiveDeadlineTicks < req.deadlineTicks
+                            ? req.requestClass.lateCredit()
+                            : 0;
+            double worth = now + time / 2 < req.objectiveDeadlineTicks ? 1 : late;
             return quota > 0
                     ? draw.nextDouble() < part * worth
                     : tokens.take(now, rate / balancers, DEPTH, req.overQuota ? OVER : 1);
@@ -262,20 +268,20 @@
 
     /** A request stops counting as inside though it is not back yet. */
     void release(Request req) {
-        inside -= req.inLane ? 1 : 0;
-        req.inLane = false;
+        inside -= req.holdsCapacity ? 1 : 0;
+        req.holdsCapacity = false;
     }
 
     @Override
     void back(Request req, long now) {
-        if (req.ended && req.inLane) {
-            latency.add(now, now - req.enteredAt);
+        if (req.completed && req.holdsCapacity) {
+            latency.add(now, now - req.admittedAtTicks);
         }
         // What is overdue holds no room, but its latency is the fleet's.
-        if (req.ended && !req.last().missed) {
-            latencyLog.add(now, Math.round(1000 * Math.log(1 + now - req.enteredAt)));
+        if (req.completed && !req.lastAttempt().backendWasSilent) {
+            latencyLog.add(now, Math.round(1000 * Math.log(1 + now - req.admittedAtTicks)));
             finished.add(now, 1);
-            dues.add(now, req.category.dueTime());
+            dues.add(now, req.requestClass.latencyObjectiveTicks());
         }
         release(req);
         before.back(req, now);
@@ -292,8 +298,8 @@
                             waiting,
                             Comparator.comparingDouble(
                                     req ->
-                                            (double) (now - req.inLineSince)
-                                                    / req.category.dueTime()));
+                                            (double) (now - req.queuedAtTicks)
+                                                    / req.requestClass.latencyObjectiveTicks()));
             fits = fits(next, now) && waiting.remove(next);
             if (fits) {
                 enter(next, now);
@@ -306,8 +312,9 @@
      */
     void tidy(long now) {
         for (Request req : List.copyOf(waiting)) {
-            if (now + 2 * LoadBalancer.TICK >= req.expiry
-                    || now - req.inLineSince > 2 * WAIT * req.category.dueTime()) {
+            if (now + 2 * LoadBalancer.TICK >= req.deadlineTicks
+                    || now - req.queuedAtTicks
+                            > 2 * WAIT * req.requestClass.latencyObjectiveTicks()) {
                 waiting.remove(req);
                 before.back(req, now);
             }
--- a/src/main/java/cottonlock/decision/AttemptTracker.java
+++ b/src/main/java/cottonlock/decision/AttemptTracker.java
@@ -4,7 +4,7 @@
 import cottonlock.decision.api.AttemptOutcome;
 import cottonlock.decision.api.LoadBalancerActions;
 import cottonlock.decision.api.RejectionReason;
-import cottonlock.decision.api.RequestClass.Repeat;
+import cottonlock.decision.api.RequestClass.Idempotency;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -43,58 +43,61 @@
         Backend b = req.candidates.get(0);
         repeats = Math.min(5, repeats + REPEATS);
         open.put(req.id, req);
-        outlet.startAttempt(req.id, b.id, req.sendBy());
+        outlet.startAttempt(req.id, b.id, req.sendByTicks());
         req.attempts.add(new Attempt(b, now));
         fleet.sent(b, req, now);
     }
 
     void settled(long now, long id, int number, AttemptOutcome outcome, boolean over) {
         Request req = open.get(id);
-        if (req == null || number >= req.attempts.size() || !req.attempts.get(number).out) {
+        if (req == null || number >= req.attempts.size() || !req.attempts.get(number).inFlight) {
             return;
         }
         Attempt attempt = req.attempts.get(number);
-        attempt.out = false;
-        attempt.neverRan = outcome.neverExecuted();
-        req.why = RejectionReason.of(outcome);
+        attempt.inFlight = false;
+        attempt.neverExecuted = outcome.neverExecuted();
+        req.rejectionReason = RejectionReason.of(outcome);
         fleet.settled(attempt, req, outcome, now);
         // In the batch after a standstill, times tell of the balancer and not of the backends.
         if (now != fleet.stoodAt
                 && outcome != AttemptOutcome.CANCELLED
                 && outcome != AttemptOutcome.NOT_SENT) {
-            line.lanes[req.tenant].learn(outcome, now - attempt.sentAt, req.category.dueTime());
+            line.lanes[req.tenant].learn(
+                    outcome, now - attempt.sentAtTicks, req.requestClass.latencyObjectiveTicks());
         }
-        boolean wasEnded = req.ended;
-        req.ended |= over;
-        if (!req.anyOut()) {
+        boolean wasEnded = req.completed;
+        req.completed |= over;
+        if (!req.hasAttemptInFlight()) {
             open.remove(id);
         }
-        if (!req.ended && !req.anyOut() && mayRepeat(req, outcome, now)) {
+        if (!req.completed && !req.hasAttemptInFlight() && mayRepeat(req, outcome, now)) {
             before.before.take(req, now);
-        } else if (req.ended ? !wasEnded : !req.anyOut()) {
+        } else if (req.completed ? !wasEnded : !req.hasAttemptInFlight()) {
             before.back(req, now);
         }
     }
 
     private boolean mayRepeat(Request req, AttemptOutcome last, long now) {
-        if (req.attempts.size() >= most || now >= req.due) {
+        if (req.attempts.size() >= most || now >= req.objectiveDeadlineTicks) {
             return false;
         }
-        boolean ran = req.mayHaveRun() != null;
+        boolean ran = req.firstPossiblyExecuted() != null;
         if (!ran
                 && !(last == AttemptOutcome.REJECTED
                         && fleet.shape.balancers() > 2 * fleet.ready.size())) {
             return true;
         }
-        boolean may = (!ran || req.category.repeat() != Repeat.UNSAFE) && repeats >= 1;
+        boolean may =
+                (!ran || req.requestClass.idempotency() != Idempotency.NOT_IDEMPOTENT)
+                        && repeats >= 1;
         repeats -= may ? 1 : 0;
         return may;
     }
 
     void left(long now, long id) {
         Request req = open.get(id);
-        if (req != null && !req.ended) {
-            req.ended = true;
+        if (req != null && !req.completed) {
+            req.completed = true;
             before.back(req, now);
         }
     }
@@ -111,22 +114,22 @@
         for (Backend b : fleet.known.values()) {
             boolean isSilent = fleet.silence(b, now) >= SILENT;
             for (Request req : List.copyOf(b.held.values())) {
-                Attempt attempt = req.last();
+                Attempt attempt = req.lastAttempt();
                 // Work stuck at backends that are lost filled the room, and all else was turned
                 // away.
-                if (isSilent || fleet.overdue(req, now - attempt.sentAt, now)) {
+                if (isSilent || fleet.overdue(req, now - attempt.sentAtTicks, now)) {
                     line.release(req);
                 }
-                if (isSilent && !attempt.missed) {
+                if (isSilent && !attempt.backendWasSilent) {
                     fleet.missed(attempt, now);
                     if (mayRecall
-                            && !req.ended
-                            && !attempt.recalled
-                            && now < req.due
+                            && !req.completed
+                            && attempt.cancellable
+                            && now < req.objectiveDeadlineTicks
                             && (few || repeats >= 1)
-                            && req.category.repeat() == Repeat.SAFE
+                            && req.requestClass.idempotency() == Idempotency.IDEMPOTENT
                             && req.attempts.size() < most) {
-                        attempt.recalled = true;
+                        attempt.cancellable = false;
                         repeats += few ? 1 : 0;
                         outlet.cancelAttempt(req.id, req.attempts.size() - 1);
                     }
--- a/src/main/java/cottonlock/decision/BackendRegistry.java
+++ b/src/main/java/cottonlock/decision/BackendRegistry.java
@@ -9,7 +9,7 @@
 import cottonlock.decision.api.DeploymentTopology;
 import cottonlock.decision.api.Endpoint;
 import cottonlock.decision.api.LoadBalancerActions;
-import cottonlock.decision.api.RequestClass.Repeat;
+import cottonlock.decision.api.RequestClass.Idempotency;
 import cottonlock.decision.api.SlowStartConfig;
 import cottonlock.decision.api.Tenant;
 import cottonlock.decision.stats.BetaDistribution;
@@ -204,9 +204,12 @@
         for (Backend b : known.values()) {
             for (Request req : b.held.values()) {
                 // What never comes back, or far too late, counts as long as a slow answer.
-                long age = now - req.last().sentAt;
+                long age = now - req.lastAttempt().sentAtTicks;
                 heldTime.add(
-                        now, age < LONG * req.category.dueTime() ? Math.min(age, now - keptAt) : 0);
+                        now,
+                        age < LONG * req.requestClass.latencyObjectiveTicks()
+                                ? Math.min(age, now - keptAt)
+                                : 0);
             }
             boolean spent = now - b.restsSince > shape.rest() * ready.size();
             if (spent && shape.rest() > 0 && b.connected && b.out == 0) {
@@ -342,12 +345,12 @@
         // Where connections are dear, one of a lane and one for each request of the tenant that
         // is out.
         int width = shape.rest() <= 0 ? part.size() : 1 + out.getOrDefault(req.tenant, 0);
-        Attempt ran = req.mayHaveRun();
+        Attempt ran = req.firstPossiblyExecuted();
         List<Backend> usable = new ArrayList<>(part.size());
         for (Backend b : part) {
             if (usable.size() < width
                     && b.out <= spare + far * size(b, now)
-                    && !req.tried(b)
+                    && !req.hasTried(b)
                     && sameGroup(b, req, ran, now)
                     && warmEnough(b, now)
                     && trusted(b, now)) {
@@ -359,10 +362,12 @@
 
     private static boolean sameGroup(Backend b, Request req, Attempt ran, long now) {
         return ran == null
-                || req.category.repeat() == Repeat.SAFE
-                || req.category.repeat() == Repeat.KEYED
-                        && now < req.sendBy()
-                        && req.category.scope().joins(ran.backend.member, b.member);
+                || req.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || req.requestClass.idempotency() == Idempotency.WITH_KEY
+                        && now < req.sendByTicks()
+                        && req.requestClass
+                                .deduplicationScope()
+                                .covers(ran.backend.member, b.member);
     }
 
     /** The listed size, less while cold, and by how quickly its kind answers. */
@@ -396,12 +401,12 @@
      */
     List<Backend> lastResort(Request req, long now) {
         boolean none =
-                req.category.repeat() != Repeat.SAFE
+                req.requestClass.idempotency() != Idempotency.IDEMPOTENT
                         || ready.stream().anyMatch(b -> doubts(b, now) < 1);
         return none
                 ? List.of()
                 : ready.stream()
-                        .filter(b -> b.out == 0 && !req.tried(b) && warmEnough(b, now))
+                        .filter(b -> b.out == 0 && !req.hasTried(b) && warmEnough(b, now))
                         .toList();
     }
 
@@ -436,10 +441,10 @@
      * do.
      */
     boolean overdue(Request req, long time, long now) {
-        double due = log(1 + req.category.dueTime());
+        double due = log(1 + req.requestClass.latencyObjectiveTicks());
         double all = times.mean(now, 0, IMAGINED_TIMES, -log(2));
         return log(1 + time) - log(SLOW)
-                > times.mean(now, 1 + req.category.number(), IMAGINED_TIMES, due + all);
+                > times.mean(now, 1 + req.requestClass.number(), IMAGINED_TIMES, due + all);
     }
 
     /** In thousandths. */
@@ -487,7 +492,7 @@
         b.quietSince = b.awaited() == 0 ? now : b.quietSince;
         if (halfDue == 0) {
             firstSent = now;
-            halfDue = req.category.dueTime() / 2.0;
+            halfDue = req.requestClass.latencyObjectiveTicks() / 2.0;
         }
         b.connected = true;
         out.merge(req.tenant, 1, Integer::sum);
@@ -505,7 +510,7 @@
      */
     void missed(Attempt attempt, long now) {
         // No single chance failure, so it counts for several.
-        attempt.missed = true;
+        attempt.backendWasSilent = true;
         attempt.backend.missed++;
         attempt.backend.failures.add(now, 1);
         attempt.backend.streak += 3;
@@ -521,21 +526,25 @@
             b.gapSum.add(now, (now - b.quietSince) * b.awaited());
             b.quietSince = now;
         }
-        b.missed -= attempt.missed ? 1 : 0;
+        b.missed -= attempt.backendWasSilent ? 1 : 0;
         if (outcome == AttemptOutcome.COMPLETED) {
             // One that has slowed down still answers, and would draw work for as long as it
             // does.
             boolean slow =
                     now != stoodAt
-                            && times.count(now, 1 + req.category.number()) >= IMAGINED_TIMES
-                            && overdue(req, now - attempt.sentAt, now);
-            times.add(now, 0, log(1 + now - attempt.sentAt) - log(1 + req.category.dueTime()));
-            times.add(now, 1 + req.category.number(), log(1 + now - attempt.sentAt));
+                            && times.count(now, 1 + req.requestClass.number()) >= IMAGINED_TIMES
+                            && overdue(req, now - attempt.sentAtTicks, now);
+            times.add(
+                    now,
+                    0,
+                    log(1 + now - attempt.sentAtTicks)
+                            - log(1 + req.requestClass.latencyObjectiveTicks()));
+            times.add(now, 1 + req.requestClass.number(), log(1 + now - attempt.sentAtTicks));
             (slow ? b.failures : b.answers).add(now, 1);
             b.streak = 0;
             b.finished.add(now, 1);
-            answered.add(now, 0, now - attempt.sentAt);
-        } else if (!attempt.missed
+            answered.add(now, 0, now - attempt.sentAtTicks);
+        } else if (!attempt.backendWasSilent
                 && outcome != AttemptOutcome.CANCELLED
                 && outcome != AttemptOutcome.NOT_SENT) {
             b.failures.add(now, 1);
@@ -546,9 +555,9 @@
         }
         if (now != stoodAt
                 && (outcome == AttemptOutcome.COMPLETED || outcome == AttemptOutcome.TIMED_OUT)) {
-            stays.add(now, 0, now - attempt.sentAt);
-            stays.add(now, 1 + 2 * b.lane, now - attempt.sentAt);
-            stays.add(now, 2 + 2 * b.member.kind(), now - attempt.sentAt);
+            stays.add(now, 0, now - attempt.sentAtTicks);
+            stays.add(now, 1 + 2 * b.lane, now - attempt.sentAtTicks);
+            stays.add(now, 2 + 2 * b.member.kind(), now - attempt.sentAtTicks);
         }
         out.merge(req.tenant, -1, Integer::sum);
         b.out--;
--- a/src/main/java/cottonlock/decision/LaneSelector.java
+++ b/src/main/java/cottonlock/decision/LaneSelector.java
@@ -40,7 +40,7 @@
             req.candidates = fleet.lastResort(req, now);
         }
         if (req.candidates.isEmpty()) {
-            req.why = RejectionReason.NO_BACKEND;
+            req.rejectionReason = RejectionReason.NO_BACKEND;
             before.back(req, now);
         } else {
             after.take(req, now);
--- a/src/main/java/cottonlock/decision/LoadBalancer.java
+++ b/src/main/java/cottonlock/decision/LoadBalancer.java
@@ -103,7 +103,7 @@
     public void onResponseStarted(long now, long id, int attempt) {
         Request req = attempts.open.get(id);
         if (req != null && attempt < req.attempts.size()) {
-            req.attempts.get(attempt).recalled = true;
+            req.attempts.get(attempt).cancellable = false;
         }
     }
 
@@ -115,8 +115,8 @@
 
     /** The balancer leaves: what it holds now is over by then, with its final answer. */
     public void limitDeadlines(long latest) {
-        line.waiting.forEach(req -> req.endBy(latest));
-        attempts.open.values().forEach(req -> req.endBy(latest));
+        line.waiting.forEach(req -> req.limitDeadline(latest));
+        attempts.open.values().forEach(req -> req.limitDeadline(latest));
     }
 
     /**
--- a/src/main/java/cottonlock/decision/Request.java
+++ b/src/main/java/cottonlock/decision/Request.java
@@ -2,124 +2,147 @@
 
 import cottonlock.decision.api.RejectionReason;
 import cottonlock.decision.api.RequestClass;
+import cottonlock.decision.api.RequestClass.Idempotency;
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request while the balancer holds it, and the attempts made for it. */
+/**
+ * A request from its arrival to its last outcome, with the attempts made for it. Owned by the load
+ * balancer's thread. Times are in {@link cottonlock.core.Ticks}.
+ */
 final class Request {
+    /** Tenths of the deduplication window within which a repeat must have been written. */
+    private static final int WINDOW_TENTHS_TO_SEND = 9;
+
     final long id;
-    final RequestClass category;
+    final RequestClass requestClass;
     final int tenant;
-    final boolean repeated;
-    final long arrived;
-    long expiry;
 
-    /**
-     * The work that it is thought to be, the same for each try of a client; 0 where that is not
-     * told.
-     */
-    final long hint;
+    /** Whether the client has sent this request before. */
+    final boolean clientRetry;
+
+    /** When the request arrived, earlier than it was read if this process was stalled. */
+    final long arrivedAtTicks;
+
+    /** When the client stops waiting. */
+    long deadlineTicks;
 
-    /** An answer after this earns the late credit at most. */
-    long due;
+    /** The estimated work, the same for each retry by the client; 0 if unknown. */
+    final long estimatedWorkTicks;
 
+    /** When the latency objective ends, the deadline at the latest. */
+    long objectiveDeadlineTicks;
+
+    /** The attempts made, in order; an attempt's index is its number. */
     final List<Attempt> attempts = new ArrayList<>(1);
+
+    /** Whether the tenant had used up its quota when the request arrived. */
     boolean overQuota;
 
-    /** What it would end by if it ended now. */
-    RejectionReason why = RejectionReason.NO_CAPACITY;
+    /** The reason to report if the request ended now. */
+    RejectionReason rejectionReason = RejectionReason.NO_CAPACITY;
 
-    /** Whether it takes up room in its lane. */
-    boolean inLane;
+    /** Whether admission control counts the request against its limit. */
+    boolean holdsCapacity;
 
-    /** When it was let in. */
-    long enteredAt;
+    /** When the request was last admitted. */
+    long admittedAtTicks;
 
-    /** Whether it has had its final answer. */
-    boolean ended;
+    /** Whether the client has its final response, or has disconnected. */
+    boolean completed;
 
-    /** When it entered the line, while it waits there. */
-    long inLineSince;
+    /** When the request was queued for capacity, while it waits there. */
+    long queuedAtTicks;
 
-    /** The backends that the lane stage leaves to the pick stage. */
+    /** The backends that lane selection leaves for the backend picker. */
     List<Backend> candidates = List.of();
 
     Request(
             long id,
-            RequestClass category,
+            RequestClass requestClass,
             int tenant,
-            boolean repeated,
-            long arrived,
-            long expiry,
-            long hint) {
+            boolean clientRetry,
+            long arrivedAtTicks,
+            long deadlineTicks,
+            long estimatedWorkTicks) {
         this.id = id;
-        this.category = category;
+        this.requestClass = requestClass;
         this.tenant = tenant;
-        this.repeated = repeated;
-        this.arrived = arrived;
-        this.expiry = expiry;
-        this.hint = hint;
-        this.due = Math.min(expiry, arrived + category.dueTime());
+        this.clientRetry = clientRetry;
+        this.arrivedAtTicks = arrivedAtTicks;
+        this.deadlineTicks = deadlineTicks;
+        this.estimatedWorkTicks = estimatedWorkTicks;
+        this.objectiveDeadlineTicks =
+                Math.min(deadlineTicks, arrivedAtTicks + requestClass.latencyObjectiveTicks());
     }
 
-    /** It has to be over by then. */
-    void endBy(long latest) {
-        expiry = Math.min(expiry, latest);
-        due = Math.min(due, latest);
+    /** Moves the deadline, and the end of the latency objective, forward to this time. */
+    void limitDeadline(long latestTicks) {
+        deadlineTicks = Math.min(deadlineTicks, latestTicks);
+        objectiveDeadlineTicks = Math.min(objectiveDeadlineTicks, latestTicks);
     }
 
-    /** One attempt of the request. */
+    /** One attempt of the request at one backend. */
     static final class Attempt {
         final Backend backend;
-        final long sentAt;
-        boolean out = true;
-        boolean recalled;
+        final long sentAtTicks;
+
+        /** Whether its outcome is still open. */
+        boolean inFlight = true;
 
-        /** Whether its backend was silent for too long while it was out. */
-        boolean missed;
+        /** False once it was cancelled, or once its response has begun to reach the client. */
+        boolean cancellable = true;
 
-        boolean neverRan;
+        /** Whether its backend was found silent while it was in flight. */
+        boolean backendWasSilent;
 
-        Attempt(Backend backend, long sentAt) {
+        /** Whether its outcome proves that the backend did not execute it. */
+        boolean neverExecuted;
+
+        Attempt(Backend backend, long sentAtTicks) {
             this.backend = backend;
-            this.sentAt = sentAt;
+            this.sentAtTicks = sentAtTicks;
         }
     }
 
     /**
-     * By when its next attempt must be written. A repeat of what may have run comes within the
-     * window in which backends know it, with a tenth of that left for its way: they count from when
-     * they got the first.
+     * The time before which the next attempt must be written completely. After an attempt that may
+     * have been executed, a repeat with an idempotency key must reach a backend within the
+     * deduplication window; a tenth of the window remains for transmission.
      */
-    long sendBy() {
-        Attempt ran = mayHaveRun();
-        return ran == null || category.repeat() == RequestClass.Repeat.SAFE
-                ? expiry
-                : Math.min(expiry, ran.sentAt + category.repeatWindow() * 9 / 10);
+    long sendByTicks() {
+        Attempt executed = firstPossiblyExecuted();
+        if (executed == null || requestClass.idempotency() == Idempotency.IDEMPOTENT) {
+            return deadlineTicks;
+        }
+        long windowTicks = requestClass.deduplicationWindowTicks() * WINDOW_TENTHS_TO_SEND / 10;
+        return Math.min(deadlineTicks, executed.sentAtTicks + windowTicks);
     }
 
-    /** The attempt made last; there is one at least. */
-    Attempt last() {
+    /** The latest attempt; at least one must have been made. */
+    Attempt lastAttempt() {
         return attempts.get(attempts.size() - 1);
     }
 
-    boolean tried(Backend backend) {
+    /** Whether an attempt at this backend has been made. */
+    boolean hasTried(Backend backend) {
         return attempts.stream().anyMatch(attempt -> attempt.backend == backend);
     }
 
-    boolean anyOut() {
+    /** Whether the outcome of any attempt is still open. */
+    boolean hasAttemptInFlight() {
         for (Attempt attempt : attempts) {
-            if (attempt.out) {
+            if (attempt.inFlight) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The first attempt that may have run, or null; one that is still out counts. */
-    Attempt mayHaveRun() {
+    /** The first attempt that may have been executed, in flight or not; null if there is none. */
+    Attempt firstPossiblyExecuted() {
         for (Attempt attempt : attempts) {
-            if (!attempt.neverRan) {
+            if (!attempt.neverExecuted) {
                 return attempt;
             }
         }
--- a/src/main/java/cottonlock/decision/RequestIntake.java
+++ b/src/main/java/cottonlock/decision/RequestIntake.java
@@ -4,7 +4,7 @@
 import cottonlock.decision.api.LoadBalancerActions;
 import cottonlock.decision.api.RejectionReason;
 import cottonlock.decision.api.RequestClass;
-import cottonlock.decision.api.RequestClass.Repeat;
+import cottonlock.decision.api.RequestClass.Idempotency;
 import cottonlock.decision.api.Tenant;
 import java.util.Arrays;
 import java.util.List;
@@ -86,8 +86,8 @@
 
     @Override
     void take(Request req, long now) {
-        if (req.expiry <= now) {
-            req.why = RejectionReason.DEADLINE_EXCEEDED;
+        if (req.deadlineTicks <= now) {
+            req.rejectionReason = RejectionReason.DEADLINE_EXCEEDED;
             back(req, now);
         } else {
             after.take(req, now);
@@ -96,15 +96,15 @@
 
     @Override
     void back(Request req, long now) {
-        if (req.ended) {
+        if (req.completed) {
             return;
         }
-        req.ended = true;
-        long comeBack = Math.min(longestComeBack, req.category.dueTime() / 2);
+        req.completed = true;
+        long comeBack = Math.min(longestComeBack, req.requestClass.latencyObjectiveTicks() / 2);
         if (mayDefer(req, now + comeBack)) {
-            outlet.reject(req.id, comeBack, req.why);
+            outlet.reject(req.id, comeBack, req.rejectionReason);
         } else {
-            outlet.fail(req.id, req.why);
+            outlet.fail(req.id, req.rejectionReason);
         }
     }
 
@@ -113,11 +113,14 @@
      * and if backends still know it when its client comes back.
      */
     private static boolean mayDefer(Request req, long back) {
-        return req.category.repeat() == Repeat.SAFE
-                || req.mayHaveRun() == null
-                || req.category.repeat() == Repeat.KEYED
-                        && req.category.scope() == RequestClass.Scope.ALL
-                        && back < req.mayHaveRun().sentAt + req.category.repeatWindow();
+        return req.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || req.firstPossiblyExecuted() == null
+                || req.requestClass.idempotency() == Idempotency.WITH_KEY
+                        && req.requestClass.deduplicationScope()
+                                == RequestClass.DeduplicationScope.ALL
+                        && back
+                                < req.firstPossiblyExecuted().sentAtTicks
+                                        + req.requestClass.deduplicationWindowTicks();
     }
 
     private boolean withinQuota(int tenant, boolean repeated, long now) {
--- a/src/main/java/cottonlock/decision/api/RequestClass.java
+++ b/src/main/java/cottonlock/decision/api/RequestClass.java
@@ -1,48 +1,63 @@
 package cottonlock.decision.api;
 
 /**
- * A category of requests. Times are in tenths of a millisecond.
+ * A configured class of requests with its latency objective and retry rules. Durations are in
+ * {@link cottonlock.core.Ticks}.
  *
- * @param number its place among the categories
- * @param dueTime an answer within this time earns the full credit
- * @param lateCredit the part of the credit that an answer after the due time earns
- * @param repeat whether a request may run again
- * @param scope for keyed ones: the backends that drop each other's repeats
- * @param repeatWindow for keyed ones: how long they do
+ * @param number the index among the configured request classes
+ * @param latencyObjectiveTicks a response within this time earns the full credit
+ * @param credit what a response in time is worth, relative to other classes
+ * @param lateCredit the fraction of the credit, 0 to 1, for a response after the objective
+ * @param idempotency whether a request may be executed more than once
+ * @param deduplicationScope for idempotency keys: the backends that share their knowledge of keys
+ * @param deduplicationWindowTicks for idempotency keys: how long a backend remembers a key
  */
 public record RequestClass(
         int number,
-        long dueTime,
+        long latencyObjectiveTicks,
         double credit,
         double lateCredit,
-        Repeat repeat,
-        Scope scope,
-        long repeatWindow) {
+        Idempotency idempotency,
+        DeduplicationScope deduplicationScope,
+        long deduplicationWindowTicks) {
 
-    /** The same with another number. */
-    public RequestClass numbered(int other) {
-        return new RequestClass(other, dueTime, credit, lateCredit, repeat, scope, repeatWindow);
+    /** The same request class at another index. */
+    public RequestClass withNumber(int otherNumber) {
+        return new RequestClass(
+                otherNumber,
+                latencyObjectiveTicks,
+                credit,
+                lateCredit,
+                idempotency,
+                deduplicationScope,
+                deduplicationWindowTicks);
     }
 
-    /** Whether a request may run again. */
-    public enum Repeat {
-        SAFE,
-        KEYED,
-        UNSAFE
+    /** Whether a request may be executed more than once. */
+    public enum Idempotency {
+        /** Repeated execution has no further effect. */
+        IDEMPOTENT,
+        /** Backends recognise a repeat by its idempotency key, within a scope and a time. */
+        WITH_KEY,
+        /** The request must never be executed twice. */
+        NOT_IDEMPOTENT
     }
 
-    /** The backends that know each other's keys. */
-    public enum Scope {
+    /** Which backends recognise each other's idempotency keys. */
+    public enum DeduplicationScope {
+        /** All backends. */
         ALL,
+        /** The backends of one zone. */
         ZONE,
+        /** The backends of one cell. */
         CELL;
 
-        /** Whether two backends are in the same group. */
-        public boolean joins(Endpoint one, Endpoint other) {
+        /** Whether one backend recognises the idempotency keys that another has seen. */
+        public boolean covers(Endpoint first, Endpoint second) {
             return switch (this) {
                 case ALL -> true;
-                case ZONE -> one.zone() == other.zone();
-                case CELL -> one.cell() == other.cell();
+                case ZONE -> first.zone() == second.zone();
+                case CELL -> first.cell() == second.cell();
             };
         }
     }
--- a/src/main/java/cottonlock/proxy/RequestRules.java
+++ b/src/main/java/cottonlock/proxy/RequestRules.java
@@ -47,7 +47,7 @@
                 names.add(told.get(i));
                 categories.add(null);
             }
-            categories.set(number, assembly.categories.get(i).numbered(number));
+            categories.set(number, assembly.categories.get(i).withNumber(number));
             inForce.put(told.get(i), number);
         }
         longest =
--- a/src/main/java/cottonlock/proxy/RequestValidator.java
+++ b/src/main/java/cottonlock/proxy/RequestValidator.java
@@ -92,7 +92,7 @@
         }
         String idempotencyKey = head.only("Idempotency-Key");
         if (idempotencyKey == null
-                && in.categories.get(category).repeat() == RequestClass.Repeat.KEYED) {
+                && in.categories.get(category).idempotency() == RequestClass.Idempotency.WITH_KEY) {
             // Sent on without it, a repeat could not be known, and would have its effect twice.
             throw new MalformedMessageException(
                     400, "no Idempotency-Key, which this category needs");
--- a/src/main/java/cottonlock/setup/LoadBalancerFactory.java
+++ b/src/main/java/cottonlock/setup/LoadBalancerFactory.java
@@ -47,7 +47,11 @@
                 mustAsk(),
                 s.timeDown("Obligations.AskWithin"),
                 !s.flag("Obligations.RemovalNotBinding", false),
-                (long) categories.stream().mapToLong(RequestClass::dueTime).average().orElse(0));
+                (long)
+                        categories.stream()
+                                .mapToLong(RequestClass::latencyObjectiveTicks)
+                                .average()
+                                .orElse(0));
     }
 
     /** A module that answers through the given outlet. */
@@ -112,9 +116,9 @@
                             s.timeDown(at + "DueTime"),
                             s.number(at + "Credit", 1),
                             s.number(at + "LateCredit", 0),
-                            RequestClass.Repeat.values()[
+                            RequestClass.Idempotency.values()[
                                     s.choice(at + "Repeat", "safe", "keyed", "unsafe")],
-                            RequestClass.Scope.values()[
+                            RequestClass.DeduplicationScope.values()[
                                     s.choice(at + "KeyScope", "all", "zone", "cell")],
                             s.timeDown(at + "RepeatWindow")));
         }
--- a/src/test/java/cottonlock/decision/ColdFleet.java
+++ b/src/test/java/cottonlock/decision/ColdFleet.java
@@ -6,8 +6,8 @@
 import cottonlock.decision.api.LoadBalancerActions;
 import cottonlock.decision.api.RejectionReason;
 import cottonlock.decision.api.RequestClass;
-import cottonlock.decision.api.RequestClass.Repeat;
-import cottonlock.decision.api.RequestClass.Scope;
+import cottonlock.decision.api.RequestClass.DeduplicationScope;
+import cottonlock.decision.api.RequestClass.Idempotency;
 import cottonlock.decision.api.SlowStartConfig;
 import cottonlock.decision.api.Tenant;
 import cottonlock.lab.world.World;
@@ -40,9 +40,24 @@
     private static final long[] PATIENCE = {20_000, 40_000, 60_000};
     private static final List<RequestClass> CATEGORIES =
             List.of(
-                    new RequestClass(0, 7_500, 1, 0, Repeat.SAFE, Scope.ALL, 50_000),
-                    new RequestClass(1, 15_000, 1, 0, Repeat.SAFE, Scope.ALL, 50_000),
-                    new RequestClass(2, 25_000, 1, 0, Repeat.KEYED, Scope.ZONE, 100_000));
+                    new RequestClass(
+                            0, 7_500, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 50_000),
+                    new RequestClass(
+                            1,
+                            15_000,
+                            1,
+                            0,
+                            Idempotency.IDEMPOTENT,
+                            DeduplicationScope.ALL,
+                            50_000),
+                    new RequestClass(
+                            2,
+                            25_000,
+                            1,
+                            0,
+                            Idempotency.WITH_KEY,
+                            DeduplicationScope.ZONE,
+                            100_000));
     private static final int WORKERS = 4;
     private static final int QUEUE = 20;
 
--- a/src/test/java/cottonlock/decision/Ledger.java
+++ b/src/test/java/cottonlock/decision/Ledger.java
@@ -11,8 +11,8 @@
 import cottonlock.decision.api.LoadBalancerActions;
 import cottonlock.decision.api.RejectionReason;
 import cottonlock.decision.api.RequestClass;
-import cottonlock.decision.api.RequestClass.Repeat;
-import cottonlock.decision.api.RequestClass.Scope;
+import cottonlock.decision.api.RequestClass.DeduplicationScope;
+import cottonlock.decision.api.RequestClass.Idempotency;
 import cottonlock.decision.api.SlowStartConfig;
 import cottonlock.decision.api.Tenant;
 import java.nio.charset.StandardCharsets;
@@ -148,7 +148,7 @@
         balancer.start(now);
     }
 
-    static RequestClass category(int number, Repeat repeat, Scope scope) {
+    static RequestClass category(int number, Idempotency repeat, DeduplicationScope scope) {
         return new RequestClass(number, 10_000, 1, 0, repeat, scope, 15_000);
     }
 
@@ -299,14 +299,14 @@
                 .ifPresent(
                         ran -> {
                             assertTrue(
-                                    item.category.repeat() != Repeat.UNSAFE,
+                                    item.category.idempotency() != Idempotency.NOT_IDEMPOTENT,
                                     "an unsafe request sent twice");
-                            if (item.category.repeat() == Repeat.KEYED) {
+                            if (item.category.idempotency() == Idempotency.WITH_KEY) {
                                 assertTrue(
-                                        sendBy < ran.at + item.category.repeatWindow(),
+                                        sendBy < ran.at + item.category.deduplicationWindowTicks(),
                                         "a key too old to be known");
                                 assertTrue(
-                                        switch (item.category.scope()) {
+                                        switch (item.category.deduplicationScope()) {
                                             case ALL -> true;
                                             case ZONE -> to.zone() == ran.to.zone();
                                             case CELL -> to.cell() == ran.to.cell();
@@ -367,9 +367,9 @@
         Item item = open(req, "deferral");
         boolean harmless =
                 item.sent.stream().noneMatch(s -> s.mayHaveRun)
-                        || item.category.repeat() == Repeat.SAFE
-                        || item.category.repeat() == Repeat.KEYED
-                                && item.category.scope() == Scope.ALL
+                        || item.category.idempotency() == Idempotency.IDEMPOTENT
+                        || item.category.idempotency() == Idempotency.WITH_KEY
+                                && item.category.deduplicationScope() == DeduplicationScope.ALL
                                 && item.sent.stream()
                                         .allMatch(
                                                 s ->
@@ -377,7 +377,7 @@
                                                                 || now + comeBack
                                                                         < s.at
                                                                                 + item.category
-                                                                                        .repeatWindow());
+                                                                                        .deduplicationWindowTicks());
         assertTrue(harmless, "deferral of what may have run");
         item.answered = true;
         item.deferred = true;
--- a/src/test/java/cottonlock/decision/LoadBalancerTest.java
+++ b/src/test/java/cottonlock/decision/LoadBalancerTest.java
@@ -9,8 +9,8 @@
 import cottonlock.decision.api.DeploymentTopology;
 import cottonlock.decision.api.Endpoint;
 import cottonlock.decision.api.RequestClass;
-import cottonlock.decision.api.RequestClass.Repeat;
-import cottonlock.decision.api.RequestClass.Scope;
+import cottonlock.decision.api.RequestClass.DeduplicationScope;
+import cottonlock.decision.api.RequestClass.Idempotency;
 import cottonlock.decision.api.Tenant;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -26,8 +26,8 @@
 class LoadBalancerTest {
     private static final List<RequestClass> PLAIN =
             List.of(
-                    Ledger.category(0, Repeat.SAFE, Scope.ALL),
-                    Ledger.category(1, Repeat.UNSAFE, Scope.ALL));
+                    Ledger.category(0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+                    Ledger.category(1, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL));
     private static final List<Tenant> TWO = List.of(new Tenant(0.75, 100), new Tenant(0.25, 100));
 
     private static Ledger ledger(boolean first, List<Tenant> tenants, int backends) {
@@ -160,7 +160,9 @@
     @Example
     void whatMayHaveRunIsDeferredOnlyWhileItIsStillKnownWhenItsClientComesBack() {
         for (long window : new long[] {2_000, 100_000}) {
-            RequestClass keyed = new RequestClass(0, 10_000, 1, 0, Repeat.KEYED, Scope.ALL, window);
+            RequestClass keyed =
+                    new RequestClass(
+                            0, 10_000, 1, 0, Idempotency.WITH_KEY, DeduplicationScope.ALL, window);
             Ledger ledger = new Ledger(List.of(keyed), TWO, 7, true, false);
             ledger.list(Ledger.ready(0, 1), true, true);
             long id = ledger.arrive(0, 0, 20_000);
@@ -537,8 +539,22 @@
         for (int[] shape : new int[][] {{1, 4}, {2, 8}, {16, 35}, {90, 150}}) {
             List<RequestClass> categories =
                     List.of(
-                            new RequestClass(0, 5_000, 1, 0, Repeat.SAFE, Scope.ALL, 0),
-                            new RequestClass(1, 50_000, 1, 0, Repeat.SAFE, Scope.ALL, 0));
+                            new RequestClass(
+                                    0,
+                                    5_000,
+                                    1,
+                                    0,
+                                    Idempotency.IDEMPOTENT,
+                                    DeduplicationScope.ALL,
+                                    0),
+                            new RequestClass(
+                                    1,
+                                    50_000,
+                                    1,
+                                    0,
+                                    Idempotency.IDEMPOTENT,
+                                    DeduplicationScope.ALL,
+                                    0));
             Ledger ledger =
                     new Ledger(
                             categories,
--- a/src/test/java/cottonlock/decision/RulesTest.java
+++ b/src/test/java/cottonlock/decision/RulesTest.java
@@ -4,8 +4,8 @@
 import cottonlock.decision.api.DeploymentTopology;
 import cottonlock.decision.api.Endpoint;
 import cottonlock.decision.api.RequestClass;
-import cottonlock.decision.api.RequestClass.Repeat;
-import cottonlock.decision.api.RequestClass.Scope;
+import cottonlock.decision.api.RequestClass.DeduplicationScope;
+import cottonlock.decision.api.RequestClass.Idempotency;
 import cottonlock.decision.api.Tenant;
 import java.util.ArrayList;
 import java.util.List;
@@ -28,8 +28,8 @@
             @ForAll boolean mayRecall) {
         SplittableRandom random = new SplittableRandom(seed);
         List<RequestClass> categories = new ArrayList<>();
-        for (Repeat repeat : Repeat.values()) {
-            for (Scope scope : Scope.values()) {
+        for (Idempotency repeat : Idempotency.values()) {
+            for (DeduplicationScope scope : DeduplicationScope.values()) {
                 categories.add(Ledger.category(categories.size(), repeat, scope));
             }
         }
