--- a/src/main/java/cottonlock/config/OperatorFile.java
+++ b/src/main/java/cottonlock/config/OperatorFile.java
@@ -89,9 +89,15 @@
     }
 
     private static MembershipProtocolConfig rules(Fields f) {
-        MembershipProtocolConfig usual = MembershipProtocolConfig.USUAL;
-        long period = millis(f, "period_ms", usual.period(), 50, 60_000);
-        long answer = millis(f, "answer_ms", Math.min(usual.answer(), period * 3 / 10), 10, 60_000);
+        MembershipProtocolConfig usual = MembershipProtocolConfig.DEFAULTS;
+        long period = millis(f, "period_ms", usual.periodTicks(), 50, 60_000);
+        long answer =
+                millis(
+                        f,
+                        "answer_ms",
+                        Math.min(usual.answerTimeoutTicks(), period * 3 / 10),
+                        10,
+                        60_000);
         if (answer >= period) {
             f.fault(
                     f.has("answer_ms") ? "answer_ms" : "period_ms",
@@ -104,18 +110,23 @@
         return new MembershipProtocolConfig(
                 period,
                 answer,
-                f.whole("helpers", usual.helpers(), 0, 16),
-                f.number("suspicion_periods", usual.suspicion(), 0.5, 1_000),
-                f.number("suspicion_longest", usual.longest(), 1, 100),
-                f.whole("confirmations", usual.confirmations(), 0, 16),
-                millis(f, "hung_ms", usual.hung(), 100, 600_000),
-                f.number("repeats", usual.repeats(), 0.5, 20),
-                f.whole("most", usual.most(), 2, 4_096),
-                10_000L * f.whole("forget_s", (int) (usual.forget() / 10_000), 10, 86_400),
-                f.whole("bytes_per_second", usual.bytes(), 1_024, 1 << 20),
-                f.whole("self_doubt", usual.doubts(), 0, 16),
-                millis(f, "join_ms", usual.join(), 100, 60_000),
-                f.whole("contact_periods", usual.contact(), 1, 100));
+                f.whole("helpers", usual.indirectProbeCount(), 0, 16),
+                f.number("suspicion_periods", usual.suspicionMultiplier(), 0.5, 1_000),
+                f.number("suspicion_longest", usual.maxSuspicionMultiplier(), 1, 100),
+                f.whole("confirmations", usual.confirmationCount(), 0, 16),
+                millis(f, "hung_ms", usual.stallTimeoutTicks(), 100, 600_000),
+                f.number("repeats", usual.retransmitMultiplier(), 0.5, 20),
+                f.whole("most", usual.maxMembers(), 2, 4_096),
+                10_000L
+                        * f.whole(
+                                "forget_s",
+                                (int) (usual.deadMemberRetentionTicks() / 10_000),
+                                10,
+                                86_400),
+                f.whole("bytes_per_second", usual.maxBytesPerSecond(), 1_024, 1 << 20),
+                f.whole("self_doubt", usual.maxLocalHealthScore(), 0, 16),
+                millis(f, "join_ms", usual.joinTimeoutTicks(), 100, 60_000),
+                f.whole("contact_periods", usual.contactIntervalPeriods(), 1, 100));
     }
 
     /** Where changes are learnt of; null where the table does not ask for it. */
@@ -140,9 +151,19 @@
                         service,
                         control,
                         far,
-                        millis(f, "call_ms", RolloutConfig.CALL, 50, 2_000),
-                        millis(f, "compare_ms", RolloutConfig.COMPARE, 1_000, 60_000),
-                        millis(f, "retry_ms", RolloutConfig.RETRY, 500, 60_000));
+                        millis(f, "call_ms", RolloutConfig.DEFAULT_CALL_TIMEOUT_TICKS, 50, 2_000),
+                        millis(
+                                f,
+                                "compare_ms",
+                                RolloutConfig.DEFAULT_COMPARISON_INTERVAL_TICKS,
+                                1_000,
+                                60_000),
+                        millis(
+                                f,
+                                "retry_ms",
+                                RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS,
+                                500,
+                                60_000));
         return enabled ? plan : null;
     }
 
--- a/src/main/java/cottonlock/lab/Lab.java
+++ b/src/main/java/cottonlock/lab/Lab.java
@@ -292,7 +292,7 @@
         try {
             MembershipProtocolConfig rules =
                     operator == null
-                            ? MembershipProtocolConfig.USUAL
+                            ? MembershipProtocolConfig.DEFAULTS
                             : OperatorFile.rules(operator);
             MembersStudy study = new MembersStudy(sizes, losses, rules);
             study.play(seed, deaths, quiet, out);
@@ -323,7 +323,7 @@
         try {
             MembershipProtocolConfig rules =
                     operator == null
-                            ? MembershipProtocolConfig.USUAL
+                            ? MembershipProtocolConfig.DEFAULTS
                             : OperatorFile.rules(operator);
             MembersRegions study =
                     new MembersRegions(
--- a/src/main/java/cottonlock/lab/MembersStudy.java
+++ b/src/main/java/cottonlock/lab/MembersStudy.java
@@ -62,15 +62,15 @@
         // SWIM: a first probe after e / (e - 1) periods in the mean. Lifeguard: a doubt that enough
         // confirm
         // lasts its shortest time.
-        double probe = Math.E / (Math.E - 1) * rules.period() / 10;
+        double probe = Math.E / (Math.E - 1) * rules.periodTicks() / 10;
         double[] published =
                 sizes.stream()
                         .mapToDouble(
                                 n ->
                                         probe
-                                                + rules.suspicion()
+                                                + rules.suspicionMultiplier()
                                                         * Math.max(1, Math.log10(n))
-                                                        * rules.period()
+                                                        * rules.periodTicks()
                                                         / 10)
                         .toArray();
         return Page.HEAD
--- a/src/main/java/cottonlock/lab/Scenario.java
+++ b/src/main/java/cottonlock/lab/Scenario.java
@@ -315,7 +315,7 @@
         return new Knowing(
                 f.toml(Set.of("watch_limit_ms", "keyed")),
                 keyed,
-                plan.rules().period() * 100_000,
+                plan.protocol().periodTicks() * 100_000,
                 limit);
     }
 
--- a/src/main/java/cottonlock/lab/rollout/Deployment.java
+++ b/src/main/java/cottonlock/lab/rollout/Deployment.java
@@ -93,9 +93,9 @@
                                     "s",
                                     near,
                                     far,
-                                    RolloutConfig.CALL,
-                                    RolloutConfig.COMPARE,
-                                    RolloutConfig.RETRY),
+                                    RolloutConfig.DEFAULT_CALL_TIMEOUT_TICKS,
+                                    RolloutConfig.DEFAULT_COMPARISON_INTERVAL_TICKS,
+                                    RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS),
                             content,
                             habits,
                             () -> changed(number)));
--- a/src/main/java/cottonlock/lab/rollout/ProxyModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ProxyModel.java
@@ -263,7 +263,7 @@
         int other = compare == null ? rollout.compare(world.now()) : -1;
         if (other >= 0) {
             compare = new Connection(other, false);
-            compare.open(plan.call());
+            compare.open(plan.callTimeoutTicks());
             return;
         }
         Connection mine = watch;
--- a/src/main/java/cottonlock/lab/scale/ScaleFile.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleFile.java
@@ -153,11 +153,14 @@
         membershipToml = m.toml(Set.of("enabled", "listen", "advertise", "seeds"));
         // The process's own reader, so that a file means here what it means in service.
         MembershipConfig plan = OperatorFile.membership(m, file);
-        membership = plan == null ? null : plan.rules();
-        if (membership != null && membership.most() < fleet.size) {
+        membership = plan == null ? null : plan.protocol();
+        if (membership != null && membership.maxMembers() < fleet.size) {
             m.fault(
                     "most",
-                    "expected fleet.size (" + fleet.size + ") or more, found " + membership.most());
+                    "expected fleet.size ("
+                            + fleet.size
+                            + ") or more, found "
+                            + membership.maxMembers());
         }
         Fields e = top.table("expect");
         expect =
--- a/src/main/java/cottonlock/lab/world/Fleet.java
+++ b/src/main/java/cottonlock/lab/world/Fleet.java
@@ -296,7 +296,7 @@
         this.rules = rules;
         this.maker = maker;
         sides = new int[size];
-        settled = SETTLED * rules.period();
+        settled = SETTLED * rules.periodTicks();
         closed = known >= size;
         for (int i = 0; i < size; i++) {
             nodes.add(new Node(i));
@@ -374,8 +374,10 @@
     public void judgeSides() {
         judgesSides = true;
         double longest =
-                rules.suspicion() * rules.longest() * Math.max(1, Math.log10(nodes.size()));
-        settled = Math.max(SETTLED, Math.round(longest) + 2) * rules.period();
+                rules.suspicionMultiplier()
+                        * rules.maxSuspicionMultiplier()
+                        * Math.max(1, Math.log10(nodes.size()));
+        settled = Math.max(SETTLED, Math.round(longest) + 2) * rules.periodTicks();
     }
 
     /**
--- a/src/main/java/cottonlock/membership/AntiEntropy.java
+++ b/src/main/java/cottonlock/membership/AntiEntropy.java
@@ -71,7 +71,7 @@
     }
 
     private long pause() {
-        return joining() ? rules.period() / 4 : rest * rules.period();
+        return joining() ? rules.periodTicks() / 4 : rest * rules.periodTicks();
     }
 
     /** So many words that a page held were news here. */
@@ -81,7 +81,7 @@
 
     /** Changes that ride on probes are given so long before views are compared part by part. */
     private long settle() {
-        return joining() ? 0 : rules.period();
+        return joining() ? 0 : rules.periodTicks();
     }
 
     /** A member's digest has come; returns whether it is this one's. */
@@ -108,9 +108,9 @@
                         k ->
                                 k.diverges()
                                         && now - k.divergedSinceTicks >= settle()
-                                        && now - k.heardAtTicks < 4 * rules.period());
+                                        && now - k.heardAtTicks < 4 * rules.periodTicks());
         if (differing.isEmpty() || !habits.repairsDivergence()) {
-            at = now + (table.divergingCount() > 0 ? pause() : 4 * rules.period());
+            at = now + (table.divergingCount() > 0 ? pause() : 4 * rules.periodTicks());
             return;
         }
         // Where changes never end, views never are alike, and an exchange brings next to nothing.
--- a/src/main/java/cottonlock/membership/DatagramSender.java
+++ b/src/main/java/cottonlock/membership/DatagramSender.java
@@ -41,8 +41,8 @@
         this.counts = counts;
         this.habits = habits;
         this.tag = tag;
-        this.allowance = new BandwidthLimit(rules.bytes());
-        this.repeats = new UpdateBroadcastQueue(rules.most());
+        this.allowance = new BandwidthLimit(rules.maxBytesPerSecond());
+        this.repeats = new UpdateBroadcastQueue(rules.maxMembers());
     }
 
     /** A change to be told on. */
@@ -58,7 +58,11 @@
     /** How often a change is told. */
     int transmitLimit() {
         return habits.transmitLimit(
-                (int) Math.ceil(rules.repeats() * Math.log(table.liveCount() + 2) / Math.log(2)));
+                (int)
+                        Math.ceil(
+                                rules.retransmitMultiplier()
+                                        * Math.log(table.liveCount() + 2)
+                                        / Math.log(2)));
     }
 
     /** Another life of this process begins: its datagrams count anew. */
--- a/src/main/java/cottonlock/membership/FailureDetector.java
+++ b/src/main/java/cottonlock/membership/FailureDetector.java
@@ -106,7 +106,7 @@
     void start(long now) {
         probe = null;
         favours.clear();
-        roundAt = now + random.nextLong(rules.period());
+        roundAt = now + random.nextLong(rules.periodTicks());
     }
 
     /** Somebody has been heard. */
@@ -120,7 +120,7 @@
     }
 
     void degradeLocalHealth(int amount) {
-        doubt = Math.min(rules.doubts(), doubt + amount);
+        doubt = Math.min(rules.maxLocalHealthScore(), doubt + amount);
     }
 
     private void improveLocalHealth() {
@@ -132,8 +132,8 @@
      * answer all.
      */
     void maybeProbeSoon(MemberRecord k) {
-        if (random.nextInt(1 + table.liveCount()) < 2 * rules.confirmations()
-                && urgent.size() < rules.most()) {
+        if (random.nextInt(1 + table.liveCount()) < 2 * rules.confirmationCount()
+                && urgent.size() < rules.maxMembers()) {
             urgent.add(k);
         }
     }
@@ -143,7 +143,7 @@
      * soon.
      */
     void probeBeforeFailing(MemberRecord k) {
-        if (!k.contested && urgent.size() < rules.most()) {
+        if (!k.contested && urgent.size() < rules.maxMembers()) {
             k.contested = true;
             urgent.addFirst(k);
         }
@@ -176,12 +176,14 @@
             probe.over = true;
             // Of those asked for help none has answered either, or nobody at all: the fault may lie
             // here.
-            if (probe.asked > 0 ? probe.refused == 0 : now - heardAtTicks > 2 * rules.period()) {
+            if (probe.asked > 0
+                    ? probe.refused == 0
+                    : now - heardAtTicks > 2 * rules.periodTicks()) {
                 degradeLocalHealth(1);
             }
             if (probe.target.update.state() == MemberState.ALIVE
                     && probe.periods < periodsNeeded()) {
-                roundAt = now + rules.period() * (1 + doubt);
+                roundAt = now + rules.periodTicks() * (1 + doubt);
                 begin(now, probe.target, probe.periods + 1);
                 return;
             }
@@ -195,7 +197,7 @@
         if (probe != null) {
             probe.target.contested = false;
         }
-        roundAt = now + rules.period() * (1 + doubt);
+        roundAt = now + rules.periodTicks() * (1 + doubt);
         remind(now);
         MemberRecord target = next();
         if (target == null) {
@@ -210,7 +212,7 @@
                 new Probe(
                         target,
                         post.nextSequenceNumber(),
-                        now + rules.answer() * (1 + doubt),
+                        now + rules.answerTimeoutTicks() * (1 + doubt),
                         periods);
         ping(now, target, probe.seq);
     }
@@ -221,7 +223,7 @@
      */
     private int periodsNeeded() {
         double through = Math.sqrt(1 - unanswered);
-        double helped = Math.pow(1 - Math.pow(through, 4), rules.helpers());
+        double helped = Math.pow(1 - Math.pow(through, 4), rules.indirectProbeCount());
         double none = unanswered * unanswered * helped;
         int needed = 1;
         for (double chance = none; chance > UNUSUAL && needed < MOST_PERIODS; chance *= none) {
@@ -276,15 +278,15 @@
         // this side.
         List<MemberRecord> helpers =
                 ring.sample(
-                        rules.helpers(),
+                        rules.indirectProbeCount(),
                         k ->
                                 k != probe.target
                                         && k.update.state() == MemberState.ALIVE
-                                        && now - k.heardAtTicks < 4 * rules.period());
+                                        && now - k.heardAtTicks < 4 * rules.periodTicks());
         if (helpers.isEmpty()) {
             helpers =
                     ring.sample(
-                            rules.helpers(),
+                            rules.indirectProbeCount(),
                             k -> k != probe.target && k.update.state() == MemberState.ALIVE);
         }
         for (MemberRecord helper : helpers) {
@@ -330,7 +332,7 @@
      * serving.
      */
     boolean isResponsive(int hundredths) {
-        return hundredths * 100L <= rules.hung();
+        return hundredths * 100L <= rules.stallTimeoutTicks();
     }
 
     /** One that was asked to help has an answer, or has none. */
@@ -350,7 +352,7 @@
 
     /** Another asks for help. */
     void pingRequestReceived(long now, Message m, MemberRecord asker) {
-        if (m.target.equals(table.self().name()) || favours.size() >= rules.most()) {
+        if (m.target.equals(table.self().name()) || favours.size() >= rules.maxMembers()) {
             return;
         }
         Message ping = post.newMessage(Kind.PING, post.nextSequenceNumber());
@@ -362,7 +364,7 @@
                         m.sequenceNumber,
                         asker.update.name(),
                         m.target,
-                        now + rules.answer()));
+                        now + rules.answerTimeoutTicks()));
         post.send(now, m.targetAddress, table.get(m.target), ping, 0);
     }
 
--- a/src/main/java/cottonlock/membership/Membership.java
+++ b/src/main/java/cottonlock/membership/Membership.java
@@ -145,7 +145,7 @@
         this.table =
                 new MemberTable(
                         new MemberUpdate(name, address, begun, 0, MemberState.JOINING, 0),
-                        rules.most(),
+                        rules.maxMembers(),
                         new ContactAddresses(this.contacts));
         this.post = new DatagramSender(rules, table, outlet, counts, tag, habits);
         this.ring = new ProbeSchedule(random);
@@ -177,8 +177,8 @@
         stateSince = now;
         prober.start(now);
         contactAt = now;
-        joinUntil = now + rules.join();
-        tidyAt = now + rules.forget() / 4;
+        joinUntil = now + rules.joinTimeoutTicks();
+        tidyAt = now + rules.deadMemberRetentionTicks() / 4;
         wakeAt = now;
         return wakeAt;
     }
@@ -195,7 +195,7 @@
     }
 
     private boolean hung(long now) {
-        return lag(now) > rules.hung();
+        return lag(now) > rules.stallTimeoutTicks();
     }
 
     /**
@@ -303,7 +303,7 @@
                 Message answer = post.newMessage(Kind.ACK, m.sequenceNumber);
                 MemberRecord asker = m.onBehalfOf.isEmpty() ? k : table.get(m.onBehalfOf);
                 answer.heardRecently =
-                        asker != null && now - asker.heardAtTicks < 3 * rules.period();
+                        asker != null && now - asker.heardAtTicks < 3 * rules.periodTicks();
                 post.send(now, k, answer);
             }
             case ACK -> prober.ackReceived(now, m, k);
@@ -386,14 +386,14 @@
         k.suspicion = null;
         if (w.state() == MemberState.SUSPECT) {
             double fleet = Math.max(1, Math.log10(table.liveCount() + 1));
-            long least = Math.round(rules.suspicion() * fleet * rules.period());
+            long least = Math.round(rules.suspicionMultiplier() * fleet * rules.periodTicks());
             k.suspicion =
                     new SuspicionTimer(
                             now,
                             w.accuserHash(),
                             least,
-                            Math.round(least * rules.longest()),
-                            Math.min(rules.confirmations(), table.liveCount() - 1));
+                            Math.round(least * rules.maxSuspicionMultiplier()),
+                            Math.min(rules.confirmationCount(), table.liveCount() - 1));
             suspects.add(k);
             prober.maybeProbeSoon(k);
         }
@@ -467,7 +467,7 @@
             boolean heard =
                     k.heardAtTicks > k.suspicion.startedAtTicks()
                             && prober.isResponsive(k.stallCentis);
-            if (heard && k.suspicion.defer(now, rules.period())) {
+            if (heard && k.suspicion.defer(now, rules.periodTicks())) {
                 tell(now, k);
                 continue;
             }
@@ -475,7 +475,7 @@
             // cleared itself.
             if (!k.suspicion.accusedBy(MemberUpdate.nameHash(table.self().name()))
                     && habits.probesBeforeFailing()
-                    && k.suspicion.defer(now, rules.period())) {
+                    && k.suspicion.defer(now, rules.periodTicks())) {
                 prober.probeBeforeFailing(k);
                 continue;
             }
@@ -559,7 +559,7 @@
                         0,
                         MemberState.JOINING,
                         0));
-        joinUntil = now + rules.join();
+        joinUntil = now + rules.joinTimeoutTicks();
         if (displacedBy != null) {
             displacedBy = null;
             prober.start(now);
@@ -662,17 +662,18 @@
      * This process has stood still: what it waited for meanwhile may have come and gone unheard.
      */
     private void stood(long now, long late) {
-        if (rules.doubts() == 0 || !habits.tracksLocalHealth()) {
+        if (rules.maxLocalHealthScore() == 0 || !habits.tracksLocalHealth()) {
             return;
         }
         countEvent(MembershipMetric.LOCAL_STALLS);
-        prober.degradeLocalHealth(late > rules.period() ? 2 : 1);
+        prober.degradeLocalHealth(late > rules.periodTicks() ? 2 : 1);
         prober.start(now);
         endsChanged = true;
         for (MemberRecord k : suspects) {
             k.suspicion.extendForStall(now, late);
         }
-        if (late > rules.forget() / 2 && table.self().state() != MemberState.LEFT) {
+        if (late > rules.deadMemberRetentionTicks() / 2
+                && table.self().state() != MemberState.LEFT) {
             // Others may have forgotten who has died meanwhile: nothing that it knows, or that has
             // waited in
             // its socket, may pass for news.
@@ -688,7 +689,7 @@
                             me.incarnation() + 1,
                             MemberState.JOINING,
                             0));
-            joinUntil = now + rules.join();
+            joinUntil = now + rules.joinTimeoutTicks();
         }
     }
 
@@ -700,7 +701,7 @@
             String address = open.remove(random.nextInt(open.size()));
             post.send(now, address, null, post.newMessage(Kind.PING, post.nextSequenceNumber()), 0);
         }
-        contactAt = now + rules.period() * (alone ? 1 : rules.contact());
+        contactAt = now + rules.periodTicks() * (alone ? 1 : rules.contactIntervalPeriods());
     }
 
     /**
@@ -708,7 +709,7 @@
      * is.
      */
     private void askAfterMyself(long now) {
-        if (now - displacedAt > GONE * rules.period()) {
+        if (now - displacedAt > GONE * rules.periodTicks()) {
             comeBack(now, displacedBy);
             return;
         }
@@ -726,7 +727,7 @@
                     post.newMessage(Kind.PING, post.nextSequenceNumber()),
                     0);
         }
-        contactAt = now + 4 * rules.period();
+        contactAt = now + 4 * rules.periodTicks();
     }
 
     /** Takes itself for one of them once its view is theirs, or for the first where nobody is. */
@@ -738,21 +739,22 @@
                                         k.update.state().isLive()
                                                 && k.heardAtTicks >= startedAt
                                                 && !k.diverges());
-        if (agrees || now - startedAt > 5 * rules.join()) {
+        if (agrees || now - startedAt > 5 * rules.joinTimeoutTicks()) {
             be(now, table.self().withState(MemberState.ALIVE, 0));
             outlet.memberStateChanged(
                     table.self().name(),
                     MemberState.ALIVE,
                     table.liveCount() == 0 ? "nobody else is there" : "its view is that of others");
         } else {
-            joinUntil = now + rules.join() / 4;
+            joinUntil = now + rules.joinTimeoutTicks() / 4;
         }
     }
 
     private void tidy(long now) {
-        tidyAt = now + rules.forget() / 4;
+        tidyAt = now + rules.deadMemberRetentionTicks() / 4;
         for (MemberRecord k : List.copyOf(table.members())) {
-            if (!k.update.state().isLive() && now - k.stateSinceTicks >= rules.forget()) {
+            if (!k.update.state().isLive()
+                    && now - k.stateSinceTicks >= rules.deadMemberRetentionTicks()) {
                 drop(k);
             }
         }
@@ -773,10 +775,10 @@
             return;
         }
         farewells++;
-        contactAt = farewells < FAREWELLS ? now + rules.period() / 4 : Long.MAX_VALUE;
+        contactAt = farewells < FAREWELLS ? now + rules.periodTicks() / 4 : Long.MAX_VALUE;
         if (displacedBy == null) {
             for (MemberRecord k :
-                    ring.sample(2 + rules.helpers(), k -> k.update.state().isLive())) {
+                    ring.sample(2 + rules.indirectProbeCount(), k -> k.update.state().isLive())) {
                 post.send(now, k, post.newMessage(Kind.UPDATES));
             }
         }
@@ -784,7 +786,7 @@
 
     /** Tells a member what is held of it, so that it can contradict. */
     private void tell(long now, MemberRecord k) {
-        if (now - k.notifiedAtTicks >= rules.answer()) {
+        if (now - k.notifiedAtTicks >= rules.answerTimeoutTicks()) {
             k.notifiedAtTicks = now;
             post.send(now, k, post.newMessage(Kind.UPDATES));
         }
@@ -888,7 +890,8 @@
                     ? MembershipView.Reach.UNKNOWN
                     : MembershipView.Reach.BIDIRECTIONAL;
         }
-        long round = rules.period() * (table.liveCount() + 2) * (1 + prober.localHealthScore());
+        long round =
+                rules.periodTicks() * (table.liveCount() + 2) * (1 + prober.localHealthScore());
         return now - k.heardAtTicks < 2 * round
                 ? MembershipView.Reach.INBOUND_ONLY
                 : k.hearsThisProcess
@@ -921,7 +924,7 @@
                     .append(k.update)
                     .append(k.diverges())
                     .append(k.stallCentis)
-                    .append(now - k.heardAtTicks < 3 * rules.period())
+                    .append(now - k.heardAtTicks < 3 * rules.periodTicks())
                     .append(k.heardAtTicks >= startedAt);
             if (k.suspicion != null) {
                 text.append(k.suspicion.accuserCount())
--- a/src/main/java/cottonlock/membership/MembershipService.java
+++ b/src/main/java/cottonlock/membership/MembershipService.java
@@ -90,13 +90,13 @@
         this.log = log;
         this.name = name;
         List<Path> keys = new ArrayList<>();
-        for (String key : List.of(plan.key(), plan.nextKey())) {
+        for (String key : List.of(plan.keyFile(), plan.nextKeyFile())) {
             if (!key.isEmpty()) {
                 keys.add(Path.of(key));
             }
         }
         this.seal = keys.isEmpty() ? null : new DatagramAuthenticator(keys);
-        int most = plan.rules().most() * 2;
+        int most = plan.protocol().maxMembers() * 2;
         this.addresses =
                 new LinkedHashMap<>() {
                     private static final long serialVersionUID = 1L;
@@ -109,7 +109,7 @@
                 };
         this.machine =
                 new Membership(
-                        plan.rules(),
+                        plan.protocol(),
                         new Sending(),
                         name,
                         address,
--- a/src/main/java/cottonlock/proxy/MembershipAdapter.java
+++ b/src/main/java/cottonlock/proxy/MembershipAdapter.java
@@ -47,9 +47,9 @@
             throws IOException {
         InetSocketAddress peerListen = config.addressIfAny("peer_listen");
         InetSocketAddress listen =
-                plan.listen().isEmpty()
+                plan.listenAddress().isEmpty()
                         ? peerListen
-                        : ProxyConfiguration.address("membership.listen", plan.listen());
+                        : ProxyConfiguration.address("membership.listen", plan.listenAddress());
         if (listen == null) {
             throw new InvalidSettingsException(
                     "membership needs an address: peer_listen here, or membership.listen in the "
@@ -59,7 +59,7 @@
         List<InetSocketAddress> fixed = config.addresses("peers");
         List<String> contacts = new ArrayList<>();
         fixed.forEach(address -> contacts.add(MembershipService.addressText(address)));
-        plan.seeds()
+        plan.seedAddresses()
                 .forEach(
                         seed ->
                                 contacts.add(
@@ -74,10 +74,10 @@
         int me = config.settings().count("Me", -1);
         String address =
                 MembershipService.addressText(
-                        !plan.advertise().isEmpty()
+                        !plan.advertisedAddress().isEmpty()
                                 ? ProxyConfiguration.address(
-                                        "membership.advertise", plan.advertise())
-                                : plan.listen().isEmpty() && me >= 0 && me < fixed.size()
+                                        "membership.advertise", plan.advertisedAddress())
+                                : plan.listenAddress().isEmpty() && me >= 0 && me < fixed.size()
                                         ? fixed.get(me)
                                         : listen);
         String name = config.text("name", "");
@@ -92,7 +92,7 @@
                             name,
                             address,
                             contacts,
-                            plan.seeds().isEmpty(),
+                            plan.seedAddresses().isEmpty(),
                             life,
                             random,
                             clock::now,
--- a/src/main/java/cottonlock/proxy/Proxy.java
+++ b/src/main/java/cottonlock/proxy/Proxy.java
@@ -198,9 +198,9 @@
         DatagramSocket peerSocket = talks ? PeerMessenger.socket(peerListen, shares) : null;
         peers = new PeerMessenger(peerSocket, config.addresses("peers"), all, module, log);
         module.join(assembly.balancer(module, random.nextLong()), watch, peers, bans);
-        if (!operator.watched().isEmpty()) {
+        if (!operator.shadowSettings().isEmpty()) {
             Settings others = config.settings();
-            operator.watched().forEach(others::put);
+            operator.shadowSettings().forEach(others::put);
             shadow = new ShadowLoadBalancer(log);
             shadow.join(new LoadBalancerFactory(others).balancer(shadow, random.nextLong()));
             module.watch(shadow);
--- a/src/main/java/cottonlock/proxy/RolloutActor.java
+++ b/src/main/java/cottonlock/proxy/RolloutActor.java
@@ -66,8 +66,10 @@
             SplittableRandom random,
             RateLimitedLog log) {
         this.plan = plan;
-        plan.control().forEach(a -> machines.add(ProxyConfiguration.address("rollout.control", a)));
-        plan.far().forEach(a -> machines.add(ProxyConfiguration.address("rollout.far", a)));
+        plan.nearControlAddresses()
+                .forEach(a -> machines.add(ProxyConfiguration.address("rollout.control", a)));
+        plan.farControlAddresses()
+                .forEach(a -> machines.add(ProxyConfiguration.address("rollout.far", a)));
         this.takeIn = takeIn;
         this.base = ConfigurationVersionParser.base(built);
         this.kept = kept;
@@ -178,7 +180,7 @@
                             answerBy,
                             "/catalog/configuration?stream=1"
                                     + "&service="
-                                    + plan.service()
+                                    + plan.serviceName()
                                     + "&index="
                                     + asks.number()
                                     + "&digest="
@@ -280,8 +282,8 @@
                             asking,
                             compareBuffer,
                             at,
-                            clock.now() + plan.call(),
-                            "/catalog/configuration/version?service=" + plan.service());
+                            clock.now() + plan.callTimeoutTicks(),
+                            "/catalog/configuration/version?service=" + plan.serviceName());
             String line = reader.line(LONGEST_ANSWER);
             rollout.compared(
                     clock.now(),
--- a/src/main/java/cottonlock/rollout/ConfigurationRollout.java
+++ b/src/main/java/cottonlock/rollout/ConfigurationRollout.java
@@ -133,8 +133,8 @@
             SplittableRandom chance,
             RolloutVariants habits) {
         this.plan = plan;
-        this.near = plan.control().size();
-        this.machines = near + plan.far().size();
+        this.near = plan.nearControlAddresses().size();
+        this.machines = near + plan.farControlAddresses().size();
         this.chance = chance;
         this.habits = habits;
         this.inForce = kept;
@@ -158,7 +158,9 @@
         return new Call(
                 watched,
                 calledAt,
-                firstRound ? plan.call() : Math.max(plan.call(), plan.retry() / 2));
+                firstRound
+                        ? plan.callTimeoutTicks()
+                        : Math.max(plan.callTimeoutTicks(), plan.maxRetryDelayTicks() / 2));
     }
 
     /**
@@ -169,7 +171,7 @@
         if (standsSince < 0) {
             standsSince = now;
             lostSince = -1;
-            compareAt = now + about(plan.compare());
+            compareAt = now + about(plan.comparisonIntervalTicks());
         }
         toldByWatched = version;
         if (moveTo >= 0 && !habits.outweighs(moveFor, version)) {
@@ -275,10 +277,10 @@
             nextAt = now;
         } else if (firstRound && habits.movesOn()) {
             // Counted from the last call's start: those that are refused at once come no faster.
-            long begun = stood ? now : Math.max(now, calledAt + plan.call());
-            nextAt = begun + plan.call() / 8 + upTo(plan.call() / 2);
+            long begun = stood ? now : Math.max(now, calledAt + plan.callTimeoutTicks());
+            nextAt = begun + plan.callTimeoutTicks() / 8 + upTo(plan.callTimeoutTicks() / 2);
         } else {
-            long longest = habits.longestWait(plan.retry(), failedInARow);
+            long longest = habits.longestWait(plan.maxRetryDelayTicks(), failedInARow);
             nextAt = now + longest / 2 + upTo(longest / 2);
         }
     }
@@ -289,7 +291,7 @@
             return -1;
         }
         calls++;
-        compareAt = now + about(plan.compare());
+        compareAt = now + about(plan.comparisonIntervalTicks());
         int other = chance.nextInt(machines - 1);
         return other >= watched ? other + 1 : other;
     }
--- a/src/main/java/cottonlock/setup/MembershipConfig.java
+++ b/src/main/java/cottonlock/setup/MembershipConfig.java
@@ -3,20 +3,24 @@
 import java.util.List;
 
 /**
- * Where a proxy finds the others of its tier, and how closely they watch one another.
+ * Where a proxy finds the other proxies of its tier, and the protocol by which they watch each
+ * other.
  *
- * @param listen where its datagrams come; empty: the platform's {@code peer_listen}
- * @param advertise where others reach that; empty: its place among the platform's {@code peers},
- *     else listen
- * @param seeds addresses at which others may be found, beside the platform's {@code peers}; with
- *     any, others may have addresses that no file names
- * @param key a file with the key that tags are made with; empty: there are none
- * @param nextKey a file with a key whose tags count too; empty: there is none
+ * @param listenAddress where its datagrams arrive; empty: the platform's {@code peer_listen}
+ * @param advertisedAddress where other members reach it; empty: its place among the platform's
+ *     {@code peers}, else the listen address
+ * @param seedAddresses addresses at which members may be found, beside the platform's {@code
+ *     peers}; with any, members may have addresses that no file names
+ * @param keyFile a file with the key that authenticates datagrams; empty: they are not
+ *     authenticated
+ * @param nextKeyFile a file with a second key that is accepted too, for key rotation; empty: there
+ *     is none
+ * @param protocol timing and limits of the protocol
  */
 public record MembershipConfig(
-        String listen,
-        String advertise,
-        List<String> seeds,
-        String key,
-        String nextKey,
-        MembershipProtocolConfig rules) {}
+        String listenAddress,
+        String advertisedAddress,
+        List<String> seedAddresses,
+        String keyFile,
+        String nextKeyFile,
+        MembershipProtocolConfig protocol) {}
--- a/src/main/java/cottonlock/setup/MembershipProtocolConfig.java
+++ b/src/main/java/cottonlock/setup/MembershipProtocolConfig.java
@@ -1,44 +1,53 @@
 package cottonlock.setup;
 
 /**
- * How closely proxies watch one another. Times are tenths of a millisecond; the operator's example
- * file has each with its default and range, and docs/membership.md says what each costs.
+ * The timing and the limits of the membership protocol. Lengths of time are {@linkplain
+ * cottonlock.core.Ticks ticks} of 0.1 ms. The operator's example file has each value with its
+ * default and range, and docs/membership.md says what each costs.
  *
- * @param period between two probes that a proxy begins; 500 to 600,000
- * @param answer how long it waits for a direct answer before it asks others; below the period
- * @param helpers how many others are asked to probe one that has not answered; 0: none
- * @param suspicion the shortest suspicion, in periods for each tenfold of the fleet; 0.5 at least
- * @param longest how many times the shortest a suspicion lasts that nobody else confirms; 1 at
- *     least
- * @param confirmations of others that bring a suspicion down to the shortest; 0: it is always the
- *     shortest
- * @param hung for so long the module's thread may stand still before its proxy counts as failed
- * @param repeats how often a change is told on, for each doubling of the fleet
- * @param most members at most, those that have failed or left of late among them; 2 at least
- * @param forget how long one that has failed or left is remembered
- * @param bytes that a proxy sends in any second at most, without the headers of UDP and IP
- * @param doubts how far it doubts itself at most: all then takes so many times longer; 0: never
- * @param join how long it waits for an answer before it takes itself for the first
- * @param contact periods between two calls at an address where nobody is known to live
+ * @param periodTicks between two probes that a member begins; 500 to 600,000
+ * @param answerTimeoutTicks how long it waits for a direct answer before it asks other members to
+ *     probe; below the period
+ * @param indirectProbeCount how many other members are asked to probe one that has not answered; 0:
+ *     none
+ * @param suspicionMultiplier the shortest suspicion, in periods for each tenfold of the number of
+ *     members; 0.5 at least
+ * @param maxSuspicionMultiplier how many times the shortest a suspicion lasts that no other member
+ *     confirms; 1 at least
+ * @param confirmationCount independent suspicions by other members that bring a suspicion down to
+ *     the shortest; 0: it is always the shortest
+ * @param stallTimeoutTicks how long the thread that decides may stall before its proxy counts as
+ *     failed
+ * @param retransmitMultiplier how often an update is sent, for each doubling of the number of
+ *     members
+ * @param maxMembers members known at most, those that failed or left lately among them; 2 at least
+ * @param deadMemberRetentionTicks how long a member that has failed or left is remembered
+ * @param maxBytesPerSecond sent in any second at most, without the headers of UDP and IP
+ * @param maxLocalHealthScore the limit of a member's score of its own health, which stretches its
+ *     timeouts by as much; 0: they are never stretched
+ * @param joinTimeoutTicks how long a joining member waits for an answer before it takes itself for
+ *     the first
+ * @param contactIntervalPeriods periods between two attempts to reach an address at which no live
+ *     member is known
  */
 public record MembershipProtocolConfig(
-        long period,
-        long answer,
-        int helpers,
-        double suspicion,
-        double longest,
-        int confirmations,
-        long hung,
-        double repeats,
-        int most,
-        long forget,
-        int bytes,
-        int doubts,
-        long join,
-        int contact) {
+        long periodTicks,
+        long answerTimeoutTicks,
+        int indirectProbeCount,
+        double suspicionMultiplier,
+        double maxSuspicionMultiplier,
+        int confirmationCount,
+        long stallTimeoutTicks,
+        double retransmitMultiplier,
+        int maxMembers,
+        long deadMemberRetentionTicks,
+        int maxBytesPerSecond,
+        int maxLocalHealthScore,
+        long joinTimeoutTicks,
+        int contactIntervalPeriods) {
 
-    /** What holds where the operator's file says nothing else. */
-    public static final MembershipProtocolConfig USUAL =
+    /** The values that hold where the operator's file gives none. */
+    public static final MembershipProtocolConfig DEFAULTS =
             new MembershipProtocolConfig(
                     5_000, 1_500, 3, 3, 3, 3, 20_000, 2, 4_096, 6_000_000, 4_096, 3, 20_000, 2);
 }
--- a/src/main/java/cottonlock/setup/RolloutConfig.java
+++ b/src/main/java/cottonlock/setup/RolloutConfig.java
@@ -3,26 +3,33 @@
 import java.util.List;
 
 /**
- * Where a proxy learns of changes to its settings. Times are tenths of a millisecond.
+ * Where a proxy learns of new versions of its configuration. Lengths of time are {@linkplain
+ * cottonlock.core.Ticks ticks} of 0.1 ms.
  *
- * @param service whose settings these are; 1 to 64 letters, digits, dots, dashes and underscores
- * @param control addresses of the control machines that are near; one at least
- * @param far of those that are asked where no near one answers, and for comparison
- * @param call how long a call may take until it is answered; 500 to 20,000
- * @param compare between two comparisons with another control machine, in the mean; 10,000 to
- *     600,000
- * @param retry the longest wait between two calls while control is lost; 5,000 to 600,000
+ * @param serviceName whose configuration this is; 1 to 64 letters, digits, dots, dashes and
+ *     underscores
+ * @param nearControlAddresses the control servers that are asked first; one at least
+ * @param farControlAddresses the control servers that are asked where no near one answers, and for
+ *     comparison
+ * @param callTimeoutTicks how long a call may take until it is answered; 500 to 20,000
+ * @param comparisonIntervalTicks the mean time between two comparisons with another control server;
+ *     10,000 to 600,000
+ * @param maxRetryDelayTicks the longest wait between two calls while no control server answers;
+ *     5,000 to 600,000
  */
 public record RolloutConfig(
-        String service,
-        List<String> control,
-        List<String> far,
-        long call,
-        long compare,
-        long retry) {
-    /** Where the operator's file says nothing else. */
-    public static final long CALL = 4_000;
+        String serviceName,
+        List<String> nearControlAddresses,
+        List<String> farControlAddresses,
+        long callTimeoutTicks,
+        long comparisonIntervalTicks,
+        long maxRetryDelayTicks) {
+    /** The call timeout where the operator's file gives none. */
+    public static final long DEFAULT_CALL_TIMEOUT_TICKS = 4_000;
 
-    public static final long COMPARE = 40_000;
-    public static final long RETRY = 40_000;
+    /** The interval of comparisons where the operator's file gives none. */
+    public static final long DEFAULT_COMPARISON_INTERVAL_TICKS = 40_000;
+
+    /** The longest wait between calls where the operator's file gives none. */
+    public static final long DEFAULT_MAX_RETRY_DELAY_TICKS = 40_000;
 }
--- a/src/test/java/cottonlock/config/ConfigTest.java
+++ b/src/test/java/cottonlock/config/ConfigTest.java
@@ -90,9 +90,9 @@
                         "s",
                         List.of("127.0.0.1:1"),
                         List.of(),
-                        RolloutConfig.CALL,
-                        RolloutConfig.COMPARE,
-                        RolloutConfig.RETRY),
+                        RolloutConfig.DEFAULT_CALL_TIMEOUT_TICKS,
+                        RolloutConfig.DEFAULT_COMPARISON_INTERVAL_TICKS,
+                        RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS),
                 OperatorFile.read(rollout).rollout());
         assertEquals(1, faults(".toml", "[log\n", OperatorFile::read).size());
         InvalidConfigurationException missing =
--- a/src/test/java/cottonlock/lab/RegionsStudyTest.java
+++ b/src/test/java/cottonlock/lab/RegionsStudyTest.java
@@ -42,7 +42,7 @@
     private static Map<String, Long> play(long seed, int size, int quiet, int apart) {
         return RegionsStudy.of(
                 new RegionsStudy.Play(seed, size, TOPOLOGY, quiet, apart, size),
-                MembershipProtocolConfig.USUAL,
+                MembershipProtocolConfig.DEFAULTS,
                 new NoGauge(),
                 (name, figures) -> {});
     }
@@ -62,7 +62,8 @@
                                 name + " never was: " + figures));
         assertEquals(0, figures.get("false_failed"), figures.toString());
         assertTrue(
-                figures.get("bytes_s_worst") <= MembershipProtocolConfig.USUAL.bytes(),
+                figures.get("bytes_s_worst")
+                        <= MembershipProtocolConfig.DEFAULTS.maxBytesPerSecond(),
                 figures.toString());
         if (size <= 100) {
             // What docs/membership.md gives for this size, and as much again.
--- a/src/test/java/cottonlock/membership/MembershipTest.java
+++ b/src/test/java/cottonlock/membership/MembershipTest.java
@@ -24,7 +24,7 @@
  */
 class MembershipTest {
     private static final long SECOND = 10_000;
-    private static final MembershipProtocolConfig USUAL = MembershipProtocolConfig.USUAL;
+    private static final MembershipProtocolConfig USUAL = MembershipProtocolConfig.DEFAULTS;
 
     private static MembershipProtocolConfig rules(
             int helpers,
@@ -35,19 +35,19 @@
             int doubts,
             int contact) {
         return new MembershipProtocolConfig(
-                USUAL.period(),
-                USUAL.answer(),
+                USUAL.periodTicks(),
+                USUAL.answerTimeoutTicks(),
                 helpers,
                 suspicion,
-                USUAL.longest(),
-                USUAL.confirmations(),
+                USUAL.maxSuspicionMultiplier(),
+                USUAL.confirmationCount(),
                 hung,
-                USUAL.repeats(),
+                USUAL.retransmitMultiplier(),
                 most,
                 forget,
-                USUAL.bytes(),
+                USUAL.maxBytesPerSecond(),
                 doubts,
-                USUAL.join(),
+                USUAL.joinTimeoutTicks(),
                 contact);
     }
 
@@ -295,7 +295,9 @@
         dead.start(0);
         assertTrue(fleet.untilAgreed(10 * SECOND) >= 0);
         for (Fleet.Node node : fleet.nodes) {
-            assertTrue(node.worstSecond <= USUAL.bytes(), node.worstSecond + " bytes in a second");
+            assertTrue(
+                    node.worstSecond <= USUAL.maxBytesPerSecond(),
+                    node.worstSecond + " bytes in a second");
         }
     }
 
@@ -775,7 +777,9 @@
             pass(fleet, 1);
         }
         for (Fleet.Node node : fleet.nodes) {
-            assertTrue(node.worstSecond <= USUAL.bytes(), node.worstSecond + " bytes in a second");
+            assertTrue(
+                    node.worstSecond <= USUAL.maxBytesPerSecond(),
+                    node.worstSecond + " bytes in a second");
             if (!node.up) {
                 node.start(0);
             }
--- a/src/test/java/cottonlock/proxy/ProxyTest.java
+++ b/src/test/java/cottonlock/proxy/ProxyTest.java
@@ -56,6 +56,7 @@
                                         "0.05",
                                         "Fees.Handshake",
                                         "0.00001"),
+                                null,
                                 null),
                         null,
                         null);
@@ -97,6 +98,7 @@
                                                         "-1",
                                                         "Fees.Connection",
                                                         "1"),
+                                                null,
                                                 null),
                                         null,
                                         null));
--- a/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
+++ b/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
@@ -326,9 +326,9 @@
                                         "s",
                                         addresses,
                                         List.of(),
-                                        RolloutConfig.CALL,
-                                        RolloutConfig.COMPARE,
-                                        RolloutConfig.RETRY)),
+                                        RolloutConfig.DEFAULT_CALL_TIMEOUT_TICKS,
+                                        RolloutConfig.DEFAULT_COMPARISON_INTERVAL_TICKS,
+                                        RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS)),
                         null,
                         folder);
         buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
--- a/src/test/java/cottonlock/rollout/ConfigurationRolloutTest.java
+++ b/src/test/java/cottonlock/rollout/ConfigurationRolloutTest.java
@@ -274,9 +274,9 @@
                 "s",
                 names.subList(0, near),
                 names.subList(near, near + far),
-                RolloutConfig.CALL,
-                RolloutConfig.COMPARE,
-                RolloutConfig.RETRY);
+                RolloutConfig.DEFAULT_CALL_TIMEOUT_TICKS,
+                RolloutConfig.DEFAULT_COMPARISON_INTERVAL_TICKS,
+                RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS);
     }
 
     @Property(tries = 200)
@@ -297,7 +297,7 @@
     void versionsNeverGoBackAndWaitsAreBounded(@ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         RolloutConfig plan = plan(1 + chance.nextInt(4), chance.nextInt(4));
-        int machines = plan.control().size() + plan.far().size();
+        int machines = plan.nearControlAddresses().size() + plan.farControlAddresses().size();
         ConfigurationRollout r =
                 new ConfigurationRollout(0, plan, ConfigurationVersion.NONE, chance.split());
         long now = 0;
@@ -305,7 +305,9 @@
         Set<ConfigurationVersion> judged = new HashSet<>();
         for (int i = 0; i < 200; i++) {
             ConfigurationRollout.Call call = r.watch(now);
-            assertTrue(call.at() >= now && call.at() <= now + plan.retry(), "a bounded wait");
+            assertTrue(
+                    call.at() >= now && call.at() <= now + plan.maxRetryDelayTicks(),
+                    "a bounded wait");
             assertTrue(call.machine() >= 0 && call.machine() < machines);
             now = call.at();
             for (int line = chance.nextInt(5); line > 0; line--) {
@@ -362,7 +364,8 @@
         assertTrue(now <= 20_000 + 17 * 6_500, "0.65 s each behind the first: " + now);
         long waited = r.watch(now).at() - now;
         assertTrue(
-                waited >= RolloutConfig.RETRY / 2 && waited <= RolloutConfig.RETRY,
+                waited >= RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS / 2
+                        && waited <= RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS,
                 "then one by one: " + waited);
     }
 }
