--- a/src/main/java/cottonlock/decision/AdmissionController.java
+++ b/src/main/java/cottonlock/decision/AdmissionController.java
@@ -85,7 +85,7 @@
             List<Tenant> tenants,
             DeploymentTopology shape,
             boolean bounded) {
-        span = Math.round(SPAN * shape.due());
+        span = Math.round(SPAN * shape.meanLatencyObjectiveTicks());
         finished = new SlidingWindowSum(span, 20);
         dues = new SlidingWindowSum(span, 20);
         latency = new SlidingWindowSum(span, 20);
@@ -94,13 +94,13 @@
         this.fleet = fleet;
         this.random = random;
         this.shape = shape;
-        this.balancers = shape.balancers();
+        this.balancers = shape.loadBalancerCount();
         this.bounded = bounded;
-        this.quotas = tenants.stream().mapToDouble(Tenant::quota).sum() / 10_000;
+        this.quotas = tenants.stream().mapToDouble(Tenant::quotaPerSecond).sum() / 10_000;
         lanes = new Entry[Math.max(1, tenants.size())];
         for (int t = 0; t < lanes.length; t++) {
-            boolean apart = !shape.alike() && t < tenants.size();
-            lanes[t] = new Entry(apart ? tenants.get(t).quota() / 10_000 : 0);
+            boolean apart = !shape.evenlyLoaded() && t < tenants.size();
+            lanes[t] = new Entry(apart ? tenants.get(t).quotaPerSecond() / 10_000 : 0);
         }
     }
 
@@ -153,7 +153,7 @@
         }
         // So many for each backend are never too many; a part below one is let in by chance.
         double floor = (req.overQuota ? EXCESS_FLOOR : FLOOR) * fleet.ready.size() / balancers;
-        if (req.overQuota && shape.many()) {
+        if (req.overQuota && shape.hasManyLoadBalancers()) {
             // Let in beyond that, excess made its own room until the whole fleet choked on it.
             return !pressed(now) && inside + random.nextDouble() < floor;
         }
--- a/src/main/java/cottonlock/decision/AttemptTracker.java
+++ b/src/main/java/cottonlock/decision/AttemptTracker.java
@@ -84,7 +84,7 @@
         boolean ran = req.firstPossiblyExecuted() != null;
         if (!ran
                 && !(last == AttemptOutcome.REJECTED
-                        && fleet.shape.balancers() > 2 * fleet.ready.size())) {
+                        && fleet.shape.loadBalancerCount() > 2 * fleet.ready.size())) {
             return true;
         }
         boolean may =
--- a/src/main/java/cottonlock/decision/Backend.java
+++ b/src/main/java/cottonlock/decision/Backend.java
@@ -96,6 +96,6 @@
 
     /** The listed size; 1 where the list gives none. */
     double size() {
-        return member.size() > 0 ? member.size() : 1;
+        return member.capacityWeight() > 0 ? member.capacityWeight() : 1;
     }
 }
--- a/src/main/java/cottonlock/decision/BackendRegistry.java
+++ b/src/main/java/cottonlock/decision/BackendRegistry.java
@@ -117,19 +117,20 @@
         this.tenants = tenants;
         this.shape = shape;
         this.cold = cold;
-        staySpan = Math.round(STAY_SPAN * shape.due());
+        staySpan = Math.round(STAY_SPAN * shape.meanLatencyObjectiveTicks());
         heldTime = new SlidingWindowSum(staySpan, 8);
         sends = new SlidingWindowSum(staySpan, 8);
-        times = new SlidingWindowMean(Math.round(USUAL_SPAN * shape.due()));
-        stays = new SlidingWindowMean(Math.round(USUAL_SPAN * shape.due()));
-        answered = new SlidingWindowMean(Math.round(USUAL_SPAN * shape.due()));
+        times = new SlidingWindowMean(Math.round(USUAL_SPAN * shape.meanLatencyObjectiveTicks()));
+        stays = new SlidingWindowMean(Math.round(USUAL_SPAN * shape.meanLatencyObjectiveTicks()));
+        answered =
+                new SlidingWindowMean(Math.round(USUAL_SPAN * shape.meanLatencyObjectiveTicks()));
         // The larger a backend, the more balancers have it first.
         this.own =
-                shape.rest() <= 0
+                shape.connectionBreakEvenTicks() <= 0
                         ? Comparator.comparing(b -> b.id)
                         : Comparator.comparingDouble(
                                 b ->
-                                        -Math.log(RendezvousHash.part(-1 - shape.me(), b.id))
+                                        -Math.log(RendezvousHash.part(-1 - shape.ownIndex(), b.id))
                                                 / b.size());
     }
 
@@ -150,8 +151,14 @@
         }
         for (Endpoint m : members) {
             Backend b =
-                    known.computeIfAbsent(m.id(), id -> new Backend(m, cold.fall(), shape.due()));
-            if (m.startedAt() > b.member.startedAt()) {
+                    known.computeIfAbsent(
+                            m.id(),
+                            id ->
+                                    new Backend(
+                                            m,
+                                            cold.overloadWindowTicks(),
+                                            shape.meanLatencyObjectiveTicks()));
+            if (m.startedAtTicks() > b.member.startedAtTicks()) {
                 b.streak = 0;
                 b.failures.clear();
                 b.answers.clear();
@@ -166,7 +173,7 @@
             }
         }
         layLanes();
-        if (shape.mustAsk()) {
+        if (shape.endpointListPolled()) {
             failedAsks = 0;
             askAt = Long.MAX_VALUE;
             if (cached) {
@@ -179,7 +186,7 @@
      * Gone from the list, which may be wrong: where that binds nobody, it is used while it answers.
      */
     private void removed(Backend b, long now) {
-        b.delisted = !shape.removalBinds();
+        b.delisted = !shape.removalBinding();
         if (!b.delisted || b.answers.sum(now) == 0) {
             b.leave(now);
         }
@@ -190,7 +197,7 @@
         // limit and
         // 0.8 s at most: 6 s after discovery can be reached again, all that it has counts as
         // told.
-        long wait = Math.min(shape.askWithin() / 4, 1_000L << Math.min(3, ++failedAsks));
+        long wait = Math.min(shape.maxPollIntervalTicks() / 4, 1_000L << Math.min(3, ++failedAsks));
         askAt = now + wait / 2 + random.nextLong(Math.max(1, wait / 2));
     }
 
@@ -211,18 +218,19 @@
                                 ? Math.min(age, now - keptAt)
                                 : 0);
             }
-            boolean spent = now - b.restsSince > shape.rest() * ready.size();
-            if (spent && shape.rest() > 0 && b.connected && b.out == 0) {
+            boolean spent = now - b.restsSince > shape.connectionBreakEvenTicks() * ready.size();
+            if (spent && shape.connectionBreakEvenTicks() > 0 && b.connected && b.out == 0) {
                 b.connected = false;
                 outlet.closeIdleConnections(b.id);
             }
         }
         for (Backend b : ready) {
             double all = stays.mean(now, 0, 1, 1);
-            double pace = all / stays.mean(now, 2 + 2 * b.member.kind(), IMAGINED_STAYS, all);
+            double pace =
+                    all / stays.mean(now, 2 + 2 * b.member.machineKind(), IMAGINED_STAYS, all);
             // Squared, as much of a stay is often the tiers behind, which are alike for all.
             b.pace = pace * pace;
-            if (cold.warmth(b.member, now) >= 1 && b.streak < 3) {
+            if (cold.warmUpFraction(b.member, now) >= 1 && b.streak < 3) {
                 size += b.size();
                 finished += b.finished.sum(now);
             }
@@ -277,7 +285,7 @@
                 double lack =
                         sizes[t] == 0
                                 ? Integer.MAX_VALUE - t
-                                : tenants.get(t).share() * backends - sizes[t];
+                                : tenants.get(t).capacityShare() * backends - sizes[t];
                 if (lack > most) {
                     most = lack;
                     neediest = t;
@@ -301,9 +309,10 @@
     boolean crowded(int tenant, double far, long now) {
         double over = laneStay(tenant, now) / Math.max(1, stays.mean(now, 0, 0, 0));
         // Where one can tell what all hold, less than two for each backend is never a crowd.
-        double held = heldTime.sum(now) * over * shape.balancers() / staySpan / ready.size();
-        return FEW * shape.balancers() > ready.size()
-                && (held > 2 || !shape.alike())
+        double held =
+                heldTime.sum(now) * over * shape.loadBalancerCount() / staySpan / ready.size();
+        return FEW * shape.loadBalancerCount() > ready.size()
+                && (held > 2 || !shape.evenlyLoaded())
                 && random.nextDouble() * over > far;
     }
 
@@ -324,17 +333,17 @@
      * How many backends a lane is worth: its warm and trusted ones, and what the fleet has to lend.
      */
     double able(int tenant, double most, long now) {
-        double held = heldTime.sum(now) * (double) shape.balancers() / staySpan;
+        double held = heldTime.sum(now) * (double) shape.loadBalancerCount() / staySpan;
         // In the first seconds nothing has come back yet, and an idle fleet would be lent to
         // all.
-        boolean lends = shape.alike() && now - firstSent >= staySpan;
+        boolean lends = shape.evenlyLoaded() && now - firstSent >= staySpan;
         double lent = lends ? Math.max(0, LEND * ready.size() - held / most) : 0;
         return Math.max(
                 1,
                 lent
                         + lane(tenant).stream()
                                 .filter(b -> b.streak < 3)
-                                .mapToDouble(b -> cold.warmth(b.member, now))
+                                .mapToDouble(b -> cold.warmUpFraction(b.member, now))
                                 .sum());
     }
 
@@ -344,7 +353,10 @@
     List<Backend> usable(List<Backend> part, Request req, double far, double spare, long now) {
         // Where connections are dear, one of a lane and one for each request of the tenant that
         // is out.
-        int width = shape.rest() <= 0 ? part.size() : 1 + out.getOrDefault(req.tenant, 0);
+        int width =
+                shape.connectionBreakEvenTicks() <= 0
+                        ? part.size()
+                        : 1 + out.getOrDefault(req.tenant, 0);
         Attempt ran = req.firstPossiblyExecuted();
         List<Backend> usable = new ArrayList<>(part.size());
         for (Backend b : part) {
@@ -372,17 +384,17 @@
 
     /** The listed size, less while cold, and by how quickly its kind answers. */
     double size(Backend b, long now) {
-        return Math.max(1e-3, b.size() * cold.warmth(b.member, now) * b.pace);
+        return Math.max(1e-3, b.size() * cold.warmUpFraction(b.member, now) * b.pace);
     }
 
     /** Keeps a cold backend within this balancer's part of what may be sent to it in any window. */
     private boolean warmEnough(Backend b, long now) {
-        double warmth = cold.warmth(b.member, now);
+        double warmth = cold.warmUpFraction(b.member, now);
         if (warmth >= 1) {
             return true;
         }
-        if (b.spacedFor != b.member.startedAt()) {
-            b.spacedFor = b.member.startedAt();
+        if (b.spacedFor != b.member.startedAtTicks()) {
+            b.spacedFor = b.member.startedAtTicks();
             b.spacedFrom = now;
             b.spacing = random.nextDouble();
         }
@@ -390,9 +402,9 @@
         // thrice that.
         // All may send one until it is known. Spaced in time: one from each of hundreds pushed
         // it over.
-        double part = cold.multiple() / 2 * warmth * finishedPerSize * b.size();
-        return (now - b.spacedFrom) * Math.max(part, 1.0 / shape.balancers())
-                >= cold.fall() * b.spacing;
+        double part = cold.overloadMultiple() / 2 * warmth * finishedPerSize * b.size();
+        return (now - b.spacedFrom) * Math.max(part, 1.0 / shape.loadBalancerCount())
+                >= cold.overloadWindowTicks() * b.spacing;
     }
 
     /**
@@ -469,7 +481,9 @@
         String lost =
                 known.values().stream().filter(b -> b.lost).map(b -> b.id + " ").collect(joining());
         known.values().forEach(b -> b.lost = false);
-        if (shape.mayTell() && shape.balancers() <= ready.size() && !lost.isEmpty()) {
+        if (shape.peerMessagesAllowed()
+                && shape.loadBalancerCount() <= ready.size()
+                && !lost.isEmpty()) {
             outlet.broadcastToPeers(
                     lost.substring(0, lost.lastIndexOf(' ', LONGEST)).getBytes(UTF_8));
         }
@@ -557,7 +571,7 @@
                 && (outcome == AttemptOutcome.COMPLETED || outcome == AttemptOutcome.TIMED_OUT)) {
             stays.add(now, 0, now - attempt.sentAtTicks);
             stays.add(now, 1 + 2 * b.lane, now - attempt.sentAtTicks);
-            stays.add(now, 2 + 2 * b.member.kind(), now - attempt.sentAtTicks);
+            stays.add(now, 2 + 2 * b.member.machineKind(), now - attempt.sentAtTicks);
         }
         out.merge(req.tenant, -1, Integer::sum);
         b.out--;
--- a/src/main/java/cottonlock/decision/LaneSelector.java
+++ b/src/main/java/cottonlock/decision/LaneSelector.java
@@ -28,7 +28,7 @@
         double out = fleet.ready.stream().mapToInt(b -> b.out).sum();
         double far = FAR * out / fleet.ready.stream().mapToDouble(b -> fleet.size(b, now)).sum();
         double spare = line.pressed(now) ? 0 : 1;
-        boolean crowded = fleet.crowded(req.tenant, fleet.shape.alike() ? FAR : CROWD, now);
+        boolean crowded = fleet.crowded(req.tenant, fleet.shape.evenlyLoaded() ? FAR : CROWD, now);
         req.candidates =
                 crowded ? List.of() : fleet.usable(fleet.lane(req.tenant), req, far, spare, now);
         for (List<Backend> part : List.of(fleet.open, crowded ? fleet.calm(now) : fleet.ready)) {
--- a/src/main/java/cottonlock/decision/RequestIntake.java
+++ b/src/main/java/cottonlock/decision/RequestIntake.java
@@ -48,7 +48,10 @@
         this.quotas = new double[tenants.size()];
         this.tokens = new TokenBucket[tenants.size()];
         for (int t = 0; t < quotas.length; t++) {
-            quotas[t] = tenants.get(t).quota() / (shape.alike() ? shape.balancers() : 1) / 10_000;
+            quotas[t] =
+                    tenants.get(t).quotaPerSecond()
+                            / (shape.evenlyLoaded() ? shape.loadBalancerCount() : 1)
+                            / 10_000;
             tokens[t] = new TokenBucket(Math.max(DEPTH, quotas[t] * 5_000) / 4);
         }
     }
--- a/src/main/java/cottonlock/decision/api/DeploymentTopology.java
+++ b/src/main/java/cottonlock/decision/api/DeploymentTopology.java
@@ -1,44 +1,51 @@
 package cottonlock.decision.api;
 
 /**
- * How a deployment is laid out, as far as its settings tell. Times are in tenths of a millisecond.
+ * How the load balancers of a deployment are laid out, as far as the settings say. Lengths of time
+ * are {@linkplain cottonlock.core.Ticks ticks} of 0.1 ms.
  *
- * @param balancers how many there are, 1 at least
- * @param me the number of this one among them
- * @param alike whether each carries about the same; not where each client has one of its own
- * @param rest for each backend, how long a connection rests until it has cost as much as a new one;
- *     0 where keeping one costs nothing
- * @param mayTell whether balancers may send each other messages
- * @param mustAsk whether changes of the list come only to those that ask for them
- * @param askWithin how long a balancer may go without asking
- * @param removalBinds whether one that has gone from the list without draining gets nothing more
- * @param due the mean due time of the categories: spans of measures are told in it, as work that
- *     may take longer brings fewer answers in the same time
+ * @param loadBalancerCount how many load balancers there are, 1 at least
+ * @param ownIndex the place of this one among them, from 0
+ * @param evenlyLoaded whether each carries about the same load; not where each client has one of
+ *     its own
+ * @param connectionBreakEvenTicks for each backend, how long a connection must be idle to cost as
+ *     much as opening a new one; 0 where an idle connection costs nothing
+ * @param peerMessagesAllowed whether load balancers may send messages to each other
+ * @param endpointListPolled whether changes of the endpoint list come only to those that poll it
+ * @param maxPollIntervalTicks how long a load balancer may go without a poll
+ * @param removalBinding whether a backend that has left the list without draining must get no more
+ *     requests
+ * @param meanLatencyObjectiveTicks the mean latency objective of the request classes, in which the
+ *     windows of statistics are sized: the longer requests may take, the fewer samples come in a
+ *     given time. Never below 15,625, and exactly that where there are few load balancers
  */
 public record DeploymentTopology(
-        int balancers,
-        int me,
-        boolean alike,
-        double rest,
-        boolean mayTell,
-        boolean mustAsk,
-        long askWithin,
-        boolean removalBinds,
-        long due) {
-    /**
-     * Measured: 15 need what holds for many; 2 to 4 on sockets, with little hidden, did no better
-     * by it.
-     */
-    private static final int FEW = 8;
+        int loadBalancerCount,
+        int ownIndex,
+        boolean evenlyLoaded,
+        double connectionBreakEvenTicks,
+        boolean peerMessagesAllowed,
+        boolean endpointListPolled,
+        long maxPollIntervalTicks,
+        boolean removalBinding,
+        long meanLatencyObjectiveTicks) {
+    /** Up to so many load balancers, each sees enough of the load to judge by its own samples. */
+    private static final int MAX_FEW_LOAD_BALANCERS = 8;
 
-    /** Takes one balancer for the least there can be; of few, and for shorter due times, 1.56 s. */
+    /** The least that windows of statistics are sized by. */
+    private static final long MIN_MEAN_LATENCY_OBJECTIVE_TICKS = 15_625;
+
+    /** Raises what is too small to the least that makes sense. */
     public DeploymentTopology {
-        balancers = Math.max(1, balancers);
-        due = balancers > FEW ? Math.max(15_625, due) : 15_625;
+        loadBalancerCount = Math.max(1, loadBalancerCount);
+        meanLatencyObjectiveTicks =
+                loadBalancerCount > MAX_FEW_LOAD_BALANCERS
+                        ? Math.max(MIN_MEAN_LATENCY_OBJECTIVE_TICKS, meanLatencyObjectiveTicks)
+                        : MIN_MEAN_LATENCY_OBJECTIVE_TICKS;
     }
 
-    /** Whether there are so many balancers that each sees little of what comes to all. */
-    public boolean many() {
-        return balancers > FEW;
+    /** Whether there are so many load balancers that each sees little of the whole load. */
+    public boolean hasManyLoadBalancers() {
+        return loadBalancerCount > MAX_FEW_LOAD_BALANCERS;
     }
 }
--- a/src/main/java/cottonlock/decision/api/Tenant.java
+++ b/src/main/java/cottonlock/decision/api/Tenant.java
@@ -1,9 +1,9 @@
 package cottonlock.decision.api;
 
 /**
- * A tenant as configured.
+ * A tenant as the settings describe it.
  *
- * @param share its part of the service
- * @param quota requests a second, over all balancers, that earn full credit
+ * @param capacityShare its share of the backends, from 0 to 1
+ * @param quotaPerSecond requests a second, over all load balancers, that are within its quota
  */
-public record Tenant(double share, double quota) {}
+public record Tenant(double capacityShare, double quotaPerSecond) {}
--- a/src/main/java/cottonlock/proxy/ManualEjections.java
+++ b/src/main/java/cottonlock/proxy/ManualEjections.java
@@ -60,15 +60,16 @@
                     : new Endpoint(
                             m.id(),
                             m.zone(),
-                            m.kind(),
+                            m.machineKind(),
                             m.cell(),
                             Endpoint.State.DRAINING,
-                            m.size(),
-                            m.startedAt());
+                            m.capacityWeight(),
+                            m.startedAtTicks());
         }
         // Operators have restarted it meanwhile, whatever discovery still says of its start.
-        long back = Math.max(m.startedAt(), now.back.getOrDefault(m.id(), 0L));
-        return new Endpoint(m.id(), m.zone(), m.kind(), m.cell(), m.state(), m.size(), back);
+        long back = Math.max(m.startedAtTicks(), now.back.getOrDefault(m.id(), 0L));
+        return new Endpoint(
+                m.id(), m.zone(), m.machineKind(), m.cell(), m.state(), m.capacityWeight(), back);
     }
 
     /** Takes a backend out or back; in force when this returns. False when too many are out. */
--- a/src/main/java/cottonlock/setup/LoadBalancerFactory.java
+++ b/src/main/java/cottonlock/setup/LoadBalancerFactory.java
@@ -93,7 +93,7 @@
      */
     private double restOfConnections() {
         double kept = fee("Fees.Connection");
-        double quotas = tenants.stream().mapToDouble(Tenant::quota).sum();
+        double quotas = tenants.stream().mapToDouble(Tenant::quotaPerSecond).sum();
         return kept <= 0 || quotas <= 0 ? 0 : 100 * fee("Fees.Handshake") / kept / quotas * 10_000;
     }
 
--- a/src/test/java/cottonlock/decision/ColdFleet.java
+++ b/src/test/java/cottonlock/decision/ColdFleet.java
@@ -159,7 +159,7 @@
         }
 
         double capacity() {
-            return day.capacity * member.size();
+            return day.capacity * member.capacityWeight();
         }
 
         void comes(Job job) {
@@ -179,7 +179,7 @@
         private void run(Job job) {
             busy++;
             int life = start;
-            double rate = capacity() / WORKERS * COLD.warmth(member, world.now());
+            double rate = capacity() / WORKERS * COLD.warmUpFraction(member, world.now());
             world.at(
                     world.now() + Math.round(10_000 * job.work / rate),
                     () -> {
@@ -214,10 +214,10 @@
                     new Endpoint(
                             member.id(),
                             member.zone(),
-                            member.kind(),
+                            member.machineKind(),
                             member.cell(),
                             Endpoint.State.READY,
-                            member.size(),
+                            member.capacityWeight(),
                             world.now());
             Endpoint m = member;
             for (Proxy p : proxies) {
@@ -228,7 +228,7 @@
 
         /** Ends the count of one cold start. */
         void close() {
-            if (member.startedAt() > 0) {
+            if (member.startedAtTicks() > 0) {
                 ratios.add(worst);
                 allUsed += used;
                 broke += broken ? 1 : 0;
@@ -243,28 +243,31 @@
 
         void count(double work, boolean told) {
             long now = world.now();
-            long age = now - member.startedAt();
-            if (member.startedAt() == 0 || age >= COLD.time()) {
+            long age = now - member.startedAtTicks();
+            if (member.startedAtTicks() == 0 || age >= COLD.warmUpTicks()) {
                 return;
             }
             sent.add(new Sent(now, work, told));
             inWindow += work;
-            while (sent.get(oldest).at <= now - COLD.fall()) {
+            while (sent.get(oldest).at <= now - COLD.overloadWindowTicks()) {
                 inWindow -= sent.get(oldest++).work;
             }
             // The capacity grows evenly: over the window it is the mean of its ends, and least at
             // the start.
-            double from = Math.max(0, age - COLD.fall());
-            double before = Math.max(0, COLD.fall() - age);
-            double grown = COLD.share() + (1 - COLD.share()) * (from + age) / 2 / COLD.time();
+            double from = Math.max(0, age - COLD.overloadWindowTicks());
+            double before = Math.max(0, COLD.overloadWindowTicks() - age);
+            double grown =
+                    COLD.initialFraction()
+                            + (1 - COLD.initialFraction()) * (from + age) / 2 / COLD.warmUpTicks();
             double bears =
-                    COLD.multiple()
+                    COLD.overloadMultiple()
                             * capacity()
                             / 10_000
-                            * (COLD.share() * before + grown * (COLD.fall() - before));
+                            * (COLD.initialFraction() * before
+                                    + grown * (COLD.overloadWindowTicks() - before));
             double ratio = inWindow / (bears + 2 * Math.sqrt(bears) + 2);
             worst = Math.max(worst, ratio);
-            used = age <= COLD.fall() ? inWindow / bears : used;
+            used = age <= COLD.overloadWindowTicks() ? inWindow / bears : used;
             if (ratio > 1) {
                 double known =
                         sent.subList(oldest, sent.size()).stream()
@@ -316,12 +319,12 @@
                             fleet);
             balancer.start(world.now());
             List<Endpoint> members = machines.values().stream().map(m -> m.member).toList();
-            members.forEach(m -> heardOf.put(m.id(), m.startedAt()));
+            members.forEach(m -> heardOf.put(m.id(), m.startedAtTicks()));
             balancer.onEndpointList(world.now(), members, true, false);
         }
 
         void told(Endpoint m) {
-            heardOf.put(m.id(), m.startedAt());
+            heardOf.put(m.id(), m.startedAtTicks());
             balancer.onEndpointList(world.now(), List.of(m), false, false);
         }
 
@@ -354,7 +357,8 @@
             of.out.add(true);
             Machine machine = machines.get(backend);
             Job job = new Job(this, life, req, of.out.size() - 1, of.work, of.expiry);
-            machine.count(of.work, heardOf.getOrDefault(backend, 0L) == machine.member.startedAt());
+            machine.count(
+                    of.work, heardOf.getOrDefault(backend, 0L) == machine.member.startedAtTicks());
             world.at(world.now() + 3, () -> machine.comes(job));
             world.at(of.expiry, () -> settle(job, AttemptOutcome.TIMED_OUT));
         }
@@ -510,7 +514,8 @@
                     if (world.now() > 300) {
                         came += world.now() > EVENT ? 1 : 0;
                         int category = drawn(PARTS);
-                        double[] shares = tenants.stream().mapToDouble(Tenant::share).toArray();
+                        double[] shares =
+                                tenants.stream().mapToDouble(Tenant::capacityShare).toArray();
                         double work = WORK[category] * (0.5 + world.chance().nextDouble());
                         caller().arrive(category, drawn(shares), work, false);
                     }
--- a/src/test/java/cottonlock/decision/Ledger.java
+++ b/src/test/java/cottonlock/decision/Ledger.java
@@ -171,11 +171,11 @@
                             new Endpoint(
                                     id,
                                     m.zone(),
-                                    m.kind(),
+                                    m.machineKind(),
                                     m.cell(),
                                     Endpoint.State.GONE,
-                                    m.size(),
-                                    m.startedAt()));
+                                    m.capacityWeight(),
+                                    m.startedAtTicks()));
         }
         for (Endpoint m : members) {
             listed.put(m.id(), m);
@@ -324,9 +324,9 @@
      * sent.
      */
     private void checkCold(Endpoint to) {
-        long age = now - to.startedAt();
-        double size = to.size() > 0 ? to.size() : 1;
-        if (to.startedAt() == 0 || age >= COLD) {
+        long age = now - to.startedAtTicks();
+        double size = to.capacityWeight() > 0 ? to.capacityWeight() : 1;
+        if (to.startedAtTicks() == 0 || age >= COLD) {
             busiest = Math.max(busiest, recent(to, FALL + FALL / 10) / size);
             return;
         }
@@ -351,7 +351,7 @@
     long recent(Endpoint member, long span) {
         return sends.getOrDefault(member.id(), List.of()).stream()
                 .filter(at -> at > now - span)
-                .filter(at -> at >= member.startedAt())
+                .filter(at -> at >= member.startedAtTicks())
                 .count();
     }
 
--- a/src/test/java/cottonlock/decision/LoadBalancerTest.java
+++ b/src/test/java/cottonlock/decision/LoadBalancerTest.java
@@ -351,10 +351,11 @@
                 Math.round(
                         1.28
                                 * new DeploymentTopology(1, 0, true, 0, true, true, 0, true, 0)
-                                        .due()));
+                                        .meanLatencyObjectiveTicks()));
         assertEquals(
                 15_625,
-                new DeploymentTopology(8, 0, true, 0, true, true, 0, true, 60_000).due(),
+                new DeploymentTopology(8, 0, true, 0, true, true, 0, true, 60_000)
+                        .meanLatencyObjectiveTicks(),
                 "few balancers");
         Ledger ledger =
                 new Ledger(
@@ -790,11 +791,11 @@
         int[] byKind = new int[2];
         for (int i = 0; i < 800; i++) {
             long id = ledger.arrive(0, 0, 60_000);
-            byKind[ledger.items.get(id).sent.get(0).to.kind()]++;
+            byKind[ledger.items.get(id).sent.get(0).to.machineKind()]++;
             ledger.pass(100);
             for (long out : List.copyOf(ledger.items.keySet())) {
                 Ledger.Sent sent = ledger.items.get(out).sent.get(0);
-                if (ledger.now - sent.at >= (sent.to.kind() == 1 ? 600 : 300)) {
+                if (ledger.now - sent.at >= (sent.to.machineKind() == 1 ? 600 : 300)) {
                     ledger.settle(out, 0, AttemptOutcome.COMPLETED);
                 }
             }
--- a/src/test/java/cottonlock/decision/RulesTest.java
+++ b/src/test/java/cottonlock/decision/RulesTest.java
@@ -113,12 +113,12 @@
         for (int n = random.nextInt(4); n > 0; n--) {
             Endpoint m = Ledger.ready(random.nextInt(backends + 1));
             Endpoint.State state = Endpoint.State.values()[random.nextInt(3)];
-            long started = random.nextBoolean() ? m.startedAt() : ledger.now;
+            long started = random.nextBoolean() ? m.startedAtTicks() : ledger.now;
             members.add(
                     new Endpoint(
                             m.id(),
                             m.zone(),
-                            m.kind(),
+                            m.machineKind(),
                             m.cell(),
                             state,
                             random.nextInt(3),
--- a/src/test/java/cottonlock/proxy/OperatorDaysTest.java
+++ b/src/test/java/cottonlock/proxy/OperatorDaysTest.java
@@ -179,7 +179,7 @@
         here.look();
         assertFalse(here.out("b"));
         assertTrue(
-                clock.now() - here.told(listed).startedAt() < 10_000,
+                clock.now() - here.told(listed).startedAtTicks() < 10_000,
                 "cold, whatever the list says");
         assertEquals(List.of("there", "there"), told);
         Files.writeString(folder.resolve("cottonlock-p.bans"), "something else\nout b\n");
