--- a/src/main/java/cottonlock/decision/AdmissionController.java
+++ b/src/main/java/cottonlock/decision/AdmissionController.java
@@ -4,6 +4,7 @@
 import cottonlock.decision.api.DeploymentTopology;
 import cottonlock.decision.api.RejectionReason;
 import cottonlock.decision.api.Tenant;
+import cottonlock.decision.backend.BackendRegistry;
 import cottonlock.decision.stats.SlidingWindowMean;
 import cottonlock.decision.stats.SlidingWindowMin;
 import cottonlock.decision.stats.SlidingWindowSum;
@@ -122,7 +123,7 @@
                                             ? RejectionReason.QUEUE_FULL
                                             : RejectionReason.NO_CAPACITY;
             if (req.rejectionReason == RejectionReason.NO_CAPACITY
-                    && SPARSE * balancers <= fleet.ready.size()) {
+                    && SPARSE * balancers <= fleet.ready().size()) {
                 req.queuedAtTicks = now;
                 waiting.add(req);
             } else {
@@ -148,11 +149,12 @@
     }
 
     private boolean fits(Request req, long now) {
-        if (SPARSE * balancers > fleet.ready.size()) {
-            return lanes[req.tenant].letsIn(req, fleet.able(req.tenant, Entry.MOST, now), now);
+        if (SPARSE * balancers > fleet.ready().size()) {
+            return lanes[req.tenant].letsIn(
+                    req, fleet.laneLoad().capacityInBackends(req.tenant, Entry.MOST, now), now);
         }
         // So many for each backend are never too many; a part below one is let in by chance.
-        double floor = (req.overQuota ? EXCESS_FLOOR : FLOOR) * fleet.ready.size() / balancers;
+        double floor = (req.overQuota ? EXCESS_FLOOR : FLOOR) * fleet.ready().size() / balancers;
         if (req.overQuota && shape.hasManyLoadBalancers()) {
             // Let in beyond that, excess made its own room until the whole fleet choked on it.
             return !pressed(now) && inside + random.nextDouble() < floor;
@@ -224,11 +226,15 @@
             if (quota > 0) {
                 // What the quotas ask of each backend, in cores: it may hold that and a few of
                 // its roots.
-                double cores = quotas / Math.max(1, fleet.ready.size()) * hints.mean(now, 0, 0, 0);
+                double cores =
+                        quotas / Math.max(1, fleet.ready().size()) * hints.mean(now, 0, 0, 0);
                 most = cores > 0 ? cores + ROOTS * Math.sqrt(cores) : MOST;
                 // Of one tenant a small balancer sees an answer in some seconds: those of all
                 // stand in.
-                usual = fleet.stayNow(FEW, Math.min(usual, most * backends / quota), now);
+                usual =
+                        fleet.load()
+                                .meanTimeInFlightTicks(
+                                        FEW, Math.min(usual, most * backends / quota), now);
             }
             double kept = at < 0 ? 1 : Math.exp((at - now) / FADE);
             time = at < 0 ? usual : Math.min(time, usual + (time - usual) * kept);
--- a/src/main/java/cottonlock/decision/AttemptTracker.java
+++ b/src/main/java/cottonlock/decision/AttemptTracker.java
@@ -5,8 +5,10 @@
 import cottonlock.decision.api.LoadBalancerActions;
 import cottonlock.decision.api.RejectionReason;
 import cottonlock.decision.api.RequestClass.Idempotency;
+import cottonlock.decision.backend.Backend;
+import cottonlock.decision.backend.BackendRegistry;
+import cottonlock.decision.backend.CompletedAttempt;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 
 /** Sends, and decides whether what failed may and should be sent again. */
@@ -43,9 +45,9 @@
         Backend b = req.candidates.get(0);
         repeats = Math.min(5, repeats + REPEATS);
         open.put(req.id, req);
-        outlet.startAttempt(req.id, b.id, req.sendByTicks());
+        outlet.startAttempt(req.id, b.id(), req.sendByTicks());
         req.attempts.add(new Attempt(b, now));
-        fleet.sent(b, req, now);
+        fleet.onAttemptSent(b, req, now);
     }
 
     void settled(long now, long id, int number, AttemptOutcome outcome, boolean over) {
@@ -57,9 +59,16 @@
         attempt.inFlight = false;
         attempt.neverExecuted = outcome.neverExecuted();
         req.rejectionReason = RejectionReason.of(outcome);
-        fleet.settled(attempt, req, outcome, now);
+        fleet.onAttemptCompleted(
+                new CompletedAttempt(
+                        attempt.backend,
+                        req,
+                        attempt.sentAtTicks,
+                        attempt.backendWasSilent,
+                        outcome),
+                now);
         // In the batch after a standstill, times tell of the balancer and not of the backends.
-        if (now != fleet.stoodAt
+        if (!fleet.isResumingFromStall(now)
                 && outcome != AttemptOutcome.CANCELLED
                 && outcome != AttemptOutcome.NOT_SENT) {
             line.lanes[req.tenant].learn(
@@ -84,7 +93,7 @@
         boolean ran = req.firstPossiblyExecuted() != null;
         if (!ran
                 && !(last == AttemptOutcome.REJECTED
-                        && fleet.shape.loadBalancerCount() > 2 * fleet.ready.size())) {
+                        && fleet.topology().loadBalancerCount() > 2 * fleet.ready().size())) {
             return true;
         }
         boolean may =
@@ -108,20 +117,24 @@
      */
     void rescue(long now) {
         long silent =
-                fleet.known.values().stream().filter(b -> fleet.silence(b, now) >= SILENT).count();
+                fleet.all().stream()
+                        .filter(b -> fleet.outliers().silenceScore(b, now) >= SILENT)
+                        .count();
         // Where most are silent the fault is not theirs alone, and sending again would feed it.
-        boolean few = silent * 2 <= fleet.ready.size();
-        for (Backend b : fleet.known.values()) {
-            boolean isSilent = fleet.silence(b, now) >= SILENT;
-            for (Request req : List.copyOf(b.held.values())) {
+        boolean few = silent * 2 <= fleet.ready().size();
+        for (Backend b : fleet.all()) {
+            boolean isSilent = fleet.outliers().silenceScore(b, now) >= SILENT;
+            for (long id : b.requestIdsInFlight()) {
+                Request req = open.get(id);
                 Attempt attempt = req.lastAttempt();
                 // Work stuck at backends that are lost filled the room, and all else was turned
                 // away.
-                if (isSilent || fleet.overdue(req, now - attempt.sentAtTicks, now)) {
+                if (isSilent || fleet.outliers().isOverdue(req, now - attempt.sentAtTicks, now)) {
                     line.release(req);
                 }
                 if (isSilent && !attempt.backendWasSilent) {
-                    fleet.missed(attempt, now);
+                    attempt.backendWasSilent = true;
+                    fleet.onSilenceDetected(b, now);
                     if (mayRecall
                             && !req.completed
                             && attempt.cancellable
--- a/src/main/java/cottonlock/decision/BackendPicker.java
+++ b/src/main/java/cottonlock/decision/BackendPicker.java
@@ -1,5 +1,7 @@
 package cottonlock.decision;
 
+import cottonlock.decision.backend.Backend;
+import cottonlock.decision.backend.BackendRegistry;
 import java.util.List;
 import java.util.SplittableRandom;
 
@@ -18,7 +20,7 @@
         double sum = 0;
         Backend choice = null;
         for (Backend b : req.candidates) {
-            double size = fleet.size(b, now);
+            double size = fleet.eligibility().effectiveCapacity(b, now);
             sum += size;
             if (random.nextDouble() * sum < size) {
                 choice = b;
--- a/src/main/java/cottonlock/decision/LaneSelector.java
+++ b/src/main/java/cottonlock/decision/LaneSelector.java
@@ -1,6 +1,8 @@
 package cottonlock.decision;
 
 import cottonlock.decision.api.RejectionReason;
+import cottonlock.decision.backend.Backend;
+import cottonlock.decision.backend.BackendRegistry;
 import java.util.List;
 
 /** The design: the tenant's own lane; the public part or all backends when none of it is usable. */
@@ -25,19 +27,32 @@
 
     @Override
     void take(Request req, long now) {
-        double out = fleet.ready.stream().mapToInt(b -> b.out).sum();
-        double far = FAR * out / fleet.ready.stream().mapToDouble(b -> fleet.size(b, now)).sum();
+        double out = fleet.ready().stream().mapToInt(Backend::inFlight).sum();
+        double far =
+                FAR
+                        * out
+                        / fleet.ready().stream()
+                                .mapToDouble(b -> fleet.eligibility().effectiveCapacity(b, now))
+                                .sum();
         double spare = line.pressed(now) ? 0 : 1;
-        boolean crowded = fleet.crowded(req.tenant, fleet.shape.evenlyLoaded() ? FAR : CROWD, now);
+        boolean crowded =
+                fleet.laneLoad()
+                        .isCrowded(req.tenant, fleet.topology().evenlyLoaded() ? FAR : CROWD, now);
         req.candidates =
-                crowded ? List.of() : fleet.usable(fleet.lane(req.tenant), req, far, spare, now);
-        for (List<Backend> part : List.of(fleet.open, crowded ? fleet.calm(now) : fleet.ready)) {
+                crowded
+                        ? List.of()
+                        : fleet.eligibility()
+                                .eligible(fleet.lane(req.tenant), req, far, spare, now);
+        for (List<Backend> part :
+                List.of(
+                        fleet.unassigned(),
+                        crowded ? fleet.laneLoad().backendsOfUncrowdedLanes(now) : fleet.ready())) {
             if (req.candidates.isEmpty()) {
-                req.candidates = fleet.usable(part, req, far, spare, now);
+                req.candidates = fleet.eligibility().eligible(part, req, far, spare, now);
             }
         }
         if (req.candidates.isEmpty()) {
-            req.candidates = fleet.lastResort(req, now);
+            req.candidates = fleet.eligibility().whereAllAreSuspected(req, now);
         }
         if (req.candidates.isEmpty()) {
             req.rejectionReason = RejectionReason.NO_BACKEND;
--- a/src/main/java/cottonlock/decision/LoadBalancer.java
+++ b/src/main/java/cottonlock/decision/LoadBalancer.java
@@ -4,6 +4,7 @@
 import cottonlock.decision.api.Endpoint;
 import cottonlock.decision.api.LoadBalancerActions;
 import cottonlock.decision.api.RequestClass;
+import cottonlock.decision.backend.BackendRegistry;
 import java.util.List;
 
 /**
@@ -65,7 +66,7 @@
      */
     private void doubtClock(long now) {
         if (now > wakeAt + STILL) {
-            fleet.stood(now, now - wakeAt);
+            fleet.onStall(now, now - wakeAt);
             wakeAt = now;
         }
     }
@@ -88,7 +89,7 @@
             boolean repeated,
             long hint) {
         doubtClock(now);
-        long stood = now == fleet.stoodAt ? fleet.stoodFor : 0;
+        long stood = fleet.stallTicks(now);
         intake.arrive(now, id, category, tenant, patience, repeated, hint, stood);
     }
 
@@ -124,24 +125,22 @@
      * it.
      */
     public void onEndpointList(long now, List<Endpoint> members, boolean whole, boolean cached) {
-        fleet.list(now, members, whole, cached);
+        fleet.onEndpointList(now, members, whole, cached);
     }
 
     /** Whether a backend may get work, also one that has gone from a list that binds nobody. */
     public boolean mayUse(String id) {
-        return fleet.known.containsKey(id) && fleet.known.get(id).leavingSince < 0;
+        return fleet.isReady(id);
     }
 
     /** A call for the list failed, or its changes no longer come. */
     public void onEndpointListFailed(long now) {
-        fleet.listFailed(now);
+        fleet.onEndpointListFailed(now);
     }
 
     /** How many of the ready backends get next to nothing now, as they are in doubt. */
     public long avoidedBackendCount(long now) {
-        return fleet.ready.stream()
-                .filter(b -> fleet.doubts(b, now) > 2 * b.answers.sum(now) + 1)
-                .count();
+        return fleet.countAvoided(now);
     }
 
     /**
@@ -149,15 +148,15 @@
      * LoadBalancerActions#broadcastToPeers}.
      */
     public void onPeerMessage(long now, byte[] message) {
-        fleet.heard(now, message);
+        fleet.onPeerMessage(now, message);
     }
 
     /** The time asked for by {@link LoadBalancerActions#scheduleTimer} has come. */
     public void onTimer(long now) {
         doubtClock(now);
-        fleet.keepList(now);
+        fleet.maintain(now);
         attempts.rescue(now);
-        fleet.tell();
+        fleet.reportLossesToPeers();
         line.tidy(now);
         wakeAt = now + TICK;
         outlet.scheduleTimer(wakeAt);
--- a/src/main/java/cottonlock/decision/Request.java
+++ b/src/main/java/cottonlock/decision/Request.java
@@ -3,6 +3,8 @@
 import cottonlock.decision.api.RejectionReason;
 import cottonlock.decision.api.RequestClass;
 import cottonlock.decision.api.RequestClass.Idempotency;
+import cottonlock.decision.backend.Backend;
+import cottonlock.decision.backend.BackendRequest;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -10,7 +12,7 @@
  * A request from its arrival to its last outcome, with the attempts made for it. Owned by the load
  * balancer's thread. Times are in {@link cottonlock.core.Ticks}.
  */
-final class Request {
+final class Request implements BackendRequest {
     /** Tenths of the deduplication window within which a repeat must have been written. */
     private static final int WINDOW_TENTHS_TO_SEND = 9;
 
@@ -110,7 +112,8 @@
      * have been executed, a repeat with an idempotency key must reach a backend within the
      * deduplication window; a tenth of the window remains for transmission.
      */
-    long sendByTicks() {
+    @Override
+    public long sendByTicks() {
         Attempt executed = firstPossiblyExecuted();
         if (executed == null || requestClass.idempotency() == Idempotency.IDEMPOTENT) {
             return deadlineTicks;
@@ -119,13 +122,40 @@
         return Math.min(deadlineTicks, executed.sentAtTicks + windowTicks);
     }
 
+    @Override
+    public long id() {
+        return id;
+    }
+
+    @Override
+    public int tenant() {
+        return tenant;
+    }
+
+    @Override
+    public RequestClass requestClass() {
+        return requestClass;
+    }
+
+    @Override
+    public long lastSentAtTicks() {
+        return lastAttempt().sentAtTicks;
+    }
+
+    @Override
+    public Backend firstPossibleExecutor() {
+        Attempt executed = firstPossiblyExecuted();
+        return executed == null ? null : executed.backend;
+    }
+
     /** The latest attempt; at least one must have been made. */
     Attempt lastAttempt() {
         return attempts.get(attempts.size() - 1);
     }
 
     /** Whether an attempt at this backend has been made. */
-    boolean hasTried(Backend backend) {
+    @Override
+    public boolean hasTried(Backend backend) {
         return attempts.stream().anyMatch(attempt -> attempt.backend == backend);
     }
 
--- /dev/null
+++ b/src/main/java/cottonlock/decision/backend/Backend.java
@@ -0,0 +1,155 @@
+package cottonlock.decision.backend;
+
+import cottonlock.decision.api.Endpoint;
+import cottonlock.decision.api.SlowStartConfig;
+import cottonlock.decision.stats.SlidingWindowSum;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * The state of one backend, as this load balancer knows it: its entry of the endpoint list and what
+ * the attempts sent to it have shown. The classes of this package change it; others read it. Owned
+ * by the load balancer's thread.
+ */
+public final class Backend {
+    /** Window of recent outcomes, in mean latency objectives. */
+    private static final double OUTCOME_WINDOW_OBJECTIVES = 1.28;
+
+    /** Window of the gaps between responses, in mean latency objectives. */
+    private static final double RESPONSE_GAP_WINDOW_OBJECTIVES = 19.2;
+
+    private static final int OUTCOME_BUCKETS = 8;
+    private static final int RESPONSE_GAP_BUCKETS = 10;
+    private static final int COMPLETION_BUCKETS = 10;
+
+    private final String id;
+    Endpoint endpoint;
+
+    /** Whether it drains or is gone. */
+    private boolean leaving;
+
+    /** Whether it is gone from the list but may be used as long as it answers. */
+    boolean delisted;
+
+    /** The index of its tenant's lane; the number of tenants where it is in none. */
+    int laneIndex;
+
+    /** The requests that have an attempt in flight here, by id, in the order of sending. */
+    final Map<Long, BackendRequest> requestsInFlight = new LinkedHashMap<>();
+
+    /** Attempts whose outcome is open. */
+    int inFlight;
+
+    /** Attempts in flight that are not waited for any more, as the backend was found silent. */
+    int inFlightWrittenOff;
+
+    /** Whether a connection to it may be open. */
+    boolean connectionMayBeOpen;
+
+    /** When an attempt last ended here. */
+    long idleSinceTicks;
+
+    /** How fast its kind of machine answers, against the mean of all; above 1: faster. */
+    double relativeSpeed = 1;
+
+    /** Failures since the last completed attempt; a silence counts as several. */
+    int consecutiveFailures;
+
+    /** Whether it was found lost since peers were last notified. */
+    boolean lossUnreported;
+
+    /** When it last responded, or when something became in flight where nothing had been. */
+    long lastSignOfLifeTicks;
+
+    /** Attempts that completed in time, over the window of recent outcomes. */
+    final SlidingWindowSum successes;
+
+    /** Attempts that failed or were slow, over the window of recent outcomes. */
+    final SlidingWindowSum failures;
+
+    /** Number of gaps between responses while something was in flight. */
+    final SlidingWindowSum responseGaps;
+
+    /** Sum of these gaps in ticks, each times the attempts in flight during it. */
+    final SlidingWindowSum responseGapTicks;
+
+    /** Completed attempts over the window in which warming backends are counted. */
+    final SlidingWindowSum completions;
+
+    /** While warming up: when it was last sent a request, or was first considered. */
+    long lastSentAtTicks;
+
+    /** While warming up: the time until the next request, against the mean time. */
+    double spacingFactor;
+
+    /** The start, by the endpoint list, that the spacing was drawn for. */
+    long spacedForStartTicks = -1;
+
+    Backend(Endpoint endpoint, SlowStartConfig slowStart, long meanLatencyObjectiveTicks) {
+        this.id = endpoint.id();
+        this.endpoint = endpoint;
+        long outcomeWindowTicks = Math.round(OUTCOME_WINDOW_OBJECTIVES * meanLatencyObjectiveTicks);
+        long responseGapWindowTicks =
+                Math.round(RESPONSE_GAP_WINDOW_OBJECTIVES * meanLatencyObjectiveTicks);
+        successes = new SlidingWindowSum(outcomeWindowTicks, OUTCOME_BUCKETS);
+        failures = new SlidingWindowSum(outcomeWindowTicks, OUTCOME_BUCKETS);
+        responseGaps = new SlidingWindowSum(responseGapWindowTicks, RESPONSE_GAP_BUCKETS);
+        responseGapTicks = new SlidingWindowSum(responseGapWindowTicks, RESPONSE_GAP_BUCKETS);
+        completions = new SlidingWindowSum(slowStart.overloadWindowTicks(), COMPLETION_BUCKETS);
+    }
+
+    /** Its name in the endpoint list. */
+    public String id() {
+        return id;
+    }
+
+    /** The number of attempts whose outcome is open. */
+    public int inFlight() {
+        return inFlight;
+    }
+
+    /** The ids of the requests with an attempt in flight here, in the order of sending. */
+    public List<Long> requestIdsInFlight() {
+        return List.copyOf(requestsInFlight.keySet());
+    }
+
+    /** Attempts that completed in time within the window of recent outcomes. */
+    public long recentSuccesses(long nowTicks) {
+        return successes.sum(nowTicks);
+    }
+
+    /** Whether it drains or is gone, so that it gets no new requests. */
+    public boolean isLeaving() {
+        return leaving;
+    }
+
+    /** The attempts in flight that are still waited for. */
+    int inFlightAwaited() {
+        return inFlight - inFlightWrittenOff;
+    }
+
+    /** Its capacity against other backends' by the list; 1 where the list gives none. */
+    double capacityWeight() {
+        return endpoint.capacityWeight() > 0 ? endpoint.capacityWeight() : 1;
+    }
+
+    /** Gives it no new requests from now on. */
+    void leave() {
+        leaving = true;
+    }
+
+    /** Takes a new entry of the list; a process that started anew has no history. */
+    void update(Endpoint newEndpoint) {
+        if (newEndpoint.startedAtTicks() > endpoint.startedAtTicks()) {
+            consecutiveFailures = 0;
+            failures.clear();
+            successes.clear();
+        }
+        endpoint = newEndpoint;
+        delisted = false;
+        if (newEndpoint.state() == Endpoint.State.READY) {
+            leaving = false;
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/cottonlock/decision/backend/BackendRegistry.java
@@ -0,0 +1,290 @@
+package cottonlock.decision.backend;
+
+import static java.util.stream.Collectors.toSet;
+
+import cottonlock.decision.api.AttemptOutcome;
+import cottonlock.decision.api.DeploymentTopology;
+import cottonlock.decision.api.Endpoint;
+import cottonlock.decision.api.LoadBalancerActions;
+import cottonlock.decision.api.SlowStartConfig;
+import cottonlock.decision.api.Tenant;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+
+/**
+ * The backends that this load balancer knows. It applies the endpoint list, passes the events of
+ * attempts to the parts that judge backends, and gives the stages of the load balancer access to
+ * them. Owned by the load balancer's thread; moments and lengths of time are ticks.
+ *
+ * <p>A backend that drains or is gone stays known until none of its attempts is in flight.
+ */
+public final class BackendRegistry {
+    private static final long NO_STALL = -1;
+
+    private final LoadBalancerActions actions;
+    private final DeploymentTopology topology;
+    private final SlowStartConfig slowStartConfig;
+
+    /** By id, in the order of the ids, which fixes the order of random draws. */
+    private final Map<String, Backend> known = new TreeMap<>();
+
+    private final ReadyBackends ready;
+    private final EndpointListFreshness listFreshness;
+    private final PeerExchange peerExchange;
+    private final OutlierDetector outliers;
+    private final SlowStart slowStart;
+    private final LoadTracker load;
+    private final LaneLoad laneLoad;
+    private final BackendEligibility eligibility;
+
+    /** When the last stall of this process was noticed, and how long it had lasted. */
+    private long stallNoticedAtTicks = NO_STALL;
+
+    private long stallTicks;
+
+    /**
+     * Knows no backend yet.
+     *
+     * @param random the source of all random draws of this package
+     */
+    public BackendRegistry(
+            LoadBalancerActions actions,
+            SplittableRandom random,
+            List<Tenant> tenants,
+            DeploymentTopology topology,
+            SlowStartConfig slowStartConfig) {
+        this.actions = actions;
+        this.topology = topology;
+        this.slowStartConfig = slowStartConfig;
+        ready = new ReadyBackends(tenants, topology);
+        listFreshness = new EndpointListFreshness(actions, random, topology);
+        peerExchange = new PeerExchange(actions, topology);
+        outliers = new OutlierDetector(topology, random);
+        slowStart = new SlowStart(slowStartConfig, topology, random);
+        load = new LoadTracker(topology);
+        laneLoad = new LaneLoad(topology, random, ready, load, slowStart);
+        eligibility = new BackendEligibility(topology, ready, load, slowStart, outliers);
+    }
+
+    /** How the deployment is laid out. */
+    public DeploymentTopology topology() {
+        return topology;
+    }
+
+    /** All known backends, by id; a view that follows changes. */
+    public Collection<Backend> all() {
+        return Collections.unmodifiableCollection(known.values());
+    }
+
+    /** The backends that take new requests, in this load balancer's order of preference. */
+    public List<Backend> ready() {
+        return ready.all();
+    }
+
+    /** The lane of a tenant, in the same order. */
+    public List<Backend> lane(int tenant) {
+        return ready.lane(tenant);
+    }
+
+    /** The ready backends that are in no lane, in the same order. */
+    public List<Backend> unassigned() {
+        return ready.unassigned();
+    }
+
+    /** Whether a backend is known and takes new requests. */
+    public boolean isReady(String backendId) {
+        Backend backend = known.get(backendId);
+        return backend != null && !backend.isLeaving();
+    }
+
+    /** How many of the ready backends get next to no requests, as they are under suspicion. */
+    public long countAvoided(long nowTicks) {
+        return outliers.countAvoided(ready.all(), nowTicks);
+    }
+
+    /** The judgement of backends by outcomes, latency and silence. */
+    public OutlierDetector outliers() {
+        return outliers;
+    }
+
+    /** The load and latency of this load balancer's attempts. */
+    public LoadTracker load() {
+        return load;
+    }
+
+    /** The load and the capacity of lanes. */
+    public LaneLoad laneLoad() {
+        return laneLoad;
+    }
+
+    /** Which backends a request may be sent to. */
+    public BackendEligibility eligibility() {
+        return eligibility;
+    }
+
+    /**
+     * This process was stalled until now. Backends were not silent for as long, and latencies of
+     * what is handled at this moment measure the stall.
+     */
+    public void onStall(long nowTicks, long stalledForTicks) {
+        stallNoticedAtTicks = nowTicks;
+        stallTicks = stalledForTicks;
+        load.onStall(nowTicks);
+        for (Backend backend : known.values()) {
+            backend.lastSignOfLifeTicks =
+                    Math.min(nowTicks, backend.lastSignOfLifeTicks + stalledForTicks);
+        }
+    }
+
+    /** Whether a stall of this process was noticed at this very moment. */
+    public boolean isResumingFromStall(long nowTicks) {
+        return nowTicks == stallNoticedAtTicks;
+    }
+
+    /** How long the stall lasted that was noticed at this very moment; 0 where there was none. */
+    public long stallTicks(long nowTicks) {
+        return isResumingFromStall(nowTicks) ? stallTicks : 0;
+    }
+
+    /**
+     * The endpoint list, or changes of it, has come.
+     *
+     * @param complete whether it is the whole list, so that what it lacks is removed
+     * @param cached whether it is only what this load balancer last held
+     */
+    public void onEndpointList(
+            long nowTicks, List<Endpoint> endpoints, boolean complete, boolean cached) {
+        if (complete) {
+            Set<String> listed = endpoints.stream().map(Endpoint::id).collect(toSet());
+            known.values().stream()
+                    .filter(backend -> !listed.contains(backend.id()))
+                    .forEach(backend -> delist(backend, nowTicks));
+        }
+        for (Endpoint endpoint : endpoints) {
+            Backend backend = known.computeIfAbsent(endpoint.id(), id -> newBackend(endpoint));
+            backend.update(endpoint);
+            switch (endpoint.state()) {
+                case READY -> {}
+                case DRAINING -> backend.leave();
+                case GONE -> delist(backend, nowTicks);
+            }
+        }
+        refreshReady();
+        listFreshness.onList(cached);
+    }
+
+    private Backend newBackend(Endpoint endpoint) {
+        return new Backend(endpoint, slowStartConfig, topology.meanLatencyObjectiveTicks());
+    }
+
+    /**
+     * A backend has left the list without draining. Where the list may be wrong, it is used as long
+     * as it answers.
+     */
+    private void delist(Backend backend, long nowTicks) {
+        backend.delisted = !topology.removalBinding();
+        if (!backend.delisted || !answersLately(backend, nowTicks)) {
+            backend.leave();
+        }
+    }
+
+    private static boolean answersLately(Backend backend, long nowTicks) {
+        return backend.successes.sum(nowTicks) > 0;
+    }
+
+    private void refreshReady() {
+        known.values().removeIf(backend -> backend.isLeaving() && backend.inFlight == 0);
+        ready.refresh(known.values());
+    }
+
+    /** A subscription to the endpoint list failed, or its changes no longer come. */
+    public void onEndpointListFailed(long nowTicks) {
+        listFreshness.onFailure(nowTicks);
+    }
+
+    /** The regular upkeep: the list, connections, load, and what warming backends may be sent. */
+    public void maintain(long nowTicks) {
+        listFreshness.pollIfDue(nowTicks);
+        load.sampleInFlight(known.values(), nowTicks);
+        closeIdleConnections(nowTicks);
+        load.updateRelativeSpeeds(ready.all(), nowTicks);
+        slowStart.updateCompletionRate(ready.all(), nowTicks);
+        removeSilentDelisted(nowTicks);
+    }
+
+    /** Closes connections that have been idle for so long that opening new ones costs less. */
+    private void closeIdleConnections(long nowTicks) {
+        double maxIdleTicks = topology.connectionBreakEvenTicks() * ready.count();
+        for (Backend backend : known.values()) {
+            boolean idleTooLong = nowTicks - backend.idleSinceTicks > maxIdleTicks;
+            if (idleTooLong
+                    && topology.connectionBreakEvenTicks() > 0
+                    && backend.connectionMayBeOpen
+                    && backend.inFlight == 0) {
+                backend.connectionMayBeOpen = false;
+                actions.closeIdleConnections(backend.id());
+            }
+        }
+    }
+
+    private void removeSilentDelisted(long nowTicks) {
+        List<Backend> delisted = ready.all().stream().filter(backend -> backend.delisted).toList();
+        if (delisted.stream().anyMatch(backend -> !answersLately(backend, nowTicks))) {
+            delisted.forEach(backend -> delist(backend, nowTicks));
+            refreshReady();
+        }
+    }
+
+    /** Notifies peers of the backends found lost since the last call. */
+    public void reportLossesToPeers() {
+        peerExchange.reportLosses(known.values(), ready.count());
+    }
+
+    /** A peer has sent what its {@link #reportLossesToPeers} gave out. */
+    public void onPeerMessage(long nowTicks, byte[] message) {
+        for (String backendId : PeerExchange.lostBackendIds(message)) {
+            Backend backend = known.get(backendId);
+            if (backend != null) {
+                outliers.onPeerReport(backend, nowTicks);
+            }
+        }
+    }
+
+    /** An attempt of a request is being sent to a backend. */
+    public void onAttemptSent(Backend backend, BackendRequest request, long nowTicks) {
+        outliers.onSent(backend, nowTicks);
+        if (outliers.isWithoutAssumedLatency()) {
+            load.onFirstSent(nowTicks);
+            outliers.assumeLatency(request);
+        }
+        backend.connectionMayBeOpen = true;
+        backend.inFlight++;
+        backend.requestsInFlight.put(request.id(), request);
+        load.onSent(request, nowTicks);
+        slowStart.onSent(backend, nowTicks);
+    }
+
+    /** A backend was found silent with an attempt in flight; once for each attempt. */
+    public void onSilenceDetected(Backend backend, long nowTicks) {
+        outliers.onSilenceDetected(backend, nowTicks);
+    }
+
+    /** An attempt has ended. */
+    public void onAttemptCompleted(CompletedAttempt attempt, long nowTicks) {
+        boolean measurable = !isResumingFromStall(nowTicks);
+        outliers.onCompleted(attempt, measurable, nowTicks);
+        load.onCompleted(attempt, measurable, nowTicks);
+        Backend backend = attempt.backend();
+        if (attempt.outcome() == AttemptOutcome.COMPLETED) {
+            backend.completions.add(nowTicks, 1);
+        }
+        backend.inFlight--;
+        backend.idleSinceTicks = nowTicks;
+        backend.requestsInFlight.remove(attempt.request().id());
+    }
+}
--- /dev/null
+++ b/src/main/java/cottonlock/decision/backend/BackendRequest.java
@@ -0,0 +1,28 @@
+package cottonlock.decision.backend;
+
+import cottonlock.decision.api.RequestClass;
+
+/** A request, as far as the choice of a backend and the statistics of backends need to know it. */
+public interface BackendRequest {
+
+    /** The number of the request, unique while it is in flight. */
+    long id();
+
+    /** The index of its tenant. */
+    int tenant();
+
+    /** Its class, with the latency objective and the rules of retries. */
+    RequestClass requestClass();
+
+    /** When its latest attempt was sent, in ticks; there must have been one. */
+    long lastSentAtTicks();
+
+    /** The time, in ticks, before which its next attempt must be written completely. */
+    long sendByTicks();
+
+    /** Whether an attempt at this backend has been made. */
+    boolean hasTried(Backend backend);
+
+    /** The backend of the first attempt that may have been executed; null if there is none. */
+    Backend firstPossibleExecutor();
+}
--- /dev/null
+++ b/src/main/java/cottonlock/decision/backend/CompletedAttempt.java
@@ -0,0 +1,25 @@
+package cottonlock.decision.backend;
+
+import cottonlock.decision.api.AttemptOutcome;
+
+/**
+ * An attempt that has ended.
+ *
+ * @param backend where it was sent
+ * @param request the request that it was made for
+ * @param sentAtTicks when it was sent
+ * @param backendWasSilent whether its backend was found silent while it was in flight
+ * @param outcome how it ended
+ */
+public record CompletedAttempt(
+        Backend backend,
+        BackendRequest request,
+        long sentAtTicks,
+        boolean backendWasSilent,
+        AttemptOutcome outcome) {
+
+    /** The time from its sending until now, in ticks. */
+    long latencyTicks(long nowTicks) {
+        return nowTicks - sentAtTicks;
+    }
+}
--- /dev/null
+++ b/src/main/java/cottonlock/decision/lane/LaneAssignment.java
@@ -0,0 +1,79 @@
+package cottonlock.decision.lane;
+
+import cottonlock.decision.api.Tenant;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.function.Function;
+
+/**
+ * Which backends form the lane of each tenant. Every load balancer with the same list of backends
+ * comes to the same assignment, and a change of the list moves few backends between lanes.
+ *
+ * @param <T> the type that stands for a backend
+ * @param lanes the lane of each tenant, in the order of the tenants
+ * @param unassigned the backends that are in no lane, open to all tenants
+ */
+public record LaneAssignment<T>(List<List<T>> lanes, List<T> unassigned) {
+    /** A deficit below this is a rounding error, in backends. */
+    private static final double MIN_DEFICIT = 1e-9;
+
+    /**
+     * Assigns backends to lanes: in the order of the tenants, each takes those with its highest
+     * rendezvous hash among the backends that are still free.
+     *
+     * @param backends the backends to assign; the list is not changed
+     * @param id gives the unique name of a backend
+     */
+    public static <T> LaneAssignment<T> assign(
+            List<Tenant> tenants, List<T> backends, Function<T, String> id) {
+        int[] sizes = laneSizes(tenants, backends.size());
+        List<T> free = new ArrayList<>(backends);
+        List<List<T>> lanes = new ArrayList<>();
+        for (int t = 0; t < tenants.size(); t++) {
+            int tenant = t;
+            free.sort(
+                    Comparator.comparingLong((T b) -> RendezvousHash.of(tenant, id.apply(b)))
+                            .reversed());
+            List<T> taken = free.subList(0, sizes[t]);
+            lanes.add(new ArrayList<>(taken));
+            taken.clear();
+        }
+        return new LaneAssignment<>(lanes, free);
+    }
+
+    /**
+     * The number of backends in the lane of each tenant: its share of them, rounded, and one at
+     * least as long as there are enough backends.
+     */
+    public static int[] laneSizes(List<Tenant> tenants, int backendCount) {
+        int[] sizes = new int[tenants.size()];
+        for (int assigned = 0; assigned < backendCount; assigned++) {
+            int neediest = tenantWithLargestDeficit(tenants, sizes, backendCount);
+            if (neediest < 0) {
+                break;
+            }
+            sizes[neediest]++;
+        }
+        return sizes;
+    }
+
+    /** The tenant that lacks most of its share; -1 where none lacks anything. */
+    private static int tenantWithLargestDeficit(
+            List<Tenant> tenants, int[] sizes, int backendCount) {
+        int neediest = -1;
+        double largest = MIN_DEFICIT;
+        for (int t = 0; t < sizes.length; t++) {
+            // A tenant without any backend comes first, the earlier the more.
+            double deficit =
+                    sizes[t] == 0
+                            ? Integer.MAX_VALUE - t
+                            : tenants.get(t).capacityShare() * backendCount - sizes[t];
+            if (deficit > largest) {
+                largest = deficit;
+                neediest = t;
+            }
+        }
+        return neediest;
+    }
+}
--- a/src/main/java/cottonlock/membership/MemberUpdate.java
+++ b/src/main/java/cottonlock/membership/MemberUpdate.java
@@ -1,7 +1,7 @@
 package cottonlock.membership;
 
 import cottonlock.core.Deterministic;
-import cottonlock.decision.RendezvousHash;
+import cottonlock.decision.lane.RendezvousHash;
 
 /**
  * What is said of one member. Words on the same name are in one order, and the highest holds
--- a/src/test/java/cottonlock/decision/ColdFleet.java
+++ b/src/test/java/cottonlock/decision/ColdFleet.java
@@ -10,6 +10,7 @@
 import cottonlock.decision.api.RequestClass.Idempotency;
 import cottonlock.decision.api.SlowStartConfig;
 import cottonlock.decision.api.Tenant;
+import cottonlock.decision.backend.BackendRegistry;
 import cottonlock.lab.world.World;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/test/java/cottonlock/decision/Ledger.java
+++ b/src/test/java/cottonlock/decision/Ledger.java
@@ -15,6 +15,7 @@
 import cottonlock.decision.api.RequestClass.Idempotency;
 import cottonlock.decision.api.SlowStartConfig;
 import cottonlock.decision.api.Tenant;
+import cottonlock.decision.backend.BackendRegistry;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.EnumMap;
--- a/src/test/java/cottonlock/decision/LoadBalancerTest.java
+++ b/src/test/java/cottonlock/decision/LoadBalancerTest.java
@@ -12,6 +12,8 @@
 import cottonlock.decision.api.RequestClass.DeduplicationScope;
 import cottonlock.decision.api.RequestClass.Idempotency;
 import cottonlock.decision.api.Tenant;
+import cottonlock.decision.backend.Backend;
+import cottonlock.decision.lane.LaneAssignment;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -37,7 +39,7 @@
     }
 
     private static Set<String> ids(List<Backend> lane) {
-        return lane.stream().map(b -> b.id).collect(Collectors.toSet());
+        return lane.stream().map(Backend::id).collect(Collectors.toSet());
     }
 
     /** Answers everything that is out, in the order of arrival. */
@@ -56,12 +58,11 @@
     void lanesHoldTheSharesAndAtLeastOneBackend() {
         List<Tenant> tenants =
                 List.of(new Tenant(0.5, 0), new Tenant(0.45, 0), new Tenant(0.05, 0));
-        assertArrayEquals(new int[] {5, 4, 1}, BackendRegistry.laneSizes(tenants, 10));
-        assertArrayEquals(new int[] {1, 1, 0}, BackendRegistry.laneSizes(tenants, 2));
-        assertArrayEquals(new int[] {0, 0, 0}, BackendRegistry.laneSizes(tenants, 0));
-        assertArrayEquals(
-                new int[] {2}, BackendRegistry.laneSizes(List.of(new Tenant(0.2, 0)), 10));
-        assertArrayEquals(new int[0], BackendRegistry.laneSizes(List.of(), 10));
+        assertArrayEquals(new int[] {5, 4, 1}, LaneAssignment.laneSizes(tenants, 10));
+        assertArrayEquals(new int[] {1, 1, 0}, LaneAssignment.laneSizes(tenants, 2));
+        assertArrayEquals(new int[] {0, 0, 0}, LaneAssignment.laneSizes(tenants, 0));
+        assertArrayEquals(new int[] {2}, LaneAssignment.laneSizes(List.of(new Tenant(0.2, 0)), 10));
+        assertArrayEquals(new int[0], LaneAssignment.laneSizes(List.of(), 10));
     }
 
     @Example
@@ -370,13 +371,13 @@
         finishAll(ledger);
         ledger.pass(30_000);
         Backend answered =
-                ledger.fleet.known.values().stream()
-                        .filter(b -> ledger.sends.containsKey(b.id))
+                ledger.fleet.all().stream()
+                        .filter(b -> ledger.sends.containsKey(b.id()))
                         .findFirst()
                         .orElseThrow();
         assertEquals(
                 1,
-                answered.answers.sum(ledger.now),
+                answered.recentSuccesses(ledger.now),
                 "an answer of three seconds ago, half a due time");
     }
 
@@ -814,7 +815,7 @@
             ledger.list(Ledger.ready(i, i + 4), true, false);
             ledger.pass(100);
         }
-        assertEquals(4, ledger.fleet.known.size());
+        assertEquals(4, ledger.fleet.all().size());
     }
 
     /**
