--- a/src/main/java/cottonlock/decision/backend/BackendRegistry.java
+++ b/src/main/java/cottonlock/decision/backend/BackendRegistry.java
@@ -168,10 +168,10 @@
         for (Endpoint endpoint : endpoints) {
             Backend backend = known.computeIfAbsent(endpoint.id(), id -> newBackend(endpoint));
             backend.update(endpoint);
-            switch (endpoint.state()) {
-                case READY -> {}
-                case DRAINING -> backend.leave();
-                case GONE -> delist(backend, nowTicks);
+            if (endpoint.state() == Endpoint.State.DRAINING) {
+                backend.leave();
+            } else if (endpoint.state() == Endpoint.State.GONE) {
+                delist(backend, nowTicks);
             }
         }
         refreshReady();
--- a/src/test/java/cottonlock/decision/Ledger.java
+++ b/src/test/java/cottonlock/decision/Ledger.java
@@ -372,19 +372,18 @@
                         || item.category.idempotency() == Idempotency.WITH_KEY
                                 && item.category.deduplicationScope() == DeduplicationScope.ALL
                                 && item.sent.stream()
-                                        .allMatch(
-                                                s ->
-                                                        !s.mayHaveRun
-                                                                || now + comeBack
-                                                                        < s.at
-                                                                                + item.category
-                                                                                        .deduplicationWindowTicks());
+                                        .allMatch(sent -> keyIsKnown(item, sent, now + comeBack));
         assertTrue(harmless, "deferral of what may have run");
         item.answered = true;
         item.deferred = true;
         ends.merge(why, 1, Integer::sum);
     }
 
+    /** Whether an attempt did not run, or its key is still known when the client comes back. */
+    private static boolean keyIsKnown(Item item, Sent sent, long comesBackAt) {
+        return !sent.mayHaveRun || comesBackAt < sent.at + item.category.deduplicationWindowTicks();
+    }
+
     @Override
     public void fail(long req, RejectionReason why) {
         open(req, "write-off").answered = true;
--- a/src/test/java/cottonlock/membership/AntiEntropyTest.java
+++ b/src/test/java/cottonlock/membership/AntiEntropyTest.java
@@ -41,7 +41,7 @@
         Set<String> told = new TreeSet<>();
         Membership machine =
                 new Membership(
-                        MembershipProtocolConfig.USUAL,
+                        MembershipProtocolConfig.DEFAULTS,
                         new MembershipActions() {
                             @Override
                             public void send(String to, byte[] datagram) {
--- a/src/test/java/cottonlock/membership/DatagramCodecTest.java
+++ b/src/test/java/cottonlock/membership/DatagramCodecTest.java
@@ -122,7 +122,7 @@
                 new Fleet(
                         new World(20261203),
                         14,
-                        MembershipProtocolConfig.USUAL,
+                        MembershipProtocolConfig.DEFAULTS,
                         (r, out, name, address, contacts, closed, generation, tag, random) ->
                                 new Membership(
                                         r,
