--- a/src/main/java/cottonlock/decision/AttemptTracker.java
+++ b/src/main/java/cottonlock/decision/AttemptTracker.java
@@ -4,149 +4,188 @@
 import cottonlock.decision.api.AttemptOutcome;
 import cottonlock.decision.api.LoadBalancerActions;
 import cottonlock.decision.api.RejectionReason;
-import cottonlock.decision.api.RequestClass.Idempotency;
 import cottonlock.decision.backend.Backend;
 import cottonlock.decision.backend.BackendRegistry;
 import cottonlock.decision.backend.CompletedAttempt;
 import java.util.HashMap;
 import java.util.Map;
 
-/** Sends, and decides whether what failed may and should be sent again. */
-public final class AttemptTracker extends RequestStage {
-    /** Repeats of work that may have run, per attempt: more would feed an overload. */
-    private static final double REPEATS = 0.1;
+/**
+ * Starts attempts, follows them to their outcome, and retries or returns their requests as {@link
+ * RetryPolicy} says. Owned by the load balancer's thread.
+ */
+public final class AttemptTracker implements RequestStage {
+    /** A backend counts as silent when its silence has a probability of e^-8 or less. */
+    private static final double SILENCE_THRESHOLD = 8;
 
-    /** A backend is silent when its silence has a chance of e^-8 given the gaps before. */
-    private static final double SILENT = 8;
+    private final LoadBalancerActions actions;
+    private final AdmissionController admission;
+    private final BackendRegistry registry;
+    private final RetryPolicy retryPolicy;
 
-    private final LoadBalancerActions outlet;
-    private final AdmissionController line;
-    private final BackendRegistry fleet;
-    int most;
-    private final boolean mayRecall;
-    final Map<Long, Request> open = new HashMap<>();
-    private double repeats;
+    /** The requests with an attempt in flight, by id. */
+    private final Map<Long, Request> requests = new HashMap<>();
 
+    /** Assigned once, before the first request. */
+    private RequestStage retryStage;
+
+    /**
+     * A tracker without requests.
+     *
+     * @param maxAttempts the most attempts of a request, 1 or more
+     * @param cancellationAllowed whether attempts in flight may be cancelled
+     */
     public AttemptTracker(
-            LoadBalancerActions outlet,
-            AdmissionController line,
-            BackendRegistry fleet,
-            int most,
-            boolean mayRecall) {
-        this.outlet = outlet;
-        this.line = line;
-        this.fleet = fleet;
-        this.most = most;
-        this.mayRecall = mayRecall;
+            LoadBalancerActions actions,
+            AdmissionController admission,
+            BackendRegistry registry,
+            int maxAttempts,
+            boolean cancellationAllowed) {
+        this.actions = actions;
+        this.admission = admission;
+        this.registry = registry;
+        this.retryPolicy =
+                new RetryPolicy(registry, registry.topology(), maxAttempts, cancellationAllowed);
+    }
+
+    void connect(RequestStage stageForRetries) {
+        retryStage = stageForRetries;
+    }
+
+    /** Sets the most attempts of a request, 1 or more. */
+    void setMaxAttempts(int attempts) {
+        retryPolicy.setMaxAttempts(attempts);
     }
 
+    /** Starts an attempt at the only candidate. */
     @Override
-    void take(Request req, long now) {
-        Backend b = req.candidates.get(0);
-        repeats = Math.min(5, repeats + REPEATS);
-        open.put(req.id, req);
-        outlet.startAttempt(req.id, b.id(), req.sendByTicks());
-        req.attempts.add(new Attempt(b, now));
-        fleet.onAttemptSent(b, req, now);
+    public void process(Request request, long nowTicks) {
+        Backend backend = request.candidates.get(0);
+        retryPolicy.onAttempt();
+        requests.put(request.id, request);
+        actions.startAttempt(request.id, backend.id(), request.sendByTicks());
+        request.attempts.add(new Attempt(backend, nowTicks));
+        registry.onAttemptSent(backend, request, nowTicks);
     }
 
-    void settled(long now, long id, int number, AttemptOutcome outcome, boolean over) {
-        Request req = open.get(id);
-        if (req == null || number >= req.attempts.size() || !req.attempts.get(number).inFlight) {
+    /**
+     * Records an attempt's outcome; an attempt that is unknown or has ended is ignored.
+     *
+     * @param completed whether the request has its final response
+     */
+    void onAttemptCompleted(
+            long requestId,
+            int attemptNumber,
+            AttemptOutcome outcome,
+            boolean completed,
+            long nowTicks) {
+        Request request = requests.get(requestId);
+        if (request == null
+                || attemptNumber >= request.attempts.size()
+                || !request.attempts.get(attemptNumber).inFlight) {
             return;
         }
-        Attempt attempt = req.attempts.get(number);
+        recordOutcome(request, request.attempts.get(attemptNumber), outcome, nowTicks);
+        boolean wasCompleted = request.completed;
+        request.completed |= completed;
+        boolean inFlight = request.hasAttemptInFlight();
+        if (!inFlight) {
+            requests.remove(requestId);
+        }
+        if (request.completed) {
+            if (!wasCompleted) {
+                admission.onRequestReturned(request, nowTicks);
+            }
+        } else if (!inFlight) {
+            retryOrReturn(request, outcome, nowTicks);
+        }
+    }
+
+    private void recordOutcome(
+            Request request, Attempt attempt, AttemptOutcome outcome, long nowTicks) {
         attempt.inFlight = false;
         attempt.neverExecuted = outcome.neverExecuted();
-        req.rejectionReason = RejectionReason.of(outcome);
-        fleet.onAttemptCompleted(
+        request.rejectionReason = RejectionReason.of(outcome);
+        registry.onAttemptCompleted(
                 new CompletedAttempt(
                         attempt.backend,
-                        req,
+                        request,
                         attempt.sentAtTicks,
                         attempt.backendWasSilent,
                         outcome),
-                now);
-        // In the batch after a standstill, times tell of the balancer and not of the backends.
-        if (!fleet.isResumingFromStall(now)
-                && outcome != AttemptOutcome.CANCELLED
-                && outcome != AttemptOutcome.NOT_SENT) {
-            line.lanes[req.tenant].learn(
-                    outcome, now - attempt.sentAtTicks, req.requestClass.latencyObjectiveTicks());
-        }
-        boolean wasEnded = req.completed;
-        req.completed |= over;
-        if (!req.hasAttemptInFlight()) {
-            open.remove(id);
-        }
-        if (!req.completed && !req.hasAttemptInFlight() && mayRepeat(req, outcome, now)) {
-            before.before.take(req, now);
-        } else if (req.completed ? !wasEnded : !req.hasAttemptInFlight()) {
-            before.back(req, now);
+                nowTicks);
+        boolean answeredOrFailed =
+                outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.NOT_SENT;
+        // Times taken right after a stall of this process measure the stall, not the backend.
+        if (!registry.isResumingFromStall(nowTicks) && answeredOrFailed) {
+            admission.onAttemptCompleted(request, outcome, nowTicks - attempt.sentAtTicks);
         }
     }
 
-    private boolean mayRepeat(Request req, AttemptOutcome last, long now) {
-        if (req.attempts.size() >= most || now >= req.objectiveDeadlineTicks) {
-            return false;
+    private void retryOrReturn(Request request, AttemptOutcome lastOutcome, long nowTicks) {
+        if (retryPolicy.tryRetry(request, lastOutcome, nowTicks)) {
+            retryStage.process(request, nowTicks);
+        } else {
+            admission.onRequestReturned(request, nowTicks);
         }
-        boolean ran = req.firstPossiblyExecuted() != null;
-        if (!ran
-                && !(last == AttemptOutcome.REJECTED
-                        && fleet.topology().loadBalancerCount() > 2 * fleet.ready().size())) {
-            return true;
+    }
+
+    /** Forbids to cancel an attempt whose response is on its way to the client. */
+    void onResponseStarted(long requestId, int attemptNumber) {
+        Request request = requests.get(requestId);
+        if (request != null && attemptNumber < request.attempts.size()) {
+            request.attempts.get(attemptNumber).cancellable = false;
         }
-        boolean may =
-                (!ran || req.requestClass.idempotency() != Idempotency.NOT_IDEMPOTENT)
-                        && repeats >= 1;
-        repeats -= may ? 1 : 0;
-        return may;
     }
 
-    void left(long now, long id) {
-        Request req = open.get(id);
-        if (req != null && !req.completed) {
-            req.completed = true;
-            before.back(req, now);
+    /** Ends a request whose client has disconnected; its attempts stay in flight. */
+    void onClientDisconnected(long requestId, long nowTicks) {
+        Request request = requests.get(requestId);
+        if (request != null && !request.completed) {
+            request.completed = true;
+            admission.onRequestReturned(request, nowTicks);
         }
     }
 
+    /** Moves the deadlines of all requests in flight forward to this time. */
+    void limitDeadlines(long latestTicks) {
+        requests.values().forEach(request -> request.limitDeadline(latestTicks));
+    }
+
     /**
-     * Frees the room of what is held by backends gone silent, and sends again elsewhere what may
-     * be.
+     * Releases the capacity of requests at backends that are silent or far too slow, and cancels
+     * attempts at silent backends that may be retried at another one.
      */
-    void rescue(long now) {
-        long silent =
-                fleet.all().stream()
-                        .filter(b -> fleet.outliers().silenceScore(b, now) >= SILENT)
-                        .count();
-        // Where most are silent the fault is not theirs alone, and sending again would feed it.
-        boolean few = silent * 2 <= fleet.ready().size();
-        for (Backend b : fleet.all()) {
-            boolean isSilent = fleet.outliers().silenceScore(b, now) >= SILENT;
-            for (long id : b.requestIdsInFlight()) {
-                Request req = open.get(id);
-                Attempt attempt = req.lastAttempt();
-                // Work stuck at backends that are lost filled the room, and all else was turned
-                // away.
-                if (isSilent || fleet.outliers().isOverdue(req, now - attempt.sentAtTicks, now)) {
-                    line.release(req);
-                }
-                if (isSilent && !attempt.backendWasSilent) {
-                    attempt.backendWasSilent = true;
-                    fleet.onSilenceDetected(b, now);
-                    if (mayRecall
-                            && !req.completed
-                            && attempt.cancellable
-                            && now < req.objectiveDeadlineTicks
-                            && (few || repeats >= 1)
-                            && req.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                            && req.attempts.size() < most) {
-                        attempt.cancellable = false;
-                        repeats += few ? 1 : 0;
-                        outlet.cancelAttempt(req.id, req.attempts.size() - 1);
-                    }
-                }
+    void checkSilentBackends(long nowTicks) {
+        long silentBackends = registry.all().stream().filter(b -> isSilent(b, nowTicks)).count();
+        // If most are silent, the cause is likely not the backends, and retries would add load.
+        boolean fewSilent = silentBackends * 2 <= registry.ready().size();
+        for (Backend backend : registry.all()) {
+            boolean silent = isSilent(backend, nowTicks);
+            for (long requestId : backend.requestIdsInFlight()) {
+                checkAttempt(requests.get(requestId), silent, fewSilent, nowTicks);
+            }
+        }
+    }
+
+    private boolean isSilent(Backend backend, long nowTicks) {
+        return registry.outliers().silenceScore(backend, nowTicks) >= SILENCE_THRESHOLD;
+    }
+
+    private void checkAttempt(
+            Request request, boolean backendSilent, boolean fewSilent, long nowTicks) {
+        Attempt attempt = request.lastAttempt();
+        if (backendSilent
+                || registry.outliers()
+                        .isOverdue(request, nowTicks - attempt.sentAtTicks, nowTicks)) {
+            admission.releaseCapacity(request);
+        }
+        if (backendSilent && !attempt.backendWasSilent) {
+            attempt.backendWasSilent = true;
+            registry.onSilenceDetected(attempt.backend, nowTicks);
+            if (retryPolicy.tryCancel(request, fewSilent, nowTicks)) {
+                attempt.cancellable = false;
+                actions.cancelAttempt(request.id, request.attempts.size() - 1);
             }
         }
     }
--- a/src/main/java/cottonlock/decision/BackendPicker.java
+++ b/src/main/java/cottonlock/decision/BackendPicker.java
@@ -5,28 +5,40 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A random pick among the candidates, the larger the likelier. */
-public final class BackendPicker extends RequestStage {
-    private final BackendRegistry fleet;
+/**
+ * Picks one of the candidates at random, weighted by their effective size. Owned by the load
+ * balancer's thread.
+ */
+public final class BackendPicker implements RequestStage {
+    private final BackendRegistry registry;
     private final SplittableRandom random;
 
-    public BackendPicker(BackendRegistry fleet, SplittableRandom random) {
-        this.fleet = fleet;
+    /** Assigned once, before the first request. */
+    private RequestStage next;
+
+    /** A picker with this source of randomness. */
+    public BackendPicker(BackendRegistry registry, SplittableRandom random) {
+        this.registry = registry;
         this.random = random;
     }
 
+    void connect(RequestStage nextStage) {
+        next = nextStage;
+    }
+
+    /** Reduces the request's candidates, of which there must be one or more, to the chosen one. */
     @Override
-    void take(Request req, long now) {
-        double sum = 0;
-        Backend choice = null;
-        for (Backend b : req.candidates) {
-            double size = fleet.eligibility().effectiveCapacity(b, now);
-            sum += size;
-            if (random.nextDouble() * sum < size) {
-                choice = b;
+    public void process(Request request, long nowTicks) {
+        double totalSize = 0;
+        Backend chosen = null;
+        for (Backend backend : request.candidates) {
+            double size = registry.eligibility().effectiveCapacity(backend, nowTicks);
+            totalSize += size;
+            if (random.nextDouble() * totalSize < size) {
+                chosen = backend;
             }
         }
-        req.candidates = List.of(choice);
-        after.take(req, now);
+        request.candidates = List.of(chosen);
+        next.process(request, nowTicks);
     }
 }
--- /dev/null
+++ b/src/main/java/cottonlock/decision/LaneRateLimit.java
@@ -0,0 +1,77 @@
+package cottonlock.decision;
+
+import cottonlock.decision.api.AttemptOutcome;
+
+/**
+ * Limits how fast a tenant's requests are admitted where there are so few backends for each load
+ * balancer that one load balancer's requests in flight tell nothing. By Little's law, a lane can
+ * take the concurrency its backends may have, divided by the time that attempts take. Owned by the
+ * load balancer's thread. Times are in {@link cottonlock.core.Ticks}.
+ */
+abstract class LaneRateLimit {
+    /** Requests in flight that a backend may have, where nothing is known of their work. */
+    static final double MAX_CONCURRENCY_PER_BACKEND = 5;
+
+    /** The time in which an attempt time learned fades to 1/e: an overload has ended by then. */
+    private static final double DECAY_TICKS = 50_000;
+
+    /** The weight of a new sample is one in this many. */
+    private static final int SAMPLE_WEIGHT_DIVISOR = 8;
+
+    /** The estimated time that an attempt takes. */
+    private double attemptTicks;
+
+    /** When the estimate was last updated; -1 before the first request. */
+    private long updatedAtTicks = -1;
+
+    /**
+     * Whether a request is admitted now.
+     *
+     * @param usableBackends how many backends the tenant's lane amounts to
+     */
+    abstract boolean permits(Request request, double usableBackends, long nowTicks);
+
+    /** The longest time that an attempt of a class with this objective counts for. */
+    abstract double maxSampleTicks(long objectiveTicks);
+
+    /** An attempt has ended after so long. */
+    final void onAttemptCompleted(AttemptOutcome outcome, long tookTicks, long objectiveTicks) {
+        // A quick failure must not pass for a quick response.
+        double sampleTicks =
+                outcome == AttemptOutcome.COMPLETED
+                        ? tookTicks
+                        : Math.max(tookTicks, 2 * attemptTicks);
+        double boundedTicks = Math.min(sampleTicks, maxSampleTicks(objectiveTicks));
+        attemptTicks += (boundedTicks - attemptTicks) / SAMPLE_WEIGHT_DIVISOR;
+    }
+
+    /**
+     * Lets the estimated attempt time decay to the expected one, if it is longer, and returns it.
+     */
+    final double updateAttemptTicks(double expectedTicks, long nowTicks) {
+        if (updatedAtTicks < 0) {
+            attemptTicks = expectedTicks;
+        } else {
+            double kept = Math.exp((updatedAtTicks - nowTicks) / DECAY_TICKS);
+            attemptTicks =
+                    Math.min(attemptTicks, expectedTicks + (attemptTicks - expectedTicks) * kept);
+        }
+        updatedAtTicks = nowTicks;
+        return attemptTicks;
+    }
+
+    /** The time since the last update, 0 before the first. */
+    final long ticksSinceUpdate(long nowTicks) {
+        return updatedAtTicks < 0 ? 0 : nowTicks - updatedAtTicks;
+    }
+
+    /** The time that attempts of a class are expected to take, before any is known. */
+    static double expectedTicks(Request request) {
+        return request.requestClass.latencyObjectiveTicks() / 3.0;
+    }
+
+    /** The rate of a lane in requests a tick, by Little's law. */
+    static double lanePerTick(double perBackend, double usableBackends, double attemptTicks) {
+        return perBackend * usableBackends / Math.max(1, attemptTicks);
+    }
+}
--- a/src/main/java/cottonlock/decision/LaneSelector.java
+++ b/src/main/java/cottonlock/decision/LaneSelector.java
@@ -5,60 +5,92 @@
 import cottonlock.decision.backend.BackendRegistry;
 import java.util.List;
 
-/** The design: the tenant's own lane; the public part or all backends when none of it is usable. */
-public final class LaneSelector extends RequestStage {
-    /**
-     * How far above the mean is far: low enough to keep one backend from filling while others idle.
-     */
-    private static final double FAR = 1.25;
+/**
+ * Chooses the group of backends that a request may go to: its tenant's lane; the backends in no
+ * lane if none of the lane is usable; all backends if none of those is. Owned by the load
+ * balancer's thread.
+ */
+public final class LaneSelector implements RequestStage {
+    /** The multiple of the mean load above which a backend is passed over. */
+    private static final double MAX_RELATIVE_LOAD = 1.25;
 
-    /**
-     * How much longer than usual work may stay in a lane of unlike balancers; at 1.25 some choke.
-     */
-    private static final double CROWD = 1.1;
+    /** The multiple of the usual attempt time above which requests spill out of a lane. */
+    private static final double MAX_RELATIVE_ATTEMPT_TIME = 1.25;
 
-    private final AdmissionController line;
-    private final BackendRegistry fleet;
+    /** The same where the load balancers carry very different load. */
+    private static final double MAX_RELATIVE_ATTEMPT_TIME_UNEQUAL_LOAD = 1.1;
 
-    public LaneSelector(AdmissionController line, BackendRegistry fleet) {
-        this.line = line;
-        this.fleet = fleet;
+    private final AdmissionController admission;
+    private final BackendRegistry registry;
+
+    /** Assigned once, before the first request. */
+    private RequestStage next;
+
+    /** A selector of lanes as the registry assigns them. */
+    public LaneSelector(AdmissionController admission, BackendRegistry registry) {
+        this.admission = admission;
+        this.registry = registry;
+    }
+
+    void connect(RequestStage nextStage) {
+        next = nextStage;
     }
 
+    /** Leaves the usable backends in the request's candidates, or returns the request. */
     @Override
-    void take(Request req, long now) {
-        double out = fleet.ready().stream().mapToInt(Backend::inFlight).sum();
-        double far =
-                FAR
-                        * out
-                        / fleet.ready().stream()
-                                .mapToDouble(b -> fleet.eligibility().effectiveCapacity(b, now))
-                                .sum();
-        double spare = line.pressed(now) ? 0 : 1;
-        boolean crowded =
-                fleet.laneLoad()
-                        .isCrowded(req.tenant, fleet.topology().evenlyLoaded() ? FAR : CROWD, now);
-        req.candidates =
-                crowded
-                        ? List.of()
-                        : fleet.eligibility()
-                                .eligible(fleet.lane(req.tenant), req, far, spare, now);
-        for (List<Backend> part :
-                List.of(
-                        fleet.unassigned(),
-                        crowded ? fleet.laneLoad().backendsOfUncrowdedLanes(now) : fleet.ready())) {
-            if (req.candidates.isEmpty()) {
-                req.candidates = fleet.eligibility().eligible(part, req, far, spare, now);
-            }
+    public void process(Request request, long nowTicks) {
+        request.candidates = candidates(request, nowTicks);
+        if (request.candidates.isEmpty()) {
+            request.rejectionReason = RejectionReason.NO_BACKEND;
+            admission.onRequestReturned(request, nowTicks);
+        } else {
+            next.process(request, nowTicks);
         }
-        if (req.candidates.isEmpty()) {
-            req.candidates = fleet.eligibility().whereAllAreSuspected(req, now);
+    }
+
+    private List<Backend> candidates(Request request, long nowTicks) {
+        double maxInFlightPerSize = maxInFlightPerSize(nowTicks);
+        double spareRequests = admission.isUnderPressure(nowTicks) ? 0 : 1;
+        boolean crowded =
+                registry.laneLoad().isCrowded(request.tenant, maxRelativeAttemptTime(), nowTicks);
+        List<Backend> usable = List.of();
+        if (!crowded) {
+            List<Backend> lane = registry.lane(request.tenant);
+            usable =
+                    registry.eligibility()
+                            .eligible(lane, request, maxInFlightPerSize, spareRequests, nowTicks);
         }
-        if (req.candidates.isEmpty()) {
-            req.rejectionReason = RejectionReason.NO_BACKEND;
-            before.back(req, now);
-        } else {
-            after.take(req, now);
+        List<Backend> spill =
+                crowded ? registry.laneLoad().backendsOfUncrowdedLanes(nowTicks) : registry.ready();
+        for (List<Backend> group : List.of(registry.unassigned(), spill)) {
+            if (usable.isEmpty()) {
+                usable =
+                        registry.eligibility()
+                                .eligible(
+                                        group,
+                                        request,
+                                        maxInFlightPerSize,
+                                        spareRequests,
+                                        nowTicks);
+            }
         }
+        return usable.isEmpty()
+                ? registry.eligibility().whereAllAreSuspected(request, nowTicks)
+                : usable;
+    }
+
+    private double maxInFlightPerSize(long nowTicks) {
+        double inFlight = registry.ready().stream().mapToInt(Backend::inFlight).sum();
+        double totalSize =
+                registry.ready().stream()
+                        .mapToDouble(b -> registry.eligibility().effectiveCapacity(b, nowTicks))
+                        .sum();
+        return MAX_RELATIVE_LOAD * inFlight / totalSize;
+    }
+
+    private double maxRelativeAttemptTime() {
+        return registry.topology().evenlyLoaded()
+                ? MAX_RELATIVE_ATTEMPT_TIME
+                : MAX_RELATIVE_ATTEMPT_TIME_UNEQUAL_LOAD;
     }
 }
--- a/src/main/java/cottonlock/decision/LoadBalancer.java
+++ b/src/main/java/cottonlock/decision/LoadBalancer.java
@@ -8,157 +8,193 @@
 import java.util.List;
 
 /**
- * The decision module: everything that one balancer decides, and nothing else.
+ * All decisions of one load balancer: which requests are admitted, to which backend each attempt
+ * goes, and what is retried, rejected or failed.
  *
- * <p>One thread tells it what happened through the public methods, each with the time in whole
- * tenths of a millisecond, never going back. It answers during the call through {@link
- * LoadBalancerActions}; it does no input or output and reads no clock. A request passes the stages
- * RequestIntake, AdmissionController, LaneSelector, BackendPicker and AttemptTracker. Each passes
- * it on or sends it back; what comes back passes them the other way. Fleet stands beside them and
- * knows the backends. docs/design.md tells which decision comes from where.
+ * <p>Its host reports events through the {@code on...} methods, from a single thread and with times
+ * in {@link cottonlock.core.Ticks} that never go back. It acts through {@link LoadBalancerActions}
+ * during the call. It does no input or output, reads no clock, and draws random numbers only from
+ * the generators it was given.
+ *
+ * <p>A request passes {@link RequestIntake}, {@link AdmissionController}, {@link LaneSelector},
+ * {@link BackendPicker} and {@link AttemptTracker}. A retry starts again at the lane selector. A
+ * request that needs no further attempt returns to the admission controller, which releases its
+ * capacity, and ends at the intake. {@link BackendRegistry} holds the state of the backends.
  */
 public final class LoadBalancer {
-    /** How often silence and the list are looked at: well under any due time, cheap in CPU. */
-    static final long TICK = 250;
+    /** The time between two timer events. */
+    static final long TIMER_PERIOD_TICKS = 250;
 
-    /**
-     * Called so much too late, the balancer has stood still: 100 ms come with a busy core alone.
-     */
-    private static final long STILL = 2_000;
+    /** A timer that is late by more than this shows that this process was stalled. */
+    private static final long STALL_THRESHOLD_TICKS = 2_000;
 
-    private long wakeAt = Long.MAX_VALUE - STILL;
-    private final LoadBalancerActions outlet;
+    private final LoadBalancerActions actions;
     private final RequestIntake intake;
-    private final AdmissionController line;
+    private final AdmissionController admission;
     private final AttemptTracker attempts;
-    private final BackendRegistry fleet;
+    private final BackendRegistry registry;
 
-    /** Joins the stages to a chain; each has been given its own settings. */
+    /** When the next timer event is due; far in the future before the start. */
+    private long timerDueTicks = Long.MAX_VALUE - STALL_THRESHOLD_TICKS;
+
+    /** Connects the stages; each has been given its own settings. */
     public LoadBalancer(
-            LoadBalancerActions outlet,
+            LoadBalancerActions actions,
             RequestIntake intake,
-            AdmissionController line,
-            LaneSelector lane,
-            BackendPicker pick,
+            AdmissionController admission,
+            LaneSelector laneSelector,
+            BackendPicker picker,
             AttemptTracker attempts,
-            BackendRegistry fleet) {
-        this.outlet = outlet;
+            BackendRegistry registry) {
+        this.actions = actions;
         this.intake = intake;
-        this.line = line;
+        this.admission = admission;
         this.attempts = attempts;
-        this.fleet = fleet;
-        intake.join(null, line);
-        line.join(intake, lane);
-        lane.join(line, pick);
-        pick.join(lane, attempts);
-        attempts.join(pick, null);
+        this.registry = registry;
+        intake.connect(admission);
+        admission.connect(laneSelector, intake::finish);
+        laneSelector.connect(picker);
+        picker.connect(attempts);
+        attempts.connect(laneSelector);
     }
 
-    /** The balancer starts; the list that it last held follows through {@link #onEndpointList}. */
-    public void start(long now) {
-        wakeAt = now + TICK;
-        outlet.scheduleTimer(wakeAt);
+    /** Starts the timer; a cached endpoint list may follow through {@link #onEndpointList}. */
+    public void start(long nowTicks) {
+        scheduleTimer(nowTicks);
+    }
+
+    private void scheduleTimer(long nowTicks) {
+        timerDueTicks = nowTicks + TIMER_PERIOD_TICKS;
+        actions.scheduleTimer(timerDueTicks);
     }
 
     /**
-     * After a standstill of its own the balancer doubts its clock: what waited is no silence of
-     * others.
+     * Detects that this process was stalled: what took place meanwhile could not be seen, so that
+     * silence and latency of that time say nothing about the backends.
      */
-    private void doubtClock(long now) {
-        if (now > wakeAt + STILL) {
-            fleet.onStall(now, now - wakeAt);
-            wakeAt = now;
+    private void detectStall(long nowTicks) {
+        if (nowTicks > timerDueTicks + STALL_THRESHOLD_TICKS) {
+            registry.onStall(nowTicks, nowTicks - timerDueTicks);
+            timerDueTicks = nowTicks;
         }
     }
 
-    /** Other categories, by number, and most attempts hold for what comes from now on. */
-    public void reconfigure(List<RequestClass> categories, int most) {
-        intake.retune(categories);
-        attempts.most = most;
+    /**
+     * Applies other request classes, by number, and another limit of attempts to the requests that
+     * arrive from now on; the limit also to those in progress.
+     */
+    public void reconfigure(List<RequestClass> requestClasses, int maxAttempts) {
+        intake.reconfigure(requestClasses);
+        attempts.setMaxAttempts(maxAttempts);
     }
 
     /**
-     * A request has come; its client waits for {@code patience}. Hint: its work, 0 where not told.
+     * A request has arrived.
+     *
+     * @param requestId a number unique among the requests in progress
+     * @param requestClass the index of its request class
+     * @param tenant the index of its tenant
+     * @param clientTimeoutTicks how much longer the client waits for the response
+     * @param clientRetry whether the client has sent the request before
+     * @param estimatedWorkTicks the estimated execution time, the same for each retry by the
+     *     client; 0 if unknown
      */
     public void onRequest(
-            long now,
-            long id,
-            int category,
+            long nowTicks,
+            long requestId,
+            int requestClass,
             int tenant,
-            long patience,
-            boolean repeated,
-            long hint) {
-        doubtClock(now);
-        long stood = fleet.stallTicks(now);
-        intake.arrive(now, id, category, tenant, patience, repeated, hint, stood);
+            long clientTimeoutTicks,
+            boolean clientRetry,
+            long estimatedWorkTicks) {
+        detectStall(nowTicks);
+        long stalledTicks = registry.stallTicks(nowTicks);
+        RequestArrival arrival =
+                new RequestArrival(
+                        requestId,
+                        requestClass,
+                        tenant,
+                        clientTimeoutTicks,
+                        clientRetry,
+                        estimatedWorkTicks);
+        intake.onRequest(arrival, stalledTicks, nowTicks);
     }
 
-    /** An attempt has ended; {@code over} tells that the request has had its final answer. */
+    /**
+     * An attempt has ended.
+     *
+     * @param attemptNumber the number of the attempt within its request, from 0
+     * @param requestCompleted whether the client has its final response
+     */
     public void onAttemptCompleted(
-            long now, long id, int attempt, AttemptOutcome outcome, boolean over) {
-        doubtClock(now);
-        attempts.settled(now, id, attempt, outcome, over);
+            long nowTicks,
+            long requestId,
+            int attemptNumber,
+            AttemptOutcome outcome,
+            boolean requestCompleted) {
+        detectStall(nowTicks);
+        attempts.onAttemptCompleted(requestId, attemptNumber, outcome, requestCompleted, nowTicks);
     }
 
-    /** The answer to a streamed request has begun: it belongs to the client from now on. */
-    public void onResponseStarted(long now, long id, int attempt) {
-        Request req = attempts.open.get(id);
-        if (req != null && attempt < req.attempts.size()) {
-            req.attempts.get(attempt).cancellable = false;
-        }
+    /** The response to an attempt has begun to reach the client, so it must not be cancelled. */
+    public void onResponseStarted(long nowTicks, long requestId, int attemptNumber) {
+        attempts.onResponseStarted(requestId, attemptNumber);
+    }
+
+    /** The client of a request has disconnected and needs no response. */
+    public void onClientDisconnected(long nowTicks, long requestId) {
+        admission.onClientDisconnected(requestId);
+        attempts.onClientDisconnected(requestId, nowTicks);
     }
 
-    /** The client of a request has left, so nothing more is owed. */
-    public void onClientDisconnected(long now, long id) {
-        line.waiting.removeIf(req -> req.id == id);
-        attempts.left(now, id);
+    /** Moves the deadlines of all requests in progress forward to this time, for a shutdown. */
+    public void limitDeadlines(long latestTicks) {
+        admission.limitDeadlines(latestTicks);
+        attempts.limitDeadlines(latestTicks);
     }
 
-    /** The balancer leaves: what it holds now is over by then, with its final answer. */
-    public void limitDeadlines(long latest) {
-        line.waiting.forEach(req -> req.limitDeadline(latest));
-        attempts.open.values().forEach(req -> req.limitDeadline(latest));
+    /**
+     * The endpoint list, or changes of it, have come.
+     *
+     * @param endpoints the listed endpoints; of changes, those that differ
+     * @param complete whether endpoints that are missing have left the list
+     * @param cached whether the list was kept from an earlier run and may be out of date
+     */
+    public void onEndpointList(
+            long nowTicks, List<Endpoint> endpoints, boolean complete, boolean cached) {
+        registry.onEndpointList(nowTicks, endpoints, complete, cached);
     }
 
     /**
-     * News of the list of backends, whole or only what changed; cached: as this balancer last held
-     * it.
+     * Whether a backend may get requests, including one that left the list where removal from the
+     * list is not binding.
      */
-    public void onEndpointList(long now, List<Endpoint> members, boolean whole, boolean cached) {
-        fleet.onEndpointList(now, members, whole, cached);
+    public boolean mayUse(String backendId) {
+        return registry.isReady(backendId);
     }
 
-    /** Whether a backend may get work, also one that has gone from a list that binds nobody. */
-    public boolean mayUse(String id) {
-        return fleet.isReady(id);
+    /** The endpoint list could not be fetched, or its watch has ended. */
+    public void onEndpointListFailed(long nowTicks) {
+        registry.onEndpointListFailed(nowTicks);
     }
 
-    /** A call for the list failed, or its changes no longer come. */
-    public void onEndpointListFailed(long now) {
-        fleet.onEndpointListFailed(now);
+    /** How many ready backends get almost no requests now, as they are suspected outliers. */
+    public long avoidedBackendCount(long nowTicks) {
+        return registry.countAvoided(nowTicks);
     }
 
-    /** How many of the ready backends get next to nothing now, as they are in doubt. */
-    public long avoidedBackendCount(long now) {
-        return fleet.countAvoided(now);
+    /** Another load balancer sent this with {@link LoadBalancerActions#broadcastToPeers}. */
+    public void onPeerMessage(long nowTicks, byte[] message) {
+        registry.onPeerMessage(nowTicks, message);
     }
 
-    /**
-     * Another balancer of the tier has sent what it told by {@link
-     * LoadBalancerActions#broadcastToPeers}.
-     */
-    public void onPeerMessage(long now, byte[] message) {
-        fleet.onPeerMessage(now, message);
-    }
-
-    /** The time asked for by {@link LoadBalancerActions#scheduleTimer} has come. */
-    public void onTimer(long now) {
-        doubtClock(now);
-        fleet.maintain(now);
-        attempts.rescue(now);
-        fleet.reportLossesToPeers();
-        line.tidy(now);
-        wakeAt = now + TICK;
-        outlet.scheduleTimer(wakeAt);
+    /** The time given to {@link LoadBalancerActions#scheduleTimer} has come. */
+    public void onTimer(long nowTicks) {
+        detectStall(nowTicks);
+        registry.maintain(nowTicks);
+        attempts.checkSilentBackends(nowTicks);
+        registry.reportLossesToPeers();
+        admission.onTimer(nowTicks);
+        scheduleTimer(nowTicks);
     }
 }
--- /dev/null
+++ b/src/main/java/cottonlock/decision/ProportionalLaneRateLimit.java
@@ -0,0 +1,102 @@
+package cottonlock.decision;
+
+import cottonlock.decision.backend.BackendRegistry;
+import java.util.SplittableRandom;
+
+/**
+ * For load balancers that carry very different load: each admits the same fraction of what arrives,
+ * which is the lane's rate divided by the tenant's quota over all load balancers.
+ */
+final class ProportionalLaneRateLimit extends LaneRateLimit {
+    /** Usual attempt times assumed beside the measured ones. */
+    private static final int ASSUMED_SAMPLES = 4;
+
+    /** The fraction admitted at the start. */
+    private static final double INITIAL_FRACTION = 0.6;
+
+    /** The most by which the fraction grows in a tick. */
+    private static final double MAX_FRACTION_GROWTH_PER_TICK = 7e-6;
+
+    /** The concurrency that a backend may have above its cores, in square roots of them. */
+    private static final double MARGIN_DEVIATIONS = 0.7;
+
+    /** An attempt counts for this many latency objectives at most. */
+    private static final int MAX_SAMPLE_OBJECTIVES = 4;
+
+    private final double quotaPerTick;
+    private final QuotaWorkload workload;
+    private final BackendRegistry registry;
+    private final SplittableRandom random;
+    private double fraction = INITIAL_FRACTION;
+
+    /**
+     * A limit for one tenant.
+     *
+     * @param quotaPerTick the tenant's quota over all load balancers, above 0
+     */
+    ProportionalLaneRateLimit(
+            double quotaPerTick,
+            QuotaWorkload workload,
+            BackendRegistry registry,
+            SplittableRandom random) {
+        this.quotaPerTick = quotaPerTick;
+        this.workload = workload;
+        this.registry = registry;
+        this.random = random;
+    }
+
+    @Override
+    boolean permits(Request request, double usableBackends, long nowTicks) {
+        double perBackend = concurrencyPerBackend(nowTicks);
+        // Small load balancers rarely see a tenant's responses, so those of all tenants stand in.
+        double atQuotaTicks = perBackend * usableBackends / quotaPerTick;
+        double expectedTicks =
+                registry.load()
+                        .meanTimeInFlightTicks(
+                                ASSUMED_SAMPLES,
+                                Math.min(expectedTicks(request), atQuotaTicks),
+                                nowTicks);
+        long elapsedTicks = ticksSinceUpdate(nowTicks);
+        double attemptTicks = updateAttemptTicks(expectedTicks, nowTicks);
+        double perTick = lanePerTick(perBackend, usableBackends, attemptTicks);
+        fraction =
+                Math.min(
+                        fraction + elapsedTicks * MAX_FRACTION_GROWTH_PER_TICK,
+                        perTick / quotaPerTick);
+        return draw(request) < fraction * expectedCredit(request, attemptTicks, nowTicks);
+    }
+
+    @Override
+    double maxSampleTicks(long objectiveTicks) {
+        return MAX_SAMPLE_OBJECTIVES * objectiveTicks;
+    }
+
+    /** What the quotas demand of each backend, in cores, with a margin for random variation. */
+    private double concurrencyPerBackend(long nowTicks) {
+        double cores = workload.coresPerBackend(registry.ready().size(), nowTicks);
+        return cores > 0
+                ? cores + MARGIN_DEVIATIONS * Math.sqrt(cores)
+                : MAX_CONCURRENCY_PER_BACKEND;
+    }
+
+    /**
+     * A number from 0 to 1. It is the same for each retry of a request, which its estimated work
+     * identifies: with independent draws, a client that retries would nearly always be admitted.
+     */
+    private double draw(Request request) {
+        SplittableRandom source =
+                request.estimatedWorkTicks > 0
+                        ? new SplittableRandom(request.estimatedWorkTicks)
+                        : random;
+        return source.nextDouble();
+    }
+
+    /** The part of its credit that a request admitted now can be expected to earn. */
+    private static double expectedCredit(Request request, double attemptTicks, long nowTicks) {
+        if (nowTicks + attemptTicks / 2 < request.objectiveDeadlineTicks) {
+            return 1;
+        }
+        boolean maySucceedLate = request.objectiveDeadlineTicks < request.deadlineTicks;
+        return maySucceedLate ? request.requestClass.lateCredit() : 0;
+    }
+}
--- a/src/main/java/cottonlock/decision/RequestIntake.java
+++ b/src/main/java/cottonlock/decision/RequestIntake.java
@@ -4,133 +4,106 @@
 import cottonlock.decision.api.LoadBalancerActions;
 import cottonlock.decision.api.RejectionReason;
 import cottonlock.decision.api.RequestClass;
-import cottonlock.decision.api.RequestClass.Idempotency;
 import cottonlock.decision.api.Tenant;
 import java.util.Arrays;
 import java.util.List;
 
-/** Knows each category and quota; gives the final answer when a request comes back unfinished. */
-public final class RequestIntake extends RequestStage {
-    /** With a bucket of four, Poisson arrivals at nine tenths of the quota seldom find it empty. */
-    private static final double DEPTH = 4;
+/**
+ * The first and last step of a request: resolves its request class and quota when it arrives, and
+ * ends it with {@link LoadBalancerActions#reject} or {@link LoadBalancerActions#fail} when it
+ * returns without a response. Owned by the load balancer's thread.
+ */
+public final class RequestIntake {
+    private final LoadBalancerActions actions;
+    private final TenantQuota quota;
 
-    private final LoadBalancerActions outlet;
-    private List<RequestClass> categories;
-    private final boolean first;
-    private final long longestComeBack;
+    /** Whether requests come straight from clients, so that quotas apply here. */
+    private final boolean firstTier;
 
-    /**
-     * Each tenant's quota at this balancer, for each tenth of a millisecond, and what is left of
-     * it.
-     */
-    private final double[] quotas;
+    private final long maxRetryAfterTicks;
+    private List<RequestClass> requestClasses;
 
-    private final TokenBucket[] tokens;
+    /** The longest client timeout seen of each request class. */
+    private long[] longestTimeoutTicks;
 
-    /** The longest patience seen of each category. */
-    private long[] longest;
+    /** Assigned once, before the first request. */
+    private RequestStage next;
 
     /**
-     * First: whether requests come from clients; the come-back time is 0 where clients follow none.
+     * An intake for these request classes and tenants.
+     *
+     * @param firstTier whether requests come straight from clients, so that quotas apply here
+     * @param maxRetryAfterTicks the longest time to advise clients to wait before a retry; 0 where
+     *     clients follow no such advice
      */
     public RequestIntake(
-            LoadBalancerActions outlet,
-            List<RequestClass> categories,
+            LoadBalancerActions actions,
+            List<RequestClass> requestClasses,
             List<Tenant> tenants,
-            boolean first,
-            DeploymentTopology shape,
-            long longestComeBack) {
-        this.outlet = outlet;
-        this.categories = categories;
-        this.first = first;
-        this.longestComeBack = longestComeBack;
-        this.longest = new long[categories.size()];
-        this.quotas = new double[tenants.size()];
-        this.tokens = new TokenBucket[tenants.size()];
-        for (int t = 0; t < quotas.length; t++) {
-            quotas[t] =
-                    tenants.get(t).quotaPerSecond()
-                            / (shape.evenlyLoaded() ? shape.loadBalancerCount() : 1)
-                            / 10_000;
-            tokens[t] = new TokenBucket(Math.max(DEPTH, quotas[t] * 5_000) / 4);
-        }
+            boolean firstTier,
+            DeploymentTopology topology,
+            long maxRetryAfterTicks) {
+        this.actions = actions;
+        this.requestClasses = requestClasses;
+        this.quota = new TenantQuota(tenants, topology);
+        this.firstTier = firstTier;
+        this.maxRetryAfterTicks = maxRetryAfterTicks;
+        this.longestTimeoutTicks = new long[requestClasses.size()];
     }
 
-    void retune(List<RequestClass> others) {
-        categories = others;
-        longest = Arrays.copyOf(longest, others.size());
+    void connect(RequestStage nextStage) {
+        next = nextStage;
     }
 
-    void arrive(
-            long now,
-            long id,
-            int category,
-            int tenant,
-            long patience,
-            boolean repeated,
-            long hint,
-            long stood) {
-        // What came during a standstill has waited as much as its patience lacks of the longest
-        // seen.
-        longest[category] = Math.max(longest[category], patience);
-        long waited = Math.min(stood, longest[category] - patience);
-        Request req =
-                new Request(
-                        id,
-                        categories.get(category),
-                        tenant,
-                        repeated,
-                        now - waited,
-                        now + patience,
-                        hint);
-        req.overQuota = first && tenant < tokens.length && !withinQuota(tenant, repeated, now);
-        take(req, now);
+    /** Other request classes apply to the requests that arrive from now on. */
+    void reconfigure(List<RequestClass> otherClasses) {
+        requestClasses = otherClasses;
+        longestTimeoutTicks = Arrays.copyOf(longestTimeoutTicks, otherClasses.size());
     }
 
-    @Override
-    void take(Request req, long now) {
-        if (req.deadlineTicks <= now) {
-            req.rejectionReason = RejectionReason.DEADLINE_EXCEEDED;
-            back(req, now);
+    /**
+     * Takes in a request.
+     *
+     * @param stalledTicks how long this process was stalled just before, 0 if it was not
+     */
+    void onRequest(RequestArrival arrival, long stalledTicks, long nowTicks) {
+        int number = arrival.requestClass();
+        long timeoutTicks = arrival.clientTimeoutTicks();
+        longestTimeoutTicks[number] = Math.max(longestTimeoutTicks[number], timeoutTicks);
+        // Clients of a class have similar timeouts, so what a timeout lacks of the longest one has
+        // passed while the request waited for this process.
+        long waitedTicks = Math.min(stalledTicks, longestTimeoutTicks[number] - timeoutTicks);
+        Request request =
+                new Request(
+                        arrival.id(),
+                        requestClasses.get(number),
+                        arrival.tenant(),
+                        arrival.clientRetry(),
+                        nowTicks - waitedTicks,
+                        nowTicks + timeoutTicks,
+                        arrival.estimatedWorkTicks());
+        request.overQuota =
+                firstTier && !quota.tryTake(arrival.tenant(), arrival.clientRetry(), nowTicks);
+        if (request.deadlineTicks <= nowTicks) {
+            request.rejectionReason = RejectionReason.DEADLINE_EXCEEDED;
+            finish(request, nowTicks);
         } else {
-            after.take(req, now);
+            next.process(request, nowTicks);
         }
     }
 
-    @Override
-    void back(Request req, long now) {
-        if (req.completed) {
+    /** Ends a request unless it has its final response already. */
+    void finish(Request request, long nowTicks) {
+        if (request.completed) {
             return;
         }
-        req.completed = true;
-        long comeBack = Math.min(longestComeBack, req.requestClass.latencyObjectiveTicks() / 2);
-        if (mayDefer(req, now + comeBack)) {
-            outlet.reject(req.id, comeBack, req.rejectionReason);
+        request.completed = true;
+        long retryAfterTicks =
+                Math.min(maxRetryAfterTicks, request.requestClass.latencyObjectiveTicks() / 2);
+        if (RetryPolicy.clientMayRetry(request, nowTicks + retryAfterTicks)) {
+            actions.reject(request.id, retryAfterTicks, request.rejectionReason);
         } else {
-            outlet.fail(req.id, req.rejectionReason);
+            actions.fail(request.id, request.rejectionReason);
         }
     }
-
-    /**
-     * A deferral says that trying again does no harm: of a request that may have run, only if so,
-     * and if backends still know it when its client comes back.
-     */
-    private static boolean mayDefer(Request req, long back) {
-        return req.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || req.firstPossiblyExecuted() == null
-                || req.requestClass.idempotency() == Idempotency.WITH_KEY
-                        && req.requestClass.deduplicationScope()
-                                == RequestClass.DeduplicationScope.ALL
-                        && back
-                                < req.firstPossiblyExecuted().sentAtTicks
-                                        + req.requestClass.deduplicationWindowTicks();
-    }
-
-    private boolean withinQuota(int tenant, boolean repeated, long now) {
-        // Half a second's worth may come at once, for arrivals are uneven, and four at least.
-        double depth = Math.max(DEPTH, quotas[tenant] * 5_000);
-        // What comes again is mostly excess: it must not use up the quota of what comes first.
-        double needed = repeated ? Math.max(1, quotas[tenant] * 2_500) : 1;
-        return tokens[tenant].take(now, quotas[tenant], depth, needed);
-    }
 }
--- /dev/null
+++ b/src/main/java/cottonlock/decision/RetryPolicy.java
@@ -0,0 +1,120 @@
+package cottonlock.decision;
+
+import cottonlock.decision.Request.Attempt;
+import cottonlock.decision.api.AttemptOutcome;
+import cottonlock.decision.api.DeploymentTopology;
+import cottonlock.decision.api.RequestClass;
+import cottonlock.decision.api.RequestClass.DeduplicationScope;
+import cottonlock.decision.api.RequestClass.Idempotency;
+import cottonlock.decision.backend.BackendRegistry;
+
+/**
+ * When a request is sent again, by the load balancer or by its client, and when an attempt is
+ * cancelled for it. Owned by the load balancer's thread.
+ */
+final class RetryPolicy {
+    /** With more load balancers for each ready backend than this, all retries use the budget. */
+    private static final int MAX_LOAD_BALANCERS_PER_BACKEND = 2;
+
+    private final BackendRegistry registry;
+    private final DeploymentTopology topology;
+    private final boolean cancellationAllowed;
+    private final RetryBudget budget = new RetryBudget();
+    private int maxAttempts;
+
+    /**
+     * A policy with an unspent budget.
+     *
+     * @param maxAttempts the most attempts of a request, 1 or more
+     * @param cancellationAllowed whether attempts in flight may be cancelled
+     */
+    RetryPolicy(
+            BackendRegistry registry,
+            DeploymentTopology topology,
+            int maxAttempts,
+            boolean cancellationAllowed) {
+        this.registry = registry;
+        this.topology = topology;
+        this.maxAttempts = maxAttempts;
+        this.cancellationAllowed = cancellationAllowed;
+    }
+
+    /**
+     * Whether a client may send the request again at a time without harm: it was not executed,
+     * repeated execution is harmless, or every backend would still recognise its idempotency key.
+     */
+    static boolean clientMayRetry(Request request, long atTicks) {
+        RequestClass requestClass = request.requestClass;
+        Attempt executed = request.firstPossiblyExecuted();
+        if (requestClass.idempotency() == Idempotency.IDEMPOTENT || executed == null) {
+            return true;
+        }
+        return requestClass.idempotency() == Idempotency.WITH_KEY
+                && requestClass.deduplicationScope() == DeduplicationScope.ALL
+                && atTicks < executed.sentAtTicks + requestClass.deduplicationWindowTicks();
+    }
+
+    /** Sets the most attempts of a request, 1 or more. */
+    void setMaxAttempts(int attempts) {
+        maxAttempts = attempts;
+    }
+
+    /** An attempt, first or repeated, is sent. */
+    void onAttempt() {
+        budget.onAttempt();
+    }
+
+    /**
+     * Whether a request whose last attempt has ended is sent again. A retry that is permitted only
+     * by the budget is taken out of it.
+     */
+    boolean tryRetry(Request request, AttemptOutcome lastOutcome, long nowTicks) {
+        if (!hasAttemptsAndTimeLeft(request, nowTicks)) {
+            return false;
+        }
+        boolean possiblyExecuted = request.firstPossiblyExecuted() != null;
+        if (!possiblyExecuted && !rejectedBySparseFleet(lastOutcome)) {
+            return true;
+        }
+        boolean safe =
+                !possiblyExecuted
+                        || request.requestClass.idempotency() != Idempotency.NOT_IDEMPOTENT;
+        if (!safe || !budget.permitsRetry()) {
+            return false;
+        }
+        budget.spend();
+        return true;
+    }
+
+    /** Where many load balancers share few backends, free retries of rejections would overload. */
+    private boolean rejectedBySparseFleet(AttemptOutcome lastOutcome) {
+        return lastOutcome == AttemptOutcome.REJECTED
+                && topology.loadBalancerCount()
+                        > MAX_LOAD_BALANCERS_PER_BACKEND * registry.ready().size();
+    }
+
+    /**
+     * Whether an attempt at a silent backend is cancelled, so that its request can be sent to
+     * another one.
+     *
+     * @param fewBackendsSilent whether the fault is likely the backends' own; only then the retry
+     *     that follows does not count against the budget
+     */
+    boolean tryCancel(Request request, boolean fewBackendsSilent, long nowTicks) {
+        boolean cancels =
+                cancellationAllowed
+                        && !request.completed
+                        && request.lastAttempt().cancellable
+                        && request.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                        && hasAttemptsAndTimeLeft(request, nowTicks)
+                        && (fewBackendsSilent || budget.permitsRetry());
+        if (cancels && fewBackendsSilent) {
+            budget.grant();
+        }
+        return cancels;
+    }
+
+    private boolean hasAttemptsAndTimeLeft(Request request, long nowTicks) {
+        return request.attempts.size() < maxAttempts && nowTicks < request.objectiveDeadlineTicks;
+    }
+}
--- a/src/main/java/cottonlock/decision/TokenBucket.java
+++ b/src/main/java/cottonlock/decision/TokenBucket.java
@@ -1,27 +1,34 @@
 package cottonlock.decision;
 
-/** A bucket of tokens that fills at a given rate up to a given depth. */
+/** A token bucket that refills at a rate which the caller may change from call to call. */
 final class TokenBucket {
-    private double level;
-    private long filledAt = -1;
+    private double tokens;
 
-    TokenBucket(double level) {
-        this.level = level;
+    /** When the bucket was last refilled; -1 before the first call. */
+    private long refilledAtTicks = -1;
+
+    /** A bucket that starts with this many tokens. */
+    TokenBucket(double initialTokens) {
+        tokens = initialTokens;
     }
 
     /**
-     * Takes one token if at least so many are there; {@code rate} is for each tenth of a
-     * millisecond.
+     * Refills the bucket and takes one token.
+     *
+     * @param tokensPerTick the refill rate since the last call
+     * @param capacity the most tokens that the bucket keeps
+     * @param minimumTokens the tokens that must be present, 1 or more
+     * @return whether a token was taken
      */
-    boolean take(long now, double rate, double depth, double atLeast) {
-        if (filledAt >= 0) {
-            level = Math.min(depth, level + rate * (now - filledAt));
+    boolean tryTake(long nowTicks, double tokensPerTick, double capacity, double minimumTokens) {
+        if (refilledAtTicks >= 0) {
+            tokens = Math.min(capacity, tokens + tokensPerTick * (nowTicks - refilledAtTicks));
         }
-        filledAt = now;
-        if (level < atLeast) {
+        refilledAtTicks = nowTicks;
+        if (tokens < minimumTokens) {
             return false;
         }
-        level--;
+        tokens--;
         return true;
     }
 }
