--- /dev/null
+++ b/src/main/java/cottonlock/simulator/EndpointListReader.java
@@ -0,0 +1,93 @@
+package cottonlock.simulator;
+
+import cottonlock.core.Ticks;
+import cottonlock.decision.api.Endpoint;
+import cottonlock.setup.InvalidSettingsException;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+
+/** Reads endpoint lists and keeps each under its buffer number until it is replaced. */
+final class EndpointListReader {
+    private static final int BUFFERS = 16;
+
+    /** Numbers of the protocol stay below this. */
+    private static final int NUMBER_LIMIT = Integer.MAX_VALUE;
+
+    /** The endpoints' capacity weight where the list gives none. */
+    private static final double DEFAULT_CAPACITY_WEIGHT = 1;
+
+    private final LineReader in;
+
+    /** By buffer number; null where no list has been read. */
+    private final List<List<Endpoint>> buffers = new ArrayList<>();
+
+    EndpointListReader(LineReader in) {
+        this.in = in;
+        for (int buffer = 0; buffer < BUFFERS; buffer++) {
+            buffers.add(null);
+        }
+    }
+
+    /**
+     * Reads a list, whose first line has been begun, up to its last endpoint.
+     *
+     * @throws InvalidSettingsException if the list is malformed or too short
+     */
+    void read() throws IOException {
+        int buffer = in.index("Buffer", BUFFERS);
+        int count = in.index("MembersList", NUMBER_LIMIT);
+        List<Endpoint> endpoints = new ArrayList<>();
+        while (endpoints.size() < count) {
+            if (!in.next() || !in.word("message").equals(WireVocabulary.ENDPOINT)) {
+                throw new InvalidSettingsException(
+                        "a list of " + count + " ends after " + endpoints.size());
+            }
+            endpoints.add(readEndpoint());
+        }
+        buffers.set(buffer, endpoints);
+    }
+
+    /**
+     * The list under the buffer number in the next field.
+     *
+     * @throws InvalidSettingsException if no list has been read for it
+     */
+    List<Endpoint> referenced() {
+        List<Endpoint> endpoints = buffers.get(in.index("Buffer", BUFFERS));
+        if (endpoints == null) {
+            throw new InvalidSettingsException("no list has been registered under this Buffer");
+        }
+        return endpoints;
+    }
+
+    private Endpoint readEndpoint() {
+        String id = in.word("Backend");
+        int zone = in.index("FailureDomain", NUMBER_LIMIT);
+        int machineKind = in.index("ClassOfHost", NUMBER_LIMIT);
+        int cell = in.index("UnitGroup", NUMBER_LIMIT);
+        Endpoint.State state = WireVocabulary.state(in.word("Lifecycle"), id);
+        double capacityWeight = capacityWeight(in.word("Size"));
+        // Rounded up: a backend must not be taken for older, and so for warmer, than it is.
+        long startedAtTicks =
+                (in.whole("ReadyAt") + Ticks.MICROSECONDS_PER_TICK - 1)
+                        / Ticks.MICROSECONDS_PER_TICK;
+        return new Endpoint(id, zone, machineKind, cell, state, capacityWeight, startedAtTicks);
+    }
+
+    private static double capacityWeight(String text) {
+        if (text.equals(WireVocabulary.ABSENT)) {
+            return DEFAULT_CAPACITY_WEIGHT;
+        }
+        double weight;
+        try {
+            weight = Double.parseDouble(text);
+        } catch (NumberFormatException e) {
+            weight = Double.NaN;
+        }
+        if (weight >= 0 && weight < Double.POSITIVE_INFINITY) {
+            return weight;
+        }
+        throw new InvalidSettingsException("Size is not a number: " + text);
+    }
+}
--- a/src/main/java/cottonlock/simulator/LineReader.java
+++ b/src/main/java/cottonlock/simulator/LineReader.java
@@ -5,14 +5,23 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Reads lines of space-separated fields without making a string of what is only a number. */
+/**
+ * Reads lines of fields separated by spaces. Numbers are parsed in the buffer, with no string for
+ * each. The fields of a line are read in order; each method names its field, for error messages,
+ * and throws {@link InvalidSettingsException} if it is absent or malformed. Used by one thread.
+ */
 final class LineReader {
+    private static final int INITIAL_CAPACITY_BYTES = 1 << 16;
+
     private final InputStream in;
-    private byte[] buffer = new byte[1 << 16];
+    private byte[] buffer = new byte[INITIAL_CAPACITY_BYTES];
     private int filled;
     private int lineStart;
     private int lineEnd;
+
+    /** Where the next field begins. */
     private int at;
+
     private long number;
 
     LineReader(InputStream in) {
@@ -24,7 +33,11 @@
         return number;
     }
 
-    /** Moves to the next line; false at the end of the input. */
+    /**
+     * Moves to the next line; false at the end of the input.
+     *
+     * @throws InvalidSettingsException if the input ends within a line
+     */
     boolean next() throws IOException {
         lineStart = number == 0 ? 0 : lineEnd + 1;
         int scan = lineStart;
@@ -37,25 +50,34 @@
                     return true;
                 }
             }
-            int kept = Math.max(0, filled - lineStart);
-            byte[] target = kept > buffer.length / 2 ? new byte[buffer.length * 2] : buffer;
-            System.arraycopy(buffer, Math.min(lineStart, filled), target, 0, kept);
-            buffer = target;
             scan -= lineStart;
-            lineStart = 0;
-            filled = kept;
-            int n = in.read(buffer, filled, buffer.length - filled);
-            if (n < 0) {
-                if (kept > 0) {
-                    number++;
-                    throw new InvalidSettingsException("the input ends within a line");
-                }
+            if (!fill()) {
                 return false;
             }
-            filled += n;
         }
     }
 
+    /** Moves the unfinished line to the buffer's start and reads on; false at the end. */
+    private boolean fill() throws IOException {
+        int kept = Math.max(0, filled - lineStart);
+        byte[] target = kept > buffer.length / 2 ? new byte[buffer.length * 2] : buffer;
+        System.arraycopy(buffer, Math.min(lineStart, filled), target, 0, kept);
+        buffer = target;
+        lineStart = 0;
+        filled = kept;
+        int read = in.read(buffer, filled, buffer.length - filled);
+        if (read >= 0) {
+            filled += read;
+            return true;
+        }
+        if (kept > 0) {
+            number++;
+            throw new InvalidSettingsException("the input ends within a line");
+        }
+        return false;
+    }
+
+    /** Whether the line has another field. */
     boolean hasMore() {
         return at < lineEnd;
     }
@@ -74,7 +96,7 @@
         return end;
     }
 
-    /** The next field as it stands. */
+    /** The next field as text. */
     String word(String what) {
         int end = fieldEnd(what);
         String word = new String(buffer, at, end - at, StandardCharsets.UTF_8);
@@ -82,7 +104,7 @@
         return word;
     }
 
-    /** Passes over the next field. */
+    /** Skips the next field. */
     void skip(String what) {
         at = fieldEnd(what) + 1;
     }
@@ -90,18 +112,15 @@
     /** The next field as a whole number; absent ('-') gives 0. */
     long whole(String what) {
         int end = fieldEnd(what);
-        int i = at;
-        boolean negative = buffer[i] == '-';
-        if (negative) {
-            i++;
-            if (i == end) {
-                at = end + 1;
-                return 0;
-            }
+        boolean negative = buffer[at] == '-';
+        int digits = negative ? at + 1 : at;
+        if (digits == end) {
+            at = end + 1;
+            return 0;
         }
         long value = 0;
-        for (; i < end; i++) {
-            int digit = buffer[i] - '0';
+        for (int index = digits; index < end; index++) {
+            int digit = buffer[index] - '0';
             if (digit < 0 || digit > 9 || value > (Long.MAX_VALUE - digit) / 10) {
                 throw new InvalidSettingsException(what + " is not a whole number: " + word(what));
             }
--- a/src/main/java/cottonlock/simulator/Reply.java
+++ b/src/main/java/cottonlock/simulator/Reply.java
@@ -5,71 +5,90 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Collects the lines of one reply and sends them together. */
+/**
+ * Collects the messages of one reply, one a line with fields separated by spaces, and writes them
+ * together. Numbers are formatted into the buffer, with no string for each. Used by one thread.
+ */
 final class Reply {
+    private static final int INITIAL_CAPACITY_BYTES = 1 << 14;
+
+    /** A space and the digits of the largest long. */
+    private static final int MAX_NUMBER_BYTES = 21;
+
     private final OutputStream out;
-    private byte[] buffer = new byte[1 << 14];
+    private byte[] buffer = new byte[INITIAL_CAPACITY_BYTES];
     private int length;
 
     Reply(OutputStream out) {
         this.out = out;
     }
 
+    /** Begins a message that concerns an instance. */
     Reply start(String message, String instance) {
-        return raw(message).field(instance);
+        return append(message).field(instance);
     }
 
+    /** Begins a message that concerns no instance. */
     Reply start(String message) {
-        return raw(message);
+        return append(message);
     }
 
+    /** Appends a field. */
     Reply field(String value) {
-        room(1);
+        ensureCapacity(1);
         buffer[length++] = ' ';
-        return raw(value);
+        return append(value);
     }
 
+    /** Appends a field with a number. */
     Reply field(long value) {
-        room(21);
+        ensureCapacity(MAX_NUMBER_BYTES);
         buffer[length++] = ' ';
         if (value < 0) {
-            return raw(Long.toString(value));
+            return append(Long.toString(value));
         }
+        int end = length + digitCount(value);
+        long rest = value;
+        for (int index = end - 1; index >= length; index--) {
+            buffer[index] = (byte) ('0' + rest % 10);
+            rest /= 10;
+        }
+        length = end;
+        return this;
+    }
+
+    private static int digitCount(long value) {
         int digits = 1;
-        for (long v = value; v >= 10; v /= 10) {
+        for (long rest = value; rest >= 10; rest /= 10) {
             digits++;
         }
-        long v = value;
-        for (int i = length + digits - 1; i >= length; i--) {
-            buffer[i] = (byte) ('0' + v % 10);
-            v /= 10;
-        }
-        length += digits;
-        return this;
+        return digits;
     }
 
+    /** Ends the message. */
     void end() {
-        room(1);
+        ensureCapacity(1);
         buffer[length++] = '\n';
     }
 
+    /** Writes and flushes all messages. */
     void send() throws IOException {
         out.write(buffer, 0, length);
         out.flush();
         length = 0;
     }
 
-    private Reply raw(String text) {
+    private Reply append(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        room(bytes.length);
+        ensureCapacity(bytes.length);
         System.arraycopy(bytes, 0, buffer, length, bytes.length);
         length += bytes.length;
         return this;
     }
 
-    private void room(int more) {
-        if (length + more > buffer.length) {
-            buffer = Arrays.copyOf(buffer, Math.max(length + more, 2 * buffer.length));
+    private void ensureCapacity(int moreBytes) {
+        if (length + moreBytes > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(length + moreBytes, 2 * buffer.length));
         }
     }
 }
--- a/src/main/java/cottonlock/simulator/WireHost.java
+++ b/src/main/java/cottonlock/simulator/WireHost.java
@@ -1,257 +1,224 @@
 package cottonlock.simulator;
 
+import static cottonlock.core.Ticks.MICROSECONDS_PER_TICK;
+
+import cottonlock.decision.LoadBalancer;
 import cottonlock.decision.api.AttemptOutcome;
 import cottonlock.decision.api.Endpoint;
 import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.Settings;
+import cottonlock.simulator.WireVocabulary.Event;
+import cottonlock.simulator.WireVocabulary.ListScope;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
-import java.util.ArrayList;
 import java.util.Base64;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * Hosts the balancers of the bench: each line read becomes a call, each answer a line of the reply.
+ * Hosts the load balancers of a simulation: each message read becomes a call of one of them, and
+ * their actions, in order, the reply to the batch. Used by one thread.
  */
 public final class WireHost {
-    private static final long MICROS = Settings.MICROS;
-    private static final int BUFFERS = 16;
+    /** Numbers of requests and attempts stay below this. */
+    private static final int NUMBER_LIMIT = Integer.MAX_VALUE;
+
+    /** The bit of a request's flags that says that the estimated work is meaningful. */
+    private static final long HAS_ESTIMATED_WORK = 1;
 
-    /** Request and attempt numbers stay below this on the wire. */
-    private static final int ANY = Integer.MAX_VALUE;
+    /** The bit of a request's flags that marks a retry by the client. */
+    private static final long IS_CLIENT_RETRY = 2;
 
     private final LineReader in;
     private final Reply reply;
-    private final PrintStream complaints;
-    private final Map<String, Instance> instances = new HashMap<>();
-    private final List<List<Endpoint>> buffers = new ArrayList<>();
-    private long now;
+    private final PrintStream errors;
+    private final EndpointListReader endpointLists;
+    private final Map<String, LoadBalancerInstance> instances = new HashMap<>();
+    private long nowTicks;
 
-    public WireHost(InputStream in, OutputStream out, PrintStream complaints) {
+    /** A host without instances that writes replies to one stream and errors to another. */
+    public WireHost(InputStream in, OutputStream out, PrintStream errors) {
         this.in = new LineReader(in);
         this.reply = new Reply(out);
-        this.complaints = complaints;
-        for (int i = 0; i < BUFFERS; i++) {
-            buffers.add(null);
-        }
+        this.errors = errors;
+        this.endpointLists = new EndpointListReader(this.in);
     }
 
-    /** Serves batch after batch until the input ends; returns the exit code. */
+    /**
+     * Serves batch after batch until the input ends.
+     *
+     * @return the exit code: 0, or 1 after malformed input, which is reported in one line
+     * @throws IOException if a stream fails
+     */
     public int run() throws IOException {
         try {
             while (in.next()) {
-                batch();
+                serveBatch();
             }
             return 0;
         } catch (InvalidSettingsException e) {
-            complaints.println("cottonlock: line " + in.number() + ": " + e.getMessage());
+            errors.println("cottonlock: line " + in.number() + ": " + e.getMessage());
             return 1;
         }
     }
 
-    private void batch() throws IOException {
-        if (!in.word("message").equals("tick")) {
+    private void serveBatch() throws IOException {
+        if (!in.word("message").equals(WireVocabulary.BATCH_START)) {
             throw new InvalidSettingsException("a batch must start with 'tick'");
         }
-        long clock = in.whole("clock");
-        if (clock < 0 || clock / MICROS < now) {
-            throw new InvalidSettingsException("the clock goes backwards: " + clock);
+        long clockMicros = in.whole("clock");
+        if (clockMicros < 0 || clockMicros / MICROSECONDS_PER_TICK < nowTicks) {
+            throw new InvalidSettingsException("the clock goes backwards: " + clockMicros);
         }
-        now = clock / MICROS;
-        long number = in.whole("batch number");
-        while (true) {
-            if (!in.next()) {
-                throw new InvalidSettingsException("the input ends within a batch");
-            }
-            String message = in.word("message");
-            if (message.equals("eob")) {
-                break;
-            }
-            event(message);
+        nowTicks = clockMicros / MICROSECONDS_PER_TICK;
+        long batchNumber = in.whole("batch number");
+        for (String message = nextMessage();
+                !message.equals(WireVocabulary.BATCH_END);
+                message = nextMessage()) {
+            handle(Event.of(message));
         }
-        reply.start("yield").field(number).end();
+        reply.start(WireVocabulary.REPLY_END).field(batchNumber).end();
         reply.send();
     }
 
-    private void event(String message) throws IOException {
-        switch (message) {
-            case "inbound" -> inbound(instance());
-            case "settled" -> settled(instance());
-            case "timer" -> {
-                Instance i = instance();
+    private String nextMessage() throws IOException {
+        if (!in.next()) {
+            throw new InvalidSettingsException("the input ends within a batch");
+        }
+        return in.word("message");
+    }
+
+    private void handle(Event event) throws IOException {
+        switch (event) {
+            case INSTANCE_STARTED -> startInstance();
+            case INSTANCE_STOPPED -> stopInstance();
+            case ENDPOINT_LIST -> endpointLists.read();
+            default -> handle(event, readInstance());
+        }
+    }
+
+    private void handle(Event event, LoadBalancerInstance instance) {
+        LoadBalancer loadBalancer = instance.loadBalancer();
+        switch (event) {
+            case REQUEST -> onRequest(instance);
+            case ATTEMPT_COMPLETED -> onAttemptCompleted(loadBalancer);
+            case TIMER -> {
                 in.skip("Ref");
-                i.balancer.onTimer(now);
-            }
-            case "register" -> register();
-            case "endpoints" -> endpoints(instance());
-            case "init" -> init();
-            case "retire" -> {
-                String name = in.word("Proxy");
-                if (instances.remove(name) == null) {
-                    throw new InvalidSettingsException("unknown instance: " + name);
-                }
-            }
-            case "left" -> {
-                Instance i = instance();
-                i.balancer.onClientDisconnected(now, in.whole("Rid"));
+                loadBalancer.onTimer(nowTicks);
             }
-            case "ping_result" -> {
-                instance();
-                outcome(in.word("Outcome"));
-                in.whole("Latency");
-                in.skip("Backend");
-                feedback();
-            }
-            case "inbox" -> {
-                Instance i = instance();
+            case ENDPOINT_LIST_CHANGED -> onEndpointList(loadBalancer);
+            case CLIENT_DISCONNECTED ->
+                    loadBalancer.onClientDisconnected(nowTicks, in.whole("Rid"));
+            case PROBE_COMPLETED -> skipProbeResult();
+            case PEER_MESSAGE -> {
                 in.whole("SrcPeer");
-                i.balancer.onPeerMessage(now, bytes(in.word("Msg")));
+                loadBalancer.onPeerMessage(nowTicks, decode(in.word("Msg")));
             }
-            case "under_way" -> {
-                Instance i = instance();
-                long id = in.whole("Rid");
-                int attempt = in.index("SendNo", ANY);
-                i.balancer.onResponseStarted(now, id, attempt);
+            case RESPONSE_STARTED -> {
+                long requestId = in.whole("Rid");
+                int attemptNumber = in.index("SendNo", NUMBER_LIMIT);
+                loadBalancer.onResponseStarted(nowTicks, requestId, attemptNumber);
             }
-            default -> throw new InvalidSettingsException("unknown message: " + message);
+            default -> throw new IllegalArgumentException(event + " concerns no instance");
         }
     }
 
-    private Instance instance() {
+    private LoadBalancerInstance readInstance() {
         String name = in.word("Proxy");
-        Instance i = instances.get(name);
-        if (i == null) {
+        LoadBalancerInstance instance = instances.get(name);
+        if (instance == null) {
             throw new InvalidSettingsException("unknown instance: " + name);
         }
-        return i;
+        return instance;
     }
 
-    private void init() {
+    private void startInstance() {
         String name = in.word("Proxy");
         long seed = in.whole("Prng");
         Settings settings = new Settings();
         while (in.hasMore()) {
             settings.put(in.word("setting"));
         }
-        Instance i = new Instance(name, reply, seed, settings);
-        instances.put(name, i);
-        i.balancer.start(now);
+        LoadBalancerInstance instance = new LoadBalancerInstance(name, reply, seed, settings);
+        instances.put(name, instance);
+        instance.loadBalancer().start(nowTicks);
     }
 
-    private void register() throws IOException {
-        int buffer = in.index("Buffer", BUFFERS);
-        int n = in.index("MembersList", ANY);
-        List<Endpoint> members = new ArrayList<>();
-        for (int k = 0; k < n; k++) {
-            if (!in.next() || !in.word("message").equals("item")) {
-                throw new InvalidSettingsException("a list of " + n + " ends after " + k);
-            }
-            String id = in.word("Backend");
-            int zone = in.index("FailureDomain", ANY);
-            int kind = in.index("ClassOfHost", ANY);
-            int cell = in.index("UnitGroup", ANY);
-            Endpoint.State state =
-                    switch (in.word("Lifecycle")) {
-                        case "ready" -> Endpoint.State.READY;
-                        case "draining" -> Endpoint.State.DRAINING;
-                        case "gone" -> Endpoint.State.GONE;
-                        default -> throw new InvalidSettingsException("unknown Lifecycle of " + id);
-                    };
-            double size = size(in.word("Size"));
-            // Rounded up: a backend taken for younger than it is gets less, never more, than it can
-            // bear.
-            long startedAt = (in.whole("ReadyAt") + MICROS - 1) / MICROS;
-            members.add(new Endpoint(id, zone, kind, cell, state, size, startedAt));
+    private void stopInstance() {
+        String name = in.word("Proxy");
+        if (instances.remove(name) == null) {
+            throw new InvalidSettingsException("unknown instance: " + name);
         }
-        buffers.set(buffer, members);
     }
 
-    private static double size(String word) {
-        if (word.equals("-")) {
-            return 1;
-        }
-        try {
-            double size = Double.parseDouble(word);
-            if (size >= 0 && size < Double.POSITIVE_INFINITY) {
-                return size;
-            }
-        } catch (NumberFormatException e) {
-            // Told below, as for a number out of range.
-        }
-        throw new InvalidSettingsException("Size is not a number: " + word);
+    private void onRequest(LoadBalancerInstance instance) {
+        long requestId = in.whole("Rid");
+        int requestClass = in.index("Service", instance.requestClassCount());
+        int tenant = in.index("Team", Math.max(1, instance.tenantCount()));
+        in.skip("Object");
+        long clientTimeoutTicks = Math.floorDiv(in.whole("Budget"), MICROSECONDS_PER_TICK);
+        long workMicros = in.whole("Cost");
+        long flags = in.whole("Bitmap");
+        boolean hasEstimatedWork = (flags & HAS_ESTIMATED_WORK) != 0;
+        instance.loadBalancer()
+                .onRequest(
+                        nowTicks,
+                        requestId,
+                        requestClass,
+                        tenant,
+                        clientTimeoutTicks,
+                        (flags & IS_CLIENT_RETRY) != 0,
+                        hasEstimatedWork ? workMicros / MICROSECONDS_PER_TICK : 0);
+    }
+
+    private void onAttemptCompleted(LoadBalancer loadBalancer) {
+        long requestId = in.whole("Rid");
+        AttemptOutcome outcome = WireVocabulary.outcome(in.word("Outcome"));
+        int attemptNumber = in.index("SendNo", NUMBER_LIMIT);
+        in.whole("Latency");
+        boolean requestCompleted = in.whole("NoMore") != 0;
+        in.skip("Backend");
+        skipFeedback();
+        loadBalancer.onAttemptCompleted(
+                nowTicks, requestId, attemptNumber, outcome, requestCompleted);
     }
 
-    private void endpoints(Instance i) {
-        String scope = in.word("Scope");
+    private void onEndpointList(LoadBalancer loadBalancer) {
+        String scopeName = in.word("Scope");
         in.whole("Revision");
-        if (scope.equals("failed")) {
-            i.balancer.onEndpointListFailed(now);
+        if (scopeName.equals(WireVocabulary.LIST_FAILED)) {
+            loadBalancer.onEndpointListFailed(nowTicks);
             return;
         }
-        List<Endpoint> members = buffers.get(in.index("Buffer", BUFFERS));
-        if (members == null) {
-            throw new InvalidSettingsException("no list has been registered under this Buffer");
-        }
-        switch (scope) {
-            case "delta" -> i.balancer.onEndpointList(now, members, false, false);
-            case "full" -> i.balancer.onEndpointList(now, members, true, false);
-            case "cached" -> i.balancer.onEndpointList(now, members, true, true);
-            default -> throw new InvalidSettingsException("unknown Scope: " + scope);
-        }
-    }
-
-    private void inbound(Instance i) {
-        long id = in.whole("Rid");
-        int category = in.index("Service", i.categories);
-        int tenant = in.index("Team", Math.max(1, i.tenants));
-        in.skip("Object");
-        long patience = Math.floorDiv(in.whole("Budget"), MICROS);
-        long cost = in.whole("Cost");
-        long bits = in.whole("Bitmap");
-        long hint = (bits & 1) != 0 ? cost / MICROS : 0;
-        i.balancer.onRequest(now, id, category, tenant, patience, (bits & 2) != 0, hint);
+        List<Endpoint> endpoints = endpointLists.referenced();
+        ListScope scope = ListScope.of(scopeName);
+        loadBalancer.onEndpointList(
+                nowTicks, endpoints, scope != ListScope.CHANGES, scope == ListScope.CACHED);
     }
 
-    private void settled(Instance i) {
-        long id = in.whole("Rid");
-        AttemptOutcome outcome = outcome(in.word("Outcome"));
-        int attempt = in.index("SendNo", ANY);
+    private void skipProbeResult() {
+        WireVocabulary.outcome(in.word("Outcome"));
         in.whole("Latency");
-        boolean over = in.whole("NoMore") != 0;
         in.skip("Backend");
-        feedback();
-        i.balancer.onAttemptCompleted(now, id, attempt, outcome, over);
+        skipFeedback();
     }
 
-    private static AttemptOutcome outcome(String word) {
-        return switch (word) {
-            case "completed" -> AttemptOutcome.COMPLETED;
-            case "errored" -> AttemptOutcome.ERROR;
-            case "saturated" -> AttemptOutcome.REJECTED;
-            case "overdue" -> AttemptOutcome.TIMED_OUT;
-            case "refused_conn" -> AttemptOutcome.CONNECT_FAILED;
-            case "severed" -> AttemptOutcome.CONNECTION_BROKEN;
-            case "recalled" -> AttemptOutcome.CANCELLED;
-            case "superseded" -> AttemptOutcome.NOT_SENT;
-            default -> throw new InvalidSettingsException("unknown Outcome: " + word);
-        };
+    private void skipFeedback() {
+        if (in.hasMore()) {
+            in.skip("Feedback");
+        }
     }
 
-    private static byte[] bytes(String word) {
+    private static byte[] decode(String text) {
         try {
-            return word.equals("-") ? new byte[0] : Base64.getDecoder().decode(word);
+            return text.equals(WireVocabulary.ABSENT)
+                    ? new byte[0]
+                    : Base64.getDecoder().decode(text);
         } catch (IllegalArgumentException e) {
-            throw new InvalidSettingsException("Msg is not base64: " + word);
-        }
-    }
-
-    private void feedback() {
-        if (in.hasMore()) {
-            in.skip("Feedback");
+            throw new InvalidSettingsException("Msg is not base64: " + text);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/cottonlock/simulator/package-info.java
@@ -0,0 +1,6 @@
+/**
+ * The adapter to the simulator: reads its line-based protocol from standard input, hosts one load
+ * balancer for each instance that the simulator starts, and writes their actions to standard
+ * output. Single-threaded; the simulator gives the time with each batch of messages.
+ */
+package cottonlock.simulator;
