--- a/src/main/java/cottonlock/decision/LoadBalancer.java
+++ b/src/main/java/cottonlock/decision/LoadBalancer.java
@@ -1,10 +1,16 @@
 package cottonlock.decision;
 
+import cottonlock.decision.admission.AdmissionController;
 import cottonlock.decision.api.AttemptOutcome;
 import cottonlock.decision.api.Endpoint;
 import cottonlock.decision.api.LoadBalancerActions;
 import cottonlock.decision.api.RequestClass;
 import cottonlock.decision.backend.BackendRegistry;
+import cottonlock.decision.request.RequestArrival;
+import cottonlock.decision.request.TimerPeriod;
+import cottonlock.decision.retry.AttemptTracker;
+import cottonlock.decision.routing.BackendPicker;
+import cottonlock.decision.routing.LaneSelector;
 import java.util.List;
 
 /**
@@ -22,9 +28,6 @@
  * capacity, and ends at the intake. {@link BackendRegistry} holds the state of the backends.
  */
 public final class LoadBalancer {
-    /** The time between two timer events. */
-    static final long TIMER_PERIOD_TICKS = 250;
-
     /** A timer that is late by more than this shows that this process was stalled. */
     private static final long STALL_THRESHOLD_TICKS = 2_000;
 
@@ -64,7 +67,7 @@
     }
 
     private void scheduleTimer(long nowTicks) {
-        timerDueTicks = nowTicks + TIMER_PERIOD_TICKS;
+        timerDueTicks = nowTicks + TimerPeriod.TICKS;
         actions.scheduleTimer(timerDueTicks);
     }
 
--- a/src/main/java/cottonlock/decision/RequestIntake.java
+++ b/src/main/java/cottonlock/decision/RequestIntake.java
@@ -1,10 +1,15 @@
 package cottonlock.decision;
 
+import cottonlock.decision.admission.TenantQuota;
 import cottonlock.decision.api.DeploymentTopology;
 import cottonlock.decision.api.LoadBalancerActions;
 import cottonlock.decision.api.RejectionReason;
 import cottonlock.decision.api.RequestClass;
 import cottonlock.decision.api.Tenant;
+import cottonlock.decision.request.Request;
+import cottonlock.decision.request.RequestArrival;
+import cottonlock.decision.request.RequestStage;
+import cottonlock.decision.retry.RetryPolicy;
 import java.util.Arrays;
 import java.util.List;
 
@@ -75,17 +80,15 @@
         long waitedTicks = Math.min(stalledTicks, longestTimeoutTicks[number] - timeoutTicks);
         Request request =
                 new Request(
-                        arrival.id(),
+                        arrival,
                         requestClasses.get(number),
-                        arrival.tenant(),
-                        arrival.clientRetry(),
                         nowTicks - waitedTicks,
-                        nowTicks + timeoutTicks,
-                        arrival.estimatedWorkTicks());
-        request.overQuota =
-                firstTier && !quota.tryTake(arrival.tenant(), arrival.clientRetry(), nowTicks);
-        if (request.deadlineTicks <= nowTicks) {
-            request.rejectionReason = RejectionReason.DEADLINE_EXCEEDED;
+                        nowTicks + timeoutTicks);
+        if (firstTier && !quota.tryTake(arrival.tenant(), arrival.clientRetry(), nowTicks)) {
+            request.markOverQuota();
+        }
+        if (request.deadlineTicks() <= nowTicks) {
+            request.setRejectionReason(RejectionReason.DEADLINE_EXCEEDED);
             finish(request, nowTicks);
         } else {
             next.process(request, nowTicks);
@@ -94,16 +97,16 @@
 
     /** Ends a request unless it has its final response already. */
     void finish(Request request, long nowTicks) {
-        if (request.completed) {
+        if (request.isCompleted()) {
             return;
         }
-        request.completed = true;
+        request.complete();
         long retryAfterTicks =
-                Math.min(maxRetryAfterTicks, request.requestClass.latencyObjectiveTicks() / 2);
+                Math.min(maxRetryAfterTicks, request.requestClass().latencyObjectiveTicks() / 2);
         if (RetryPolicy.clientMayRetry(request, nowTicks + retryAfterTicks)) {
-            actions.reject(request.id, retryAfterTicks, request.rejectionReason);
+            actions.reject(request.id(), retryAfterTicks, request.rejectionReason());
         } else {
-            actions.fail(request.id, request.rejectionReason);
+            actions.fail(request.id(), request.rejectionReason());
         }
     }
 }
--- a/src/main/java/cottonlock/decision/AdmissionController.java
+++ b/src/main/java/cottonlock/decision/admission/AdmissionController.java
@@ -1,4 +1,4 @@
-package cottonlock.decision;
+package cottonlock.decision.admission;
 
 import cottonlock.core.Ticks;
 import cottonlock.decision.api.AttemptOutcome;
@@ -6,6 +6,10 @@
 import cottonlock.decision.api.RejectionReason;
 import cottonlock.decision.api.Tenant;
 import cottonlock.decision.backend.BackendRegistry;
+import cottonlock.decision.request.Request;
+import cottonlock.decision.request.RequestReturnHandler;
+import cottonlock.decision.request.RequestStage;
+import cottonlock.decision.request.TimerPeriod;
 import java.util.List;
 import java.util.SplittableRandom;
 
@@ -20,7 +24,7 @@
     private static final double MIN_BACKENDS_PER_LOAD_BALANCER = 0.5;
 
     /** A request is queued only if its deadline is further away than this. */
-    private static final long MIN_TIME_LEFT_TO_QUEUE_TICKS = 4 * LoadBalancer.TIMER_PERIOD_TICKS;
+    private static final long MIN_TIME_LEFT_TO_QUEUE_TICKS = 4 * TimerPeriod.TICKS;
 
     private final BackendRegistry registry;
     private final DeploymentTopology topology;
@@ -71,7 +75,8 @@
         }
     }
 
-    void connect(RequestStage nextStage, RequestReturnHandler completionHandler) {
+    /** Connects the stages that follow; called once, before the first request. */
+    public void connect(RequestStage nextStage, RequestReturnHandler completionHandler) {
         next = nextStage;
         completion = completionHandler;
     }
@@ -85,8 +90,8 @@
             admit(request, nowTicks);
             return;
         }
-        request.rejectionReason = rejectionReason(request, nowTicks);
-        if (request.rejectionReason == RejectionReason.NO_CAPACITY && !hasFewBackends()) {
+        request.setRejectionReason(rejectionReason(request, nowTicks));
+        if (request.rejectionReason() == RejectionReason.NO_CAPACITY && !hasFewBackends()) {
             queue.add(request, nowTicks);
         } else {
             completion.onRequestReturned(request, nowTicks);
@@ -95,15 +100,16 @@
 
     private boolean hasCapacity(Request request, long nowTicks) {
         if (!hasFewBackends()) {
-            return concurrencyLimit.permits(request.overQuota, registry.ready().size(), nowTicks);
+            return concurrencyLimit.permits(
+                    request.isOverQuota(), registry.ready().size(), nowTicks);
         }
         double usableBackends =
                 registry.laneLoad()
                         .capacityInBackends(
-                                request.tenant,
+                                request.tenant(),
                                 LaneRateLimit.MAX_CONCURRENCY_PER_BACKEND,
                                 nowTicks);
-        return laneRateLimits[request.tenant].permits(request, usableBackends, nowTicks);
+        return laneRateLimits[request.tenant()].permits(request, usableBackends, nowTicks);
     }
 
     private boolean hasFewBackends() {
@@ -112,10 +118,10 @@
     }
 
     private RejectionReason rejectionReason(Request request, long nowTicks) {
-        if (request.overQuota) {
+        if (request.isOverQuota()) {
             return RejectionReason.OVER_QUOTA;
         }
-        if (nowTicks + MIN_TIME_LEFT_TO_QUEUE_TICKS >= request.deadlineTicks) {
+        if (nowTicks + MIN_TIME_LEFT_TO_QUEUE_TICKS >= request.deadlineTicks()) {
             return RejectionReason.DEADLINE_EXCEEDED;
         }
         double queueCapacity =
@@ -126,8 +132,7 @@
     }
 
     private void admit(Request request, long nowTicks) {
-        request.holdsCapacity = true;
-        request.admittedAtTicks = nowTicks;
+        request.onAdmitted(nowTicks);
         concurrencyLimit.acquire();
         next.process(request, nowTicks);
     }
@@ -135,12 +140,12 @@
     /** Takes a request that needs no further attempt, and admits queued ones in its place. */
     @Override
     public void onRequestReturned(Request request, long nowTicks) {
-        long latencyTicks = nowTicks - request.admittedAtTicks;
-        if (request.completed && request.holdsCapacity) {
+        long latencyTicks = nowTicks - request.admittedAtTicks();
+        if (request.isCompleted() && request.holdsCapacity()) {
             statistics.recordCapacityUse(latencyTicks, nowTicks);
         }
         // A request at a backend that is overdue holds no capacity, but its latency counts.
-        if (request.completed && !request.lastAttempt().backendWasSilent) {
+        if (request.isCompleted() && !request.lastAttempt().backendWasSilent()) {
             statistics.recordLatency(request, latencyTicks, nowTicks);
         }
         releaseCapacity(request);
@@ -149,10 +154,10 @@
     }
 
     /** Stops counting a request against the limit, though it may still be in flight. */
-    void releaseCapacity(Request request) {
-        if (request.holdsCapacity) {
+    public void releaseCapacity(Request request) {
+        if (request.holdsCapacity()) {
             concurrencyLimit.release();
-            request.holdsCapacity = false;
+            request.onCapacityReleased();
         }
     }
 
@@ -168,13 +173,13 @@
     }
 
     /** An attempt has ended after so long: a sample for the tenant's rate limit. */
-    void onAttemptCompleted(Request request, AttemptOutcome outcome, long tookTicks) {
-        laneRateLimits[request.tenant].onAttemptCompleted(
-                outcome, tookTicks, request.requestClass.latencyObjectiveTicks());
+    public void onAttemptCompleted(Request request, AttemptOutcome outcome, long tookTicks) {
+        laneRateLimits[request.tenant()].onAttemptCompleted(
+                outcome, tookTicks, request.requestClass().latencyObjectiveTicks());
     }
 
     /** Ends what has waited too long, admits what has capacity now, and samples the latency. */
-    void onTimer(long nowTicks) {
+    public void onTimer(long nowTicks) {
         for (Request request : queue.expired(nowTicks)) {
             queue.remove(request);
             completion.onRequestReturned(request, nowTicks);
@@ -184,17 +189,17 @@
     }
 
     /** Whether responses take clearly longer than in calm times. */
-    boolean isUnderPressure(long nowTicks) {
+    public boolean isUnderPressure(long nowTicks) {
         return statistics.isUnderPressure(nowTicks);
     }
 
     /** Drops a queued request whose client has disconnected. */
-    void onClientDisconnected(long requestId) {
+    public void onClientDisconnected(long requestId) {
         queue.removeById(requestId);
     }
 
     /** Moves the deadlines of all queued requests forward to this time. */
-    void limitDeadlines(long latestTicks) {
+    public void limitDeadlines(long latestTicks) {
         queue.limitDeadlines(latestTicks);
     }
 }
--- a/src/main/java/cottonlock/decision/AdmissionQueue.java
+++ b/src/main/java/cottonlock/decision/admission/AdmissionQueue.java
@@ -1,5 +1,7 @@
-package cottonlock.decision;
+package cottonlock.decision.admission;
 
+import cottonlock.decision.request.Request;
+import cottonlock.decision.request.TimerPeriod;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
@@ -18,7 +20,7 @@
     private static final int OVERDUE_FACTOR = 2;
 
     /** A request is ended if its deadline is this close. */
-    private static final long MIN_TIME_LEFT_TICKS = 2 * LoadBalancer.TIMER_PERIOD_TICKS;
+    private static final long MIN_TIME_LEFT_TICKS = 2 * TimerPeriod.TICKS;
 
     /** In order of arrival. */
     private final List<Request> requests = new ArrayList<>();
@@ -33,7 +35,7 @@
 
     /** Appends a request. */
     void add(Request request, long nowTicks) {
-        request.queuedAtTicks = nowTicks;
+        request.onQueued(nowTicks);
         requests.add(request);
     }
 
@@ -44,7 +46,7 @@
 
     /** Removes the request with this number if it is queued. */
     void removeById(long requestId) {
-        requests.removeIf(request -> request.id == requestId);
+        requests.removeIf(request -> request.id() == requestId);
     }
 
     /** The request to admit next; the queue must not be empty. */
@@ -54,8 +56,8 @@
     }
 
     private static double waitFraction(Request request, long nowTicks) {
-        return (double) (nowTicks - request.queuedAtTicks)
-                / request.requestClass.latencyObjectiveTicks();
+        return (double) (nowTicks - request.queuedAtTicks())
+                / request.requestClass().latencyObjectiveTicks();
     }
 
     /** The requests that have waited too long, or whose deadline is too close. */
@@ -65,9 +67,9 @@
 
     private static boolean isExpired(Request request, long nowTicks) {
         double maxWaitTicks =
-                OVERDUE_FACTOR * MAX_WAIT_FRACTION * request.requestClass.latencyObjectiveTicks();
-        return nowTicks + MIN_TIME_LEFT_TICKS >= request.deadlineTicks
-                || nowTicks - request.queuedAtTicks > maxWaitTicks;
+                OVERDUE_FACTOR * MAX_WAIT_FRACTION * request.requestClass().latencyObjectiveTicks();
+        return nowTicks + MIN_TIME_LEFT_TICKS >= request.deadlineTicks()
+                || nowTicks - request.queuedAtTicks() > maxWaitTicks;
     }
 
     /** Moves the deadlines of all queued requests forward to this time. */
--- a/src/main/java/cottonlock/decision/ConcurrencyLimit.java
+++ b/src/main/java/cottonlock/decision/admission/ConcurrencyLimit.java
@@ -1,4 +1,4 @@
-package cottonlock.decision;
+package cottonlock.decision.admission;
 
 import cottonlock.decision.api.DeploymentTopology;
 import java.util.SplittableRandom;
--- a/src/main/java/cottonlock/decision/EqualShareLaneRateLimit.java
+++ b/src/main/java/cottonlock/decision/admission/EqualShareLaneRateLimit.java
@@ -1,4 +1,6 @@
-package cottonlock.decision;
+package cottonlock.decision.admission;
+
+import cottonlock.decision.request.Request;
 
 /** For load balancers that carry similar load: each may use an equal part of a lane's rate. */
 final class EqualShareLaneRateLimit extends LaneRateLimit {
@@ -19,7 +21,7 @@
     boolean permits(Request request, double usableBackends, long nowTicks) {
         double attemptTicks = updateAttemptTicks(expectedTicks(request), nowTicks);
         double perTick = lanePerTick(MAX_CONCURRENCY_PER_BACKEND, usableBackends, attemptTicks);
-        double minimumTokens = request.overQuota ? OVER_QUOTA_MINIMUM_TOKENS : 1;
+        double minimumTokens = request.isOverQuota() ? OVER_QUOTA_MINIMUM_TOKENS : 1;
         return bucket.tryTake(nowTicks, perTick / loadBalancers, BURST_REQUESTS, minimumTokens);
     }
 
--- a/src/main/java/cottonlock/decision/LaneRateLimit.java
+++ b/src/main/java/cottonlock/decision/admission/LaneRateLimit.java
@@ -1,6 +1,7 @@
-package cottonlock.decision;
+package cottonlock.decision.admission;
 
 import cottonlock.decision.api.AttemptOutcome;
+import cottonlock.decision.request.Request;
 
 /**
  * Limits how fast a tenant's requests are admitted where there are so few backends for each load
@@ -67,7 +68,7 @@
 
     /** The time that attempts of a class are expected to take, before any is known. */
     static double expectedTicks(Request request) {
-        return request.requestClass.latencyObjectiveTicks() / 3.0;
+        return request.requestClass().latencyObjectiveTicks() / 3.0;
     }
 
     /** The rate of a lane in requests a tick, by Little's law. */
--- a/src/main/java/cottonlock/decision/LatencyStatistics.java
+++ b/src/main/java/cottonlock/decision/admission/LatencyStatistics.java
@@ -1,5 +1,6 @@
-package cottonlock.decision;
+package cottonlock.decision.admission;
 
+import cottonlock.decision.request.Request;
 import cottonlock.decision.stats.SlidingWindowMin;
 import cottonlock.decision.stats.SlidingWindowSum;
 
@@ -67,7 +68,7 @@
     void recordLatency(Request request, long latencyTicks, long nowTicks) {
         logLatency.add(nowTicks, Math.round(LOG_SCALE * Math.log(1 + latencyTicks)));
         completed.add(nowTicks, 1);
-        objectiveTicks.add(nowTicks, request.requestClass.latencyObjectiveTicks());
+        objectiveTicks.add(nowTicks, request.requestClass().latencyObjectiveTicks());
     }
 
     /** The usual concurrency by Little's law: request time held in the span, over the span. */
--- a/src/main/java/cottonlock/decision/ProportionalLaneRateLimit.java
+++ b/src/main/java/cottonlock/decision/admission/ProportionalLaneRateLimit.java
@@ -1,6 +1,7 @@
-package cottonlock.decision;
+package cottonlock.decision.admission;
 
 import cottonlock.decision.backend.BackendRegistry;
+import cottonlock.decision.request.Request;
 import java.util.SplittableRandom;
 
 /**
@@ -85,18 +86,18 @@
      */
     private double draw(Request request) {
         SplittableRandom source =
-                request.estimatedWorkTicks > 0
-                        ? new SplittableRandom(request.estimatedWorkTicks)
+                request.estimatedWorkTicks() > 0
+                        ? new SplittableRandom(request.estimatedWorkTicks())
                         : random;
         return source.nextDouble();
     }
 
     /** The part of its credit that a request admitted now can be expected to earn. */
     private static double expectedCredit(Request request, double attemptTicks, long nowTicks) {
-        if (nowTicks + attemptTicks / 2 < request.objectiveDeadlineTicks) {
+        if (nowTicks + attemptTicks / 2 < request.objectiveDeadlineTicks()) {
             return 1;
         }
-        boolean maySucceedLate = request.objectiveDeadlineTicks < request.deadlineTicks;
-        return maySucceedLate ? request.requestClass.lateCredit() : 0;
+        boolean maySucceedLate = request.objectiveDeadlineTicks() < request.deadlineTicks();
+        return maySucceedLate ? request.requestClass().lateCredit() : 0;
     }
 }
--- a/src/main/java/cottonlock/decision/QuotaWorkload.java
+++ b/src/main/java/cottonlock/decision/admission/QuotaWorkload.java
@@ -1,7 +1,8 @@
-package cottonlock.decision;
+package cottonlock.decision.admission;
 
 import cottonlock.core.Ticks;
 import cottonlock.decision.api.Tenant;
+import cottonlock.decision.request.Request;
 import cottonlock.decision.stats.SlidingWindowMean;
 import java.util.List;
 
@@ -22,8 +23,8 @@
 
     /** Records a request's estimated work, if there is an estimate. */
     void onRequest(Request request, long nowTicks) {
-        if (request.estimatedWorkTicks > 0) {
-            estimatedWorkTicks.add(nowTicks, 0, request.estimatedWorkTicks);
+        if (request.estimatedWorkTicks() > 0) {
+            estimatedWorkTicks.add(nowTicks, 0, request.estimatedWorkTicks());
         }
     }
 
--- a/src/main/java/cottonlock/decision/TenantQuota.java
+++ b/src/main/java/cottonlock/decision/admission/TenantQuota.java
@@ -1,4 +1,4 @@
-package cottonlock.decision;
+package cottonlock.decision.admission;
 
 import cottonlock.core.Ticks;
 import cottonlock.decision.api.DeploymentTopology;
@@ -10,7 +10,7 @@
  * load balancers carry similar load, each grants an equal part of a quota; otherwise each grants
  * all of it.
  */
-final class TenantQuota {
+public final class TenantQuota {
     /** The smallest burst: Poisson arrivals at nine tenths of a quota rarely exceed it. */
     private static final double MIN_BURST_REQUESTS = 4;
 
@@ -31,7 +31,8 @@
 
     private final TokenBucket[] buckets;
 
-    TenantQuota(List<Tenant> tenants, DeploymentTopology topology) {
+    /** The quotas of these tenants; each bucket starts filled to a quarter. */
+    public TenantQuota(List<Tenant> tenants, DeploymentTopology topology) {
         requestsPerTick = new double[tenants.size()];
         buckets = new TokenBucket[tenants.size()];
         int granting = topology.evenlyLoaded() ? topology.loadBalancerCount() : 1;
@@ -43,7 +44,7 @@
     }
 
     /** Takes a request out of its tenant's quota; false if the quota is used up. */
-    boolean tryTake(int tenant, boolean clientRetry, long nowTicks) {
+    public boolean tryTake(int tenant, boolean clientRetry, long nowTicks) {
         if (tenant >= buckets.length) {
             return true;
         }
--- a/src/main/java/cottonlock/decision/TokenBucket.java
+++ b/src/main/java/cottonlock/decision/admission/TokenBucket.java
@@ -1,4 +1,4 @@
-package cottonlock.decision;
+package cottonlock.decision.admission;
 
 /** A token bucket that refills at a rate which the caller may change from call to call. */
 final class TokenBucket {
--- /dev/null
+++ b/src/main/java/cottonlock/decision/request/Attempt.java
@@ -0,0 +1,65 @@
+package cottonlock.decision.request;
+
+import cottonlock.decision.api.AttemptOutcome;
+import cottonlock.decision.backend.Backend;
+
+/** One attempt of a request at one backend. Owned by the load balancer's thread. */
+public final class Attempt {
+    private final Backend backend;
+    private final long sentAtTicks;
+    private boolean inFlight = true;
+    private boolean cancellable = true;
+    private boolean backendWasSilent;
+    private boolean neverExecuted;
+
+    Attempt(Backend backend, long sentAtTicks) {
+        this.backend = backend;
+        this.sentAtTicks = sentAtTicks;
+    }
+
+    /** The backend that it was sent to. */
+    public Backend backend() {
+        return backend;
+    }
+
+    /** When it was sent, in ticks. */
+    public long sentAtTicks() {
+        return sentAtTicks;
+    }
+
+    /** Whether its outcome is still open. */
+    public boolean isInFlight() {
+        return inFlight;
+    }
+
+    /** Whether it may be cancelled: not twice, and not once its response reaches the client. */
+    public boolean isCancellable() {
+        return cancellable;
+    }
+
+    /** Whether its backend was found silent while it was in flight. */
+    public boolean backendWasSilent() {
+        return backendWasSilent;
+    }
+
+    /** Whether its outcome proves that the backend did not execute it. */
+    boolean isNeverExecuted() {
+        return neverExecuted;
+    }
+
+    /** It has ended. */
+    public void complete(AttemptOutcome outcome) {
+        inFlight = false;
+        neverExecuted = outcome.neverExecuted();
+    }
+
+    /** It was cancelled, or its response has begun to reach the client. */
+    public void forbidCancelling() {
+        cancellable = false;
+    }
+
+    /** Its backend was found silent. */
+    public void onBackendSilent() {
+        backendWasSilent = true;
+    }
+}
--- a/src/main/java/cottonlock/decision/RequestArrival.java
+++ b/src/main/java/cottonlock/decision/request/RequestArrival.java
@@ -1,4 +1,4 @@
-package cottonlock.decision;
+package cottonlock.decision.request;
 
 /**
  * A request as it arrives at the load balancer. Durations are in {@link cottonlock.core.Ticks}.
@@ -10,7 +10,7 @@
  * @param clientRetry whether the client has sent the request before
  * @param estimatedWorkTicks the estimated execution time, 0 if unknown
  */
-record RequestArrival(
+public record RequestArrival(
         long id,
         int requestClass,
         int tenant,
--- a/src/main/java/cottonlock/decision/RequestReturnHandler.java
+++ b/src/main/java/cottonlock/decision/request/RequestReturnHandler.java
@@ -1,11 +1,11 @@
-package cottonlock.decision;
+package cottonlock.decision.request;
 
 /**
  * Receives each request that needs no further attempt: it has its final response, or a later stage
  * can do nothing more for it. Called on the load balancer's thread.
  */
 @FunctionalInterface
-interface RequestReturnHandler {
+public interface RequestReturnHandler {
     /** Releases what the request holds and, if it has no response yet, ends it. */
     void onRequestReturned(Request request, long nowTicks);
 }
--- a/src/main/java/cottonlock/decision/AttemptTracker.java
+++ b/src/main/java/cottonlock/decision/retry/AttemptTracker.java
@@ -1,12 +1,15 @@
-package cottonlock.decision;
+package cottonlock.decision.retry;
 
-import cottonlock.decision.Request.Attempt;
+import cottonlock.decision.admission.AdmissionController;
 import cottonlock.decision.api.AttemptOutcome;
 import cottonlock.decision.api.LoadBalancerActions;
 import cottonlock.decision.api.RejectionReason;
 import cottonlock.decision.backend.Backend;
 import cottonlock.decision.backend.BackendRegistry;
 import cottonlock.decision.backend.CompletedAttempt;
+import cottonlock.decision.request.Attempt;
+import cottonlock.decision.request.Request;
+import cottonlock.decision.request.RequestStage;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -48,23 +51,24 @@
                 new RetryPolicy(registry, registry.topology(), maxAttempts, cancellationAllowed);
     }
 
-    void connect(RequestStage stageForRetries) {
+    /** Connects the stages that follow; called once, before the first request. */
+    public void connect(RequestStage stageForRetries) {
         retryStage = stageForRetries;
     }
 
     /** Sets the most attempts of a request, 1 or more. */
-    void setMaxAttempts(int attempts) {
+    public void setMaxAttempts(int attempts) {
         retryPolicy.setMaxAttempts(attempts);
     }
 
     /** Starts an attempt at the only candidate. */
     @Override
     public void process(Request request, long nowTicks) {
-        Backend backend = request.candidates.get(0);
+        Backend backend = request.candidates().get(0);
         retryPolicy.onAttempt();
-        requests.put(request.id, request);
-        actions.startAttempt(request.id, backend.id(), request.sendByTicks());
-        request.attempts.add(new Attempt(backend, nowTicks));
+        requests.put(request.id(), request);
+        actions.startAttempt(request.id(), backend.id(), request.sendByTicks());
+        request.addAttempt(backend, nowTicks);
         registry.onAttemptSent(backend, request, nowTicks);
     }
 
@@ -73,7 +77,7 @@
      *
      * @param completed whether the request has its final response
      */
-    void onAttemptCompleted(
+    public void onAttemptCompleted(
             long requestId,
             int attemptNumber,
             AttemptOutcome outcome,
@@ -81,18 +85,20 @@
             long nowTicks) {
         Request request = requests.get(requestId);
         if (request == null
-                || attemptNumber >= request.attempts.size()
-                || !request.attempts.get(attemptNumber).inFlight) {
+                || attemptNumber >= request.attemptCount()
+                || !request.attempt(attemptNumber).isInFlight()) {
             return;
         }
-        recordOutcome(request, request.attempts.get(attemptNumber), outcome, nowTicks);
-        boolean wasCompleted = request.completed;
-        request.completed |= completed;
+        recordOutcome(request, request.attempt(attemptNumber), outcome, nowTicks);
+        boolean wasCompleted = request.isCompleted();
+        if (completed) {
+            request.complete();
+        }
         boolean inFlight = request.hasAttemptInFlight();
         if (!inFlight) {
             requests.remove(requestId);
         }
-        if (request.completed) {
+        if (request.isCompleted()) {
             if (!wasCompleted) {
                 admission.onRequestReturned(request, nowTicks);
             }
@@ -103,22 +109,21 @@
 
     private void recordOutcome(
             Request request, Attempt attempt, AttemptOutcome outcome, long nowTicks) {
-        attempt.inFlight = false;
-        attempt.neverExecuted = outcome.neverExecuted();
-        request.rejectionReason = RejectionReason.of(outcome);
+        attempt.complete(outcome);
+        request.setRejectionReason(RejectionReason.of(outcome));
         registry.onAttemptCompleted(
                 new CompletedAttempt(
-                        attempt.backend,
+                        attempt.backend(),
                         request,
-                        attempt.sentAtTicks,
-                        attempt.backendWasSilent,
+                        attempt.sentAtTicks(),
+                        attempt.backendWasSilent(),
                         outcome),
                 nowTicks);
         boolean answeredOrFailed =
                 outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.NOT_SENT;
         // Times taken right after a stall of this process measure the stall, not the backend.
         if (!registry.isResumingFromStall(nowTicks) && answeredOrFailed) {
-            admission.onAttemptCompleted(request, outcome, nowTicks - attempt.sentAtTicks);
+            admission.onAttemptCompleted(request, outcome, nowTicks - attempt.sentAtTicks());
         }
     }
 
@@ -131,24 +136,24 @@
     }
 
     /** Forbids to cancel an attempt whose response is on its way to the client. */
-    void onResponseStarted(long requestId, int attemptNumber) {
+    public void onResponseStarted(long requestId, int attemptNumber) {
         Request request = requests.get(requestId);
-        if (request != null && attemptNumber < request.attempts.size()) {
-            request.attempts.get(attemptNumber).cancellable = false;
+        if (request != null && attemptNumber < request.attemptCount()) {
+            request.attempt(attemptNumber).forbidCancelling();
         }
     }
 
     /** Ends a request whose client has disconnected; its attempts stay in flight. */
-    void onClientDisconnected(long requestId, long nowTicks) {
+    public void onClientDisconnected(long requestId, long nowTicks) {
         Request request = requests.get(requestId);
-        if (request != null && !request.completed) {
-            request.completed = true;
+        if (request != null && !request.isCompleted()) {
+            request.complete();
             admission.onRequestReturned(request, nowTicks);
         }
     }
 
     /** Moves the deadlines of all requests in flight forward to this time. */
-    void limitDeadlines(long latestTicks) {
+    public void limitDeadlines(long latestTicks) {
         requests.values().forEach(request -> request.limitDeadline(latestTicks));
     }
 
@@ -156,7 +161,7 @@
      * Releases the capacity of requests at backends that are silent or far too slow, and cancels
      * attempts at silent backends that may be retried at another one.
      */
-    void checkSilentBackends(long nowTicks) {
+    public void checkSilentBackends(long nowTicks) {
         long silentBackends = registry.all().stream().filter(b -> isSilent(b, nowTicks)).count();
         // If most are silent, the cause is likely not the backends, and retries would add load.
         boolean fewSilent = silentBackends * 2 <= registry.ready().size();
@@ -177,15 +182,15 @@
         Attempt attempt = request.lastAttempt();
         if (backendSilent
                 || registry.outliers()
-                        .isOverdue(request, nowTicks - attempt.sentAtTicks, nowTicks)) {
+                        .isOverdue(request, nowTicks - attempt.sentAtTicks(), nowTicks)) {
             admission.releaseCapacity(request);
         }
-        if (backendSilent && !attempt.backendWasSilent) {
-            attempt.backendWasSilent = true;
-            registry.onSilenceDetected(attempt.backend, nowTicks);
+        if (backendSilent && !attempt.backendWasSilent()) {
+            attempt.onBackendSilent();
+            registry.onSilenceDetected(attempt.backend(), nowTicks);
             if (retryPolicy.tryCancel(request, fewSilent, nowTicks)) {
-                attempt.cancellable = false;
-                actions.cancelAttempt(request.id, request.attempts.size() - 1);
+                attempt.forbidCancelling();
+                actions.cancelAttempt(request.id(), request.attemptCount() - 1);
             }
         }
     }
--- a/src/main/java/cottonlock/decision/RetryBudget.java
+++ b/src/main/java/cottonlock/decision/retry/RetryBudget.java
@@ -1,4 +1,4 @@
-package cottonlock.decision;
+package cottonlock.decision.retry;
 
 /**
  * Limits retries of requests that may have been executed to a part of all attempts, so that retries
--- a/src/main/java/cottonlock/decision/RetryPolicy.java
+++ b/src/main/java/cottonlock/decision/retry/RetryPolicy.java
@@ -1,18 +1,19 @@
-package cottonlock.decision;
+package cottonlock.decision.retry;
 
-import cottonlock.decision.Request.Attempt;
 import cottonlock.decision.api.AttemptOutcome;
 import cottonlock.decision.api.DeploymentTopology;
 import cottonlock.decision.api.RequestClass;
 import cottonlock.decision.api.RequestClass.DeduplicationScope;
 import cottonlock.decision.api.RequestClass.Idempotency;
 import cottonlock.decision.backend.BackendRegistry;
+import cottonlock.decision.request.Attempt;
+import cottonlock.decision.request.Request;
 
 /**
  * When a request is sent again, by the load balancer or by its client, and when an attempt is
  * cancelled for it. Owned by the load balancer's thread.
  */
-final class RetryPolicy {
+public final class RetryPolicy {
     /** With more load balancers for each ready backend than this, all retries use the budget. */
     private static final int MAX_LOAD_BALANCERS_PER_BACKEND = 2;
 
@@ -43,15 +44,15 @@
      * Whether a client may send the request again at a time without harm: it was not executed,
      * repeated execution is harmless, or every backend would still recognise its idempotency key.
      */
-    static boolean clientMayRetry(Request request, long atTicks) {
-        RequestClass requestClass = request.requestClass;
+    public static boolean clientMayRetry(Request request, long atTicks) {
+        RequestClass requestClass = request.requestClass();
         Attempt executed = request.firstPossiblyExecuted();
         if (requestClass.idempotency() == Idempotency.IDEMPOTENT || executed == null) {
             return true;
         }
         return requestClass.idempotency() == Idempotency.WITH_KEY
                 && requestClass.deduplicationScope() == DeduplicationScope.ALL
-                && atTicks < executed.sentAtTicks + requestClass.deduplicationWindowTicks();
+                && atTicks < executed.sentAtTicks() + requestClass.deduplicationWindowTicks();
     }
 
     /** Sets the most attempts of a request, 1 or more. */
@@ -78,7 +79,7 @@
         }
         boolean safe =
                 !possiblyExecuted
-                        || request.requestClass.idempotency() != Idempotency.NOT_IDEMPOTENT;
+                        || request.requestClass().idempotency() != Idempotency.NOT_IDEMPOTENT;
         if (!safe || !budget.permitsRetry()) {
             return false;
         }
@@ -103,9 +104,9 @@
     boolean tryCancel(Request request, boolean fewBackendsSilent, long nowTicks) {
         boolean cancels =
                 cancellationAllowed
-                        && !request.completed
-                        && request.lastAttempt().cancellable
-                        && request.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                        && !request.isCompleted()
+                        && request.lastAttempt().isCancellable()
+                        && request.requestClass().idempotency() == Idempotency.IDEMPOTENT
                         && hasAttemptsAndTimeLeft(request, nowTicks)
                         && (fewBackendsSilent || budget.permitsRetry());
         if (cancels && fewBackendsSilent) {
@@ -115,6 +116,6 @@
     }
 
     private boolean hasAttemptsAndTimeLeft(Request request, long nowTicks) {
-        return request.attempts.size() < maxAttempts && nowTicks < request.objectiveDeadlineTicks;
+        return request.attemptCount() < maxAttempts && nowTicks < request.objectiveDeadlineTicks();
     }
 }
--- a/src/main/java/cottonlock/decision/BackendPicker.java
+++ b/src/main/java/cottonlock/decision/routing/BackendPicker.java
@@ -1,7 +1,9 @@
-package cottonlock.decision;
+package cottonlock.decision.routing;
 
 import cottonlock.decision.backend.Backend;
 import cottonlock.decision.backend.BackendRegistry;
+import cottonlock.decision.request.Request;
+import cottonlock.decision.request.RequestStage;
 import java.util.List;
 import java.util.SplittableRandom;
 
@@ -22,7 +24,8 @@
         this.random = random;
     }
 
-    void connect(RequestStage nextStage) {
+    /** Connects the stages that follow; called once, before the first request. */
+    public void connect(RequestStage nextStage) {
         next = nextStage;
     }
 
@@ -31,14 +34,14 @@
     public void process(Request request, long nowTicks) {
         double totalSize = 0;
         Backend chosen = null;
-        for (Backend backend : request.candidates) {
+        for (Backend backend : request.candidates()) {
             double size = registry.eligibility().effectiveCapacity(backend, nowTicks);
             totalSize += size;
             if (random.nextDouble() * totalSize < size) {
                 chosen = backend;
             }
         }
-        request.candidates = List.of(chosen);
+        request.setCandidates(List.of(chosen));
         next.process(request, nowTicks);
     }
 }
--- a/src/main/java/cottonlock/decision/LaneSelector.java
+++ b/src/main/java/cottonlock/decision/routing/LaneSelector.java
@@ -1,8 +1,11 @@
-package cottonlock.decision;
+package cottonlock.decision.routing;
 
+import cottonlock.decision.admission.AdmissionController;
 import cottonlock.decision.api.RejectionReason;
 import cottonlock.decision.backend.Backend;
 import cottonlock.decision.backend.BackendRegistry;
+import cottonlock.decision.request.Request;
+import cottonlock.decision.request.RequestStage;
 import java.util.List;
 
 /**
@@ -32,16 +35,17 @@
         this.registry = registry;
     }
 
-    void connect(RequestStage nextStage) {
+    /** Connects the stages that follow; called once, before the first request. */
+    public void connect(RequestStage nextStage) {
         next = nextStage;
     }
 
     /** Leaves the usable backends in the request's candidates, or returns the request. */
     @Override
     public void process(Request request, long nowTicks) {
-        request.candidates = candidates(request, nowTicks);
-        if (request.candidates.isEmpty()) {
-            request.rejectionReason = RejectionReason.NO_BACKEND;
+        request.setCandidates(candidates(request, nowTicks));
+        if (request.candidates().isEmpty()) {
+            request.setRejectionReason(RejectionReason.NO_BACKEND);
             admission.onRequestReturned(request, nowTicks);
         } else {
             next.process(request, nowTicks);
@@ -52,10 +56,10 @@
         double maxInFlightPerSize = maxInFlightPerSize(nowTicks);
         double spareRequests = admission.isUnderPressure(nowTicks) ? 0 : 1;
         boolean crowded =
-                registry.laneLoad().isCrowded(request.tenant, maxRelativeAttemptTime(), nowTicks);
+                registry.laneLoad().isCrowded(request.tenant(), maxRelativeAttemptTime(), nowTicks);
         List<Backend> usable = List.of();
         if (!crowded) {
-            List<Backend> lane = registry.lane(request.tenant);
+            List<Backend> lane = registry.lane(request.tenant());
             usable =
                     registry.eligibility()
                             .eligible(lane, request, maxInFlightPerSize, spareRequests, nowTicks);
--- a/src/main/java/cottonlock/setup/LoadBalancerFactory.java
+++ b/src/main/java/cottonlock/setup/LoadBalancerFactory.java
@@ -1,17 +1,17 @@
 package cottonlock.setup;
 
-import cottonlock.decision.AdmissionController;
-import cottonlock.decision.AttemptTracker;
-import cottonlock.decision.BackendPicker;
-import cottonlock.decision.LaneSelector;
 import cottonlock.decision.LoadBalancer;
 import cottonlock.decision.RequestIntake;
+import cottonlock.decision.admission.AdmissionController;
 import cottonlock.decision.api.DeploymentTopology;
 import cottonlock.decision.api.LoadBalancerActions;
 import cottonlock.decision.api.RequestClass;
 import cottonlock.decision.api.SlowStartConfig;
 import cottonlock.decision.api.Tenant;
 import cottonlock.decision.backend.BackendRegistry;
+import cottonlock.decision.retry.AttemptTracker;
+import cottonlock.decision.routing.BackendPicker;
+import cottonlock.decision.routing.LaneSelector;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/src/test/java/cottonlock/decision/ColdFleet.java
+++ b/src/test/java/cottonlock/decision/ColdFleet.java
@@ -1,5 +1,6 @@
 package cottonlock.decision;
 
+import cottonlock.decision.admission.AdmissionController;
 import cottonlock.decision.api.AttemptOutcome;
 import cottonlock.decision.api.DeploymentTopology;
 import cottonlock.decision.api.Endpoint;
@@ -11,6 +12,9 @@
 import cottonlock.decision.api.SlowStartConfig;
 import cottonlock.decision.api.Tenant;
 import cottonlock.decision.backend.BackendRegistry;
+import cottonlock.decision.retry.AttemptTracker;
+import cottonlock.decision.routing.BackendPicker;
+import cottonlock.decision.routing.LaneSelector;
 import cottonlock.lab.world.World;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/test/java/cottonlock/decision/Ledger.java
+++ b/src/test/java/cottonlock/decision/Ledger.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cottonlock.decision.admission.AdmissionController;
 import cottonlock.decision.api.AttemptOutcome;
 import cottonlock.decision.api.DeploymentTopology;
 import cottonlock.decision.api.Endpoint;
@@ -16,6 +17,9 @@
 import cottonlock.decision.api.SlowStartConfig;
 import cottonlock.decision.api.Tenant;
 import cottonlock.decision.backend.BackendRegistry;
+import cottonlock.decision.retry.AttemptTracker;
+import cottonlock.decision.routing.BackendPicker;
+import cottonlock.decision.routing.LaneSelector;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.EnumMap;
