--- a/src/main/java/cottonlock/lab/scale/HollowHost.java
+++ b/src/main/java/cottonlock/lab/scale/HollowHost.java
@@ -2,8 +2,11 @@
 
 import cottonlock.config.InvalidConfigurationException;
 import cottonlock.config.OperatorFile;
+import cottonlock.membership.LocalMember;
+import cottonlock.membership.MembershipHost;
 import cottonlock.membership.MembershipService;
 import cottonlock.membership.MembershipView;
+import cottonlock.membership.SocketAddresses;
 import cottonlock.proxy.DiscoveryClient;
 import cottonlock.setup.MembershipConfig;
 import cottonlock.setup.MembershipProtocolConfig;
@@ -69,17 +72,19 @@
                         new MembershipService(
                                 plan,
                                 socket,
-                                name,
-                                MembershipService.addressText(address),
-                                seeds,
-                                false,
-                                System.currentTimeMillis(),
+                                new LocalMember(
+                                        name,
+                                        SocketAddresses.format(address),
+                                        seeds,
+                                        false,
+                                        System.currentTimeMillis()),
                                 random.split(),
-                                HollowHost::tenths,
-                                HollowHost::tenths,
-                                null,
-                                (from, bytes, length) -> {},
-                                line -> {});
+                                new MembershipHost(
+                                        HollowHost::tenths,
+                                        HollowHost::tenths,
+                                        null,
+                                        (from, bytes, length) -> {},
+                                        line -> {}));
                 Thread thread = new Thread(null, members, "members", STACK);
                 thread.setDaemon(true);
                 thread.start();
--- a/src/main/java/cottonlock/lab/world/Fleet.java
+++ b/src/main/java/cottonlock/lab/world/Fleet.java
@@ -1,6 +1,7 @@
 package cottonlock.lab.world;
 
 import cottonlock.core.Deterministic;
+import cottonlock.membership.LocalMember;
 import cottonlock.membership.MemberState;
 import cottonlock.membership.Membership;
 import cottonlock.membership.MembershipActions;
@@ -47,13 +48,9 @@
     public interface Maker {
         Membership make(
                 MembershipProtocolConfig rules,
-                MembershipActions outlet,
-                String name,
-                String address,
-                List<String> contacts,
-                boolean closed,
-                long life,
-                int tag,
+                MembershipActions actions,
+                LocalMember self,
+                int reservedBytes,
                 SplittableRandom random);
     }
 
@@ -193,11 +190,12 @@
                                     }
                                 }
                             },
-                            name,
-                            address,
-                            contacts,
-                            closed,
-                            1_700_000_000_000L + (world.now() + clock) / 10,
+                            new LocalMember(
+                                    name,
+                                    address,
+                                    contacts,
+                                    closed,
+                                    1_700_000_000_000L + (world.now() + clock) / 10),
                             0,
                             new SplittableRandom(world.chance().nextLong()));
             progress();
--- a/src/main/java/cottonlock/membership/AntiEntropy.java
+++ b/src/main/java/cottonlock/membership/AntiEntropy.java
@@ -9,177 +9,182 @@
 import java.util.TreeMap;
 
 /**
- * Mends views that differ: in short first, part by part of the names; then page by page, each way.
+ * Repairs views that differ. Each datagram carries a digest of its sender's view. Where one has
+ * differed for a while, this process sends digests of the partitions of the names; the other
+ * answers with pages of the partitions that differ, and gets back what is newer here. For the
+ * thread of its {@link Membership}.
  */
 @Deterministic
 final class AntiEntropy {
-    /**
-     * Pages sent at one request, so that a large view takes several requests, and several givers.
-     */
-    private static final int PAGES = 4;
+    /** Pages sent for one request; the rest of a large view takes further requests. */
+    private static final int MAX_PAGES = 4;
 
-    /**
-     * Words of news for which it is worth to go on without a longer rest; the longest one, in
-     * periods.
-     */
-    private static final int WORTH = 2;
+    /** New updates for which the next exchange follows without a longer pause. */
+    private static final int PRODUCTIVE_UPDATES = 2;
+
+    private static final int MAX_PAUSE_PERIODS = 8;
 
-    private static final int LONGEST_REST = 8;
+    /** Members of one partition, about as many as fit into a datagram. */
+    private static final int PARTITION_MEMBERS = 8;
 
-    /** Members of one part of the names, about: what a datagram holds. */
-    private static final int PART = 8;
+    /** Bytes of one partition's digest. */
+    private static final int DIGEST_BYTES = 4;
 
-    private final MembershipProtocolConfig rules;
+    /** A member heard within so many periods can be asked. */
+    private static final int HEARD_WITHIN_PERIODS = 4;
+
+    /** Periods until the next look if no view differs. */
+    private static final int IDLE_PERIODS = 4;
+
+    private final MembershipProtocolConfig config;
+    private final ProtocolVariants variants;
     private final MemberTable table;
-    private final ProbeSchedule ring;
-    private final DatagramSender post;
-    private final long[] counts;
-    private final ProtocolVariants habits;
+    private final ProbeSchedule schedule;
+    private final DatagramSender sender;
+    private final MembershipMetrics metrics;
     private final SplittableRandom random;
-    private long at = MemberRecord.NEVER;
-    private long last = MemberRecord.NEVER;
-
-    /** Between two exchanges, in periods; and what the last one has brought. */
-    private int rest = 1;
-
-    private int brought;
-
-    AntiEntropy(
-            MembershipProtocolConfig rules,
-            MemberTable table,
-            ProbeSchedule ring,
-            DatagramSender post,
-            long[] counts,
-            ProtocolVariants habits,
-            SplittableRandom random) {
-        this.rules = rules;
-        this.table = table;
-        this.ring = ring;
-        this.post = post;
-        this.counts = counts;
-        this.habits = habits;
-        this.random = random;
-    }
-
-    /** When it wants to be called. */
+    private long dueAtTicks = MemberRecord.NEVER;
+    private long lastExchangeAtTicks = MemberRecord.NEVER;
+
+    /** Periods between two exchanges. */
+    private int pausePeriods = 1;
+
+    /** New updates that the last exchange has brought. */
+    private int newUpdates;
+
+    AntiEntropy(MembershipContext context) {
+        this.config = context.config();
+        this.variants = context.variants();
+        this.table = context.table();
+        this.schedule = context.schedule();
+        this.sender = context.sender();
+        this.metrics = context.metrics();
+        this.random = context.random();
+    }
+
+    /** When {@link #timerFired} is due. */
     long dueAtTicks() {
-        return at;
+        return dueAtTicks;
     }
 
-    private boolean joining() {
+    private boolean isJoining() {
         return table.self().state() == MemberState.JOINING;
     }
 
-    private long pause() {
-        return joining() ? rules.periodTicks() / 4 : rest * rules.periodTicks();
+    private long pauseTicks() {
+        return isJoining() ? config.periodTicks() / 4 : pausePeriods * config.periodTicks();
     }
 
-    /** So many words that a page held were news here. */
-    void countNewUpdates(int news) {
-        brought += news;
+    /** For how long a view may differ before an exchange: piggybacked updates may repair it. */
+    private long settleTicks() {
+        return isJoining() ? 0 : config.periodTicks();
     }
 
-    /** Changes that ride on probes are given so long before views are compared part by part. */
-    private long settle() {
-        return joining() ? 0 : rules.periodTicks();
+    /** Counts the updates of a page that were new here. */
+    void countNewUpdates(int count) {
+        newUpdates += count;
     }
 
-    /** A member's digest has come; returns whether it is this one's. */
-    boolean compareDigest(long now, MemberRecord k, long digest) {
+    /** Compares a member's digest with this view's; returns whether they are equal. */
+    boolean compareDigest(long nowTicks, MemberRecord member, long digest) {
         if (digest == table.digest()) {
-            table.setDivergedSince(k, MemberRecord.NEVER);
+            table.setDivergedSince(member, MemberRecord.NEVER);
             return true;
         }
-        if (k.divergedSinceTicks == MemberRecord.NEVER) {
-            rest = table.divergingCount() == 0 ? 1 : rest;
-            table.setDivergedSince(k, now);
-            at = Math.min(at, Math.max(now, last + pause()) + settle());
+        if (member.divergedSinceTicks == MemberRecord.NEVER) {
+            pausePeriods = table.divergingCount() == 0 ? 1 : pausePeriods;
+            table.setDivergedSince(member, nowTicks);
+            long earliest = Math.max(nowTicks, lastExchangeAtTicks + pauseTicks());
+            dueAtTicks = Math.min(dueAtTicks, earliest + settleTicks());
         }
         return false;
     }
 
-    /** Begins with one of those whose view has differed for long enough. */
-    void timerFired(long now) {
-        at = now + pause();
-        List<MemberRecord> differing =
-                ring.sample(
-                        1,
-                        table.divergingCount() > 0,
-                        k ->
-                                k.diverges()
-                                        && now - k.divergedSinceTicks >= settle()
-                                        && now - k.heardAtTicks < 4 * rules.periodTicks());
-        if (differing.isEmpty() || !habits.repairsDivergence()) {
-            at = now + (table.divergingCount() > 0 ? pause() : 4 * rules.periodTicks());
+    /** Starts an exchange with a member whose view has differed for long enough. */
+    void timerFired(long nowTicks) {
+        dueAtTicks = nowTicks + pauseTicks();
+        List<MemberRecord> diverging =
+                schedule.sample(
+                        1, table.divergingCount() > 0, member -> canExchange(nowTicks, member));
+        if (diverging.isEmpty() || !variants.repairsDivergence()) {
+            dueAtTicks =
+                    nowTicks
+                            + (table.divergingCount() > 0
+                                    ? pauseTicks()
+                                    : IDLE_PERIODS * config.periodTicks());
             return;
         }
-        // Where changes never end, views never are alike, and an exchange brings next to nothing.
-        rest = brought >= WORTH ? 1 : Math.min(LONGEST_REST, 2 * rest);
-        brought = 0;
-        at = now + pause();
-        last = now;
-        counts[MembershipMetric.EXCHANGES.ordinal()]++;
-        MemberRecord k = differing.get(0);
-        int wanted = Math.max(1, (table.liveCount() + 1) / PART);
-        int parts = Math.min(DatagramCodec.MAX_PARTITIONS, Integer.highestOneBit(wanted));
-        while (4 * parts > post.freeBytes(Kind.PARTITION_DIGESTS)) {
-            parts /= 2;
+        // Under permanent churn views never become equal, and exchanges bring next to nothing.
+        pausePeriods =
+                newUpdates >= PRODUCTIVE_UPDATES
+                        ? 1
+                        : Math.min(MAX_PAUSE_PERIODS, 2 * pausePeriods);
+        newUpdates = 0;
+        dueAtTicks = nowTicks + pauseTicks();
+        lastExchangeAtTicks = nowTicks;
+        metrics.increment(MembershipMetric.EXCHANGES);
+        startExchange(nowTicks, diverging.get(0));
+    }
+
+    private boolean canExchange(long nowTicks, MemberRecord member) {
+        return member.diverges()
+                && nowTicks - member.divergedSinceTicks >= settleTicks()
+                && nowTicks - member.heardAtTicks < HEARD_WITHIN_PERIODS * config.periodTicks();
+    }
+
+    private void startExchange(long nowTicks, MemberRecord member) {
+        int wanted = Math.max(1, (table.liveCount() + 1) / PARTITION_MEMBERS);
+        int partitions = Math.min(DatagramCodec.MAX_PARTITIONS, Integer.highestOneBit(wanted));
+        while (DIGEST_BYTES * partitions > sender.freeBytes(Kind.PARTITION_DIGESTS)) {
+            partitions /= 2;
         }
-        if (parts == 1) {
-            page(now, k, 1, 0, PAGES);
+        if (partitions == 1) {
+            sendPages(nowTicks, member, 1, 0, MAX_PAGES);
         } else {
-            Message m = post.newMessage(Kind.PARTITION_DIGESTS);
-            m.partitionDigests = table.partitionDigests(parts);
-            post.send(
-                    now,
-                    k.update.address(),
-                    post.writerFor(m),
-                    DatagramSender.LOW_PRIORITY_RESERVE);
+            Message message = sender.newMessage(Kind.PARTITION_DIGESTS);
+            message.partitionDigests = table.partitionDigests(partitions);
+            sender.sendLowPriority(nowTicks, member.update.address(), sender.writerFor(message));
         }
     }
 
-    /** Another's view in short: sends pages of the parts that differ, from a random one on. */
-    void digestsReceived(long now, Message m, MemberRecord k, int from) {
-        int[] mine = table.partitionDigests(m.partitionDigests.length);
-        int left = PAGES;
-        for (int i = 0; i < mine.length && left > 0; i++) {
-            int part = Math.floorMod(from + i, mine.length);
-            if (mine[part] != m.partitionDigests[part]) {
-                left -= page(now, k, mine.length, part, left);
+    /**
+     * Answers a member's partition digests with pages of the partitions that differ.
+     *
+     * @param firstPartition at which the comparison starts
+     */
+    void digestsReceived(long nowTicks, Message message, MemberRecord member, int firstPartition) {
+        int[] own = table.partitionDigests(message.partitionDigests.length);
+        int left = MAX_PAGES;
+        for (int i = 0; i < own.length && left > 0; i++) {
+            int partition = Math.floorMod(firstPartition + i, own.length);
+            if (own[partition] != message.partitionDigests[partition]) {
+                left -= sendPages(nowTicks, member, own.length, partition, left);
             }
         }
     }
 
     /**
-     * Sends the words of one part of the names, in several pages if need be; returns how many it
-     * sent.
+     * Sends the updates of one partition, in several pages if need be.
+     *
+     * @return the number of pages sent; {@code maxPages} if not all were sent
      */
-    private int page(long now, MemberRecord to, int parts, int part, int most) {
-        List<MemberUpdate> words = table.liveUpdates(parts, part);
-        // Where parts can't get finer they grow beyond what the allowance holds at once, two pages:
-        // begun at
-        // the first name each time, the rest would never come.
-        boolean anywhere =
-                parts == DatagramCodec.MAX_PARTITIONS
-                        && words.size() > PART
-                        && habits.startsPagesAtRandomName();
-        int first = anywhere ? random.nextInt(words.size()) : 0;
-        String after = first == 0 ? "" : words.get(first - 1).name();
+    private int sendPages(
+            long nowTicks, MemberRecord receiver, int partitions, int partition, int maxPages) {
+        List<MemberUpdate> updates = table.liveUpdates(partitions, partition);
+        int first = firstIndex(partitions, updates.size());
+        String afterName = first == 0 ? "" : updates.get(first - 1).name();
         int next = first;
-        int end = words.size();
-        for (int sent = 0; sent < most; ) {
-            Message m = post.newMessage(Kind.PARTITION_PAGE);
-            m.partitions = parts;
-            m.partition = part;
-            m.afterName = after;
-            DatagramCodec.Writer out = post.writerFor(m);
-            while (next < end && out.addUpdate(words.get(next))) {
-                after = words.get(next++).name();
+        int end = updates.size();
+        int sent = 0;
+        while (sent < maxPages) {
+            DatagramWriter out = startPage(partitions, partition, afterName);
+            while (next < end && out.addUpdate(updates.get(next))) {
+                afterName = updates.get(next++).name();
             }
-            if (next == words.size()) {
+            if (next == updates.size()) {
                 out.markLastPage();
             }
-            if (!post.send(now, to.update.address(), out, DatagramSender.LOW_PRIORITY_RESERVE)) {
+            if (!sender.sendLowPriority(nowTicks, receiver.update.address(), out)) {
                 break;
             }
             sent++;
@@ -187,40 +192,65 @@
                 return sent;
             }
             if (next == end) {
-                // What lies before the place begun at.
+                // Continues with the names before the first one sent.
                 next = 0;
                 end = first;
-                after = "";
-            }
-        }
-        return most;
-    }
-
-    /** A page has been taken: its sender is told what is newer here, or lacking there. */
-    void pageReceived(long now, Message m, MemberRecord k) {
-        TreeMap<String, MemberUpdate> theirs = new TreeMap<>();
-        m.updates.forEach(w -> theirs.put(w.name(), w));
-        String last = m.lastPage || theirs.isEmpty() ? null : theirs.lastKey();
-        List<MemberUpdate> news = new ArrayList<>();
-        for (MemberRecord mine :
-                table.membersBetween(m.partitions, m.partition, m.afterName, last)) {
-            MemberUpdate their = theirs.get(mine.update.name());
-            if (mine != k
-                    && (their == null
-                            ? mine.update.state().isLive()
-                            : mine.update.supersedes(their))) {
-                news.add(mine.update);
+                afterName = "";
             }
         }
+        return maxPages;
+    }
+
+    /**
+     * Where the pages of a partition start. A partition that is longer than the pages sent at once
+     * starts at a random name, as otherwise its last names would never be sent.
+     */
+    private int firstIndex(int partitions, int size) {
+        boolean startsAnywhere =
+                partitions == DatagramCodec.MAX_PARTITIONS
+                        && size > PARTITION_MEMBERS
+                        && variants.startsPagesAtRandomName();
+        return startsAnywhere ? random.nextInt(size) : 0;
+    }
+
+    private DatagramWriter startPage(int partitions, int partition, String afterName) {
+        Message message = sender.newMessage(Kind.PARTITION_PAGE);
+        message.partitions = partitions;
+        message.partition = partition;
+        message.afterName = afterName;
+        return sender.writerFor(message);
+    }
+
+    /**
+     * Answers a page, whose updates were merged before, with what is newer here or missing there.
+     */
+    void pageReceived(long nowTicks, Message page, MemberRecord member) {
+        List<MemberUpdate> newer = newerThan(page, member);
         int next = 0;
-        for (int sent = 0; next < news.size() && sent < PAGES; sent++) {
-            DatagramCodec.Writer out = post.writerFor(post.newMessage(Kind.UPDATES));
-            while (next < news.size() && out.addUpdate(news.get(next))) {
+        for (int sent = 0; next < newer.size() && sent < MAX_PAGES; sent++) {
+            DatagramWriter out = sender.writerFor(sender.newMessage(Kind.UPDATES));
+            while (next < newer.size() && out.addUpdate(newer.get(next))) {
                 next++;
             }
-            if (!post.send(now, k.update.address(), out, DatagramSender.LOW_PRIORITY_RESERVE)) {
+            if (!sender.sendLowPriority(nowTicks, member.update.address(), out)) {
                 return;
             }
         }
     }
+
+    private List<MemberUpdate> newerThan(Message page, MemberRecord pageSender) {
+        TreeMap<String, MemberUpdate> received = new TreeMap<>();
+        page.updates.forEach(update -> received.put(update.name(), update));
+        String last = page.lastPage || received.isEmpty() ? null : received.lastKey();
+        List<MemberUpdate> newer = new ArrayList<>();
+        for (MemberRecord member :
+                table.membersBetween(page.partitions, page.partition, page.afterName, last)) {
+            MemberUpdate other = received.get(member.update.name());
+            boolean isNewer = other == null ? member.isLive() : member.update.supersedes(other);
+            if (member != pageSender && isNewer) {
+                newer.add(member.update);
+            }
+        }
+        return newer;
+    }
 }
--- a/src/main/java/cottonlock/membership/BandwidthLimit.java
+++ b/src/main/java/cottonlock/membership/BandwidthLimit.java
@@ -1,37 +1,50 @@
 package cottonlock.membership;
 
 import cottonlock.core.Deterministic;
+import cottonlock.core.Ticks;
 
 /**
- * The bytes that may be sent: in no second more than are allowed. A quarter of them may go at once,
- * three quarters come back in a second.
+ * Token bucket that bounds the bytes sent in any second. Its depth is a quarter of the limit, and
+ * three quarters are refilled in a second, so that a full bucket and a second's refill together
+ * stay within the limit. For the thread of its {@link Membership}.
  */
 @Deterministic
 final class BandwidthLimit {
-    /** Tenths of a millisecond in a second. */
-    private static final long SECOND = 10_000;
+    private static final double REFILLED_SHARE = 0.75;
 
-    private final int bytes;
-    private final double depth;
-    private double level;
-    private long at = MemberRecord.NEVER;
+    private final int bytesPerSecond;
+    private final double depthBytes;
+    private double availableBytes;
+    private long refilledAtTicks = MemberRecord.NEVER;
 
-    BandwidthLimit(int bytes) {
-        this.bytes = bytes;
-        this.depth = bytes / 4.0;
+    BandwidthLimit(int bytesPerSecond) {
+        this.bytesPerSecond = bytesPerSecond;
+        this.depthBytes = bytesPerSecond / 4.0;
     }
 
-    /** Whether so many may go now, and this part of the depth is still left after them. */
-    boolean allows(long now, int size, double rest) {
-        if (now > at) {
-            level = Math.min(depth, level + bytes * 0.75 * (now - at) / SECOND);
-            at = now;
+    /**
+     * Whether so many bytes may be sent now.
+     *
+     * @param reserve share of the depth, 0 to 1, that must be left after them
+     */
+    boolean allows(long nowTicks, int bytes, double reserve) {
+        if (nowTicks > refilledAtTicks) {
+            availableBytes =
+                    Math.min(
+                            depthBytes,
+                            availableBytes
+                                    + bytesPerSecond
+                                            * REFILLED_SHARE
+                                            * (nowTicks - refilledAtTicks)
+                                            / Ticks.PER_SECOND);
+            refilledAtTicks = nowTicks;
         }
-        return level - size >= rest * depth;
+        return availableBytes - bytes >= reserve * depthBytes;
     }
 
-    void consume(long now, int size) {
-        allows(now, size, 0);
-        level -= size;
+    /** Takes so many bytes out of the bucket. */
+    void consume(long nowTicks, int bytes) {
+        allows(nowTicks, bytes, 0);
+        availableBytes -= bytes;
     }
 }
--- a/src/main/java/cottonlock/membership/ContactAddresses.java
+++ b/src/main/java/cottonlock/membership/ContactAddresses.java
@@ -9,55 +9,56 @@
 import java.util.TreeSet;
 
 /**
- * Where somebody may be found whom nobody here holds for alive: contacts and addresses of the
- * failed at which no living member is known. Kept with each word: looking through all members for
- * it cost more than all else.
+ * Addresses at which a member may be found that is not known to be live: contacts and addresses of
+ * failed members at which no live member is known. Maintained with each update. For the thread of
+ * its {@link Membership}.
  */
 @Deterministic
 final class ContactAddresses {
     private final Set<String> contacts;
 
-    /** How many members that may live, and how many that have failed, have each address. */
-    private final Map<String, Integer> living = new HashMap<>();
+    /** Number of live members by address. */
+    private final Map<String, Integer> live = new HashMap<>();
 
+    /** Number of failed members by address. */
     private final Map<String, Integer> failed = new HashMap<>();
-    private final TreeSet<String> open;
+
+    private final TreeSet<String> candidates;
 
     ContactAddresses(Set<String> contacts) {
         this.contacts = contacts;
-        this.open = new TreeSet<>(contacts);
+        this.candidates = new TreeSet<>(contacts);
     }
 
-    /** A word counts from now on. */
-    void add(MemberUpdate w) {
-        count(w, 1);
+    /** An update is in the table from now on. */
+    void add(MemberUpdate update) {
+        adjustCount(update, 1);
     }
 
-    /** A word no longer counts. */
-    void remove(MemberUpdate w) {
-        count(w, -1);
+    /** An update is no longer in the table. */
+    void remove(MemberUpdate update) {
+        adjustCount(update, -1);
     }
 
-    private void count(MemberUpdate w, int delta) {
-        Map<String, Integer> which =
-                w.state().isLive() ? living : w.state() == MemberState.FAILED ? failed : null;
-        if (which == null) {
+    private void adjustCount(MemberUpdate update, int change) {
+        if (update.state() == MemberState.LEFT) {
             return;
         }
-        String address = w.address();
-        which.merge(address, delta, (a, b) -> a + b == 0 ? null : a + b);
-        if (!living.containsKey(address)
+        Map<String, Integer> counts = update.state().isLive() ? live : failed;
+        String address = update.address();
+        counts.merge(address, change, (a, b) -> a + b == 0 ? null : a + b);
+        if (!live.containsKey(address)
                 && (contacts.contains(address) || failed.containsKey(address))) {
-            open.add(address);
+            candidates.add(address);
         } else {
-            open.remove(address);
+            candidates.remove(address);
         }
     }
 
-    /** They, in their order, without one. */
-    List<String> candidates(String without) {
-        List<String> some = new ArrayList<>(open);
-        some.remove(without);
-        return some;
+    /** The addresses, sorted, without the excluded one. The list is the caller's. */
+    List<String> candidates(String excluded) {
+        List<String> result = new ArrayList<>(candidates);
+        result.remove(excluded);
+        return result;
     }
 }
--- a/src/main/java/cottonlock/membership/DatagramAuthenticator.java
+++ b/src/main/java/cottonlock/membership/DatagramAuthenticator.java
@@ -11,30 +11,27 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Tags datagrams with a key that the fleet shares, and tells which bear another's tag. For one
- * thread.
+ * Signs datagrams with a key that all members share, and verifies their tags. Not thread-safe: its
+ * {@link MembershipService} guards it.
  */
 final class DatagramAuthenticator {
-    /** Bytes of a tag: half of what the algorithm makes, as its standard allows. */
+    /** Bytes of a tag: half of the algorithm's output, as RFC 2104 allows. */
     static final int TAG_BYTES = 16;
 
     private static final String ALGORITHM = "HmacSHA256";
-
-    /** Bytes of a key: shorter ones can be guessed, longer ones are no keys. */
-    private static final int SHORTEST = 16;
-
-    private static final int LONGEST = 4_096;
+    private static final int MIN_KEY_BYTES = 16;
+    private static final int MAX_KEY_BYTES = 4_096;
 
     private final List<Mac> macs = new ArrayList<>();
 
     /**
-     * Tags are made with the first key; those of all count.
+     * Reads the keys. Datagrams are signed with the first one; tags of each are valid.
      *
      * @throws IOException for a file that can't be read or holds no key
      */
-    DatagramAuthenticator(List<Path> files) throws IOException {
-        for (Path file : files) {
-            byte[] key = key(file);
+    DatagramAuthenticator(List<Path> keyFiles) throws IOException {
+        for (Path keyFile : keyFiles) {
+            byte[] key = readKey(keyFile);
             try {
                 Mac mac = Mac.getInstance(ALGORITHM);
                 mac.init(new SecretKeySpec(key, ALGORITHM));
@@ -46,57 +43,69 @@
     }
 
     /** The key that a file holds: its bytes without white space at both ends. */
-    private static byte[] key(Path file) throws IOException {
-        if (!Files.isRegularFile(file)) {
-            throw new IOException("the key file " + file + " is not there");
+    private static byte[] readKey(Path keyFile) throws IOException {
+        if (!Files.isRegularFile(keyFile)) {
+            throw new IOException("the key file " + keyFile + " is not there");
         }
-        byte[] bytes = Files.size(file) > LONGEST ? new byte[0] : Files.readAllBytes(file);
+        byte[] bytes =
+                Files.size(keyFile) > MAX_KEY_BYTES ? new byte[0] : Files.readAllBytes(keyFile);
         int from = 0;
         int to = bytes.length;
-        while (from < to && bytes[from] <= ' ' && bytes[from] >= 0) {
+        while (from < to && isWhitespace(bytes[from])) {
             from++;
         }
-        while (to > from && bytes[to - 1] <= ' ' && bytes[to - 1] >= 0) {
+        while (to > from && isWhitespace(bytes[to - 1])) {
             to--;
         }
-        if (to - from < SHORTEST) {
+        if (to - from < MIN_KEY_BYTES) {
             throw new IOException(
                     "the key file "
-                            + file
+                            + keyFile
                             + " holds no key of "
-                            + SHORTEST
+                            + MIN_KEY_BYTES
                             + " to "
-                            + LONGEST
+                            + MAX_KEY_BYTES
                             + " bytes");
         }
         return Arrays.copyOfRange(bytes, from, to);
     }
 
-    /** The datagram with its tag behind it. */
+    private static boolean isWhitespace(byte value) {
+        return value >= 0 && value <= ' ';
+    }
+
+    /** The datagram followed by its tag. */
     byte[] sign(byte[] datagram) {
-        byte[] sealed = Arrays.copyOf(datagram, datagram.length + TAG_BYTES);
-        System.arraycopy(macs.get(0).doFinal(datagram), 0, sealed, datagram.length, TAG_BYTES);
-        return sealed;
+        byte[] signed = Arrays.copyOf(datagram, datagram.length + TAG_BYTES);
+        System.arraycopy(macs.get(0).doFinal(datagram), 0, signed, datagram.length, TAG_BYTES);
+        return signed;
     }
 
-    /** How many bytes there are before a right tag; -1: it bears none. */
-    int verify(byte[] sealed, int length) {
-        int inner = length - TAG_BYTES;
-        if (inner <= 0) {
+    /**
+     * Verifies a datagram's tag.
+     *
+     * @return the number of bytes before the tag; -1 without a valid one
+     */
+    int verify(byte[] signed, int length) {
+        int contentLength = length - TAG_BYTES;
+        if (contentLength <= 0) {
             return -1;
         }
         for (Mac mac : macs) {
-            mac.update(sealed, 0, inner);
-            byte[] right = mac.doFinal();
-            int wrong = 0;
-            // All bytes are looked at: how long it takes must tell nothing of where it differs.
-            for (int i = 0; i < TAG_BYTES; i++) {
-                wrong |= right[i] ^ sealed[inner + i];
-            }
-            if (wrong == 0) {
-                return inner;
+            mac.update(signed, 0, contentLength);
+            if (tagEquals(mac.doFinal(), signed, contentLength)) {
+                return contentLength;
             }
         }
         return -1;
     }
+
+    /** Compares all bytes, so that the time taken does not reveal where the tags differ. */
+    private static boolean tagEquals(byte[] expected, byte[] signed, int tagStart) {
+        int difference = 0;
+        for (int i = 0; i < TAG_BYTES; i++) {
+            difference |= expected[i] ^ signed[tagStart + i];
+        }
+        return difference == 0;
+    }
 }
--- a/src/main/java/cottonlock/membership/DatagramSender.java
+++ b/src/main/java/cottonlock/membership/DatagramSender.java
@@ -4,128 +4,161 @@
 import cottonlock.membership.Message.Kind;
 import cottonlock.setup.MembershipProtocolConfig;
 
-/** Writes and sends datagrams within the allowance, and has changes ride on them. */
+/**
+ * Encodes and sends datagrams within the bandwidth limit, and piggybacks updates on them. For the
+ * thread of its {@link Membership}.
+ */
 @Deterministic
 final class DatagramSender {
-    /**
-     * Part of the allowance that must be left beside what is less urgent than a probe or its
-     * answer.
-     */
+    /** Share of the bandwidth limit's depth that is left to probes and their answers. */
     static final double LOW_PRIORITY_RESERVE = 0.4;
 
-    private final MembershipProtocolConfig rules;
+    private static final int TICKS_PER_CENTISECOND = 100;
+    private static final int MAX_STALL_CENTIS = 0xffff;
+    private static final long DATAGRAM_NUMBER_MASK = 0xffff_ffffL;
+
+    private final MembershipProtocolConfig config;
+    private final ProtocolVariants variants;
     private final MemberTable table;
-    private final MembershipActions outlet;
-    private final long[] counts;
-    private final ProtocolVariants habits;
-    private final int tag;
-    private final BandwidthLimit allowance;
-    private final UpdateBroadcastQueue repeats;
-    private long counter;
-    private int sequence;
-
-    /** Hundredths of a second for which the module has stood still. */
-    private int lag;
-
-    /** Tag: bytes of each datagram that stay free. */
+    private final MembershipActions actions;
+    private final MembershipMetrics metrics;
+    private final int reservedBytes;
+    private final BandwidthLimit bandwidthLimit;
+    private final UpdateBroadcastQueue broadcasts;
+    private long datagramNumber;
+    private int sequenceNumber;
+
+    /** For how long the worker has made no progress, in hundredths of a second. */
+    private int stallCentis;
+
+    /**
+     * Creates a sender.
+     *
+     * @param reservedBytes of each datagram that stay free for an authentication tag
+     */
     DatagramSender(
-            MembershipProtocolConfig rules,
+            MembershipProtocolConfig config,
+            ProtocolVariants variants,
             MemberTable table,
-            MembershipActions outlet,
-            long[] counts,
-            int tag,
-            ProtocolVariants habits) {
-        this.rules = rules;
+            MembershipActions actions,
+            MembershipMetrics metrics,
+            int reservedBytes) {
+        this.config = config;
+        this.variants = variants;
         this.table = table;
-        this.outlet = outlet;
-        this.counts = counts;
-        this.habits = habits;
-        this.tag = tag;
-        this.allowance = new BandwidthLimit(rules.maxBytesPerSecond());
-        this.repeats = new UpdateBroadcastQueue(rules.maxMembers());
+        this.actions = actions;
+        this.metrics = metrics;
+        this.reservedBytes = reservedBytes;
+        this.bandwidthLimit = new BandwidthLimit(config.maxBytesPerSecond());
+        this.broadcasts = new UpdateBroadcastQueue(config.maxMembers());
     }
 
-    /** A change to be told on. */
-    void broadcast(MemberUpdate w) {
-        repeats.add(w);
+    /** Queues an update to be piggybacked on datagrams. */
+    void broadcast(MemberUpdate update) {
+        broadcasts.add(update);
     }
 
-    /** How many changes are being told. */
+    /** Number of members about which an update is queued. */
     int pendingUpdates() {
-        return repeats.size();
+        return broadcasts.size();
     }
 
-    /** How often a change is told. */
-    int transmitLimit() {
-        return habits.transmitLimit(
-                (int)
-                        Math.ceil(
-                                rules.retransmitMultiplier()
-                                        * Math.log(table.liveCount() + 2)
-                                        / Math.log(2)));
+    /**
+     * How often an update is transmitted: proportional to the logarithm of the membership's size.
+     */
+    private int transmitLimit() {
+        return variants.transmitLimit(
+                (int) Math.ceil(config.retransmitMultiplier() * Math.log(table.liveCount() + 2) / Math.log(2)));
     }
 
-    /** Another life of this process begins: its datagrams count anew. */
+    /** This process starts another generation: its datagrams are counted from the beginning. */
     void resetDatagramNumbers() {
-        counter = 0;
+        datagramNumber = 0;
     }
 
-    void setStall(long tenths) {
-        lag = (int) Math.min(0xffff, tenths / 100);
+    /** Sets for how long the worker has made no progress; datagrams carry that. */
+    void setStall(long stallTicks) {
+        stallCentis = (int) Math.min(MAX_STALL_CENTIS, stallTicks / TICKS_PER_CENTISECOND);
     }
 
-    /** A number that an answer is known by. */
+    /** A number that associates an answer with a probe. */
     int nextSequenceNumber() {
-        return ++sequence;
+        return ++sequenceNumber;
     }
 
+    /** A message of this process, without fields of its kind. Each takes a datagram number. */
     Message newMessage(Kind kind) {
-        return new Message(kind, table.self(), ++counter & 0xffff_ffffL, table.digest(), lag);
+        return new Message(
+                kind,
+                table.self(),
+                ++datagramNumber & DATAGRAM_NUMBER_MASK,
+                table.digest(),
+                stallCentis);
+    }
+
+    /** The same with a sequence number. */
+    Message newMessage(Kind kind, int messageSequenceNumber) {
+        Message message = newMessage(kind);
+        message.sequenceNumber = messageSequenceNumber;
+        return message;
     }
 
-    Message newMessage(Kind kind, int seq) {
-        Message m = newMessage(kind);
-        m.sequenceNumber = seq;
-        return m;
+    /** Encodes a message, to which updates may be added. */
+    DatagramWriter writerFor(Message message) {
+        return DatagramCodec.writerFor(message, maxBytes());
     }
 
-    DatagramCodec.Writer writerFor(Message m) {
-        return DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES - tag);
+    private int maxBytes() {
+        return DatagramCodec.MAX_DATAGRAM_BYTES - reservedBytes;
     }
 
-    /** What a message of that kind leaves for more. */
+    /** Bytes that a message of that kind, without fields, leaves free. Takes a datagram number. */
     int freeBytes(Kind kind) {
-        return DatagramCodec.MAX_DATAGRAM_BYTES - tag - writerFor(newMessage(kind)).size();
+        return maxBytes() - writerFor(newMessage(kind)).size();
     }
 
-    /** Sends an urgent message to a member with what there is to tell. */
-    boolean send(long now, MemberRecord to, Message m) {
-        return send(now, to.update.address(), to, m, 0);
+    /** Sends a message of high priority to a member, with updates. */
+    boolean send(long nowTicks, MemberRecord receiver, Message message) {
+        return send(nowTicks, receiver.update.address(), receiver, message);
+    }
+
+    /** Sends a message of high priority to an address at which no member may be known. */
+    boolean send(long nowTicks, String address, Message message) {
+        return send(nowTicks, address, null, message);
     }
 
     /**
-     * The same; to null where nobody is known there yet. First what is held of it, if it is not
-     * well.
+     * Sends a message of high priority with updates; first the accusation against the receiver, if
+     * there is one.
+     *
+     * @param receiver the member at the address; null if none is known
+     * @return false if the bandwidth limit was reached
      */
-    boolean send(long now, String address, MemberRecord to, Message m, double rest) {
-        DatagramCodec.Writer out = writerFor(m);
-        if (to != null && to.isAccused()) {
-            out.addUpdate(to.update);
+    boolean send(long nowTicks, String address, MemberRecord receiver, Message message) {
+        DatagramWriter out = writerFor(message);
+        if (receiver != null && receiver.isAccused()) {
+            out.addUpdate(receiver.update);
         }
-        if (allowance.allows(now, DatagramCodec.MAX_DATAGRAM_BYTES, LOW_PRIORITY_RESERVE)) {
-            repeats.fill(out, transmitLimit(), to == null ? "" : to.update.name());
+        if (bandwidthLimit.allows(
+                nowTicks, DatagramCodec.MAX_DATAGRAM_BYTES, LOW_PRIORITY_RESERVE)) {
+            broadcasts.fill(out, transmitLimit(), receiver == null ? "" : receiver.update.name());
         }
-        return send(now, address, out, rest);
+        return send(nowTicks, address, out, 0);
+    }
+
+    /** Sends what was encoded with low priority: some of the bandwidth is left to probes. */
+    boolean sendLowPriority(long nowTicks, String address, DatagramWriter out) {
+        return send(nowTicks, address, out, LOW_PRIORITY_RESERVE);
     }
 
-    /** Sends what was written, if that part of the allowance is left then. */
-    boolean send(long now, String address, DatagramCodec.Writer out, double rest) {
-        boolean may = allowance.allows(now, out.size() + tag, rest);
-        counts[(may ? MembershipMetric.SENT : MembershipMetric.THROTTLED).ordinal()]++;
-        if (may) {
-            allowance.consume(now, out.size() + tag);
-            outlet.send(address, out.toBytes());
+    private boolean send(long nowTicks, String address, DatagramWriter out, double reserve) {
+        int bytes = out.size() + reservedBytes;
+        boolean allowed = bandwidthLimit.allows(nowTicks, bytes, reserve);
+        metrics.increment(allowed ? MembershipMetric.SENT : MembershipMetric.THROTTLED);
+        if (allowed) {
+            bandwidthLimit.consume(nowTicks, bytes);
+            actions.send(address, out.toBytes());
         }
-        return may;
+        return allowed;
     }
 }
--- a/src/main/java/cottonlock/membership/FailureDetector.java
+++ b/src/main/java/cottonlock/membership/FailureDetector.java
@@ -4,395 +4,327 @@
 import cottonlock.membership.Message.Kind;
 import cottonlock.setup.MembershipProtocolConfig;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Collection;
 import java.util.Deque;
 import java.util.List;
 import java.util.SplittableRandom;
 
 /**
- * Probes one member after the other, directly and by others' help, and makes probes for others. The
- * less it is answered at all, the more it doubts itself, and the longer it takes over everything.
+ * Probes the members, one in each period: directly, and if there is no answer through other members
+ * (SWIM). A member that answers neither is reported to a {@link SuspicionListener}. For the thread
+ * of its {@link Membership}.
  */
 @Deterministic
 final class FailureDetector {
+    /** Answers over which the rate of lost probes is averaged. */
+    private static final double LOSS_AVERAGED_OVER = 20;
 
-    /** Answers over which losses are remembered: ten seconds of probes. */
-    private static final double REMEMBERED = 20;
+    /** A member is suspected if silence of a live one would be at most so probable. */
+    private static final double MAX_FALSE_SUSPICION_PROBABILITY = 0.02;
 
-    /**
-     * The chance of no answer from a living member at which it is doubted: at 0.1 doubts filled
-     * all.
-     */
-    private static final double UNUSUAL = 0.02;
+    /** Periods over which a member is probed before it is suspected, at most. */
+    private static final int MAX_PROBE_PERIODS = 4;
 
-    private static final int MOST_PERIODS = 4;
-
-    /** Who is told what came of a probe. */
-    interface SuspicionListener {
-        /** A member has not answered, or badly, for a reason in words. */
-        void suspect(long now, MemberRecord k, String reason);
-    }
+    /** Datagrams that an indirect probe takes, there and back. */
+    private static final int INDIRECT_PROBE_DATAGRAMS = 4;
 
-    /** A probe that has begun. */
-    private static final class Probe {
-        final MemberRecord target;
-        final int seq;
-        final long askAt;
+    /** Without any datagram for so many periods the fault may lie with this process. */
+    private static final int SILENCE_PERIODS = 2;
 
-        /** Periods that it has gone on for without an answer, this one among them. */
-        final int periods;
+    /** A member heard within so many periods can help. */
+    private static final int HEARD_WITHIN_PERIODS = 4;
 
-        /** Others that were asked to help; -1: there was nobody to ask; 0: not yet. */
-        int asked;
-
-        int refused;
-        boolean over;
-
-        Probe(MemberRecord target, int seq, long askAt, int periods) {
-            this.target = target;
-            this.seq = seq;
-            this.askAt = askAt;
-            this.periods = periods;
-        }
+    private static final int TICKS_PER_CENTISECOND = 100;
 
-        boolean isAsking() {
-            return !over && asked == 0;
-        }
-    }
-
-    /** A probe made for another member. */
-    private record Favour(int seq, int theirSeq, String asker, String target, long until) {}
-
-    private final MembershipProtocolConfig rules;
+    private final MembershipProtocolConfig config;
     private final MemberTable table;
-    private final ProbeSchedule ring;
-    private final DatagramSender post;
-    private final SuspicionListener judge;
-    private final Collection<MemberRecord> suspects;
+    private final ProbeSchedule schedule;
+    private final DatagramSender sender;
     private final SplittableRandom random;
+    private final SuspicionListener listener;
+    private final SuspectSet suspects;
+    private final IndirectProbes indirectProbes;
+    private final LocalHealth localHealth;
+
+    /** Members to be probed before the schedule's next one. */
     private final Deque<MemberRecord> urgent = new ArrayDeque<>();
-    private final List<Favour> favours = new ArrayList<>();
+
+    /** The probe in progress; null before the first one and while there are no members. */
     private Probe probe;
-    private int doubt;
 
-    /** The part of living members that did not answer at once, of late. */
-    private double unanswered;
+    /** Moving average of the share of live members that did not answer at once. */
+    private double unansweredShare;
 
-    private long roundAt;
+    private long periodEndsAtTicks;
 
-    /** When this process last heard anybody. */
+    /** When any member was last heard. */
     private long heardAtTicks = MemberRecord.NEVER;
 
-    /** Suspects: all that are in doubt, as they stand at any time. */
-    FailureDetector(
-            MembershipProtocolConfig rules,
-            MemberTable table,
-            ProbeSchedule ring,
-            DatagramSender post,
-            SuspicionListener judge,
-            Collection<MemberRecord> suspects,
-            SplittableRandom random) {
-        this.rules = rules;
-        this.table = table;
-        this.ring = ring;
-        this.post = post;
-        this.judge = judge;
+    FailureDetector(MembershipContext context, SuspectSet suspects, SuspicionListener listener) {
+        this.config = context.config();
+        this.table = context.table();
+        this.schedule = context.schedule();
+        this.sender = context.sender();
+        this.random = context.random();
         this.suspects = suspects;
-        this.random = random;
+        this.listener = listener;
+        this.indirectProbes = new IndirectProbes(context);
+        this.localHealth = new LocalHealth(config.maxLocalHealthScore());
     }
 
-    /** Begins, or begins anew: what was under way comes to nothing. */
-    void start(long now) {
+    /** Starts, or starts again; probes in progress are abandoned. */
+    void start(long nowTicks) {
         probe = null;
-        favours.clear();
-        roundAt = now + random.nextLong(rules.periodTicks());
+        indirectProbes.clear();
+        periodEndsAtTicks = nowTicks + random.nextLong(config.periodTicks());
     }
 
-    /** Somebody has been heard. */
-    void messageReceived(long now) {
-        heardAtTicks = now;
+    /** A datagram of any member has come. */
+    void messageReceived(long nowTicks) {
+        heardAtTicks = nowTicks;
     }
 
-    /** How far this process doubts itself. */
-    int localHealthScore() {
-        return doubt;
+    LocalHealth localHealth() {
+        return localHealth;
     }
 
-    void degradeLocalHealth(int amount) {
-        doubt = Math.min(rules.maxLocalHealthScore(), doubt + amount);
-    }
-
-    private void improveLocalHealth() {
-        doubt = Math.max(0, doubt - 1);
+    IndirectProbes indirectProbes() {
+        return indirectProbes;
     }
 
     /**
-     * Somebody else doubts it: of a large fleet some look at once, by chance, or it could not
-     * answer all.
+     * Others suspect a member: it is probed soon with a probability such that, of a large
+     * membership, a few members do so and the suspect can answer all of them.
      */
-    void maybeProbeSoon(MemberRecord k) {
-        if (random.nextInt(1 + table.liveCount()) < 2 * rules.confirmationCount()
-                && urgent.size() < rules.maxMembers()) {
-            urgent.add(k);
+    void maybeProbeSoon(MemberRecord member) {
+        if (random.nextInt(1 + table.liveCount()) < 2 * config.confirmationCount()
+                && urgent.size() < config.maxMembers()) {
+            urgent.add(member);
         }
     }
 
-    /**
-     * Others hold one for failed, or are about to, whom this process has not found so: it looks
-     * soon.
-     */
-    void probeBeforeFailing(MemberRecord k) {
-        if (!k.contested && urgent.size() < rules.maxMembers()) {
-            k.contested = true;
-            urgent.addFirst(k);
+    /** Others found a member failed, or it is about to be: it is probed from here next. */
+    void probeBeforeFailing(MemberRecord member) {
+        if (!member.contested && urgent.size() < config.maxMembers()) {
+            member.contested = true;
+            urgent.addFirst(member);
         }
     }
 
-    /** When it wants to be called. */
+    /** When {@link #timerFired} is due. */
     long dueAtTicks() {
-        long at = roundAt;
-        if (probe != null && probe.isAsking()) {
-            at = Math.min(at, probe.askAt);
-        }
-        return favours.isEmpty() ? at : Math.min(at, favours.get(0).until);
+        long dueAtTicks = Math.min(periodEndsAtTicks, indirectProbes.dueAtTicks());
+        return isAckOverdueNext() ? Math.min(dueAtTicks, probe.ackDueTicks) : dueAtTicks;
     }
 
-    void timerFired(long now) {
-        if (probe != null && probe.isAsking() && now >= probe.askAt) {
-            askOthers(now);
-        }
-        if (now >= roundAt) {
-            round(now);
+    private boolean isAckOverdueNext() {
+        return probe != null && probe.isWaitingForDirectAck();
+    }
+
+    void timerFired(long nowTicks) {
+        if (isAckOverdueNext() && nowTicks >= probe.ackDueTicks) {
+            requestIndirectProbes(nowTicks);
         }
-        // In the order of their beginning, and so of their ends.
-        while (!favours.isEmpty() && now >= favours.get(0).until) {
-            done(now, favours.remove(0), Kind.NACK, false);
+        if (nowTicks >= periodEndsAtTicks) {
+            endPeriod(nowTicks);
         }
+        indirectProbes.expire(nowTicks);
     }
 
-    private void round(long now) {
-        if (probe != null && !probe.over) {
-            probe.over = true;
-            // Of those asked for help none has answered either, or nobody at all: the fault may lie
-            // here.
-            if (probe.asked > 0
-                    ? probe.refused == 0
-                    : now - heardAtTicks > 2 * rules.periodTicks()) {
-                degradeLocalHealth(1);
-            }
-            if (probe.target.update.state() == MemberState.ALIVE
-                    && probe.periods < periodsNeeded()) {
-                roundAt = now + rules.periodTicks() * (1 + doubt);
-                begin(now, probe.target, probe.periods + 1);
-                return;
-            }
-            judge.suspect(
-                    now,
-                    probe.target,
-                    "no answer to "
-                            + table.self().name()
-                            + (probe.asked > 0 ? " nor to " + probe.asked + " others" : ""));
+    private void endPeriod(long nowTicks) {
+        if (probe != null && !probe.finished && continuesAfterSilence(nowTicks)) {
+            return;
         }
         if (probe != null) {
             probe.target.contested = false;
         }
-        roundAt = now + rules.periodTicks() * (1 + doubt);
-        remind(now);
-        MemberRecord target = next();
+        startPeriod(nowTicks);
+        pingOneOwnSuspect(nowTicks);
+        MemberRecord target = nextTarget();
         if (target == null) {
             probe = null;
         } else {
-            begin(now, target, 1);
+            startProbe(nowTicks, target, 1);
+        }
+    }
+
+    /** Ends an unanswered probe; returns whether the same member is probed for another period. */
+    private boolean continuesAfterSilence(long nowTicks) {
+        probe.finished = true;
+        // No answer of the helpers either, or no datagram at all: the fault may lie here.
+        boolean selfSuspect =
+                probe.helpers > 0
+                        ? probe.nacks == 0
+                        : nowTicks - heardAtTicks > SILENCE_PERIODS * config.periodTicks();
+        if (selfSuspect) {
+            localHealth.degrade(1);
+        }
+        if (probe.target.update.state() == MemberState.ALIVE
+                && probe.periods < silentPeriodsNeeded()) {
+            startPeriod(nowTicks);
+            startProbe(nowTicks, probe.target, probe.periods + 1);
+            return true;
         }
+        listener.probeFailed(
+                nowTicks,
+                probe.target,
+                "no answer to "
+                        + table.self().name()
+                        + (probe.helpers > 0 ? " nor to " + probe.helpers + " others" : ""));
+        return false;
+    }
+
+    private void startPeriod(long nowTicks) {
+        periodEndsAtTicks = nowTicks + config.periodTicks() * localHealth.multiplier();
     }
 
-    private void begin(long now, MemberRecord target, int periods) {
+    private void startProbe(long nowTicks, MemberRecord target, int periods) {
         probe =
                 new Probe(
                         target,
-                        post.nextSequenceNumber(),
-                        now + rules.answerTimeoutTicks() * (1 + doubt),
+                        sender.nextSequenceNumber(),
+                        nowTicks + config.answerTimeoutTicks() * localHealth.multiplier(),
                         periods);
-        ping(now, target, probe.seq);
+        ping(nowTicks, target, probe.sequenceNumber);
     }
 
-    /**
-     * How many periods without an answer are unusual enough, by what is lost of late on living
-     * members.
-     */
-    private int periodsNeeded() {
-        double through = Math.sqrt(1 - unanswered);
-        double helped = Math.pow(1 - Math.pow(through, 4), rules.indirectProbeCount());
-        double none = unanswered * unanswered * helped;
+    /** How many periods a live member is unlikely to be silent for, by the present rate of loss. */
+    private int silentPeriodsNeeded() {
+        double datagramArrives = Math.sqrt(1 - unansweredShare);
+        double helpersFail =
+                Math.pow(1 - Math.pow(datagramArrives, INDIRECT_PROBE_DATAGRAMS), config.indirectProbeCount());
+        double silentPeriod = unansweredShare * unansweredShare * helpersFail;
         int needed = 1;
-        for (double chance = none; chance > UNUSUAL && needed < MOST_PERIODS; chance *= none) {
+        double probability = silentPeriod;
+        while (probability > MAX_FALSE_SUSPICION_PROBABILITY && needed < MAX_PROBE_PERIODS) {
             needed++;
+            probability *= silentPeriod;
         }
         return needed;
     }
 
-    /** A living member has answered: at once, or only when asked again or by others. */
-    private void answeredBy(boolean atOnce) {
-        unanswered += ((atOnce ? 0 : 1) - unanswered) / REMEMBERED;
-        improveLocalHealth();
+    /** A live member has answered: the first ping, or only a repeated or an indirect one. */
+    private void recordAnswer(boolean firstPing) {
+        unansweredShare += ((firstPing ? 0 : 1) - unansweredShare) / LOSS_AVERAGED_OVER;
+        localHealth.improve();
     }
 
-    private void ping(long now, MemberRecord target, int seq) {
-        Message m = post.newMessage(Kind.PING, seq);
-        m.target = target.update.name();
-        post.send(now, target, m);
+    private void ping(long nowTicks, MemberRecord target, int sequenceNumber) {
+        Message message = sender.newMessage(Kind.PING, sequenceNumber);
+        message.target = target.update.name();
+        sender.send(nowTicks, target, message);
     }
 
-    /**
-     * Whom this process doubts hears of it from here, and need not wait for the word to go round.
-     */
-    private void remind(long now) {
-        int self = MemberUpdate.nameHash(table.self().name());
-        List<MemberRecord> mine =
-                ring.sample(
+    /** Pings one member that this process accuses: the ping carries the accusation to it. */
+    private void pingOneOwnSuspect(long nowTicks) {
+        int selfHash = table.selfHash();
+        List<MemberRecord> accused =
+                schedule.sample(
                         1,
                         !suspects.isEmpty(),
-                        k -> k.suspicion != null && k.suspicion.accusedBy(self));
-        if (!mine.isEmpty()) {
-            ping(now, mine.get(0), post.nextSequenceNumber());
+                        member -> member.suspicion != null && member.suspicion.accusedBy(selfHash));
+        if (!accused.isEmpty()) {
+            ping(nowTicks, accused.get(0), sender.nextSequenceNumber());
         }
     }
 
-    private MemberRecord next() {
-        int self = MemberUpdate.nameHash(table.self().name());
+    private MemberRecord nextTarget() {
+        int selfHash = table.selfHash();
         while (!urgent.isEmpty()) {
-            MemberRecord k = urgent.poll();
-            if (!k.removed
-                    && k.update.state().isLive()
-                    && (k.contested || k.suspicion != null && !k.suspicion.accusedBy(self))) {
-                return k;
+            MemberRecord member = urgent.poll();
+            boolean unverifiedSuspect =
+                    member.suspicion != null && !member.suspicion.accusedBy(selfHash);
+            if (!member.removed && member.isLive() && (member.contested || unverifiedSuspect)) {
+                return member;
             }
-            k.contested = false;
+            member.contested = false;
         }
-        return ring.next();
+        return schedule.next();
     }
 
-    private void askOthers(long now) {
-        // Of those that were heard of late: beyond a cut nobody helps, and that says nothing of
-        // this side.
-        List<MemberRecord> helpers =
-                ring.sample(
-                        rules.indirectProbeCount(),
-                        k ->
-                                k != probe.target
-                                        && k.update.state() == MemberState.ALIVE
-                                        && now - k.heardAtTicks < 4 * rules.periodTicks());
-        if (helpers.isEmpty()) {
-            helpers =
-                    ring.sample(
-                            rules.indirectProbeCount(),
-                            k -> k != probe.target && k.update.state() == MemberState.ALIVE);
-        }
+    private void requestIndirectProbes(long nowTicks) {
+        List<MemberRecord> helpers = chooseHelpers(nowTicks);
         for (MemberRecord helper : helpers) {
-            Message m = post.newMessage(Kind.PING_REQUEST, probe.seq);
-            m.target = probe.target.update.name();
-            m.targetAddress = probe.target.update.address();
-            post.send(now, helper, m);
+            Message message = sender.newMessage(Kind.PING_REQUEST, probe.sequenceNumber);
+            message.target = probe.target.update.name();
+            message.targetAddress = probe.target.update.address();
+            sender.send(nowTicks, helper, message);
         }
-        probe.asked = helpers.isEmpty() ? -1 : helpers.size();
-        // The first may have been lost.
-        ping(now, probe.target, probe.seq);
+        probe.helpers = helpers.isEmpty() ? Probe.NO_HELPERS : helpers.size();
+        // The first ping may have been lost.
+        ping(nowTicks, probe.target, probe.sequenceNumber);
+    }
+
+    /** Prefers members heard lately: beyond a network partition none can help. */
+    private List<MemberRecord> chooseHelpers(long nowTicks) {
+        List<MemberRecord> helpers =
+                schedule.sample(
+                        config.indirectProbeCount(),
+                        member ->
+                                canHelp(member)
+                                        && nowTicks - member.heardAtTicks
+                                                < HEARD_WITHIN_PERIODS * config.periodTicks());
+        return helpers.isEmpty() ? schedule.sample(config.indirectProbeCount(), this::canHelp) : helpers;
     }
 
-    /** An answer has come, to a probe of one's own or to one made for another. */
-    void ackReceived(long now, Message m, MemberRecord k) {
-        if (probe != null && probe.seq == m.sequenceNumber && !probe.over) {
-            probe.over = true;
-            if (probe.target != k) {
-                judge.suspect(now, probe.target, k.update.name() + " answers at its address");
-            } else if (isResponsive(m.stallCentis)) {
-                k.ackedAtTicks = now;
-                k.hearsThisProcess = true;
-                answeredBy(probe.asked == 0);
+    private boolean canHelp(MemberRecord member) {
+        return member != probe.target && member.update.state() == MemberState.ALIVE;
+    }
+
+    /** A member has answered a ping, of this process's own probe or of one made for another. */
+    void ackReceived(long nowTicks, Message ack, MemberRecord member) {
+        boolean responsive = isResponsive(ack.stallCentis);
+        if (isAnswerToProbe(ack)) {
+            probe.finished = true;
+            if (probe.target != member) {
+                listener.probeFailed(
+                        nowTicks, probe.target, member.update.name() + " answers at its address");
+            } else if (responsive) {
+                member.ackedAtTicks = nowTicks;
+                member.hearsThisProcess = true;
+                recordAnswer(probe.helpers == 0);
             } else {
-                judge.suspect(
-                        now, k, "its module stands still for " + m.stallCentis / 100.0 + " s");
-            }
-        }
-        for (Favour f : List.copyOf(favours)) {
-            if (f.seq == m.sequenceNumber && f.target.equals(k.update.name())) {
-                favours.remove(f);
-                done(
-                        now,
-                        f,
-                        isResponsive(m.stallCentis) ? Kind.INDIRECT_ACK : Kind.NACK,
-                        m.heardRecently);
+                listener.probeFailed(
+                        nowTicks,
+                        member,
+                        "its module stands still for " + ack.stallCentis / 100.0 + " s");
             }
         }
+        indirectProbes.ackReceived(nowTicks, ack, member, responsive);
     }
 
-    /**
-     * Whether a module that has stood still for so many hundredths of a second still counts as
-     * serving.
-     */
-    boolean isResponsive(int hundredths) {
-        return hundredths * 100L <= rules.stallTimeoutTicks();
+    private boolean isAnswerToProbe(Message message) {
+        return probe != null && probe.sequenceNumber == message.sequenceNumber && !probe.finished;
     }
 
-    /** One that was asked to help has an answer, or has none. */
-    void indirectResultReceived(long now, Message m) {
-        if (probe == null || probe.seq != m.sequenceNumber || probe.over) {
-            return;
-        }
-        if (m.kind == Kind.NACK) {
-            probe.refused++;
-        } else {
-            probe.target.indirectAckAtTicks = now;
-            probe.target.hearsThisProcess = m.heardRecently;
-            probe.over = true;
-            answeredBy(false);
-        }
+    /** Whether a process whose worker has stalled for so long still counts as working. */
+    boolean isResponsive(int stallCentis) {
+        return (long) stallCentis * TICKS_PER_CENTISECOND <= config.stallTimeoutTicks();
     }
 
-    /** Another asks for help. */
-    void pingRequestReceived(long now, Message m, MemberRecord asker) {
-        if (m.target.equals(table.self().name()) || favours.size() >= rules.maxMembers()) {
+    /** A helper has reported the result of an indirect probe. */
+    void indirectResultReceived(long nowTicks, Message message) {
+        if (!isAnswerToProbe(message)) {
             return;
         }
-        Message ping = post.newMessage(Kind.PING, post.nextSequenceNumber());
-        ping.target = m.target;
-        ping.onBehalfOf = asker.update.name();
-        favours.add(
-                new Favour(
-                        ping.sequenceNumber,
-                        m.sequenceNumber,
-                        asker.update.name(),
-                        m.target,
-                        now + rules.answerTimeoutTicks()));
-        post.send(now, m.targetAddress, table.get(m.target), ping, 0);
-    }
-
-    private void done(long now, Favour f, Kind kind, boolean heard) {
-        MemberRecord asker = table.get(f.asker);
-        if (asker != null && asker.update.state().isLive()) {
-            Message m = post.newMessage(kind, f.theirSeq);
-            m.heardRecently = heard;
-            post.send(now, asker, m);
+        if (message.kind == Kind.NACK) {
+            probe.nacks++;
+        } else {
+            probe.target.indirectAckAtTicks = nowTicks;
+            probe.target.hearsThisProcess = message.heardRecently;
+            probe.finished = true;
+            recordAnswer(false);
         }
     }
 
-    /** All that decides what it does next. */
-    String fingerprint(long now) {
-        StringBuilder text = new StringBuilder().append(doubt).append(' ').append(roundAt - now);
+    /** All that decides what comes next, for tests that compare states. */
+    String fingerprint(long nowTicks) {
+        StringBuilder text = new StringBuilder();
+        text.append(localHealth.score()).append(' ').append(periodEndsAtTicks - nowTicks);
         if (probe != null) {
-            text.append(' ')
-                    .append(probe.target.update.name())
-                    .append(probe.over)
-                    .append(probe.asked)
-                    .append(probe.periods)
-                    .append(probe.refused)
-                    .append(' ')
-                    .append(probe.askAt - now);
+            probe.appendFingerprint(text, nowTicks);
         }
-        favours.forEach(
-                f -> text.append(' ').append(f.asker).append(f.target).append(f.until - now));
-        urgent.forEach(k -> text.append(' ').append(k.update.name()));
+        indirectProbes.appendFingerprint(text, nowTicks);
+        urgent.forEach(member -> text.append(' ').append(member.update.name()));
         return text.toString();
     }
 }
--- /dev/null
+++ b/src/main/java/cottonlock/membership/JoinProtocol.java
@@ -0,0 +1,75 @@
+package cottonlock.membership;
+
+import cottonlock.core.Deterministic;
+import cottonlock.setup.MembershipProtocolConfig;
+
+/**
+ * Decides when a joining process becomes alive: once its view equals that of a live member, or
+ * after a while if it finds no member at all. For the thread of its {@link Membership}.
+ */
+@Deterministic
+final class JoinProtocol {
+    /** After so many times the configured wait it becomes alive whatever the views. */
+    private static final int MAX_WAITS = 5;
+
+    /** Parts of the configured wait after which it looks again. */
+    private static final int RECHECKS_PER_WAIT = 4;
+
+    private final MembershipProtocolConfig config;
+    private final MemberTable table;
+    private final MembershipActions actions;
+    private final SelfAnnouncer announcer;
+    private long startedAtTicks;
+    private long dueAtTicks;
+
+    JoinProtocol(MembershipContext context, SelfAnnouncer announcer) {
+        this.config = context.config();
+        this.table = context.table();
+        this.actions = context.actions();
+        this.announcer = announcer;
+    }
+
+    /** The process has started. */
+    void start(long nowTicks) {
+        startedAtTicks = nowTicks;
+        restart(nowTicks);
+    }
+
+    /** The process has become {@link MemberState#JOINING} again. */
+    void restart(long nowTicks) {
+        dueAtTicks = nowTicks + config.joinTimeoutTicks();
+    }
+
+    /** When the process started. */
+    long startedAtTicks() {
+        return startedAtTicks;
+    }
+
+    /** When {@link #tryJoin} is due, if the process is joining. */
+    long dueAtTicks() {
+        return dueAtTicks;
+    }
+
+    boolean isJoining() {
+        return table.self().state() == MemberState.JOINING;
+    }
+
+    /** Becomes alive if the views agree or there is no other member; else looks again later. */
+    void tryJoin(long nowTicks) {
+        boolean alone = table.liveCount() == 0;
+        boolean agrees = alone || table.anyMatch(this::confirmsView);
+        if (agrees || nowTicks - startedAtTicks > MAX_WAITS * config.joinTimeoutTicks()) {
+            announcer.announce(nowTicks, table.self().withState(MemberState.ALIVE, 0));
+            actions.memberStateChanged(
+                    table.self().name(),
+                    MemberState.ALIVE,
+                    alone ? "nobody else is there" : "its view is that of others");
+        } else {
+            dueAtTicks = nowTicks + config.joinTimeoutTicks() / RECHECKS_PER_WAIT;
+        }
+    }
+
+    private boolean confirmsView(MemberRecord member) {
+        return member.isLive() && member.heardAtTicks >= startedAtTicks && !member.diverges();
+    }
+}
--- a/src/main/java/cottonlock/membership/MemberRecord.java
+++ b/src/main/java/cottonlock/membership/MemberRecord.java
@@ -3,105 +3,131 @@
 import cottonlock.core.Deterministic;
 
 /**
- * One other member as this proxy knows it. Times are tenths of a millisecond; NEVER is before all.
+ * What this process knows of one other member. Times are in ticks of 0.1 ms. For the thread of its
+ * {@link Membership}.
  */
 @Deterministic
 final class MemberRecord {
+    /** A time before all others. */
     static final long NEVER = Long.MIN_VALUE / 4;
 
-    /** Datagrams that may overtake one another; what is older counts as a repetition. */
-    private static final int WINDOW = 64;
+    /** Datagrams that may overtake one another; an older one counts as a duplicate. */
+    private static final int REORDERING_WINDOW = 64;
 
+    /** The highest update received. Changed by {@link MemberTable#replace} only. */
     MemberUpdate update;
 
-    /** Of the word, kept: all are added up often. */
+    /** {@link MemberUpdate#digest} of the update, kept because it is summed often. */
     long updateDigest;
 
-    /** Since when it is what it is, and why. */
+    /** When the member got its state. */
     long stateSinceTicks;
 
+    /** Why it has its state, in words. */
     String reason = "";
+
+    /** Hash of the member's name. */
     final int nameHash;
 
-    /** The last datagram of its own that came here without a detour. */
+    /** When the last datagram came directly from the member. */
     long heardAtTicks = NEVER;
 
-    /** For how long its module had stood still by then, in hundredths of a second. */
+    /** For how long its worker had made no progress at that time, in hundredths of a second. */
     int stallCentis;
 
-    /** The last direct and the last relayed answer to a probe of this proxy. */
+    /** When it last answered a direct probe of this process. */
     long ackedAtTicks = NEVER;
 
+    /** When another member last relayed its answer. */
     long indirectAckAtTicks = NEVER;
 
-    /** Whether it said, on the detour, that it hears this proxy directly. */
+    /** Whether its last answer, direct or relayed, said that it hears this process directly. */
     boolean hearsThisProcess;
 
-    /** Since when its view has differed; NEVER: it does not. */
+    /** Since when its view differs from this one; {@link #NEVER}: it does not. */
     long divergedSinceTicks = NEVER;
 
-    /** When it was last told what is held of it. */
+    /** When this process last sent it the accusation that is held against it. */
     long notifiedAtTicks = NEVER;
 
-    /** While it is in doubt. */
+    /** The suspicion in progress; null if there is none. */
     SuspicionTimer suspicion;
 
-    /** Whether others hold it for failed, and it has not been probed from here since. */
+    /** Whether another member found it failed, and it has not been probed from here since. */
     boolean contested;
 
-    /** Whether it has been dropped. */
+    /** Whether it was removed from the table. */
     boolean removed;
 
-    private long counter = -1;
-    private long seen;
+    private long highestDatagramNumber = -1;
+
+    /** Bit n: whether the datagram with the number {@code highestDatagramNumber - n} has come. */
+    private long receivedBits;
 
-    MemberRecord(MemberUpdate update, long now) {
+    MemberRecord(MemberUpdate update, long nowTicks) {
         this.update = update;
         this.updateDigest = update.digest();
-        this.stateSinceTicks = now;
+        this.stateSinceTicks = nowTicks;
         this.nameHash = MemberUpdate.nameHash(update.name());
     }
 
-    /**
-     * Another process under the name: what was heard of the one before says nothing of it, nor its
-     * view.
-     */
+    /** Discards what was observed of the process before: another one runs under the name. */
     void resetForNewGeneration() {
         heardAtTicks = NEVER;
         ackedAtTicks = NEVER;
         indirectAckAtTicks = NEVER;
         stallCentis = 0;
-        counter = -1;
-        seen = 0;
+        highestDatagramNumber = -1;
+        receivedBits = 0;
     }
 
-    /** Whether a datagram is neither a repetition nor so old that nobody can tell. */
+    /**
+     * Records a datagram's number.
+     *
+     * @return false for a duplicate, and for a number too old to tell
+     */
     boolean acceptDatagramNumber(long number) {
-        if (number > counter) {
-            long ahead = number - counter;
-            seen = ahead >= WINDOW ? 1 : seen << ahead | 1;
-            counter = number;
+        if (number > highestDatagramNumber) {
+            long ahead = number - highestDatagramNumber;
+            receivedBits = ahead >= REORDERING_WINDOW ? 1 : (receivedBits << ahead) | 1;
+            highestDatagramNumber = number;
             return true;
         }
-        long behind = counter - number;
-        if (behind >= WINDOW || (seen >>> behind & 1) == 1) {
+        long behind = highestDatagramNumber - number;
+        if (behind >= REORDERING_WINDOW || ((receivedBits >>> behind) & 1) == 1) {
             return false;
         }
-        seen |= 1L << behind;
+        receivedBits |= 1L << behind;
         return true;
     }
 
-    /** Whether others hold, or are to be told, that it is not well. */
+    /** Whether the member is suspected or was found failed. */
     boolean isAccused() {
-        return update.state() == MemberState.SUSPECT || update.state() == MemberState.FAILED;
+        return update.state().isAccusation();
     }
 
+    /** Whether the member may be running. */
+    boolean isLive() {
+        return update.state().isLive();
+    }
+
+    /** Whether the member may be running and its view differs from this one. */
     boolean diverges() {
-        return update.state().isLive() && divergedSinceTicks != NEVER;
+        return isLive() && divergedSinceTicks != NEVER;
     }
 
-    /** Which of so many parts of the names it lies in. */
-    int partition(int parts) {
-        return Math.floorMod(nameHash, parts);
+    /** The partition of the names in which the member lies. */
+    int partition(int partitions) {
+        return Math.floorMod(nameHash, partitions);
+    }
+
+    /** All that decides what comes next, for tests that compare states. */
+    void appendFingerprint(StringBuilder text, long nowTicks) {
+        text.append(update).append(diverges()).append(stallCentis);
+        if (suspicion != null) {
+            text.append(suspicion.accuserCount())
+                    .append(' ')
+                    .append(suspicion.expiresAtTicks() - nowTicks);
+        }
     }
 }
--- a/src/main/java/cottonlock/membership/MemberTable.java
+++ b/src/main/java/cottonlock/membership/MemberTable.java
@@ -9,151 +9,166 @@
 import java.util.function.Predicate;
 
 /**
- * The members that one process knows, itself among them, in the order of their names, and their
- * digest.
+ * All members that one process knows, itself among them, and the digest of that view. Counts and
+ * digests are maintained with each change, so that reading them needs no look at all members. For
+ * the thread of its {@link Membership}.
  */
 @Deterministic
 final class MemberTable {
-    private final int most;
+    private final int maxMembers;
+
+    /** All members but this process. */
     private final List<MemberRecord> others = new ArrayList<>();
 
-    /** Whether they stand in the order of their names just now. */
+    /** Whether {@link #others} is in the order of names. */
     private boolean sorted = true;
 
-    /** The same by the hashes of their names. */
-    private final Map<Integer, MemberRecord> byHash = new HashMap<>();
+    /** The others by the hashes of their names. */
+    private final Map<Integer, MemberRecord> byNameHash = new HashMap<>();
 
-    /** Whether two names have ever had one hash: then all are looked through. */
-    private boolean alike;
+    /** Whether two names have ever had the same hash: then members are searched linearly. */
+    private boolean hashCollision;
 
-    private final ContactAddresses addresses;
+    private final ContactAddresses contactAddresses;
 
-    /**
-     * By part of the names, each in the order of the names; and the sum of the marks of its living.
-     */
-    private final List<List<MemberRecord>> byPart = new ArrayList<>();
+    /** The others by partition, each in the order of names. */
+    private final List<List<MemberRecord>> byPartition = new ArrayList<>();
 
-    private final int[] marks = new int[DatagramCodec.MAX_PARTITIONS];
-    private MemberUpdate me;
+    /** Digest of the live others of each partition. */
+    private final int[] digestByPartition = new int[DatagramCodec.MAX_PARTITIONS];
+
+    private MemberUpdate self;
     private long digest;
-    private int alive;
 
-    /** Members that may live and whose view differs. */
-    private int differing;
+    /** Number of live others. */
+    private int liveCount;
+
+    /** Number of live others whose view differs. */
+    private int divergingCount;
 
-    /** Most: members at most, those that are dead but not forgotten among them. */
-    MemberTable(MemberUpdate me, int most, ContactAddresses addresses) {
-        this.me = me;
-        this.most = most;
-        this.addresses = addresses;
+    /**
+     * Creates a table that holds this process alone.
+     *
+     * @param maxMembers in the table, this process and members that have failed or left among them
+     */
+    MemberTable(MemberUpdate self, int maxMembers, ContactAddresses contactAddresses) {
+        this.self = self;
+        this.maxMembers = maxMembers;
+        this.contactAddresses = contactAddresses;
         for (int i = 0; i < DatagramCodec.MAX_PARTITIONS; i++) {
-            byPart.add(new ArrayList<>());
+            byPartition.add(new ArrayList<>());
         }
-        this.digest = me.digest();
+        this.digest = self.digest();
     }
 
+    /** This process's claim about itself. */
     MemberUpdate self() {
-        return me;
+        return self;
     }
 
-    /** This process says something else of itself. */
-    void setSelf(MemberUpdate w) {
-        digest += w.digest() - me.digest();
-        me = w;
+    void setSelf(MemberUpdate update) {
+        digest += update.digest() - self.digest();
+        self = update;
     }
 
-    /** Of all that may be alive, whatever way they have become known. */
+    /** Hash of this process's name. */
+    int selfHash() {
+        return MemberUpdate.nameHash(self.name());
+    }
+
+    /** Digest of all live members; equal views have equal digests. */
     long digest() {
         return digest;
     }
 
-    /** How many others may be alive. */
+    /** Number of live members besides this process. */
     int liveCount() {
-        return alive;
+        return liveCount;
     }
 
+    /** The member with a name; null if there is none. */
     MemberRecord get(String name) {
-        if (alike) {
-            for (MemberRecord k : others) {
-                if (k.update.name().equals(name)) {
-                    return k;
+        if (hashCollision) {
+            for (MemberRecord member : others) {
+                if (member.update.name().equals(name)) {
+                    return member;
                 }
             }
             return null;
         }
-        // A tree asks a dozen names for each word of each datagram, and none of them is near the
-        // processor.
-        MemberRecord k = byHash.get(MemberUpdate.nameHash(name));
-        return k != null && k.update.name().equals(name) ? k : null;
+        MemberRecord member = byNameHash.get(MemberUpdate.nameHash(name));
+        return member != null && member.update.name().equals(name) ? member : null;
     }
 
+    /** All members but this process, in the order of names. */
     List<MemberRecord> members() {
         if (!sorted) {
-            others.sort(Comparator.comparing(k -> k.update.name()));
+            others.sort(Comparator.comparing(member -> member.update.name()));
             sorted = true;
         }
         return others;
     }
 
-    /** Whether there is one like that, in whatever order. */
-    boolean anyMatch(Predicate<MemberRecord> wanted) {
-        for (MemberRecord k : others) {
-            if (wanted.test(k)) {
+    /** Whether any member but this process matches. */
+    boolean anyMatch(Predicate<MemberRecord> filter) {
+        for (MemberRecord member : others) {
+            if (filter.test(member)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Where somebody may be found whom nobody here holds for alive. */
+    /** Addresses at which a member may be found that is not known to be live. */
     ContactAddresses contactAddresses() {
-        return addresses;
+        return contactAddresses;
     }
 
-    /** Members that may live and whose view differs from this one. */
+    /** Number of live members whose view differs from this one. */
     int divergingCount() {
-        return differing;
+        return divergingCount;
     }
 
-    /** Since when a member's view has differed; NEVER: it does not. */
-    void setDivergedSince(MemberRecord k, long since) {
-        differing -= k.diverges() ? 1 : 0;
-        k.divergedSinceTicks = since;
-        differing += k.diverges() ? 1 : 0;
+    /** Sets since when a member's view has differed; {@link MemberRecord#NEVER}: it does not. */
+    void setDivergedSince(MemberRecord member, long sinceTicks) {
+        divergingCount -= member.diverges() ? 1 : 0;
+        member.divergedSinceTicks = sinceTicks;
+        divergingCount += member.diverges() ? 1 : 0;
     }
 
-    /** Whoever has a name of this hash; null: nobody. */
+    /** A member whose name has that hash; null if there is none. */
     MemberRecord byNameHash(int hash) {
-        return alike ? firstHashed(hash) : byHash.get(hash);
+        return hashCollision ? firstWithNameHash(hash) : byNameHash.get(hash);
     }
 
-    private MemberRecord firstHashed(int hash) {
-        for (MemberRecord k : members()) {
-            if (k.nameHash == hash) {
-                return k;
+    private MemberRecord firstWithNameHash(int hash) {
+        for (MemberRecord member : members()) {
+            if (member.nameHash == hash) {
+                return member;
             }
         }
         return null;
     }
 
-    /** One that was not known; its word counts as soon as it is replaced. */
-    MemberRecord add(MemberUpdate w, long now) {
-        MemberRecord k = new MemberRecord(w, now);
-        others.add(k);
+    /** Adds a member that was unknown. Its update does not count before {@link #replace}. */
+    MemberRecord add(MemberUpdate update, long nowTicks) {
+        MemberRecord member = new MemberRecord(update, nowTicks);
+        others.add(member);
         sorted = false;
-        alike |= byHash.put(k.nameHash, k) != null;
-        List<MemberRecord> part = byPart.get(k.partition(DatagramCodec.MAX_PARTITIONS));
-        part.add(place(part, w.name()), k);
-        return k;
+        hashCollision |= byNameHash.put(member.nameHash, member) != null;
+        List<MemberRecord> partition =
+                byPartition.get(member.partition(DatagramCodec.MAX_PARTITIONS));
+        partition.add(insertionPoint(partition, update.name()), member);
+        return member;
     }
 
-    /** Where a name is among these, or would be. */
-    private static int place(List<MemberRecord> part, String name) {
+    /** The index of a name in a sorted list, or the index at which it would be inserted. */
+    private static int insertionPoint(List<MemberRecord> sortedMembers, String name) {
         int from = 0;
-        int to = part.size();
+        int to = sortedMembers.size();
         while (from < to) {
             int middle = (from + to) >>> 1;
-            if (part.get(middle).update.name().compareTo(name) < 0) {
+            if (sortedMembers.get(middle).update.name().compareTo(name) < 0) {
                 from = middle + 1;
             } else {
                 to = middle;
@@ -162,114 +177,131 @@
         return from;
     }
 
-    /** Another word on a member; before: whether the old one counted. */
-    void replace(MemberRecord k, MemberUpdate w, boolean counted) {
-        boolean lived = counted && k.update.state().isLive();
-        boolean lives = w.state().isLive();
-        long mark = w.digest();
-        digest += (lives ? mark : 0) - (lived ? k.updateDigest : 0);
-        alive += (lives ? 1 : 0) - (lived ? 1 : 0);
-        marks[k.partition(DatagramCodec.MAX_PARTITIONS)] +=
-                (lives ? (int) (mark >>> 32) : 0) - (lived ? (int) (k.updateDigest >>> 32) : 0);
-        differing -= k.diverges() ? 1 : 0;
+    /**
+     * Sets a member's update.
+     *
+     * @param counted whether the previous update counts already; false for a member just added
+     */
+    void replace(MemberRecord member, MemberUpdate update, boolean counted) {
+        boolean wasLive = counted && member.isLive();
+        boolean isLive = update.state().isLive();
+        long newDigest = update.digest();
+        digest += (isLive ? newDigest : 0) - (wasLive ? member.updateDigest : 0);
+        liveCount += (isLive ? 1 : 0) - (wasLive ? 1 : 0);
+        digestByPartition[member.partition(DatagramCodec.MAX_PARTITIONS)] +=
+                (isLive ? shorten(newDigest) : 0) - (wasLive ? shorten(member.updateDigest) : 0);
+        divergingCount -= member.diverges() ? 1 : 0;
         if (counted) {
-            addresses.remove(k.update);
+            contactAddresses.remove(member.update);
         }
-        addresses.add(w);
-        k.update = w;
-        k.updateDigest = mark;
-        differing += k.diverges() ? 1 : 0;
+        contactAddresses.add(update);
+        member.update = update;
+        member.updateDigest = newDigest;
+        divergingCount += member.diverges() ? 1 : 0;
+    }
+
+    /** The part of a digest that is compared by partition. */
+    private static int shorten(long updateDigest) {
+        return (int) (updateDigest >>> 32);
     }
 
     boolean isFull() {
-        return others.size() + 1 >= most;
+        return others.size() + 1 >= maxMembers;
     }
 
-    /** The one that has been dead for longest; null where all may live. */
+    /** The member that has not been live for the longest time; null if all are live. */
     MemberRecord longestDead() {
         MemberRecord oldest = null;
-        for (MemberRecord k : members()) {
-            if (!k.update.state().isLive()
-                    && (oldest == null || k.stateSinceTicks < oldest.stateSinceTicks)) {
-                oldest = k;
+        for (MemberRecord member : members()) {
+            if (!member.isLive()
+                    && (oldest == null || member.stateSinceTicks < oldest.stateSinceTicks)) {
+                oldest = member;
             }
         }
         return oldest;
     }
 
-    void remove(MemberRecord k) {
-        setDivergedSince(k, MemberRecord.NEVER);
-        addresses.remove(k.update);
-        List<MemberRecord> part = byPart.get(k.partition(DatagramCodec.MAX_PARTITIONS));
-        if (k.update.state().isLive()) {
-            digest -= k.updateDigest;
-            alive--;
-            marks[k.partition(DatagramCodec.MAX_PARTITIONS)] -= (int) (k.updateDigest >>> 32);
+    void remove(MemberRecord member) {
+        setDivergedSince(member, MemberRecord.NEVER);
+        contactAddresses.remove(member.update);
+        int partition = member.partition(DatagramCodec.MAX_PARTITIONS);
+        if (member.isLive()) {
+            digest -= member.updateDigest;
+            liveCount--;
+            digestByPartition[partition] -= shorten(member.updateDigest);
         }
-        part.remove(place(part, k.update.name()));
-        byHash.remove(k.nameHash, k);
-        others.remove(k);
-        k.removed = true;
+        List<MemberRecord> partitionMembers = byPartition.get(partition);
+        partitionMembers.remove(insertionPoint(partitionMembers, member.update.name()));
+        byNameHash.remove(member.nameHash, member);
+        others.remove(member);
+        member.removed = true;
     }
 
-    /** A short digest of each of so many parts of the names. */
-    int[] partitionDigests(int parts) {
-        int[] some = new int[parts];
-        if (DatagramCodec.MAX_PARTITIONS % parts == 0) {
-            for (int i = 0; i < marks.length; i++) {
-                some[i % parts] += marks[i];
+    /** Digests of the live members of each of so many partitions, this process among them. */
+    int[] partitionDigests(int partitions) {
+        int[] digests = new int[partitions];
+        if (DatagramCodec.MAX_PARTITIONS % partitions == 0) {
+            for (int i = 0; i < digestByPartition.length; i++) {
+                digests[i % partitions] += digestByPartition[i];
             }
         } else {
-            for (MemberRecord k : others) {
-                some[k.partition(parts)] +=
-                        k.update.state().isLive() ? (int) (k.updateDigest >>> 32) : 0;
+            for (MemberRecord member : others) {
+                digests[member.partition(partitions)] +=
+                        member.isLive() ? shorten(member.updateDigest) : 0;
             }
         }
-        some[myPart(parts)] += (int) (me.digest() >>> 32);
-        return some;
+        digests[selfPartition(partitions)] += shorten(self.digest());
+        return digests;
     }
 
-    private int myPart(int parts) {
-        return Math.floorMod(MemberUpdate.nameHash(me.name()), parts);
+    private int selfPartition(int partitions) {
+        return Math.floorMod(selfHash(), partitions);
     }
 
-    /**
-     * The words on all that may live in one part of the names, this process among them, by name.
-     */
-    List<MemberUpdate> liveUpdates(int parts, int part) {
-        List<MemberUpdate> words = new ArrayList<>();
-        boolean mine = myPart(parts) == part;
-        for (MemberRecord k :
-                parts == DatagramCodec.MAX_PARTITIONS ? byPart.get(part) : members()) {
-            if (mine && k.update.name().compareTo(me.name()) > 0) {
-                words.add(me);
-                mine = false;
+    /** Updates of the live members of a partition, in the order of names, this process's too. */
+    List<MemberUpdate> liveUpdates(int partitions, int partition) {
+        List<MemberUpdate> updates = new ArrayList<>();
+        boolean selfDue = selfPartition(partitions) == partition;
+        for (MemberRecord member : candidates(partitions, partition)) {
+            if (selfDue && member.update.name().compareTo(self.name()) > 0) {
+                updates.add(self);
+                selfDue = false;
             }
-            if (k.update.state().isLive() && k.partition(parts) == part) {
-                words.add(k.update);
+            if (member.isLive() && member.partition(partitions) == partition) {
+                updates.add(member.update);
             }
         }
-        if (mine) {
-            words.add(me);
+        if (selfDue) {
+            updates.add(self);
         }
-        return words;
+        return updates;
     }
 
-    /** Those of a part behind a name, up to another one; last null: to the end. */
-    List<MemberRecord> membersBetween(int parts, int part, String after, String last) {
-        List<MemberRecord> some = new ArrayList<>();
-        List<MemberRecord> whole =
-                parts == DatagramCodec.MAX_PARTITIONS ? byPart.get(part) : members();
-        int from = place(whole, after);
-        boolean there = from < whole.size() && whole.get(from).update.name().equals(after);
-        for (MemberRecord k : whole.subList(there ? from + 1 : from, whole.size())) {
-            if (last != null && k.update.name().compareTo(last) > 0) {
+    /** Members in the order of names, those of the partition among them. */
+    private List<MemberRecord> candidates(int partitions, int partition) {
+        return partitions == DatagramCodec.MAX_PARTITIONS ? byPartition.get(partition) : members();
+    }
+
+    /**
+     * Members of a partition, in the order of names.
+     *
+     * @param after they follow this name
+     * @param last they end with this name; null: with the last one
+     */
+    List<MemberRecord> membersBetween(int partitions, int partition, String after, String last) {
+        List<MemberRecord> result = new ArrayList<>();
+        List<MemberRecord> candidates = candidates(partitions, partition);
+        int from = insertionPoint(candidates, after);
+        boolean found =
+                from < candidates.size() && candidates.get(from).update.name().equals(after);
+        for (MemberRecord member : candidates.subList(found ? from + 1 : from, candidates.size())) {
+            if (last != null && member.update.name().compareTo(last) > 0) {
                 break;
             }
-            if (k.partition(parts) == part) {
-                some.add(k);
+            if (member.partition(partitions) == partition) {
+                result.add(member);
             }
         }
-        return some;
+        return result;
     }
 }
--- a/src/main/java/cottonlock/membership/MemberUpdate.java
+++ b/src/main/java/cottonlock/membership/MemberUpdate.java
@@ -4,17 +4,17 @@
 import cottonlock.decision.lane.RendezvousHash;
 
 /**
- * What is said of one member. Words on the same name are in one order, and the highest holds
- * wherever it has come to, by whatever way and in whatever order: so views that hear the same words
- * agree.
+ * One statement about one member. Updates about the same name are totally ordered, and the highest
+ * one wins wherever it has arrived, so that members which have received the same updates hold the
+ * same view.
  *
- * @param name of the proxy, the same over its restarts
- * @param address where its datagrams come from and go to
- * @param life of the process: begun with the milliseconds since 1970 at its start, raised by itself
- *     where another was known; only the process itself begins one
- * @param turn raised by the process itself whenever it must contradict
- * @param by a hash of the name of whoever doubts it or holds it for failed; 0 for its own word. It
- *     does not count in the order
+ * @param name of the member, the same over restarts of its process
+ * @param address from which its datagrams come and to which they are sent
+ * @param generation of the process: the milliseconds since 1970 at its start, raised by the process
+ *     itself if it finds a later one of its name; no other process sets it
+ * @param incarnation within the generation, raised only by the process itself to refute a suspicion
+ * @param accuserHash hash of the name of the member that suspects this one or found it failed; 0 in
+ *     a member's own claims. It does not count in the order.
  */
 @Deterministic
 record MemberUpdate(
@@ -25,7 +25,9 @@
         MemberState state,
         int accuserHash) {
 
-    /** Whether it holds in place of the other. */
+    /**
+     * Whether this update is later than the other in the order of generation, incarnation, state.
+     */
     boolean supersedes(MemberUpdate other) {
         int order = compareGenerations(other);
         if (order == 0) {
@@ -35,7 +37,8 @@
     }
 
     /**
-     * Which process is the later one of that name; two of the same millisecond are told by address.
+     * Compares which process of the name is the later one; processes started in the same
+     * millisecond are ordered by address.
      */
     int compareGenerations(MemberUpdate other) {
         return generation != other.generation
@@ -43,23 +46,28 @@
                 : address.compareTo(other.address);
     }
 
-    MemberUpdate withState(MemberState other, int accuser) {
-        return new MemberUpdate(name, address, generation, incarnation, other, accuser);
+    /** The same member in another state, as stated by an accuser. */
+    MemberUpdate withState(MemberState newState, int newAccuserHash) {
+        return new MemberUpdate(name, address, generation, incarnation, newState, newAccuserHash);
+    }
+
+    /** The same process of the member's own claim, with another incarnation and state. */
+    MemberUpdate ownClaim(long newGeneration, int newIncarnation, MemberState newState) {
+        return new MemberUpdate(name, address, newGeneration, newIncarnation, newState, 0);
     }
 
     /**
-     * For digests: two views are alike when the sums of these are. Doubts don't count: they come
-     * and go, and what they lead to does.
+     * The update's share in the digest of a view: views are equal if the sums of these are.
+     * Suspicion does not count, as it comes and goes.
      */
     long digest() {
-        long who =
+        long nameAndIncarnation =
                 RendezvousHash.of((state == MemberState.JOINING ? 1 : 0) + 2 * incarnation, name);
-        // A product: of sums of parts, two members that exchange their addresses would go
-        // unnoticed.
-        return who * (RendezvousHash.of(Long.hashCode(generation), address) | 1);
+        // A product and no sum: two members that exchange their addresses must change the digest.
+        return nameAndIncarnation * (RendezvousHash.of(Long.hashCode(generation), address) | 1);
     }
 
-    /** What stands for a name where there is no room for it; never 0. */
+    /** The hash that stands for a member's name in datagrams; never 0. */
     static int nameHash(String name) {
         int hash = (int) RendezvousHash.of(0, name);
         return hash == 0 ? 1 : hash;
--- a/src/main/java/cottonlock/membership/MembershipService.java
+++ b/src/main/java/cottonlock/membership/MembershipService.java
@@ -1,5 +1,6 @@
 package cottonlock.membership;
 
+import cottonlock.core.Ticks;
 import cottonlock.setup.MembershipConfig;
 import java.io.IOException;
 import java.net.DatagramPacket;
@@ -8,345 +9,236 @@
 import java.net.SocketTimeoutException;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
-import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.function.BooleanSupplier;
-import java.util.function.Consumer;
-import java.util.function.LongSupplier;
 
 /**
- * Carries a {@link Membership} on one UDP socket with one thread. Datagrams that are none of the
- * fleet's go to whoever shares the socket. Its calls may come from any thread.
+ * Runs a {@link Membership} on a UDP socket. The thread that executes {@link #run} owns the
+ * socket's input and the timer; the other methods may be called by any thread. The state machine,
+ * its actions and the authenticator are guarded by the state machine's monitor.
  */
-public final class MembershipService implements Runnable {
-    /** Milliseconds between looks at whether another process of this proxy has taken over. */
-    private static final int LOOK = 100;
+public final class MembershipService implements Runnable, AutoCloseable {
+    /** Interval at which it is checked whether another process of this proxy has taken over. */
+    private static final int REPLACED_CHECK_MILLIS = 100;
 
     /**
-     * Datagrams that are read before the machine is woken, though its time has come: after a
-     * standstill what has queued up must be heard before anybody is judged, and a flood must not
-     * hold it up for good.
+     * A process that takes over waits so long before it starts, so that the replaced one notices
+     * first and falls silent.
      */
-    private static final int BACKLOG = 2_048;
+    private static final int TAKEOVER_DELAY_MILLIS = 150;
 
-    /** Who takes the datagrams of others on the same socket. */
-    public interface Others {
-        void came(InetSocketAddress from, byte[] bytes, int length);
-    }
+    /**
+     * Datagrams read before the timer fires late. After a stall the queued ones are read first, as
+     * they may hold awaited answers; a flood must not delay the timer for ever.
+     */
+    private static final int MAX_DATAGRAMS_BEFORE_TIMER = 2_048;
+
+    /** One byte more than is valid, to recognize datagrams that are too long. */
+    private static final int BUFFER_BYTES = DatagramCodec.MAX_DATAGRAM_BYTES + 1;
 
     private final DatagramSocket socket;
-    private final LongSupplier clock;
-    private final LongSupplier moduleAt;
-    private final BooleanSupplier replaced;
-    private final Others others;
-    private final Consumer<String> log;
-    private final DatagramAuthenticator seal;
-    private final Membership machine;
-    private final String name;
+    private final MembershipHost host;
 
-    /** Where members are, as sockets need it; bounded, as names come and go. */
-    private final Map<String, InetSocketAddress> addresses;
+    /** Null if datagrams are not authenticated. */
+    private final DatagramAuthenticator authenticator;
 
-    private long wakeAt;
-    private volatile boolean closed;
+    private final SocketMembershipActions actions;
+
+    /** Also the lock of this class. */
+    private final Membership membership;
+
+    /** Written under the lock, read by the owner thread. */
+    private volatile long dueAtTicks;
+
+    /** Whether another process of this proxy takes part. Written by the owner under the lock. */
     private boolean standingBy;
 
+    /** Written by any thread. */
+    private volatile boolean closed;
+
+    /** Owner thread only: whether the socket had no datagram since the timer last fired. */
+    private boolean inputDrained;
+
+    /** Owner thread only: datagrams read since the timer last fired. */
+    private int datagramsRead;
+
+    /** Owner thread only: when it is next checked whether another process has taken over. */
+    private long replacedCheckAtTicks;
+
     /**
-     * Joins the fleet when it is run.
+     * Creates a service that joins the others when it is run.
      *
-     * @param name this proxy's, the same over its restarts
-     * @param address where others reach the socket
-     * @param contacts where others may be found
-     * @param closed whether no other address may belong to one of them
-     * @param life milliseconds since 1970
-     * @param clock tenths of a millisecond, never going back
-     * @param moduleAt when the module's thread last made progress, by that clock
-     * @param replaced whether another process of this proxy serves in its place
-     * @throws IOException for a key that can't be had
+     * @param socket stays the caller's, who closes it after {@link #close}
+     * @param self this process
+     * @throws IOException for a key file that can't be read
+     * @throws IllegalArgumentException for a name that can't be a member's
      */
     public MembershipService(
-            MembershipConfig plan,
+            MembershipConfig config,
             DatagramSocket socket,
-            String name,
-            String address,
-            List<String> contacts,
-            boolean closed,
-            long generation,
+            LocalMember self,
             SplittableRandom random,
-            LongSupplier clock,
-            LongSupplier moduleAt,
-            BooleanSupplier replaced,
-            Others others,
-            Consumer<String> log)
+            MembershipHost host)
             throws IOException {
         this.socket = socket;
-        this.clock = clock;
-        this.moduleAt = moduleAt;
-        this.replaced = replaced;
-        this.others = others;
-        this.log = log;
-        this.name = name;
-        List<Path> keys = new ArrayList<>();
-        for (String key : List.of(plan.keyFile(), plan.nextKeyFile())) {
-            if (!key.isEmpty()) {
-                keys.add(Path.of(key));
-            }
-        }
-        this.seal = keys.isEmpty() ? null : new DatagramAuthenticator(keys);
-        int most = plan.protocol().maxMembers() * 2;
-        this.addresses =
-                new LinkedHashMap<>() {
-                    private static final long serialVersionUID = 1L;
-
-                    @Override
-                    protected boolean removeEldestEntry(
-                            Map.Entry<String, InetSocketAddress> eldest) {
-                        return size() > most;
-                    }
-                };
-        this.machine =
+        this.host = host;
+        List<Path> keyFiles = keyFiles(config);
+        this.authenticator = keyFiles.isEmpty() ? null : new DatagramAuthenticator(keyFiles);
+        this.actions =
+                new SocketMembershipActions(
+                        socket, authenticator, self.name(), config.protocol().maxMembers() * 2, host.log());
+        this.membership =
                 new Membership(
-                        plan.protocol(),
-                        new Sending(),
-                        name,
-                        address,
-                        contacts,
-                        closed,
-                        generation,
-                        seal == null ? 0 : DatagramAuthenticator.TAG_BYTES,
+                        config.protocol(),
+                        actions,
+                        self,
+                        authenticator == null ? 0 : DatagramAuthenticator.TAG_BYTES,
                         random);
     }
 
-    /** What the machine answers through; on this actor's thread, or under its lock. */
-    private final class Sending implements MembershipActions {
-        @Override
-        public void send(String address, byte[] datagram) {
-            byte[] bytes = seal == null ? datagram : seal.sign(datagram);
-            try {
-                InetSocketAddress to =
-                        addresses.computeIfAbsent(address, MembershipService::parsed);
-                socket.send(new DatagramPacket(bytes, bytes.length, to));
-            } catch (IOException | IllegalArgumentException e) {
-                // It counts as lost, as any may be.
-                if (!closed) {
-                    log.accept(
-                            "a datagram to " + address + " could not be sent: " + e.getMessage());
-                }
+    private static List<Path> keyFiles(MembershipConfig config) {
+        List<Path> files = new ArrayList<>();
+        for (String file : List.of(config.keyFile(), config.nextKeyFile())) {
+            if (!file.isEmpty()) {
+                files.add(Path.of(file));
             }
         }
-
-        @Override
-        public void memberStateChanged(String who, MemberState state, String reason) {
-            log.accept(
-                    (who.equals(name) ? "this process is " : who + " is ")
-                            + state.name().toLowerCase(Locale.ROOT)
-                            + ": "
-                            + reason);
-        }
-    }
-
-    /** An address as words have it, of digits alone: no name is ever looked up. */
-    private static InetSocketAddress parsed(String address) {
-        int colon = address.lastIndexOf(':');
-        String host = address.substring(0, colon);
-        if (!host.startsWith("[") && !Character.isDigit(host.charAt(0))) {
-            throw new IllegalArgumentException("no address of digits");
-        }
-        return new InetSocketAddress(host, Integer.parseInt(address.substring(colon + 1)));
-    }
-
-    /** The form in which members are told one another's addresses. */
-    public static String addressText(InetSocketAddress address) {
-        String host = address.getAddress().getHostAddress();
-        return (host.indexOf(':') >= 0 ? "[" + host + "]" : host) + ":" + address.getPort();
+        return files;
     }
 
+    /** Takes part until {@link #close} is called or the thread is interrupted at the start. */
     @Override
     public void run() {
         try {
-            // Another process of this proxy sees first that it has been replaced, and falls silent.
-            Thread.sleep(replaced == null ? 0 : LOOK * 3 / 2);
+            Thread.sleep(host.replaced() == null ? 0 : TAKEOVER_DELAY_MILLIS);
         } catch (InterruptedException e) {
             return;
         }
-        synchronized (machine) {
-            wakeAt = machine.start(clock.getAsLong());
-        }
-        DatagramPacket packet =
-                new DatagramPacket(
-                        new byte[DatagramCodec.MAX_DATAGRAM_BYTES + 1],
-                        DatagramCodec.MAX_DATAGRAM_BYTES + 1);
-        boolean quiet = false;
-        int read = 0;
-        long lookAt = 0;
+        start();
+        DatagramPacket packet = new DatagramPacket(new byte[BUFFER_BYTES], BUFFER_BYTES);
         while (!closed) {
-            long now = clock.getAsLong();
-            if (replaced != null && now >= lookAt) {
-                lookAt = now + LOOK * 10L;
-                standBy(replaced.getAsBoolean());
-            }
-            if (now >= wakeAt && (quiet || read >= BACKLOG)) {
-                wake(now);
-                quiet = false;
-                read = 0;
-                continue;
-            }
-            try {
-                socket.setSoTimeout((int) Math.max(1, Math.min(LOOK, (wakeAt - now) / 10)));
-                packet.setLength(DatagramCodec.MAX_DATAGRAM_BYTES + 1);
-                socket.receive(packet);
-                read++;
-                came(
-                        (InetSocketAddress) packet.getSocketAddress(),
-                        packet.getData(),
-                        packet.getLength());
-            } catch (SocketTimeoutException e) {
-                quiet = true;
-            } catch (IOException e) {
-                if (!closed) {
-                    log.accept("a datagram could not be received: " + e.getMessage());
-                }
+            long nowTicks = host.clock().getAsLong();
+            checkReplaced(nowTicks);
+            if (nowTicks >= dueAtTicks
+                    && (inputDrained || datagramsRead >= MAX_DATAGRAMS_BEFORE_TIMER)) {
+                fireTimer(nowTicks);
+                inputDrained = false;
+                datagramsRead = 0;
+            } else {
+                receive(packet, nowTicks);
             }
         }
     }
 
-    private void wake(long now) {
-        synchronized (machine) {
-            machine.workerProgressedAt(moduleAt.getAsLong());
-            wakeAt = standingBy ? now + LOOK * 10L : machine.timerFired(now);
+    private void start() {
+        synchronized (membership) {
+            dueAtTicks = membership.start(host.clock().getAsLong());
+        }
+    }
+
+    private void fireTimer(long nowTicks) {
+        synchronized (membership) {
+            membership.workerProgressedAt(host.workerProgress().getAsLong());
+            dueAtTicks =
+                    standingBy
+                            ? nowTicks + Ticks.ofMillis(REPLACED_CHECK_MILLIS)
+                            : membership.timerFired(nowTicks);
+        }
+    }
+
+    private void receive(DatagramPacket packet, long nowTicks) {
+        try {
+            long waitMillis =
+                    Math.min(REPLACED_CHECK_MILLIS, Ticks.toMillis(dueAtTicks - nowTicks));
+            socket.setSoTimeout((int) Math.max(1, waitMillis));
+            packet.setLength(BUFFER_BYTES);
+            socket.receive(packet);
+            datagramsRead++;
+            dispatch(
+                    (InetSocketAddress) packet.getSocketAddress(),
+                    packet.getData(),
+                    packet.getLength());
+        } catch (SocketTimeoutException e) {
+            inputDrained = true;
+        } catch (IOException e) {
+            if (!closed) {
+                host.log().accept("a datagram could not be received: " + e.getMessage());
+            }
         }
     }
 
-    private void came(InetSocketAddress from, byte[] bytes, int length) {
+    private void dispatch(InetSocketAddress from, byte[] bytes, int length) {
         if (length == 0 || (bytes[0] & 0xff) != DatagramCodec.MAGIC) {
-            others.came(from, bytes, length);
+            host.foreignDatagrams().datagramReceived(from, bytes, length);
             return;
         }
-        synchronized (machine) {
-            int inner = seal == null ? length : seal.verify(bytes, length);
-            if (inner < 0) {
-                machine.countEvent(MembershipMetric.UNAUTHENTICATED);
+        synchronized (membership) {
+            int contentLength =
+                    authenticator == null ? length : authenticator.verify(bytes, length);
+            if (contentLength < 0) {
+                membership.countEvent(MembershipMetric.UNAUTHENTICATED);
             } else if (!standingBy) {
-                long now = clock.getAsLong();
-                machine.workerProgressedAt(moduleAt.getAsLong());
-                wakeAt = machine.datagramReceived(now, addressText(from), bytes, inner);
+                long nowTicks = host.clock().getAsLong();
+                membership.workerProgressedAt(host.workerProgress().getAsLong());
+                dueAtTicks =
+                        membership.datagramReceived(
+                                nowTicks, SocketAddresses.format(from), bytes, contentLength);
             }
         }
     }
 
-    /**
-     * Says nothing while another process of this proxy speaks for both; begins anew when that has
-     * died.
-     */
-    private void standBy(boolean silent) {
-        if (silent != standingBy) {
-            standingBy = silent;
-            log.accept(
-                    silent
-                            ? "another process of this proxy speaks for both"
-                            : "the other process of this proxy is gone, this one speaks again");
-            if (!silent) {
-                synchronized (machine) {
-                    wakeAt = machine.start(clock.getAsLong());
-                }
-            }
+    /** Stands by while another process of this proxy takes part; starts again when it has ended. */
+    private void checkReplaced(long nowTicks) {
+        if (host.replaced() == null || nowTicks < replacedCheckAtTicks) {
+            return;
+        }
+        replacedCheckAtTicks = nowTicks + Ticks.ofMillis(REPLACED_CHECK_MILLIS);
+        boolean replaced = host.replaced().getAsBoolean();
+        if (replaced == standingBy) {
+            return;
+        }
+        synchronized (membership) {
+            standingBy = replaced;
+        }
+        if (replaced) {
+            host.log().accept("another process of this proxy speaks for both");
+        } else {
+            host.log().accept("the other process of this proxy is gone, this one speaks again");
+            start();
         }
     }
 
-    /** The process ends on purpose: the others are told. */
+    /** Announces that the process ends. It takes part until {@link #close}. */
     public void leave() {
-        synchronized (machine) {
+        synchronized (membership) {
             if (!standingBy && !closed) {
-                wakeAt = machine.leave(clock.getAsLong());
+                dueAtTicks = membership.leave(host.clock().getAsLong());
             }
         }
     }
 
-    /** The view as it stands. */
+    /** The view at this time. */
     public MembershipView view() {
-        synchronized (machine) {
-            return machine.view(clock.getAsLong());
+        synchronized (membership) {
+            return membership.view(host.clock().getAsLong());
         }
     }
 
-    /**
-     * The view as operators are told it: a line of figures, then one for each member, itself first.
-     */
+    /** The answer to the management command MEMBERS. */
     public String statusLines() {
-        long now = clock.getAsLong();
-        MembershipView view = view();
-        StringBuilder text = new StringBuilder();
-        text.append("view=")
-                .append(Long.toHexString(view.digest()))
-                .append(" alive=")
-                .append(view.liveCount())
-                .append(" members=")
-                .append(view.members().size())
-                .append(" differs_ms=")
-                .append(ms(view.divergedForTicks()))
-                .append(" self_doubt=")
-                .append(view.localHealthScore())
-                .append(" hung=")
-                .append(view.workerStalled());
-        view.metrics()
-                .forEach(
-                        (count, n) -> text.append(' ').append(count.label()).append('=').append(n));
-        for (MembershipView.Member l : view.members()) {
-            text.append('\n')
-                    .append(l.name())
-                    .append(' ')
-                    .append(l.state().name().toLowerCase(Locale.ROOT))
-                    .append(' ')
-                    .append(l.address())
-                    .append(" life=")
-                    .append(l.generation())
-                    .append(" turn=")
-                    .append(l.incarnation())
-                    .append(" since_ms=")
-                    .append((now - l.stateSinceTicks()) / 10)
-                    .append(" reach=")
-                    .append(l.reach().label())
-                    .append(" differs_ms=")
-                    .append(ms(l.divergedForTicks()))
-                    .append(" why=")
-                    .append(l.reason());
-        }
-        return text.append('\n').toString();
+        long nowTicks = host.clock().getAsLong();
+        return MembershipReport.statusLines(view(), nowTicks);
     }
 
-    /** For the figures: how many are what, as fields of a JSON object, each behind a comma. */
+    /** Fields of the metrics file's JSON object, each preceded by a comma. */
     public String metricsJson() {
-        MembershipView view = view();
-        StringBuilder json = new StringBuilder();
-        for (MemberState state : MemberState.values()) {
-            json.append(",\"members_")
-                    .append(state.name().toLowerCase(Locale.ROOT))
-                    .append("\":")
-                    .append(view.members().stream().filter(l -> l.state() == state).count());
-        }
-        json.append(",\"members_differ_ms\":")
-                .append(ms(view.divergedForTicks()))
-                .append(",\"members_self_doubt\":")
-                .append(view.localHealthScore());
-        view.metrics()
-                .forEach(
-                        (count, n) ->
-                                json.append(",\"members_")
-                                        .append(count.label())
-                                        .append("_count\":")
-                                        .append(n));
-        return json.toString();
+        return MembershipReport.metricsJson(view());
     }
 
-    private static long ms(long tenths) {
-        return tenths < 0 ? -1 : tenths / 10;
-    }
-
-    /** Ends it at once; its socket belongs to whoever opened it. */
+    /** Ends at once, without an announcement. The socket stays open. */
+    @Override
     public void close() {
         closed = true;
+        actions.close();
     }
 }
--- a/src/main/java/cottonlock/membership/MembershipView.java
+++ b/src/main/java/cottonlock/membership/MembershipView.java
@@ -4,11 +4,13 @@
 import java.util.Map;
 
 /**
- * What one proxy holds of the fleet at one moment, itself first.
+ * One process's view of the membership at one moment.
  *
- * @param digest two views with the same members that may live have the same
- * @param selfDoubt how far this process doubts itself; 0: not at all
- * @param hung whether its module stands still
+ * @param members all known members, this process first
+ * @param digest equal in views that hold the same members live
+ * @param localHealthScore how unreliable this process takes its own observations to be; 0: reliable
+ * @param workerStalled whether this process's worker has made no progress for too long
+ * @param metrics the protocol's counters
  */
 public record MembershipView(
         List<Member> members,
@@ -49,9 +51,15 @@
     /**
      * One member.
      *
-     * @param since by the process's own clock, tenths of a millisecond
-     * @param reason why it is in that state, and by whose word
-     * @param differs for how long its view has differed from this one; -1: it does not
+     * @param name the same over restarts of the member's process
+     * @param address an IP address and a port
+     * @param generation of the member's process; a later process has a higher one
+     * @param incarnation within the generation, raised by the process to refute suspicions
+     * @param state as this process holds it
+     * @param stateSinceTicks when it got the state, by this process's clock
+     * @param reason why it has the state, and by whose report
+     * @param reach how this process and the member reach each other
+     * @param divergedForTicks for how long its view has differed from this one; -1: it does not
      */
     public record Member(
             String name,
@@ -64,15 +72,12 @@
             Reach reach,
             long divergedForTicks) {}
 
-    /** Members that may be there, this one among them. */
+    /** Members that may be running, this process among them. */
     public int liveCount() {
-        return (int) members.stream().filter(l -> l.state().isLive()).count();
+        return (int) members.stream().filter(member -> member.state().isLive()).count();
     }
 
-    /**
-     * For how long the view of any live member has differed, tenths of a millisecond; -1: all
-     * agree.
-     */
+    /** The longest time for which a live member's view has differed, in ticks; -1: all agree. */
     public long divergedForTicks() {
         return members.stream().mapToLong(Member::divergedForTicks).max().orElse(-1);
     }
--- a/src/main/java/cottonlock/membership/Message.java
+++ b/src/main/java/cottonlock/membership/Message.java
@@ -4,76 +4,125 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One datagram, read. Each kind uses some of the fields; the rest stay as they are here. */
+/**
+ * One decoded datagram. Each kind uses some of the mutable fields, and the others keep their
+ * initial values. {@link DatagramCodec} maps it to bytes.
+ */
 @Deterministic
 final class Message {
 
+    /** What a message is for, and which fields it carries. */
     enum Kind {
         /**
-         * Wants an answer: {@code seq}; {@code target}, empty for whoever is there; {@code behalf}.
+         * Probes the receiver: {@code sequenceNumber}, {@code target} (empty: whoever is at the
+         * address), {@code onBehalfOf}.
          */
-        PING,
-        /** The answer: {@code seq}, {@code heard}. */
-        ACK,
-        /** Wants the receiver to probe another: {@code seq}, {@code target}, {@code address}. */
-        PING_REQUEST,
-        /** That other has answered well: {@code seq}, {@code heard}. */
-        INDIRECT_ACK,
-        /** It has not, or badly: {@code seq}. */
-        NACK,
-        /** The sender's view in short: {@code marks}, one for each part of the names. */
-        PARTITION_DIGESTS,
+        PING(0),
+        /** Answers a ping: {@code sequenceNumber}, {@code heardRecently}. */
+        ACK(1),
         /**
-         * Words of one part of the names, whole from {@code after} on: {@code parts}, {@code part}.
+         * Asks the receiver to probe another member: {@code sequenceNumber}, {@code target}, {@code
+         * targetAddress}.
          */
-        PARTITION_PAGE,
-        /** Words alone. */
-        UPDATES,
-        /** What another subsystem tells: {@code topic}, {@code body}. */
-        PAYLOAD
+        PING_REQUEST(2),
+        /** The indirect probe was answered: {@code sequenceNumber}, {@code heardRecently}. */
+        INDIRECT_ACK(3),
+        /** The indirect probe failed: {@code sequenceNumber}. */
+        NACK(4),
+        /** Digests of the sender's view, one for each partition: {@code partitionDigests}. */
+        PARTITION_DIGESTS(5),
+        /**
+         * All updates of one partition that follow {@code afterName}: {@code partitions}, {@code
+         * partition}, {@code lastPage}.
+         */
+        PARTITION_PAGE(6),
+        /** Updates alone. */
+        UPDATES(7),
+        /** Data of another subsystem: {@code topic}, {@code payload}. */
+        PAYLOAD(8);
+
+        private static final Kind[] ALL = values();
+
+        private final int wireNumber;
+
+        Kind(int wireNumber) {
+            this.wireNumber = wireNumber;
+        }
+
+        /** The number by which datagrams name the kind. */
+        int wireNumber() {
+            return wireNumber;
+        }
+
+        /** The kind with a number on the wire, or null if there is none. */
+        static Kind ofWireNumber(int number) {
+            for (Kind kind : ALL) {
+                if (kind.wireNumber == number) {
+                    return kind;
+                }
+            }
+            return null;
+        }
     }
 
     final Kind kind;
 
-    /** What the sender says of itself. */
+    /** The sender's own claim about itself. */
     final MemberUpdate sender;
 
-    /** Counts the sender's datagrams in this life: what comes twice or too late is known by it. */
+    /** Counts the sender's datagrams in its generation, to recognize duplicates. */
     final long datagramNumber;
 
-    /** Of the sender's view. */
+    /** Digest of the sender's view. */
     final long viewDigest;
 
-    /** For how long the sender's module has stood still, in hundredths of a second. */
+    /** For how long the sender's worker has made no progress, in hundredths of a second. */
     final int stallCentis;
 
+    /** Associates an answer with its probe. */
     int sequenceNumber;
+
+    /** Name of the member to be probed. */
     String target = "";
+
+    /** Address of the member to be probed. */
     String targetAddress = "";
 
-    /** The name of whoever the probe is made for; empty for the sender itself. */
+    /** Name of the member for which the probe is made; empty: the sender. */
     String onBehalfOf = "";
 
-    /** Whether the one that probes, or had it done, was heard of late without a detour. */
+    /** Whether the member that probes was lately heard directly by the one that answers. */
     boolean heardRecently;
 
+    /** Number of partitions of the names. */
     int partitions = 1;
+
+    /** The partition that a page belongs to. */
     int partition;
+
+    /** A page holds the names that follow this one. */
     String afterName = "";
 
-    /** Whether a page goes on to the last name of its part. */
+    /** Whether a page extends to the last name of its partition. */
     boolean lastPage;
 
+    /** One digest for each partition. */
     int[] partitionDigests = {};
+
+    /** Which subsystem a payload belongs to. */
     int topic;
+
+    /** Data of another subsystem. */
     byte[] payload = {};
+
+    /** Updates that the message carries. */
     final List<MemberUpdate> updates = new ArrayList<>();
 
-    Message(Kind kind, MemberUpdate sender, long counter, long digest, int lag) {
+    Message(Kind kind, MemberUpdate sender, long datagramNumber, long viewDigest, int stallCentis) {
         this.kind = kind;
         this.sender = sender;
-        this.datagramNumber = counter;
-        this.viewDigest = digest;
-        this.stallCentis = lag;
+        this.datagramNumber = datagramNumber;
+        this.viewDigest = viewDigest;
+        this.stallCentis = stallCentis;
     }
 }
--- a/src/main/java/cottonlock/membership/ProbeSchedule.java
+++ b/src/main/java/cottonlock/membership/ProbeSchedule.java
@@ -7,75 +7,83 @@
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
 
-/** The order in which members are probed: each once in a round, and each round shuffled anew. */
+/**
+ * The order in which members are probed: each once in a round, and the order is shuffled for each
+ * round. For the thread of its {@link Membership}.
+ */
 @Deterministic
 final class ProbeSchedule {
     private final SplittableRandom random;
     private final List<MemberRecord> order = new ArrayList<>();
-    private int place;
+
+    /** Index of the next member in the round. */
+    private int position;
 
     ProbeSchedule(SplittableRandom random) {
         this.random = random;
     }
 
-    /**
-     * A newcomer gets a random place in what is left of the round, so that rounds stay shuffled.
-     */
-    void add(MemberRecord k) {
-        order.add(place + random.nextInt(order.size() - place + 1), k);
+    /** Adds a member at a random place in the rest of the round, which so stays shuffled. */
+    void add(MemberRecord member) {
+        order.add(position + random.nextInt(order.size() - position + 1), member);
     }
 
-    void remove(MemberRecord k) {
-        int at = order.indexOf(k);
-        if (at >= 0) {
-            order.remove(at);
-            place -= at < place ? 1 : 0;
+    void remove(MemberRecord member) {
+        int index = order.indexOf(member);
+        if (index >= 0) {
+            order.remove(index);
+            position -= index < position ? 1 : 0;
         }
     }
 
-    /** The next that may live; null: nobody. */
+    /** The next live member; null if there is none. */
     MemberRecord next() {
         for (int left = order.size(); left > 0; left--) {
-            if (place >= order.size()) {
-                for (int j = order.size() - 1; j > 0; j--) {
-                    Collections.swap(order, j, random.nextInt(j + 1));
-                }
-                place = 0;
+            if (position >= order.size()) {
+                shuffle();
+                position = 0;
             }
-            MemberRecord k = order.get(place++);
-            if (k.update.state().isLive()) {
-                return k;
+            MemberRecord member = order.get(position++);
+            if (member.isLive()) {
+                return member;
             }
         }
         return null;
     }
 
-    /**
-     * Some of those that are wanted, from a random place on: a stretch of what is shuffled is
-     * random.
-     */
-    List<MemberRecord> sample(int most, Predicate<MemberRecord> wanted) {
-        return sample(most, true, wanted);
+    private void shuffle() {
+        for (int i = order.size() - 1; i > 0; i--) {
+            Collections.swap(order, i, random.nextInt(i + 1));
+        }
+    }
+
+    /** Up to so many random members that match, taken in order from a random position on. */
+    List<MemberRecord> sample(int limit, Predicate<MemberRecord> filter) {
+        return sample(limit, true, filter);
     }
 
-    /** The same; {@code any} false: there are none, and need not be looked for. */
-    List<MemberRecord> sample(int most, boolean any, Predicate<MemberRecord> wanted) {
-        List<MemberRecord> some = new ArrayList<>();
-        int n = order.size();
-        int from = n == 0 ? 0 : random.nextInt(n);
-        for (int i = 0; i < n && any && some.size() < most; i++) {
-            MemberRecord k = order.get((from + i) % n);
-            if (wanted.test(k)) {
-                some.add(k);
+    /**
+     * The same, without a search if none can match. The random position is drawn in any case, so
+     * that the sequence of draws does not depend on it.
+     */
+    List<MemberRecord> sample(int limit, boolean anyMatches, Predicate<MemberRecord> filter) {
+        List<MemberRecord> sample = new ArrayList<>();
+        int size = order.size();
+        int start = size == 0 ? 0 : random.nextInt(size);
+        for (int i = 0; i < size && anyMatches && sample.size() < limit; i++) {
+            MemberRecord member = order.get((start + i) % size);
+            if (filter.test(member)) {
+                sample.add(member);
             }
         }
-        return some;
+        return sample;
     }
 
+    /** All that decides what comes next, for tests that compare states. */
     @Override
     public String toString() {
-        StringBuilder names = new StringBuilder().append(place);
-        order.forEach(k -> names.append(' ').append(k.update.name()));
+        StringBuilder names = new StringBuilder().append(position);
+        order.forEach(member -> names.append(' ').append(member.update.name()));
         return names.toString();
     }
 }
--- a/src/main/java/cottonlock/membership/ProtocolVariants.java
+++ b/src/main/java/cottonlock/membership/ProtocolVariants.java
@@ -3,64 +3,64 @@
 import cottonlock.core.Deterministic;
 
 /**
- * The choices on which it rests that no view ends in a falsehood; tests put wrong ones in their
- * place.
+ * The rules on which the protocol's safety rests. Tests override them with faulty ones, to show
+ * that a violation is found.
  */
 @Deterministic
 class ProtocolVariants {
 
-    /** Whether a word holds in place of another. */
-    boolean supersedes(MemberUpdate one, MemberUpdate other) {
-        return one.supersedes(other);
+    /** Whether an update replaces another one about the same member. */
+    boolean supersedes(MemberUpdate update, MemberUpdate other) {
+        return update.supersedes(other);
     }
 
-    /** The turn by which a process contradicts a word of this turn on itself. */
-    int nextIncarnation(int incarnation) {
-        return incarnation + 1;
+    /** The incarnation by which a process refutes an accusation of the given incarnation. */
+    int nextIncarnation(int accusedIncarnation) {
+        return accusedIncarnation + 1;
     }
 
-    /** The life that a process begins where it finds another of its name. */
-    long nextGeneration(long generation) {
-        return generation + 1;
+    /** The generation that a process takes if it finds the given one under its name. */
+    long nextGeneration(long foundGeneration) {
+        return foundGeneration + 1;
     }
 
-    /** When a doubt is certain enough. */
-    long suspicionExpiryTicks(SuspicionTimer s) {
-        return s.expiresAtTicks();
+    /** When a suspicion becomes a failure, in ticks. */
+    long suspicionExpiryTicks(SuspicionTimer suspicion) {
+        return suspicion.expiresAtTicks();
     }
 
     /**
-     * Whether a failure is taken at another's word: of whoever has been in doubt here for long
-     * enough.
+     * Whether another member's report of a failure is accepted: only for a member that has been
+     * suspected here for the minimum time.
      */
-    boolean acceptsFailureReport(MemberRecord k, MemberUpdate failed, long now) {
-        return k.suspicion != null
-                && k.update.incarnation() == failed.incarnation()
-                && k.update.compareGenerations(failed) == 0
-                && k.suspicion.minimumElapsed(now);
+    boolean acceptsFailureReport(MemberRecord member, MemberUpdate failed, long nowTicks) {
+        return member.suspicion != null
+                && member.update.incarnation() == failed.incarnation()
+                && member.update.compareGenerations(failed) == 0
+                && member.suspicion.minimumElapsed(nowTicks);
     }
 
-    /** Whether it probes a member itself before it calls it failed. */
+    /** Whether a process probes a member itself before it declares it failed. */
     boolean probesBeforeFailing() {
         return true;
     }
 
-    /** Whether its own standstills keep a process from judging. */
+    /** Whether a process's own stalls degrade its local health and postpone its verdicts. */
     boolean tracksLocalHealth() {
         return true;
     }
 
-    /** Whether views that differ are mended. */
+    /** Whether anti-entropy repairs views that differ. */
     boolean repairsDivergence() {
         return true;
     }
 
-    /** Whether the pages of a long part of the names begin at any of them. */
+    /** Whether the pages of a long partition start at a random name. */
     boolean startsPagesAtRandomName() {
         return true;
     }
 
-    /** How often a change is told on. */
+    /** How often an update is retransmitted. */
     int transmitLimit(int usual) {
         return usual;
     }
--- a/src/main/java/cottonlock/membership/SuspicionTimer.java
+++ b/src/main/java/cottonlock/membership/SuspicionTimer.java
@@ -5,92 +5,107 @@
 import java.util.List;
 
 /**
- * One doubt of one member: it lasts long while one accuser stands alone, whose own ears may be at
- * fault, and the shorter the more others say the same. Times are tenths of a millisecond.
+ * The time within which a suspected member may refute the suspicion. As in Lifeguard it starts
+ * long, since a single accuser may itself be at fault, and shrinks logarithmically as other members
+ * confirm the suspicion. Times are in ticks of 0.1 ms. For the thread of its {@link Membership}.
  */
 @Deterministic
 final class SuspicionTimer {
-    private final long least;
-    private final long most;
-    private final int needed;
+    /** Stands for an accuser whose name is not known. */
+    private static final int UNKNOWN_ACCUSER = 0;
 
-    /** The accusers, as many as count; the first began it. */
-    private final List<Integer> by = new ArrayList<>();
+    private final long minTicks;
+    private final long maxTicks;
+    private final int confirmationsNeeded;
 
-    private long since;
+    /** Name hashes of the accusers that count; the first one started the suspicion. */
+    private final List<Integer> accusers = new ArrayList<>();
+
+    private long startedAtTicks;
+
+    /** Share of the time between maximum and minimum that confirmations have removed, 0 to 1. */
+    private double confirmedShare;
+
+    /** The suspicion does not expire before this time, whatever is confirmed. */
+    private long notBeforeTicks;
 
     /**
-     * The part of the time between the longest and the shortest that the accusers have taken off.
+     * Starts a suspicion.
+     *
+     * @param confirmationsNeeded by other accusers, for the minimum time to hold
      */
-    private double part;
-
-    /** Not before this, whatever others say. */
-    private long notBefore;
-
-    /** Needed: how many others must confirm it for the shortest time to hold. */
-    SuspicionTimer(long now, int accuser, long least, long most, int needed) {
-        this.since = now;
-        this.least = least;
-        this.most = Math.max(least, most);
-        this.needed = needed;
-        by.add(accuser);
-        part = needed <= 0 ? 1 : 0;
+    SuspicionTimer(
+            long nowTicks, int accuserHash, long minTicks, long maxTicks, int confirmationsNeeded) {
+        this.startedAtTicks = nowTicks;
+        this.minTicks = minTicks;
+        this.maxTicks = Math.max(minTicks, maxTicks);
+        this.confirmationsNeeded = confirmationsNeeded;
+        accusers.add(accuserHash);
+        confirmedShare = confirmationsNeeded <= 0 ? 1 : 0;
     }
 
-    /** Whether it is news that this one doubts too. */
-    boolean confirm(int accuser) {
-        if (by.size() > needed || by.contains(accuser)) {
+    /** Counts another accuser; false if it has counted before or no more are needed. */
+    boolean confirm(int accuserHash) {
+        if (accusers.size() > confirmationsNeeded || accusers.contains(accuserHash)) {
             return false;
         }
-        return add(accuser);
+        addAccuser(accuserHash);
+        return true;
     }
 
-    private boolean add(int accuser) {
-        by.add(accuser);
-        part = needed <= 0 ? 1 : Math.log(by.size()) / Math.log(needed + 1);
-        return true;
+    private void addAccuser(int accuserHash) {
+        accusers.add(accuserHash);
+        confirmedShare =
+                confirmationsNeeded <= 0
+                        ? 1
+                        : Math.log(accusers.size()) / Math.log(confirmationsNeeded + 1);
     }
 
-    /** Others have waited for long enough; here it still gets the shortest time to clear itself. */
+    /** Counts as many accusers as are needed, so that the minimum time holds. */
     void confirmFully() {
-        while (by.size() <= needed) {
-            add(0);
+        while (accusers.size() <= confirmationsNeeded) {
+            addAccuser(UNKNOWN_ACCUSER);
         }
     }
 
-    /** Whether it has had the shortest time. */
-    boolean minimumElapsed(long now) {
-        return now - since >= least;
+    /** Whether the minimum time has passed. */
+    boolean minimumElapsed(long nowTicks) {
+        return nowTicks - startedAtTicks >= minTicks;
     }
 
-    boolean accusedBy(int accuser) {
-        return by.contains(accuser);
+    /** Whether a member is among the accusers. */
+    boolean accusedBy(int accuserHash) {
+        return accusers.contains(accuserHash);
     }
 
-    /** When it is certain enough. */
+    /** When the suspicion becomes a failure. */
     long expiresAtTicks() {
-        return Math.max(notBefore, since + Math.round(most - (most - least) * part));
+        return Math.max(
+                notBeforeTicks,
+                startedAtTicks + Math.round(maxTicks - (maxTicks - minTicks) * confirmedShare));
     }
 
-    /**
-     * Whoever judges has stood still: that time counts for nothing, and a refutation may be late.
-     */
-    void extendForStall(long now, long stoodStill) {
-        since += stoodStill;
-        notBefore = now + least;
+    /** Excludes a stall of this process, and leaves the minimum time for a late refutation. */
+    void extendForStall(long nowTicks, long stallTicks) {
+        startedAtTicks += stallTicks;
+        notBeforeTicks = nowTicks + minTicks;
     }
 
-    /** Defers the judgement, not beyond twice the longest time: each doubt must end. */
-    boolean defer(long now, long by) {
-        notBefore = Math.min(now + by, since + 2 * most);
-        return notBefore > now;
+    /**
+     * Defers the expiry, though not beyond twice the maximum time.
+     *
+     * @return false if it can't be deferred any further
+     */
+    boolean defer(long nowTicks, long delayTicks) {
+        notBeforeTicks = Math.min(nowTicks + delayTicks, startedAtTicks + 2 * maxTicks);
+        return notBeforeTicks > nowTicks;
     }
 
     long startedAtTicks() {
-        return since;
+        return startedAtTicks;
     }
 
     int accuserCount() {
-        return by.size();
+        return accusers.size();
     }
 }
--- a/src/main/java/cottonlock/membership/UpdateBroadcastQueue.java
+++ b/src/main/java/cottonlock/membership/UpdateBroadcastQueue.java
@@ -10,98 +10,111 @@
 import java.util.Map;
 
 /**
- * Changes that ride on what is sent anyway: the least told first, each a bounded number of times.
+ * Updates that are piggybacked on datagrams: the least transmitted first, each a bounded number of
+ * times. For the thread of its {@link Membership}.
  */
 @Deterministic
 final class UpdateBroadcastQueue {
-    /** A word that is being told, until another on the same name is. */
-    private static final class Telling {
+    /** An update in the queue, until a newer one on the same member replaces it. */
+    private static final class Broadcast {
         final MemberUpdate update;
-        int times;
-        boolean outdated;
+        int transmits;
+        boolean superseded;
 
-        Telling(MemberUpdate update) {
+        Broadcast(MemberUpdate update) {
             this.update = update;
         }
     }
 
-    /** The newest word on each name: one that has been outweighed is not told any more. */
-    private final Map<String, Telling> newest = new HashMap<>();
+    /** The newest update on each member, by name. */
+    private final Map<String, Broadcast> newestByName = new HashMap<>();
 
-    /** By how often they were told. */
-    private final List<Deque<Telling>> told = new ArrayList<>();
+    /** The queued updates by the number of their transmits; superseded ones leave lazily. */
+    private final List<Deque<Broadcast>> byTransmits = new ArrayList<>();
 
-    private final int room;
+    private final int capacity;
 
-    /** Of all that are waiting, those that have been outweighed among them. */
-    private int count;
+    /** Number of queued updates, superseded ones among them. */
+    private int queued;
 
-    /** Room: names at most, beyond which those that were told most are not told any more. */
-    UpdateBroadcastQueue(int room) {
-        this.room = room;
+    /**
+     * Creates an empty queue.
+     *
+     * @param capacity members; beyond twice as many updates the most transmitted are discarded
+     */
+    UpdateBroadcastQueue(int capacity) {
+        this.capacity = capacity;
     }
 
-    /** A change; it takes the place of what was told of the same name. */
-    void add(MemberUpdate w) {
-        Telling telling = new Telling(w);
-        Telling before = newest.put(w.name(), telling);
-        if (before != null) {
-            before.outdated = true;
+    /** Queues an update, in place of an earlier one on the same member. */
+    void add(MemberUpdate update) {
+        Broadcast broadcast = new Broadcast(update);
+        Broadcast previous = newestByName.put(update.name(), broadcast);
+        if (previous != null) {
+            previous.superseded = true;
         }
-        at(0).addFirst(telling);
-        count++;
-        for (int times = told.size() - 1; times >= 0 && count > 2 * room; ) {
-            Telling old = told.get(times).pollLast();
-            if (old == null) {
-                times--;
+        transmitted(0).addFirst(broadcast);
+        queued++;
+        discardExcess();
+    }
+
+    private void discardExcess() {
+        int transmits = byTransmits.size() - 1;
+        while (transmits >= 0 && queued > 2 * capacity) {
+            Broadcast last = byTransmits.get(transmits).pollLast();
+            if (last == null) {
+                transmits--;
             } else {
-                forget(old);
+                discarded(last);
             }
         }
     }
 
-    private void forget(Telling old) {
-        count--;
-        if (!old.outdated) {
-            newest.remove(old.update.name());
+    private void discarded(Broadcast broadcast) {
+        queued--;
+        if (!broadcast.superseded) {
+            newestByName.remove(broadcast.update.name());
         }
     }
 
-    private Deque<Telling> at(int times) {
-        while (told.size() <= times) {
-            told.add(new ArrayDeque<>());
+    private Deque<Broadcast> transmitted(int transmits) {
+        while (byTransmits.size() <= transmits) {
+            byTransmits.add(new ArrayDeque<>());
         }
-        return told.get(times);
+        return byTransmits.get(transmits);
     }
 
     /**
-     * Fills a datagram; {@code most} times is each told. Without {@code about}, which is in it
-     * already.
+     * Fills a datagram with updates.
+     *
+     * @param transmitLimit how often each update is transmitted
+     * @param excludedName a member whose update is in the datagram already
      */
-    void fill(DatagramCodec.Writer out, int most, String about) {
-        boolean room = true;
-        List<Telling> again = new ArrayList<>();
-        for (int times = 0; times < told.size() && room; times++) {
-            for (Iterator<Telling> i = told.get(times).iterator(); i.hasNext() && room; ) {
-                Telling t = i.next();
-                if (t.outdated || times >= most) {
-                    i.remove();
-                    forget(t);
-                } else if (!t.update.name().equals(about)) {
-                    room = out.addUpdate(t.update);
-                    if (room) {
-                        i.remove();
-                        t.times = times + 1;
-                        again.add(t);
+    void fill(DatagramWriter out, int transmitLimit, String excludedName) {
+        boolean fits = true;
+        List<Broadcast> sent = new ArrayList<>();
+        for (int transmits = 0; transmits < byTransmits.size() && fits; transmits++) {
+            Iterator<Broadcast> iterator = byTransmits.get(transmits).iterator();
+            while (iterator.hasNext() && fits) {
+                Broadcast broadcast = iterator.next();
+                if (broadcast.superseded || transmits >= transmitLimit) {
+                    iterator.remove();
+                    discarded(broadcast);
+                } else if (!broadcast.update.name().equals(excludedName)) {
+                    fits = out.addUpdate(broadcast.update);
+                    if (fits) {
+                        iterator.remove();
+                        broadcast.transmits = transmits + 1;
+                        sent.add(broadcast);
                     }
                 }
             }
         }
-        again.forEach(t -> at(t.times).addLast(t));
+        sent.forEach(broadcast -> transmitted(broadcast.transmits).addLast(broadcast));
     }
 
-    /** How many changes are being told. */
+    /** Number of members about which an update is queued. */
     int size() {
-        return newest.size();
+        return newestByName.size();
     }
 }
--- a/src/main/java/cottonlock/membership/package-info.java
+++ b/src/main/java/cottonlock/membership/package-info.java
@@ -1,10 +1,10 @@
 /**
- * What the proxies of a tier know of one another: who is there, who has failed, and whose view
- * differs.
+ * The failure detector and membership protocol of the proxies of a tier: which processes run, which
+ * have failed, and whose view differs.
  *
- * <p>{@link cottonlock.membership.Membership} decides and is free of I/O, clocks and threads; it is
- * told datagrams and the time, and answers by datagrams. {@link
- * cottonlock.membership.MembershipService} carries it on a socket. docs/membership.md says which
- * ways were weighed, and what is promised.
+ * <p>{@link cottonlock.membership.Membership} is a pure state machine, free of I/O, clocks and
+ * threads. {@link cottonlock.membership.MembershipService} runs it on a socket with one thread. The
+ * protocol is SWIM with Lifeguard's extensions and anti-entropy; docs/membership.md describes it
+ * and says what is guaranteed.
  */
 package cottonlock.membership;
--- a/src/main/java/cottonlock/proxy/Proxy.java
+++ b/src/main/java/cottonlock/proxy/Proxy.java
@@ -244,16 +244,17 @@
                     new MembershipAdapter(
                             operator.membership(),
                             config,
-                            peerSocket,
-                            peers,
-                            module,
-                            clock,
-                            kept == null ? null : succession,
                             random.split(),
-                            log);
-            figures.also(members.actor()::metricsJson);
+                            new MembershipAdapter.Collaborators(
+                                    peerSocket,
+                                    peers,
+                                    module,
+                                    clock,
+                                    kept == null ? null : succession,
+                                    log));
+            figures.also(members.service()::metricsJson);
         }
-        if (members == null || !members.readsForPeers()) {
+        if (members == null || !members.sharesPeerSocket()) {
             threads.add(Sockets.start("peers", peers));
         }
         threads.add(Sockets.start("listener", listener));
@@ -267,7 +268,7 @@
         }
         succession.serving();
         if (members != null) {
-            threads.add(Sockets.start("members", members.actor()));
+            threads.add(Sockets.start("members", members.service()));
         }
         if (rollout != null) {
             threads.add(Sockets.start("rollout", rollout));
@@ -289,7 +290,7 @@
 
         @Override
         public String members() {
-            return members == null ? null : members.actor().statusLines();
+            return members == null ? null : members.service().statusLines();
         }
 
         @Override
@@ -399,7 +400,7 @@
             Thread.sleep(
                     Math.max(0, Math.min(left, Math.max(COME, Math.max(left / 2, left - LAST)))));
             if (members != null) {
-                members.actor().leave();
+                members.service().leave();
             }
             listener.leave();
         }
--- a/src/test/java/cottonlock/membership/AntiEntropyTest.java
+++ b/src/test/java/cottonlock/membership/AntiEntropyTest.java
@@ -57,11 +57,7 @@
                             public void memberStateChanged(
                                     String who, MemberState state, String reason) {}
                         },
-                        "me",
-                        "10.0.0.1:1",
-                        List.of(),
-                        false,
-                        1_000,
+                        new LocalMember("me", "10.0.0.1:1", List.of(), false, 1_000),
                         0,
                         new SplittableRandom(1),
                         variants);
@@ -70,7 +66,7 @@
                 new MemberUpdate("asker", "10.0.0.2:1", 1_000, 0, MemberState.ALIVE, 0);
         long counter = 0;
         for (int i = 0; i < MEMBERS; ) {
-            DatagramCodec.Writer out =
+            DatagramWriter out =
                     DatagramCodec.writerFor(
                             new Message(Message.Kind.UPDATES, asker, ++counter, 0, 0),
                             DatagramCodec.MAX_DATAGRAM_BYTES);
@@ -90,7 +86,7 @@
         for (int i = 1; i <= REQUESTS; i++) {
             Message m = new Message(Message.Kind.PARTITION_DIGESTS, asker, ++counter, 0, 0);
             m.partitionDigests = new int[DatagramCodec.MAX_PARTITIONS];
-            DatagramCodec.Writer out = DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES);
+            DatagramWriter out = DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES);
             // A tenth of a second apart: a page or so can be sent meanwhile.
             machine.datagramReceived(i * 1_000L, asker.address(), out.toBytes(), out.size());
         }
--- a/src/test/java/cottonlock/membership/DatagramCodecTest.java
+++ b/src/test/java/cottonlock/membership/DatagramCodecTest.java
@@ -68,7 +68,7 @@
     }
 
     private static byte[] encoded(Message m) {
-        DatagramCodec.Writer out = DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES);
+        DatagramWriter out = DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES);
         int number = 0;
         for (MemberState state : MemberState.values()) {
             out.addUpdate(
@@ -105,8 +105,7 @@
             byte[] bytes = HexFormat.of().parseHex(recorded(number));
             Message read = DatagramCodec.decode(bytes, bytes.length);
             assertNotNull(read, "kind " + number);
-            DatagramCodec.Writer out =
-                    DatagramCodec.writerFor(read, DatagramCodec.MAX_DATAGRAM_BYTES);
+            DatagramWriter out = DatagramCodec.writerFor(read, DatagramCodec.MAX_DATAGRAM_BYTES);
             read.updates.forEach(out::addUpdate);
             assertEquals(recorded(number), HexFormat.of().formatHex(out.toBytes()));
         }
@@ -123,14 +122,14 @@
                         new World(20261203),
                         14,
                         MembershipProtocolConfig.DEFAULTS,
-                        (r, out, name, address, contacts, closed, generation, tag, random) ->
+                        (config, out, self, tag, random) ->
                                 new Membership(
-                                        r,
+                                        config,
                                         new MembershipActions() {
                                             @Override
                                             public void send(String to, byte[] datagram) {
                                                 digest.update(
-                                                        (at[0].world.now() + name + to)
+                                                        (at[0].world.now() + self.name() + to)
                                                                 .getBytes(UTF_8));
                                                 digest.update(datagram);
                                                 count[0]++;
@@ -144,11 +143,7 @@
                                                 out.memberStateChanged(who, state, reason);
                                             }
                                         },
-                                        name,
-                                        address,
-                                        contacts,
-                                        closed,
-                                        generation,
+                                        self,
                                         tag,
                                         random));
         Fleet fleet = at[0];
--- a/src/test/java/cottonlock/membership/MembershipTest.java
+++ b/src/test/java/cottonlock/membership/MembershipTest.java
@@ -62,18 +62,8 @@
                         new World(seed),
                         size,
                         rules,
-                        (r, out, name, at, contacts, closed, generation, tag, random) ->
-                                new Membership(
-                                        r,
-                                        out,
-                                        name,
-                                        at,
-                                        contacts,
-                                        closed,
-                                        generation,
-                                        tag,
-                                        random,
-                                        variants));
+                        (config, out, self, tag, random) ->
+                                new Membership(config, out, self, tag, random, variants));
         fleet.startAll(SECOND);
         fleet.world.until(6 * SECOND);
         return fleet;
@@ -207,9 +197,9 @@
                         new World(seed),
                         12,
                         usual(),
-                        (r, out, name, address, contacts, closed, generation, tag, random) ->
+                        (config, out, self, tag, random) ->
                                 new Membership(
-                                        r,
+                                        config,
                                         new MembershipActions() {
                                             @Override
                                             public void send(String to, byte[] datagram) {
@@ -220,7 +210,8 @@
                                             public void memberStateChanged(
                                                     String who, MemberState state, String reason) {
                                                 boolean same =
-                                                        (number(who) + number(name)) % 2 == 0;
+                                                        (number(who) + number(self.name())) % 2
+                                                                == 0;
                                                 own[0] +=
                                                         state == MemberState.FAILED
                                                                         && same
@@ -230,11 +221,7 @@
                                                                 : 0;
                                             }
                                         },
-                                        name,
-                                        address,
-                                        contacts,
-                                        closed,
-                                        generation,
+                                        self,
                                         tag,
                                         random,
                                         variants));
@@ -458,11 +445,12 @@
                             public void memberStateChanged(
                                     String who, MemberState state, String reason) {}
                         },
-                        moved.name,
-                        moved.address,
-                        List.of(fleet.nodes.get(0).address),
-                        true,
-                        1_000,
+                        new LocalMember(
+                                moved.name,
+                                moved.address,
+                                List.of(fleet.nodes.get(0).address),
+                                true,
+                                1_000),
                         0,
                         new SplittableRandom(1));
         former.start(0);
@@ -532,11 +520,8 @@
                                     told.add(me + " " + who + " " + state + " " + reason);
                                 }
                             },
-                            names[i],
-                            addresses.get(i),
-                            addresses,
-                            true,
-                            1_000_000 - i,
+                            new LocalMember(
+                                    names[i], addresses.get(i), addresses, true, 1_000_000 - i),
                             0,
                             new SplittableRandom(i)));
         }
@@ -605,11 +590,7 @@
                             public void memberStateChanged(
                                     String who, MemberState state, String reason) {}
                         },
-                        "me",
-                        "127.0.0.1:1",
-                        List.of("127.0.0.1:2"),
-                        false,
-                        1_000,
+                        new LocalMember("me", "127.0.0.1:1", List.of("127.0.0.1:2"), false, 1_000),
                         0,
                         new SplittableRandom(1));
         one.start(0);
@@ -618,13 +599,13 @@
             MemberUpdate other =
                     new MemberUpdate(
                             "x" + i, "127.0.0.1:" + (2 + i), 1_000, 0, MemberState.ALIVE, 0);
-            DatagramCodec.Writer hello =
+            DatagramWriter hello =
                     DatagramCodec.writerFor(
                             new Message(Message.Kind.PING, other, 1, 0, 0),
                             DatagramCodec.MAX_DATAGRAM_BYTES);
             one.datagramReceived(now, other.address(), hello.toBytes(), hello.size());
             MemberUpdate left = other.withState(MemberState.LEFT, 0);
-            DatagramCodec.Writer bye =
+            DatagramWriter bye =
                     DatagramCodec.writerFor(
                             new Message(Message.Kind.UPDATES, left, 2, 0, 0),
                             DatagramCodec.MAX_DATAGRAM_BYTES);
@@ -674,15 +655,16 @@
                         new World(9),
                         5,
                         usual(),
-                        (r, out, name, at, contacts, closed, generation, tag, random) ->
+                        (config, out, self, tag, random) ->
                                 new Membership(
-                                        r,
+                                        config,
                                         out,
-                                        name,
-                                        at,
-                                        contacts.subList(0, 2),
-                                        false,
-                                        generation,
+                                        new LocalMember(
+                                                self.name(),
+                                                self.address(),
+                                                self.contacts().subList(0, 2),
+                                                false,
+                                                self.generation()),
                                         tag,
                                         random));
         for (int i = 2; i < 5; i++) {
@@ -711,15 +693,18 @@
                         new World(11),
                         4,
                         usual(),
-                        (r, out, name, at, contacts, closed, generation, tag, random) ->
+                        (config, out, self, tag, random) ->
                                 new Membership(
-                                        r,
+                                        config,
                                         out,
-                                        names[number(name)] == null ? name : names[number(name)],
-                                        at,
-                                        contacts,
-                                        closed,
-                                        generation,
+                                        new LocalMember(
+                                                names[number(self.name())] == null
+                                                        ? self.name()
+                                                        : names[number(self.name())],
+                                                self.address(),
+                                                self.contacts(),
+                                                self.membersAreFixed(),
+                                                self.generation()),
                                         tag,
                                         random));
         fleet.startAll(SECOND);
@@ -819,7 +804,7 @@
         m.partition = random.nextInt(4);
         m.partitionDigests = new int[] {random.nextInt(), 2, 3, 4};
         m.payload = new byte[random.nextInt(20)];
-        DatagramCodec.Writer out = DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES);
+        DatagramWriter out = DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES);
         MemberUpdate word =
                 new MemberUpdate(
                         "other",
--- a/src/test/java/cottonlock/membership/SmallWorldsTest.java
+++ b/src/test/java/cottonlock/membership/SmallWorldsTest.java
@@ -152,11 +152,12 @@
                                     failedInCall = state == MemberState.FAILED ? who : failedInCall;
                                 }
                             },
-                            name(p),
-                            address(p),
-                            contacts,
-                            !bySeed,
-                            1_000_000 - 1_000L * start,
+                            new LocalMember(
+                                    name(p),
+                                    address(p),
+                                    contacts,
+                                    !bySeed,
+                                    1_000_000 - 1_000L * start),
                             0,
                             new SplittableRandom(p + 10L * start),
                             variants);
@@ -320,7 +321,7 @@
         /** The same without what it says of others than its receiver. */
         private static Datagram without(Datagram d) {
             Message m = read(d);
-            DatagramCodec.Writer out = DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES);
+            DatagramWriter out = DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES);
             m.updates.stream().filter(w -> w.name().equals(name(d.to))).forEach(out::addUpdate);
             return new Datagram(d.from, d.to, out.toBytes());
         }
