--- a/src/main/java/cottonlock/membership/AddressFormat.java
+++ b/src/main/java/cottonlock/membership/AddressFormat.java
@@ -18,8 +18,12 @@
     private static final int MAX_OCTET = 255;
     private static final int MAX_PORT = 0xffff;
 
-    /** An IPv4 address with a port. */
-    record Ipv4(int[] octets, int port) {}
+    /**
+     * An IPv4 address with a port.
+     *
+     * @param host its four octets, the first one in the highest byte
+     */
+    record Ipv4(int host, int port) {}
 
     private AddressFormat() {}
 
@@ -40,19 +44,22 @@
                 return null;
             }
         }
-        boolean valid = index == IPV4_OCTETS && digits > 0 && numbers[IPV4_OCTETS] <= MAX_PORT;
+        int port = numbers[IPV4_OCTETS];
+        boolean valid = index == IPV4_OCTETS && digits > 0 && port <= MAX_PORT;
+        int host = 0;
         for (int i = 0; i < IPV4_OCTETS; i++) {
             valid &= numbers[i] <= MAX_OCTET;
+            host = (host << 8) | numbers[i];
         }
-        return valid
-                ? new Ipv4(java.util.Arrays.copyOf(numbers, IPV4_OCTETS), numbers[IPV4_OCTETS])
-                : null;
+        return valid ? new Ipv4(host, port) : null;
     }
 
+    /** Whether a character ends the number with that index: the last octet ends with a colon. */
     private static boolean isSeparator(char character, int index) {
-        return index < IPV4_OCTETS - 1
-                ? character == '.'
-                : index == IPV4_OCTETS - 1 && character == ':';
+        if (index == IPV4_OCTETS - 1) {
+            return character == ':';
+        }
+        return index < IPV4_OCTETS - 1 && character == '.';
     }
 
     /** Whether a text consists of the characters of a bracketed IPv6 address with a port. */
--- a/src/main/java/cottonlock/membership/DatagramWriter.java
+++ b/src/main/java/cottonlock/membership/DatagramWriter.java
@@ -54,9 +54,7 @@
             return;
         }
         writeNumber(DatagramCodec.IPV4_MARKER, 1);
-        for (int octet : ipv4.octets()) {
-            writeNumber(octet, 1);
-        }
+        writeNumber(ipv4.host(), 4);
         writeNumber(ipv4.port(), 2);
     }
 
--- a/src/main/java/cottonlock/membership/Message.java
+++ b/src/main/java/cottonlock/membership/Message.java
@@ -14,7 +14,7 @@
     /** What a message is for, and which fields it carries. */
     enum Kind {
         /**
-         * Probes the receiver: {@code sequenceNumber}, {@code target} (empty: whoever is at the
+         * Probes the receiver: {@code sequenceNumber}, {@code target} (empty: any process at the
          * address), {@code onBehalfOf}.
          */
         PING(0),
--- a/src/main/java/cottonlock/membership/MessageReceiver.java
+++ b/src/main/java/cottonlock/membership/MessageReceiver.java
@@ -105,7 +105,7 @@
         notifyOutdated(nowTicks, message, member.update);
     }
 
-    /** Tells the process of an earlier generation about the later one. */
+    /** Notifies the process of an earlier generation of the later one. */
     private void notifyOutdated(long nowTicks, Message message, MemberUpdate newer) {
         String address = message.sender.address();
         if (message.kind != Kind.UPDATES && !address.equals(table.self().address())) {
