--- a/src/test/java/cottonlock/membership/AntiEntropyTest.java
+++ b/src/test/java/cottonlock/membership/AntiEntropyTest.java
@@ -16,15 +16,15 @@
     private static final int REQUESTS = 2_500;
 
     /**
-     * Parts of the names are long in a large fleet: in time all of it is told, not its beginning
+     * Partitions are long in a large membership: in time all of each is sent, not its beginning
      * alone.
      */
     @Example
-    void allOfALongPartIsToldInTime() {
-        assertEquals(MEMBERS, told(new ProtocolVariants()));
+    void allOfALongPartitionIsSentInTime() {
+        assertEquals(MEMBERS, membersSent(new ProtocolVariants()));
         assertNotEquals(
                 MEMBERS,
-                told(
+                membersSent(
                         new ProtocolVariants() {
                             @Override
                             boolean startsPagesAtRandomName() {
@@ -35,10 +35,10 @@
     }
 
     /**
-     * How many members one that knows all tells to one that asks again and again and knows nobody.
+     * How many members a process that knows all sends to one that asks repeatedly and knows none.
      */
-    private static int told(ProtocolVariants variants) {
-        Set<String> told = new TreeSet<>();
+    private static int membersSent(ProtocolVariants variants) {
+        Set<String> sent = new TreeSet<>();
         Membership machine =
                 new Membership(
                         MembershipProtocolConfig.DEFAULTS,
@@ -49,7 +49,7 @@
                                 if (m.kind == Message.Kind.PARTITION_PAGE) {
                                     m.updates.stream()
                                             .filter(w -> w.name().startsWith("x"))
-                                            .forEach(w -> told.add(w.name()));
+                                            .forEach(w -> sent.add(w.name()));
                                 }
                             }
 
@@ -90,6 +90,6 @@
             // A tenth of a second apart: a page or so can be sent meanwhile.
             machine.datagramReceived(i * 1_000L, asker.address(), out.toBytes(), out.size());
         }
-        return told.size();
+        return sent.size();
     }
 }
--- a/src/test/java/cottonlock/membership/DatagramAuthenticatorTest.java
+++ b/src/test/java/cottonlock/membership/DatagramAuthenticatorTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Tags of the fleet's keys, and of nobody else's. */
+/** Tags of the members' keys, and of no others. */
 class DatagramAuthenticatorTest {
     private static Path key(String text) throws IOException {
         Path file = Files.createTempFile("key", "");
@@ -30,8 +30,7 @@
         byte[] datagram = {(byte) DatagramCodec.MAGIC, 1, 2, 3};
         byte[] sealed = before.sign(datagram);
         assertEquals(datagram.length + DatagramAuthenticator.TAG_BYTES, sealed.length);
-        assertArrayEquals(
-                datagram, Arrays.copyOf(sealed, 4), "the datagram itself can be read by anybody");
+        assertArrayEquals(datagram, Arrays.copyOf(sealed, 4), "the datagram itself stays readable");
         assertEquals(4, before.verify(sealed, sealed.length));
         assertEquals(4, changing.verify(sealed, sealed.length));
         assertEquals(-1, after.verify(sealed, sealed.length));
--- a/src/test/java/cottonlock/membership/MemberTableTest.java
+++ b/src/test/java/cottonlock/membership/MemberTableTest.java
@@ -13,13 +13,13 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** What the table keeps with each word is what a look through all members finds. */
+/** The counts and digests that the table maintains are those that a search of all members finds. */
 class MemberTableTest {
     private static final MemberUpdate ME =
             new MemberUpdate("me", "10.0.0.1:1", 1, 0, MemberState.ALIVE, 0);
 
     @Property(seed = "20261202", tries = 40)
-    void whatIsKeptIsWhatALookFinds(@ForAll long seed) {
+    void maintainedCountsEqualThoseOfASearch(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Set<String> contacts = new TreeSet<>(List.of("10.0.0.2:1", "10.0.0.3:1", "10.0.0.200:1"));
         MemberTable table = new MemberTable(ME, 400, new ContactAddresses(contacts));
@@ -40,7 +40,7 @@
                         "10.0.0." + random.nextInt(2, 120) + ":1",
                         1 + random.nextInt(3),
                         random.nextInt(4),
-                        MemberState.values()[random.nextInt(5)],
+                        MemberState.ofWireNumber(random.nextInt(5)),
                         0);
         MemberRecord k = table.get(name);
         int what = random.nextInt(5);
@@ -119,9 +119,11 @@
         assertArrayEquals(marks, table.partitionDigests(parts), parts + " parts");
     }
 
-    /** Names with one hash are rare by chance, and can be made on purpose: they are told apart. */
+    /**
+     * Names with one hash are rare by chance, and can be made on purpose: they are distinguished.
+     */
     @Example
-    void namesOfOneHashAreToldApart() {
+    void namesWithOneHashAreDistinguished() {
         String[] alike = alike();
         MemberTable table = new MemberTable(ME, 400, new ContactAddresses(Set.of()));
         for (String name : alike) {
--- a/src/test/java/cottonlock/membership/MembershipTest.java
+++ b/src/test/java/cottonlock/membership/MembershipTest.java
@@ -88,7 +88,7 @@
     }
 
     @Property(seed = "20261201", tries = 12)
-    void deathsAreFoundByAllAndNobodyElseIsCalledDead(
+    void deathsAreFoundByAllAndNoOtherFailure(
             @ForAll @IntRange(min = 4, max = 24) int size,
             @ForAll @IntRange(max = 99_999) int seed) {
         Fleet fleet = fleet(seed, size);
@@ -126,7 +126,7 @@
     }
 
     @Example
-    void whoLeavesByWordIsTold() {
+    void aLeavingMemberIsSeenAsLeftByAll() {
         Fleet fleet = fleet(3, 6);
         fleet.nodes.get(2).leave();
         pass(fleet, 2);
@@ -173,7 +173,7 @@
      * Without being looked at first, whom the other half has called failed is called so by its own.
      */
     @Example
-    void aHealMakesNobodyCallItsOwnFailed() {
+    void aHealedPartitionCausesNoFailureOnTheOwnSide() {
         defended(
                 seed -> ownFailures(seed, new ProtocolVariants()) == 0,
                 seed ->
@@ -243,7 +243,7 @@
      * is cut.
      */
     @Example
-    void aCutOfOneDirectionKillsNobody() {
+    void aOneWayCutCausesNoFailure() {
         defended(
                 seed -> oneWay(seed, usual()),
                 seed -> oneWay(seed, rules(0, 3, 20_000, 1_024, 6_000_000, 3, 2)));
@@ -267,7 +267,7 @@
     }
 
     @Property(seed = "20261201", tries = 4)
-    void aThirdLostLateAndDoubledKillsNobody(
+    void aThirdLostLateAndDuplicatedCausesNoFailure(
             @ForAll @IntRange(min = 4, max = 16) int size,
             @ForAll @IntRange(max = 99_999) int seed) {
         Fleet fleet = fleet(seed, size);
@@ -293,7 +293,7 @@
      * short.
      */
     @Example
-    void withLossesADoubtNeedsItsTime() {
+    void withLossesASuspicionNeedsItsTimeout() {
         defended(seed -> lossy(seed, 3), seed -> lossy(seed, 0.1));
     }
 
@@ -310,11 +310,11 @@
     }
 
     /**
-     * Stopped for ten seconds it wakes with all its doubts due, and has to take them for its own
-     * fault.
+     * Stopped for ten seconds it wakes with all its suspicions expired, for which it is itself the
+     * cause.
      */
     @Example
-    void whoHasStoodStillJudgesNobody() {
+    void aStalledProcessDeclaresNoMemberFailed() {
         // Looking again at whom it is about to call failed would do too, and is not looked at here.
         defended(
                 seed -> wakes(seed, new Hasty()),
@@ -329,7 +329,7 @@
                                 }));
     }
 
-    /** Calls failed whom others doubt, without a look of its own. */
+    /** Declares members failed that others suspect, without a probe of its own. */
     private static class Hasty extends ProtocolVariants {
         @Override
         boolean probesBeforeFailing() {
@@ -342,7 +342,7 @@
      * heard.
      */
     @Example
-    void nobodyIsCalledFailedWithoutALook() {
+    void noMemberIsDeclaredFailedWithoutAProbe() {
         defended(seed -> looks(seed, new ProtocolVariants()), seed -> looks(seed, new Hasty()));
     }
 
@@ -354,7 +354,7 @@
     }
 
     private static boolean wakes(long seed, ProtocolVariants variants) {
-        // Datagrams are lost, so that there are doubts at any time.
+        // Datagrams are lost, so that there are suspicions at any time.
         Fleet fleet = fleet(seed, 10, usual(), variants);
         fleet.world.trouble(0.25, 0, 0);
         for (int i = 0; i < 10; i++) {
@@ -375,7 +375,7 @@
      * on.
      */
     @Example
-    void aHungModuleIsAsGoodAsDead() {
+    void aProcessWithAStalledWorkerIsFoundFailed() {
         defended(
                 seed -> hung(seed, usual()),
                 seed -> hung(seed, rules(3, 3, Long.MAX_VALUE, 1_024, 6_000_000, 3, 2)));
@@ -390,11 +390,11 @@
     }
 
     /**
-     * It starts again with a clock that is minutes behind: others hold its former life for the
-     * later one.
+     * It starts again with a clock that is minutes behind: others hold its earlier generation for
+     * the later one.
      */
     @Example
-    void aWrongClockMakesNobodyItsOwnPast() {
+    void aWrongClockDoesNotKeepAProcessOut() {
         defended(
                 seed -> backInTime(seed, new ProtocolVariants()),
                 seed ->
@@ -419,11 +419,11 @@
     }
 
     /**
-     * What a former life has sent comes late again and again: it neither speaks for the new nor
-     * harms it.
+     * Datagrams of an earlier generation come late again and again: they have no effect on the
+     * later one.
      */
     @Example
-    void wordsOfAFormerLifeAreOutOfDate() {
+    void datagramsOfAnEarlierGenerationAreStale() {
         List<byte[]> old = new ArrayList<>();
         Fleet fleet = fleet(4, 4);
         fleet.world.cut((from, to) -> false);
@@ -431,7 +431,7 @@
         World world = fleet.world;
         MembershipActions[] spy = new MembershipActions[1];
         assertNull(spy[0]);
-        // Datagrams as its former life made them, by a machine of the same name and life.
+        // Datagrams as its earlier generation made them, by a machine of the same name.
         Membership former =
                 new Membership(
                         usual(),
@@ -479,7 +479,7 @@
     void twoProcessesOfOneName() {
         World world = new World(5);
         List<Membership> machines = new ArrayList<>();
-        List<String> told = new ArrayList<>();
+        List<String> reports = new ArrayList<>();
         String[] names = {"a", "b", "twin", "twin"};
         List<String> addresses =
                 List.of("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4");
@@ -517,7 +517,7 @@
                                 @Override
                                 public void memberStateChanged(
                                         String who, MemberState state, String reason) {
-                                    told.add(me + " " + who + " " + state + " " + reason);
+                                    reports.add(me + " " + who + " " + state + " " + reason);
                                 }
                             },
                             new LocalMember(
@@ -533,8 +533,8 @@
         wake(world, machines.get(3), up, 3, machines.get(3).start(world.now()));
         world.until(15 * SECOND);
         assertTrue(
-                told.stream().anyMatch(t -> t.startsWith("2 twin LEFT displaced")),
-                told.toString());
+                reports.stream().anyMatch(t -> t.startsWith("2 twin LEFT displaced")),
+                reports.toString());
         assertEquals(
                 "127.0.0.1:4",
                 address(machines.get(0), world),
@@ -566,7 +566,7 @@
     }
 
     /**
-     * A view of as many as it may hold: nobody else gets in, no names that come and go make it
+     * A view of as many as it may hold: no other is added, and no names that come and go make it
      * grow.
      */
     @Example
@@ -623,24 +623,24 @@
      * news.
      */
     @Example
-    void whoSleptThroughADeathDoesNotBringItBack() {
+    void aLongStoppedProcessDoesNotReviveADeadMember() {
         Fleet fleet =
                 fleet(6, 5, rules(3, 3, 20_000, 1_024, 20 * SECOND, 3, 2), new ProtocolVariants());
         fleet.nodes.get(1).pause(60 * SECOND);
         pass(fleet, 8);
         fleet.nodes.get(2).kill();
         pass(fleet, 51);
-        List<String> told = new ArrayList<>();
+        List<String> reports = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             pass(fleet, 0.1);
             for (int other : new int[] {0, 3, 4}) {
                 MemberState state = fleet.nodes.get(other).machine.stateOf("n2");
                 if (state != null && state.isLive()) {
-                    told.add("n" + other + " holds n2 for " + state);
+                    reports.add("n" + other + " holds n2 for " + state);
                 }
             }
         }
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), reports);
         assertTrue(fleet.untilAgreed(3 * SECOND) >= 0);
     }
 
@@ -671,7 +671,7 @@
             fleet.nodes.get(i).start(0);
         }
         pass(fleet, 10);
-        assertEquals(0, fleet.nodes.get(3).machine.liveOthers(), "nobody can be found");
+        assertEquals(0, fleet.nodes.get(3).machine.liveOthers(), "no member can be found");
         assertEquals(
                 MemberState.ALIVE,
                 fleet.nodes.get(3).view().members().get(0).state(),
@@ -730,7 +730,7 @@
     }
 
     /**
-     * What changes keeps to its bounds of bytes and times; told without a bound it fills all
+     * Updates keep to their bounds of bytes and retransmissions; without a bound they fill all
      * datagrams.
      */
     @Example
@@ -789,7 +789,7 @@
                         random.nextInt(1 << 30),
                         MemberState.ALIVE,
                         0);
-        Message.Kind kind = Message.Kind.values()[random.nextInt(Message.Kind.values().length)];
+        Message.Kind kind = Message.Kind.ofWireNumber(random.nextInt(Message.Kind.values().length));
         Message m =
                 new Message(
                         kind,
@@ -811,7 +811,7 @@
                         "10.0.0.3:65535",
                         5,
                         6,
-                        MemberState.values()[random.nextInt(5)],
+                        MemberState.ofWireNumber(random.nextInt(5)),
                         7);
         boolean fits = out.addUpdate(word);
         Message read = DatagramCodec.decode(out.toBytes(), out.size());
@@ -839,7 +839,7 @@
      * last.
      */
     @Example
-    void whatSpoiltDatagramsMadeItBelieveDoesNotLast() {
+    void effectsOfCorruptDatagramsDoNotLast() {
         for (int seed = 0; seed < 3; seed++) {
             Fleet fleet = fleet(seed, 8);
             fleet.world.trouble(0, 0, 0.3);
--- a/src/test/java/cottonlock/membership/SmallWorldsTest.java
+++ b/src/test/java/cottonlock/membership/SmallWorldsTest.java
@@ -19,7 +19,7 @@
 /**
  * Three processes and every order of what may befall them, to a depth: each datagram under way
  * comes at any time or never, each clock runs as it likes, one is killed, started again or stops
- * for a while. After each step words must have moved forward only; from every state, once all is
+ * for a while. After each step updates must have moved forward only; from every state, once all is
  * well, views must become right.
  */
 class SmallWorldsTest {
@@ -39,11 +39,22 @@
         JOINING_BY_ONE,
         ONE_DEAD,
         DEAD_AND_BACK,
-        DOUBTING,
+        SUSPECTED,
         APART
     }
 
-    private record Datagram(int from, int to, byte[] bytes) {}
+    /** A datagram under way, with the numbers of its sender and its receiver. */
+    private static final class Datagram {
+        final int from;
+        final int to;
+        final byte[] bytes;
+
+        Datagram(int from, int to, byte[] bytes) {
+            this.from = from;
+            this.to = to;
+            this.bytes = bytes;
+        }
+    }
 
     /** Something has gone wrong. */
     private static final class Wrong extends RuntimeException {
@@ -66,7 +77,7 @@
         final List<Datagram> underWay = new ArrayList<>();
         final List<Map<String, MemberUpdate>> held = new ArrayList<>();
 
-        /** The last that each has said of itself, in any of its lives. */
+        /** The last that each has claimed of itself, in any of its generations. */
         final Map<String, MemberUpdate> said = new TreeMap<>();
 
         boolean[][] cut = new boolean[3][3];
@@ -82,8 +93,8 @@
                 start(p);
             }
             if (bySeed) {
-                // What the seed tells the others of one another is lost, until it has told it often
-                // enough.
+                // What the seed sends the others about one another is lost, until it has
+                // retransmitted it often enough.
                 calm(100_000, d -> d.to == 0 ? d : without(d));
                 check();
                 underWay.clear();
@@ -97,7 +108,7 @@
                 kill(2);
                 calm(60_000);
                 start(2);
-            } else if (beginning == Beginning.DOUBTING) {
+            } else if (beginning == Beginning.SUSPECTED) {
                 cut[0][1] = true;
                 cut[2][1] = true;
                 cut[1][0] = true;
@@ -214,7 +225,7 @@
                     wakeAt[p] = machines[p].timerFired(now[p]);
                     if (failedInCall != null) {
                         throw new Wrong(
-                                name(p) + " has stood still and calls " + failedInCall + " failed");
+                                name(p) + " was stalled and calls " + failedInCall + " failed");
                     }
                 }
             }
@@ -230,7 +241,9 @@
                             now[d.to], address(d.from), d.bytes, d.bytes.length);
         }
 
-        /** Words move forward only, and none goes beyond what its subject has said of itself. */
+        /**
+         * Updates move forward only, and none goes beyond what its subject has claimed of itself.
+         */
         private void check() {
             for (int p = 0; p < 3; p++) {
                 MembershipView.Member own = machines[p].view(now[p]).members().get(0);
@@ -259,19 +272,19 @@
                                     0);
                     MemberUpdate before = held.get(p).put(w.name(), w);
                     if (before != null && before.supersedes(w)) {
-                        throw new Wrong(name(p) + " believes " + w + " after " + before);
+                        throw new Wrong(name(p) + " accepts " + w + " after " + before);
                     }
                     MemberUpdate own = said.get(l.name());
                     if (l.generation() > own.generation()
-                            || l.generation() == own.generation()
-                                    && l.incarnation() > own.incarnation()) {
+                            || (l.generation() == own.generation()
+                                    && l.incarnation() > own.incarnation())) {
                         throw new Wrong(
                                 name(p)
                                         + " holds "
                                         + w
                                         + ", which "
                                         + l.name()
-                                        + " has never said");
+                                        + " has never claimed");
                     }
                 }
             }
@@ -305,7 +318,7 @@
                 calm(1_000);
             }
             if (!reached.getAsBoolean()) {
-                throw new Wrong("doubts have not come to what they must by now");
+                throw new Wrong("suspicions have not come to what they must by now");
             }
         }
 
@@ -318,7 +331,7 @@
             }
         }
 
-        /** The same without what it says of others than its receiver. */
+        /** The same without its updates about others than its receiver. */
         private static Datagram without(Datagram d) {
             Message m = read(d);
             DatagramWriter out = DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES);
@@ -326,14 +339,14 @@
             return new Datagram(d.from, d.to, out.toBytes());
         }
 
-        /** Once all is well every view is right, and nothing old is told any more. */
+        /** Once all is well every view is right, and no old update is retransmitted any more. */
         void closing() {
             calm(200_000);
             for (int p = 0; p < 3; p++) {
                 for (int q = 0; q < 3; q++) {
                     MemberState state = p == q ? MemberState.ALIVE : machines[p].stateOf(name(q));
                     boolean lives = state != null && state.isLive();
-                    // With the only seed dead, two that have not met have nobody to tell them.
+                    // With the only seed dead, two that have not met can't find each other.
                     boolean apart = bySeed && !up[0] && state == null;
                     if (up[p] && lives != up[q] && !apart) {
                         throw new Wrong(
@@ -347,10 +360,10 @@
                                         + (up[q] ? "lives" : "is dead"));
                     }
                 }
-                // Where there is but one to tell, it is not told of itself.
+                // An update about the only receiver is never sent to it.
                 String end = machines[p].fingerprint(now[p]).replaceAll("(?s).*telling ", "");
                 if (up[p] && machines[p].liveOthers() > 0 && Integer.parseInt(end) > 1) {
-                    throw new Wrong("in the end " + name(p) + " still tells old changes");
+                    throw new Wrong("in the end " + name(p) + " still retransmits old updates");
                 }
             }
         }
@@ -392,7 +405,6 @@
         final ProtocolVariants variants;
         final Set<String> keys = new HashSet<>();
         final int depth;
-        long closings;
 
         Explorer(Beginning beginning, ProtocolVariants variants, int depth) {
             this.beginning = beginning;
@@ -425,7 +437,6 @@
                             longer.add(step);
                             further.add(longer);
                         }
-                        closings++;
                         play.closing();
                     } catch (Wrong e) {
                         throw new Wrong(beginning + " " + path + ": " + e.getMessage());
@@ -464,7 +475,7 @@
     void plantedFaultsAreFound() {
         Map<String, ProtocolVariants> faults = new TreeMap<>();
         faults.put(
-                "an old word is believed",
+                "an old update is accepted",
                 new ProtocolVariants() {
                     @Override
                     boolean supersedes(MemberUpdate one, MemberUpdate other) {
@@ -472,7 +483,7 @@
                     }
                 });
         faults.put(
-                "the turn is not raised",
+                "the incarnation is not raised",
                 new ProtocolVariants() {
                     @Override
                     int nextIncarnation(int incarnation) {
@@ -480,7 +491,7 @@
                     }
                 });
         faults.put(
-                "the life is not raised",
+                "the generation is not raised",
                 new ProtocolVariants() {
                     @Override
                     long nextGeneration(long generation) {
@@ -488,7 +499,7 @@
                     }
                 });
         faults.put(
-                "views are not mended",
+                "views are not repaired",
                 new ProtocolVariants() {
                     @Override
                     boolean repairsDivergence() {
@@ -496,7 +507,7 @@
                     }
                 });
         faults.put(
-                "a doubt has no end",
+                "a suspicion has no end",
                 new ProtocolVariants() {
                     @Override
                     long suspicionExpiryTicks(SuspicionTimer s) {
@@ -504,7 +515,7 @@
                     }
                 });
         faults.put(
-                "its own standstill is ignored",
+                "its own stall is ignored",
                 new ProtocolVariants() {
                     @Override
                     boolean tracksLocalHealth() {
@@ -517,7 +528,7 @@
                     }
                 });
         faults.put(
-                "changes are told for ever",
+                "updates are retransmitted for ever",
                 new ProtocolVariants() {
                     @Override
                     int transmitLimit(int usual) {
@@ -534,6 +545,6 @@
                         System.out.println("planted: " + name + ": " + e.getMessage());
                     }
                 });
-        assertEquals(List.of(), missed, "faults that nobody found");
+        assertEquals(List.of(), missed, "faults that were not found");
     }
 }
