--- a/src/main/java/cottonlock/membership/ContactScheduler.java
+++ b/src/main/java/cottonlock/membership/ContactScheduler.java
@@ -71,7 +71,8 @@
         for (int i = 0; i < contacts && !candidates.isEmpty(); i++) {
             ping(nowTicks, candidates.remove(random.nextInt(candidates.size())));
         }
-        dueAtTicks = nowTicks + config.periodTicks() * (alone ? 1 : config.contactIntervalPeriods());
+        dueAtTicks =
+                nowTicks + config.periodTicks() * (alone ? 1 : config.contactIntervalPeriods());
     }
 
     /** Looks for the later process of this name, if that is due; resumes if it is gone. */
--- a/src/main/java/cottonlock/membership/DatagramSender.java
+++ b/src/main/java/cottonlock/membership/DatagramSender.java
@@ -68,7 +68,11 @@
      */
     private int transmitLimit() {
         return variants.transmitLimit(
-                (int) Math.ceil(config.retransmitMultiplier() * Math.log(table.liveCount() + 2) / Math.log(2)));
+                (int)
+                        Math.ceil(
+                                config.retransmitMultiplier()
+                                        * Math.log(table.liveCount() + 2)
+                                        / Math.log(2)));
     }
 
     /** This process starts another generation: its datagrams are counted from the beginning. */
--- a/src/main/java/cottonlock/membership/FailureDetector.java
+++ b/src/main/java/cottonlock/membership/FailureDetector.java
@@ -191,7 +191,9 @@
     private int silentPeriodsNeeded() {
         double datagramArrives = Math.sqrt(1 - unansweredShare);
         double helpersFail =
-                Math.pow(1 - Math.pow(datagramArrives, INDIRECT_PROBE_DATAGRAMS), config.indirectProbeCount());
+                Math.pow(
+                        1 - Math.pow(datagramArrives, INDIRECT_PROBE_DATAGRAMS),
+                        config.indirectProbeCount());
         double silentPeriod = unansweredShare * unansweredShare * helpersFail;
         int needed = 1;
         double probability = silentPeriod;
@@ -263,7 +265,9 @@
                                 canHelp(member)
                                         && nowTicks - member.heardAtTicks
                                                 < HEARD_WITHIN_PERIODS * config.periodTicks());
-        return helpers.isEmpty() ? schedule.sample(config.indirectProbeCount(), this::canHelp) : helpers;
+        return helpers.isEmpty()
+                ? schedule.sample(config.indirectProbeCount(), this::canHelp)
+                : helpers;
     }
 
     private boolean canHelp(MemberRecord member) {
--- a/src/main/java/cottonlock/membership/Membership.java
+++ b/src/main/java/cottonlock/membership/Membership.java
@@ -223,7 +223,8 @@
         failureDetector.localHealth().degrade(stallTicks > config.periodTicks() ? 2 : 1);
         failureDetector.start(nowTicks);
         suspects.extendForStall(nowTicks, stallTicks);
-        if (stallTicks > config.deadMemberRetentionTicks() / 2 && table.self().state() != MemberState.LEFT) {
+        if (stallTicks > config.deadMemberRetentionTicks() / 2
+                && table.self().state() != MemberState.LEFT) {
             rejoin(nowTicks);
         }
     }
--- a/src/main/java/cottonlock/membership/MembershipContext.java
+++ b/src/main/java/cottonlock/membership/MembershipContext.java
@@ -54,7 +54,8 @@
         Set<String> contacts = new TreeSet<>(self.contacts());
         contacts.remove(self.address());
         MemberTable table =
-                new MemberTable(initialClaim(self), config.maxMembers(), new ContactAddresses(contacts));
+                new MemberTable(
+                        initialClaim(self), config.maxMembers(), new ContactAddresses(contacts));
         MembershipMetrics metrics = new MembershipMetrics();
         return new MembershipContext(
                 config,
--- a/src/main/java/cottonlock/membership/MembershipService.java
+++ b/src/main/java/cottonlock/membership/MembershipService.java
@@ -86,7 +86,11 @@
         this.authenticator = keyFiles.isEmpty() ? null : new DatagramAuthenticator(keyFiles);
         this.actions =
                 new SocketMembershipActions(
-                        socket, authenticator, self.name(), config.protocol().maxMembers() * 2, host.log());
+                        socket,
+                        authenticator,
+                        self.name(),
+                        config.protocol().maxMembers() * 2,
+                        host.log());
         this.membership =
                 new Membership(
                         config.protocol(),
--- a/src/main/java/cottonlock/membership/MessageReceiver.java
+++ b/src/main/java/cottonlock/membership/MessageReceiver.java
@@ -169,7 +169,8 @@
 
     /** Whether a member's last datagram came here not long ago. */
     boolean isHeardRecently(long nowTicks, MemberRecord member) {
-        return nowTicks - member.heardAtTicks < HEARD_RECENTLY_PERIODS * context.config().periodTicks();
+        return nowTicks - member.heardAtTicks
+                < HEARD_RECENTLY_PERIODS * context.config().periodTicks();
     }
 
     private void compareViews(long nowTicks, Message message, MemberRecord member) {
--- a/src/main/java/cottonlock/membership/UpdateMerger.java
+++ b/src/main/java/cottonlock/membership/UpdateMerger.java
@@ -128,7 +128,8 @@
 
     private void startSuspicion(long nowTicks, MemberRecord member, int accuserHash) {
         double sizeFactor = Math.max(1, Math.log10(table.liveCount() + 1));
-        long minTicks = Math.round(config.suspicionMultiplier() * sizeFactor * config.periodTicks());
+        long minTicks =
+                Math.round(config.suspicionMultiplier() * sizeFactor * config.periodTicks());
         member.suspicion =
                 new SuspicionTimer(
                         nowTicks,
@@ -173,14 +174,16 @@
     }
 
     void scheduleExpiryCheck(long nowTicks) {
-        expiryCheckAtTicks = nowTicks + config.deadMemberRetentionTicks() / EXPIRY_CHECKS_PER_RETENTION;
+        expiryCheckAtTicks =
+                nowTicks + config.deadMemberRetentionTicks() / EXPIRY_CHECKS_PER_RETENTION;
     }
 
     /** Removes members that have been failed or left for the retention time. */
     void removeExpired(long nowTicks) {
         scheduleExpiryCheck(nowTicks);
         for (MemberRecord member : List.copyOf(table.members())) {
-            if (!member.isLive() && nowTicks - member.stateSinceTicks >= config.deadMemberRetentionTicks()) {
+            if (!member.isLive()
+                    && nowTicks - member.stateSinceTicks >= config.deadMemberRetentionTicks()) {
                 remove(member);
             }
         }
--- a/src/main/java/cottonlock/proxy/MembershipAdapter.java
+++ b/src/main/java/cottonlock/proxy/MembershipAdapter.java
@@ -104,7 +104,8 @@
         InetSocketAddress listen =
                 membership.listenAddress().isEmpty()
                         ? peerListen
-                        : ProxyConfiguration.address("membership.listen", membership.listenAddress());
+                        : ProxyConfiguration.address(
+                                "membership.listen", membership.listenAddress());
         if (listen == null) {
             throw new InvalidSettingsException(
                     "membership needs an address: peer_listen here, or membership.listen in the "
@@ -144,7 +145,8 @@
     private static InetSocketAddress advertisedAddress(
             MembershipConfig membership, InetSocketAddress listen, InetSocketAddress ownPeer) {
         if (!membership.advertisedAddress().isEmpty()) {
-            return ProxyConfiguration.address("membership.advertise", membership.advertisedAddress());
+            return ProxyConfiguration.address(
+                    "membership.advertise", membership.advertisedAddress());
         }
         return membership.listenAddress().isEmpty() && ownPeer != null ? ownPeer : listen;
     }
--- a/src/test/java/cottonlock/membership/FalseSuspicionTest.java
+++ b/src/test/java/cottonlock/membership/FalseSuspicionTest.java
@@ -35,7 +35,9 @@
         dead.start(0);
         assertTrue(fleet.untilAgreed(10 * SECOND) >= 0);
         for (Fleet.Node node : fleet.nodes) {
-            assertTrue(node.worstSecond <= USUAL.maxBytesPerSecond(), node.worstSecond + " bytes in a second");
+            assertTrue(
+                    node.worstSecond <= USUAL.maxBytesPerSecond(),
+                    node.worstSecond + " bytes in a second");
         }
     }
 
--- a/src/test/java/cottonlock/membership/MembershipFleets.java
+++ b/src/test/java/cottonlock/membership/MembershipFleets.java
@@ -14,28 +14,28 @@
     static final MembershipProtocolConfig USUAL = MembershipProtocolConfig.DEFAULTS;
 
     static MembershipProtocolConfig rules(
-            int helpers,
-            double suspicion,
-            long hung,
-            int most,
-            long forget,
-            int doubts,
-            int contact) {
+            int indirectProbeCount,
+            double suspicionMultiplier,
+            long stallTimeoutTicks,
+            int maxMembers,
+            long deadMemberRetentionTicks,
+            int maxLocalHealthScore,
+            int contactIntervalPeriods) {
         return new MembershipProtocolConfig(
                 USUAL.periodTicks(),
                 USUAL.answerTimeoutTicks(),
-                helpers,
-                suspicion,
+                indirectProbeCount,
+                suspicionMultiplier,
                 USUAL.maxSuspicionMultiplier(),
                 USUAL.confirmationCount(),
-                hung,
+                stallTimeoutTicks,
                 USUAL.retransmitMultiplier(),
-                most,
-                forget,
+                maxMembers,
+                deadMemberRetentionTicks,
                 USUAL.maxBytesPerSecond(),
-                doubts,
+                maxLocalHealthScore,
                 USUAL.joinTimeoutTicks(),
-                contact);
+                contactIntervalPeriods);
     }
 
     static MembershipProtocolConfig usual() {
@@ -64,7 +64,9 @@
         fleet.world.until(fleet.world.now() + (long) (seconds * SECOND));
     }
 
-    /** Played with three seeds: well in all with the defence, ill in one at least without. */
+    /**
+     * Plays a case with three seeds: right in all with the defence, wrong in one at least without.
+     */
     static void defended(Predicate<Long> with, Predicate<Long> without) {
         boolean ill = false;
         for (long seed = 1; seed <= 3; seed++) {
--- a/src/test/java/cottonlock/membership/MembershipTest.java
+++ b/src/test/java/cottonlock/membership/MembershipTest.java
@@ -221,7 +221,9 @@
             pass(fleet, 1);
         }
         for (Fleet.Node node : fleet.nodes) {
-            assertTrue(node.worstSecond <= USUAL.maxBytesPerSecond(), node.worstSecond + " bytes in a second");
+            assertTrue(
+                    node.worstSecond <= USUAL.maxBytesPerSecond(),
+                    node.worstSecond + " bytes in a second");
             if (!node.up) {
                 node.start(0);
             }
