--- a/src/main/java/cottonlock/proxy/ConfigurationVersionParser.java
+++ b/src/main/java/cottonlock/proxy/ConfigurationVersionParser.java
@@ -154,7 +154,7 @@
     /** What tells apart the settings that a process can't follow without being started anew. */
     static String base(Settings settings) {
         StringBuilder text = new StringBuilder();
-        settings.sorted()
+        settings.sortedByPath()
                 .forEach(
                         (path, value) -> {
                             if (!path.startsWith(CATEGORIES)
--- a/src/main/java/cottonlock/proxy/Proxy.java
+++ b/src/main/java/cottonlock/proxy/Proxy.java
@@ -150,8 +150,8 @@
         WriteTimeoutWatchdog watchdog = new WriteTimeoutWatchdog();
         ConnectionPermits permits = new ConnectionPermits(toBackends);
         KeepAlivePolicy keepAlive = new KeepAlivePolicy();
-        long connect = settings.timeDown("Limits.ConnectTimeout", CONNECT) / 10;
-        long idle = settings.timeDown("Limits.ConnIdle", IDLE) / 10;
+        long connect = settings.ticksRoundedDown("Limits.ConnectTimeout", CONNECT) / 10;
+        long idle = settings.ticksRoundedDown("Limits.ConnIdle", IDLE) / 10;
         String name = config.text("name", "proxy") + "-" + config.text("listen", "");
         Path kept = shares ? folder : null;
         succession = new ProcessHandover(new SharedFile(kept, name, "serving", log));
@@ -179,14 +179,14 @@
                 new ManualEjections(
                         new SharedFile(kept, name, "bans", log), clock, module::bansChanged);
         EndpointListParser directory =
-                new EndpointListParser(log, settings.words("Zones"), settings.words("Flavors"));
+                new EndpointListParser(log, settings.list("Zones"), settings.list("Flavors"));
         EndpointListParser.News known = config.known(directory);
         watch =
                 new EndpointListWatch(
                         config.address("discovery"),
                         directory,
                         known.version(),
-                        assembly.mustAsk(),
+                        assembly.isEndpointListPolled(),
                         EndpointListWatch.SILENCE,
                         module,
                         buffers,
@@ -197,12 +197,12 @@
         boolean talks = peerListen != null && all != null;
         DatagramSocket peerSocket = talks ? PeerMessenger.socket(peerListen, shares) : null;
         peers = new PeerMessenger(peerSocket, config.addresses("peers"), all, module, log);
-        module.join(assembly.balancer(module, random.nextLong()), watch, peers, bans);
+        module.join(assembly.create(module, random.nextLong()), watch, peers, bans);
         if (!operator.shadowSettings().isEmpty()) {
             Settings others = config.settings();
             operator.shadowSettings().forEach(others::put);
             shadow = new ShadowLoadBalancer(log);
-            shadow.join(new LoadBalancerFactory(others).balancer(shadow, random.nextLong()));
+            shadow.join(new LoadBalancerFactory(others).create(shadow, random.nextLong()));
             module.watch(shadow);
         }
         module.list(known, true);
@@ -351,7 +351,7 @@
     /** A module by these settings, to the side: whatever can't be built ends here. */
     private LoadBalancerFactory tried(Settings settings) {
         LoadBalancerFactory assembly = new LoadBalancerFactory(settings);
-        assembly.balancer(module, 0);
+        assembly.create(module, 0);
         return assembly;
     }
 
--- a/src/main/java/cottonlock/proxy/ProxyConfiguration.java
+++ b/src/main/java/cottonlock/proxy/ProxyConfiguration.java
@@ -52,8 +52,8 @@
         seed();
         Settings settings = settings();
         servable(settings);
-        List<String> tenants = before.settings().each("Projects", "Name");
-        if (!tenants.equals(settings.each("Projects", "Name"))) {
+        List<String> tenants = before.settings().fieldOfEach("Projects", "Name");
+        if (!tenants.equals(settings.fieldOfEach("Projects", "Name"))) {
             // Lanes and quotas are laid out by their order: one moved would get another's.
             throw new InvalidSettingsException(
                     "settings.Projects names other tenants, for which a new process is needed");
@@ -62,7 +62,7 @@
 
     /** Turns down settings that no work could be served by, whatever was in force before. */
     static void servable(Settings settings) {
-        List<String> names = settings.each("Categories", "Name");
+        List<String> names = settings.fieldOfEach("Categories", "Name");
         if (names.isEmpty() || names.contains("") || Set.copyOf(names).size() < names.size()) {
             throw new InvalidSettingsException(
                     "settings.Categories has no category, or one without a name of its own");
--- a/src/main/java/cottonlock/proxy/RequestRules.java
+++ b/src/main/java/cottonlock/proxy/RequestRules.java
@@ -38,8 +38,8 @@
     RequestRules(RequestRules before, LoadBalancerFactory assembly, Settings settings) {
         categories = before == null ? new ArrayList<>() : new ArrayList<>(before.categories);
         names = before == null ? new ArrayList<>() : new ArrayList<>(before.names);
-        tenantNames = settings.each("Projects", "Name");
-        List<String> told = settings.each("Categories", "Name");
+        tenantNames = settings.fieldOfEach("Projects", "Name");
+        List<String> told = settings.fieldOfEach("Categories", "Name");
         for (int i = 0; i < told.size(); i++) {
             int number = names.indexOf(told.get(i));
             if (number < 0) {
@@ -47,7 +47,7 @@
                 names.add(told.get(i));
                 categories.add(null);
             }
-            categories.set(number, assembly.categories.get(i).withNumber(number));
+            categories.set(number, assembly.requestClasses().get(i).withNumber(number));
             inForce.put(told.get(i), number);
         }
         longest =
@@ -55,7 +55,7 @@
                         ? new long[names.size()]
                         : Arrays.copyOf(before.longest, names.size());
         for (int i = 0; i < told.size(); i++) {
-            long expiry = settings.timeDown("Categories." + i + ".Expiry");
+            long expiry = settings.ticksRoundedDown("Categories." + i + ".Expiry");
             longest[inForce.get(told.get(i))] = expiry > 0 ? expiry : LONGEST;
         }
     }
--- a/src/main/java/cottonlock/setup/InvalidSettingsException.java
+++ b/src/main/java/cottonlock/setup/InvalidSettingsException.java
@@ -1,10 +1,11 @@
 package cottonlock.setup;
 
-/** Settings or input that do not keep to their form. */
+/** Settings, or input of the simulator, that do not keep to their form. */
 public final class InvalidSettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public InvalidSettingsException(String fault) {
-        super(fault);
+    /** The message names what is wrong: the path of the setting, its value and what it must be. */
+    public InvalidSettingsException(String message) {
+        super(message);
     }
 }
--- a/src/main/java/cottonlock/setup/LoadBalancerFactory.java
+++ b/src/main/java/cottonlock/setup/LoadBalancerFactory.java
@@ -1,11 +1,14 @@
 package cottonlock.setup;
 
+import cottonlock.core.Ticks;
 import cottonlock.decision.LoadBalancer;
 import cottonlock.decision.RequestIntake;
 import cottonlock.decision.admission.AdmissionController;
 import cottonlock.decision.api.DeploymentTopology;
 import cottonlock.decision.api.LoadBalancerActions;
 import cottonlock.decision.api.RequestClass;
+import cottonlock.decision.api.RequestClass.DeduplicationScope;
+import cottonlock.decision.api.RequestClass.Idempotency;
 import cottonlock.decision.api.SlowStartConfig;
 import cottonlock.decision.api.Tenant;
 import cottonlock.decision.backend.BackendRegistry;
@@ -14,90 +17,156 @@
 import cottonlock.decision.routing.LaneSelector;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import java.util.SplittableRandom;
 
 /**
- * Builds the decision module from the settings of one balancer, for the bench and the proxy alike.
+ * Builds load balancers from the settings of one, for the simulator and the proxy alike. The names
+ * of the settings stand here and nowhere else in the way to a decision. Not thread-safe as long as
+ * its settings change.
  */
 public final class LoadBalancerFactory {
-    public final List<RequestClass> categories;
-    public final List<Tenant> tenants;
+    /** The fee for connections that are kept counts for so many backends. */
+    private static final int BACKENDS_PER_CONNECTION_FEE = 100;
+
+    private static final Map<String, Idempotency> IDEMPOTENCY_BY_SETTING =
+            Map.of(
+                    "safe", Idempotency.IDEMPOTENT,
+                    "keyed", Idempotency.WITH_KEY,
+                    "unsafe", Idempotency.NOT_IDEMPOTENT);
+
+    private static final Map<String, DeduplicationScope> SCOPE_BY_SETTING =
+            Map.of(
+                    "all", DeduplicationScope.ALL,
+                    "zone", DeduplicationScope.ZONE,
+                    "cell", DeduplicationScope.CELL);
+
+    /** Whether changes of the endpoint list come only to load balancers that poll it. */
+    private static final Map<String, Boolean> POLLED_BY_SETTING =
+            Map.of("automatic", false, "subscribe", true);
+
     private final Settings settings;
+    private final List<RequestClass> requestClasses;
+    private final List<Tenant> tenants;
 
+    /**
+     * Reads request classes and tenants; the other settings are read with each load balancer.
+     *
+     * @throws InvalidSettingsException if one of them does not keep to its form
+     */
     public LoadBalancerFactory(Settings settings) {
         this.settings = settings;
-        this.categories = categories(settings);
-        this.tenants = tenants(settings);
+        this.requestClasses = readRequestClasses(settings);
+        this.tenants = readTenants(settings);
     }
 
-    /** Whether changes of the list come only to those that ask for them. */
-    public boolean mustAsk() {
-        return settings.choice("MembershipMode", "automatic", "subscribe") == 1;
+    /** The request classes, in the order of the settings. */
+    public List<RequestClass> requestClasses() {
+        return requestClasses;
     }
 
-    /** How the deployment is laid out. */
-    private DeploymentTopology shape() {
-        Settings s = settings;
-        return new DeploymentTopology(
-                s.count("FleetSize", 1),
-                s.count("Me", 0),
-                !s.text("Workload", "chain").equals("mesh"),
-                restOfConnections(),
-                s.flag("Limits.PeerMessages", false),
-                mustAsk(),
-                s.timeDown("Obligations.AskWithin"),
-                !s.flag("Obligations.RemovalNotBinding", false),
-                (long)
-                        categories.stream()
-                                .mapToLong(RequestClass::latencyObjectiveTicks)
-                                .average()
-                                .orElse(0));
+    /** The tenants, in the order of the settings. */
+    public List<Tenant> tenants() {
+        return tenants;
+    }
+
+    /**
+     * Whether changes of the endpoint list come only to load balancers that poll it.
+     *
+     * @throws InvalidSettingsException if the setting has an unknown value
+     */
+    public boolean isEndpointListPolled() {
+        return settings.choice("MembershipMode", "automatic", POLLED_BY_SETTING);
     }
 
-    /** A module that answers through the given outlet. */
-    public LoadBalancer balancer(LoadBalancerActions outlet, long seed) {
-        Settings s = settings;
+    /**
+     * A new load balancer.
+     *
+     * @param actions what it answers through
+     * @param seed of all its random draws
+     * @throws InvalidSettingsException if a setting does not keep to its form
+     */
+    public LoadBalancer create(LoadBalancerActions actions, long seed) {
+        // Each part has a source of random draws of its own; the order of the splits fixes them.
         SplittableRandom random = new SplittableRandom(seed);
-        boolean first = s.count("Stage", 0) == 0;
-        long longestComeBack =
-                s.flag("Limits.RetryAfter", false) ? s.timeDown("Limits.MaxRetryAfter") : 0;
-        DeploymentTopology shape = shape();
-        SlowStartConfig cold =
-                new SlowStartConfig(
-                        s.number("Obligations.ColdShare", 1),
-                        s.timeUp("Obligations.Cold"),
-                        s.number("Obligations.FallMultiple", 1),
-                        s.timeUp("Obligations.Fall"));
-        BackendRegistry fleet = new BackendRegistry(outlet, random.split(), tenants, shape, cold);
-        AdmissionController line =
-                new AdmissionController(fleet, random.split(), tenants, shape, first);
+        boolean firstTier = settings.count("Stage", 0) == 0;
+        boolean retryAfterAllowed = settings.flag("Limits.RetryAfter", false);
+        long maxRetryAfterTicks =
+                retryAfterAllowed ? settings.ticksRoundedDown("Limits.MaxRetryAfter") : 0;
+        DeploymentTopology topology = readTopology();
+        SlowStartConfig slowStart = readSlowStart();
+        BackendRegistry registry =
+                new BackendRegistry(actions, random.split(), tenants, topology, slowStart);
+        AdmissionController admission =
+                new AdmissionController(registry, random.split(), tenants, topology, firstTier);
+        RequestIntake intake =
+                new RequestIntake(
+                        actions, requestClasses, tenants, firstTier, topology, maxRetryAfterTicks);
+        LaneSelector laneSelector = new LaneSelector(admission, registry);
+        BackendPicker picker = new BackendPicker(registry, random.split());
+        int maxAttempts = settings.count("Limits.MaxHandOffs", 1);
+        boolean cancellationAllowed = settings.flag("Limits.Cancel", false);
+        AttemptTracker attempts =
+                new AttemptTracker(actions, admission, registry, maxAttempts, cancellationAllowed);
         return new LoadBalancer(
-                outlet,
-                new RequestIntake(outlet, categories, tenants, first, shape, longestComeBack),
-                line,
-                new LaneSelector(line, fleet),
-                new BackendPicker(fleet, random.split()),
-                new AttemptTracker(
-                        outlet,
-                        line,
-                        fleet,
-                        s.count("Limits.MaxHandOffs", 1),
-                        s.flag("Limits.Cancel", false)),
-                fleet);
+                actions, intake, admission, laneSelector, picker, attempts, registry);
+    }
+
+    private DeploymentTopology readTopology() {
+        int loadBalancerCount = settings.count("FleetSize", 1);
+        int ownIndex = settings.count("Me", 0);
+        boolean evenlyLoaded = !settings.text("Workload", "chain").equals("mesh");
+        double connectionBreakEvenTicks = readConnectionBreakEvenTicks();
+        boolean peerMessagesAllowed = settings.flag("Limits.PeerMessages", false);
+        boolean endpointListPolled = isEndpointListPolled();
+        long maxPollIntervalTicks = settings.ticksRoundedDown("Obligations.AskWithin");
+        boolean removalBinding = !settings.flag("Obligations.RemovalNotBinding", false);
+        double meanLatencyObjectiveTicks =
+                requestClasses.stream()
+                        .mapToLong(RequestClass::latencyObjectiveTicks)
+                        .average()
+                        .orElse(0);
+        return new DeploymentTopology(
+                loadBalancerCount,
+                ownIndex,
+                evenlyLoaded,
+                connectionBreakEvenTicks,
+                peerMessagesAllowed,
+                endpointListPolled,
+                maxPollIntervalTicks,
+                removalBinding,
+                (long) meanLatencyObjectiveTicks);
+    }
+
+    private SlowStartConfig readSlowStart() {
+        double initialFraction = settings.number("Obligations.ColdShare", 1);
+        long warmUpTicks = settings.ticksRoundedUp("Obligations.Cold");
+        double overloadMultiple = settings.number("Obligations.FallMultiple", 1);
+        long overloadWindowTicks = settings.ticksRoundedUp("Obligations.Fall");
+        return new SlowStartConfig(
+                initialFraction, warmUpTicks, overloadMultiple, overloadWindowTicks);
     }
 
     /**
-     * For each backend, the time after which a kept connection has cost as much as a new one by the
-     * fees. The one counts for 100 backends, the other for each request. 0 where keeping costs
-     * nothing.
+     * For each backend, the time after which an idle connection has cost as much as a new one: the
+     * fee for handshakes is by the request, as many as the quotas allow. 0 where idle connections
+     * cost nothing.
      */
-    private double restOfConnections() {
-        double kept = fee("Fees.Connection");
-        double quotas = tenants.stream().mapToDouble(Tenant::quotaPerSecond).sum();
-        return kept <= 0 || quotas <= 0 ? 0 : 100 * fee("Fees.Handshake") / kept / quotas * 10_000;
+    private double readConnectionBreakEvenTicks() {
+        double connectionFee = readFee("Fees.Connection");
+        double requestsPerSecond = tenants.stream().mapToDouble(Tenant::quotaPerSecond).sum();
+        if (connectionFee <= 0 || requestsPerSecond <= 0) {
+            return 0;
+        }
+        double handshakeFee = readFee("Fees.Handshake");
+        return BACKENDS_PER_CONNECTION_FEE
+                * handshakeFee
+                / connectionFee
+                / requestsPerSecond
+                * Ticks.PER_SECOND;
     }
 
-    private double fee(String path) {
+    private double readFee(String path) {
         double fee = settings.number(path, 0);
         if (fee < 0) {
             throw new InvalidSettingsException("setting " + path + " is below 0: " + fee);
@@ -105,33 +174,42 @@
         return fee;
     }
 
-    private static List<RequestClass> categories(Settings s) {
-        List<RequestClass> list = new ArrayList<>();
-        int n = s.count("Categories.count", 0);
-        for (int i = 0; i < n; i++) {
-            String at = "Categories." + i + ".";
-            list.add(
-                    new RequestClass(
-                            i,
-                            s.timeDown(at + "DueTime"),
-                            s.number(at + "Credit", 1),
-                            s.number(at + "LateCredit", 0),
-                            RequestClass.Idempotency.values()[
-                                    s.choice(at + "Repeat", "safe", "keyed", "unsafe")],
-                            RequestClass.DeduplicationScope.values()[
-                                    s.choice(at + "KeyScope", "all", "zone", "cell")],
-                            s.timeDown(at + "RepeatWindow")));
+    private static List<RequestClass> readRequestClasses(Settings settings) {
+        List<RequestClass> requestClasses = new ArrayList<>();
+        int count = settings.count("Categories.count", 0);
+        for (int i = 0; i < count; i++) {
+            requestClasses.add(readRequestClass(settings, i, "Categories." + i + "."));
         }
-        return list;
+        return requestClasses;
+    }
+
+    private static RequestClass readRequestClass(Settings settings, int number, String prefix) {
+        long latencyObjectiveTicks = settings.ticksRoundedDown(prefix + "DueTime");
+        double credit = settings.number(prefix + "Credit", 1);
+        double lateCredit = settings.number(prefix + "LateCredit", 0);
+        Idempotency idempotency =
+                settings.choice(prefix + "Repeat", "safe", IDEMPOTENCY_BY_SETTING);
+        DeduplicationScope scope = settings.choice(prefix + "KeyScope", "all", SCOPE_BY_SETTING);
+        long deduplicationWindowTicks = settings.ticksRoundedDown(prefix + "RepeatWindow");
+        return new RequestClass(
+                number,
+                latencyObjectiveTicks,
+                credit,
+                lateCredit,
+                idempotency,
+                scope,
+                deduplicationWindowTicks);
     }
 
-    private static List<Tenant> tenants(Settings s) {
-        List<Tenant> list = new ArrayList<>();
-        int n = s.count("Projects.count", 0);
-        for (int i = 0; i < n; i++) {
-            String at = "Projects." + i + ".";
-            list.add(new Tenant(s.number(at + "Share", 0), s.number(at + "QuotaRps", 0)));
+    private static List<Tenant> readTenants(Settings settings) {
+        List<Tenant> tenants = new ArrayList<>();
+        int count = settings.count("Projects.count", 0);
+        for (int i = 0; i < count; i++) {
+            String prefix = "Projects." + i + ".";
+            double capacityShare = settings.number(prefix + "Share", 0);
+            double quotaPerSecond = settings.number(prefix + "QuotaRps", 0);
+            tenants.add(new Tenant(capacityShare, quotaPerSecond));
         }
-        return list;
+        return tenants;
     }
 }
--- a/src/main/java/cottonlock/setup/Settings.java
+++ b/src/main/java/cottonlock/setup/Settings.java
@@ -1,5 +1,6 @@
 package cottonlock.setup;
 
+import cottonlock.core.Ticks;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -7,39 +8,51 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** The settings of one instance, by path; what is not asked for is ignored. */
+/**
+ * The settings of one load balancer: texts by path, such as {@code Limits.MaxRetryAfter}, read as
+ * the type that is asked for. Settings that nothing asks for are ignored. Lengths of time are given
+ * in microseconds and read in ticks. Not thread-safe.
+ *
+ * <p>Each method that reads throws {@link InvalidSettingsException} if the value is not of its
+ * type; the message names the path and the value.
+ */
 public final class Settings {
-    /** Microseconds, the unit of the settings, in the module's: a tenth of a millisecond. */
-    public static final long MICROS = 100;
-
-    private final Map<String, String> values = new HashMap<>();
-
-    /** Takes a setting in the form path=value. */
-    public void put(String pair) {
-        int equals = pair.indexOf('=');
+    private final Map<String, String> valuesByPath = new HashMap<>();
+
+    /**
+     * Adds a setting in the form {@code path=value}.
+     *
+     * @throws InvalidSettingsException if the text is not of this form
+     */
+    public void put(String pathAndValue) {
+        int equals = pathAndValue.indexOf('=');
         if (equals <= 0) {
-            throw new InvalidSettingsException("a setting is not of the form path=value: " + pair);
+            throw new InvalidSettingsException(
+                    "a setting is not of the form path=value: " + pathAndValue);
         }
-        put(pair.substring(0, equals), pair.substring(equals + 1));
+        put(pathAndValue.substring(0, equals), pathAndValue.substring(equals + 1));
     }
 
+    /** Adds a setting, in place of an earlier one of the same path. */
     public void put(String path, String value) {
-        values.put(path, value);
+        valuesByPath.put(path, value);
     }
 
-    /** All of them, in the order of their paths. */
-    public SortedMap<String, String> sorted() {
-        return new TreeMap<>(values);
+    /** A copy of all settings, in the order of their paths. */
+    public SortedMap<String, String> sortedByPath() {
+        return new TreeMap<>(valuesByPath);
     }
 
-    public String text(String path, String otherwise) {
-        return values.getOrDefault(path, otherwise);
+    /** A text. */
+    public String text(String path, String defaultValue) {
+        return valuesByPath.getOrDefault(path, defaultValue);
     }
 
-    public boolean flag(String path, boolean otherwise) {
-        String value = values.get(path);
+    /** A boolean: {@code true} or 1, {@code false} or 0. */
+    public boolean flag(String path, boolean defaultValue) {
+        String value = valuesByPath.get(path);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         return switch (value) {
             case "true", "1" -> true;
@@ -50,10 +63,11 @@
         };
     }
 
-    public double number(String path, double otherwise) {
-        String value = values.get(path);
+    /** A number. */
+    public double number(String path, double defaultValue) {
+        String value = valuesByPath.get(path);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             double number = Double.parseDouble(value);
@@ -61,54 +75,64 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Told below, as for a value that is no number at all.
+            // Reported below, as NaN is.
         }
         throw new InvalidSettingsException("setting " + path + " is not a number: " + value);
     }
 
-    public int count(String path, int otherwise) {
-        return (int)
-                Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, number(path, otherwise)));
+    /** A whole number: cut to one, and to the range of an int. */
+    public int count(String path, int defaultValue) {
+        double number = number(path, defaultValue);
+        return (int) Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, number));
     }
 
-    /** A list of plain values; empty where there is none. */
-    public List<String> words(String path) {
+    /** A list of texts, separated by commas; empty where there is none. */
+    public List<String> list(String path) {
         String value = text(path, "");
         return value.isEmpty() ? List.of() : List.of(value.split(","));
     }
 
-    /** The values of one field of each item of a list of objects. */
-    public List<String> each(String path, String field) {
-        List<String> list = new ArrayList<>();
+    /** One field of each item of a list of objects; empty texts where an item lacks it. */
+    public List<String> fieldOfEach(String path, String field) {
+        List<String> values = new ArrayList<>();
         for (int i = 0; i < count(path + ".count", 0); i++) {
-            list.add(text(path + "." + i + "." + field, ""));
+            values.add(text(path + "." + i + "." + field, ""));
         }
-        return list;
+        return values;
     }
 
-    /** A time in tenths of a millisecond, cut to whole ones. */
-    public long timeDown(String path) {
-        return timeDown(path, 0);
+    /** A length of time in ticks, rounded down; 0 where none is given. */
+    public long ticksRoundedDown(String path) {
+        return ticksRoundedDown(path, 0);
     }
 
-    /** The same, with the microseconds that stand in where none are given. */
-    public long timeDown(String path, double otherwise) {
-        return (long) Math.floor(number(path, otherwise) / MICROS);
+    /**
+     * A length of time in ticks, rounded down.
+     *
+     * @param defaultMicros what holds where none is given, in microseconds
+     */
+    public long ticksRoundedDown(String path, double defaultMicros) {
+        return (long) Math.floor(number(path, defaultMicros) / Ticks.MICROSECONDS_PER_TICK);
     }
 
-    /** A time in tenths of a millisecond, whole ones that cover it. */
-    public long timeUp(String path) {
-        return (long) Math.ceil(number(path, 0) / MICROS);
+    /** A length of time in ticks, rounded up; 0 where none is given. */
+    public long ticksRoundedUp(String path) {
+        return (long) Math.ceil(number(path, 0) / Ticks.MICROSECONDS_PER_TICK);
     }
 
-    /** A setting that must be one of a few words: the place of its value among them. */
-    public int choice(String path, String... words) {
-        String value = text(path, words[0]);
-        for (int i = 0; i < words.length; i++) {
-            if (words[i].equals(value)) {
-                return i;
-            }
+    /**
+     * A setting that must be one of a few words.
+     *
+     * @param defaultWord the word that holds where none is given
+     * @param valuesByWord what each word stands for
+     */
+    public <T> T choice(String path, String defaultWord, Map<String, T> valuesByWord) {
+        String word = text(path, defaultWord);
+        T value = valuesByWord.get(word);
+        if (value == null) {
+            throw new InvalidSettingsException(
+                    "setting " + path + " has an unknown value: " + word);
         }
-        throw new InvalidSettingsException("setting " + path + " has an unknown value: " + value);
+        return value;
     }
 }
--- a/src/main/java/cottonlock/simulator/LoadBalancerInstance.java
+++ b/src/main/java/cottonlock/simulator/LoadBalancerInstance.java
@@ -23,9 +23,9 @@
         this.name = name;
         this.reply = reply;
         LoadBalancerFactory factory = new LoadBalancerFactory(settings);
-        this.requestClassCount = factory.categories.size();
-        this.tenantCount = factory.tenants.size();
-        this.loadBalancer = factory.balancer(this, seed);
+        this.requestClassCount = factory.requestClasses().size();
+        this.tenantCount = factory.tenants().size();
+        this.loadBalancer = factory.create(this, seed);
     }
 
     LoadBalancer loadBalancer() {
--- a/src/test/java/cottonlock/proxy/ListsTest.java
+++ b/src/test/java/cottonlock/proxy/ListsTest.java
@@ -187,7 +187,7 @@
                                                                 "\"AskWithin\":" + within)))
                                 .settings();
                 Asks asks = new Asks();
-                LoadBalancer module = new LoadBalancerFactory(settings).balancer(asks, seed);
+                LoadBalancer module = new LoadBalancerFactory(settings).create(asks, seed);
                 module.start(0);
                 module.onEndpointList(
                         0,
@@ -230,7 +230,7 @@
                                                             "\"AskWithin\":10000000")))
                             .settings();
             Asks asks = new Asks();
-            LoadBalancer module = new LoadBalancerFactory(settings).balancer(asks, seed);
+            LoadBalancer module = new LoadBalancerFactory(settings).create(asks, seed);
             module.start(0);
             List<Long> own = new ArrayList<>();
             for (long now = 0; own.size() < 8; own.add(now)) {
@@ -291,7 +291,7 @@
                         log,
                         new SplittableRandom(1));
         module.join(
-                assembly.balancer(module, 1),
+                assembly.create(module, 1),
                 watch,
                 new PeerMessenger(null, List.of(), null, module, log),
                 new ManualEjections(
