--- a/src/main/java/cottonlock/decision/stats/BetaDistribution.java
+++ b/src/main/java/cottonlock/decision/stats/BetaDistribution.java
@@ -2,16 +2,23 @@
 
 import java.util.SplittableRandom;
 
-/** Draws from the beta distribution, the posterior of a chance of success. */
+/** The beta distribution: what is known of a probability of success after some trials. */
 public final class BetaDistribution {
     private BetaDistribution() {}
 
-    public static double draw(SplittableRandom random, int a, int b) {
-        double x = gamma(random, a);
-        return x / (x + gamma(random, b));
+    /**
+     * Draws a probability, above 0 and below 1.
+     *
+     * @param alpha successes plus one, 1 at least
+     * @param beta failures plus one, 1 at least; each unit of both costs one draw of a number
+     */
+    public static double draw(SplittableRandom random, int alpha, int beta) {
+        double successes = drawGamma(random, alpha);
+        return successes / (successes + drawGamma(random, beta));
     }
 
-    private static double gamma(SplittableRandom random, int shape) {
+    /** Draws from the gamma distribution of a whole shape: a sum of exponential draws. */
+    private static double drawGamma(SplittableRandom random, int shape) {
         double product = 1;
         for (int i = 0; i < shape; i++) {
             product *= 1 - random.nextDouble();
--- a/src/main/java/cottonlock/decision/stats/SlidingWindowMean.java
+++ b/src/main/java/cottonlock/decision/stats/SlidingWindowMean.java
@@ -4,35 +4,49 @@
 import java.util.List;
 
 /**
- * Means over the recent past, one for each number that comes up (a category, a kind of backend).
+ * Means over a sliding window, for several series that are numbered from 0, such as one for each
+ * request class. Moments never go back. Owned by the load balancer's thread.
  */
 public final class SlidingWindowMean {
     private static final int BUCKETS = 10;
-    private final long span;
+
+    private final long windowTicks;
     private final List<SlidingWindowSum> sums = new ArrayList<>();
     private final List<SlidingWindowSum> counts = new ArrayList<>();
 
-    public SlidingWindowMean(long span) {
-        this.span = span;
+    /** A window of this length, without samples. */
+    public SlidingWindowMean(long windowTicks) {
+        this.windowTicks = windowTicks;
     }
 
-    public void add(long now, int number, long value) {
-        while (sums.size() <= number) {
-            sums.add(new SlidingWindowSum(span, BUCKETS));
-            counts.add(new SlidingWindowSum(span, BUCKETS));
+    /** Adds a sample to a series. */
+    public void add(long nowTicks, int series, long value) {
+        while (sums.size() <= series) {
+            sums.add(new SlidingWindowSum(windowTicks, BUCKETS));
+            counts.add(new SlidingWindowSum(windowTicks, BUCKETS));
         }
-        sums.get(number).add(now, value);
-        counts.get(number).add(now, 1);
+        sums.get(series).add(nowTicks, value);
+        counts.get(series).add(nowTicks, 1);
     }
 
-    public long count(long now, int number) {
-        return number < counts.size() ? counts.get(number).sum(now) : 0;
+    /** The number of samples of a series in the window. */
+    public long count(long nowTicks, int series) {
+        return series < counts.size() ? counts.get(series).sum(nowTicks) : 0;
     }
 
-    /** The average, as if {@code imagined} more values had been the given one. */
-    public double mean(long now, int number, int imagined, double value) {
-        long count = count(now, number);
-        double sum = count == 0 ? 0 : sums.get(number).sum(now);
-        return count + imagined == 0 ? 0 : (sum + imagined * value) / (count + imagined);
+    /**
+     * The mean of a series with some assumed samples of one value beside those in the window; 0
+     * where there are neither.
+     *
+     * @param priorSamples the number of assumed samples, 0 or more
+     * @param priorValue the value of each of them
+     */
+    public double mean(long nowTicks, int series, int priorSamples, double priorValue) {
+        long count = count(nowTicks, series);
+        if (count + priorSamples == 0) {
+            return 0;
+        }
+        double sum = count == 0 ? 0 : sums.get(series).sum(nowTicks);
+        return (sum + priorSamples * priorValue) / (count + priorSamples);
     }
 }
--- a/src/main/java/cottonlock/decision/stats/SlidingWindowMin.java
+++ b/src/main/java/cottonlock/decision/stats/SlidingWindowMin.java
@@ -3,39 +3,52 @@
 import java.util.Arrays;
 
 /**
- * The lowest value of the recent past, kept in buckets of fixed length that are used again in a
- * ring.
+ * The minimum over a sliding window, kept in a ring of buckets of equal length. Moments never go
+ * back. Owned by the load balancer's thread.
  */
 public final class SlidingWindowMin {
+    private static final double EMPTY = Double.POSITIVE_INFINITY;
+
     private final double[] buckets;
-    private final long bucketLength;
-    private long newest = Long.MIN_VALUE;
+    private final long bucketTicks;
+
+    /** The number of the latest bucket in use, counted from the origin of time. */
+    private long newestBucket = Long.MIN_VALUE;
+
+    /** A window of this length, rounded up to whole buckets, without samples. */
+    public SlidingWindowMin(long windowTicks, int bucketCount) {
+        this.buckets = new double[bucketCount];
+        this.bucketTicks = Math.max(1, (windowTicks + bucketCount - 1) / bucketCount);
+        Arrays.fill(buckets, EMPTY);
+    }
 
-    public SlidingWindowMin(long span, int buckets) {
-        this.buckets = new double[buckets];
-        this.bucketLength = Math.max(1, (span + buckets - 1) / buckets);
-        Arrays.fill(this.buckets, Double.POSITIVE_INFINITY);
+    /** Adds a sample. */
+    public void add(long nowTicks, double value) {
+        advance(Math.floorDiv(nowTicks, bucketTicks));
+        int newest = indexOf(newestBucket);
+        buckets[newest] = Math.min(buckets[newest], value);
     }
 
-    public void add(long now, double value) {
-        long bucket = Math.floorDiv(now, bucketLength);
-        if (bucket - buckets.length >= newest) {
-            Arrays.fill(buckets, Double.POSITIVE_INFINITY);
+    private void advance(long bucket) {
+        if (bucket - buckets.length >= newestBucket) {
+            Arrays.fill(buckets, EMPTY);
         } else {
-            for (long b = newest + 1; b <= bucket; b++) {
-                buckets[(int) Math.floorMod(b, (long) buckets.length)] = Double.POSITIVE_INFINITY;
+            for (long b = newestBucket + 1; b <= bucket; b++) {
+                buckets[indexOf(b)] = EMPTY;
             }
         }
-        newest = Math.max(newest, bucket);
-        int i = (int) Math.floorMod(newest, (long) buckets.length);
-        buckets[i] = Math.min(buckets[i], value);
+        newestBucket = Math.max(newestBucket, bucket);
+    }
+
+    private int indexOf(long bucket) {
+        return (int) Math.floorMod(bucket, (long) buckets.length);
     }
 
-    /** The lowest value still kept; infinite when there is none. */
+    /** The minimum of the window that ended with the latest sample; infinite where it is empty. */
     public double value() {
-        double lowest = Double.POSITIVE_INFINITY;
-        for (double v : buckets) {
-            lowest = Math.min(lowest, v);
+        double lowest = EMPTY;
+        for (double bucket : buckets) {
+            lowest = Math.min(lowest, bucket);
         }
         return lowest;
     }
--- a/src/main/java/cottonlock/decision/stats/SlidingWindowSum.java
+++ b/src/main/java/cottonlock/decision/stats/SlidingWindowSum.java
@@ -1,47 +1,60 @@
 package cottonlock.decision.stats;
 
-/** A sum over the recent past, kept in buckets of fixed length that are used again in a ring. */
+import java.util.Arrays;
+
+/**
+ * A sum over a sliding window, kept in a ring of buckets of equal length. Moments never go back.
+ * Owned by the load balancer's thread.
+ */
 public final class SlidingWindowSum {
     private final long[] buckets;
-    private final long bucketLength;
-    private long newest = Long.MIN_VALUE;
+    private final long bucketTicks;
+
+    /** The number of the latest bucket in use, counted from the origin of time. */
+    private long newestBucket = Long.MIN_VALUE;
+
     private long total;
 
-    public SlidingWindowSum(long span, int buckets) {
-        this.buckets = new long[buckets];
-        this.bucketLength = Math.max(1, (span + buckets - 1) / buckets);
+    /** A window of this length, rounded up to whole buckets, without samples. */
+    public SlidingWindowSum(long windowTicks, int bucketCount) {
+        this.buckets = new long[bucketCount];
+        this.bucketTicks = Math.max(1, (windowTicks + bucketCount - 1) / bucketCount);
     }
 
-    public void add(long now, long amount) {
-        roll(now);
-        buckets[(int) Math.floorMod(newest, (long) buckets.length)] += amount;
+    /** Adds an amount, which may be negative. */
+    public void add(long nowTicks, long amount) {
+        advance(nowTicks);
+        buckets[indexOf(newestBucket)] += amount;
         total += amount;
     }
 
-    /**
-     * The sum over the span up to now; the oldest bucket counts whole until all of it is too old.
-     */
-    public long sum(long now) {
-        roll(now);
+    /** The sum of the window that ends now; a bucket counts until all of it is too old. */
+    public long sum(long nowTicks) {
+        advance(nowTicks);
         return total;
     }
 
+    /** Forgets all amounts. */
     public void clear() {
-        java.util.Arrays.fill(buckets, 0);
+        Arrays.fill(buckets, 0);
         total = 0;
     }
 
-    private void roll(long now) {
-        long bucket = Math.floorDiv(now, bucketLength);
-        if (bucket - buckets.length >= newest) {
+    private void advance(long nowTicks) {
+        long bucket = Math.floorDiv(nowTicks, bucketTicks);
+        if (bucket - buckets.length >= newestBucket) {
             clear();
         } else {
-            for (long b = newest + 1; b <= bucket; b++) {
-                int i = (int) Math.floorMod(b, (long) buckets.length);
-                total -= buckets[i];
-                buckets[i] = 0;
+            for (long b = newestBucket + 1; b <= bucket; b++) {
+                int expired = indexOf(b);
+                total -= buckets[expired];
+                buckets[expired] = 0;
             }
         }
-        newest = Math.max(newest, bucket);
+        newestBucket = Math.max(newestBucket, bucket);
+    }
+
+    private int indexOf(long bucket) {
+        return (int) Math.floorMod(bucket, (long) buckets.length);
     }
 }
