--- a/src/main/java/cottonlock/proxy/TickClock.java
+++ b/src/main/java/cottonlock/proxy/TickClock.java
@@ -1,13 +1,31 @@
 package cottonlock.proxy;
 
+import java.util.function.LongSupplier;
+
 /**
- * The module's time: tenths of a millisecond since 1970, read at the start, monotonic since then.
+ * Wall-clock time in ticks of 0.1 ms since 1970: read from the system once, at construction, and
+ * monotonic from then on. Safe for use by any thread.
  */
 final class TickClock {
-    private final long started = System.currentTimeMillis() * 10;
-    private final long from = System.nanoTime();
+    private static final long NANOS_PER_TICK = 100_000;
+    private static final long TICKS_PER_MILLI = 10;
+
+    private final LongSupplier ticks;
+
+    /** A clock that starts at the system's wall-clock time. */
+    TickClock() {
+        long startTicks = System.currentTimeMillis() * TICKS_PER_MILLI;
+        long startNanos = System.nanoTime();
+        this.ticks = () -> startTicks + (System.nanoTime() - startNanos) / NANOS_PER_TICK;
+    }
+
+    /** A clock that reads ticks from a source; for tests. */
+    TickClock(LongSupplier ticks) {
+        this.ticks = ticks;
+    }
 
+    /** The current time in ticks; never goes back. */
     long now() {
-        return started + (System.nanoTime() - from) / 100_000;
+        return ticks.getAsLong();
     }
 }
