--- a/src/main/java/cottonlock/lab/rollout/ProxyModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ProxyModel.java
@@ -12,8 +12,8 @@
 
 /**
  * A proxy in virtual time: {@link ConfigurationRollout} as it serves, carried as {@code
- * cottonlock.proxy.RolloutActor} does on sockets: one thread, one watch, and a second connection
- * during a comparison.
+ * cottonlock.proxy.control.RolloutActor} does on sockets: one thread, one watch, and a second
+ * connection during a comparison.
  */
 @Deterministic
 final class ProxyModel {
--- a/src/main/java/cottonlock/lab/scale/HollowHost.java
+++ b/src/main/java/cottonlock/lab/scale/HollowHost.java
@@ -4,7 +4,7 @@
 import cottonlock.config.OperatorFile;
 import cottonlock.membership.MembershipService;
 import cottonlock.membership.MembershipView;
-import cottonlock.proxy.DiscoveryClient;
+import cottonlock.proxy.discovery.DiscoveryClient;
 import cottonlock.setup.MembershipConfig;
 import cottonlock.setup.MembershipProtocolConfig;
 import java.io.BufferedReader;
--- a/src/main/java/cottonlock/proxy/BackendActor.java
+++ b/src/main/java/cottonlock/proxy/BackendActor.java
@@ -2,6 +2,10 @@
 
 import cottonlock.admin.Metrics;
 import cottonlock.decision.api.AttemptOutcome;
+import cottonlock.proxy.concurrent.Mailbox;
+import cottonlock.proxy.concurrent.TickClock;
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
--- a/src/main/java/cottonlock/proxy/BackendConnection.java
+++ b/src/main/java/cottonlock/proxy/BackendConnection.java
@@ -2,6 +2,9 @@
 
 import cottonlock.admin.Metrics;
 import cottonlock.decision.api.AttemptOutcome;
+import cottonlock.proxy.concurrent.TickClock;
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
 import java.io.FilterOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
--- a/src/main/java/cottonlock/proxy/BodySpillFiles.java
+++ b/src/main/java/cottonlock/proxy/BodySpillFiles.java
@@ -1,5 +1,6 @@
 package cottonlock.proxy;
 
+import cottonlock.proxy.io.Sockets;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.file.Files;
--- a/src/main/java/cottonlock/proxy/BufferPool.java
+++ b/src/main/java/cottonlock/proxy/BufferPool.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.TimeUnit;
 
 /** The pool of buffers, all of one size; who takes one gives it back in one place. */
-final class BufferPool {
+public final class BufferPool {
     /** The head of a message must fit into one; most bodies do. */
-    static final int SIZE = 8 << 10;
+    public static final int SIZE = 8 << 10;
 
     /**
      * How long a taker waits when all are out, in milliseconds: answers free some well within a due
@@ -21,7 +21,7 @@
     private final int reserved;
 
     /** So many, of which some are kept for connections. */
-    BufferPool(int most, int reserved) {
+    public BufferPool(int most, int reserved) {
         this.left = new Semaphore(most);
         this.reserved = reserved;
     }
@@ -35,7 +35,7 @@
         }
     }
 
-    byte[] take() throws IOException {
+    public byte[] take() throws IOException {
         try {
             if (!left.tryAcquire(WAIT, TimeUnit.MILLISECONDS)) {
                 throw new NoneFree();
@@ -55,7 +55,7 @@
         return left.availablePermits() > reserved ? take() : null;
     }
 
-    void give(byte[] buffer) {
+    public void give(byte[] buffer) {
         free.addLast(buffer);
         left.release();
     }
--- a/src/main/java/cottonlock/proxy/ClientConnection.java
+++ b/src/main/java/cottonlock/proxy/ClientConnection.java
@@ -1,6 +1,8 @@
 package cottonlock.proxy;
 
 import cottonlock.admin.Metrics;
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
 import java.io.IOException;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
--- a/src/main/java/cottonlock/proxy/ClientListener.java
+++ b/src/main/java/cottonlock/proxy/ClientListener.java
@@ -1,5 +1,7 @@
 package cottonlock.proxy;
 
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
--- a/src/main/java/cottonlock/proxy/ConnectionThreads.java
+++ b/src/main/java/cottonlock/proxy/ConnectionThreads.java
@@ -1,5 +1,6 @@
 package cottonlock.proxy;
 
+import cottonlock.proxy.io.Sockets;
 import java.util.concurrent.SynchronousQueue;
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/cottonlock/proxy/HttpReader.java
+++ b/src/main/java/cottonlock/proxy/HttpReader.java
@@ -10,7 +10,7 @@
 /**
  * Parses HTTP/1.1 messages from one socket, strictly: what could be read in two ways is refused.
  */
-final class HttpReader {
+public final class HttpReader {
     /** Longer lines between chunks carry nothing that anyone here needs. */
     private static final int CHUNK_LINE = 256;
 
@@ -47,14 +47,14 @@
     private long dropped;
 
     /** Reads through the given buffer, which stays the caller's. */
-    HttpReader(Socket socket, byte[] buffer) throws IOException {
+    public HttpReader(Socket socket, byte[] buffer) throws IOException {
         this.socket = socket;
         this.in = socket.getInputStream();
         this.buffer = buffer;
     }
 
     /** All reads from now on must be done within so many milliseconds; 0: no limit. */
-    void within(long millis) {
+    public void within(long millis) {
         limit = millis == 0 ? 0 : System.nanoTime() + millis * 1_000_000;
         pause = 0;
     }
@@ -70,7 +70,7 @@
     }
 
     /** Waits for the first byte of a message; false when the other side has ended its sending. */
-    boolean await() throws IOException {
+    public boolean await() throws IOException {
         return ahead() || fill();
     }
 
@@ -82,7 +82,7 @@
     }
 
     /** Whether bytes lie here that nobody has looked at yet. */
-    boolean ahead() {
+    public boolean ahead() {
         return at < filled;
     }
 
@@ -201,7 +201,7 @@
      * The head of the final answer: milliseconds for any pause once one has begun; 0: the limit
      * that is set.
      */
-    MessageHead answer(long gap) throws IOException, MalformedMessageException {
+    public MessageHead answer(long gap) throws IOException, MalformedMessageException {
         while (true) {
             if (!await()) {
                 throw new IOException("the answer ends early");
@@ -295,7 +295,7 @@
     }
 
     /** Whether a word is a whole number without a sign, short enough for a long. */
-    static boolean digits(String word) {
+    public static boolean digits(String word) {
         for (int i = 0; i < word.length(); i++) {
             if (word.charAt(i) < '0' || word.charAt(i) > '9') {
                 return false;
@@ -406,7 +406,7 @@
     }
 
     /** The next line of a body of lines, without its end; null at the end of the body. */
-    String line(int longest) throws IOException, MalformedMessageException {
+    public String line(int longest) throws IOException, MalformedMessageException {
         StringBuilder line = new StringBuilder();
         while (goesOn()) {
             byte b = buffer[at];
--- a/src/main/java/cottonlock/proxy/MalformedMessageException.java
+++ b/src/main/java/cottonlock/proxy/MalformedMessageException.java
@@ -1,10 +1,10 @@
 package cottonlock.proxy;
 
 /** A message that does not keep to the protocol, with the status that tells its sender so. */
-final class MalformedMessageException extends Exception {
+public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    final int status;
+    public final int status;
 
     MalformedMessageException(int status, String fault) {
         super(fault);
--- a/src/main/java/cottonlock/proxy/MembershipAdapter.java
+++ b/src/main/java/cottonlock/proxy/MembershipAdapter.java
@@ -1,6 +1,12 @@
 package cottonlock.proxy;
 
 import cottonlock.membership.MembershipService;
+import cottonlock.proxy.concurrent.TickClock;
+import cottonlock.proxy.control.PeerMessenger;
+import cottonlock.proxy.control.ProcessHandover;
+import cottonlock.proxy.control.ProxyConfiguration;
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
 import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.MembershipConfig;
 import java.io.IOException;
--- a/src/main/java/cottonlock/proxy/MessageHead.java
+++ b/src/main/java/cottonlock/proxy/MessageHead.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /** The start line and the header fields of one message. */
-final class MessageHead {
+public final class MessageHead {
     /** Method, target and version of a request; version, status and reason of an answer. */
-    final String[] start;
+    public final String[] start;
 
     private final List<String> names = new ArrayList<>();
     private final List<String> values = new ArrayList<>();
--- a/src/main/java/cottonlock/proxy/Proxy.java
+++ b/src/main/java/cottonlock/proxy/Proxy.java
@@ -2,6 +2,17 @@
 
 import cottonlock.admin.ManagementServer;
 import cottonlock.admin.Metrics;
+import cottonlock.proxy.concurrent.TickClock;
+import cottonlock.proxy.control.ManualEjections;
+import cottonlock.proxy.control.PeerMessenger;
+import cottonlock.proxy.control.ProcessHandover;
+import cottonlock.proxy.control.ProxyConfiguration;
+import cottonlock.proxy.control.RolloutActor;
+import cottonlock.proxy.control.SharedFile;
+import cottonlock.proxy.discovery.EndpointListParser;
+import cottonlock.proxy.discovery.EndpointListWatch;
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
 import cottonlock.setup.LoadBalancerFactory;
 import cottonlock.setup.OperatorConfig;
 import cottonlock.setup.Settings;
@@ -196,7 +207,7 @@
         InetSocketAddress peerListen = config.addressIfAny("peer_listen");
         boolean talks = peerListen != null && all != null;
         DatagramSocket peerSocket = talks ? PeerMessenger.socket(peerListen, shares) : null;
-        peers = new PeerMessenger(peerSocket, config.addresses("peers"), all, module, log);
+        peers = new PeerMessenger(peerSocket, config.addresses("peers"), all, module::heard, log);
         module.join(assembly.balancer(module, random.nextLong()), watch, peers, bans);
         if (!operator.shadowSettings().isEmpty()) {
             Settings others = config.settings();
--- a/src/main/java/cottonlock/proxy/RequestValidator.java
+++ b/src/main/java/cottonlock/proxy/RequestValidator.java
@@ -1,6 +1,7 @@
 package cottonlock.proxy;
 
 import cottonlock.decision.api.RequestClass;
+import cottonlock.proxy.concurrent.TickClock;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
--- a/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
+++ b/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
@@ -6,6 +6,7 @@
 import cottonlock.decision.api.LoadBalancerActions;
 import cottonlock.decision.api.RejectionReason;
 import cottonlock.decision.api.RequestClass;
+import cottonlock.proxy.io.RateLimitedLog;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/cottonlock/proxy/WriteTimeoutWatchdog.java
+++ b/src/main/java/cottonlock/proxy/WriteTimeoutWatchdog.java
@@ -1,5 +1,6 @@
 package cottonlock.proxy;
 
+import cottonlock.proxy.io.Sockets;
 import java.io.FilterOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
--- a/src/main/java/cottonlock/proxy/Mailbox.java
+++ b/src/main/java/cottonlock/proxy/concurrent/Mailbox.java
@@ -1,5 +1,6 @@
-package cottonlock.proxy;
+package cottonlock.proxy.concurrent;
 
+import cottonlock.proxy.io.RateLimitedLog;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
@@ -7,11 +8,11 @@
 /**
  * An actor's mailbox: bounded, and read by the actor's thread alone, one message after the other.
  */
-final class Mailbox implements Runnable {
+public final class Mailbox implements Runnable {
     private final BlockingQueue<Runnable> messages;
     private final RateLimitedLog log;
 
-    Mailbox(int most, RateLimitedLog log) {
+    public Mailbox(int most, RateLimitedLog log) {
         // An array of all its places would take 16 KB for each backend that a list names, used or
         // not.
         this.messages = new LinkedBlockingQueue<>(most);
@@ -19,12 +20,12 @@
     }
 
     /** For senders that must not wait: false when it is full. */
-    boolean offer(Runnable message) {
+    public boolean offer(Runnable message) {
         return messages.offer(message);
     }
 
     /** For senders that may wait for their place. */
-    void put(Runnable message) {
+    public void put(Runnable message) {
         try {
             messages.put(message);
         } catch (InterruptedException e) {
@@ -33,7 +34,7 @@
     }
 
     /** Carries out the next message, if one comes within so many microseconds. */
-    void next(long micros) throws InterruptedException {
+    public void next(long micros) throws InterruptedException {
         Runnable message = messages.poll(Math.max(0, micros), TimeUnit.MICROSECONDS);
         if (message != null) {
             guard(message);
@@ -41,7 +42,7 @@
     }
 
     /** Carries out all that has come so far. */
-    void drain() {
+    public void drain() {
         for (Runnable message = messages.poll(); message != null; message = messages.poll()) {
             guard(message);
         }
@@ -50,7 +51,7 @@
     /**
      * Carries out a message; one that fails must not end the actor, and all that others wait for.
      */
-    void guard(Runnable message) {
+    public void guard(Runnable message) {
         try {
             message.run();
         } catch (RuntimeException | Error e) {
--- a/src/main/java/cottonlock/proxy/TickClock.java
+++ b/src/main/java/cottonlock/proxy/concurrent/TickClock.java
@@ -1,4 +1,4 @@
-package cottonlock.proxy;
+package cottonlock.proxy.concurrent;
 
 import java.util.function.LongSupplier;
 
@@ -6,26 +6,26 @@
  * Wall-clock time in ticks of 0.1 ms since 1970: read from the system once, at construction, and
  * monotonic from then on. Safe for use by any thread.
  */
-final class TickClock {
+public final class TickClock {
     private static final long NANOS_PER_TICK = 100_000;
     private static final long TICKS_PER_MILLI = 10;
 
     private final LongSupplier ticks;
 
     /** A clock that starts at the system's wall-clock time. */
-    TickClock() {
+    public TickClock() {
         long startTicks = System.currentTimeMillis() * TICKS_PER_MILLI;
         long startNanos = System.nanoTime();
         this.ticks = () -> startTicks + (System.nanoTime() - startNanos) / NANOS_PER_TICK;
     }
 
     /** A clock that reads ticks from a source; for tests. */
-    TickClock(LongSupplier ticks) {
+    public TickClock(LongSupplier ticks) {
         this.ticks = ticks;
     }
 
     /** The current time in ticks; never goes back. */
-    long now() {
+    public long now() {
         return ticks.getAsLong();
     }
 }
--- a/src/main/java/cottonlock/proxy/ConfigurationVersionParser.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionParser.java
@@ -1,5 +1,7 @@
-package cottonlock.proxy;
+package cottonlock.proxy.control;
 
+import cottonlock.proxy.HttpReader;
+import cottonlock.proxy.io.JsonReader;
 import cottonlock.rollout.ConfigurationVersion;
 import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.Settings;
@@ -15,7 +17,7 @@
  * verdict on its content hangs on its bytes and on the base, which all processes of a service
  * share, so that all come to the same one.
  */
-final class ConfigurationVersionParser {
+public final class ConfigurationVersionParser {
     /** What a process can follow: all other settings are the base that it was built on. */
     private static final String CATEGORIES = "Categories.";
 
@@ -27,11 +29,11 @@
     private static final int DIGEST = 8;
     private static final String HEX = "[0-9a-f]{16}";
 
-    final ConfigurationVersion version;
+    public final ConfigurationVersion version;
     private final String base;
 
     /** Null where only the number and digest were told. */
-    final String content;
+    public final String content;
 
     private ConfigurationVersionParser(ConfigurationVersion version, String base, String content) {
         this.version = version;
@@ -45,7 +47,7 @@
      * @throws InvalidSettingsException for what is no whole version: the fault of who told it, not
      *     of the version
      */
-    static ConfigurationVersionParser read(String line) {
+    public static ConfigurationVersionParser read(String line) {
         Object value;
         try {
             value = JsonReader.read(line);
@@ -87,12 +89,12 @@
     }
 
     /** The line again, as it is kept. */
-    static ConfigurationVersionParser of(
+    public static ConfigurationVersionParser of(
             ConfigurationVersion version, String base, String content) {
         return new ConfigurationVersionParser(version, base, content);
     }
 
-    String base() {
+    public String base() {
         return base;
     }
 
@@ -101,7 +103,7 @@
      *
      * @throws InvalidSettingsException for what no process of the base can use
      */
-    Settings judged(String ofProcess) {
+    public Settings judged(String ofProcess) {
         Object value;
         try {
             value = JsonReader.read(content);
@@ -152,7 +154,7 @@
     }
 
     /** What tells apart the settings that a process can't follow without being started anew. */
-    static String base(Settings settings) {
+    public static String base(Settings settings) {
         StringBuilder text = new StringBuilder();
         settings.sorted()
                 .forEach(
@@ -167,7 +169,7 @@
     }
 
     /** The first eight bytes of the text's SHA-256, as UTF-8. */
-    static long digest(String text) {
+    public static long digest(String text) {
         try {
             byte[] hash =
                     MessageDigest.getInstance("SHA-256")
--- a/src/main/java/cottonlock/proxy/ManualEjections.java
+++ b/src/main/java/cottonlock/proxy/control/ManualEjections.java
@@ -1,6 +1,8 @@
-package cottonlock.proxy;
+package cottonlock.proxy.control;
 
 import cottonlock.decision.api.Endpoint;
+import cottonlock.proxy.HttpReader;
+import cottonlock.proxy.concurrent.TickClock;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -12,7 +14,7 @@
  * The backends that operators have taken out, in front of discovery's news; kept for the proxy's
  * next process and shared with another that serves beside this one.
  */
-final class ManualEjections implements Runnable {
+public final class ManualEjections implements Runnable {
     /**
      * Milliseconds between looks at what another process has changed: far below any grace on
      * drains.
@@ -38,7 +40,7 @@
     private volatile Object seen;
 
     /** Changed is called after each change, from any thread. */
-    ManualEjections(SharedFile shared, TickClock clock, Runnable changed) {
+    public ManualEjections(SharedFile shared, TickClock clock, Runnable changed) {
         this.shared = shared;
         this.clock = clock;
         this.changed = changed;
@@ -47,12 +49,12 @@
     }
 
     /** Whether nothing new may go to a backend. */
-    boolean out(String id) {
+    public boolean out(String id) {
         return state.out.contains(id);
     }
 
     /** What the module is told of a backend that discovery has told this of. */
-    Endpoint told(Endpoint m) {
+    public Endpoint told(Endpoint m) {
         State now = state;
         if (now.out.contains(m.id())) {
             return m.state() != Endpoint.State.READY
@@ -73,7 +75,7 @@
     }
 
     /** Takes a backend out or back; in force when this returns. False when too many are out. */
-    synchronized boolean change(String id, boolean out) {
+    public synchronized boolean change(String id, boolean out) {
         boolean room = state.out.size() < MOST || !out;
         if (room && state.out.contains(id) != out) {
             state =
@@ -102,7 +104,7 @@
     }
 
     /** Waits until another process of this proxy, if there is one, has seen the last change too. */
-    void seenByAll() {
+    public void seenByAll() {
         try {
             // A yes given earlier was found too early: the other process still sent a request after
             // it.
@@ -138,7 +140,7 @@
     }
 
     /** Looks for what another process of this proxy has changed. */
-    void look() {
+    public void look() {
         synchronized (this) {
             Object stamp = shared.stamp();
             if (stamp == null || stamp.equals(seen)) {
--- a/src/main/java/cottonlock/proxy/PeerMessenger.java
+++ b/src/main/java/cottonlock/proxy/control/PeerMessenger.java
@@ -1,5 +1,6 @@
-package cottonlock.proxy;
+package cottonlock.proxy.control;
 
+import cottonlock.proxy.io.RateLimitedLog;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -9,34 +10,35 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Set;
+import java.util.function.Consumer;
 
 /** The datagrams between the balancers of a tier; without an address of its own it does nothing. */
-final class PeerMessenger implements Runnable {
+public final class PeerMessenger implements Runnable {
     /** The protocol's limit for one datagram. */
     private static final int LONGEST = 256;
 
     private final DatagramSocket socket;
     private final Set<InetSocketAddress> others;
     private final InetSocketAddress all;
-    private final LoadBalancerActor module;
+    private final Consumer<byte[]> receiver;
     private final RateLimitedLog log;
 
     /** Socket and address may be null where the settings give none. */
-    PeerMessenger(
+    public PeerMessenger(
             DatagramSocket socket,
             List<InetSocketAddress> others,
             InetSocketAddress all,
-            LoadBalancerActor module,
+            Consumer<byte[]> receiver,
             RateLimitedLog log) {
         this.socket = all == null ? null : socket;
         this.others = Set.copyOf(others);
         this.all = all;
-        this.module = module;
+        this.receiver = receiver;
         this.log = log;
     }
 
     /** A socket at an address; shares: with another process of this proxy. */
-    static DatagramSocket socket(InetSocketAddress own, boolean shares) throws IOException {
+    public static DatagramSocket socket(InetSocketAddress own, boolean shares) throws IOException {
         DatagramSocket socket = new DatagramSocket(null);
         try {
             socket.setOption(StandardSocketOptions.SO_REUSEPORT, shares);
@@ -49,7 +51,7 @@
     }
 
     /** Sends a datagram, or loses it. */
-    void tell(byte[] message) {
+    public void tell(byte[] message) {
         if (socket == null || message.length > LONGEST) {
             return;
         }
@@ -80,15 +82,15 @@
     }
 
     /** What has come at the socket, whoever has read it. */
-    void came(SocketAddress from, byte[] bytes, int length) {
+    public void came(SocketAddress from, byte[] bytes, int length) {
         if (length > LONGEST || !others.contains(from)) {
             log.warn("peers", "dropped an odd datagram from " + from);
         } else {
-            module.heard(Arrays.copyOf(bytes, length));
+            receiver.accept(Arrays.copyOf(bytes, length));
         }
     }
 
-    void close() {
+    public void close() {
         if (socket != null) {
             socket.close();
         }
--- a/src/main/java/cottonlock/proxy/ProcessHandover.java
+++ b/src/main/java/cottonlock/proxy/control/ProcessHandover.java
@@ -1,18 +1,19 @@
-package cottonlock.proxy;
+package cottonlock.proxy.control;
 
+import cottonlock.proxy.HttpReader;
 import java.util.List;
 
 /** Tells whether another process has taken over from this one: whoever said last that it serves. */
-final class ProcessHandover {
+public final class ProcessHandover {
     private final SharedFile shared;
     private final String me = named(ProcessHandle.current());
 
-    ProcessHandover(SharedFile shared) {
+    public ProcessHandover(SharedFile shared) {
         this.shared = shared;
     }
 
     /** This process serves from now on. */
-    void serving() {
+    public void serving() {
         shared.change(lines -> List.of(me));
     }
 
@@ -20,7 +21,7 @@
      * Whether another process serves that has begun after this one; a dead one's word counts for
      * nothing.
      */
-    boolean replaced() {
+    public boolean replaced() {
         List<String> lines = shared.read();
         if (lines.size() != 1 || lines.get(0).equals(me)) {
             return false;
--- a/src/main/java/cottonlock/proxy/ProxyConfiguration.java
+++ b/src/main/java/cottonlock/proxy/control/ProxyConfiguration.java
@@ -1,5 +1,8 @@
-package cottonlock.proxy;
+package cottonlock.proxy.control;
 
+import cottonlock.proxy.discovery.EndpointListParser;
+import cottonlock.proxy.io.JsonReader;
+import cottonlock.proxy.io.Sockets;
 import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.Settings;
 import java.io.IOException;
@@ -15,14 +18,14 @@
  * Reads the configuration file of one proxy; whatever is wrong with it is a {@link
  * InvalidSettingsException}.
  */
-final class ProxyConfiguration {
+public final class ProxyConfiguration {
     private final Map<?, ?> root;
 
     private ProxyConfiguration(Map<?, ?> root) {
         this.root = root;
     }
 
-    static ProxyConfiguration read(Path file) {
+    public static ProxyConfiguration read(Path file) {
         try {
             if (JsonReader.read(Files.readString(file)) instanceof Map<?, ?> map) {
                 return new ProxyConfiguration(map);
@@ -39,7 +42,7 @@
      * Turns it down unless it may follow the one in force: a file that lacks a key that stands
      * there, or that no work could be served by, is taken for one that was cut off or mistyped.
      */
-    void mayFollow(ProxyConfiguration before) {
+    public void mayFollow(ProxyConfiguration before) {
         for (Object key : before.root.keySet()) {
             // Who serves beside us and what was last known may come and go; the rest may not.
             if (!root.containsKey(key)
@@ -61,7 +64,7 @@
     }
 
     /** Turns down settings that no work could be served by, whatever was in force before. */
-    static void servable(Settings settings) {
+    public static void servable(Settings settings) {
         List<String> names = settings.each("Categories", "Name");
         if (names.isEmpty() || names.contains("") || Set.copyOf(names).size() < names.size()) {
             throw new InvalidSettingsException(
@@ -121,12 +124,12 @@
     }
 
     /** A plain value, or what stands in where there is none. */
-    String text(String name, String otherwise) {
+    public String text(String name, String otherwise) {
         return root.get(name) instanceof String text ? text : otherwise;
     }
 
     /** The settings as paths and values, as the module is built from them. */
-    Settings settings() {
+    public Settings settings() {
         if (!(root.get("settings") instanceof Map<?, ?> map)) {
             throw new InvalidSettingsException("no settings");
         }
@@ -134,7 +137,7 @@
     }
 
     /** The settings of an object as JSON has it. */
-    static Settings settings(Map<?, ?> map) {
+    public static Settings settings(Map<?, ?> map) {
         Settings settings = new Settings();
         put(settings, "", map);
         return settings;
@@ -160,7 +163,7 @@
     }
 
     /** An address that must be there. */
-    InetSocketAddress address(String name) {
+    public InetSocketAddress address(String name) {
         InetSocketAddress address = addressIfAny(name);
         if (address == null) {
             throw new InvalidSettingsException("no " + name);
@@ -168,12 +171,12 @@
         return address;
     }
 
-    InetSocketAddress addressIfAny(String name) {
+    public InetSocketAddress addressIfAny(String name) {
         Object value = root.get(name);
         return value == null ? null : address(name, value);
     }
 
-    List<InetSocketAddress> addresses(String name) {
+    public List<InetSocketAddress> addresses(String name) {
         List<InetSocketAddress> list = new ArrayList<>();
         if (root.get(name) instanceof List<?> values) {
             values.forEach(value -> list.add(address(name, value)));
@@ -181,7 +184,7 @@
         return list;
     }
 
-    static InetSocketAddress address(String name, Object value) {
+    public static InetSocketAddress address(String name, Object value) {
         try {
             return Sockets.address(String.valueOf(value));
         } catch (IllegalArgumentException e) {
@@ -190,7 +193,7 @@
     }
 
     /** The seed for random numbers: 16 hex digits. */
-    long seed() {
+    public long seed() {
         try {
             return Long.parseUnsignedLong(String.valueOf(root.get("seed")), 16);
         } catch (NumberFormatException e) {
@@ -199,7 +202,7 @@
     }
 
     /** A limit on resources, or what stands in where none is given. */
-    int limit(String name, int otherwise) {
+    public int limit(String name, int otherwise) {
         Object value = root.get("limits") instanceof Map<?, ?> limits ? limits.get(name) : null;
         try {
             return value == null ? otherwise : (int) Double.parseDouble(value.toString());
@@ -209,7 +212,7 @@
     }
 
     /** The list of backends as this proxy last had it. */
-    EndpointListParser.News known(EndpointListParser directory) {
+    public EndpointListParser.News known(EndpointListParser directory) {
         return root.get("known") == null
                 ? new EndpointListParser.News(0, true, List.of())
                 : directory.read(root.get("known"));
--- a/src/main/java/cottonlock/proxy/RolloutActor.java
+++ b/src/main/java/cottonlock/proxy/control/RolloutActor.java
@@ -1,5 +1,13 @@
-package cottonlock.proxy;
+package cottonlock.proxy.control;
 
+import cottonlock.proxy.BufferPool;
+import cottonlock.proxy.HttpReader;
+import cottonlock.proxy.MalformedMessageException;
+import cottonlock.proxy.MessageHead;
+import cottonlock.proxy.concurrent.TickClock;
+import cottonlock.proxy.io.JsonReader;
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
 import cottonlock.rollout.ConfigurationRollout;
 import cottonlock.rollout.ConfigurationVersion;
 import cottonlock.setup.InvalidSettingsException;
@@ -20,7 +28,7 @@
  * Carries a {@link ConfigurationRollout}: one thread, with one watch on a control machine and a
  * second connection while it compares. Loaded only where an operator's file asks for it.
  */
-final class RolloutActor implements Runnable {
+public final class RolloutActor implements Runnable {
     /** Characters of a line: settings of some hundred request classes. */
     private static final int LONGEST_LINE = 128 << 10;
 
@@ -57,7 +65,7 @@
      * @param takeIn takes other settings in, all or, by an exception, none
      * @param kept where the version in force is kept for the next process
      */
-    RolloutActor(
+    public RolloutActor(
             RolloutConfig plan,
             Settings built,
             Consumer<Settings> takeIn,
@@ -79,7 +87,7 @@
     }
 
     /** Before the proxy serves: takes in what an earlier process has kept. */
-    void begin() {
+    public void begin() {
         ConfigurationVersion last = ConfigurationVersion.NONE;
         ConfigurationVersionParser line = keptLine();
         if (line != null && !line.base().equals(base)) {
@@ -106,7 +114,7 @@
     }
 
     /** For the figures: fields of a JSON object, each behind a comma. */
-    String figures() {
+    public String figures() {
         ConfigurationRollout.Figures f = figures;
         return ",\"configuration_version\":"
                 + f.inForce().number()
@@ -431,7 +439,7 @@
     }
 
     /** The proxy closes: its thread has been interrupted, and a read that it may be in ends. */
-    void close() {
+    public void close() {
         closed = true;
         Socket watching = socket;
         if (watching != null) {
--- a/src/main/java/cottonlock/proxy/SharedFile.java
+++ b/src/main/java/cottonlock/proxy/control/SharedFile.java
@@ -1,5 +1,6 @@
-package cottonlock.proxy;
+package cottonlock.proxy.control;
 
+import cottonlock.proxy.io.RateLimitedLog;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
@@ -17,7 +18,7 @@
  * replaced whole. One that holds anything else, or can't be read, counts as empty and is replaced
  * at the next change.
  */
-final class SharedFile {
+public final class SharedFile {
     /** Bytes: some thousand lines; more is no file of ours. */
     private static final long LONGEST = 256 << 10;
 
@@ -32,7 +33,7 @@
     private final RateLimitedLog log;
 
     /** In the folder, for the proxy of that name; folder null: nothing is kept or shared. */
-    SharedFile(Path folder, String proxy, String what, RateLimitedLog log) {
+    public SharedFile(Path folder, String proxy, String what, RateLimitedLog log) {
         this.file =
                 folder == null
                         ? null
@@ -48,7 +49,7 @@
     /**
      * What changes with each replacement, to tell whether it is worth reading; null without a file.
      */
-    Object stamp() {
+    public Object stamp() {
         try {
             return file == null || !Files.exists(file)
                     ? null
@@ -59,7 +60,7 @@
     }
 
     /** The lines behind the header. */
-    List<String> read() {
+    public List<String> read() {
         try {
             if (file != null && Files.isRegularFile(file) && Files.size(file) <= LONGEST) {
                 List<String> lines = Files.readAllLines(file, StandardCharsets.ISO_8859_1);
@@ -75,7 +76,7 @@
     }
 
     /** Changes the lines under a lock against the proxy's other process; returns the new ones. */
-    synchronized List<String> change(UnaryOperator<List<String>> change) {
+    public synchronized List<String> change(UnaryOperator<List<String>> change) {
         if (file == null) {
             return change.apply(List.of());
         }
--- a/src/main/java/cottonlock/proxy/DiscoveryClient.java
+++ b/src/main/java/cottonlock/proxy/discovery/DiscoveryClient.java
@@ -1,5 +1,8 @@
-package cottonlock.proxy;
+package cottonlock.proxy.discovery;
 
+import cottonlock.proxy.BufferPool;
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/cottonlock/proxy/EndpointListParser.java
+++ b/src/main/java/cottonlock/proxy/discovery/EndpointListParser.java
@@ -1,6 +1,8 @@
-package cottonlock.proxy;
+package cottonlock.proxy.discovery;
 
 import cottonlock.decision.api.Endpoint;
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
 import cottonlock.setup.InvalidSettingsException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -8,24 +10,24 @@
 import java.util.Map;
 
 /** Turns discovery's JSON into lines of the module's list and the addresses to dial. */
-final class EndpointListParser {
+public final class EndpointListParser {
     /** A list as told: whole, or only what changed. */
-    record News(long version, boolean whole, List<Entry> entries) {}
+    public record News(long version, boolean whole, List<Entry> entries) {}
 
     /** One backend: the module's line of it and where it listens. */
-    record Entry(Endpoint member, InetSocketAddress dial) {}
+    public record Entry(Endpoint member, InetSocketAddress dial) {}
 
     private final RateLimitedLog log;
     private final List<String> zones;
     private final List<String> kinds;
 
-    EndpointListParser(RateLimitedLog log, List<String> zones, List<String> kinds) {
+    public EndpointListParser(RateLimitedLog log, List<String> zones, List<String> kinds) {
         this.log = log;
         this.zones = new ArrayList<>(zones);
         this.kinds = new ArrayList<>(kinds);
     }
 
-    News read(Object json) {
+    public News read(Object json) {
         if (!(json instanceof Map<?, ?> map) || !(map.get("hosts") instanceof List<?> hosts)) {
             throw new InvalidSettingsException("a list without hosts");
         }
--- a/src/main/java/cottonlock/proxy/EndpointListWatch.java
+++ b/src/main/java/cottonlock/proxy/discovery/EndpointListWatch.java
@@ -1,5 +1,12 @@
-package cottonlock.proxy;
-
+package cottonlock.proxy.discovery;
+
+import cottonlock.proxy.BufferPool;
+import cottonlock.proxy.HttpReader;
+import cottonlock.proxy.MalformedMessageException;
+import cottonlock.proxy.MessageHead;
+import cottonlock.proxy.io.JsonReader;
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetSocketAddress;
@@ -15,26 +22,26 @@
  * So these add up to less: SILENCE, the pause until the next call (here LONGEST_AGAIN, or what the
  * module waits), CONNECT. The sum stands in docs/races.md; what it leaves is for the answer.
  */
-final class EndpointListWatch implements Runnable {
+public final class EndpointListWatch implements Runnable {
     /** Milliseconds: discovery answers from within the network or not at all. */
-    static final int CONNECT = 1_000;
+    public static final int CONNECT = 1_000;
 
     /** Milliseconds without a line: two of the empty ones that come every two seconds. */
-    static final long SILENCE = 4_000;
+    public static final long SILENCE = 4_000;
 
     /**
      * Milliseconds before the next watch where nobody decides when to ask again: doubled with each
      * failure in a row. What is pushed counts at once, whether or not a watch is open.
      */
-    static final long AGAIN = 50;
+    public static final long AGAIN = 50;
 
-    static final long LONGEST_AGAIN = 200;
+    public static final long LONGEST_AGAIN = 200;
 
     /** Characters of a list of some thousand backends. */
     private static final int LONGEST_LINE = 1 << 20;
 
     /** Who is told what the watch brings, on its thread. */
-    interface Sink {
+    public interface Sink {
         /** News of the list; cached: as this balancer last held it. */
         void list(EndpointListParser.News news, boolean cached);
 
@@ -67,7 +74,7 @@
 
     private volatile Socket socket;
 
-    EndpointListWatch(
+    public EndpointListWatch(
             InetSocketAddress address,
             EndpointListParser directory,
             long version,
@@ -90,12 +97,12 @@
     }
 
     /** From the module's thread: a watch is wanted; one that runs will do. */
-    void ask() {
+    public void ask() {
         asks.release();
     }
 
     /** For tests alone: whether it waits to be asked. */
-    boolean waits() {
+    public boolean waits() {
         return asks.hasQueuedThreads();
     }
 
@@ -201,7 +208,7 @@
     }
 
     /** From any thread: discovery is elsewhere now, and the whole list is asked for there. */
-    void move(InetSocketAddress to) {
+    public void move(InetSocketAddress to) {
         if (!to.equals(address)) {
             address = to;
             close();
@@ -210,7 +217,7 @@
     }
 
     /** The proxy closes: its thread has been interrupted, and a read that it may be in ends. */
-    void close() {
+    public void close() {
         Socket watching = socket;
         if (watching != null) {
             Sockets.close(watching);
--- a/src/main/java/cottonlock/proxy/JsonReader.java
+++ b/src/main/java/cottonlock/proxy/io/JsonReader.java
@@ -1,4 +1,4 @@
-package cottonlock.proxy;
+package cottonlock.proxy.io;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** Reads JSON: objects become maps, arrays lists, strings and numbers strings as written. */
-final class JsonReader {
+public final class JsonReader {
     /** Deeper than any list or settings; the small stacks bear it. */
     private static final int DEEPEST = 32;
 
@@ -17,7 +17,7 @@
         this.text = text;
     }
 
-    static Object read(String text) {
+    public static Object read(String text) {
         JsonReader json = new JsonReader(text);
         Object value = json.value(0);
         json.space();
@@ -31,11 +31,11 @@
      * Tells, of a text that comes in lines, whether an object or array goes on behind what has
      * come.
      */
-    static final class Nesting {
+    public static final class Nesting {
         private int depth;
         private boolean quoted;
 
-        void add(CharSequence line) {
+        public void add(CharSequence line) {
             for (int i = 0; i < line.length(); i++) {
                 char c = line.charAt(i);
                 if (quoted) {
@@ -49,7 +49,7 @@
             }
         }
 
-        boolean goesOn() {
+        public boolean goesOn() {
             return depth > 0 || quoted;
         }
     }
--- a/src/main/java/cottonlock/proxy/RateLimitedLog.java
+++ b/src/main/java/cottonlock/proxy/io/RateLimitedLog.java
@@ -1,10 +1,10 @@
-package cottonlock.proxy;
+package cottonlock.proxy.io;
 
 import java.util.HashMap;
 import java.util.Map;
 
 /** Lines for whoever is on call: one of each kind a second at most, with how many were left out. */
-final class RateLimitedLog {
+public final class RateLimitedLog {
     private static final long GAP = 1_000_000_000L;
 
     /** Lines a second of what is told each by each: more than a fleet in a storm can be read at. */
@@ -13,25 +13,25 @@
     private final System.Logger logger;
     private final Map<String, long[]> kinds = new HashMap<>();
 
-    RateLimitedLog(System.Logger logger) {
+    public RateLimitedLog(System.Logger logger) {
         this.logger = logger;
     }
 
-    void warn(String kind, String text) {
+    public void warn(String kind, String text) {
         say(System.Logger.Level.WARNING, kind, text);
     }
 
-    void info(String kind, String text) {
+    public void info(String kind, String text) {
         say(System.Logger.Level.INFO, kind, text);
     }
 
     /** For what must be told one by one, as far as anybody can read it. */
-    void each(String kind, String text) {
+    public void each(String kind, String text) {
         each(System.Logger.Level.INFO, kind, text);
     }
 
     /** The same at a level. */
-    void each(System.Logger.Level level, String kind, String text) {
+    public void each(System.Logger.Level level, String kind, String text) {
         long leftOut;
         synchronized (kinds) {
             long second = System.nanoTime() / GAP;
--- a/src/main/java/cottonlock/proxy/Sockets.java
+++ b/src/main/java/cottonlock/proxy/io/Sockets.java
@@ -1,29 +1,29 @@
-package cottonlock.proxy;
+package cottonlock.proxy.io;
 
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
 /** Small helps with sockets and the threads that serve them. */
-final class Sockets {
+public final class Sockets {
     /** Enough for the deepest call here with room to spare; what is not touched takes no memory. */
     private static final long STACK = 192 << 10;
 
     private Sockets() {}
 
-    static Thread start(String name, Runnable task) {
+    public static Thread start(String name, Runnable task) {
         Thread thread = thread(name, task);
         thread.start();
         return thread;
     }
 
-    static Thread thread(String name, Runnable task) {
+    public static Thread thread(String name, Runnable task) {
         Thread thread = new Thread(null, task, name, STACK);
         thread.setDaemon(true);
         return thread;
     }
 
-    static void close(Closeable closeable) {
+    public static void close(Closeable closeable) {
         try {
             closeable.close();
         } catch (IOException e) {
@@ -32,7 +32,7 @@
     }
 
     /** An address of the form host:port, the host in digits. */
-    static InetSocketAddress address(String text) {
+    public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0 || !text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+\\]")) {
             throw new IllegalArgumentException("not an address: " + text);
--- a/src/main/java/cottonlock/rollout/package-info.java
+++ b/src/main/java/cottonlock/rollout/package-info.java
@@ -4,7 +4,7 @@
  * can't be used.
  *
  * <p>{@link cottonlock.rollout.ConfigurationRollout} decides and is free of I/O, clocks and
- * threads; {@code cottonlock.proxy.RolloutActor} carries it. docs/rollout.md says which ways were
- * weighed, and what is promised.
+ * threads; {@code cottonlock.proxy.control.RolloutActor} carries it. docs/rollout.md says which
+ * ways were weighed, and what is promised.
  */
 package cottonlock.rollout;
--- a/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
+++ b/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
@@ -5,6 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cottonlock.admin.Metrics;
+import cottonlock.proxy.concurrent.TickClock;
+import cottonlock.proxy.control.ProxyConfiguration;
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
 import cottonlock.setup.LoadBalancerFactory;
 import cottonlock.setup.Settings;
 import java.io.IOException;
--- a/src/test/java/cottonlock/proxy/ListsTest.java
+++ b/src/test/java/cottonlock/proxy/ListsTest.java
@@ -10,6 +10,16 @@
 import cottonlock.decision.api.Endpoint;
 import cottonlock.decision.api.LoadBalancerActions;
 import cottonlock.decision.api.RejectionReason;
+import cottonlock.proxy.concurrent.TickClock;
+import cottonlock.proxy.control.ManualEjections;
+import cottonlock.proxy.control.PeerMessenger;
+import cottonlock.proxy.control.ProxyConfiguration;
+import cottonlock.proxy.control.SharedFile;
+import cottonlock.proxy.discovery.EndpointListParser;
+import cottonlock.proxy.discovery.EndpointListWatch;
+import cottonlock.proxy.io.JsonReader;
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
 import cottonlock.setup.LoadBalancerFactory;
 import cottonlock.setup.Settings;
 import java.io.BufferedReader;
@@ -293,7 +303,7 @@
         module.join(
                 assembly.balancer(module, 1),
                 watch,
-                new PeerMessenger(null, List.of(), null, module, log),
+                new PeerMessenger(null, List.of(), null, module::heard, log),
                 new ManualEjections(
                         new SharedFile(null, "p", "bans", log), clock, module::bansChanged));
         module.list(new EndpointListParser.News(0, true, List.of()), true);
--- a/src/test/java/cottonlock/proxy/OperatorDaysTest.java
+++ b/src/test/java/cottonlock/proxy/OperatorDaysTest.java
@@ -6,6 +6,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cottonlock.decision.api.Endpoint;
+import cottonlock.proxy.concurrent.TickClock;
+import cottonlock.proxy.control.ManualEjections;
+import cottonlock.proxy.control.SharedFile;
+import cottonlock.proxy.io.JsonReader;
+import cottonlock.proxy.io.RateLimitedLog;
 import cottonlock.setup.OperatorConfig;
 import java.io.IOException;
 import java.io.OutputStream;
--- a/src/test/java/cottonlock/proxy/ProxyFixture.java
+++ b/src/test/java/cottonlock/proxy/ProxyFixture.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cottonlock.proxy.io.Sockets;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/test/java/cottonlock/proxy/ProxyTest.java
+++ b/src/test/java/cottonlock/proxy/ProxyTest.java
@@ -5,6 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cottonlock.proxy.concurrent.Mailbox;
+import cottonlock.proxy.io.JsonReader;
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
 import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.OperatorConfig;
 import java.io.BufferedReader;
--- a/src/test/java/cottonlock/proxy/RacesTest.java
+++ b/src/test/java/cottonlock/proxy/RacesTest.java
@@ -5,6 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cottonlock.admin.Metrics;
+import cottonlock.proxy.concurrent.TickClock;
+import cottonlock.proxy.discovery.EndpointListParser;
+import cottonlock.proxy.discovery.EndpointListWatch;
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
--- a/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
+++ b/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
@@ -5,6 +5,9 @@
 
 import cottonlock.lab.ControlMachine;
 import cottonlock.lab.ControlMachine.Trouble;
+import cottonlock.proxy.control.ConfigurationVersionParser;
+import cottonlock.proxy.control.ProxyConfiguration;
+import cottonlock.proxy.io.JsonReader;
 import cottonlock.setup.OperatorConfig;
 import cottonlock.setup.RolloutConfig;
 import java.io.IOException;
--- a/src/test/java/cottonlock/proxy/MailboxTest.java
+++ b/src/test/java/cottonlock/proxy/concurrent/MailboxTest.java
@@ -1,10 +1,11 @@
-package cottonlock.proxy;
+package cottonlock.proxy.concurrent;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.sun.management.ThreadMXBean;
+import cottonlock.proxy.io.RateLimitedLog;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/cottonlock/proxy/ConfigurationVersionParserTest.java
+++ b/src/test/java/cottonlock/proxy/control/ConfigurationVersionParserTest.java
@@ -1,4 +1,4 @@
-package cottonlock.proxy;
+package cottonlock.proxy.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cottonlock.lab.ControlMachine;
+import cottonlock.proxy.io.JsonReader;
 import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.Settings;
 import java.util.Map;
--- a/src/test/java/cottonlock/proxy/StoredFilesTest.java
+++ b/src/test/java/cottonlock/proxy/control/StoredFilesTest.java
@@ -1,4 +1,4 @@
-package cottonlock.proxy;
+package cottonlock.proxy.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,6 +6,9 @@
 
 import cottonlock.decision.api.Endpoint;
 import cottonlock.lab.ControlMachine;
+import cottonlock.proxy.concurrent.TickClock;
+import cottonlock.proxy.io.JsonReader;
+import cottonlock.proxy.io.RateLimitedLog;
 import cottonlock.setup.RolloutConfig;
 import cottonlock.setup.Settings;
 import java.io.IOException;
