--- a/src/main/java/cottonlock/lab/RolloutReport.java
+++ b/src/main/java/cottonlock/lab/RolloutReport.java
@@ -41,7 +41,7 @@
                         + " back  harmed  differ");
         for (int size : sizes) {
             for (long seed : seeds) {
-                RolloutStudy study = new RolloutStudy(size, seed, RolloutVariants.USUAL);
+                RolloutStudy study = new RolloutStudy(size, seed, RolloutVariants.DEFAULT);
                 Outcome quiet = study.quiet();
                 kept &= tell(size, seed, "quiet", quiet);
                 Map<String, Outcome> events = new LinkedHashMap<>();
--- a/src/main/java/cottonlock/lab/rollout/ProxyModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ProxyModel.java
@@ -4,7 +4,9 @@
 import cottonlock.lab.world.World;
 import cottonlock.rollout.ConfigurationRollout;
 import cottonlock.rollout.ConfigurationVersion;
+import cottonlock.rollout.RolloutStatus;
 import cottonlock.rollout.RolloutVariants;
+import cottonlock.rollout.WatchAttempt;
 import cottonlock.setup.RolloutConfig;
 import java.util.ArrayList;
 import java.util.List;
@@ -111,7 +113,7 @@
 
         void open(long limit) {
             count(CALL_BYTES);
-            ConfigurationVersion has = rollout.asks();
+            ConfigurationVersion has = rollout.requestedFrom();
             // A first packet is sent again after a second, beyond any limit here.
             if (!links.cut(zone, machine.zone)) {
                 world.at(
@@ -139,7 +141,7 @@
                                 version == null
                                         ? BEAT_BYTES
                                         : LINE_BYTES + (whole ? content.bytes(version) : 0));
-                        if (whole && machine.halves() && habits.tries()) {
+                        if (whole && machine.halves() && habits.validates()) {
                             // What is told is not what its digest names: no version at all.
                             ended();
                             return;
@@ -151,7 +153,7 @@
                         if (version != null && watches) {
                             heard(version, whole, machine.halves());
                         } else if (version != null) {
-                            rollout.compared(world.now(), number, version);
+                            rollout.comparisonAnswered(world.now(), number, version);
                         }
                         if (watches) {
                             between();
@@ -162,7 +164,7 @@
         }
 
         private void silentFrom(long at) {
-            long silence = habits.silence(ConfigurationRollout.SILENCE);
+            long silence = habits.silenceTimeoutTicks(ConfigurationRollout.SILENCE_TIMEOUT_TICKS);
             world.at(
                     at + silence,
                     () ->
@@ -183,10 +185,10 @@
                         if (!over) {
                             close();
                             if (watches) {
-                                rollout.ended(world.now());
+                                rollout.watchFailed(world.now());
                                 dial();
                             } else {
-                                rollout.compareFailed();
+                                rollout.comparisonFailed();
                             }
                         }
                     });
@@ -225,19 +227,19 @@
     }
 
     private void heard(ConfigurationVersion version, boolean whole, boolean half) {
-        if (!rollout.told(world.now(), version) || !whole) {
+        if (!rollout.versionAnnounced(world.now(), version) || !whole) {
             return;
         }
         judged++;
         String fault = half ? "half of it" : content.fault(version);
-        if (fault != null && habits.tries()) {
-            rollout.refused(version, fault);
+        if (fault != null && habits.validates()) {
+            rollout.rejected(version);
             return;
         }
         harmed |= fault != null;
-        rollout.taken(version);
+        rollout.applied(version);
         inForce = version;
-        kept = habits.keeps() ? version : kept;
+        kept = habits.persists() ? version : kept;
         note();
     }
 
@@ -254,20 +256,20 @@
         if (watch == null || watch.over) {
             return;
         }
-        if (rollout.leaves(world.now())) {
+        if (rollout.shouldMigrate(world.now())) {
             watch.close();
-            rollout.left(world.now());
+            rollout.watchMigrated(world.now());
             dial();
             return;
         }
-        int other = compare == null ? rollout.compare(world.now()) : -1;
+        int other = compare == null ? rollout.nextComparison(world.now()) : -1;
         if (other >= 0) {
             compare = new Connection(other, false);
             compare.open(plan.callTimeoutTicks());
             return;
         }
         Connection mine = watch;
-        long at = rollout.lookAt();
+        long at = rollout.nextCheckAtTicks();
         if (at > world.now() && at < looksAt) {
             looksAt = at;
             world.at(
@@ -286,16 +288,16 @@
 
     private void dial() {
         looksAt = Long.MAX_VALUE;
-        ConfigurationRollout.Call call = rollout.watch(world.now());
+        WatchAttempt call = rollout.nextWatch(world.now());
         lineAt = -1;
-        Connection mine = new Connection(call.machine(), true);
+        Connection mine = new Connection(call.server(), true);
         watch = mine;
         int now = life;
         world.at(
-                call.at(),
+                call.startAtTicks(),
                 () -> {
                     if (life == now) {
-                        inOrder(mine, () -> mine.open(call.limit()));
+                        inOrder(mine, () -> mine.open(call.timeoutTicks()));
                     }
                 });
     }
@@ -346,8 +348,8 @@
         return inForce;
     }
 
-    ConfigurationRollout.Figures figures() {
-        return rollout.figures();
+    RolloutStatus figures() {
+        return rollout.status();
     }
 
     /** How often it held less than it had held before. */
--- a/src/main/java/cottonlock/lab/rollout/RolloutStudy.java
+++ b/src/main/java/cottonlock/lab/rollout/RolloutStudy.java
@@ -225,7 +225,7 @@
         int judged = d.proxies.stream().mapToInt(ProxyModel::judged).sum();
         d.tell(0, version(2));
         d.world.until(d.world.now() + 20 * SECOND);
-        long refused = d.proxies.stream().mapToLong(p -> p.figures().refused()).sum();
+        long refused = d.proxies.stream().mapToLong(p -> p.figures().rejectedCount()).sum();
         long kept =
                 d.proxies.stream()
                         .filter(p -> p.inForce().equals(new ConfigurationVersion(1, 1)))
--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionParser.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionParser.java
@@ -165,7 +165,7 @@
                                 text.append(path).append('=').append(value).append('\n');
                             }
                         });
-        return new ConfigurationVersion(0, digest(text.toString())).hex();
+        return new ConfigurationVersion(0, digest(text.toString())).digestHex();
     }
 
     /** The first eight bytes of the text's SHA-256, as UTF-8. */
--- a/src/main/java/cottonlock/proxy/control/RolloutActor.java
+++ b/src/main/java/cottonlock/proxy/control/RolloutActor.java
@@ -10,6 +10,8 @@
 import cottonlock.proxy.io.Sockets;
 import cottonlock.rollout.ConfigurationRollout;
 import cottonlock.rollout.ConfigurationVersion;
+import cottonlock.rollout.RolloutStatus;
+import cottonlock.rollout.WatchAttempt;
 import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.RolloutConfig;
 import cottonlock.setup.Settings;
@@ -55,7 +57,7 @@
 
     private final byte[] compareBuffer = new byte[BufferPool.SIZE];
     private ConfigurationRollout rollout;
-    private volatile ConfigurationRollout.Figures figures;
+    private volatile RolloutStatus figures;
     private volatile Socket socket;
     private volatile boolean closed;
 
@@ -110,30 +112,30 @@
             }
         }
         rollout = new ConfigurationRollout(clock.now(), plan, last, random);
-        figures = rollout.figures();
+        figures = rollout.status();
     }
 
     /** For the figures: fields of a JSON object, each behind a comma. */
     public String figures() {
-        ConfigurationRollout.Figures f = figures;
+        RolloutStatus f = figures;
         return ",\"configuration_version\":"
                 + f.inForce().number()
                 + ",\"configuration_digest\":\""
-                + f.inForce().hex()
+                + f.inForce().digestHex()
                 + "\",\"configuration_known\":"
-                + f.known().number()
+                + f.highestKnown().number()
                 + ",\"configuration_behind_ms\":"
-                + since(f.behind())
+                + since(f.behindSinceTicks())
                 + ",\"configuration_control_lost_ms\":"
-                + since(f.lost())
+                + since(f.disconnectedSinceTicks())
                 + ",\"configuration_ahead_ms\":"
-                + since(f.ahead())
+                + since(f.serverStaleSinceTicks())
                 + ",\"configuration_refused_count\":"
-                + f.refused()
+                + f.rejectedCount()
                 + ",\"configuration_calls_count\":"
-                + f.calls()
+                + f.callCount()
                 + ",\"configuration_failed_count\":"
-                + f.failed()
+                + f.failureCount()
                 + ",\"configuration_base\":\""
                 + base
                 + '"';
@@ -147,23 +149,23 @@
     public void run() {
         try {
             while (!closed) {
-                ConfigurationRollout.Call call = rollout.watch(clock.now());
-                Thread.sleep(Math.max(0, call.at() - clock.now()) / 10);
+                WatchAttempt call = rollout.nextWatch(clock.now());
+                Thread.sleep(Math.max(0, call.startAtTicks() - clock.now()) / 10);
                 try {
-                    watch(machines.get(call.machine()), call.limit());
-                    rollout.left(clock.now());
+                    watch(machines.get(call.server()), call.timeoutTicks());
+                    rollout.watchMigrated(clock.now());
                 } catch (IOException | MalformedMessageException | RuntimeException e) {
-                    rollout.ended(clock.now());
+                    rollout.watchFailed(clock.now());
                     if (!closed) {
                         log.info(
                                 "control",
                                 "the watch at "
-                                        + machines.get(call.machine())
+                                        + machines.get(call.server())
                                         + " ended: "
                                         + e.getMessage());
                     }
                 }
-                figures = rollout.figures();
+                figures = rollout.status();
                 if (Thread.interrupted()) {
                     return;
                 }
@@ -176,7 +178,7 @@
     /** Watches a machine until another knows more. */
     private void watch(InetSocketAddress at, long limit)
             throws IOException, MalformedMessageException {
-        ConfigurationVersion asks = rollout.asks();
+        ConfigurationVersion asks = rollout.requestedFrom();
         long answerBy = clock.now() + limit;
         try (Socket watching = new Socket()) {
             socket = watching;
@@ -192,7 +194,7 @@
                                     + "&index="
                                     + asks.number()
                                     + "&digest="
-                                    + asks.hex());
+                                    + asks.digestHex());
             long silentAt = answerBy;
             StringBuilder text = new StringBuilder();
             JsonReader.Nesting nesting = new JsonReader.Nesting();
@@ -214,7 +216,7 @@
                     told(at, ConfigurationVersionParser.read(utf8(text)));
                 }
                 text.setLength(0);
-                silentAt = clock.now() + ConfigurationRollout.SILENCE;
+                silentAt = clock.now() + ConfigurationRollout.SILENCE_TIMEOUT_TICKS;
             }
         }
     }
@@ -254,15 +256,15 @@
      */
     private boolean comes(HttpReader reader, long silentAt) throws IOException {
         while (true) {
-            figures = rollout.figures();
+            figures = rollout.status();
             long now = clock.now();
-            if (rollout.leaves(now)) {
+            if (rollout.shouldMigrate(now)) {
                 return false;
             }
             if (reader.ahead()) {
                 return true;
             }
-            int other = rollout.compare(now);
+            int other = rollout.nextComparison(now);
             if (other >= 0) {
                 compare(other);
                 continue;
@@ -270,7 +272,7 @@
             if (now >= silentAt) {
                 throw new SocketTimeoutException("no line for too long");
             }
-            reader.within(Math.max(1, (Math.min(silentAt, rollout.lookAt()) - now) / 10));
+            reader.within(Math.max(1, (Math.min(silentAt, rollout.nextCheckAtTicks()) - now) / 10));
             try {
                 if (!reader.await()) {
                     throw new IOException("control ended it");
@@ -293,12 +295,12 @@
                             clock.now() + plan.callTimeoutTicks(),
                             "/catalog/configuration/version?service=" + plan.serviceName());
             String line = reader.line(LONGEST_ANSWER);
-            rollout.compared(
+            rollout.comparisonAnswered(
                     clock.now(),
                     other,
                     ConfigurationVersionParser.read(line == null ? "" : utf8(line)).version);
         } catch (IOException | MalformedMessageException | RuntimeException e) {
-            rollout.compareFailed();
+            rollout.comparisonFailed();
             if (!closed) {
                 log.info("control", at + " could not be compared with: " + e.getMessage());
             }
@@ -306,8 +308,8 @@
     }
 
     private void told(InetSocketAddress by, ConfigurationVersionParser line) throws IOException {
-        ConfigurationVersion before = rollout.figures().inForce();
-        if (!rollout.told(clock.now(), line.version)) {
+        ConfigurationVersion before = rollout.status().inForce();
+        if (!rollout.versionAnnounced(clock.now(), line.version)) {
             return;
         }
         if (line.content == null) {
@@ -315,11 +317,11 @@
         }
         String fault = tried(line);
         if (fault == null) {
-            rollout.taken(line.version);
+            rollout.applied(line.version);
             keep(line);
             log.each("version", line.version + " is in force, told by " + by);
         } else {
-            rollout.refused(line.version, fault);
+            rollout.rejected(line.version);
             warn(
                     line.version
                             + " is refused, "
@@ -395,7 +397,7 @@
                             "version "
                                     + line.version.number()
                                     + " "
-                                    + line.version.hex()
+                                    + line.version.digestHex()
                                     + " "
                                     + line.base()
                                     + " "
--- a/src/main/java/cottonlock/rollout/ConfigurationVersion.java
+++ b/src/main/java/cottonlock/rollout/ConfigurationVersion.java
@@ -3,22 +3,24 @@
 import cottonlock.core.Deterministic;
 
 /**
- * Which configuration it is. Versions have one order, the same everywhere: by number, then by
- * digest, so that two changes which got one number on two sides of a split end as the same one on
- * both.
+ * Identifies one version of the settings. Versions are totally ordered, by number and then by
+ * unsigned digest: two changes that got the same number on two sides of a network partition
+ * converge to the same one on both.
  *
- * @param number as control counts its changes; 0: none
+ * @param number the change number assigned by control; 0 stands for no version
  * @param digest the first eight bytes of the content's SHA-256, as one unsigned number
  */
 @Deterministic
 public record ConfigurationVersion(long number, long digest)
         implements Comparable<ConfigurationVersion> {
-    /** Before any. */
+    /** Lower than any published version. */
     public static final ConfigurationVersion NONE = new ConfigurationVersion(0, 0);
 
-    /** Above it a number is a slip: 2 to the 53rd, which every reader of JSON can hold. */
+    /** The highest valid number: 2 to the 53rd, which every JSON reader represents exactly. */
     public static final long HIGHEST = 1L << 53;
 
+    private static final int HEX_DIGITS = 16;
+
     @Override
     public int compareTo(ConfigurationVersion other) {
         return number != other.number
@@ -26,14 +28,17 @@
                 : Long.compareUnsigned(digest, other.digest);
     }
 
-    /** The digest as 16 hex digits. */
-    public String hex() {
+    /** The digest as 16 lower-case hex digits. */
+    public String digestHex() {
         String digits = Long.toHexString(digest);
-        return "0".repeat(16 - digits.length()) + digits;
+        return "0".repeat(HEX_DIGITS - digits.length()) + digits;
     }
 
+    /**
+     * Number and digest, such as {@code 43.0123456789abcdef}: part of log lines and stored files.
+     */
     @Override
     public String toString() {
-        return number + "." + hex();
+        return number + "." + digestHex();
     }
 }
--- a/src/main/java/cottonlock/rollout/RolloutVariants.java
+++ b/src/main/java/cottonlock/rollout/RolloutVariants.java
@@ -3,63 +3,70 @@
 import cottonlock.core.Deterministic;
 
 /**
- * The choices on which it rests that a change comes into force; tests put wrong ones in their
- * place.
+ * The safeguards of a rollout, one method each. Production code uses {@link #DEFAULT}; tests
+ * override single methods to show what fails without that safeguard.
  */
 @Deterministic
 public class RolloutVariants {
-    /** What holds. */
-    public static final RolloutVariants USUAL = new RolloutVariants();
+    /** All safeguards are on. */
+    public static final RolloutVariants DEFAULT = new RolloutVariants();
 
-    /** Whether one version holds in place of another. */
-    public boolean outweighs(ConfigurationVersion one, ConfigurationVersion other) {
-        return one.compareTo(other) > 0;
+    /** Whether a version takes the place of another. */
+    public boolean supersedes(ConfigurationVersion candidate, ConfigurationVersion current) {
+        return candidate.compareTo(current) > 0;
     }
 
-    /** Whether a second control machine is asked what it holds. */
-    public boolean compares() {
+    /** Whether a second control server is asked periodically which version it holds. */
+    public boolean comparesServers() {
         return true;
     }
 
-    /** Whether far control machines are called only where no near one answers. */
-    public boolean nearFirst() {
+    /** Whether far control servers are called only where no near one answers. */
+    public boolean prefersNearServers() {
         return true;
     }
 
-    /** Whether another control machine is called where one has failed. */
-    public boolean movesOn() {
+    /** Whether another control server is called after one has failed. */
+    public boolean failsOver() {
         return true;
     }
 
-    /** Whether calls that fail are followed by a wait. */
-    public boolean paces() {
+    /** Whether a failed call is followed by a delay. */
+    public boolean backsOff() {
         return true;
     }
 
-    /** The longest wait after so many calls that failed. */
-    public long longestWait(long retry, int failures) {
-        return retry;
+    /**
+     * The longest delay before the next call, in ticks.
+     *
+     * @param retryTicks the configured limit
+     * @param consecutiveFailures calls that failed in a row; at least 1
+     */
+    public long maxBackoffTicks(long retryTicks, int consecutiveFailures) {
+        return retryTicks;
     }
 
-    /** Whether waits are drawn by chance. */
-    public boolean spreads() {
+    /** Whether delays are randomised. */
+    public boolean jitters() {
         return true;
     }
 
-    /** Whether a watch without a line for this long is taken for lost; tenths of a millisecond. */
-    public long silence(long usual) {
-        return usual;
-    }
-
     /**
-     * Whether a version is tried to the side, and refused where that fails, before it is in force.
+     * After how many ticks without a line a watch counts as lost.
+     *
+     * @param defaultTicks the production value
      */
-    public boolean tries() {
+    public long silenceTimeoutTicks(long defaultTicks) {
+        return defaultTicks;
+    }
+
+    /** Whether a version is validated, and rejected where that fails, before it is in force. */
+    public boolean validates() {
         return true;
     }
 
-    /** Whether the version in force is kept for the next process. */
-    public boolean keeps() {
+    /** Whether the version in force is stored for the next process. */
+    public boolean persists() {
         return true;
     }
 }
--- a/src/main/java/cottonlock/rollout/package-info.java
+++ b/src/main/java/cottonlock/rollout/package-info.java
@@ -1,10 +1,11 @@
 /**
- * How a change of the settings comes into force everywhere: which version holds, which control
- * machine is asked next and when, and what is done while control is lost, lies behind or tells what
- * can't be used.
+ * How a change of the settings reaches each proxy: which configuration version is in force, which
+ * control server is watched, and how a proxy fails over, backs off and rejects invalid versions.
  *
- * <p>{@link cottonlock.rollout.ConfigurationRollout} decides and is free of I/O, clocks and
- * threads; {@code cottonlock.proxy.control.RolloutActor} carries it. docs/rollout.md says which
- * ways were weighed, and what is promised.
+ * <p>The classes here are free of I/O, clocks and threads: {@link
+ * cottonlock.rollout.ConfigurationRollout} is the state machine, {@link
+ * cottonlock.rollout.ControlServerSelector} its failover between control servers. {@code
+ * cottonlock.proxy.control.RolloutActor} connects them to sockets. Times are ticks of 0.1 ms. The
+ * protocol and its guarantees are described in docs/rollout.md.
  */
 package cottonlock.rollout;
--- a/src/test/java/cottonlock/rollout/ConfigurationRolloutTest.java
+++ b/src/test/java/cottonlock/rollout/ConfigurationRolloutTest.java
@@ -54,7 +54,7 @@
 
     @Example
     void onQuietDaysAChangeIsInForceAtOnce() {
-        Outcome o = new RolloutStudy(SIZE, SEED, RolloutVariants.USUAL).quiet();
+        Outcome o = new RolloutStudy(SIZE, SEED, RolloutVariants.DEFAULT).quiet();
         assertTrue(o.all() >= 0 && o.all() < 1_000, o.toString());
         assertTrue(o.bytes() <= BYTES && o.more().get("mean") < 500, o.toString());
         assertEquals(0, o.back() + o.harmed() + o.differ());
@@ -62,12 +62,12 @@
 
     @Example
     void aChangeDuringARegionSplit() {
-        Outcome o = holds("region_split", RolloutVariants.USUAL, BYTES);
+        Outcome o = holds("region_split", RolloutVariants.DEFAULT, BYTES);
         assertFalse(late(o.more().get("healed_ms_all")), o.toString());
         RolloutVariants farToo =
                 new RolloutVariants() {
                     @Override
-                    public boolean nearFirst() {
+                    public boolean prefersNearServers() {
                         return false;
                     }
                 };
@@ -79,12 +79,12 @@
                                         "region_split",
                                         new RolloutVariants() {
                                             @Override
-                                            public boolean nearFirst() {
+                                            public boolean prefersNearServers() {
                                                 return false;
                                             }
 
                                             @Override
-                                            public boolean movesOn() {
+                                            public boolean failsOver() {
                                                 return false;
                                             }
                                         })
@@ -94,14 +94,14 @@
 
     @Example
     void twoChangesThatCrossEndAsOne() {
-        Outcome o = holds("crossing", RolloutVariants.USUAL, BYTES);
+        Outcome o = holds("crossing", RolloutVariants.DEFAULT, BYTES);
         assertEquals(2, o.more().get("versions_while_split"));
         Outcome off =
                 play(
                         "crossing",
                         new RolloutVariants() {
                             @Override
-                            public boolean outweighs(
+                            public boolean supersedes(
                                     ConfigurationVersion one, ConfigurationVersion other) {
                                 return one.number() > other.number();
                             }
@@ -111,11 +111,11 @@
 
     @Example
     void aProxyStoppedForAnHour() {
-        Outcome o = holds("stopped", RolloutVariants.USUAL, BYTES);
+        Outcome o = holds("stopped", RolloutVariants.DEFAULT, BYTES);
         assertTrue(o.more().get("changes_missed") > 80);
         class Endless extends RolloutVariants {
             @Override
-            public long silence(long usual) {
+            public long silenceTimeoutTicks(long defaultTicks) {
                 return Long.MAX_VALUE / 4;
             }
         }
@@ -127,7 +127,7 @@
                                         "stopped",
                                         new Endless() {
                                             @Override
-                                            public boolean compares() {
+                                            public boolean comparesServers() {
                                                 return false;
                                             }
                                         })
@@ -137,7 +137,7 @@
 
     @Example
     void aFlappingZone() {
-        Outcome o = holds("flapping_zone", RolloutVariants.USUAL, BYTES);
+        Outcome o = holds("flapping_zone", RolloutVariants.DEFAULT, BYTES);
         assertFalse(late(o.more().get("inside_ms_all")), o.toString());
         assertFalse(late(o.more().get("after_ms_all")), o.toString());
         Outcome off =
@@ -145,7 +145,7 @@
                         "flapping_zone",
                         new RolloutVariants() {
                             @Override
-                            public boolean movesOn() {
+                            public boolean failsOver() {
                                 return false;
                             }
                         });
@@ -156,7 +156,7 @@
 
     @Example
     void allOfControlDownForTenMinutesAndBackAtOnce() {
-        Outcome o = holds("control_down", RolloutVariants.USUAL, BYTES);
+        Outcome o = holds("control_down", RolloutVariants.DEFAULT, BYTES);
         assertEquals(SIZE, o.more().get("kept"), "the last good version is kept by all");
         // One call in retry / 2 at most, drawn by chance over as long: three times the mean at a
         // machine.
@@ -167,8 +167,9 @@
                                         "control_down",
                                         new RolloutVariants() {
                                             @Override
-                                            public long longestWait(long retry, int failures) {
-                                                return retry << Math.min(failures, 16);
+                                            public long maxBackoffTicks(
+                                                    long retryTicks, int failures) {
+                                                return retryTicks << Math.min(failures, 16);
                                             }
                                         })
                                 .all()),
@@ -178,7 +179,7 @@
                         "control_down",
                         new RolloutVariants() {
                             @Override
-                            public boolean paces() {
+                            public boolean backsOff() {
                                 return false;
                             }
                         });
@@ -190,14 +191,14 @@
 
     @Example
     void oneControlMachineThatLiesBehind() {
-        Outcome o = holds("behind", RolloutVariants.USUAL, BYTES);
+        Outcome o = holds("behind", RolloutVariants.DEFAULT, BYTES);
         assertTrue(o.more().get("next_ms_all") < 1_000, "it has been left for others: " + o);
         Outcome off =
                 play(
                         "behind",
                         new RolloutVariants() {
                             @Override
-                            public boolean compares() {
+                            public boolean comparesServers() {
                                 return false;
                             }
                         });
@@ -207,20 +208,20 @@
     private static final RolloutVariants NOTHING_TRIED =
             new RolloutVariants() {
                 @Override
-                public boolean tries() {
+                public boolean validates() {
                     return false;
                 }
             };
 
     @Example
     void halfAVersionIsNone() {
-        holds("half", RolloutVariants.USUAL, TWICE);
+        holds("half", RolloutVariants.DEFAULT, TWICE);
         assertNotEquals(0, play("half", NOTHING_TRIED).harmed(), "off: it comes into force");
     }
 
     @Example
     void aPoisonVersionIsRefusedByAllOnceAndRolledBack() {
-        Outcome o = holds("poison", RolloutVariants.USUAL, BYTES);
+        Outcome o = holds("poison", RolloutVariants.DEFAULT, BYTES);
         assertEquals(SIZE, o.more().get("refused"));
         assertEquals(SIZE, o.more().get("judged"), "and not judged again");
         assertEquals(SIZE, o.more().get("kept"));
@@ -229,14 +230,14 @@
 
     @Example
     void manyRestartsWithinAMinuteWhileControlIsLost() {
-        holds("restarts", RolloutVariants.USUAL, BYTES);
+        holds("restarts", RolloutVariants.DEFAULT, BYTES);
         assertNotEquals(
                 0,
                 play(
                                 "restarts",
                                 new RolloutVariants() {
                                     @Override
-                                    public boolean keeps() {
+                                    public boolean persists() {
                                         return false;
                                     }
                                 })
@@ -246,7 +247,7 @@
 
     @Example
     void aChangeWhileControlIsOverloaded() {
-        Outcome o = holds("overload", RolloutVariants.USUAL, BYTES);
+        Outcome o = holds("overload", RolloutVariants.DEFAULT, BYTES);
         // A call each 0.45 s at most by each proxy, spread over near machines; half as much again
         // by chance.
         double most = 1.5 * SIZE / 0.45 / RolloutStudy.CONTROL;
@@ -256,7 +257,7 @@
                         "overload",
                         new RolloutVariants() {
                             @Override
-                            public boolean paces() {
+                            public boolean backsOff() {
                                 return false;
                             }
                         });
@@ -285,8 +286,8 @@
         ConfigurationVersion other = new ConfigurationVersion(n, b);
         assertEquals(Integer.signum(one.compareTo(other)), -Integer.signum(other.compareTo(one)));
         assertEquals(one.equals(other), one.compareTo(other) == 0);
-        assertEquals(16, one.hex().length());
-        assertEquals(a, Long.parseUnsignedLong(one.hex(), 16));
+        assertEquals(16, one.digestHex().length());
+        assertEquals(a, Long.parseUnsignedLong(one.digestHex(), 16));
     }
 
     /**
@@ -304,45 +305,45 @@
         ConfigurationVersion held = ConfigurationVersion.NONE;
         Set<ConfigurationVersion> judged = new HashSet<>();
         for (int i = 0; i < 200; i++) {
-            ConfigurationRollout.Call call = r.watch(now);
+            WatchAttempt call = r.nextWatch(now);
             assertTrue(
-                    call.at() >= now && call.at() <= now + plan.maxRetryDelayTicks(),
+                    call.startAtTicks() >= now && call.startAtTicks() <= now + plan.maxRetryDelayTicks(),
                     "a bounded wait");
-            assertTrue(call.machine() >= 0 && call.machine() < machines);
-            now = call.at();
+            assertTrue(call.server() >= 0 && call.server() < machines);
+            now = call.startAtTicks();
             for (int line = chance.nextInt(5); line > 0; line--) {
                 now += chance.nextInt(30_000);
                 ConfigurationVersion v =
                         new ConfigurationVersion(1 + chance.nextInt(30), chance.nextInt(3));
-                if (r.told(now, v)) {
+                if (r.versionAnnounced(now, v)) {
                     assertTrue(v.compareTo(held) > 0 && judged.add(v), v + " over " + held);
                     if (chance.nextInt(3) == 0) {
-                        r.refused(v, "chance");
+                        r.rejected(v);
                     } else {
-                        r.taken(v);
+                        r.applied(v);
                         held = v;
                     }
                 }
-                assertEquals(held, r.figures().inForce());
-                assertTrue(r.asks().compareTo(held) >= 0);
-                int other = r.compare(now);
+                assertEquals(held, r.status().inForce());
+                assertTrue(r.requestedFrom().compareTo(held) >= 0);
+                int other = r.nextComparison(now);
                 if (other >= 0) {
-                    assertNotEquals(call.machine(), other);
-                    r.compared(
+                    assertNotEquals(call.server(), other);
+                    r.comparisonAnswered(
                             now,
                             other,
                             new ConfigurationVersion(1 + chance.nextInt(30), chance.nextInt(3)));
                 }
-                if (r.leaves(now)) {
-                    r.left(now);
+                if (r.shouldMigrate(now)) {
+                    r.watchMigrated(now);
                     line = -1;
                     break;
                 }
             }
-            if (r.lookAt() != Long.MAX_VALUE) {
+            if (r.nextCheckAtTicks() != Long.MAX_VALUE) {
                 now += chance.nextInt(60_000);
             }
-            r.ended(now);
+            r.watchFailed(now);
         }
     }
 
@@ -355,17 +356,16 @@
         Set<Integer> called = new HashSet<>();
         long now = 0;
         for (int i = 0; i < 17; i++) {
-            ConfigurationRollout.Call call = r.watch(now);
-            assertTrue(called.add(call.machine()), "each once");
-            assertEquals(i < 8, call.machine() < 8, "near ones first");
-            now = call.at() + call.limit();
-            r.ended(now);
+            WatchAttempt call = r.nextWatch(now);
+            assertTrue(called.add(call.server()), "each once");
+            assertEquals(i < 8, call.server() < 8, "near ones first");
+            now = call.startAtTicks() + call.timeoutTicks();
+            r.watchFailed(now);
         }
         assertTrue(now <= 20_000 + 17 * 6_500, "0.65 s each behind the first: " + now);
-        long waited = r.watch(now).at() - now;
+        long waited = r.nextWatch(now).startAtTicks() - now;
         assertTrue(
-                waited >= RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS / 2
-                        && waited <= RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS,
+                waited >= RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS / 2 && waited <= RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS,
                 "then one by one: " + waited);
     }
 }
