--- a/src/main/java/cottonlock/lab/scale/HollowHost.java
+++ b/src/main/java/cottonlock/lab/scale/HollowHost.java
@@ -41,7 +41,7 @@
     private static final int KEPT = 1_024;
 
     /** One hollow proxy. */
-    private final class Proxy implements DiscoveryClient.Held {
+    private final class Proxy implements DiscoveryClient.Listener {
         final String name;
         final InetSocketAddress address;
         final InetSocketAddress discovery;
@@ -98,14 +98,14 @@
         }
 
         @Override
-        public synchronized void inForce(long version, boolean whole, int entries) {
+        public synchronized void listApplied(long version, boolean complete, int size) {
             versions[told % KEPT] = version;
             times[told % KEPT] = System.nanoTime();
             told++;
         }
 
         @Override
-        public void lost() {
+        public void watchLost() {
             // It watches again by itself.
         }
 
--- a/src/main/java/cottonlock/proxy/LoadBalancerActor.java
+++ b/src/main/java/cottonlock/proxy/LoadBalancerActor.java
@@ -11,7 +11,8 @@
 import cottonlock.proxy.concurrent.TickClock;
 import cottonlock.proxy.control.ManualEjections;
 import cottonlock.proxy.control.PeerMessenger;
-import cottonlock.proxy.discovery.EndpointListParser;
+import cottonlock.proxy.discovery.EndpointList;
+import cottonlock.proxy.discovery.EndpointListListener;
 import cottonlock.proxy.discovery.EndpointListWatch;
 import cottonlock.proxy.io.RateLimitedLog;
 import cottonlock.proxy.io.Sockets;
@@ -33,7 +34,7 @@
 /**
  * The module's actor: its thread alone calls the module, and it waits for nobody but its mailbox.
  */
-final class LoadBalancerActor implements Runnable, LoadBalancerActions, EndpointListWatch.Sink {
+final class LoadBalancerActor implements Runnable, LoadBalancerActions, EndpointListListener {
     /** More than the sockets there are: each has a message or two under way at most. */
     private static final int MOST = 4_096;
 
@@ -65,7 +66,7 @@
     private final Deque<Runnable> next = new ArrayDeque<>();
 
     private final TickClock clock;
-    private final Function<EndpointListParser.Entry, BackendActor> actorOf;
+    private final Function<EndpointList.Entry, BackendActor> actorOf;
     private final Metrics figures;
     private final RateLimitedLog log;
 
@@ -99,7 +100,7 @@
 
     LoadBalancerActor(
             TickClock clock,
-            Function<EndpointListParser.Entry, BackendActor> actorOf,
+            Function<EndpointList.Entry, BackendActor> actorOf,
             Metrics figures,
             RateLimitedLog log) {
         this.clock = clock;
@@ -289,19 +290,19 @@
     }
 
     @Override
-    public void list(EndpointListParser.News news, boolean cached) {
+    public void endpointListReceived(EndpointList news, boolean cached) {
         mailbox.put(
                 () -> {
                     List<Endpoint> members = new ArrayList<>();
                     Map<String, BackendActor> absent =
-                            news.whole() ? new TreeMap<>(backends) : new TreeMap<>();
+                            news.complete() ? new TreeMap<>(backends) : new TreeMap<>();
                     listLost = false;
-                    if (news.whole()) {
+                    if (news.complete()) {
                         listed.clear();
                     }
-                    for (EndpointListParser.Entry entry : news.entries()) {
-                        Endpoint m = entry.member();
-                        members.add(bans.told(m));
+                    for (EndpointList.Entry entry : news.entries()) {
+                        Endpoint m = entry.endpoint();
+                        members.add(bans.effective(m));
                         if (m.state() == Endpoint.State.GONE) {
                             listed.remove(m.id());
                         } else {
@@ -313,17 +314,17 @@
                             continue;
                         }
                         absent.remove(m.id());
-                        if (actor == null && entry.dial() != null) {
+                        if (actor == null && entry.address() != null) {
                             backends.put(m.id(), actorOf.apply(entry));
-                        } else if (entry.dial() != null) {
-                            actor.listensAt(entry.dial());
+                        } else if (entry.address() != null) {
+                            actor.listensAt(entry.address());
                         }
                         ready(m);
                     }
                     if (shadow != null) {
-                        shadow.list(clock.now(), members, news.whole(), cached);
+                        shadow.list(clock.now(), members, news.complete(), cached);
                     }
-                    balancer.onEndpointList(clock.now(), members, news.whole(), cached);
+                    balancer.onEndpointList(clock.now(), members, news.complete(), cached);
                     unlisted.addAll(absent.keySet());
                     listed.keySet().forEach(unlisted::remove);
                     retireUnlisted();
@@ -336,7 +337,7 @@
     private void ready(Endpoint m) {
         BackendActor actor = backends.get(m.id());
         if (actor != null) {
-            actor.ready(bans.told(m).state() == Endpoint.State.READY);
+            actor.ready(bans.effective(m).state() == Endpoint.State.READY);
         }
     }
 
@@ -357,7 +358,10 @@
                 listed.size(),
                 (int)
                                 listed.values().stream()
-                                        .filter(m -> bans.told(m).state() != Endpoint.State.READY)
+                                        .filter(
+                                                m ->
+                                                        bans.effective(m).state()
+                                                                != Endpoint.State.READY)
                                         .count()
                         + (int) balancer.avoidedBackendCount(clock.now()));
     }
@@ -394,9 +398,9 @@
                 () -> {
                     List<Endpoint> members = new ArrayList<>();
                     for (Endpoint m : listed.values()) {
-                        members.add(bans.told(m));
+                        members.add(bans.effective(m));
                         ready(m);
-                        if (bans.out(m.id()) && backends.containsKey(m.id())) {
+                        if (bans.isEjected(m.id()) && backends.containsKey(m.id())) {
                             // It will be restarted: what rests there would break as soon as it is
                             // used again.
                             backends.get(m.id()).release();
@@ -426,7 +430,7 @@
     }
 
     @Override
-    public void listFailed() {
+    public void endpointListWatchEnded() {
         mailbox.put(
                 () -> {
                     listLost = true;
@@ -456,7 +460,7 @@
             shadow.decided(number, backend);
         }
         BackendActor actor = backends.get(backend);
-        if ((bans.out(backend) || req.unseen && attempt.number > 0) && attempt.abandon()) {
+        if ((bans.isEjected(backend) || req.unseen && attempt.number > 0) && attempt.abandon()) {
             // The yes to the operator went out before the module could hear of it; and a client
             // that nobody
             // sees may have left.
@@ -524,7 +528,7 @@
 
     @Override
     public void subscribeEndpointList() {
-        watch.ask();
+        watch.request();
     }
 
     @Override
@@ -542,7 +546,7 @@
 
     @Override
     public void broadcastToPeers(byte[] message) {
-        clerk.offer(() -> peers.tell(message));
+        clerk.offer(() -> peers.send(message));
     }
 
     @Override
--- a/src/main/java/cottonlock/proxy/MembershipAdapter.java
+++ b/src/main/java/cottonlock/proxy/MembershipAdapter.java
@@ -51,7 +51,7 @@
             SplittableRandom random,
             RateLimitedLog log)
             throws IOException {
-        InetSocketAddress peerListen = config.addressIfAny("peer_listen");
+        InetSocketAddress peerListen = config.addressOrNull("peer_listen");
         InetSocketAddress listen =
                 plan.listenAddress().isEmpty()
                         ? peerListen
@@ -87,8 +87,8 @@
                                         ? fixed.get(me)
                                         : listen);
         String name = config.text("name", "");
-        BooleanSupplier replaced = succession == null ? null : succession::replaced;
-        socket = sharesSocket ? peerSocket : PeerMessenger.socket(listen, succession != null);
+        BooleanSupplier replaced = succession == null ? null : succession::isReplaced;
+        socket = sharesSocket ? peerSocket : PeerMessenger.openSocket(listen, succession != null);
         long life = System.currentTimeMillis() + Long.getLong(CLOCK, 0);
         try {
             actor =
@@ -104,7 +104,7 @@
                             clock::now,
                             module::progressAt,
                             replaced,
-                            peers::came,
+                            peers::receive,
                             line -> log.each("members", line));
         } catch (IllegalArgumentException e) {
             close();
--- a/src/main/java/cottonlock/proxy/Proxy.java
+++ b/src/main/java/cottonlock/proxy/Proxy.java
@@ -9,6 +9,7 @@
 import cottonlock.proxy.control.ProxyConfiguration;
 import cottonlock.proxy.control.RolloutActor;
 import cottonlock.proxy.control.SharedFile;
+import cottonlock.proxy.discovery.EndpointList;
 import cottonlock.proxy.discovery.EndpointListParser;
 import cottonlock.proxy.discovery.EndpointListWatch;
 import cottonlock.proxy.io.RateLimitedLog;
@@ -171,7 +172,7 @@
                         clock,
                         entry ->
                                 new BackendActor(
-                                        entry.dial(),
+                                        entry.address(),
                                         permits,
                                         keepAlive,
                                         workers,
@@ -191,22 +192,23 @@
                         new SharedFile(kept, name, "bans", log), clock, module::bansChanged);
         EndpointListParser directory =
                 new EndpointListParser(log, settings.words("Zones"), settings.words("Flavors"));
-        EndpointListParser.News known = config.known(directory);
+        EndpointList known = config.cachedEndpointList(directory);
         watch =
                 new EndpointListWatch(
                         config.address("discovery"),
                         directory,
-                        known.version(),
-                        assembly.mustAsk(),
-                        EndpointListWatch.SILENCE,
+                        new EndpointListWatch.Options(
+                                known.version(),
+                                assembly.mustAsk(),
+                                EndpointListWatch.SILENCE_TIMEOUT_MILLIS),
                         module,
                         buffers,
                         log,
                         random.split());
-        InetSocketAddress all = config.addressIfAny("peers_all");
-        InetSocketAddress peerListen = config.addressIfAny("peer_listen");
+        InetSocketAddress all = config.addressOrNull("peers_all");
+        InetSocketAddress peerListen = config.addressOrNull("peer_listen");
         boolean talks = peerListen != null && all != null;
-        DatagramSocket peerSocket = talks ? PeerMessenger.socket(peerListen, shares) : null;
+        DatagramSocket peerSocket = talks ? PeerMessenger.openSocket(peerListen, shares) : null;
         peers = new PeerMessenger(peerSocket, config.addresses("peers"), all, module::heard, log);
         module.join(assembly.balancer(module, random.nextLong()), watch, peers, bans);
         if (!operator.shadowSettings().isEmpty()) {
@@ -216,7 +218,7 @@
             shadow.join(new LoadBalancerFactory(others).balancer(shadow, random.nextLong()));
             module.watch(shadow);
         }
-        module.list(known, true);
+        module.endpointListReceived(known, true);
         inForce = config;
         rules = new RequestRules(null, assembly, settings);
         rules.names().forEach(figures::category);
@@ -244,7 +246,7 @@
                             clock,
                             random.split(),
                             log);
-            figures.also(rollout::figures);
+            figures.also(rollout::metrics);
             rollout.begin();
         }
         threads.add(Sockets.start("module", module));
@@ -276,7 +278,7 @@
             threads.add(Sockets.start("management", management));
             threads.add(Sockets.start("bans", bans));
         }
-        succession.serving();
+        succession.announceServing();
         if (members != null) {
             threads.add(Sockets.start("members", members.actor()));
         }
@@ -314,13 +316,13 @@
         }
 
         private String change(String id, boolean out) {
-            if (!module.lists(id) && !bans.out(id)) {
+            if (!module.lists(id) && !bans.isEjected(id)) {
                 return "no backend has that id";
             }
-            if (!bans.change(id, out)) {
+            if (!bans.setEjected(id, out)) {
                 return "too many backends are out";
             }
-            bans.seenByAll();
+            bans.awaitPropagation();
             return null;
         }
     }
@@ -333,7 +335,7 @@
     public synchronized void reload() {
         try {
             ProxyConfiguration config = ProxyConfiguration.read(configuration);
-            config.mayFollow(inForce);
+            config.requireCompatibleWith(inForce);
             Settings settings = config.settings();
             InetSocketAddress discovery = config.address("discovery");
             // A file that could not start a proxy is not trusted with where discovery is either.
@@ -401,7 +403,7 @@
         long end = System.nanoTime() + left * 1_000_000;
         // Taken before, some requests might wait for longer than the program is let live.
         module.endBy(admission.endWithin(left));
-        if (succession.replaced()) {
+        if (succession.isReplaced()) {
             // Another process takes what comes from now on: this one answers what it has, and one
             // more each.
             listener.leave();
--- a/src/main/java/cottonlock/proxy/concurrent/Mailbox.java
+++ b/src/main/java/cottonlock/proxy/concurrent/Mailbox.java
@@ -6,25 +6,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An actor's mailbox: bounded, and read by the actor's thread alone, one message after the other.
+ * An actor's mailbox: a bounded queue of messages that any thread may send and the actor's thread
+ * alone runs, one after the other. A message that throws is logged and does not end the actor.
  */
 public final class Mailbox implements Runnable {
     private final BlockingQueue<Runnable> messages;
     private final RateLimitedLog log;
 
-    public Mailbox(int most, RateLimitedLog log) {
-        // An array of all its places would take 16 KB for each backend that a list names, used or
-        // not.
-        this.messages = new LinkedBlockingQueue<>(most);
+    /** A mailbox that holds up to so many messages; an empty one takes no memory for them. */
+    public Mailbox(int capacity, RateLimitedLog log) {
+        this.messages = new LinkedBlockingQueue<>(capacity);
         this.log = log;
     }
 
-    /** For senders that must not wait: false when it is full. */
+    /** Sends a message without waiting; false when the mailbox is full. */
     public boolean offer(Runnable message) {
         return messages.offer(message);
     }
 
-    /** For senders that may wait for their place. */
+    /** Sends a message, and waits while the mailbox is full. Dropped when interrupted. */
     public void put(Runnable message) {
         try {
             messages.put(message);
@@ -33,24 +33,22 @@
         }
     }
 
-    /** Carries out the next message, if one comes within so many microseconds. */
-    public void next(long micros) throws InterruptedException {
-        Runnable message = messages.poll(Math.max(0, micros), TimeUnit.MICROSECONDS);
+    /** Runs the next message, if one comes within that time. Called by the actor's thread. */
+    public void next(long timeoutMicros) throws InterruptedException {
+        Runnable message = messages.poll(Math.max(0, timeoutMicros), TimeUnit.MICROSECONDS);
         if (message != null) {
             guard(message);
         }
     }
 
-    /** Carries out all that has come so far. */
+    /** Runs all messages that have come so far. Called by the actor's thread. */
     public void drain() {
         for (Runnable message = messages.poll(); message != null; message = messages.poll()) {
             guard(message);
         }
     }
 
-    /**
-     * Carries out a message; one that fails must not end the actor, and all that others wait for.
-     */
+    /** Runs a message and logs what it throws, errors included. */
     public void guard(Runnable message) {
         try {
             message.run();
@@ -60,7 +58,7 @@
         }
     }
 
-    /** An actor that does nothing of itself between its messages. */
+    /** The loop of an actor that does nothing but run its messages; ends when interrupted. */
     @Override
     public void run() {
         try {
@@ -68,7 +66,7 @@
                 guard(messages.take());
             }
         } catch (InterruptedException e) {
-            // The proxy closes.
+            // The proxy is closing.
         }
     }
 }
--- /dev/null
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionValidator.java
@@ -0,0 +1,93 @@
+package cottonlock.proxy.control;
+
+import cottonlock.proxy.io.JsonReader;
+import cottonlock.proxy.io.JsonValue;
+import cottonlock.proxy.io.JsonValue.JsonObject;
+import cottonlock.proxy.io.MalformedJsonException;
+import cottonlock.setup.InvalidSettingsException;
+import cottonlock.setup.Settings;
+
+/**
+ * Validates a version's content. The verdict depends on the content and the base alone, which all
+ * processes of a service share, so that all of them come to the same one.
+ */
+final class ConfigurationVersionValidator {
+    private static final String REQUEST_CLASSES = "Categories.";
+
+    private ConfigurationVersionValidator() {}
+
+    /**
+     * The settings of a version.
+     *
+     * @param processBase the base of this process, see {@link ConfigurationVersionDigest#ofBase}
+     * @throws InvalidSettingsException with the fault, for a version that no process of that base
+     *     can use
+     */
+    static Settings validate(ConfigurationVersionMessage.Content content, String processBase) {
+        JsonObject fields = object(content.settings());
+        for (String name : ConfigurationVersionDigest.PER_PROCESS_SETTINGS) {
+            if (fields.has(name)) {
+                throw new InvalidSettingsException("settings." + name + " is each process's own");
+            }
+        }
+        Settings settings = ProxyConfiguration.settings(fields);
+        ProxyConfiguration.requireServable(settings);
+        requireRetryRules(settings);
+        requireBase(settings, content.base(), processBase);
+        return settings;
+    }
+
+    private static JsonObject object(String settings) {
+        JsonValue value;
+        try {
+            value = JsonReader.read(settings);
+        } catch (MalformedJsonException e) {
+            throw new InvalidSettingsException("its settings are not JSON: " + e.getMessage());
+        }
+        if (value instanceof JsonObject object) {
+            return object;
+        }
+        throw new InvalidSettingsException("its settings are no object");
+    }
+
+    /**
+     * The default of a missing key is "safe": requests that are not idempotent would be retried.
+     */
+    private static void requireRetryRules(Settings settings) {
+        int requestClasses = settings.count(REQUEST_CLASSES + "count", 0);
+        for (int i = 0; i < requestClasses; i++) {
+            String path = REQUEST_CLASSES + i;
+            require(settings, path + ".Repeat");
+            if (settings.text(path + ".Repeat", "").equals("keyed")) {
+                require(settings, path + ".KeyScope");
+                require(settings, path + ".RepeatWindow");
+            }
+        }
+    }
+
+    private static void require(Settings settings, String path) {
+        if (settings.text(path, "").isEmpty()) {
+            throw new InvalidSettingsException("the key settings." + path + " is missing");
+        }
+    }
+
+    private static void requireBase(Settings settings, String named, String processBase) {
+        String actual = ConfigurationVersionDigest.ofBase(settings);
+        if (!actual.equals(named)) {
+            throw new InvalidSettingsException(
+                    "its settings are built on "
+                            + actual
+                            + ", but it names "
+                            + named
+                            + " as its base");
+        }
+        if (!named.equals(processBase)) {
+            throw new InvalidSettingsException(
+                    "it is built on other settings than this process ("
+                            + named
+                            + ", here "
+                            + processBase
+                            + "), for which a new process is needed");
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/cottonlock/proxy/control/EjectionState.java
@@ -0,0 +1,89 @@
+package cottonlock.proxy.control;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Which backends operators have taken out of service, and when others came back. Stored as lines:
+ * {@code out ID} and {@code back ID TICKS}. Immutable.
+ *
+ * @param ejected ids of those that are out
+ * @param returnedAtTicks when others returned, by id; only what is recent
+ */
+record EjectionState(Set<String> ejected, Map<String, Long> returnedAtTicks) {
+    /** A return counts for longer than any backend's slow start lasts. */
+    private static final long RETURN_MEMORY_TICKS = 3_000_000;
+
+    private static final String EJECTED = "out";
+    private static final String RETURNED = "back";
+    private static final String SEPARATOR = " ";
+
+    EjectionState {
+        ejected = Set.copyOf(ejected);
+        returnedAtTicks = Map.copyOf(returnedAtTicks);
+    }
+
+    /** Reads stored lines; any that are malformed or old are left out. */
+    static EjectionState parse(List<String> lines, long nowTicks) {
+        Set<String> ejected = new HashSet<>();
+        Map<String, Long> returnedAtTicks = new HashMap<>();
+        for (String line : lines) {
+            List<String> words = List.of(line.split(SEPARATOR, 0));
+            if (words.size() == 2 && words.get(0).equals(EJECTED)) {
+                ejected.add(words.get(1));
+            } else if (isRecentReturn(words, nowTicks)) {
+                long atTicks = Math.min(nowTicks, Long.parseLong(words.get(2)));
+                returnedAtTicks.put(words.get(1), atTicks);
+            }
+        }
+        return new EjectionState(ejected, returnedAtTicks);
+    }
+
+    private static boolean isRecentReturn(List<String> words, long nowTicks) {
+        return words.size() == 3
+                && words.get(0).equals(RETURNED)
+                && Decimals.isUnsigned(words.get(2))
+                && nowTicks - Long.parseLong(words.get(2)) < RETURN_MEMORY_TICKS;
+    }
+
+    /** The lines to store. */
+    List<String> toLines() {
+        List<String> lines = new ArrayList<>();
+        ejected.forEach(id -> lines.add(ejectedLine(id)));
+        returnedAtTicks.forEach((id, atTicks) -> lines.add(returnedLine(id, atTicks)));
+        return lines;
+    }
+
+    /** Stored lines after one backend has been taken out; lines of others stay as they are. */
+    static List<String> withEjected(List<String> lines, String id) {
+        List<String> changed = withoutBackend(lines, id);
+        changed.add(ejectedLine(id));
+        return changed;
+    }
+
+    /** Stored lines after one backend has returned; lines of others stay as they are. */
+    static List<String> withReturned(List<String> lines, String id, long nowTicks) {
+        List<String> changed = withoutBackend(lines, id);
+        changed.add(returnedLine(id, nowTicks));
+        return changed;
+    }
+
+    private static List<String> withoutBackend(List<String> lines, String id) {
+        List<String> others = new ArrayList<>(lines);
+        String returned = RETURNED + SEPARATOR + id + SEPARATOR;
+        others.removeIf(line -> line.equals(ejectedLine(id)) || line.startsWith(returned));
+        return others;
+    }
+
+    private static String ejectedLine(String id) {
+        return EJECTED + SEPARATOR + id;
+    }
+
+    private static String returnedLine(String id, long atTicks) {
+        return RETURNED + SEPARATOR + id + SEPARATOR + atTicks;
+    }
+}
--- a/src/main/java/cottonlock/proxy/control/ManualEjections.java
+++ b/src/main/java/cottonlock/proxy/control/ManualEjections.java
@@ -1,166 +1,140 @@
 package cottonlock.proxy.control;
 
 import cottonlock.decision.api.Endpoint;
-import cottonlock.proxy.HttpReader;
 import cottonlock.proxy.concurrent.TickClock;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 
 /**
- * The backends that operators have taken out, in front of discovery's news; kept for the proxy's
- * next process and shared with another that serves beside this one.
+ * The backends that operators have taken out of service: the load balancer sees them as draining,
+ * whatever discovery says. They are stored for the proxy's next process and shared with another one
+ * that serves beside this one.
+ *
+ * <p>Safe for use by any thread; its own thread polls for what another process has changed.
  */
 public final class ManualEjections implements Runnable {
-    /**
-     * Milliseconds between looks at what another process has changed: far below any grace on
-     * drains.
-     */
-    private static final long LOOK = 100;
+    /** Well below the time that a draining backend is given. */
+    private static final long POLL_MILLIS = 100;
 
-    /**
-     * Tenths of a millisecond for which a return is told to other processes: longer than any is
-     * cold.
-     */
-    private static final long TOLD = 3_000_000;
+    /** How long the other process needs at most to poll a change and act on it. */
+    private static final long PROPAGATION_MILLIS = POLL_MILLIS * 3 / 2;
 
-    /** So many at most: beyond any fleet here, and the file stays small. */
-    private static final int MOST = 2_000;
+    /** Bounds the file's size. */
+    private static final int MAX_EJECTED = 2_000;
 
-    /** Who is out, and who came back when, by the module's clock. */
-    private record State(Set<String> out, Map<String, Long> back) {}
-
-    private final SharedFile shared;
+    private final SharedFile file;
     private final TickClock clock;
-    private final Runnable changed;
-    private volatile State state;
-    private volatile Object seen;
+    private final Runnable onChange;
+
+    /** Set under the lock of this, read by any thread. */
+    private volatile EjectionState state;
+
+    /** The revision of the file that was read last. Guarded by this. */
+    private SharedFile.Revision readRevision;
 
-    /** Changed is called after each change, from any thread. */
-    public ManualEjections(SharedFile shared, TickClock clock, Runnable changed) {
-        this.shared = shared;
+    /**
+     * Reads what is stored.
+     *
+     * @param onChange is run after each change, by the thread that made or found it
+     */
+    public ManualEjections(SharedFile file, TickClock clock, Runnable onChange) {
+        this.file = file;
         this.clock = clock;
-        this.changed = changed;
-        this.seen = shared.stamp();
-        this.state = parsed(shared.read());
+        this.onChange = onChange;
+        this.readRevision = file.revision();
+        this.state = EjectionState.parse(file.read(), clock.now());
     }
 
-    /** Whether nothing new may go to a backend. */
-    public boolean out(String id) {
-        return state.out.contains(id);
+    /** Whether a backend is out: no new request may go to it. */
+    public boolean isEjected(String id) {
+        return state.ejected().contains(id);
     }
 
-    /** What the module is told of a backend that discovery has told this of. */
-    public Endpoint told(Endpoint m) {
-        State now = state;
-        if (now.out.contains(m.id())) {
-            return m.state() != Endpoint.State.READY
-                    ? m
-                    : new Endpoint(
-                            m.id(),
-                            m.zone(),
-                            m.machineKind(),
-                            m.cell(),
-                            Endpoint.State.DRAINING,
-                            m.capacityWeight(),
-                            m.startedAtTicks());
+    /**
+     * A backend as the load balancer is to see it: draining while it is out, started anew when it
+     * has returned.
+     *
+     * @param listed the backend as discovery lists it
+     */
+    public Endpoint effective(Endpoint listed) {
+        EjectionState current = state;
+        boolean ejected = current.ejected().contains(listed.id());
+        if (ejected && listed.state() != Endpoint.State.READY) {
+            return listed;
         }
-        // Operators have restarted it meanwhile, whatever discovery still says of its start.
-        long back = Math.max(m.startedAtTicks(), now.back.getOrDefault(m.id(), 0L));
-        return new Endpoint(
-                m.id(), m.zone(), m.machineKind(), m.cell(), m.state(), m.capacityWeight(), back);
+        if (ejected) {
+            return with(listed, Endpoint.State.DRAINING, listed.startedAtTicks());
+        }
+        long returnedAtTicks = current.returnedAtTicks().getOrDefault(listed.id(), 0L);
+        return with(listed, listed.state(), Math.max(listed.startedAtTicks(), returnedAtTicks));
     }
 
-    /** Takes a backend out or back; in force when this returns. False when too many are out. */
-    public synchronized boolean change(String id, boolean out) {
-        boolean room = state.out.size() < MOST || !out;
-        if (room && state.out.contains(id) != out) {
-            state =
-                    parsed(
-                            shared.change(
-                                    lines -> {
-                                        List<String> others =
-                                                new ArrayList<>(
-                                                        shared.stamp() == null
-                                                                ? lines(state)
-                                                                : lines);
-                                        others.removeIf(
-                                                line ->
-                                                        line.equals("out " + id)
-                                                                || line.startsWith(
-                                                                        "back " + id + " "));
-                                        others.add(
-                                                out
-                                                        ? "out " + id
-                                                        : "back " + id + " " + clock.now());
-                                        return others;
-                                    }));
-            changed.run();
-        }
-        return room;
+    private static Endpoint with(Endpoint listed, Endpoint.State state, long startedAtTicks) {
+        return new Endpoint(
+                listed.id(),
+                listed.zone(),
+                listed.machineKind(),
+                listed.cell(),
+                state,
+                listed.capacityWeight(),
+                startedAtTicks);
     }
 
-    /** Waits until another process of this proxy, if there is one, has seen the last change too. */
-    public void seenByAll() {
-        try {
-            // A yes given earlier was found too early: the other process still sent a request after
-            // it.
-            Thread.sleep(shared.stamp() == null ? 0 : LOOK * 3 / 2);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
+    /**
+     * Takes a backend out of service, or back into it; in force in this process on return.
+     *
+     * @return false when too many are out already
+     */
+    public synchronized boolean setEjected(String id, boolean ejected) {
+        if (ejected && state.ejected().size() >= MAX_EJECTED) {
+            return false;
+        }
+        if (isEjected(id) != ejected) {
+            List<String> stored = file.change(lines -> changed(lines, id, ejected));
+            state = EjectionState.parse(stored, clock.now());
+            onChange.run();
         }
+        return true;
     }
 
-    private static List<String> lines(State state) {
-        List<String> lines = new ArrayList<>();
-        state.out.forEach(id -> lines.add("out " + id));
-        state.back.forEach((id, at) -> lines.add("back " + id + " " + at));
-        return lines;
+    private List<String> changed(List<String> stored, String id, boolean ejected) {
+        // Without a file this process's state is all there is.
+        List<String> lines = file.revision() == null ? state.toLines() : stored;
+        return ejected
+                ? EjectionState.withEjected(lines, id)
+                : EjectionState.withReturned(lines, id, clock.now());
     }
 
-    private State parsed(List<String> lines) {
-        Set<String> out = new HashSet<>();
-        Map<String, Long> back = new HashMap<>();
-        long now = clock.now();
-        for (String line : lines) {
-            String[] words = line.split(" ");
-            if (words.length == 2 && words[0].equals("out")) {
-                out.add(words[1]);
-            } else if (words.length == 3
-                    && words[0].equals("back")
-                    && HttpReader.digits(words[2])
-                    && now - Long.parseLong(words[2]) < TOLD) {
-                back.put(words[1], Math.min(now, Long.parseLong(words[2])));
-            }
+    /** Waits until another process of this proxy, if there is one, acts on the last change too. */
+    public void awaitPropagation() {
+        try {
+            Thread.sleep(file.revision() == null ? 0 : PROPAGATION_MILLIS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
         }
-        return new State(Set.copyOf(out), Map.copyOf(back));
     }
 
-    /** Looks for what another process of this proxy has changed. */
-    public void look() {
+    /** Takes over what another process of this proxy has changed since the last call. */
+    public void poll() {
         synchronized (this) {
-            Object stamp = shared.stamp();
-            if (stamp == null || stamp.equals(seen)) {
+            SharedFile.Revision revision = file.revision();
+            if (revision == null || revision.equals(readRevision)) {
                 return;
             }
-            seen = stamp;
-            state = parsed(shared.read());
+            readRevision = revision;
+            state = EjectionState.parse(file.read(), clock.now());
         }
-        changed.run();
+        onChange.run();
     }
 
     @Override
     public void run() {
         try {
             while (true) {
-                Thread.sleep(LOOK);
-                look();
+                Thread.sleep(POLL_MILLIS);
+                poll();
             }
         } catch (InterruptedException e) {
-            // The proxy closes.
+            // The proxy is closing.
         }
     }
 }
--- a/src/main/java/cottonlock/proxy/control/PeerMessenger.java
+++ b/src/main/java/cottonlock/proxy/control/PeerMessenger.java
@@ -12,51 +12,70 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The datagrams between the balancers of a tier; without an address of its own it does nothing. */
+/**
+ * Sends and receives the datagrams between the load balancers of a tier. Without an address for
+ * them it does nothing. Datagrams may be lost. Its thread receives; any thread may send.
+ */
 public final class PeerMessenger implements Runnable {
     /** The protocol's limit for one datagram. */
-    private static final int LONGEST = 256;
+    private static final int MAX_DATAGRAM_BYTES = 256;
 
+    /** Null: nothing is sent or received. */
     private final DatagramSocket socket;
-    private final Set<InetSocketAddress> others;
-    private final InetSocketAddress all;
+
+    private final Set<InetSocketAddress> peers;
+    private final InetSocketAddress broadcastAddress;
     private final Consumer<byte[]> receiver;
     private final RateLimitedLog log;
 
-    /** Socket and address may be null where the settings give none. */
+    /**
+     * A messenger on an open socket.
+     *
+     * @param socket null where the settings name no address to listen at
+     * @param peers whose datagrams are accepted
+     * @param broadcastAddress reaches all peers; null where the settings name none
+     * @param receiver takes each peer's message, on the thread that received it
+     */
     public PeerMessenger(
             DatagramSocket socket,
-            List<InetSocketAddress> others,
-            InetSocketAddress all,
+            List<InetSocketAddress> peers,
+            InetSocketAddress broadcastAddress,
             Consumer<byte[]> receiver,
             RateLimitedLog log) {
-        this.socket = all == null ? null : socket;
-        this.others = Set.copyOf(others);
-        this.all = all;
+        this.socket = broadcastAddress == null ? null : socket;
+        this.peers = Set.copyOf(peers);
+        this.broadcastAddress = broadcastAddress;
         this.receiver = receiver;
         this.log = log;
     }
 
-    /** A socket at an address; shares: with another process of this proxy. */
-    public static DatagramSocket socket(InetSocketAddress own, boolean shares) throws IOException {
+    /**
+     * Opens a socket.
+     *
+     * @param sharesPort whether another process of this proxy may listen at the address too
+     * @throws IOException with the address in its message
+     */
+    public static DatagramSocket openSocket(InetSocketAddress address, boolean sharesPort)
+            throws IOException {
         DatagramSocket socket = new DatagramSocket(null);
         try {
-            socket.setOption(StandardSocketOptions.SO_REUSEPORT, shares);
-            socket.bind(own);
+            socket.setOption(StandardSocketOptions.SO_REUSEPORT, sharesPort);
+            socket.bind(address);
             return socket;
         } catch (IOException e) {
             socket.close();
-            throw new IOException("cannot listen for peers on " + own + ": " + e.getMessage(), e);
+            String fault = "cannot listen for peers on " + address + ": " + e.getMessage();
+            throw new IOException(fault, e);
         }
     }
 
-    /** Sends a datagram, or loses it. */
-    public void tell(byte[] message) {
-        if (socket == null || message.length > LONGEST) {
+    /** Sends a message to all peers; one that is too long or cannot be sent is dropped. */
+    public void send(byte[] message) {
+        if (socket == null || message.length > MAX_DATAGRAM_BYTES) {
             return;
         }
         try {
-            socket.send(new DatagramPacket(message, message.length, all));
+            socket.send(new DatagramPacket(message, message.length, broadcastAddress));
         } catch (IOException e) {
             log.info("peers", "a datagram could not be sent: " + e.getMessage());
         }
@@ -67,12 +86,14 @@
         if (socket == null) {
             return;
         }
-        DatagramPacket packet = new DatagramPacket(new byte[LONGEST + 1], LONGEST + 1);
+        // One byte more than the limit shows that a datagram is too long.
+        int capacity = MAX_DATAGRAM_BYTES + 1;
+        DatagramPacket packet = new DatagramPacket(new byte[capacity], capacity);
         while (!socket.isClosed()) {
             try {
-                packet.setLength(LONGEST + 1);
+                packet.setLength(capacity);
                 socket.receive(packet);
-                came(packet.getSocketAddress(), packet.getData(), packet.getLength());
+                receive(packet.getSocketAddress(), packet.getData(), packet.getLength());
             } catch (IOException e) {
                 if (!socket.isClosed()) {
                     log.info("peers", "a datagram could not be received: " + e.getMessage());
@@ -81,15 +102,16 @@
         }
     }
 
-    /** What has come at the socket, whoever has read it. */
-    public void came(SocketAddress from, byte[] bytes, int length) {
-        if (length > LONGEST || !others.contains(from)) {
+    /** Handles a datagram that was received at the socket, by this thread or another one. */
+    public void receive(SocketAddress from, byte[] bytes, int length) {
+        if (length > MAX_DATAGRAM_BYTES || !peers.contains(from)) {
             log.warn("peers", "dropped an odd datagram from " + from);
         } else {
             receiver.accept(Arrays.copyOf(bytes, length));
         }
     }
 
+    /** Closes the socket and so ends the thread. */
     public void close() {
         if (socket != null) {
             socket.close();
--- a/src/main/java/cottonlock/proxy/control/ProcessHandover.java
+++ b/src/main/java/cottonlock/proxy/control/ProcessHandover.java
@@ -1,42 +1,48 @@
 package cottonlock.proxy.control;
 
-import cottonlock.proxy.HttpReader;
 import java.util.List;
+import java.util.Optional;
 
-/** Tells whether another process has taken over from this one: whoever said last that it serves. */
+/**
+ * Hand-over between two processes of one proxy, as at a restart without a gap: the one that serves
+ * enters itself into a shared file, and the one before it finds that it is replaced. Safe for use
+ * by any thread.
+ */
 public final class ProcessHandover {
-    private final SharedFile shared;
-    private final String me = named(ProcessHandle.current());
+    private final SharedFile file;
+    private final String ownEntry = entry(ProcessHandle.current());
 
-    public ProcessHandover(SharedFile shared) {
-        this.shared = shared;
+    /** A hand-over by that file. */
+    public ProcessHandover(SharedFile file) {
+        this.file = file;
     }
 
-    /** This process serves from now on. */
-    public void serving() {
-        shared.change(lines -> List.of(me));
+    /** Enters this process as the one that serves. */
+    public void announceServing() {
+        file.change(lines -> List.of(ownEntry));
     }
 
-    /**
-     * Whether another process serves that has begun after this one; a dead one's word counts for
-     * nothing.
-     */
-    public boolean replaced() {
-        List<String> lines = shared.read();
-        if (lines.size() != 1 || lines.get(0).equals(me)) {
+    /** Whether another process that is alive has entered itself after this one. */
+    public boolean isReplaced() {
+        List<String> lines = file.read();
+        if (lines.size() != 1 || lines.get(0).equals(ownEntry)) {
             return false;
         }
-        String pid = lines.get(0).split(" ")[0];
-        // With its start: the number of one that has died may be another program's by now.
-        return HttpReader.digits(pid)
-                && ProcessHandle.of(Long.parseLong(pid))
-                        .filter(p -> p.isAlive() && named(p).equals(lines.get(0)))
-                        .isPresent();
+        String entry = lines.get(0);
+        return processOf(entry)
+                .filter(process -> process.isAlive() && entry(process).equals(entry))
+                .isPresent();
     }
 
-    private static String named(ProcessHandle process) {
-        return process.pid()
-                + " "
-                + process.info().startInstant().map(Object::toString).orElse("-");
+    private static Optional<ProcessHandle> processOf(String entry) {
+        int end = entry.indexOf(' ');
+        String pid = end < 0 ? entry : entry.substring(0, end);
+        return Decimals.isUnsigned(pid) ? ProcessHandle.of(Long.parseLong(pid)) : Optional.empty();
+    }
+
+    /** Process ID and start time: the ID of a dead process may be given to another one. */
+    private static String entry(ProcessHandle process) {
+        String startedAt = process.info().startInstant().map(Object::toString).orElse("-");
+        return process.pid() + " " + startedAt;
     }
 }
--- a/src/main/java/cottonlock/proxy/control/ProxyConfiguration.java
+++ b/src/main/java/cottonlock/proxy/control/ProxyConfiguration.java
@@ -1,7 +1,13 @@
 package cottonlock.proxy.control;
 
+import cottonlock.proxy.discovery.EndpointList;
 import cottonlock.proxy.discovery.EndpointListParser;
 import cottonlock.proxy.io.JsonReader;
+import cottonlock.proxy.io.JsonValue;
+import cottonlock.proxy.io.JsonValue.JsonArray;
+import cottonlock.proxy.io.JsonValue.JsonNull;
+import cottonlock.proxy.io.JsonValue.JsonObject;
+import cottonlock.proxy.io.MalformedJsonException;
 import cottonlock.proxy.io.Sockets;
 import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.Settings;
@@ -11,108 +17,139 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
+import java.util.stream.Collectors;
 
 /**
- * Reads the configuration file of one proxy; whatever is wrong with it is a {@link
- * InvalidSettingsException}.
+ * The configuration file of one proxy: addresses, limits and the settings. Immutable. Whatever is
+ * wrong with the file is an {@link InvalidSettingsException} that names the key.
  */
 public final class ProxyConfiguration {
-    private final Map<?, ?> root;
+    private static final String SETTINGS = "settings";
+    private static final String CACHED_LIST = "known";
+    private static final String PEER_KEYS = "peer";
+    private static final int SEED_RADIX = 16;
 
-    private ProxyConfiguration(Map<?, ?> root) {
+    private final JsonObject root;
+
+    private ProxyConfiguration(JsonObject root) {
         this.root = root;
     }
 
+    /**
+     * Reads a file.
+     *
+     * @throws InvalidSettingsException where it cannot be read or is no JSON object
+     */
     public static ProxyConfiguration read(Path file) {
         try {
-            if (JsonReader.read(Files.readString(file)) instanceof Map<?, ?> map) {
-                return new ProxyConfiguration(map);
+            if (JsonReader.read(Files.readString(file)) instanceof JsonObject object) {
+                return new ProxyConfiguration(object);
             }
             throw new InvalidSettingsException("the configuration is no JSON object");
         } catch (IOException e) {
             throw new InvalidSettingsException("the configuration cannot be read: " + e);
-        } catch (IllegalArgumentException e) {
+        } catch (MalformedJsonException e) {
             throw new InvalidSettingsException("the configuration is not JSON: " + e.getMessage());
         }
     }
 
     /**
-     * Turns it down unless it may follow the one in force: a file that lacks a key that stands
-     * there, or that no work could be served by, is taken for one that was cut off or mistyped.
+     * Checks that this file may come into force after another one. A file that lacks a key of the
+     * other one, or whose settings could serve no request, was cut off or mistyped.
+     *
+     * @throws InvalidSettingsException where it may not
      */
-    public void mayFollow(ProxyConfiguration before) {
-        for (Object key : before.root.keySet()) {
-            // Who serves beside us and what was last known may come and go; the rest may not.
-            if (!root.containsKey(key)
-                    && !String.valueOf(key).startsWith("peer")
-                    && !key.equals("known")) {
+    public void requireCompatibleWith(ProxyConfiguration previous) {
+        for (String key : previous.root.fields().keySet()) {
+            boolean optional = key.startsWith(PEER_KEYS) || key.equals(CACHED_LIST);
+            if (!root.has(key) && !optional) {
                 throw new InvalidSettingsException("the key " + key + " is missing");
             }
         }
-        sameKeys("settings", before.root.get("settings"), root.get("settings"));
+        requireKeysOf(SETTINGS, previous.root.get(SETTINGS), root.get(SETTINGS));
         seed();
         Settings settings = settings();
-        servable(settings);
-        List<String> tenants = before.settings().each("Projects", "Name");
+        requireServable(settings);
+        List<String> tenants = previous.settings().each("Projects", "Name");
         if (!tenants.equals(settings.each("Projects", "Name"))) {
-            // Lanes and quotas are laid out by their order: one moved would get another's.
+            // Lanes and quotas are assigned by the tenants' positions.
             throw new InvalidSettingsException(
                     "settings.Projects names other tenants, for which a new process is needed");
         }
     }
 
-    /** Turns down settings that no work could be served by, whatever was in force before. */
-    public static void servable(Settings settings) {
+    /**
+     * Checks that settings can serve requests at all.
+     *
+     * @throws InvalidSettingsException where they cannot
+     */
+    public static void requireServable(Settings settings) {
         List<String> names = settings.each("Categories", "Name");
         if (names.isEmpty() || names.contains("") || Set.copyOf(names).size() < names.size()) {
             throw new InvalidSettingsException(
                     "settings.Categories has no category, or one without a name of its own");
         }
         for (int i = 0; i < names.size(); i++) {
-            above(settings, "Categories." + i + ".DueTime");
-            above(settings, "Categories." + i + ".Expiry");
+            requirePositive(settings, "Categories." + i + ".DueTime");
+            requirePositive(settings, "Categories." + i + ".Expiry");
         }
-        above(settings, "Limits.MaxHandOffs");
+        requirePositive(settings, "Limits.MaxHandOffs");
     }
 
-    /**
-     * All keys of the one in the other too; of a list of objects, those that all of the one's have.
-     */
-    private static void sameKeys(String path, Object before, Object now) {
-        if (before instanceof Map<?, ?> old) {
-            if (!(now instanceof Map<?, ?> map)) {
-                throw new InvalidSettingsException(path + " is no object");
-            }
-            old.forEach(
-                    (key, value) -> {
-                        if (map.get(key) == null) {
-                            throw new InvalidSettingsException(
-                                    "the key " + path + "." + key + " is missing");
-                        }
-                        sameKeys(path + "." + key, value, map.get(key));
-                    });
-        } else if (before instanceof List<?> old
-                && !old.isEmpty()
-                && old.get(0) instanceof Map<?, ?> first) {
-            if (!(now instanceof List<?> list)) {
-                throw new InvalidSettingsException(path + " is no list");
+    /** All keys of the previous value, to any depth. */
+    private static void requireKeysOf(String path, JsonValue previous, JsonValue value) {
+        if (previous instanceof JsonObject object) {
+            requireObjectKeysOf(path, object, value);
+        } else if (previous instanceof JsonArray array
+                && !array.elements().isEmpty()
+                && array.elements().get(0) instanceof JsonObject) {
+            requireElementKeysOf(path, array, value);
+        }
+    }
+
+    private static void requireObjectKeysOf(String path, JsonObject previous, JsonValue value) {
+        if (!(value instanceof JsonObject object)) {
+            throw new InvalidSettingsException(path + " is no object");
+        }
+        previous.fields()
+                .forEach(
+                        (key, previousValue) -> {
+                            String keyPath = path + "." + key;
+                            requirePresent(keyPath, object.get(key));
+                            requireKeysOf(keyPath, previousValue, object.get(key));
+                        });
+    }
+
+    /** Keys that all previous elements have are required of each element. */
+    private static void requireElementKeysOf(String path, JsonArray previous, JsonValue value) {
+        if (!(value instanceof JsonArray array)) {
+            throw new InvalidSettingsException(path + " is no list");
+        }
+        for (String key : ((JsonObject) previous.elements().get(0)).fields().keySet()) {
+            if (!previous.elements().stream().allMatch(element -> hasKey(element, key))) {
+                continue;
             }
-            for (Object key : first.keySet()) {
-                boolean inAll =
-                        old.stream().allMatch(o -> o instanceof Map<?, ?> m && m.containsKey(key));
-                for (int i = 0; inAll && i < list.size(); i++) {
-                    if (!(list.get(i) instanceof Map<?, ?> map) || map.get(key) == null) {
-                        throw new InvalidSettingsException(
-                                "the key " + path + "." + i + "." + key + " is missing");
-                    }
-                }
+            for (int i = 0; i < array.elements().size(); i++) {
+                JsonValue element = array.elements().get(i);
+                requirePresent(
+                        path + "." + i + "." + key,
+                        element instanceof JsonObject object ? object.get(key) : JsonNull.NULL);
             }
         }
     }
 
-    private static void above(Settings settings, String path) {
+    private static boolean hasKey(JsonValue value, String key) {
+        return value instanceof JsonObject object && object.has(key);
+    }
+
+    private static void requirePresent(String path, JsonValue value) {
+        if (value instanceof JsonNull) {
+            throw new InvalidSettingsException("the key " + path + " is missing");
+        }
+    }
+
+    private static void requirePositive(Settings settings, String path) {
         double value = settings.number(path, Double.NaN);
         if (!(value > 0 && value < Double.POSITIVE_INFINITY)) {
             throw new InvalidSettingsException(
@@ -123,98 +160,140 @@
         }
     }
 
-    /** A plain value, or what stands in where there is none. */
-    public String text(String name, String otherwise) {
-        return root.get(name) instanceof String text ? text : otherwise;
+    /** The text of a key; the fallback, which may be null, where it has none. */
+    public String text(String name, String fallback) {
+        return root.text(name, fallback);
     }
 
-    /** The settings as paths and values, as the module is built from them. */
+    /**
+     * The settings as paths and values, as the load balancer is built from them.
+     *
+     * @throws InvalidSettingsException where there are none
+     */
     public Settings settings() {
-        if (!(root.get("settings") instanceof Map<?, ?> map)) {
+        if (!(root.get(SETTINGS) instanceof JsonObject object)) {
             throw new InvalidSettingsException("no settings");
         }
-        return settings(map);
+        return settings(object);
     }
 
-    /** The settings of an object as JSON has it. */
-    public static Settings settings(Map<?, ?> map) {
+    /** The settings of a JSON object. */
+    public static Settings settings(JsonObject object) {
         Settings settings = new Settings();
-        put(settings, "", map);
+        object.fields().forEach((name, value) -> put(settings, name, value));
         return settings;
     }
 
-    private static void put(Settings settings, String path, Object value) {
-        if (value instanceof Map<?, ?> map) {
-            map.forEach(
-                    (name, inner) ->
-                            put(settings, (path.isEmpty() ? "" : path + ".") + name, inner));
-        } else if (value instanceof List<?> list && list.stream().anyMatch(Map.class::isInstance)) {
-            settings.put(path + ".count", Integer.toString(list.size()));
-            for (int i = 0; i < list.size(); i++) {
-                put(settings, path + "." + i, list.get(i));
-            }
-        } else if (value instanceof List<?> list) {
-            List<String> words = new ArrayList<>();
-            list.forEach(word -> words.add(String.valueOf(word)));
-            settings.put(path, String.join(",", words));
-        } else if (value != null) {
+    private static void put(Settings settings, String path, JsonValue value) {
+        if (value instanceof JsonObject object) {
+            object.fields().forEach((name, inner) -> put(settings, path + "." + name, inner));
+        } else if (value instanceof JsonArray array) {
+            putElements(settings, path, array.elements());
+        } else if (!(value instanceof JsonNull)) {
             settings.put(path, value.toString());
         }
     }
 
-    /** An address that must be there. */
+    /** A list of objects has one path for each; a list of words is one value. */
+    private static void putElements(Settings settings, String path, List<JsonValue> elements) {
+        if (elements.stream().anyMatch(JsonObject.class::isInstance)) {
+            settings.put(path + ".count", Integer.toString(elements.size()));
+            for (int i = 0; i < elements.size(); i++) {
+                put(settings, path + "." + i, elements.get(i));
+            }
+        } else {
+            String words =
+                    elements.stream().map(JsonValue::toString).collect(Collectors.joining(","));
+            settings.put(path, words);
+        }
+    }
+
+    /**
+     * An address that must be there.
+     *
+     * @throws InvalidSettingsException where it is not, or is malformed
+     */
     public InetSocketAddress address(String name) {
-        InetSocketAddress address = addressIfAny(name);
+        InetSocketAddress address = addressOrNull(name);
         if (address == null) {
             throw new InvalidSettingsException("no " + name);
         }
         return address;
     }
 
-    public InetSocketAddress addressIfAny(String name) {
-        Object value = root.get(name);
-        return value == null ? null : address(name, value);
+    /**
+     * An address that may be absent; null then.
+     *
+     * @throws InvalidSettingsException where it is malformed
+     */
+    public InetSocketAddress addressOrNull(String name) {
+        JsonValue value = root.get(name);
+        return value instanceof JsonNull ? null : address(name, value.toString());
     }
 
+    /**
+     * A list of addresses; empty where the key is absent or no list.
+     *
+     * @throws InvalidSettingsException where one is malformed
+     */
     public List<InetSocketAddress> addresses(String name) {
-        List<InetSocketAddress> list = new ArrayList<>();
-        if (root.get(name) instanceof List<?> values) {
-            values.forEach(value -> list.add(address(name, value)));
+        List<InetSocketAddress> addresses = new ArrayList<>();
+        if (root.get(name) instanceof JsonArray array) {
+            array.elements().forEach(value -> addresses.add(address(name, value.toString())));
         }
-        return list;
+        return addresses;
     }
 
-    public static InetSocketAddress address(String name, Object value) {
+    /**
+     * Parses an address.
+     *
+     * @param name the key that holds it
+     * @throws InvalidSettingsException where it is malformed
+     */
+    public static InetSocketAddress address(String name, String text) {
         try {
-            return Sockets.address(String.valueOf(value));
+            return Sockets.address(text);
         } catch (IllegalArgumentException e) {
-            throw new InvalidSettingsException(name + " is not an address: " + value);
+            throw new InvalidSettingsException(name + " is not an address: " + text);
         }
     }
 
-    /** The seed for random numbers: 16 hex digits. */
+    /**
+     * The seed for random numbers, 16 hex digits in the file.
+     *
+     * @throws InvalidSettingsException where it is absent or no number
+     */
     public long seed() {
+        String seed = root.get("seed").toString();
         try {
-            return Long.parseUnsignedLong(String.valueOf(root.get("seed")), 16);
+            return Long.parseUnsignedLong(seed, SEED_RADIX);
         } catch (NumberFormatException e) {
-            throw new InvalidSettingsException("seed is not a hex number: " + root.get("seed"));
+            throw new InvalidSettingsException("seed is not a hex number: " + seed);
         }
     }
 
-    /** A limit on resources, or what stands in where none is given. */
-    public int limit(String name, int otherwise) {
-        Object value = root.get("limits") instanceof Map<?, ?> limits ? limits.get(name) : null;
+    /**
+     * A limit on resources; the fallback where none is given.
+     *
+     * @throws InvalidSettingsException where it is no number
+     */
+    public int limit(String name, int fallback) {
+        JsonValue value =
+                root.get("limits") instanceof JsonObject limits ? limits.get(name) : JsonNull.NULL;
         try {
-            return value == null ? otherwise : (int) Double.parseDouble(value.toString());
+            return value instanceof JsonNull
+                    ? fallback
+                    : (int) Double.parseDouble(value.toString());
         } catch (NumberFormatException e) {
             throw new InvalidSettingsException("limit " + name + " is not a number: " + value);
         }
     }
 
-    /** The list of backends as this proxy last had it. */
-    public EndpointListParser.News known(EndpointListParser directory) {
-        return root.get("known") == null
-                ? new EndpointListParser.News(0, true, List.of())
-                : directory.read(root.get("known"));
+    /** The list of backends that this proxy had before its start; empty where it had none. */
+    public EndpointList cachedEndpointList(EndpointListParser parser) {
+        JsonValue cached = root.get(CACHED_LIST);
+        return cached instanceof JsonNull
+                ? new EndpointList(0, true, List.of())
+                : parser.parse(cached);
     }
 }
--- a/src/main/java/cottonlock/proxy/control/RolloutActor.java
+++ b/src/main/java/cottonlock/proxy/control/RolloutActor.java
@@ -1,451 +1,298 @@
 package cottonlock.proxy.control;
 
 import cottonlock.proxy.BufferPool;
-import cottonlock.proxy.HttpReader;
 import cottonlock.proxy.MalformedMessageException;
-import cottonlock.proxy.MessageHead;
 import cottonlock.proxy.concurrent.TickClock;
-import cottonlock.proxy.io.JsonReader;
+import cottonlock.proxy.io.HttpLineStream;
+import cottonlock.proxy.io.JsonLineAssembler;
 import cottonlock.proxy.io.RateLimitedLog;
-import cottonlock.proxy.io.Sockets;
 import cottonlock.rollout.ConfigurationRollout;
 import cottonlock.rollout.ConfigurationVersion;
 import cottonlock.rollout.RolloutStatus;
 import cottonlock.rollout.WatchAttempt;
-import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.RolloutConfig;
 import cottonlock.setup.Settings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.net.Socket;
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.Base64;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
 /**
- * Carries a {@link ConfigurationRollout}: one thread, with one watch on a control machine and a
- * second connection while it compares. Loaded only where an operator's file asks for it.
+ * Drives a {@link ConfigurationRollout} on sockets: one thread with one watch on a control server,
+ * and a second connection while it compares that server with another one. The class is loaded only
+ * where the operator's file asks for it.
  */
 public final class RolloutActor implements Runnable {
-    /** Characters of a line: settings of some hundred request classes. */
-    private static final int LONGEST_LINE = 128 << 10;
+    /** Settings of some hundred request classes. */
+    private static final int MAX_MESSAGE_CHARS = 128 << 10;
 
-    /** Of a line that tells a number and a digest. */
-    private static final int LONGEST_ANSWER = 1 << 10;
+    /** A number and a digest. */
+    private static final int MAX_COMPARISON_CHARS = 1 << 10;
 
-    /**
-     * Processes that ended while they took a version in, after which it is refused: one or two may
-     * have been ended by chance in these milliseconds.
-     */
-    private static final int ENDS = 3;
+    private static final int TICKS_PER_MILLI = 10;
 
-    private final RolloutConfig plan;
-    private final List<InetSocketAddress> machines = new ArrayList<>();
-    private final Consumer<Settings> takeIn;
+    private final RolloutConfig config;
     private final String base;
-    private final SharedFile kept;
+    private final RolloutVersionApplier applier;
     private final TickClock clock;
     private final SplittableRandom random;
     private final RateLimitedLog log;
 
-    /** Its own: requests must not wait for what control's lines are read with. */
+    /** Near servers, then far ones. */
+    private final List<InetSocketAddress> servers = new ArrayList<>();
+
+    /** Buffers outside the pool: requests must not wait for control's messages. */
     private final byte[] watchBuffer = new byte[BufferPool.SIZE];
 
-    private final byte[] compareBuffer = new byte[BufferPool.SIZE];
+    private final byte[] comparisonBuffer = new byte[BufferPool.SIZE];
+
+    /** Set by {@link #begin}, then owned by this actor's thread. */
     private ConfigurationRollout rollout;
-    private volatile RolloutStatus figures;
-    private volatile Socket socket;
+
+    /** Set by the thread that owns the rollout, read by any. */
+    private volatile RolloutStatus status;
+
+    /** The open watch, if any: set by the actor's thread, closed by any. */
+    private volatile HttpLineStream watch;
+
     private volatile boolean closed;
 
     /**
-     * For a process that was built by these settings.
+     * An actor of a process that was built by these settings.
      *
-     * @param takeIn takes other settings in, all or, by an exception, none
-     * @param kept where the version in force is kept for the next process
+     * @param settingsConsumer brings other settings into force, all of them or, by an exception,
+     *     none; called by {@link #begin} and by the actor's thread
+     * @param file where the version in force is stored for the next process
      */
     public RolloutActor(
-            RolloutConfig plan,
+            RolloutConfig config,
             Settings built,
-            Consumer<Settings> takeIn,
-            SharedFile kept,
+            Consumer<Settings> settingsConsumer,
+            SharedFile file,
             TickClock clock,
             SplittableRandom random,
             RateLimitedLog log) {
-        this.plan = plan;
-        plan.nearControlAddresses()
-                .forEach(a -> machines.add(ProxyConfiguration.address("rollout.control", a)));
-        plan.farControlAddresses()
-                .forEach(a -> machines.add(ProxyConfiguration.address("rollout.far", a)));
-        this.takeIn = takeIn;
-        this.base = ConfigurationVersionParser.base(built);
-        this.kept = kept;
+        this.config = config;
+        for (String address : config.nearControlAddresses()) {
+            servers.add(ProxyConfiguration.address("rollout.control", address));
+        }
+        for (String address : config.farControlAddresses()) {
+            servers.add(ProxyConfiguration.address("rollout.far", address));
+        }
+        this.base = ConfigurationVersionDigest.ofBase(built);
+        this.applier =
+                new RolloutVersionApplier(
+                        settingsConsumer,
+                        base,
+                        new ConfigurationVersionStore(file, base, log),
+                        log);
         this.clock = clock;
         this.random = random;
         this.log = log;
     }
 
-    /** Before the proxy serves: takes in what an earlier process has kept. */
+    /** Brings a stored version into force; called once, before the thread is started. */
     public void begin() {
-        ConfigurationVersion last = ConfigurationVersion.NONE;
-        ConfigurationVersionParser line = keptLine();
-        if (line != null && !line.base().equals(base)) {
-            log.each(
-                    "version",
-                    line.version
-                            + " of an earlier process is built on other settings than the "
-                            + "file's, which are in force");
-        } else if (line != null) {
-            String fault = tried(line);
-            if (fault == null) {
-                last = line.version;
-                log.each("version", last + " of an earlier process is in force");
-            } else {
-                warn(
-                        line.version
-                                + " of an earlier process can't be used, the file's settings "
-                                + "are in force: "
-                                + fault);
-            }
-        }
-        rollout = new ConfigurationRollout(clock.now(), plan, last, random);
-        figures = rollout.status();
+        ConfigurationVersion stored = applier.applyStored();
+        rollout = new ConfigurationRollout(clock.now(), config, stored, random);
+        status = rollout.status();
     }
 
-    /** For the figures: fields of a JSON object, each behind a comma. */
-    public String figures() {
-        RolloutStatus f = figures;
+    /** Metrics as fields of a JSON object, a comma before each. Callable from any thread. */
+    public String metrics() {
+        RolloutStatus current = status;
         return ",\"configuration_version\":"
-                + f.inForce().number()
+                + current.inForce().number()
                 + ",\"configuration_digest\":\""
-                + f.inForce().digestHex()
+                + current.inForce().digestHex()
                 + "\",\"configuration_known\":"
-                + f.highestKnown().number()
+                + current.highestKnown().number()
                 + ",\"configuration_behind_ms\":"
-                + since(f.behindSinceTicks())
+                + millisSince(current.behindSinceTicks())
                 + ",\"configuration_control_lost_ms\":"
-                + since(f.disconnectedSinceTicks())
+                + millisSince(current.disconnectedSinceTicks())
                 + ",\"configuration_ahead_ms\":"
-                + since(f.serverStaleSinceTicks())
+                + millisSince(current.serverStaleSinceTicks())
                 + ",\"configuration_refused_count\":"
-                + f.rejectedCount()
+                + current.rejectedCount()
                 + ",\"configuration_calls_count\":"
-                + f.callCount()
+                + current.callCount()
                 + ",\"configuration_failed_count\":"
-                + f.failureCount()
+                + current.failureCount()
                 + ",\"configuration_base\":\""
                 + base
                 + '"';
     }
 
-    private long since(long at) {
-        return at < 0 ? -1 : Math.max(0, clock.now() - at) / 10;
+    /** -1 for what does not hold. */
+    private long millisSince(long sinceTicks) {
+        return sinceTicks < 0 ? -1 : Math.max(0, clock.now() - sinceTicks) / TICKS_PER_MILLI;
     }
 
     @Override
     public void run() {
         try {
             while (!closed) {
-                WatchAttempt call = rollout.nextWatch(clock.now());
-                Thread.sleep(Math.max(0, call.startAtTicks() - clock.now()) / 10);
-                try {
-                    watch(machines.get(call.server()), call.timeoutTicks());
-                    rollout.watchMigrated(clock.now());
-                } catch (IOException | MalformedMessageException | RuntimeException e) {
-                    rollout.watchFailed(clock.now());
-                    if (!closed) {
-                        log.info(
-                                "control",
-                                "the watch at "
-                                        + machines.get(call.server())
-                                        + " ended: "
-                                        + e.getMessage());
-                    }
-                }
-                figures = rollout.status();
+                WatchAttempt attempt = rollout.nextWatch(clock.now());
+                long delayTicks = Math.max(0, attempt.startAtTicks() - clock.now());
+                Thread.sleep(delayTicks / TICKS_PER_MILLI);
+                attempt(attempt);
+                status = rollout.status();
                 if (Thread.interrupted()) {
                     return;
                 }
             }
         } catch (InterruptedException e) {
-            // The proxy closes.
+            // The proxy is closing.
         }
     }
 
-    /** Watches a machine until another knows more. */
-    private void watch(InetSocketAddress at, long limit)
+    private void attempt(WatchAttempt attempt) {
+        InetSocketAddress server = servers.get(attempt.server());
+        try {
+            watchUntilMigration(server, attempt.timeoutTicks());
+            rollout.watchMigrated(clock.now());
+        } catch (IOException | MalformedMessageException | RuntimeException e) {
+            rollout.watchFailed(clock.now());
+            if (!closed) {
+                log.info("control", "the watch at " + server + " ended: " + e.getMessage());
+            }
+        }
+    }
+
+    private void watchUntilMigration(InetSocketAddress server, long timeoutTicks)
             throws IOException, MalformedMessageException {
-        ConfigurationVersion asks = rollout.requestedFrom();
-        long answerBy = clock.now() + limit;
-        try (Socket watching = new Socket()) {
-            socket = watching;
-            HttpReader reader =
-                    call(
-                            watching,
-                            watchBuffer,
-                            at,
-                            answerBy,
-                            "/catalog/configuration?stream=1"
-                                    + "&service="
-                                    + plan.serviceName()
-                                    + "&index="
-                                    + asks.number()
-                                    + "&digest="
-                                    + asks.digestHex());
-            long silentAt = answerBy;
-            StringBuilder text = new StringBuilder();
-            JsonReader.Nesting nesting = new JsonReader.Nesting();
-            while (comes(reader, silentAt)) {
-                reader.within(Math.max(1, (silentAt - clock.now()) / 10));
-                String line = reader.line(LONGEST_LINE);
+        ConfigurationVersion requestedFrom = rollout.requestedFrom();
+        long deadlineTicks = clock.now() + timeoutTicks;
+        try (HttpLineStream lines = new HttpLineStream(watchBuffer)) {
+            watch = lines;
+            String target =
+                    "/catalog/configuration?stream=1&service="
+                            + config.serviceName()
+                            + "&index="
+                            + requestedFrom.number()
+                            + "&digest="
+                            + requestedFrom.digestHex();
+            open(lines, server, deadlineTicks, target);
+            JsonLineAssembler assembler =
+                    new JsonLineAssembler(MAX_MESSAGE_CHARS, "a version is too long");
+            while (awaitLine(lines, deadlineTicks)) {
+                lines.readWithin(millisUntil(deadlineTicks));
+                String line = lines.readLine(MAX_MESSAGE_CHARS);
                 if (line == null) {
                     throw new IOException("control ended it");
                 }
-                text.append(line).append('\n');
-                nesting.add(line);
-                if (text.length() > LONGEST_LINE) {
-                    throw new IOException("a version is too long");
-                }
-                if (nesting.goesOn()) {
-                    continue;
-                }
-                if (!text.toString().isBlank()) {
-                    told(at, ConfigurationVersionParser.read(utf8(text)));
+                String message = assembler.add(line);
+                if (message != null) {
+                    if (!message.isBlank()) {
+                        receive(server, ConfigurationVersionParser.parse(utf8(message)));
+                    }
+                    deadlineTicks = clock.now() + ConfigurationRollout.SILENCE_TIMEOUT_TICKS;
                 }
-                text.setLength(0);
-                silentAt = clock.now() + ConfigurationRollout.SILENCE_TIMEOUT_TICKS;
             }
         }
     }
 
-    /** The reader gives each byte as one character. */
-    private static String utf8(CharSequence bytes) {
-        return new String(
-                bytes.toString().getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8);
+    /** The stream has each byte as one character. */
+    private static String utf8(String bytes) {
+        return new String(bytes.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8);
     }
 
-    private HttpReader call(
-            Socket with, byte[] buffer, InetSocketAddress at, long answerBy, String target)
+    /** At least one millisecond: 0 would stand for no limit. */
+    private long millisUntil(long deadlineTicks) {
+        return Math.max(1, (deadlineTicks - clock.now()) / TICKS_PER_MILLI);
+    }
+
+    private void open(
+            HttpLineStream lines, InetSocketAddress server, long deadlineTicks, String target)
             throws IOException, MalformedMessageException {
-        with.connect(at, (int) Math.max(1, (answerBy - clock.now()) / 10));
-        with.getOutputStream()
-                .write(
-                        ("GET "
-                                        + target
-                                        + " HTTP/1.1\r\nHost: "
-                                        + at.getHostString()
-                                        + ":"
-                                        + at.getPort()
-                                        + "\r\n\r\n")
-                                .getBytes(StandardCharsets.ISO_8859_1));
-        HttpReader reader = new HttpReader(with, buffer);
-        reader.within(Math.max(1, (answerBy - clock.now()) / 10));
-        MessageHead head = reader.answer(0);
-        if (!head.start[1].equals("200")) {
-            throw new IOException("status " + head.start[1]);
-        }
-        return reader;
+        lines.connect(server, (int) millisUntil(deadlineTicks));
+        lines.get(target, millisUntil(deadlineTicks));
     }
 
     /**
-     * Waits for a line, and compares meanwhile where that is due; false when the watch is to be
-     * left.
+     * Waits until there is something to read, and compares servers meanwhile where that is due.
+     *
+     * @return false when the watch is to migrate
      */
-    private boolean comes(HttpReader reader, long silentAt) throws IOException {
+    private boolean awaitLine(HttpLineStream lines, long deadlineTicks) throws IOException {
         while (true) {
-            figures = rollout.status();
-            long now = clock.now();
-            if (rollout.shouldMigrate(now)) {
+            status = rollout.status();
+            long nowTicks = clock.now();
+            if (rollout.shouldMigrate(nowTicks)) {
                 return false;
             }
-            if (reader.ahead()) {
+            if (lines.hasBufferedBytes()) {
                 return true;
             }
-            int other = rollout.nextComparison(now);
+            int other = rollout.nextComparison(nowTicks);
             if (other >= 0) {
-                compare(other);
+                compareWith(other);
                 continue;
             }
-            if (now >= silentAt) {
+            if (nowTicks >= deadlineTicks) {
                 throw new SocketTimeoutException("no line for too long");
             }
-            reader.within(Math.max(1, (Math.min(silentAt, rollout.nextCheckAtTicks()) - now) / 10));
+            long checkAtTicks = Math.min(deadlineTicks, rollout.nextCheckAtTicks());
+            lines.readWithin(Math.max(1, (checkAtTicks - nowTicks) / TICKS_PER_MILLI));
             try {
-                if (!reader.await()) {
+                if (!lines.awaitBytes()) {
                     throw new IOException("control ended it");
                 }
                 return true;
             } catch (SocketTimeoutException e) {
-                // Time to look around: nothing has been read.
+                // Nothing has been read: check again.
             }
         }
     }
 
-    private void compare(int other) {
-        InetSocketAddress at = machines.get(other);
-        try (Socket asking = new Socket()) {
-            HttpReader reader =
-                    call(
-                            asking,
-                            compareBuffer,
-                            at,
-                            clock.now() + plan.callTimeoutTicks(),
-                            "/catalog/configuration/version?service=" + plan.serviceName());
-            String line = reader.line(LONGEST_ANSWER);
-            rollout.comparisonAnswered(
-                    clock.now(),
-                    other,
-                    ConfigurationVersionParser.read(line == null ? "" : utf8(line)).version);
+    private void compareWith(int serverIndex) {
+        InetSocketAddress server = servers.get(serverIndex);
+        try (HttpLineStream lines = new HttpLineStream(comparisonBuffer)) {
+            open(
+                    lines,
+                    server,
+                    clock.now() + config.callTimeoutTicks(),
+                    "/catalog/configuration/version?service=" + config.serviceName());
+            String line = lines.readLine(MAX_COMPARISON_CHARS);
+            ConfigurationVersion version =
+                    ConfigurationVersionParser.parse(line == null ? "" : utf8(line)).version();
+            rollout.comparisonAnswered(clock.now(), serverIndex, version);
         } catch (IOException | MalformedMessageException | RuntimeException e) {
             rollout.comparisonFailed();
             if (!closed) {
-                log.info("control", at + " could not be compared with: " + e.getMessage());
+                log.info("control", server + " could not be compared with: " + e.getMessage());
             }
         }
     }
 
-    private void told(InetSocketAddress by, ConfigurationVersionParser line) throws IOException {
+    private void receive(InetSocketAddress server, ConfigurationVersionMessage message)
+            throws IOException {
         ConfigurationVersion before = rollout.status().inForce();
-        if (!rollout.versionAnnounced(clock.now(), line.version)) {
+        ConfigurationVersion version = message.version();
+        if (!rollout.versionAnnounced(clock.now(), version)) {
             return;
         }
-        if (line.content == null) {
-            throw new IOException("version " + line.version + " was told without its settings");
+        if (message.content().isEmpty()) {
+            throw new IOException("version " + version + " was told without its settings");
         }
-        String fault = tried(line);
-        if (fault == null) {
-            rollout.applied(line.version);
-            keep(line);
-            log.each("version", line.version + " is in force, told by " + by);
+        if (applier.applyAnnounced(version, message.content().get(), before, server.toString())) {
+            rollout.applied(version);
         } else {
-            rollout.rejected(line.version);
-            warn(
-                    line.version
-                            + " is refused, "
-                            + (before.equals(ConfigurationVersion.NONE)
-                                    ? "the file's settings stay"
-                                    : before + " stays")
-                            + " in force: "
-                            + fault);
-        }
-    }
-
-    private void warn(String text) {
-        log.each(System.Logger.Level.WARNING, "version", text);
-    }
-
-    /** Takes a version in; else why it can't be, and nothing of it is in force. */
-    private String tried(ConfigurationVersionParser line) {
-        try {
-            Settings settings = line.judged(base);
-            if (mark(line.version) > ENDS) {
-                return ENDS + " processes ended while they took it in";
-            }
-            takeIn.accept(settings);
-            unmark(line.version);
-            return null;
-        } catch (InvalidSettingsException e) {
-            unmark(line.version);
-            return e.getMessage();
-        } catch (RuntimeException e) {
-            unmark(line.version);
-            return e.toString();
-        }
-    }
-
-    /** The version that is kept, or null. */
-    private ConfigurationVersionParser keptLine() {
-        for (String line : kept.read()) {
-            String[] words = line.split(" ");
-            if (words.length == 5 && words[0].equals("version") && HttpReader.digits(words[1])) {
-                try {
-                    String content =
-                            new String(
-                                    Base64.getDecoder().decode(words[4]), StandardCharsets.UTF_8);
-                    ConfigurationVersion version =
-                            new ConfigurationVersion(
-                                    Long.parseLong(words[1]), Long.parseUnsignedLong(words[2], 16));
-                    if (ConfigurationVersionParser.digest(content) == version.digest()) {
-                        return ConfigurationVersionParser.of(version, words[3], content);
-                    }
-                } catch (IllegalArgumentException e) {
-                    // Told below, as what has another digest.
-                }
-                warn("the one kept by an earlier process is damaged, and passed over");
-            }
+            rollout.rejected(version);
         }
-        return null;
-    }
-
-    /**
-     * Keeps a version for the next process and forgets what was tried before, unless another
-     * process of this proxy has kept a later one.
-     */
-    private void keep(ConfigurationVersionParser line) {
-        kept.change(
-                lines -> {
-                    ConfigurationVersionParser there = keptLine();
-                    if (there != null
-                            && there.base().equals(base)
-                            && there.version.compareTo(line.version) > 0) {
-                        return lines;
-                    }
-                    return List.of(
-                            "version "
-                                    + line.version.number()
-                                    + " "
-                                    + line.version.digestHex()
-                                    + " "
-                                    + line.base()
-                                    + " "
-                                    + Base64.getEncoder()
-                                            .encodeToString(
-                                                    line.content.getBytes(StandardCharsets.UTF_8)));
-                });
-    }
-
-    /**
-     * Notes that a version is about to be taken in; how often that was noted and never crossed out.
-     */
-    private int mark(ConfigurationVersion version) {
-        int[] ends = {1};
-        kept.change(
-                lines -> {
-                    List<String> others = new ArrayList<>();
-                    for (String line : lines) {
-                        String[] words = line.split(" ", 3);
-                        if (line.startsWith("tries " + version + " ")) {
-                            ends[0] +=
-                                    HttpReader.digits(words[2])
-                                            ? (int) Math.min(ENDS, Long.parseLong(words[2]))
-                                            : 0;
-                        } else {
-                            others.add(line);
-                        }
-                    }
-                    others.add("tries " + version + " " + ends[0]);
-                    return others;
-                });
-        return ends[0];
-    }
-
-    private void unmark(ConfigurationVersion version) {
-        kept.change(
-                lines ->
-                        lines.stream()
-                                .filter(l -> !l.startsWith("tries " + version + " "))
-                                .toList());
     }
 
-    /** The proxy closes: its thread has been interrupted, and a read that it may be in ends. */
+    /** Ends a read that the thread may be in; it has been interrupted before. */
     public void close() {
         closed = true;
-        Socket watching = socket;
-        if (watching != null) {
-            Sockets.close(watching);
+        HttpLineStream open = watch;
+        if (open != null) {
+            open.close();
         }
     }
 }
--- a/src/main/java/cottonlock/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cottonlock/proxy/discovery/DiscoveryClient.java
@@ -1,5 +1,6 @@
 package cottonlock.proxy.discovery;
 
+import cottonlock.decision.api.Endpoint;
 import cottonlock.proxy.BufferPool;
 import cottonlock.proxy.io.RateLimitedLog;
 import cottonlock.proxy.io.Sockets;
@@ -10,78 +11,84 @@
 import java.util.TreeMap;
 
 /**
- * What a proxy keeps of the list of backends, without a data path: the list's watch, its reader and
- * the list itself, by the classes that serve. Hundreds of them fit into one process, for
- * experiments on how much control costs and how fast a change is in force; {@code serve} loads
- * none.
+ * Follows the list of backends as a proxy does, by the same classes, but without a data path.
+ * Experiments run hundreds of them in one process; {@code serve} uses none.
  */
-public final class DiscoveryClient implements EndpointListWatch.Sink {
-    /** Buffers of one watch: it holds one at a time. */
-    private static final int BUFFERS = 2;
+public final class DiscoveryClient implements EndpointListListener, AutoCloseable {
+    /** A watch holds one buffer at a time. */
+    private static final int BUFFER_COUNT = 2;
 
-    /** Who is told, on the watch's thread. */
-    public interface Held {
-        /** The list of that version is in force: it holds so many entries now. */
-        void inForce(long version, boolean whole, int entries);
+    /** Is notified on the watch's thread. */
+    public interface Listener {
+        /**
+         * A list is in force.
+         *
+         * @param complete whether the whole list came, not only a change
+         * @param size how many backends the list holds now
+         */
+        void listApplied(long version, boolean complete, int size);
 
-        /** The watch has ended, and none runs. */
-        void lost();
+        /** The watch has ended, and none is open. */
+        void watchLost();
     }
 
-    private final Held held;
+    private final Listener listener;
 
-    /** As the module's actor holds it; on the watch's thread alone. */
-    private final Map<String, EndpointListParser.Entry> listed = new TreeMap<>();
+    /** The list by id, as a proxy holds it. Owned by the watch's thread. */
+    private final Map<String, EndpointList.Entry> endpoints = new TreeMap<>();
 
     private final EndpointListWatch watch;
     private Thread thread;
 
-    /** A part that is to watch at an address; rooms: the settings' names of zones. */
+    /** A client of the discovery at that address; zones are the settings' names of zones. */
     public DiscoveryClient(
-            InetSocketAddress discovery, List<String> rooms, SplittableRandom random, Held held) {
-        this.held = held;
+            InetSocketAddress discovery,
+            List<String> zones,
+            SplittableRandom random,
+            Listener listener) {
+        this.listener = listener;
         RateLimitedLog log = new RateLimitedLog(System.getLogger("cottonlock"));
         this.watch =
                 new EndpointListWatch(
                         discovery,
-                        new EndpointListParser(log, rooms, List.of()),
-                        0,
-                        false,
-                        EndpointListWatch.SILENCE,
+                        new EndpointListParser(log, zones, List.of()),
+                        new EndpointListWatch.Options(
+                                0, false, EndpointListWatch.SILENCE_TIMEOUT_MILLIS),
                         this,
-                        new BufferPool(BUFFERS, 0),
+                        new BufferPool(BUFFER_COUNT, 0),
                         log,
                         random);
     }
 
-    /** Begins to watch. */
+    /** Opens the watch. */
     public void start() {
         thread = Sockets.start("list", watch);
     }
 
-    /** Ends as a killed process does: its socket is closed, nobody is told. */
+    /** Ends as a killed process does: the socket is closed, and nothing more is sent. */
+    @Override
     public void close() {
         thread.interrupt();
         watch.close();
     }
 
     @Override
-    public void list(EndpointListParser.News news, boolean cached) {
-        if (news.whole()) {
-            listed.clear();
+    public void endpointListReceived(EndpointList list, boolean cached) {
+        if (list.complete()) {
+            endpoints.clear();
         }
-        for (EndpointListParser.Entry entry : news.entries()) {
-            if (entry.member().state() == cottonlock.decision.api.Endpoint.State.GONE) {
-                listed.remove(entry.member().id());
+        for (EndpointList.Entry entry : list.entries()) {
+            if (entry.endpoint().state() == Endpoint.State.GONE) {
+                endpoints.remove(entry.endpoint().id());
             } else {
-                listed.put(entry.member().id(), entry);
+                endpoints.put(entry.endpoint().id(), entry);
             }
         }
-        held.inForce(news.version(), news.whole(), listed.size());
+        listener.listApplied(list.version(), list.complete(), endpoints.size());
     }
 
     @Override
-    public void listFailed() {
-        held.lost();
+    public void endpointListWatchEnded() {
+        listener.watchLost();
     }
 }
--- a/src/main/java/cottonlock/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/cottonlock/proxy/discovery/EndpointListParser.java
@@ -1,129 +1,150 @@
 package cottonlock.proxy.discovery;
 
 import cottonlock.decision.api.Endpoint;
+import cottonlock.proxy.io.JsonValue;
+import cottonlock.proxy.io.JsonValue.JsonArray;
+import cottonlock.proxy.io.JsonValue.JsonObject;
 import cottonlock.proxy.io.RateLimitedLog;
 import cottonlock.proxy.io.Sockets;
 import cottonlock.setup.InvalidSettingsException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 
-/** Turns discovery's JSON into lines of the module's list and the addresses to dial. */
+/**
+ * Parses discovery's messages; the one place that knows their field names. Zones and kinds become
+ * numbers: their positions in the settings' lists. Safe for use by any thread.
+ */
 public final class EndpointListParser {
-    /** A list as told: whole, or only what changed. */
-    public record News(long version, boolean whole, List<Entry> entries) {}
-
-    /** One backend: the module's line of it and where it listens. */
-    public record Entry(Endpoint member, InetSocketAddress dial) {}
+    private static final int TICKS_PER_MILLI = 10;
 
     private final RateLimitedLog log;
+
+    /** Names by number; names that the settings lack are appended. Guarded by this. */
     private final List<String> zones;
+
     private final List<String> kinds;
 
+    /** A parser for the zones and kinds of the settings. */
     public EndpointListParser(RateLimitedLog log, List<String> zones, List<String> kinds) {
         this.log = log;
         this.zones = new ArrayList<>(zones);
         this.kinds = new ArrayList<>(kinds);
     }
 
-    public News read(Object json) {
-        if (!(json instanceof Map<?, ?> map) || !(map.get("hosts") instanceof List<?> hosts)) {
+    /**
+     * Parses a message. A host that is invalid is left out and logged, the others are taken.
+     *
+     * @throws InvalidSettingsException for a message without a list of hosts
+     */
+    public EndpointList parse(JsonValue message) {
+        if (!(message instanceof JsonObject object)
+                || !(object.get("hosts") instanceof JsonArray hosts)) {
             throw new InvalidSettingsException("a list without hosts");
         }
-        List<Entry> entries = new ArrayList<>();
-        for (Object host : hosts) {
+        List<EndpointList.Entry> entries = new ArrayList<>();
+        for (JsonValue host : hosts.elements()) {
             try {
-                if (!(host instanceof Map<?, ?> fields)) {
+                if (!(host instanceof JsonObject fields)) {
                     throw new InvalidSettingsException("a host that is no object");
                 }
-                entries.add(entry(fields));
+                entries.add(parseHost(fields));
             } catch (InvalidSettingsException e) {
-                // One odd line must not cost the news of all the others.
                 log.warn("list", "left out a host: " + e.getMessage());
             }
         }
-        return new News(whole(map, "seq", "0"), "true".equals(map.get("whole")), entries);
+        boolean complete = object.text("whole", "").equals("true");
+        return new EndpointList(integer(object, "seq"), complete, entries);
     }
 
-    private Entry entry(Map<?, ?> fields) {
-        String id = text(fields, "host", null);
-        Endpoint.State state =
-                switch (text(fields, "health", null)) {
-                    case "active" -> Endpoint.State.READY;
-                    case "leaving" -> Endpoint.State.DRAINING;
-                    case "left" -> Endpoint.State.GONE;
-                    default -> throw new InvalidSettingsException("unknown health of " + id);
-                };
+    /** That a backend drains or is gone is taken even where its other fields are invalid. */
+    private EndpointList.Entry parseHost(JsonObject fields) {
+        String id = requiredText(fields, "host");
+        Endpoint.State state = state(id, requiredText(fields, "health"));
         try {
-            return entry(fields, id, state);
+            return parseHost(fields, id, state);
         } catch (InvalidSettingsException e) {
             if (state == Endpoint.State.READY) {
                 throw e;
             }
-            // That it drains or is gone binds, whatever else is odd about it.
             log.warn("list", "only the health of a host is taken: " + e.getMessage());
-            return new Entry(
-                    new Endpoint(id, number(zones, ""), number(kinds, ""), 0, state, 0, 0), null);
+            int zone = numberOf(zones, "");
+            int kind = numberOf(kinds, "");
+            return new EndpointList.Entry(new Endpoint(id, zone, kind, 0, state, 0, 0), null);
         }
     }
 
-    private Entry entry(Map<?, ?> fields, String id, Endpoint.State state) {
-        double size;
+    private static Endpoint.State state(String id, String health) {
+        return switch (health) {
+            case "active" -> Endpoint.State.READY;
+            case "leaving" -> Endpoint.State.DRAINING;
+            case "left" -> Endpoint.State.GONE;
+            default -> throw new InvalidSettingsException("unknown health of " + id);
+        };
+    }
+
+    private EndpointList.Entry parseHost(JsonObject fields, String id, Endpoint.State state) {
+        double share = share(fields, id);
+        Endpoint endpoint =
+                new Endpoint(
+                        id,
+                        numberOf(zones, fields.text("site", "")),
+                        numberOf(kinds, fields.text("class", "")),
+                        (int) integer(fields, "block"),
+                        state,
+                        share,
+                        integer(fields, "born_ms") * TICKS_PER_MILLI);
+        return new EndpointList.Entry(endpoint, address(fields, id, state));
+    }
+
+    private static double share(JsonObject fields, String id) {
+        double share;
         try {
-            size = Double.parseDouble(text(fields, "share", "1"));
+            share = Double.parseDouble(fields.text("share", "1"));
         } catch (NumberFormatException e) {
             throw new InvalidSettingsException("the share of " + id + " is not a number");
         }
-        if (!(size >= 0 && size < Double.POSITIVE_INFINITY)) {
+        if (!(share >= 0 && share < Double.POSITIVE_INFINITY)) {
             throw new InvalidSettingsException("the share of " + id + " is out of range");
         }
-        Endpoint member =
-                new Endpoint(
-                        id,
-                        number(zones, text(fields, "site", "")),
-                        number(kinds, text(fields, "class", "")),
-                        (int) whole(fields, "block", "0"),
-                        state,
-                        size,
-                        whole(fields, "born_ms", "0") * 10);
-        String dial = text(fields, "dial", "");
+        return share;
+    }
+
+    private static InetSocketAddress address(JsonObject fields, String id, Endpoint.State state) {
+        String dial = fields.text("dial", "");
         if (dial.isEmpty() && state != Endpoint.State.READY) {
-            return new Entry(member, null);
+            return null;
         }
         try {
-            return new Entry(member, Sockets.address(dial));
+            return Sockets.address(dial);
         } catch (IllegalArgumentException e) {
             throw new InvalidSettingsException("the dial of " + id + " is not an address: " + dial);
         }
     }
 
-    private static String text(Map<?, ?> fields, String name, String otherwise) {
-        Object value = fields.get(name);
-        if (value instanceof String text) {
-            return text;
-        }
-        if (otherwise == null) {
+    private static String requiredText(JsonObject fields, String name) {
+        String text = fields.text(name, null);
+        if (text == null) {
             throw new InvalidSettingsException("a host without " + name);
         }
-        return otherwise;
+        return text;
     }
 
-    private static long whole(Map<?, ?> fields, String name, String otherwise) {
+    /** An integer field; 0 where it is absent. */
+    private static long integer(JsonObject fields, String name) {
         try {
-            return Long.parseLong(text(fields, name, otherwise));
+            return Long.parseLong(fields.text(name, "0"));
         } catch (NumberFormatException e) {
             throw new InvalidSettingsException(name + " is not a whole number");
         }
     }
 
-    /** The place of a name in the settings' list; names that it lacks come behind it. */
-    private synchronized int number(List<String> names, String name) {
-        int place = names.indexOf(name);
-        if (place < 0) {
-            place = names.size();
+    private synchronized int numberOf(List<String> names, String name) {
+        int number = names.indexOf(name);
+        if (number < 0) {
+            number = names.size();
             names.add(name);
         }
-        return place;
+        return number;
     }
 }
--- a/src/main/java/cottonlock/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/cottonlock/proxy/discovery/EndpointListWatch.java
@@ -1,226 +1,213 @@
 package cottonlock.proxy.discovery;
 
 import cottonlock.proxy.BufferPool;
-import cottonlock.proxy.HttpReader;
 import cottonlock.proxy.MalformedMessageException;
-import cottonlock.proxy.MessageHead;
+import cottonlock.proxy.io.HttpLineStream;
+import cottonlock.proxy.io.JsonLineAssembler;
 import cottonlock.proxy.io.JsonReader;
 import cottonlock.proxy.io.RateLimitedLog;
-import cottonlock.proxy.io.Sockets;
 import java.io.IOException;
-import java.io.OutputStream;
 import java.net.InetSocketAddress;
-import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.util.SplittableRandom;
 import java.util.concurrent.Semaphore;
 
 /**
- * The list's actor: it watches the list of backends while asked to, one watch at a time.
+ * Watches discovery's list of backends: one thread with one streaming request at a time, opened
+ * again when it ends. It never gives up, whatever goes wrong.
  *
- * <p>Whatever goes wrong, a change counts as told 6 s after discovery had it and could be reached.
- * So these add up to less: SILENCE, the pause until the next call (here LONGEST_AGAIN, or what the
- * module waits), CONNECT. The sum stands in docs/races.md; what it leaves is for the answer.
+ * <p>A change has to be in force within 6 s of the moment that discovery has it and can be reached.
+ * The silence timeout, the delay before the next watch and the connect timeout add up to less; the
+ * sum is worked out in docs/races.md.
  */
 public final class EndpointListWatch implements Runnable {
-    /** Milliseconds: discovery answers from within the network or not at all. */
-    public static final int CONNECT = 1_000;
+    /** Milliseconds to connect: discovery is in the same network. */
+    public static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
-    /** Milliseconds without a line: two of the empty ones that come every two seconds. */
-    public static final long SILENCE = 4_000;
+    /** A watch without a line for this long is closed. An empty line comes every 2 s. */
+    public static final long SILENCE_TIMEOUT_MILLIS = 4_000;
 
-    /**
-     * Milliseconds before the next watch where nobody decides when to ask again: doubled with each
-     * failure in a row. What is pushed counts at once, whether or not a watch is open.
-     */
-    public static final long AGAIN = 50;
+    /** The shortest delay before the next watch; doubled with each failure in a row. */
+    public static final long MIN_RETRY_DELAY_MILLIS = 50;
 
-    public static final long LONGEST_AGAIN = 200;
+    /** The longest delay before the next watch. */
+    public static final long MAX_RETRY_DELAY_MILLIS = 200;
 
-    /** Characters of a list of some thousand backends. */
-    private static final int LONGEST_LINE = 1 << 20;
+    /** Some thousand backends. */
+    private static final int MAX_MESSAGE_CHARS = 1 << 20;
 
-    /** Who is told what the watch brings, on its thread. */
-    public interface Sink {
-        /** News of the list; cached: as this balancer last held it. */
-        void list(EndpointListParser.News news, boolean cached);
-
-        /** A watch has ended, and none runs. */
-        void listFailed();
-    }
+    /**
+     * How a watch starts.
+     *
+     * @param cachedVersion the version that the proxy already has from that address; 0: none
+     * @param onlyWhenRequested whether each watch waits for {@link #request}: the caller decides on
+     *     the delays then
+     * @param silenceTimeoutMillis see {@link #SILENCE_TIMEOUT_MILLIS}
+     */
+    public record Options(
+            long cachedVersion, boolean onlyWhenRequested, long silenceTimeoutMillis) {}
 
-    /** Where discovery is: it moves with the configuration. */
+    /** Where discovery is; set by any thread. */
     private volatile InetSocketAddress address;
 
-    private final EndpointListParser directory;
-    private final boolean onlyWhenAsked;
-
-    /** Milliseconds without a line after which a watch is broken. */
-    private final long silence;
-
-    private final Sink module;
+    private final EndpointListParser parser;
+    private final Options options;
+    private final EndpointListListener listener;
     private final BufferPool buffers;
     private final RateLimitedLog log;
     private final SplittableRandom random;
-    private final Semaphore asks = new Semaphore(0);
-
-    /** What it holds was told by this place: another's versions mean nothing there. */
-    private InetSocketAddress toldBy;
+    private final Semaphore requests = new Semaphore(0);
 
+    /** The last version and the address that it came from. Owned by the watch's thread. */
     private long version;
 
-    /** Lists that have come. */
-    private long lists;
+    private InetSocketAddress versionSource;
+
+    /** Messages received so far. Owned by the watch's thread. */
+    private long receivedCount;
 
-    private volatile Socket socket;
+    /** The open watch, if any: set by the watch's thread, closed by any. */
+    private volatile HttpLineStream stream;
 
+    /** A watch that begins when its thread is started. */
     public EndpointListWatch(
             InetSocketAddress address,
-            EndpointListParser directory,
-            long version,
-            boolean onlyWhenAsked,
-            long silence,
-            Sink module,
+            EndpointListParser parser,
+            Options options,
+            EndpointListListener listener,
             BufferPool buffers,
             RateLimitedLog log,
             SplittableRandom random) {
         this.address = address;
-        this.directory = directory;
-        this.version = version;
-        this.toldBy = address;
-        this.onlyWhenAsked = onlyWhenAsked;
-        this.silence = silence;
-        this.module = module;
+        this.parser = parser;
+        this.options = options;
+        this.version = options.cachedVersion();
+        this.versionSource = address;
+        this.listener = listener;
         this.buffers = buffers;
         this.log = log;
         this.random = random;
     }
 
-    /** From the module's thread: a watch is wanted; one that runs will do. */
-    public void ask() {
-        asks.release();
+    /** Asks for a watch; without effect on one that is open. Callable from any thread. */
+    public void request() {
+        requests.release();
     }
 
-    /** For tests alone: whether it waits to be asked. */
-    public boolean waits() {
-        return asks.hasQueuedThreads();
+    /** For tests: whether the thread waits for {@link #request}. */
+    public boolean awaitsRequest() {
+        return requests.hasQueuedThreads();
     }
 
     @Override
     public void run() {
-        long again = AGAIN;
+        long retryDelayMillis = MIN_RETRY_DELAY_MILLIS;
         try {
             while (true) {
-                if (onlyWhenAsked) {
-                    asks.acquire();
-                }
-                InetSocketAddress at = address;
-                long before = lists;
-                try {
-                    watch(at);
-                } catch (IOException | MalformedMessageException | RuntimeException | Error e) {
-                    // An error too, such as memory short for a moment: without its thread no list
-                    // would ever
-                    // come again.
-                    log.info("list", "the watch ended: " + e);
+                if (options.onlyWhenRequested()) {
+                    requests.acquire();
                 }
+                InetSocketAddress watched = address;
+                long receivedBefore = receivedCount;
+                watchUntilFailure(watched);
                 if (Thread.interrupted()) {
                     return;
                 }
-                asks.drainPermits();
-                if (at != address) {
-                    // The old place is left on purpose: waiting as after a failure would only age
-                    // the list.
-                    asks.release();
+                requests.drainPermits();
+                if (hasMovedFrom(watched)) {
+                    // Closed on purpose: no failure, and no delay before the new address.
+                    requests.release();
                     continue;
                 }
-                module.listFailed();
-                if (!onlyWhenAsked) {
-                    // All balancers lose their watch together; they must not come back together.
-                    again = lists > before ? AGAIN : Math.min(LONGEST_AGAIN, 2 * again);
-                    Thread.sleep(again / 2 + random.nextLong(again / 2));
+                listener.endpointListWatchEnded();
+                if (!options.onlyWhenRequested()) {
+                    retryDelayMillis =
+                            receivedCount > receivedBefore
+                                    ? MIN_RETRY_DELAY_MILLIS
+                                    : Math.min(MAX_RETRY_DELAY_MILLIS, 2 * retryDelayMillis);
+                    // Jitter: all proxies lose their watches together when discovery restarts.
+                    Thread.sleep(retryDelayMillis / 2 + random.nextLong(retryDelayMillis / 2));
                 }
             }
         } catch (InterruptedException e) {
-            // The proxy closes.
+            // The proxy is closing.
         }
     }
 
-    private void watch(InetSocketAddress at) throws IOException, MalformedMessageException {
-        byte[] buffer = buffers.take();
+    /** Also survives errors such as a passing lack of memory: nothing else restarts the watch. */
+    private void watchUntilFailure(InetSocketAddress server) {
         try {
-            socket = new Socket();
-            if (at != address) {
-                // It has moved just before this socket could be closed for it.
+            watch(server);
+        } catch (IOException | MalformedMessageException | RuntimeException | Error e) {
+            log.info("list", "the watch ended: " + e);
+        }
+    }
+
+    /** By identity: a move away and back must still start anew. */
+    @SuppressWarnings(
+            "ReferenceEquality") // Each move sets a new object, be it equal to an old one.
+    private boolean hasMovedFrom(InetSocketAddress watched) {
+        return watched != address;
+    }
+
+    private void watch(InetSocketAddress server) throws IOException, MalformedMessageException {
+        byte[] buffer = buffers.take();
+        try (HttpLineStream lines = new HttpLineStream(buffer)) {
+            stream = lines;
+            if (hasMovedFrom(server)) {
+                // The move came too early to close this stream.
                 return;
             }
-            socket.connect(at, CONNECT);
-            // A move may also have come between two watches: with the old place's version, the new
-            // one would
-            // leave out what it takes for known, for good.
-            long known = at.equals(toldBy) ? version : 0;
-            OutputStream out = socket.getOutputStream();
-            out.write(
-                    ("GET /catalog/members?stream=1&index="
-                                    + known
-                                    + " HTTP/1.1\r\nHost: "
-                                    + at.getHostString()
-                                    + ":"
-                                    + at.getPort()
-                                    + "\r\n\r\n")
-                            .getBytes(StandardCharsets.ISO_8859_1));
-            HttpReader reader = new HttpReader(socket, buffer);
-            // A head or a line that trickles renews nothing: only a whole one does.
-            reader.within(silence);
-            MessageHead head = reader.answer(0);
-            if (!head.start[1].equals("200")) {
-                throw new IOException("status " + head.start[1]);
-            }
-            StringBuilder text = new StringBuilder();
-            JsonReader.Nesting nesting = new JsonReader.Nesting();
-            for (String line = reader.line(LONGEST_LINE);
-                    line != null;
-                    line = reader.line(LONGEST_LINE)) {
-                text.append(line).append('\n');
-                nesting.add(line);
-                if (text.length() > LONGEST_LINE) {
-                    throw new IOException("a list is too long");
-                }
-                if (nesting.goesOn()) {
-                    // Some lists come indented, over many lines.
-                    continue;
-                }
-                if (!line.isBlank()) {
-                    EndpointListParser.News news = directory.read(JsonReader.read(text.toString()));
-                    version = news.version();
-                    toldBy = at;
-                    lists++;
-                    module.list(news, false);
-                }
-                text.setLength(0);
-                reader.within(silence);
-            }
-            throw new IOException("discovery ended it");
+            lines.connect(server, CONNECT_TIMEOUT_MILLIS);
+            // A version means nothing at another source: it would leave out what it takes for
+            // known.
+            long knownVersion = server.equals(versionSource) ? version : 0;
+            lines.get(
+                    "/catalog/members?stream=1&index=" + knownVersion,
+                    options.silenceTimeoutMillis());
+            receiveAll(server, lines);
         } finally {
-            Sockets.close(socket);
             buffers.give(buffer);
         }
     }
 
-    /** From any thread: discovery is elsewhere now, and the whole list is asked for there. */
-    public void move(InetSocketAddress to) {
-        if (!to.equals(address)) {
-            address = to;
+    private void receiveAll(InetSocketAddress server, HttpLineStream lines)
+            throws IOException, MalformedMessageException {
+        JsonLineAssembler assembler =
+                new JsonLineAssembler(MAX_MESSAGE_CHARS, "a list is too long");
+        for (String line = lines.readLine(MAX_MESSAGE_CHARS);
+                line != null;
+                line = lines.readLine(MAX_MESSAGE_CHARS)) {
+            String message = assembler.add(line);
+            if (message == null) {
+                continue;
+            }
+            if (!message.isBlank()) {
+                EndpointList list = parser.parse(JsonReader.read(message));
+                version = list.version();
+                versionSource = server;
+                receivedCount++;
+                listener.endpointListReceived(list, false);
+            }
+            // Only complete messages and keep-alive lines extend the deadline.
+            lines.readWithin(options.silenceTimeoutMillis());
+        }
+        throw new IOException("discovery ended it");
+    }
+
+    /** Moves to another address at once, and asks for the whole list. Callable from any thread. */
+    public void move(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address)) {
+            address = newAddress;
             close();
-            asks.release();
+            requests.release();
         }
     }
 
-    /** The proxy closes: its thread has been interrupted, and a read that it may be in ends. */
+    /** Ends a read that the thread may be in; it has been interrupted before. */
     public void close() {
-        Socket watching = socket;
-        if (watching != null) {
-            Sockets.close(watching);
+        HttpLineStream open = stream;
+        if (open != null) {
+            open.close();
         }
     }
 }
--- /dev/null
+++ b/src/main/java/cottonlock/proxy/io/JsonLineAssembler.java
@@ -0,0 +1,69 @@
+package cottonlock.proxy.io;
+
+import java.io.IOException;
+
+/**
+ * Assembles the JSON messages of a stream of lines. Usually each line is a message, but an object
+ * may also be indented over many lines. Not thread-safe.
+ */
+public final class JsonLineAssembler {
+    private final int maxChars;
+    private final String tooLong;
+    private final StringBuilder message = new StringBuilder();
+
+    /** Brackets that are open behind the last line, and whether it ended inside a string. */
+    private int depth;
+
+    private boolean inString;
+
+    /**
+     * Starts with an empty message.
+     *
+     * @param maxChars the longest message, line ends included
+     * @param tooLong what the exception says of a longer one
+     */
+    public JsonLineAssembler(int maxChars, String tooLong) {
+        this.maxChars = maxChars;
+        this.tooLong = tooLong;
+    }
+
+    /**
+     * Adds a line, without its end.
+     *
+     * @return the message that it completes, blank for a keep-alive line; null while the message
+     *     goes on
+     * @throws IOException for a message that is too long
+     */
+    public String add(String line) throws IOException {
+        message.append(line).append('\n');
+        scan(line);
+        if (message.length() > maxChars) {
+            throw new IOException(tooLong);
+        }
+        if (depth > 0 || inString) {
+            return null;
+        }
+        String complete = message.toString();
+        message.setLength(0);
+        return complete;
+    }
+
+    private void scan(String line) {
+        boolean escaped = false;
+        for (int i = 0; i < line.length(); i++) {
+            char character = line.charAt(i);
+            if (escaped) {
+                escaped = false;
+            } else if (inString) {
+                escaped = character == '\\';
+                inString = character != '"';
+            } else if (character == '"') {
+                inString = true;
+            } else if (character == '{' || character == '[') {
+                depth++;
+            } else if (character == '}' || character == ']') {
+                depth--;
+            }
+        }
+    }
+}
--- a/src/main/java/cottonlock/proxy/io/JsonReader.java
+++ b/src/main/java/cottonlock/proxy/io/JsonReader.java
@@ -1,155 +1,143 @@
 package cottonlock.proxy.io;
 
+import cottonlock.proxy.io.JsonValue.JsonArray;
+import cottonlock.proxy.io.JsonValue.JsonNull;
+import cottonlock.proxy.io.JsonValue.JsonObject;
+import cottonlock.proxy.io.JsonValue.JsonScalar;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.regex.Pattern;
 
-/** Reads JSON: objects become maps, arrays lists, strings and numbers strings as written. */
+/** Parses JSON texts (RFC 8259). Of several fields of one name the last one counts. */
 public final class JsonReader {
-    /** Deeper than any list or settings; the small stacks bear it. */
-    private static final int DEEPEST = 32;
+    /** Bounds the recursion: threads of the proxy have small stacks. */
+    private static final int MAX_DEPTH = 32;
+
+    private static final int UNICODE_ESCAPE_DIGITS = 4;
+    private static final Pattern UNICODE_ESCAPE = Pattern.compile("[0-9a-fA-F]{4}");
+    private static final Pattern LITERAL =
+            Pattern.compile("true|false|-?(0|[1-9][0-9]*)(\\.[0-9]+)?([eE][-+]?[0-9]+)?");
 
     private final String text;
-    private int at;
+    private int position;
 
     private JsonReader(String text) {
         this.text = text;
     }
 
-    public static Object read(String text) {
-        JsonReader json = new JsonReader(text);
-        Object value = json.value(0);
-        json.space();
-        if (json.at < text.length()) {
-            throw json.bad("more than one value");
-        }
-        return value;
-    }
-
     /**
-     * Tells, of a text that comes in lines, whether an object or array goes on behind what has
-     * come.
+     * Parses a text that holds one value.
+     *
+     * @throws MalformedJsonException for anything else
      */
-    public static final class Nesting {
-        private int depth;
-        private boolean quoted;
-
-        public void add(CharSequence line) {
-            for (int i = 0; i < line.length(); i++) {
-                char c = line.charAt(i);
-                if (quoted) {
-                    // What stands behind a backslash ends no string.
-                    i += c == '\\' ? 1 : 0;
-                    quoted = c != '"';
-                } else {
-                    quoted = c == '"';
-                    depth += c == '{' || c == '[' ? 1 : c == '}' || c == ']' ? -1 : 0;
-                }
-            }
-        }
-
-        public boolean goesOn() {
-            return depth > 0 || quoted;
+    public static JsonValue read(String text) {
+        JsonReader json = new JsonReader(text);
+        JsonValue value = json.value(0);
+        json.skipSpace();
+        if (json.position < text.length()) {
+            throw json.malformed("more than one value");
         }
+        return value;
     }
 
-    private IllegalArgumentException bad(String fault) {
-        return new IllegalArgumentException(fault + " at character " + at);
+    private MalformedJsonException malformed(String fault) {
+        return new MalformedJsonException(fault, position);
     }
 
-    private void space() {
-        while (at < text.length() && " \t\r\n".indexOf(text.charAt(at)) >= 0) {
-            at++;
+    private void skipSpace() {
+        while (position < text.length() && " \t\r\n".indexOf(text.charAt(position)) >= 0) {
+            position++;
         }
     }
 
     private char peek() {
-        space();
-        if (at >= text.length()) {
-            throw bad("the text ends early");
+        skipSpace();
+        if (position >= text.length()) {
+            throw malformed("the text ends early");
         }
-        return text.charAt(at);
+        return text.charAt(position);
     }
 
-    private boolean skip(char c) {
-        if (peek() == c) {
-            at++;
+    private boolean skip(char expected) {
+        if (peek() == expected) {
+            position++;
             return true;
         }
         return false;
     }
 
-    private void need(char c) {
-        if (!skip(c)) {
-            throw bad("no '" + c + "'");
+    private void require(char expected) {
+        if (!skip(expected)) {
+            throw malformed("no '" + expected + "'");
         }
     }
 
-    private Object value(int depth) {
-        if (depth > DEEPEST) {
-            throw bad("nested too deeply");
+    private JsonValue value(int depth) {
+        if (depth > MAX_DEPTH) {
+            throw malformed("nested too deeply");
         }
         return switch (peek()) {
             case '{' -> object(depth);
             case '[' -> array(depth);
-            case '"' -> string();
-            default -> word();
+            case '"' -> new JsonScalar(string());
+            default -> literal();
         };
     }
 
-    private Map<String, Object> object(int depth) {
-        Map<String, Object> map = new LinkedHashMap<>();
-        need('{');
+    private JsonObject object(int depth) {
+        Map<String, JsonValue> fields = new LinkedHashMap<>();
+        require('{');
         if (skip('}')) {
-            return map;
+            return new JsonObject(fields);
         }
         do {
             if (peek() != '"') {
-                throw bad("no name");
+                throw malformed("no name");
             }
             String name = string();
-            need(':');
-            map.put(name, value(depth + 1));
+            require(':');
+            fields.put(name, value(depth + 1));
         } while (skip(','));
-        need('}');
-        return map;
+        require('}');
+        return new JsonObject(fields);
     }
 
-    private List<Object> array(int depth) {
-        List<Object> list = new ArrayList<>();
-        need('[');
+    private JsonArray array(int depth) {
+        List<JsonValue> elements = new ArrayList<>();
+        require('[');
         if (skip(']')) {
-            return list;
+            return new JsonArray(elements);
         }
         do {
-            list.add(value(depth + 1));
+            elements.add(value(depth + 1));
         } while (skip(','));
-        need(']');
-        return list;
+        require(']');
+        return new JsonArray(elements);
     }
 
     private String string() {
-        need('"');
-        StringBuilder s = new StringBuilder();
-        while (at < text.length()) {
-            char c = text.charAt(at++);
-            if (c == '"') {
-                return s.toString();
+        require('"');
+        StringBuilder content = new StringBuilder();
+        while (position < text.length()) {
+            char character = text.charAt(position++);
+            if (character == '"') {
+                return content.toString();
             }
-            if (c < ' ') {
-                throw bad("a control character in a string");
+            if (character < ' ') {
+                throw malformed("a control character in a string");
             }
-            s.append(c == '\\' ? escaped() : c);
+            content.append(character == '\\' ? escaped() : character);
         }
-        throw bad("a string without end");
+        throw malformed("a string without end");
     }
 
     private char escaped() {
-        char c = at < text.length() ? text.charAt(at++) : ' ';
-        switch (c) {
+        char character = position < text.length() ? text.charAt(position++) : ' ';
+        switch (character) {
             case '"', '\\', '/':
-                return c;
+                return character;
             case 'b':
                 return '\b';
             case 'f':
@@ -161,30 +149,38 @@
             case 't':
                 return '\t';
             case 'u':
-                if (at + 4 <= text.length()
-                        && text.substring(at, at + 4).matches("[0-9a-fA-F]{4}")) {
-                    at += 4;
-                    return (char) Integer.parseInt(text.substring(at - 4, at), 16);
-                }
-                throw bad("not an escape");
+                return unicodeEscape();
             default:
-                throw bad("not an escape");
+                throw malformed("not an escape");
+        }
+    }
+
+    private char unicodeEscape() {
+        int end = position + UNICODE_ESCAPE_DIGITS;
+        if (end > text.length()) {
+            throw malformed("not an escape");
+        }
+        String digits = text.substring(position, end);
+        if (!UNICODE_ESCAPE.matcher(digits).matches()) {
+            throw malformed("not an escape");
         }
+        position = end;
+        return (char) Integer.parseInt(digits, 16);
     }
 
-    /** A number, true, false or null, as it stands; null as null. */
-    private String word() {
-        int from = at;
-        while (at < text.length() && ",]} \t\r\n".indexOf(text.charAt(at)) < 0) {
-            at++;
+    /** A number, true, false or null. */
+    private JsonValue literal() {
+        int start = position;
+        while (position < text.length() && ",]} \t\r\n".indexOf(text.charAt(position)) < 0) {
+            position++;
         }
-        String word = text.substring(from, at);
+        String word = text.substring(start, position);
         if (word.equals("null")) {
-            return null;
+            return JsonNull.NULL;
         }
-        if (!word.matches("true|false|-?(0|[1-9][0-9]*)(\\.[0-9]+)?([eE][-+]?[0-9]+)?")) {
-            throw bad("not a value: " + word);
+        if (!LITERAL.matcher(word).matches()) {
+            throw malformed("not a value: " + word);
         }
-        return word;
+        return new JsonScalar(word);
     }
 }
--- a/src/main/java/cottonlock/proxy/io/RateLimitedLog.java
+++ b/src/main/java/cottonlock/proxy/io/RateLimitedLog.java
@@ -3,68 +3,100 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Lines for whoever is on call: one of each kind a second at most, with how many were left out. */
+/**
+ * The proxy's log. Each line has a kind; lines of one kind beyond a limit are dropped, and the next
+ * one that is logged says how many were. Safe for use by any thread.
+ */
 public final class RateLimitedLog {
-    private static final long GAP = 1_000_000_000L;
+    private static final long INTERVAL_NANOS = 1_000_000_000L;
 
-    /** Lines a second of what is told each by each: more than a fleet in a storm can be read at. */
-    private static final int EACH = 40;
+    /** The limit for lines that are each of interest. */
+    private static final int MAX_EACH_LINES_PER_INTERVAL = 40;
+
+    /** What was logged of one kind; guarded by the map that holds it. */
+    private static final class Window {
+        /** When the last line was logged, or for each-lines the number of its interval. */
+        private long start;
+
+        private int logged;
+        private long dropped;
+
+        Window(long start) {
+            this.start = start;
+        }
+
+        long takeDropped() {
+            long taken = dropped;
+            dropped = 0;
+            return taken;
+        }
+    }
 
     private final System.Logger logger;
-    private final Map<String, long[]> kinds = new HashMap<>();
 
+    /** Windows by kind, each map guarded by itself. */
+    private final Map<String, Window> singles = new HashMap<>();
+
+    private final Map<String, Window> bursts = new HashMap<>();
+
+    /** A log that writes to a logger. */
     public RateLimitedLog(System.Logger logger) {
         this.logger = logger;
     }
 
+    /** Logs a warning: of each kind one line a second at most. */
     public void warn(String kind, String text) {
-        say(System.Logger.Level.WARNING, kind, text);
+        logOnce(System.Logger.Level.WARNING, kind, text);
     }
 
+    /** Logs an information: of each kind one line a second at most. */
     public void info(String kind, String text) {
-        say(System.Logger.Level.INFO, kind, text);
+        logOnce(System.Logger.Level.INFO, kind, text);
     }
 
-    /** For what must be told one by one, as far as anybody can read it. */
+    /** Logs a line whose kind is of interest line by line: up to 40 a second. */
     public void each(String kind, String text) {
         each(System.Logger.Level.INFO, kind, text);
     }
 
     /** The same at a level. */
     public void each(System.Logger.Level level, String kind, String text) {
-        long leftOut;
-        synchronized (kinds) {
-            long second = System.nanoTime() / GAP;
-            long[] told = kinds.computeIfAbsent(kind, k -> new long[3]);
-            if (told[0] == second && told[2] >= EACH) {
-                told[1]++;
+        long dropped;
+        synchronized (bursts) {
+            long interval = System.nanoTime() / INTERVAL_NANOS;
+            Window window = bursts.computeIfAbsent(kind, unused -> new Window(interval));
+            if (window.start != interval) {
+                window.start = interval;
+                window.logged = 0;
+            }
+            if (window.logged >= MAX_EACH_LINES_PER_INTERVAL) {
+                window.dropped++;
                 return;
             }
-            leftOut = told[1];
-            told[2] = told[0] == second ? told[2] + 1 : 1;
-            told[0] = second;
-            told[1] = 0;
+            window.logged++;
+            dropped = window.takeDropped();
         }
-        logger.log(level, kind + ": " + text + left(leftOut));
+        write(level, kind, text, dropped);
     }
 
-    private static String left(long out) {
-        return out > 0 ? " (and " + out + " like it)" : "";
-    }
-
-    private void say(System.Logger.Level level, String kind, String text) {
-        long leftOut;
-        synchronized (kinds) {
-            long now = System.nanoTime();
-            long[] last = kinds.computeIfAbsent(kind, k -> new long[] {now - GAP, 0});
-            if (now - last[0] < GAP) {
-                last[1]++;
+    private void logOnce(System.Logger.Level level, String kind, String text) {
+        long dropped;
+        synchronized (singles) {
+            long nowNanos = System.nanoTime();
+            Window window =
+                    singles.computeIfAbsent(kind, unused -> new Window(nowNanos - INTERVAL_NANOS));
+            if (nowNanos - window.start < INTERVAL_NANOS) {
+                window.dropped++;
                 return;
             }
-            leftOut = last[1];
-            last[0] = now;
-            last[1] = 0;
+            window.start = nowNanos;
+            dropped = window.takeDropped();
         }
-        logger.log(level, kind + ": " + text + left(leftOut));
+        write(level, kind, text, dropped);
+    }
+
+    private void write(System.Logger.Level level, String kind, String text, long dropped) {
+        String suffix = dropped > 0 ? " (and " + dropped + " like it)" : "";
+        logger.log(level, kind + ": " + text + suffix);
     }
 }
--- a/src/main/java/cottonlock/rollout/ControlServerSelector.java
+++ b/src/main/java/cottonlock/rollout/ControlServerSelector.java
@@ -82,7 +82,9 @@
 
     /** Later rounds wait longer: an overloaded server may need more than the usual timeout. */
     private long timeoutTicks() {
-        return firstRound ? config.callTimeoutTicks() : Math.max(config.callTimeoutTicks(), config.maxRetryDelayTicks() / 2);
+        return firstRound
+                ? config.callTimeoutTicks()
+                : Math.max(config.callTimeoutTicks(), config.maxRetryDelayTicks() / 2);
     }
 
     /** The watch on the current server moves to another one without any delay. */
@@ -134,8 +136,12 @@
         if (firstRound && variants.failsOver()) {
             // Counted from the start of the last call: a refused connection must not speed it up.
             long callEndTicks =
-                    wasStable ? nowTicks : Math.max(nowTicks, lastCallAtTicks + config.callTimeoutTicks());
-            return callEndTicks + config.callTimeoutTicks() / 8 + jitter.upTo(config.callTimeoutTicks() / 2);
+                    wasStable
+                            ? nowTicks
+                            : Math.max(nowTicks, lastCallAtTicks + config.callTimeoutTicks());
+            return callEndTicks
+                    + config.callTimeoutTicks() / 8
+                    + jitter.upTo(config.callTimeoutTicks() / 2);
         }
         long maxTicks = variants.maxBackoffTicks(config.maxRetryDelayTicks(), consecutiveFailures);
         return nowTicks + jitter.upperHalfOf(maxTicks);
--- a/src/test/java/cottonlock/proxy/ListsTest.java
+++ b/src/test/java/cottonlock/proxy/ListsTest.java
@@ -15,6 +15,7 @@
 import cottonlock.proxy.control.PeerMessenger;
 import cottonlock.proxy.control.ProxyConfiguration;
 import cottonlock.proxy.control.SharedFile;
+import cottonlock.proxy.discovery.EndpointList;
 import cottonlock.proxy.discovery.EndpointListParser;
 import cottonlock.proxy.discovery.EndpointListWatch;
 import cottonlock.proxy.io.JsonReader;
@@ -212,15 +213,18 @@
                     now += pause;
                 }
             }
-            long sum = EndpointListWatch.SILENCE * 10 + longest + EndpointListWatch.CONNECT * 10;
+            long sum =
+                    EndpointListWatch.SILENCE_TIMEOUT_MILLIS * 10
+                            + longest
+                            + EndpointListWatch.CONNECT_TIMEOUT_MILLIS * 10;
             assertTrue(sum + ANSWER <= TOLD, "of " + within + ": " + sum);
         }
         // Where nobody decides when to ask: what is pushed counts at once, and drains bind after
         // that.
         assertTrue(
-                EndpointListWatch.SILENCE
-                                + EndpointListWatch.LONGEST_AGAIN
-                                + EndpointListWatch.CONNECT
+                EndpointListWatch.SILENCE_TIMEOUT_MILLIS
+                                + EndpointListWatch.MAX_RETRY_DELAY_MILLIS
+                                + EndpointListWatch.CONNECT_TIMEOUT_MILLIS
                                 + ANSWER / 10
                         <= TOLD / 10);
     }
@@ -271,7 +275,7 @@
                         clock,
                         entry ->
                                 new BackendActor(
-                                        entry.dial(),
+                                        entry.address(),
                                         new ConnectionPermits(4),
                                         new KeepAlivePolicy(),
                                         new ConnectionThreads(),
@@ -293,9 +297,7 @@
                 new EndpointListWatch(
                         at,
                         new EndpointListParser(log, List.of("z"), List.of("k")),
-                        0,
-                        true,
-                        silence,
+                        new EndpointListWatch.Options(0, true, silence),
                         module,
                         new BufferPool(16, 4),
                         log,
@@ -306,7 +308,7 @@
                 new PeerMessenger(null, List.of(), null, module::heard, log),
                 new ManualEjections(
                         new SharedFile(null, "p", "bans", log), clock, module::bansChanged));
-        module.list(new EndpointListParser.News(0, true, List.of()), true);
+        module.endpointListReceived(new EndpointList(0, true, List.of()), true);
         Thread list = Sockets.start("list", watch);
         Thread actor = Sockets.start("module", module);
         open.add(
@@ -853,15 +855,15 @@
         for (Map.Entry<String, String> field : odd.entrySet()) {
             for (String health : List.of("leaving", "left", "active")) {
                 String text = entry("b", health).replace(field.getKey(), field.getValue());
-                List<EndpointListParser.Entry> entries =
-                        directory.read(JsonReader.read(list(2, false, text))).entries();
+                List<EndpointList.Entry> entries =
+                        directory.parse(JsonReader.read(list(2, false, text))).entries();
                 assertEquals(health.equals("active") ? 0 : 1, entries.size(), text);
                 assertTrue(
                         entries.stream()
                                 .allMatch(
                                         e ->
-                                                e.member().id().equals("b")
-                                                        && (e.member().state()
+                                                e.endpoint().id().equals("b")
+                                                        && (e.endpoint().state()
                                                                         == Endpoint.State.READY)
                                                                 == health.equals("active")),
                         text);
--- a/src/test/java/cottonlock/proxy/OperatorDaysTest.java
+++ b/src/test/java/cottonlock/proxy/OperatorDaysTest.java
@@ -48,7 +48,7 @@
     }
 
     private Object figure(String name) throws IOException {
-        return ((Map<?, ?>) JsonReader.read(ask("DUMP").split("\n")[0])).get(name);
+        return ((Map<?, ?>) plain(JsonReader.read(ask("DUMP").split("\n")[0]))).get(name);
     }
 
     @Example
@@ -176,21 +176,21 @@
                 new ManualEjections(
                         new SharedFile(folder, "p", "bans", log), clock, () -> told.add("there"));
         Endpoint listed = new Endpoint("b", 0, 0, 0, Endpoint.State.READY, 1, 5);
-        assertTrue(here.change("b", true));
-        there.look();
-        assertTrue(there.out("b"));
-        assertEquals(Endpoint.State.DRAINING, there.told(listed).state());
-        assertTrue(there.change("b", false));
-        here.look();
-        assertFalse(here.out("b"));
+        assertTrue(here.setEjected("b", true));
+        there.poll();
+        assertTrue(there.isEjected("b"));
+        assertEquals(Endpoint.State.DRAINING, there.effective(listed).state());
+        assertTrue(there.setEjected("b", false));
+        here.poll();
+        assertFalse(here.isEjected("b"));
         assertTrue(
-                clock.now() - here.told(listed).startedAtTicks() < 10_000,
+                clock.now() - here.effective(listed).startedAtTicks() < 10_000,
                 "cold, whatever the list says");
         assertEquals(List.of("there", "there"), told);
         Files.writeString(folder.resolve("cottonlock-p.bans"), "something else\nout b\n");
-        here.look();
-        assertFalse(here.out("b"), "a foreign file counts as empty");
-        assertNull(new SharedFile(null, "p", "bans", log).stamp());
+        here.poll();
+        assertFalse(here.isEjected("b"), "a foreign file counts as empty");
+        assertNull(new SharedFile(null, "p", "bans", log).revision());
     }
 
     @Example
--- a/src/test/java/cottonlock/proxy/ProxyFixture.java
+++ b/src/test/java/cottonlock/proxy/ProxyFixture.java
@@ -2,6 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cottonlock.proxy.io.JsonValue;
+import cottonlock.proxy.io.JsonValue.JsonArray;
+import cottonlock.proxy.io.JsonValue.JsonObject;
+import cottonlock.proxy.io.JsonValue.JsonScalar;
 import cottonlock.proxy.io.Sockets;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -14,7 +18,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CopyOnWriteArrayList;
@@ -284,4 +290,19 @@
     static int status(String answer) {
         return answer.isEmpty() ? 0 : Integer.parseInt(answer.split(" ", 3)[1]);
     }
+
+    /** A JSON value as maps, lists and strings; null for null. */
+    static Object plain(JsonValue value) {
+        if (value instanceof JsonObject object) {
+            Map<String, Object> fields = new LinkedHashMap<>();
+            object.fields().forEach((name, field) -> fields.put(name, plain(field)));
+            return fields;
+        }
+        if (value instanceof JsonArray array) {
+            List<Object> elements = new ArrayList<>();
+            array.elements().forEach(element -> elements.add(plain(element)));
+            return elements;
+        }
+        return value instanceof JsonScalar scalar ? scalar.text() : null;
+    }
 }
--- a/src/test/java/cottonlock/proxy/ProxyTest.java
+++ b/src/test/java/cottonlock/proxy/ProxyTest.java
@@ -958,7 +958,7 @@
     void jsonIsReadOrRefused(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         String good = "{\"a\":[1,-2.5e3,true,null,\"\\u0041\\n\"],\"b\":{\"c\":{}}}";
-        assertEquals("A\n", ((List<?>) ((Map<?, ?>) JsonReader.read(good)).get("a")).get(4));
+        assertEquals("A\n", ((List<?>) ((Map<?, ?>) plain(JsonReader.read(good))).get("a")).get(4));
         StringBuilder text = new StringBuilder(good);
         text.setCharAt(random.nextInt(text.length()), (char) random.nextInt(128));
         text.setLength(random.nextInt(text.length()));
--- a/src/test/java/cottonlock/proxy/RacesTest.java
+++ b/src/test/java/cottonlock/proxy/RacesTest.java
@@ -354,9 +354,7 @@
                 new EndpointListWatch(
                         address(at),
                         new EndpointListParser(log, List.of("z"), List.of("k")),
-                        7,
-                        true,
-                        silence,
+                        new EndpointListWatch.Options(7, true, silence),
                         module,
                         buffers,
                         log,
@@ -376,11 +374,11 @@
         StandIn old = new StandIn(request -> "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
         StandIn now = new StandIn(request -> SILENT);
         EndpointListWatch watch = watch(old, 4_000);
-        watch.ask();
+        watch.request();
         eventually(() -> old.requests.size() == 1, "the old place is asked");
         assertTrue(old.requests.get(0).get(0).contains("index=7 "));
         // Refused there, it waits until the module asks again.
-        eventually(watch::waits, "between two watches");
+        eventually(watch::awaitsRequest, "between two watches");
         watch.move(address(now));
         eventually(() -> now.requests.size() == 1, "the new place is asked");
         assertTrue(now.requests.get(0).get(0).contains("index=0 "), now.requests.get(0).get(0));
@@ -408,7 +406,7 @@
                             return CLOSE;
                         }
                     };
-            watch(trickles, 300).ask();
+            watch(trickles, 300).request();
             assertTrue(ended.await(8, TimeUnit.SECONDS), "ended behind " + before);
         }
     }
--- a/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
+++ b/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
@@ -5,9 +5,10 @@
 
 import cottonlock.lab.ControlMachine;
 import cottonlock.lab.ControlMachine.Trouble;
-import cottonlock.proxy.control.ConfigurationVersionParser;
+import cottonlock.proxy.control.ConfigurationVersionDigest;
 import cottonlock.proxy.control.ProxyConfiguration;
 import cottonlock.proxy.io.JsonReader;
+import cottonlock.proxy.io.JsonValue.JsonObject;
 import cottonlock.setup.OperatorConfig;
 import cottonlock.setup.RolloutConfig;
 import java.io.IOException;
@@ -104,7 +105,7 @@
         String figure(String key) throws IOException {
             try {
                 return String.valueOf(
-                        ((Map<?, ?>) JsonReader.read(ask("DUMP").split("\n")[0])).get(key));
+                        ((JsonObject) JsonReader.read(ask("DUMP").split("\n")[0])).get(key));
             } catch (java.net.ConnectException e) {
                 return null;
             }
@@ -170,8 +171,8 @@
                         file.indexOf("\"settings\":") + "\"settings\":".length(),
                         file.length() - 1);
         base =
-                ConfigurationVersionParser.base(
-                        ProxyConfiguration.settings((Map<?, ?>) JsonReader.read(content)));
+                ConfigurationVersionDigest.ofBase(
+                        ProxyConfiguration.settings((JsonObject) JsonReader.read(content)));
         int[] ports = freePorts(2 * processes);
         for (int i = 0; i < processes; i++) {
             Instance instance = new Instance(ports[2 * i], ports[2 * i + 1]);
@@ -290,8 +291,8 @@
         control.forEach(c -> c.trouble(Trouble.NONE));
         String others = named("fifth").replace("\"acme\"", "\"amce\"");
         String othersBase =
-                ConfigurationVersionParser.base(
-                        ProxyConfiguration.settings((Map<?, ?>) JsonReader.read(others)));
+                ConfigurationVersionDigest.ofBase(
+                        ProxyConfiguration.settings((JsonObject) JsonReader.read(others)));
         control.forEach(c -> c.publish("s", 5, othersBase, others));
         for (Instance i : instances) {
             inTime(() -> i.figure("configuration_refused_count").equals("2"), "refused");
@@ -312,8 +313,8 @@
                         text.indexOf("\"settings\":") + "\"settings\":".length(),
                         text.length() - 1);
         base =
-                ConfigurationVersionParser.base(
-                        ProxyConfiguration.settings((Map<?, ?>) JsonReader.read(content)));
+                ConfigurationVersionDigest.ofBase(
+                        ProxyConfiguration.settings((JsonObject) JsonReader.read(content)));
         List<String> addresses = new ArrayList<>();
         for (ControlMachine m : machines) {
             addresses.add(m.address());
--- a/src/test/java/cottonlock/proxy/control/ConfigurationVersionParserTest.java
+++ b/src/test/java/cottonlock/proxy/control/ConfigurationVersionParserTest.java
@@ -1,15 +1,14 @@
 package cottonlock.proxy.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cottonlock.lab.ControlMachine;
 import cottonlock.proxy.io.JsonReader;
+import cottonlock.proxy.io.JsonValue.JsonObject;
 import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.Settings;
-import java.util.Map;
 import net.jqwik.api.Example;
 
 /** What is a version, and which can be used: told apart by its bytes and the base alone. */
@@ -20,11 +19,15 @@
                     + "\"Zones\":[\"z\"],\"Limits\":{\"MaxHandOffs\":3}}";
 
     private static String base(String settings) {
-        return ConfigurationVersionParser.base(settings(settings));
+        return ConfigurationVersionDigest.ofBase(settings(settings));
+    }
+
+    private static Settings validated(ConfigurationVersionMessage message, String base) {
+        return ConfigurationVersionValidator.validate(message.content().orElseThrow(), base);
     }
 
     private static Settings settings(String json) {
-        return ProxyConfiguration.settings((Map<?, ?>) JsonReader.read(json));
+        return ProxyConfiguration.settings((JsonObject) JsonReader.read(json));
     }
 
     static String line(long seq, String digest, String base, String settings) {
@@ -45,17 +48,15 @@
 
     @Example
     void aWholeVersionIsRead() {
-        ConfigurationVersionParser line = ConfigurationVersionParser.read(line(SETTINGS));
-        assertEquals("43." + ControlMachine.digest(SETTINGS), line.version.toString());
-        assertEquals(3, line.judged(base(SETTINGS)).count("Limits.MaxHandOffs", 0));
-        ConfigurationVersionParser number =
-                ConfigurationVersionParser.read("{\"seq\":43,\"digest\":\"00000000000000ff\"}");
-        assertNull(number.content);
-        assertEquals(255, number.version.digest());
+        ConfigurationVersionMessage line = ConfigurationVersionParser.parse(line(SETTINGS));
+        assertEquals("43." + ControlMachine.digest(SETTINGS), line.version().toString());
+        assertEquals(3, validated(line, base(SETTINGS)).count("Limits.MaxHandOffs", 0));
+        ConfigurationVersionMessage number =
+                ConfigurationVersionParser.parse("{\"seq\":43,\"digest\":\"00000000000000ff\"}");
+        assertTrue(number.content().isEmpty());
+        assertEquals(255, number.version().digest());
         assertEquals(
-                0x2cf24dba5fb0a30eL,
-                ConfigurationVersionParser.digest("hello"),
-                "as sha256sum has it");
+                0x2cf24dba5fb0a30eL, ConfigurationVersionDigest.of("hello"), "as sha256sum has it");
     }
 
     @Example
@@ -77,7 +78,7 @@
                 }) {
             assertThrows(
                     InvalidSettingsException.class,
-                    () -> ConfigurationVersionParser.read(bad),
+                    () -> ConfigurationVersionParser.parse(bad),
                     bad);
         }
     }
@@ -118,21 +119,23 @@
                     assertThrows(
                             InvalidSettingsException.class,
                             () ->
-                                    ConfigurationVersionParser.read(line(one[0]))
-                                            .judged(base(SETTINGS)),
+                                    validated(
+                                            ConfigurationVersionParser.parse(line(one[0])),
+                                            base(SETTINGS)),
                             one[0]);
             assertTrue(fault.getMessage().contains(one[1]), fault.getMessage());
         }
         String others = SETTINGS.replace("\"z\"", "\"z\",\"y\"");
-        ConfigurationVersionParser onOthers =
-                ConfigurationVersionParser.read(
+        ConfigurationVersionMessage onOthers =
+                ConfigurationVersionParser.parse(
                         line(43, ControlMachine.digest(others), base(others), others));
         InvalidSettingsException fault =
-                assertThrows(InvalidSettingsException.class, () -> onOthers.judged(base(SETTINGS)));
+                assertThrows(
+                        InvalidSettingsException.class, () -> validated(onOthers, base(SETTINGS)));
         assertTrue(
                 fault.getMessage().contains("for which a new process is needed"),
                 fault.getMessage());
-        assertEquals(1, onOthers.judged(base(others)).count("Categories.count", 0));
+        assertEquals(1, validated(onOthers, base(others)).count("Categories.count", 0));
     }
 
     @Example
--- a/src/test/java/cottonlock/proxy/control/StoredFilesTest.java
+++ b/src/test/java/cottonlock/proxy/control/StoredFilesTest.java
@@ -8,6 +8,7 @@
 import cottonlock.lab.ControlMachine;
 import cottonlock.proxy.concurrent.TickClock;
 import cottonlock.proxy.io.JsonReader;
+import cottonlock.proxy.io.JsonValue.JsonObject;
 import cottonlock.proxy.io.RateLimitedLog;
 import cottonlock.setup.RolloutConfig;
 import cottonlock.setup.Settings;
@@ -18,7 +19,6 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
@@ -89,12 +89,12 @@
                         folder("cottonlock-p.bans", "cottonlock-p.bans"),
                         RECORDED_RETURN_TICKS + 1);
         for (String id : List.of("one", "three", "four-5.6")) {
-            assertTrue(read.out(id), id);
-            assertEquals(Endpoint.State.DRAINING, read.told(listed(id)).state(), id);
+            assertTrue(read.isEjected(id), id);
+            assertEquals(Endpoint.State.DRAINING, read.effective(listed(id)).state(), id);
         }
-        assertFalse(read.out("two"));
-        assertEquals(RECORDED_RETURN_TICKS, read.told(listed("two")).startedAt());
-        assertEquals(listed("other"), read.told(listed("other")));
+        assertFalse(read.isEjected("two"));
+        assertEquals(RECORDED_RETURN_TICKS, read.effective(listed("two")).startedAtTicks());
+        assertEquals(listed("other"), read.effective(listed("other")));
     }
 
     @Example
@@ -103,24 +103,24 @@
                 ejections(
                         folder("cottonlock-p.bans", "cottonlock-p.bans"),
                         RECORDED_RETURN_TICKS + RETURN_COUNTS_TICKS);
-        assertEquals(listed("two"), read.told(listed("two")));
-        assertTrue(read.out("one"), "bans do not age");
+        assertEquals(listed("two"), read.effective(listed("two")));
+        assertTrue(read.isEjected("one"), "bans do not age");
     }
 
     @Example
     void bansAreWrittenAsRecorded() throws Exception {
         Path folder = folder();
         ManualEjections written = ejections(folder, RECORDED_RETURN_TICKS);
-        written.change("one", true);
-        written.change("two", true);
-        written.change("three", true);
-        written.change("two", false);
-        written.change("four-5.6", true);
+        written.setEjected("one", true);
+        written.setEjected("two", true);
+        written.setEjected("three", true);
+        written.setEjected("two", false);
+        written.setEjected("four-5.6", true);
         assertEquals(recorded("cottonlock-p.bans"), text(folder.resolve("cottonlock-p.bans")));
     }
 
     private static Settings settings(String json) {
-        return ProxyConfiguration.settings((Map<?, ?>) JsonReader.read(json));
+        return ProxyConfiguration.settings((JsonObject) JsonReader.read(json));
     }
 
     private RolloutActor actor(Path folder, List<String> control, Consumer<Settings> takeIn) {
@@ -143,7 +143,7 @@
         actor.begin();
         assertEquals(1, taken.size());
         assertEquals(settings(CHANGED_SETTINGS).sorted(), taken.get(0).sorted());
-        String figures = actor.figures();
+        String figures = actor.metrics();
         assertTrue(figures.contains("\"configuration_version\":43,"), figures);
         assertTrue(figures.contains("\"configuration_digest\":\"4337fe8a26bf922b\""), figures);
         assertTrue(figures.contains("\"configuration_base\":\"" + BASE + '"'), figures);
@@ -158,8 +158,8 @@
         thread.setDaemon(true);
         thread.start();
         long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-        while (!actor.figures().contains("\"configuration_version\":" + version + ",")) {
-            assertTrue(System.nanoTime() < untilNanos, actor.figures());
+        while (!actor.metrics().contains("\"configuration_version\":" + version + ",")) {
+            assertTrue(System.nanoTime() < untilNanos, actor.metrics());
             Thread.sleep(5);
         }
         actor.close();
@@ -225,7 +225,7 @@
     @Example
     void aRecordedHandOverOfAProcessThatIsGoneReplacesNobody() throws Exception {
         Path folder = folder("cottonlock-p.serving", "cottonlock-p.serving");
-        assertFalse(new ProcessHandover(new SharedFile(folder, "p", "serving", log)).replaced());
+        assertFalse(new ProcessHandover(new SharedFile(folder, "p", "serving", log)).isReplaced());
     }
 
     @Example
@@ -235,17 +235,17 @@
         Path folder = folder();
         Path file = folder.resolve("cottonlock-p.serving");
         ProcessHandover handover = new ProcessHandover(new SharedFile(folder, "p", "serving", log));
-        handover.serving();
+        handover.announceServing();
         assertEquals(asRecorded(recorded, ProcessHandle.current()), text(file));
-        assertFalse(handover.replaced());
+        assertFalse(handover.isReplaced());
         Process other = new ProcessBuilder("sleep", "60").start();
         try {
             write(file, asRecorded(recorded, other.toHandle()));
-            assertTrue(handover.replaced(), "by a living one");
+            assertTrue(handover.isReplaced(), "by a living one");
         } finally {
             other.destroyForcibly().waitFor();
         }
-        assertFalse(handover.replaced(), "by a dead one");
+        assertFalse(handover.isReplaced(), "by a dead one");
     }
 
     /** The recorded text with another process's number and start. */
--- a/src/test/java/cottonlock/rollout/ConfigurationRolloutTest.java
+++ b/src/test/java/cottonlock/rollout/ConfigurationRolloutTest.java
@@ -307,7 +307,8 @@
         for (int i = 0; i < 200; i++) {
             WatchAttempt call = r.nextWatch(now);
             assertTrue(
-                    call.startAtTicks() >= now && call.startAtTicks() <= now + plan.maxRetryDelayTicks(),
+                    call.startAtTicks() >= now
+                            && call.startAtTicks() <= now + plan.maxRetryDelayTicks(),
                     "a bounded wait");
             assertTrue(call.server() >= 0 && call.server() < machines);
             now = call.startAtTicks();
@@ -365,7 +366,8 @@
         assertTrue(now <= 20_000 + 17 * 6_500, "0.65 s each behind the first: " + now);
         long waited = r.nextWatch(now).startAtTicks() - now;
         assertTrue(
-                waited >= RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS / 2 && waited <= RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS,
+                waited >= RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS / 2
+                        && waited <= RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS,
                 "then one by one: " + waited);
     }
 }
