--- a/src/main/java/cottonlock/proxy/concurrent/package-info.java
+++ b/src/main/java/cottonlock/proxy/concurrent/package-info.java
@@ -1,2 +1,2 @@
-/** Threads' messages and the clock that the proxy's actors share. */
+/** What the proxy's actors share: the mailbox that serialises their messages, and the clock. */
 package cottonlock.proxy.concurrent;
--- a/src/main/java/cottonlock/proxy/discovery/package-info.java
+++ b/src/main/java/cottonlock/proxy/discovery/package-info.java
@@ -1,2 +1,6 @@
-/** The list of backends: the watch on discovery and the reader of its messages. */
+/**
+ * The list of backends: {@link cottonlock.proxy.discovery.EndpointListWatch} follows discovery,
+ * {@link cottonlock.proxy.discovery.EndpointListParser} maps its messages to {@link
+ * cottonlock.proxy.discovery.EndpointList}.
+ */
 package cottonlock.proxy.discovery;
--- a/src/main/java/cottonlock/proxy/io/package-info.java
+++ b/src/main/java/cottonlock/proxy/io/package-info.java
@@ -1,2 +1,2 @@
-/** Helpers for sockets, JSON and the log, without state of the proxy. */
+/** Sockets, streams of lines over HTTP, JSON and the log; without state of the proxy. */
 package cottonlock.proxy.io;
