--- a/src/main/java/cottonlock/lab/scale/HollowHost.java
+++ b/src/main/java/cottonlock/lab/scale/HollowHost.java
@@ -7,7 +7,7 @@
 import cottonlock.membership.MembershipService;
 import cottonlock.membership.MembershipView;
 import cottonlock.membership.SocketAddresses;
-import cottonlock.proxy.DiscoveryClient;
+import cottonlock.proxy.discovery.DiscoveryClient;
 import cottonlock.setup.MembershipConfig;
 import cottonlock.setup.MembershipProtocolConfig;
 import java.io.BufferedReader;
@@ -44,7 +44,7 @@
     private static final int KEPT = 1_024;
 
     /** One hollow proxy. */
-    private final class Proxy implements DiscoveryClient.Held {
+    private final class Proxy implements DiscoveryClient.Listener {
         final String name;
         final InetSocketAddress address;
         final InetSocketAddress discovery;
@@ -103,14 +103,14 @@
         }
 
         @Override
-        public synchronized void inForce(long version, boolean whole, int entries) {
+        public synchronized void listApplied(long version, boolean complete, int size) {
             versions[told % KEPT] = version;
             times[told % KEPT] = System.nanoTime();
             told++;
         }
 
         @Override
-        public void lost() {
+        public void watchLost() {
             // It watches again by itself.
         }
 
--- a/src/main/java/cottonlock/proxy/MembershipAdapter.java
+++ b/src/main/java/cottonlock/proxy/MembershipAdapter.java
@@ -4,6 +4,12 @@
 import cottonlock.membership.MembershipHost;
 import cottonlock.membership.MembershipService;
 import cottonlock.membership.SocketAddresses;
+import cottonlock.proxy.concurrent.TickClock;
+import cottonlock.proxy.control.PeerMessenger;
+import cottonlock.proxy.control.ProcessHandover;
+import cottonlock.proxy.control.ProxyConfiguration;
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
 import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.MembershipConfig;
 import java.io.File;
@@ -63,14 +69,14 @@
             SplittableRandom random,
             Collaborators collaborators)
             throws IOException {
-        InetSocketAddress peerListen = config.addressIfAny("peer_listen");
+        InetSocketAddress peerListen = config.addressOrNull("peer_listen");
         InetSocketAddress listen = listenAddress(membership, peerListen);
         LocalMember self = self(membership, config, listen);
         sharesPeerSocket = collaborators.peerSocket() != null && listen.equals(peerListen);
         socket =
                 sharesPeerSocket
                         ? collaborators.peerSocket()
-                        : PeerMessenger.socket(listen, collaborators.handover() != null);
+                        : PeerMessenger.openSocket(listen, collaborators.handover() != null);
         try {
             service = new MembershipService(membership, socket, self, random, host(collaborators));
         } catch (IllegalArgumentException e) {
@@ -94,8 +100,8 @@
         return new MembershipHost(
                 collaborators.clock()::now,
                 collaborators.loadBalancer()::progressAt,
-                handover == null ? null : handover::replaced,
-                collaborators.peers()::came,
+                handover == null ? null : handover::isReplaced,
+                collaborators.peers()::receive,
                 line -> log.each("members", line));
     }
 
--- /dev/null
+++ b/src/main/java/cottonlock/proxy/concurrent/Mailbox.java
@@ -0,0 +1,72 @@
+package cottonlock.proxy.concurrent;
+
+import cottonlock.proxy.io.RateLimitedLog;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * An actor's mailbox: a bounded queue of messages that any thread may send and the actor's thread
+ * alone runs, one after the other. A message that throws is logged and does not end the actor.
+ */
+public final class Mailbox implements Runnable {
+    private final BlockingQueue<Runnable> messages;
+    private final RateLimitedLog log;
+
+    /** A mailbox that holds up to so many messages; an empty one takes no memory for them. */
+    public Mailbox(int capacity, RateLimitedLog log) {
+        this.messages = new LinkedBlockingQueue<>(capacity);
+        this.log = log;
+    }
+
+    /** Sends a message without waiting; false when the mailbox is full. */
+    public boolean offer(Runnable message) {
+        return messages.offer(message);
+    }
+
+    /** Sends a message, and waits while the mailbox is full. Dropped when interrupted. */
+    public void put(Runnable message) {
+        try {
+            messages.put(message);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Runs the next message, if one comes within that time. Called by the actor's thread. */
+    public void next(long timeoutMicros) throws InterruptedException {
+        Runnable message = messages.poll(Math.max(0, timeoutMicros), TimeUnit.MICROSECONDS);
+        if (message != null) {
+            guard(message);
+        }
+    }
+
+    /** Runs all messages that have come so far. Called by the actor's thread. */
+    public void drain() {
+        for (Runnable message = messages.poll(); message != null; message = messages.poll()) {
+            guard(message);
+        }
+    }
+
+    /** Runs a message and logs what it throws, errors included. */
+    public void guard(Runnable message) {
+        try {
+            message.run();
+        } catch (RuntimeException | Error e) {
+            StackTraceElement[] trace = e.getStackTrace();
+            log.warn("fault", e + (trace.length > 0 ? " at " + trace[0] : ""));
+        }
+    }
+
+    /** The loop of an actor that does nothing but run its messages; ends when interrupted. */
+    @Override
+    public void run() {
+        try {
+            while (true) {
+                guard(messages.take());
+            }
+        } catch (InterruptedException e) {
+            // The proxy is closing.
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/cottonlock/proxy/control/PeerMessenger.java
@@ -0,0 +1,120 @@
+package cottonlock.proxy.control;
+
+import cottonlock.proxy.io.RateLimitedLog;
+import java.io.IOException;
+import java.net.DatagramPacket;
+import java.net.DatagramSocket;
+import java.net.InetSocketAddress;
+import java.net.SocketAddress;
+import java.net.StandardSocketOptions;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Consumer;
+
+/**
+ * Sends and receives the datagrams between the load balancers of a tier. Without an address for
+ * them it does nothing. Datagrams may be lost. Its thread receives; any thread may send.
+ */
+public final class PeerMessenger implements Runnable {
+    /** The protocol's limit for one datagram. */
+    private static final int MAX_DATAGRAM_BYTES = 256;
+
+    /** Null: nothing is sent or received. */
+    private final DatagramSocket socket;
+
+    private final Set<InetSocketAddress> peers;
+    private final InetSocketAddress broadcastAddress;
+    private final Consumer<byte[]> receiver;
+    private final RateLimitedLog log;
+
+    /**
+     * A messenger on an open socket.
+     *
+     * @param socket null where the settings name no address to listen at
+     * @param peers whose datagrams are accepted
+     * @param broadcastAddress reaches all peers; null where the settings name none
+     * @param receiver takes each peer's message, on the thread that received it
+     */
+    public PeerMessenger(
+            DatagramSocket socket,
+            List<InetSocketAddress> peers,
+            InetSocketAddress broadcastAddress,
+            Consumer<byte[]> receiver,
+            RateLimitedLog log) {
+        this.socket = broadcastAddress == null ? null : socket;
+        this.peers = Set.copyOf(peers);
+        this.broadcastAddress = broadcastAddress;
+        this.receiver = receiver;
+        this.log = log;
+    }
+
+    /**
+     * Opens a socket.
+     *
+     * @param sharesPort whether another process of this proxy may listen at the address too
+     * @throws IOException with the address in its message
+     */
+    public static DatagramSocket openSocket(InetSocketAddress address, boolean sharesPort)
+            throws IOException {
+        DatagramSocket socket = new DatagramSocket(null);
+        try {
+            socket.setOption(StandardSocketOptions.SO_REUSEPORT, sharesPort);
+            socket.bind(address);
+            return socket;
+        } catch (IOException e) {
+            socket.close();
+            String fault = "cannot listen for peers on " + address + ": " + e.getMessage();
+            throw new IOException(fault, e);
+        }
+    }
+
+    /** Sends a message to all peers; one that is too long or cannot be sent is dropped. */
+    public void send(byte[] message) {
+        if (socket == null || message.length > MAX_DATAGRAM_BYTES) {
+            return;
+        }
+        try {
+            socket.send(new DatagramPacket(message, message.length, broadcastAddress));
+        } catch (IOException e) {
+            log.info("peers", "a datagram could not be sent: " + e.getMessage());
+        }
+    }
+
+    @Override
+    public void run() {
+        if (socket == null) {
+            return;
+        }
+        // One byte more than the limit shows that a datagram is too long.
+        int capacity = MAX_DATAGRAM_BYTES + 1;
+        DatagramPacket packet = new DatagramPacket(new byte[capacity], capacity);
+        while (!socket.isClosed()) {
+            try {
+                packet.setLength(capacity);
+                socket.receive(packet);
+                receive(packet.getSocketAddress(), packet.getData(), packet.getLength());
+            } catch (IOException e) {
+                if (!socket.isClosed()) {
+                    log.info("peers", "a datagram could not be received: " + e.getMessage());
+                }
+            }
+        }
+    }
+
+    /** Handles a datagram that was received at the socket, by this thread or another one. */
+    public void receive(SocketAddress from, byte[] bytes, int length) {
+        if (length > MAX_DATAGRAM_BYTES || !peers.contains(from)) {
+            log.warn("peers", "dropped an odd datagram from " + from);
+        } else {
+            receiver.accept(Arrays.copyOf(bytes, length));
+        }
+    }
+
+    /** Closes the socket and so ends the thread. */
+    public void close() {
+        if (socket != null) {
+            socket.close();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/cottonlock/proxy/discovery/EndpointListParser.java
@@ -0,0 +1,150 @@
+package cottonlock.proxy.discovery;
+
+import cottonlock.decision.api.Endpoint;
+import cottonlock.proxy.io.JsonValue;
+import cottonlock.proxy.io.JsonValue.JsonArray;
+import cottonlock.proxy.io.JsonValue.JsonObject;
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
+import cottonlock.setup.InvalidSettingsException;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Parses discovery's messages; the one place that knows their field names. Zones and kinds become
+ * numbers: their positions in the settings' lists. Safe for use by any thread.
+ */
+public final class EndpointListParser {
+    private static final int TICKS_PER_MILLI = 10;
+
+    private final RateLimitedLog log;
+
+    /** Names by number; names that the settings lack are appended. Guarded by this. */
+    private final List<String> zones;
+
+    private final List<String> kinds;
+
+    /** A parser for the zones and kinds of the settings. */
+    public EndpointListParser(RateLimitedLog log, List<String> zones, List<String> kinds) {
+        this.log = log;
+        this.zones = new ArrayList<>(zones);
+        this.kinds = new ArrayList<>(kinds);
+    }
+
+    /**
+     * Parses a message. A host that is invalid is left out and logged, the others are taken.
+     *
+     * @throws InvalidSettingsException for a message without a list of hosts
+     */
+    public EndpointList parse(JsonValue message) {
+        if (!(message instanceof JsonObject object)
+                || !(object.get("hosts") instanceof JsonArray hosts)) {
+            throw new InvalidSettingsException("a list without hosts");
+        }
+        List<EndpointList.Entry> entries = new ArrayList<>();
+        for (JsonValue host : hosts.elements()) {
+            try {
+                if (!(host instanceof JsonObject fields)) {
+                    throw new InvalidSettingsException("a host that is no object");
+                }
+                entries.add(parseHost(fields));
+            } catch (InvalidSettingsException e) {
+                log.warn("list", "left out a host: " + e.getMessage());
+            }
+        }
+        boolean complete = object.text("whole", "").equals("true");
+        return new EndpointList(integer(object, "seq"), complete, entries);
+    }
+
+    /** That a backend drains or is gone is taken even where its other fields are invalid. */
+    private EndpointList.Entry parseHost(JsonObject fields) {
+        String id = requiredText(fields, "host");
+        Endpoint.State state = state(id, requiredText(fields, "health"));
+        try {
+            return parseHost(fields, id, state);
+        } catch (InvalidSettingsException e) {
+            if (state == Endpoint.State.READY) {
+                throw e;
+            }
+            log.warn("list", "only the health of a host is taken: " + e.getMessage());
+            int zone = numberOf(zones, "");
+            int kind = numberOf(kinds, "");
+            return new EndpointList.Entry(new Endpoint(id, zone, kind, 0, state, 0, 0), null);
+        }
+    }
+
+    private static Endpoint.State state(String id, String health) {
+        return switch (health) {
+            case "active" -> Endpoint.State.READY;
+            case "leaving" -> Endpoint.State.DRAINING;
+            case "left" -> Endpoint.State.GONE;
+            default -> throw new InvalidSettingsException("unknown health of " + id);
+        };
+    }
+
+    private EndpointList.Entry parseHost(JsonObject fields, String id, Endpoint.State state) {
+        double share = share(fields, id);
+        Endpoint endpoint =
+                new Endpoint(
+                        id,
+                        numberOf(zones, fields.text("site", "")),
+                        numberOf(kinds, fields.text("class", "")),
+                        (int) integer(fields, "block"),
+                        state,
+                        share,
+                        integer(fields, "born_ms") * TICKS_PER_MILLI);
+        return new EndpointList.Entry(endpoint, address(fields, id, state));
+    }
+
+    private static double share(JsonObject fields, String id) {
+        double share;
+        try {
+            share = Double.parseDouble(fields.text("share", "1"));
+        } catch (NumberFormatException e) {
+            throw new InvalidSettingsException("the share of " + id + " is not a number");
+        }
+        if (!(share >= 0 && share < Double.POSITIVE_INFINITY)) {
+            throw new InvalidSettingsException("the share of " + id + " is out of range");
+        }
+        return share;
+    }
+
+    private static InetSocketAddress address(JsonObject fields, String id, Endpoint.State state) {
+        String dial = fields.text("dial", "");
+        if (dial.isEmpty() && state != Endpoint.State.READY) {
+            return null;
+        }
+        try {
+            return Sockets.address(dial);
+        } catch (IllegalArgumentException e) {
+            throw new InvalidSettingsException("the dial of " + id + " is not an address: " + dial);
+        }
+    }
+
+    private static String requiredText(JsonObject fields, String name) {
+        String text = fields.text(name, null);
+        if (text == null) {
+            throw new InvalidSettingsException("a host without " + name);
+        }
+        return text;
+    }
+
+    /** An integer field; 0 where it is absent. */
+    private static long integer(JsonObject fields, String name) {
+        try {
+            return Long.parseLong(fields.text(name, "0"));
+        } catch (NumberFormatException e) {
+            throw new InvalidSettingsException(name + " is not a whole number");
+        }
+    }
+
+    private synchronized int numberOf(List<String> names, String name) {
+        int number = names.indexOf(name);
+        if (number < 0) {
+            number = names.size();
+            names.add(name);
+        }
+        return number;
+    }
+}
--- /dev/null
+++ b/src/main/java/cottonlock/proxy/discovery/EndpointListWatch.java
@@ -0,0 +1,213 @@
+package cottonlock.proxy.discovery;
+
+import cottonlock.proxy.BufferPool;
+import cottonlock.proxy.MalformedMessageException;
+import cottonlock.proxy.io.HttpLineStream;
+import cottonlock.proxy.io.JsonLineAssembler;
+import cottonlock.proxy.io.JsonReader;
+import cottonlock.proxy.io.RateLimitedLog;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.SplittableRandom;
+import java.util.concurrent.Semaphore;
+
+/**
+ * Watches discovery's list of backends: one thread with one streaming request at a time, opened
+ * again when it ends. It never gives up, whatever goes wrong.
+ *
+ * <p>A change has to be in force within 6 s of the moment that discovery has it and can be reached.
+ * The silence timeout, the delay before the next watch and the connect timeout add up to less; the
+ * sum is worked out in docs/races.md.
+ */
+public final class EndpointListWatch implements Runnable {
+    /** Milliseconds to connect: discovery is in the same network. */
+    public static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+
+    /** A watch without a line for this long is closed. An empty line comes every 2 s. */
+    public static final long SILENCE_TIMEOUT_MILLIS = 4_000;
+
+    /** The shortest delay before the next watch; doubled with each failure in a row. */
+    public static final long MIN_RETRY_DELAY_MILLIS = 50;
+
+    /** The longest delay before the next watch. */
+    public static final long MAX_RETRY_DELAY_MILLIS = 200;
+
+    /** Some thousand backends. */
+    private static final int MAX_MESSAGE_CHARS = 1 << 20;
+
+    /**
+     * How a watch starts.
+     *
+     * @param cachedVersion the version that the proxy already has from that address; 0: none
+     * @param onlyWhenRequested whether each watch waits for {@link #request}: the caller decides on
+     *     the delays then
+     * @param silenceTimeoutMillis see {@link #SILENCE_TIMEOUT_MILLIS}
+     */
+    public record Options(
+            long cachedVersion, boolean onlyWhenRequested, long silenceTimeoutMillis) {}
+
+    /** Where discovery is; set by any thread. */
+    private volatile InetSocketAddress address;
+
+    private final EndpointListParser parser;
+    private final Options options;
+    private final EndpointListListener listener;
+    private final BufferPool buffers;
+    private final RateLimitedLog log;
+    private final SplittableRandom random;
+    private final Semaphore requests = new Semaphore(0);
+
+    /** The last version and the address that it came from. Owned by the watch's thread. */
+    private long version;
+
+    private InetSocketAddress versionSource;
+
+    /** Messages received so far. Owned by the watch's thread. */
+    private long receivedCount;
+
+    /** The open watch, if any: set by the watch's thread, closed by any. */
+    private volatile HttpLineStream stream;
+
+    /** A watch that begins when its thread is started. */
+    public EndpointListWatch(
+            InetSocketAddress address,
+            EndpointListParser parser,
+            Options options,
+            EndpointListListener listener,
+            BufferPool buffers,
+            RateLimitedLog log,
+            SplittableRandom random) {
+        this.address = address;
+        this.parser = parser;
+        this.options = options;
+        this.version = options.cachedVersion();
+        this.versionSource = address;
+        this.listener = listener;
+        this.buffers = buffers;
+        this.log = log;
+        this.random = random;
+    }
+
+    /** Asks for a watch; without effect on one that is open. Callable from any thread. */
+    public void request() {
+        requests.release();
+    }
+
+    /** For tests: whether the thread waits for {@link #request}. */
+    public boolean awaitsRequest() {
+        return requests.hasQueuedThreads();
+    }
+
+    @Override
+    public void run() {
+        long retryDelayMillis = MIN_RETRY_DELAY_MILLIS;
+        try {
+            while (true) {
+                if (options.onlyWhenRequested()) {
+                    requests.acquire();
+                }
+                InetSocketAddress watched = address;
+                long receivedBefore = receivedCount;
+                watchUntilFailure(watched);
+                if (Thread.interrupted()) {
+                    return;
+                }
+                requests.drainPermits();
+                if (hasMovedFrom(watched)) {
+                    // Closed on purpose: no failure, and no delay before the new address.
+                    requests.release();
+                    continue;
+                }
+                listener.endpointListWatchEnded();
+                if (!options.onlyWhenRequested()) {
+                    retryDelayMillis =
+                            receivedCount > receivedBefore
+                                    ? MIN_RETRY_DELAY_MILLIS
+                                    : Math.min(MAX_RETRY_DELAY_MILLIS, 2 * retryDelayMillis);
+                    // Jitter: all proxies lose their watches together when discovery restarts.
+                    Thread.sleep(retryDelayMillis / 2 + random.nextLong(retryDelayMillis / 2));
+                }
+            }
+        } catch (InterruptedException e) {
+            // The proxy is closing.
+        }
+    }
+
+    /** Also survives errors such as a passing lack of memory: nothing else restarts the watch. */
+    private void watchUntilFailure(InetSocketAddress server) {
+        try {
+            watch(server);
+        } catch (IOException | MalformedMessageException | RuntimeException | Error e) {
+            log.info("list", "the watch ended: " + e);
+        }
+    }
+
+    /** By identity: a move away and back must still start anew. */
+    @SuppressWarnings(
+            "ReferenceEquality") // Each move sets a new object, be it equal to an old one.
+    private boolean hasMovedFrom(InetSocketAddress watched) {
+        return watched != address;
+    }
+
+    private void watch(InetSocketAddress server) throws IOException, MalformedMessageException {
+        byte[] buffer = buffers.take();
+        try (HttpLineStream lines = new HttpLineStream(buffer)) {
+            stream = lines;
+            if (hasMovedFrom(server)) {
+                // The move came too early to close this stream.
+                return;
+            }
+            lines.connect(server, CONNECT_TIMEOUT_MILLIS);
+            // A version means nothing at another source: it would leave out what it takes for
+            // known.
+            long knownVersion = server.equals(versionSource) ? version : 0;
+            lines.get(
+                    "/catalog/members?stream=1&index=" + knownVersion,
+                    options.silenceTimeoutMillis());
+            receiveAll(server, lines);
+        } finally {
+            buffers.give(buffer);
+        }
+    }
+
+    private void receiveAll(InetSocketAddress server, HttpLineStream lines)
+            throws IOException, MalformedMessageException {
+        JsonLineAssembler assembler =
+                new JsonLineAssembler(MAX_MESSAGE_CHARS, "a list is too long");
+        for (String line = lines.readLine(MAX_MESSAGE_CHARS);
+                line != null;
+                line = lines.readLine(MAX_MESSAGE_CHARS)) {
+            String message = assembler.add(line);
+            if (message == null) {
+                continue;
+            }
+            if (!message.isBlank()) {
+                EndpointList list = parser.parse(JsonReader.read(message));
+                version = list.version();
+                versionSource = server;
+                receivedCount++;
+                listener.endpointListReceived(list, false);
+            }
+            // Only complete messages and keep-alive lines extend the deadline.
+            lines.readWithin(options.silenceTimeoutMillis());
+        }
+        throw new IOException("discovery ended it");
+    }
+
+    /** Moves to another address at once, and asks for the whole list. Callable from any thread. */
+    public void move(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address)) {
+            address = newAddress;
+            close();
+            requests.release();
+        }
+    }
+
+    /** Ends a read that the thread may be in; it has been interrupted before. */
+    public void close() {
+        HttpLineStream open = stream;
+        if (open != null) {
+            open.close();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/cottonlock/proxy/io/package-info.java
@@ -0,0 +1,2 @@
+/** Sockets, streams of lines over HTTP, JSON and the log; without state of the proxy. */
+package cottonlock.proxy.io;
--- a/src/test/java/cottonlock/proxy/ProxyTest.java
+++ b/src/test/java/cottonlock/proxy/ProxyTest.java
@@ -5,6 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cottonlock.proxy.concurrent.Mailbox;
+import cottonlock.proxy.io.JsonReader;
+import cottonlock.proxy.io.RateLimitedLog;
+import cottonlock.proxy.io.Sockets;
 import cottonlock.setup.InvalidSettingsException;
 import cottonlock.setup.OperatorConfig;
 import java.io.BufferedReader;
@@ -954,7 +958,7 @@
     void jsonIsReadOrRefused(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         String good = "{\"a\":[1,-2.5e3,true,null,\"\\u0041\\n\"],\"b\":{\"c\":{}}}";
-        assertEquals("A\n", ((List<?>) ((Map<?, ?>) JsonReader.read(good)).get("a")).get(4));
+        assertEquals("A\n", ((List<?>) ((Map<?, ?>) plain(JsonReader.read(good))).get("a")).get(4));
         StringBuilder text = new StringBuilder(good);
         text.setCharAt(random.nextInt(text.length()), (char) random.nextInt(128));
         text.setLength(random.nextInt(text.length()));
