--- a/src/main/java/cottonlock/decision/admission/LaneRateLimit.java
+++ b/src/main/java/cottonlock/decision/admission/LaneRateLimit.java
@@ -40,8 +40,8 @@
         // A quick failure must not pass for a quick response.
         double sampleTicks =
                 outcome == AttemptOutcome.COMPLETED
-                        ? tookTicks
-                        : Math.max(tookTicks, 2 * attemptTicks);
+                        ? (double) tookTicks
+                        : Math.max((double) tookTicks, 2 * attemptTicks);
         double boundedTicks = Math.min(sampleTicks, maxSampleTicks(objectiveTicks));
         attemptTicks += (boundedTicks - attemptTicks) / SAMPLE_WEIGHT_DIVISOR;
     }
--- a/src/main/java/cottonlock/decision/admission/LatencyStatistics.java
+++ b/src/main/java/cottonlock/decision/admission/LatencyStatistics.java
@@ -66,7 +66,7 @@
 
     /** A request has completed so long after it was admitted. */
     void recordLatency(Request request, long latencyTicks, long nowTicks) {
-        logLatency.add(nowTicks, Math.round(LOG_SCALE * Math.log(1 + latencyTicks)));
+        logLatency.add(nowTicks, Math.round(LOG_SCALE * Math.log((double) (1 + latencyTicks))));
         completed.add(nowTicks, 1);
         objectiveTicks.add(nowTicks, request.requestClass().latencyObjectiveTicks());
     }
