--- /dev/null
+++ b/src/main/java/cottonlock/ProcessSignals.java
@@ -0,0 +1,78 @@
+package cottonlock;
+
+import cottonlock.proxy.Proxy;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * Maps the process's signals to the proxy's life cycle: SIGTERM drains it, SIGHUP reloads its
+ * configuration.
+ *
+ * <p>Created before the proxy starts, since Java's own reaction to either signal would end the
+ * process. A signal that arrives during the start waits for {@link #started(Proxy)} on the signal's
+ * or the shutdown hook's thread.
+ *
+ * <p>Java has no public interface for signals: this is the only class that uses {@code sun.misc}.
+ */
+final class ProcessSignals {
+    /** A process manager kills a process that has not stopped after little more. */
+    private static final long MAX_START_SECONDS = 3;
+
+    private final CountDownLatch started = new CountDownLatch(1);
+    private final boolean hangUpIgnored;
+
+    /** Written once, by the starting thread, before {@link #started} opens; null if none serves. */
+    private Proxy proxy;
+
+    /** Installs the handler of SIGHUP and the shutdown hook. */
+    ProcessSignals() {
+        Runtime.getRuntime().addShutdownHook(new Thread(this::drain));
+        // Java leaves a signal alone that the parent process ignores, as nohup does with SIGHUP,
+        // and returns SIG_IGN here.
+        hangUpIgnored =
+                sun.misc.Signal.handle(
+                                new sun.misc.Signal("HUP"), signal -> whenStarted(Proxy::reload))
+                        == sun.misc.SignalHandler.SIG_IGN;
+    }
+
+    /**
+     * Carries out the signals that arrived during the start, and those that follow.
+     *
+     * @param served the proxy that serves, or null if the start failed
+     */
+    void started(Proxy served) {
+        proxy = served;
+        started.countDown();
+        if (hangUpIgnored && served != null) {
+            warnOfIgnoredHangUp();
+        }
+    }
+
+    private void drain() {
+        long signalledAtNanos = System.nanoTime();
+        whenStarted(running -> running.drain(signalledAtNanos));
+    }
+
+    private static void warnOfIgnoredHangUp() {
+        System.getLogger("cottonlock")
+                .log(
+                        System.Logger.Level.WARNING,
+                        "signals: SIGHUP was ignored before the start, as under nohup: a new"
+                                + " configuration will never be taken in");
+    }
+
+    private void whenStarted(ProxyAction action) {
+        try {
+            if (started.await(MAX_START_SECONDS, TimeUnit.SECONDS) && proxy != null) {
+                action.apply(proxy);
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** What a signal does to the running proxy. */
+    private interface ProxyAction {
+        void apply(Proxy proxy) throws InterruptedException;
+    }
+}
--- a/src/main/java/cottonlock/admin/ManagementServer.java
+++ b/src/main/java/cottonlock/admin/ManagementServer.java
@@ -142,7 +142,7 @@
         if (line == null) {
             return "NAK the call is longer than " + LONGEST + " bytes\n";
         }
-        String[] words = line.trim().split(" +");
+        String[] words = line.trim().split(" +", 0);
         String fault;
         try {
             if (words.length == 1 && words[0].equals("DUMP")) {
--- a/src/main/java/cottonlock/cli/Cli.java
+++ b/src/main/java/cottonlock/cli/Cli.java
@@ -197,7 +197,9 @@
         }
 
         private static Lab lab() {
-            return new Lab(System.out, System.err, System.console() != null);
+            @SuppressWarnings("SystemConsoleNull") // The program runs on Java 17.
+            boolean interactive = System.console() != null;
+            return new Lab(System.out, System.err, interactive);
         }
 
         @Command(
--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -263,7 +263,7 @@
         job.id = message.field("x-request-id");
         job.key = message.field("idempotency-key");
         job.tenant = message.field("x-tenant-id");
-        String target = message.start()[1];
+        String target = message.start().get(1);
         int mark = target.indexOf("?w=");
         job.category = mark < 0 ? null : categories.get(target.substring(1, mark));
         if (job.id == null || job.category == null) {
--- a/src/main/java/cottonlock/lab/Caller.java
+++ b/src/main/java/cottonlock/lab/Caller.java
@@ -242,7 +242,7 @@
         int body =
                 Arrays.hashCode(message.body())
                         + (sabotage.equals("wrong-answer") && chance.nextInt(200) == 0 ? 1 : 0);
-        String status = message.start()[1];
+        String status = message.start().get(1);
         End end =
                 status.equals("200")
                         ? End.FINISHED
--- a/src/main/java/cottonlock/lab/Chart.java
+++ b/src/main/java/cottonlock/lab/Chart.java
@@ -23,7 +23,15 @@
     };
 
     /** One line: its values by place along the x axis; a negative one is a gap. */
-    private record Line(String name, double[] values) {}
+    private static final class Line {
+        private final String name;
+        private final double[] values;
+
+        Line(String name, double[] values) {
+            this.name = name;
+            this.values = values;
+        }
+    }
 
     private final String title;
     private final String unit;
--- a/src/main/java/cottonlock/lab/Clients.java
+++ b/src/main/java/cottonlock/lab/Clients.java
@@ -17,7 +17,6 @@
     private static final long PAUSE = 50_000_000L;
 
     private final Loop loop;
-    private final Ledger ledger;
     private final Series series;
     private final Scenario.ClientPlan plan;
     private final List<String> tenants;
@@ -39,7 +38,6 @@
 
     Clients(
             Loop loop,
-            Ledger ledger,
             Series series,
             Scenario.ClientPlan plan,
             List<String> tenants,
@@ -47,7 +45,6 @@
             List<Caller> callers,
             int[] rooms) {
         this.loop = loop;
-        this.ledger = ledger;
         this.series = series;
         this.plan = plan;
         this.tenants = tenants;
--- a/src/main/java/cottonlock/lab/Conn.java
+++ b/src/main/java/cottonlock/lab/Conn.java
@@ -154,10 +154,12 @@
         long read = loop.now();
         if (path.plain() && inFree <= read) {
             cameAt = read;
+            assert buffer.arrayOffset() == 0;
             owner.came(this, buffer.array(), n);
             return;
         }
-        byte[] bytes = Arrays.copyOf(buffer.array(), n);
+        byte[] bytes =
+                Arrays.copyOfRange(buffer.array(), buffer.arrayOffset(), buffer.arrayOffset() + n);
         inFree = Math.max(inFree, loop.now() + path.delay) + path.takes(n);
         loop.at(
                 inFree,
--- a/src/main/java/cottonlock/lab/ControlMachine.java
+++ b/src/main/java/cottonlock/lab/ControlMachine.java
@@ -83,7 +83,7 @@
     public synchronized void start() throws IOException {
         ServerSocket mine = new ServerSocket();
         mine.setReuseAddress(true);
-        mine.bind(new java.net.InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), 512);
+        mine.bind(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), port), 512);
         server = mine;
         port = mine.getLocalPort();
         Thread accepts = new Thread(() -> accept(mine), "control");
@@ -164,7 +164,7 @@
             }
             synchronized (this) {
                 open.add(socket);
-                answer(socket, start == null ? "" : start.split(" ")[1]);
+                answer(socket, start == null ? "" : start.split(" ", 0)[1]);
             }
         } catch (IOException | ArrayIndexOutOfBoundsException e) {
             close(socket);
@@ -207,7 +207,7 @@
     }
 
     private static String parameter(String target, String name) {
-        for (String pair : target.substring(target.indexOf('?') + 1).split("&")) {
+        for (String pair : target.substring(target.indexOf('?') + 1).split("&", 0)) {
             if (pair.startsWith(name + "=")) {
                 return pair.substring(name.length() + 1);
             }
--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -151,7 +151,7 @@
                         .append("{\"host\":\"")
                         .append(b.id)
                         .append("\",\"dial\":\"")
-                        .append(dial.getHostString())
+                        .append(dial.getAddress().getHostAddress())
                         .append(':')
                         .append(dial.getPort())
                         .append("\",\"site\":\"")
@@ -352,7 +352,7 @@
 
     private void asked(Conn conn, HttpIn.Message message) {
         Watch watch = (Watch) ((Door) conn.of).of;
-        String target = message.start()[1];
+        String target = message.start().get(1);
         if (conn.isOver() || down) {
             return;
         }
@@ -372,7 +372,7 @@
             long since = index(target);
             boolean whole = since <= 0 || since > version;
             conn.write(
-                    ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                             .getBytes(StandardCharsets.ISO_8859_1));
             conn.write(chunk(json(watch.proxy, whole, since) + "\n"));
             watch.watching.add(conn);
--- a/src/main/java/cottonlock/lab/Door.java
+++ b/src/main/java/cottonlock/lab/Door.java
@@ -49,7 +49,7 @@
         this.path = path;
         this.proxy = proxy;
         this.of = of;
-        this.address = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
+        this.address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         open();
     }
 
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -3,6 +3,7 @@
 import cottonlock.config.InvalidConfigurationException;
 import java.io.IOException;
 import java.io.UncheckedIOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -13,6 +14,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
@@ -83,7 +85,6 @@
         final boolean first;
 
         long starts;
-        boolean starves;
 
         Node(int number, Host host, Caller caller, boolean first) {
             this.number = number;
@@ -212,7 +213,6 @@
         clients =
                 new Clients(
                         loop,
-                        ledger,
                         series,
                         scenario.clients,
                         scenario.tenants.stream().map(Scenario.TenantPlan::name).toList(),
@@ -385,7 +385,8 @@
         InetSocketAddress real;
         // Not held until then: a second socket on it would get a part of what comes.
         try (java.net.DatagramSocket free =
-                new java.net.DatagramSocket(new InetSocketAddress("127.0.0.1", 0))) {
+                new java.net.DatagramSocket(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
             real = (InetSocketAddress) free.getLocalSocketAddress();
         }
         net.listens(number, real);
@@ -393,7 +394,7 @@
     }
 
     private static String text(InetSocketAddress address) {
-        return address.getHostString() + ":" + address.getPort();
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /** Told on the loop's thread what second of the load has ended. */
@@ -717,7 +718,7 @@
                             .filter(n -> n.host != null && n.serving)
                             .forEach(
                                     n ->
-                                            starters.submit(
+                                            runInBackground(
                                                     () -> {
                                                         n.host.reload(n.starts);
                                                         return null;
@@ -774,7 +775,7 @@
             }
             up.run();
         } else {
-            starters.submit(
+            runInBackground(
                     () -> {
                         start(own);
                         loop.post(
@@ -782,6 +783,7 @@
                                     own.caller.dying(false);
                                     up.run();
                                 });
+                        return null;
                     });
         }
     }
@@ -818,7 +820,7 @@
      * Another process of the proxy takes over while this one serves: to the others nothing happens.
      */
     private void proxyReplace(Node node) {
-        starters.submit(
+        runInBackground(
                 () -> {
                     try {
                         loop.post(() -> judge.replaced(loop.now()));
@@ -862,14 +864,12 @@
 
     /** It gets only a part of a core: stopped for most of each {@link #SLICE}. */
     private void proxyStarve(Node node, long end, double part) {
-        node.starves = true;
         ledger.stoppedUntil(node.number, end);
         starveSlice(node, end, part);
     }
 
     private void starveSlice(Node node, long end, double part) {
         if (loop.now() >= end) {
-            node.starves = false;
             return;
         }
         signal(node, true);
@@ -877,8 +877,13 @@
         loop.after(SLICE, () -> starveSlice(node, end, part));
     }
 
+    /** Runs a step that waits for processes outside the loop's thread; its failure is dropped. */
+    private void runInBackground(Callable<?> step) {
+        Future<?> unused = starters.submit(step);
+    }
+
     private void signal(Node node, boolean stop) {
-        starters.submit(
+        runInBackground(
                 () -> {
                     node.host.stop(stop);
                     return null;
@@ -913,10 +918,10 @@
                 int to = group(groups, b);
                 boolean hit =
                         groups.isEmpty()
-                                || from >= 0
+                                || (from >= 0
                                         && to >= 0
                                         && from != to
-                                        && (!entry.oneWay() || from == 0);
+                                        && (!entry.oneWay() || from == 0));
                 if (a != b && hit) {
                     way(entry, a, b, begins);
                 }
@@ -958,7 +963,7 @@
         node.caller.dying(true);
         ledger.startedAnew(node.number);
         if (node.host != null) {
-            starters.submit(
+            runInBackground(
                     () -> {
                         node.host.kill();
                         return null;
@@ -979,7 +984,7 @@
             loop.after(away, () -> clients.back(node.number));
             return;
         }
-        starters.submit(
+        runInBackground(
                 () -> {
                     node.host.term();
                     loop.post(
@@ -996,7 +1001,7 @@
     }
 
     private void back(Node node) {
-        starters.submit(
+        runInBackground(
                 () -> {
                     start(node);
                     loop.post(
@@ -1004,6 +1009,7 @@
                                 node.caller.dying(false);
                                 clients.back(node.number);
                             });
+                    return null;
                 });
     }
 
@@ -1029,7 +1035,7 @@
         f.put("worst_s", worst);
         f.put("unanswered", (double) ledger.diedWithProxy());
         f.put("retried", (double) clients.retried());
-        f.put("sends_per_item", ledger.sends() / Math.max(1.0, clients.sent()));
+        f.put("sends_per_item", ledger.sends() / Math.max(1.0, (double) clients.sent()));
         f.put("behind_ms", loop.late().getValueAtPercentile(99.9) / 1_000.0);
         if (judge != null) {
             judge.figures(loop.now(), f);
--- a/src/main/java/cottonlock/lab/Host.java
+++ b/src/main/java/cottonlock/lab/Host.java
@@ -1,5 +1,7 @@
 package cottonlock.lab;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import cottonlock.proxy.Proxy;
 import java.io.File;
 import java.io.IOException;
@@ -61,7 +63,8 @@
         this.folder = folder;
         this.configuration = configuration;
         this.reserved = reserve();
-        this.address = new InetSocketAddress("127.0.0.1", reserved.getLocalPort());
+        this.address =
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), reserved.getLocalPort());
         this.operator = operator;
         this.reservedForCalls = operator == null ? null : new Socket[] {reserve(), reserve()};
         this.hang = folder.resolve(name + ".hang");
@@ -75,7 +78,7 @@
     private static Socket reserve() throws IOException {
         Socket socket = new Socket();
         socket.setReuseAddress(true);
-        socket.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+        socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         return socket;
     }
 
@@ -85,7 +88,8 @@
 
     /** Where operators call it now. */
     InetSocketAddress calledAt() {
-        return new InetSocketAddress("127.0.0.1", reservedForCalls[turn].getLocalPort());
+        return new InetSocketAddress(
+                InetAddress.getLoopbackAddress(), reservedForCalls[turn].getLocalPort());
     }
 
     String name() {
@@ -174,7 +178,7 @@
             String ask = "GET /_health HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n";
             socket.getOutputStream()
                     .write(ask.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1));
-            return new String(socket.getInputStream().readNBytes(12)).equals("HTTP/1.1 200");
+            return new String(socket.getInputStream().readNBytes(12), UTF_8).equals("HTTP/1.1 200");
         } catch (IOException e) {
             return false;
         }
--- a/src/main/java/cottonlock/lab/HttpIn.java
+++ b/src/main/java/cottonlock/lab/HttpIn.java
@@ -3,6 +3,7 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
+import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 
@@ -18,7 +19,31 @@
     private static final int LONGEST_BODY = 4 << 20;
 
     /** One message; names of fields are in small letters. */
-    record Message(String[] start, Map<String, String> fields, byte[] body) {
+    static final class Message {
+        private final List<String> start;
+        private final Map<String, String> fields;
+        private final byte[] body;
+
+        Message(List<String> start, Map<String, String> fields, byte[] body) {
+            this.start = start;
+            this.fields = fields;
+            this.body = body;
+        }
+
+        /** The words of the first line: at most three. */
+        List<String> start() {
+            return start;
+        }
+
+        Map<String, String> fields() {
+            return fields;
+        }
+
+        /** The body's bytes, not copied. */
+        byte[] body() {
+            return body;
+        }
+
         String field(String name) {
             return fields.get(name);
         }
@@ -82,18 +107,18 @@
         if (filled < body.length) {
             return null;
         }
-        Message message = new Message(start, fields, body);
+        Message message = new Message(List.of(start), fields, body);
         body = null;
         filled = 0;
         return message;
     }
 
     private void readHead() throws Unreadable {
-        String[] lines = head.toString(StandardCharsets.ISO_8859_1).split("\r\n");
+        String[] lines = head.toString(StandardCharsets.ISO_8859_1).split("\r\n", 0);
         head.reset();
         matched = 0;
         start = lines[0].split(" ", 3);
-        if (start.length < 2 || start.length < 3 && !start[0].startsWith("HTTP/")) {
+        if (start.length < 2 || (start.length < 3 && !start[0].startsWith("HTTP/"))) {
             throw new Unreadable("no start of a message: " + lines[0]);
         }
         fields = new LinkedHashMap<>();
--- a/src/main/java/cottonlock/lab/Lab.java
+++ b/src/main/java/cottonlock/lab/Lab.java
@@ -158,8 +158,8 @@
     /** Puts two reports side by side. */
     public int compare(Path one, Path other) {
         try {
-            Report.Short a = Report.read(one);
-            Report.Short b = Report.read(other);
+            Report.Summary a = Report.read(one);
+            Report.Summary b = Report.read(other);
             out.printf(Locale.ROOT, "%-16s %14s %14s %14s%n", "", "A", "B", "B - A");
             row("scenario", a.scenario(), b.scenario());
             row("policy", a.policy(), b.policy());
--- a/src/main/java/cottonlock/lab/Ledger.java
+++ b/src/main/java/cottonlock/lab/Ledger.java
@@ -2,6 +2,7 @@
 
 import cottonlock.core.Deterministic;
 import java.util.ArrayList;
+import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
@@ -38,8 +39,6 @@
         /** When nothing more may be sent for it; far off while it is owed. */
         long overAt = Long.MAX_VALUE / 2;
 
-        int sends;
-
         Entry(String chain, String category, int proxy, long until) {
             this.chain = chain;
             this.category = category;
@@ -63,7 +62,7 @@
      */
     private final Map<Integer, Long> stopped = new HashMap<>();
 
-    private final int[] counts = new int[Rule.values().length];
+    private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
     private final Map<String, Integer> twice = new java.util.TreeMap<>();
     private final List<String> lines = new ArrayList<>();
     private int unanswered;
@@ -75,7 +74,7 @@
     }
 
     private void breach(Rule rule, long now, String text) {
-        int n = ++counts[rule.ordinal()];
+        int n = counts.merge(rule, 1, Integer::sum);
         if (n <= LINES) {
             lines.add(
                     String.format(
@@ -164,7 +163,6 @@
                     "an attempt of " + id + ", which no client sent, came to " + backend);
             return;
         }
-        e.sends++;
         // What waited in a stopped process's sockets bears no time: it can't know how old it is.
         boolean waited = e.until <= stopped.getOrDefault(e.proxy, Long.MIN_VALUE);
         if (firstByte > Math.min(e.overAt, e.until) + grace && !waited) {
@@ -236,7 +234,7 @@
     }
 
     int count(Rule rule) {
-        return counts[rule.ordinal()];
+        return counts.getOrDefault(rule, 0);
     }
 
     /** Those whose proxy was killed while it owed them an answer. */
--- a/src/main/java/cottonlock/lab/MembersWatch.java
+++ b/src/main/java/cottonlock/lab/MembersWatch.java
@@ -59,8 +59,8 @@
 
     private static Map<String, MembersJudge.Seen> read(String text) {
         Map<String, MembersJudge.Seen> view = new TreeMap<>();
-        for (String line : text.split("\n")) {
-            String[] words = line.split(" ");
+        for (String line : text.split("\n", 0)) {
+            String[] words = line.split(" ", 0);
             if (words.length >= 6 && words[3].startsWith("life=")) {
                 view.put(
                         words[0],
--- a/src/main/java/cottonlock/lab/PeerNet.java
+++ b/src/main/java/cottonlock/lab/PeerNet.java
@@ -42,7 +42,7 @@
         Place(int number) throws IOException {
             this.number = number;
             channel = DatagramChannel.open();
-            channel.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+            channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             address = (InetSocketAddress) channel.getLocalAddress();
             loop.register(channel, SelectionKey.OP_READ, this);
         }
--- a/src/main/java/cottonlock/lab/PeerPaths.java
+++ b/src/main/java/cottonlock/lab/PeerPaths.java
@@ -31,7 +31,25 @@
     }
 
     /** A copy of a datagram that gets through, so many nanoseconds later. */
-    record Copy(byte[] bytes, long after) {}
+    static final class Copy {
+        private final byte[] bytes;
+        private final long after;
+
+        Copy(byte[] bytes, long after) {
+            this.bytes = bytes;
+            this.after = after;
+        }
+
+        /** The datagram's bytes, shared with its other copies. */
+        byte[] bytes() {
+            return bytes;
+        }
+
+        /** Nanoseconds until it arrives. */
+        long after() {
+            return after;
+        }
+    }
 
     private final Way[][] ways;
 
--- a/src/main/java/cottonlock/lab/PlainProxy.java
+++ b/src/main/java/cottonlock/lab/PlainProxy.java
@@ -22,7 +22,7 @@
     private static final long RESERVE = 10_000_000L;
 
     /** One request. */
-    private final class Item {
+    private static final class Item {
         final Conn client;
         final HttpIn.Message message;
         final long until;
@@ -191,7 +191,7 @@
     }
 
     private static boolean safe(Item item) {
-        return item.message.start()[0].equals("GET");
+        return item.message.start().get(0).equals("GET");
     }
 
     private void attempt(Item item) {
@@ -241,7 +241,7 @@
             return;
         }
         item.link = null;
-        switch (answer.start()[1]) {
+        switch (answer.start().get(1)) {
             case "200" -> {
                 over(item);
                 item.client.write(HttpIn.answer(200, null, null, answer.body()));
--- a/src/main/java/cottonlock/lab/Report.java
+++ b/src/main/java/cottonlock/lab/Report.java
@@ -167,7 +167,7 @@
     }
 
     /** What a comparison needs of a report. */
-    record Short(
+    record Summary(
             String file,
             String scenario,
             String policy,
@@ -176,7 +176,7 @@
             Map<String, Double> figures) {}
 
     /** Reads a report, or a folder with one, written by this version or an older one. */
-    static Short read(Path path) throws IOException {
+    static Summary read(Path path) throws IOException {
         Path file = Files.isDirectory(path) ? path.resolve("report.json") : path;
         Map<String, Double> figures = new LinkedHashMap<>();
         Map<String, String> texts = new LinkedHashMap<>();
@@ -212,7 +212,7 @@
                             + " or older, found "
                             + (version.isEmpty() ? "none" : version));
         }
-        return new Short(
+        return new Summary(
                 file.toString(),
                 texts.getOrDefault("scenario", "?"),
                 texts.getOrDefault("policy", "?"),
--- a/src/main/java/cottonlock/lab/Scenario.java
+++ b/src/main/java/cottonlock/lab/Scenario.java
@@ -437,7 +437,7 @@
                         text.matches("[0-9]{1,9}(\\.[0-9]{1,6})?")
                                 ? (long) (MILLI * Double.parseDouble(text))
                                 : -1;
-                if (at < 0 || !times.isEmpty() && at < times.get(times.size() - 1)) {
+                if (at < 0 || (!times.isEmpty() && at < times.get(times.size() - 1))) {
                     f.fault(
                             "trace",
                             file
@@ -539,8 +539,8 @@
         if (text.equals("all")) {
             text = "0-" + (proxies.count - 1);
         }
-        for (String part : text.replace(" ", "").split(",")) {
-            String[] ends = part.split("-");
+        for (String part : text.replace(" ", "").split(",", 0)) {
+            String[] ends = part.split("-", 0);
             boolean right = part.matches("[0-9]{1,3}(-[0-9]{1,3})?");
             int last = right ? Integer.parseInt(ends[ends.length - 1]) : 0;
             if (!right || last >= proxies.count || Integer.parseInt(ends[0]) > last) {
--- a/src/main/java/cottonlock/lab/Series.java
+++ b/src/main/java/cottonlock/lab/Series.java
@@ -1,6 +1,7 @@
 package cottonlock.lab;
 
 import java.util.ArrayList;
+import java.util.EnumMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -46,7 +47,7 @@
         final Line refused = new Line();
     }
 
-    private final Line[] counts = new Line[Count.values().length];
+    private final Map<Count, Line> counts = new EnumMap<>(Count.class);
     private final Line earned = new Line();
     private final Line offered = new Line();
     private final Line[] tenantEarned;
@@ -60,8 +61,8 @@
     private final Histogram[] perCategory;
 
     Series(int tenants, int categories) {
-        for (int i = 0; i < counts.length; i++) {
-            counts[i] = new Line();
+        for (Count what : Count.values()) {
+            counts.put(what, new Line());
         }
         tenantEarned = new Line[tenants];
         tenantOffered = new Line[tenants];
@@ -80,7 +81,7 @@
     }
 
     void count(Count what, long now) {
-        counts[what.ordinal()].add(second(now), 1);
+        counts.get(what).add(second(now), 1);
     }
 
     /** A request's credit, in thousandths, by the second in which it was due to be sent. */
@@ -124,14 +125,15 @@
 
     long total(Count what) {
         long total = 0;
-        for (int s = 0; s < counts[what.ordinal()].length; s++) {
-            total += counts[what.ordinal()].at(s);
+        Line line = counts.get(what);
+        for (int s = 0; s < line.length; s++) {
+            total += line.at(s);
         }
         return total;
     }
 
     Line line(Count what) {
-        return counts[what.ordinal()];
+        return counts.get(what);
     }
 
     /** The part of the credit that a second, or with -1 all, earned; 1 where none was offered. */
--- a/src/main/java/cottonlock/lab/rollout/Links.java
+++ b/src/main/java/cottonlock/lab/rollout/Links.java
@@ -54,7 +54,7 @@
     boolean cut(int from, int to) {
         boolean down = world.now() < flapsUntil && world.now() % period >= up;
         boolean apart = split && region(from) != region(to);
-        return apart || down && from != to && (from == flapping || to == flapping);
+        return apart || (down && from != to && (from == flapping || to == flapping));
     }
 
     long delay(int from, int to) {
--- a/src/main/java/cottonlock/lab/rollout/ProxyModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ProxyModel.java
@@ -132,7 +132,7 @@
             inOrder(
                     this,
                     () -> {
-                        if (over || watches && version == null && lineAt < 0) {
+                        if (over || (watches && version == null && lineAt < 0)) {
                             return;
                         }
                         count(
@@ -206,7 +206,7 @@
     /** Its thread does nothing while it is stopped, and reads no watch during a comparison. */
     private void inOrder(Connection on, Runnable task) {
         int now = life;
-        if (paused || compare != null && on.watches) {
+        if (paused || (compare != null && on.watches)) {
             heldBack.add(
                     () -> {
                         if (life == now) {
--- a/src/main/java/cottonlock/lab/rollout/RolloutStudy.java
+++ b/src/main/java/cottonlock/lab/rollout/RolloutStudy.java
@@ -248,7 +248,7 @@
         for (int i = 0; i < 350; i++) {
             int which = d.world.chance().nextInt(size);
             d.world.at(
-                    from + i * 60 * SECOND / 350,
+                    from + i * 60L * SECOND / 350,
                     () -> {
                         d.proxies.get(which).kill();
                         d.start(which);
--- a/src/main/java/cottonlock/lab/scale/Calls.java
+++ b/src/main/java/cottonlock/lab/scale/Calls.java
@@ -113,7 +113,7 @@
             try {
                 long at = due.take();
                 if (socket == null) {
-                    socket = new Socket("127.0.0.1", port);
+                    socket = new Socket(InetAddress.getLoopbackAddress(), port);
                     socket.setTcpNoDelay(true);
                     socket.setSoTimeout(2 * PATIENCE_MS);
                 }
@@ -147,7 +147,7 @@
     private static boolean answer(InputStream in) throws IOException {
         String head = head(in);
         int length = 0;
-        for (String line : head.split("\r\n")) {
+        for (String line : head.split("\r\n", 0)) {
             if (line.toLowerCase(java.util.Locale.ROOT).startsWith("content-length:")) {
                 length = Integer.parseInt(line.substring("content-length:".length()).strip());
             }
@@ -226,6 +226,11 @@
 
     @Override
     public void close() {
+        stop();
+    }
+
+    /** Ends the measurement; its figures can be read from here on. */
+    void stop() {
         over = true;
         try {
             backends.close();
--- a/src/main/java/cottonlock/lab/scale/Capacity.java
+++ b/src/main/java/cottonlock/lab/scale/Capacity.java
@@ -38,11 +38,11 @@
                     "expected proxy-ENTRIES-SEED or latency-TIERS-SEED to measure, found " + what);
             return UNUSABLE;
         }
-        String[] parts = what.split("-");
+        String[] parts = what.split("-", 0);
         int size = Integer.parseInt(parts[1]);
         long seed = Long.parseLong(parts[2]);
         boolean latency = parts[0].equals("latency");
-        if (size < 1 || latency && size > 3 || !latency && size > 10_000) {
+        if (size < 1 || (latency && size > 3) || (!latency && size > 10_000)) {
             err.println("expected 1 to 3 tiers or 1 to 10000 entries, found " + what);
             return UNUSABLE;
         }
--- a/src/main/java/cottonlock/lab/scale/CapacityPage.java
+++ b/src/main/java/cottonlock/lab/scale/CapacityPage.java
@@ -145,7 +145,7 @@
         if (name.startsWith("measured ")) {
             return measured(results, name.substring("measured ".length()));
         }
-        String[] words = name.split(" ");
+        String[] words = name.split(" ", 0);
         if (words.length == 3 && words[0].equals("before") && before.containsKey(words[1])) {
             return measured(before.get(words[1]), words[2]);
         }
@@ -358,7 +358,9 @@
     private String runs() {
         StringBuilder table =
                 new StringBuilder(
-                        "| result | verdict | machine late, 99.9% and worst, ms "
+                        "| result | verdict | machine late, 99.9"
+                                + '%'
+                                + " and worst, ms "
                                 + "| commit | in the slopes |\n| --- | --- | --- | --- | --- |");
         List<ResultFile> all = new ArrayList<>(results);
         before.values().forEach(all::addAll);
--- a/src/main/java/cottonlock/lab/scale/HollowHost.java
+++ b/src/main/java/cottonlock/lab/scale/HollowHost.java
@@ -249,7 +249,7 @@
         boolean[][] cut = new boolean[zones.size()][zones.size()];
         int[] group = new int[zones.size()];
         for (int g = 1; g < groups.length; g++) {
-            for (String zone : groups[g].split(",")) {
+            for (String zone : groups[g].split(",", 0)) {
                 group[Integer.parseInt(zone)] = g;
             }
         }
--- a/src/main/java/cottonlock/lab/scale/LatencyMeasure.java
+++ b/src/main/java/cottonlock/lab/scale/LatencyMeasure.java
@@ -75,7 +75,7 @@
                                 ? "none"
                                 : status == 0 ? verdict : "fail";
             }
-            lateness.close();
+            lateness.stop();
             try (JsonGenerator json =
                     new JsonFactory().createGenerator(Files.newBufferedWriter(result))) {
                 json.useDefaultPrettyPrinter();
--- a/src/main/java/cottonlock/lab/scale/Lateness.java
+++ b/src/main/java/cottonlock/lab/scale/Lateness.java
@@ -34,6 +34,11 @@
     /** Ends the watch; the figures are whole then. */
     @Override
     public void close() {
+        stop();
+    }
+
+    /** Ends the measurement; its figures can be read from here on. */
+    void stop() {
         over = true;
         try {
             thread.join();
--- a/src/main/java/cottonlock/lab/scale/Proc.java
+++ b/src/main/java/cottonlock/lab/scale/Proc.java
@@ -16,7 +16,7 @@
         try {
             String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
             // Behind the name in brackets, which may hold spaces: the state is the third field.
-            String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+            String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
             return Long.parseLong(fields[11]) + Long.parseLong(fields[12]);
         } catch (IOException e) {
             return -1;
--- a/src/main/java/cottonlock/lab/scale/ProxyMeasure.java
+++ b/src/main/java/cottonlock/lab/scale/ProxyMeasure.java
@@ -70,7 +70,7 @@
             throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("cottonlock-proxy");
         Process process = null;
-        try (ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
+        try (ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
                 Calls calls = new Calls(seed, rate);
                 Lateness lateness = new Lateness()) {
             String list = list(calls.port());
@@ -102,8 +102,8 @@
             from = System.nanoTime();
             Thread.sleep(COUNT);
             double busy = (ticks(process) - ticks) / TICKS / ((System.nanoTime() - from) / 1e9);
-            calls.close();
-            lateness.close();
+            calls.stop();
+            lateness.stop();
             String verdict =
                     lateness.usual() > LATE_LIMIT ? "none" : calls.served() == 0 ? "fail" : "pass";
             try (JsonGenerator json =
@@ -228,7 +228,7 @@
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return free.getLocalPort();
         }
     }
@@ -256,7 +256,7 @@
                 out.write(head);
                 out.write(body);
                 out.write("\r\n".getBytes(StandardCharsets.ISO_8859_1));
-                onWire[0] = head.length + body.length + 2;
+                onWire[0] = (long) head.length + body.length + 2;
                 while (!socket.isClosed()) {
                     Thread.sleep(BEAT);
                     out.write("1\r\n\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
@@ -276,7 +276,7 @@
                 "GET /_health HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n"
                         .getBytes(StandardCharsets.ISO_8859_1);
         while (true) {
-            try (Socket socket = new Socket("127.0.0.1", port)) {
+            try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 socket.setSoTimeout((int) START);
                 socket.getOutputStream().write(ask);
                 if (new String(socket.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
@@ -295,7 +295,7 @@
 
     private static double ticks(Process process) throws IOException {
         String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
-        String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+        String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
         return Long.parseLong(fields[11]) + Long.parseLong(fields[12]);
     }
 
--- a/src/main/java/cottonlock/lab/scale/ResultFile.java
+++ b/src/main/java/cottonlock/lab/scale/ResultFile.java
@@ -183,7 +183,7 @@
         }
         numbers.forEach(
                 (key, value) -> {
-                    if (!Double.isFinite(value) || value < NEVER && !key.startsWith("added.")) {
+                    if (!Double.isFinite(value) || (value < NEVER && !key.startsWith("added."))) {
                         faults.add(
                                 file
                                         + ": "
--- a/src/main/java/cottonlock/lab/scale/Samples.java
+++ b/src/main/java/cottonlock/lab/scale/Samples.java
@@ -1,5 +1,6 @@
 package cottonlock.lab.scale;
 
+import java.util.EnumMap;
 import java.util.Map;
 import java.util.TreeMap;
 
@@ -21,27 +22,24 @@
         WHOLE_LISTS
     }
 
-    private final Map<String, TreeMap<Long, double[]>> roles = new TreeMap<>();
+    private final Map<String, TreeMap<Long, Map<What, Double>>> roles = new TreeMap<>();
 
     synchronized void add(String role, long second, What what, double value) {
-        double[] row = row(role, second);
-        if (what == What.WORST_OUT) {
-            row[what.ordinal()] = Math.max(row[what.ordinal()], value);
-        } else {
-            row[what.ordinal()] += value;
-        }
+        Map<What, Double> row = row(role, second);
+        double before = row.getOrDefault(what, 0.0);
+        row.put(what, what == What.WORST_OUT ? Math.max(before, value) : before + value);
     }
 
-    private double[] row(String role, long second) {
+    private Map<What, Double> row(String role, long second) {
         return roles.computeIfAbsent(role, r -> new TreeMap<>())
-                .computeIfAbsent(second, s -> new double[What.values().length]);
+                .computeIfAbsent(second, s -> new EnumMap<>(What.class));
     }
 
     /** The value of a second; 0 where nothing was told. */
     synchronized double at(String role, long second, What what) {
-        TreeMap<Long, double[]> seconds = roles.get(role);
-        double[] row = seconds == null ? null : seconds.get(second);
-        return row == null ? 0 : row[what.ordinal()];
+        TreeMap<Long, Map<What, Double>> seconds = roles.get(role);
+        Map<What, Double> row = seconds == null ? null : seconds.get(second);
+        return row == null ? 0 : row.getOrDefault(what, 0.0);
     }
 
     /** The mean over seconds, the last left out. */
--- a/src/main/java/cottonlock/lab/scale/ScaleReport.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleReport.java
@@ -1,5 +1,7 @@
 package cottonlock.lab.scale;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import cottonlock.lab.Chart;
@@ -306,7 +308,7 @@
                     new ProcessBuilder("git", "rev-parse", "--short", "HEAD")
                             .redirectError(ProcessBuilder.Redirect.DISCARD)
                             .start();
-            return new String(git.getInputStream().readAllBytes()).strip();
+            return new String(git.getInputStream().readAllBytes(), UTF_8).strip();
         } catch (IOException e) {
             return "";
         }
--- a/src/main/java/cottonlock/lab/world/Fleet.java
+++ b/src/main/java/cottonlock/lab/world/Fleet.java
@@ -387,7 +387,7 @@
     }
 
     private boolean reachable(Node viewer, int number) {
-        return split && judgesSides
+        return (split && judgesSides)
                 ? sides[viewer.number] == sides[number]
                         && settled(nodes.get(number))
                         && settled(viewer)
--- a/src/main/java/cottonlock/lab/world/RegionsStudy.java
+++ b/src/main/java/cottonlock/lab/world/RegionsStudy.java
@@ -204,7 +204,7 @@
         long from = world.now();
         for (int i = 0; i < most; i++) {
             Fleet.Node n = fleet.nodes.get(i * 2);
-            long at = from + i * 60 * SECOND / most;
+            long at = from + i * 60L * SECOND / most;
             world.at(at, n::leave);
             world.at(at + BACK, () -> n.start(0));
         }
--- a/src/test/java/cottonlock/KnownRedTest.java
+++ b/src/test/java/cottonlock/KnownRedTest.java
@@ -26,9 +26,6 @@
                 + "    <system-out><![CDATA[  <testcase name=\"odd\""
                 + " classname=\"x.LabTest\"><error/>]]></system-out>\n"
                 + "  </testcase>\n";
-    private static final String SKIPPED =
-            "  <testcase name=\"%s\" classname=\"x.LabTest\" time=\"0\">\n"
-                    + "    <skipped/>\n  </testcase>\n";
 
     private final Path root = folder();
     private String said;
@@ -155,7 +152,19 @@
     void aListedTestMustExistAndBeRun() throws Exception {
         assertEquals(1, run(RED, other(false), 0), said);
         assertTrue(said.contains("there is no such test: " + RED), said);
-        assertEquals(1, run(RED, String.format(SKIPPED, "many"), 0), said);
+        assertEquals(
+                1,
+                run(
+                        RED,
+                        String.format(
+                                """
+                                  <testcase name="%s" classname="x.LabTest" time="0">
+                                    <skipped/>
+                                  </testcase>
+                                """,
+                                "many"),
+                        0),
+                said);
         assertTrue(said.contains("not run: " + RED), said);
     }
 
--- a/src/test/java/cottonlock/cli/CliTest.java
+++ b/src/test/java/cottonlock/cli/CliTest.java
@@ -159,8 +159,13 @@
         Path key = Files.writeString(folder.resolve("key"), "short\n");
         Files.writeString(
                 operator,
-                "[membership]\nenabled = true\nlisten = \"127.0.0.1:0\"\n"
-                        + "seeds = [\"127.0.0.1:9\"]\nkey_file = \"key\"\n");
+                """
+                [membership]
+                enabled = true
+                listen = "127.0.0.1:0"
+                seeds = ["127.0.0.1:9"]
+                key_file = "key"
+                """);
         assertEquals(2, run(files, List.of(), "serve", "--operator", operator.toString()));
         assertTrue(err.contains(key + " holds no key of 16 to 4096 bytes"), err);
     }
@@ -172,8 +177,12 @@
         Path operator =
                 Files.writeString(
                         folder.resolve("o.toml"),
-                        "[rollout]\nenabled = true\n"
-                                + "service = \"s\"\ncontrol = [\"127.0.0.1:1\"]\n");
+                        """
+                        [rollout]
+                        enabled = true
+                        service = "s"
+                        control = ["127.0.0.1:1"]
+                        """);
         Path config = Files.writeString(folder.resolve("config.json"), CONFIG);
         Path loaded = folder.resolve("loaded");
         Process serve =
--- a/src/test/java/cottonlock/config/ConfigTest.java
+++ b/src/test/java/cottonlock/config/ConfigTest.java
@@ -70,8 +70,13 @@
                         "F:5: rollout.call_ms: expected a number from 50 to 2000, found 10"),
                 faults(
                         ".toml",
-                        "[rollout]\nenabled = true\nservice = \"a b\"\ncontrol = [\"there\"]\n"
-                                + "call_ms = 10\n",
+                        """
+                        [rollout]
+                        enabled = true
+                        service = "a b"
+                        control = ["there"]
+                        call_ms = 10
+                        """,
                         OperatorFile::read));
         assertEquals(
                 List.of(
@@ -81,10 +86,12 @@
         Path rollout =
                 Files.writeString(
                         Files.createTempFile("rollout", ".toml"),
-                        "[rollout]\n"
-                                + "enabled = true\n"
-                                + "service = \"s\"\n"
-                                + "control = [\"127.0.0.1:1\"]\n");
+                        """
+                        [rollout]
+                        enabled = true
+                        service = "s"
+                        control = ["127.0.0.1:1"]
+                        """);
         assertEquals(
                 new RolloutConfig(
                         "s",
--- a/src/test/java/cottonlock/decision/Ledger.java
+++ b/src/test/java/cottonlock/decision/Ledger.java
@@ -373,10 +373,10 @@
         boolean harmless =
                 item.sent.stream().noneMatch(s -> s.mayHaveRun)
                         || item.category.idempotency() == Idempotency.IDEMPOTENT
-                        || item.category.idempotency() == Idempotency.WITH_KEY
+                        || (item.category.idempotency() == Idempotency.WITH_KEY
                                 && item.category.deduplicationScope() == DeduplicationScope.ALL
                                 && item.sent.stream()
-                                        .allMatch(sent -> keyIsKnown(item, sent, now + comeBack));
+                                        .allMatch(sent -> keyIsKnown(item, sent, now + comeBack)));
         assertTrue(harmless, "deferral of what may have run");
         item.answered = true;
         item.deferred = true;
--- a/src/test/java/cottonlock/decision/LoadBalancerTest.java
+++ b/src/test/java/cottonlock/decision/LoadBalancerTest.java
@@ -1,5 +1,6 @@
 package cottonlock.decision;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -638,11 +639,11 @@
         }
         assertEquals(Set.of("b0"), Set.copyOf(finder.told));
         Ledger hearer = ledger(false, List.of(), 2);
-        hearer.balancer.onPeerMessage(hearer.now, "b0".getBytes());
+        hearer.balancer.onPeerMessage(hearer.now, "b0".getBytes(UTF_8));
         hearer.pass(600);
         assertTrue(hearer.told.isEmpty());
         for (int i = 0; i < 40; i++) {
-            hearer.balancer.onPeerMessage(hearer.now, "b0".getBytes());
+            hearer.balancer.onPeerMessage(hearer.now, "b0".getBytes(UTF_8));
             hearer.arrive(0, 0, 20_000);
             hearer.pass(300);
             for (long id : List.copyOf(hearer.items.keySet())) {
--- a/src/test/java/cottonlock/decision/RulesTest.java
+++ b/src/test/java/cottonlock/decision/RulesTest.java
@@ -1,5 +1,7 @@
 package cottonlock.decision;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import cottonlock.decision.api.AttemptOutcome;
 import cottonlock.decision.api.DeploymentTopology;
 import cottonlock.decision.api.Endpoint;
@@ -42,12 +44,12 @@
                         1 + random.nextInt(60),
                         random.nextInt(9),
                         random.nextBoolean(),
-                        random.nextInt(2) * 50,
+                        random.nextInt(2) * 50L,
                         true,
                         mustAsk,
                         100_000,
                         true,
-                        random.nextInt(2) * 50_000);
+                        random.nextInt(2) * 50_000L);
         Ledger ledger = new Ledger(categories, tenants, seed, first, mayRecall, shape);
         ledger.now = random.nextInt(100_000);
         ledger.list(Ledger.ready(0, backends), true, true);
@@ -77,7 +79,7 @@
             case 8 -> changeList(ledger, random, backends);
             case 9 -> {
                 ledger.balancer.onPeerMessage(
-                        ledger.now, ("b" + random.nextInt(9) + "  x").getBytes());
+                        ledger.now, ("b" + random.nextInt(9) + "  x").getBytes(UTF_8));
                 if (random.nextBoolean()) {
                     ledger.balancer.onEndpointListFailed(ledger.now);
                 }
@@ -101,8 +103,8 @@
                 AttemptOutcome outcome =
                         random.nextInt(3) > 0
                                 ? AttemptOutcome.COMPLETED
-                                : AttemptOutcome.values()[
-                                        random.nextInt(AttemptOutcome.values().length)];
+                                : List.of(AttemptOutcome.values())
+                                        .get(random.nextInt(AttemptOutcome.values().length));
                 ledger.settle(id, n, outcome);
             }
         }
@@ -112,7 +114,7 @@
         List<Endpoint> members = new ArrayList<>();
         for (int n = random.nextInt(4); n > 0; n--) {
             Endpoint m = Ledger.ready(random.nextInt(backends + 1));
-            Endpoint.State state = Endpoint.State.values()[random.nextInt(3)];
+            Endpoint.State state = List.of(Endpoint.State.values()).get(random.nextInt(3));
             long started = random.nextBoolean() ? m.startedAtTicks() : ledger.now;
             members.add(
                     new Endpoint(
--- a/src/test/java/cottonlock/lab/LabTest.java
+++ b/src/test/java/cottonlock/lab/LabTest.java
@@ -1,5 +1,6 @@
 package cottonlock.lab;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -54,7 +55,7 @@
     }
 
     private String verdict() {
-        String[] lines = out.toString().strip().split("\n");
+        String[] lines = out.toString(UTF_8).strip().split("\n", 0);
         return lines[lines.length - 1];
     }
 
@@ -74,9 +75,9 @@
                                         + " twice=0 drains=0 cold=0 p50_ms=.*"),
                 verdict());
         assertTrue(figure("finished") > 400, verdict());
-        Report.Short report = Report.read(folder);
+        Report.Summary report = Report.read(folder);
         assertEquals("pass", report.verdict());
-        assertEquals(figure("sent"), report.figures().get("sent"));
+        assertEquals((double) figure("sent"), report.figures().get("sent"));
         String page = Files.readString(folder.resolve("report.html"));
         assertTrue(
                 page.contains("<svg") && !page.contains("http") && !page.contains("<script"),
@@ -85,10 +86,11 @@
         assertEquals(0, run(MIXED + DRAIN, folder), verdict() + err);
         assertArrayEquals(schedule, Files.readAllBytes(folder.resolve("schedule.tsv")));
         assertEquals(0, lab.compare(folder, folder.resolve("report.json")));
-        assertTrue(out.toString().contains("service"));
+        assertTrue(out.toString(UTF_8).contains("service"));
         Files.writeString(folder.resolve("report.json"), "{\"version\":2}");
         assertEquals(2, lab.compare(folder, folder));
-        assertTrue(err.toString().contains("expected a report of version 1 or older, found 2"));
+        assertTrue(
+                err.toString(UTF_8).contains("expected a report of version 1 or older, found 2"));
     }
 
     /** Each way to break a rule is seen as that rule, on real sockets with a real proxy between. */
@@ -107,7 +109,8 @@
                     run(MIXED + DRAIN, null, "sabotage=" + breach[0]),
                     breach[0] + " " + verdict());
             assertTrue(figure(breach[1]) > 0, breach[0] + " " + verdict());
-            assertTrue(out.toString().contains("rule " + breach[1] + ": "), out.toString());
+            assertTrue(
+                    out.toString(UTF_8).contains("rule " + breach[1] + ": "), out.toString(UTF_8));
         }
     }
 
@@ -135,7 +138,7 @@
     @Example
     void aBoundThatDoesNotHoldFailsAndBaselinesPlayTheSame() throws Exception {
         assertEquals(1, run(MIXED + "[expect]\np50_ms = \"<= 0.1\"\n", null));
-        assertTrue(out.toString().contains("expected p50_ms <= 0.1, found "));
+        assertTrue(out.toString(UTF_8).contains("expected p50_ms <= 0.1, found "));
         for (String policy : List.of("random", "least", "round")) {
             assertEquals(0, run(MIXED, null, "proxy.policy=" + policy), policy + " " + verdict());
             assertTrue(figure("finished") > 400, verdict());
@@ -186,7 +189,7 @@
         int status = run(MIXED, null, "proxy.count=20", "proxy.sockets=128", "tier.0.backends=100");
         assertEquals(0, status, out + " " + err);
         assertEquals(2, run(MIXED, null, "proxy.count=1000", "tier.0.backends=2000"));
-        assertTrue(err.toString().contains("file descriptors"), err.toString());
+        assertTrue(err.toString(UTF_8).contains("file descriptors"), err.toString(UTF_8));
     }
 
     @Example
@@ -201,9 +204,11 @@
                         List.of(1L),
                         List.of("late_limit_ms=1000", "seconds=1"),
                         folder),
-                err.toString());
-        List<String> lines = out.toString().lines().toList();
-        assertTrue(lines.get(1).startsWith("1 ") && lines.get(2).startsWith("4 "), out.toString());
+                err.toString(UTF_8));
+        List<String> lines = out.toString(UTF_8).lines().toList();
+        assertTrue(
+                lines.get(1).startsWith("1 ") && lines.get(2).startsWith("4 "),
+                out.toString(UTF_8));
         assertTrue(Files.readString(folder.resolve("sweep.html")).contains("<svg"));
         assertEquals("pass", Report.read(folder.resolve("4-1")).verdict());
         assertEquals(
@@ -215,7 +220,7 @@
                         List.of(1L),
                         List.of(),
                         folder));
-        assertTrue(err.toString().contains("did you mean cores?"), err.toString());
+        assertTrue(err.toString(UTF_8).contains("did you mean cores?"), err.toString(UTF_8));
     }
 
     @Example
--- a/src/test/java/cottonlock/lab/MembersProcessesTest.java
+++ b/src/test/java/cottonlock/lab/MembersProcessesTest.java
@@ -1,5 +1,6 @@
 package cottonlock.lab;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -61,7 +62,7 @@
     }
 
     private double figure(String key) {
-        String[] lines = out.toString().strip().split("\n");
+        String[] lines = out.toString(UTF_8).strip().split("\n", 0);
         return Double.parseDouble(
                 lines[lines.length - 1].replaceAll(".* " + key + "=([0-9.]+).*", "$1"));
     }
@@ -106,7 +107,7 @@
                                 + "[expect]\nagree_ms = \"<= 3000\"\n",
                         "membership.contact_periods=100"),
                 out + " " + err);
-        assertTrue(figure("agree_ms") > 3_000, out.toString());
+        assertTrue(figure("agree_ms") > 3_000, out.toString(UTF_8));
     }
 
     /** A module that stands still is not found by whether its process answers. */
@@ -120,6 +121,6 @@
                                 + "[expect]\nfound_all_ms = \"<= 5000\"\n",
                         "membership.hung_ms=600000"),
                 out + " " + err);
-        assertTrue(figure("found_all_ms") > 5_000, out.toString());
+        assertTrue(figure("found_all_ms") > 5_000, out.toString(UTF_8));
     }
 }
--- a/src/test/java/cottonlock/lab/ScenarioTest.java
+++ b/src/test/java/cottonlock/lab/ScenarioTest.java
@@ -1,5 +1,6 @@
 package cottonlock.lab;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -219,7 +220,8 @@
             String body = "\r\n\r\n".repeat(random.nextInt(3)) + "x".repeat(random.nextInt(50));
             bodies.add(body);
             bytes.write(
-                    HttpIn.answer(200, random.nextBoolean() ? "A" : null, "b", body.getBytes()));
+                    HttpIn.answer(
+                            200, random.nextBoolean() ? "A" : null, "b", body.getBytes(UTF_8)));
         }
         HttpIn in = new HttpIn();
         List<String> read = new ArrayList<>();
@@ -229,7 +231,7 @@
             byte[] piece = java.util.Arrays.copyOfRange(all, from, to);
             in.add(piece, piece.length);
             for (HttpIn.Message m = in.next(); m != null; m = in.next()) {
-                read.add(new String(m.body()));
+                read.add(new String(m.body(), UTF_8));
             }
             from = to;
         }
@@ -241,7 +243,7 @@
     @Property(seed = "20261201", tries = 300)
     void mutatedFilesAreRefusedInWords(@ForAll long seed) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
-        byte[] bytes = PLAIN.getBytes();
+        byte[] bytes = PLAIN.getBytes(UTF_8);
         for (int i = 0; i < 1 + random.nextInt(4); i++) {
             bytes[random.nextInt(bytes.length)] =
                     (byte) (random.nextBoolean() ? random.nextInt(128) : '"');
--- a/src/test/java/cottonlock/lab/scale/CapacityPageTest.java
+++ b/src/test/java/cottonlock/lab/scale/CapacityPageTest.java
@@ -24,7 +24,6 @@
     private static final Path FOLDER = Path.of("docs", "capacity");
     private static final Path PAGE = Path.of("docs", "CAPACITY.md");
     private static final Path FIXTURE = Path.of("src", "test", "resources", "capacity");
-    private static final Pattern PLACE = Pattern.compile("\\{\\{([^{}]*)}}");
 
     @Example
     void thePageIsWhatItsFilesSay() throws Exception {
@@ -165,8 +164,12 @@
         assertTrue(page.contains("350 MB"), page);
         assertTrue(
                 page.endsWith(
-                        "| `figures.rss_mb` | 999 |\n| `figures.first_200_ms` | 500 |\n"
-                                + "| `calls.cpu_share` | 0.5 |\n| runs | 1 |\n"),
+                        """
+                        | `figures.rss_mb` | 999 |
+                        | `figures.first_200_ms` | 500 |
+                        | `calls.cpu_share` | 0.5 |
+                        | runs | 1 |
+                        """),
                 page);
     }
 
--- a/src/test/java/cottonlock/lab/scale/ScaleTest.java
+++ b/src/test/java/cottonlock/lab/scale/ScaleTest.java
@@ -1,5 +1,6 @@
 package cottonlock.lab.scale;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -97,7 +98,7 @@
         return Double.parseDouble(
                 told.substring(0, told.indexOf(told.contains(",") ? ',' : '\n'))
                         .strip()
-                        .split("[\n ]")[0]);
+                        .split("[\n ]", 0)[0]);
     }
 
     /**
@@ -117,11 +118,11 @@
                         "expect.in_force_ms=1500"),
                 out + " " + err);
         assertTrue(
-                out.toString()
+                out.toString(UTF_8)
                         .startsWith(
                                 "control_killed: in force at all after ms: expected 1500.0 at "
                                         + "most"),
-                out.toString());
+                out.toString(UTF_8));
         assertEquals(
                 0,
                 run(
@@ -175,14 +176,14 @@
     }
 
     private static DatagramPacket packet(String text, DatagramSocket to) {
-        return new DatagramPacket(text.getBytes(), text.length(), to.getLocalSocketAddress());
+        return new DatagramPacket(text.getBytes(UTF_8), text.length(), to.getLocalSocketAddress());
     }
 
     private static String received(DatagramSocket socket) throws Exception {
         DatagramPacket packet = new DatagramPacket(new byte[100], 100);
         socket.setSoTimeout(socket.getSoTimeout() == 0 ? 10_000 : socket.getSoTimeout());
         socket.receive(packet);
-        return new String(packet.getData(), 0, packet.getLength());
+        return new String(packet.getData(), 0, packet.getLength(), UTF_8);
     }
 
     @Example
@@ -197,10 +198,12 @@
             out.reset();
             err.reset();
             assertEquals(2, lab.run(SHORT, null, List.of(bound[0], bound[1], bound[2]), null));
-            assertEquals(1, err.toString().strip().split("\n").length, err.toString());
-            assertTrue(err.toString().startsWith("this scale run needs "), err.toString());
-            assertTrue(err.toString().contains(bound[3] + ", and may have"), err.toString());
-            assertEquals("", out.toString());
+            assertEquals(1, err.toString(UTF_8).strip().split("\n").length, err.toString(UTF_8));
+            assertTrue(
+                    err.toString(UTF_8).startsWith("this scale run needs "), err.toString(UTF_8));
+            assertTrue(
+                    err.toString(UTF_8).contains(bound[3] + ", and may have"), err.toString(UTF_8));
+            assertEquals("", out.toString(UTF_8));
         }
         assertTrue(before.containsAll(children()), "a process was started");
     }
@@ -294,7 +297,8 @@
             for (int i = 0; i < 300; i++) {
                 assertEquals(t.region(t.zone(i)), t.controlRegion(t.control(i)), "proxy " + i);
                 addresses.add(t.ip(i));
-                assertEquals(t.zone(i), Topology.zoneOf(Integer.parseInt(t.ip(i).split("\\.")[1])));
+                assertEquals(
+                        t.zone(i), Topology.zoneOf(Integer.parseInt(t.ip(i).split("\\.", 0)[1])));
             }
             assertEquals(300, addresses.size());
             assertEquals(24, t.real().size());
--- a/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
+++ b/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
@@ -10,6 +10,7 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -66,7 +67,7 @@
     }
 
     private static InetSocketAddress address(StandIn at) {
-        return new InetSocketAddress("127.0.0.1", at.server.getLocalPort());
+        return new InetSocketAddress(InetAddress.getLoopbackAddress(), at.server.getLocalPort());
     }
 
     private BackendActor actor(StandIn backend, long settle) {
@@ -653,7 +654,7 @@
         }
 
         @Override
-        public void close() throws IOException {
+        public synchronized void close() throws IOException {
             under.close();
         }
     }
@@ -670,7 +671,7 @@
                         clock, new RequestRules(null, new LoadBalancerFactory(settings), settings));
         ClientListener listener =
                 new ClientListener(
-                        new InetSocketAddress("127.0.0.1", 0),
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         false,
                         50,
                         (socket, from) ->
@@ -688,7 +689,7 @@
                         workers,
                         log);
         Thread thread = Sockets.start("listener", listener);
-        try (Socket socket = new Socket("127.0.0.1", listener.port())) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), listener.port())) {
             socket.setSoTimeout(8_000);
             eventually(() -> listener.clients().size() == 1, "taken in");
             ClientConnection client = listener.clients().iterator().next();
--- a/src/test/java/cottonlock/proxy/ListsTest.java
+++ b/src/test/java/cottonlock/proxy/ListsTest.java
@@ -53,7 +53,7 @@
 
     /** Discovery, which comes up at a port; each connection brings one call. */
     private ServerSocket discovery(int port, Call call) throws IOException {
-        ServerSocket server = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
+        ServerSocket server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         open.add(server);
         Sockets.start(
                 "discovery",
@@ -92,14 +92,14 @@
     /** A port at which connections are refused, as long as this is open. */
     private Socket refusing() throws IOException {
         Socket socket = new Socket();
-        socket.bind(new InetSocketAddress("127.0.0.1", 0));
+        socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         open.add(socket);
         return socket;
     }
 
     /** A listener whose kernel takes no more: what dials it gets no answer until it accepts. */
     private ServerSocket full() throws IOException {
-        ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+        ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         open.add(server);
         for (int i = 0; i < 50; i++) {
             Socket socket = new Socket();
@@ -407,7 +407,11 @@
                                 }
                             });
             LoadBalancerActor module =
-                    chain(new InetSocketAddress("127.0.0.1", server.getLocalPort()), 300, log);
+                    chain(
+                            new InetSocketAddress(
+                                    InetAddress.getLoopbackAddress(), server.getLocalPort()),
+                            300,
+                            log);
             sometime(() -> module.lists("b9"), "told behind: " + fault.getKey());
             assertFalse(module.lists("b1"), fault.getKey());
         }
@@ -423,7 +427,8 @@
                 };
         Socket place = refusing();
         int port = place.getLocalPort();
-        LoadBalancerActor refused = chain(new InetSocketAddress("127.0.0.1", port), 300, log);
+        LoadBalancerActor refused =
+                chain(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 300, log);
         refused.settle();
         place.close();
         discovery(port, tells);
@@ -433,7 +438,8 @@
         AtomicInteger ended = new AtomicInteger();
         LoadBalancerActor unanswered =
                 chain(
-                        new InetSocketAddress("127.0.0.1", silent.getLocalPort()),
+                        new InetSocketAddress(
+                                InetAddress.getLoopbackAddress(), silent.getLocalPort()),
                         300,
                         log(line -> ended.addAndGet(line.contains("timed out") ? 1 : 0)));
         // The kernel would try for two minutes.
@@ -522,7 +528,11 @@
                             hold();
                         });
         LoadBalancerActor module =
-                chain(new InetSocketAddress("127.0.0.1", server.getLocalPort()), 4_000, log);
+                chain(
+                        new InetSocketAddress(
+                                InetAddress.getLoopbackAddress(), server.getLocalPort()),
+                        4_000,
+                        log);
         eventually(() -> module.lists("b9"), "told by the next call");
         assertTrue(errors.get() >= 1);
     }
@@ -549,7 +559,7 @@
     }
 
     private static boolean healthy(int port) {
-        try (Socket socket = new Socket("127.0.0.1", port)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(8_000);
             send(socket, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
             return status(receive(socket)) == 200;
@@ -677,7 +687,8 @@
             sometime(
                     () -> {
                         try {
-                            return open.add(new Socket("127.0.0.1", operators));
+                            return open.add(
+                                    new Socket(InetAddress.getLoopbackAddress(), operators));
                         } catch (IOException e) {
                             // They are heard a little later than clients.
                             return false;
@@ -687,7 +698,7 @@
         }
         String body = "x".repeat(100_000);
         for (int i = 0; i < most; i++) {
-            Socket socket = new Socket("127.0.0.1", port);
+            Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
             open.add(socket);
             // Some have a long body, each of which needs a file, for as long as there are any.
             send(
@@ -706,7 +717,7 @@
                 () -> {
                     try {
                         while (true) {
-                            idle.add(new Socket("127.0.0.1", port));
+                            idle.add(new Socket(InetAddress.getLoopbackAddress(), port));
                             crowd.countDown();
                             Thread.sleep(10);
                         }
@@ -729,7 +740,7 @@
         answer.countDown();
         sometime(
                 () -> {
-                    try (Socket socket = new Socket("127.0.0.1", port)) {
+                    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                         socket.setSoTimeout(8_000);
                         send(socket, request("read", "r" + System.nanoTime(), "", ""));
                         return status(receive(socket)) == 200;
--- a/src/test/java/cottonlock/proxy/OperatorDaysTest.java
+++ b/src/test/java/cottonlock/proxy/OperatorDaysTest.java
@@ -1,5 +1,6 @@
 package cottonlock.proxy;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -9,6 +10,7 @@
 import cottonlock.setup.OperatorConfig;
 import java.io.IOException;
 import java.io.OutputStream;
+import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -31,7 +33,7 @@
     }
 
     private static String ask(int port, String call) throws IOException {
-        try (Socket socket = new Socket("127.0.0.1", port)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(2_000);
             send(socket, call + "\n");
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -43,7 +45,7 @@
     }
 
     private Object figure(String name) throws IOException {
-        return ((Map<?, ?>) JsonReader.read(ask("DUMP").split("\n")[0])).get(name);
+        return ((Map<?, ?>) JsonReader.read(ask("DUMP").split("\n", 0)[0])).get(name);
     }
 
     @Example
@@ -51,7 +53,7 @@
         StandIn backend = new StandIn(request -> OK);
         startManaged(null, settings(64, 1, "", backend.host("b")));
         for (int i = 0; i < 40; i++) {
-            Socket holder = new Socket("127.0.0.1", proxy.managementPort());
+            Socket holder = new Socket(InetAddress.getLoopbackAddress(), proxy.managementPort());
             open.add(holder);
             send(holder, i % 2 == 0 ? "" : "HEAL");
         }
@@ -295,7 +297,7 @@
     }
 
     private static int callAt(int port, String request) throws IOException {
-        try (Socket socket = new Socket("127.0.0.1", port)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(4_000);
             send(socket, request);
             return status(receive(socket));
@@ -327,8 +329,8 @@
                     ask(ports[1 + i], "DUMP").contains("\"hosts_down\":1"),
                     "bans are known at once");
             Process leaving = old;
-            try (Socket kept = new Socket("127.0.0.1", ports[0]);
-                    Socket held = new Socket("127.0.0.1", ports[0])) {
+            try (Socket kept = new Socket(InetAddress.getLoopbackAddress(), ports[0]);
+                    Socket held = new Socket(InetAddress.getLoopbackAddress(), ports[0])) {
                 // Held by one of the two; whichever it is, its request is answered.
                 send(kept, request("read", "first" + i, "", ""));
                 assertEquals(200, status(receive(kept)));
@@ -377,7 +379,7 @@
         assertEquals("ACK\n", ask(ports[1], "OFFLINE c"));
         Socket[] open = new Socket[6];
         for (int i = 0; i < open.length; i++) {
-            open[i] = new Socket("127.0.0.1", ports[0]);
+            open[i] = new Socket(InetAddress.getLoopbackAddress(), ports[0]);
             // A keyed one is repeated to whichever process it reaches; backends know it by its key.
             send(
                     open[i],
@@ -437,7 +439,7 @@
         }
         assertTrue(backend.requests.stream().allMatch(r -> r.get(r.size() - 1).equals(body)));
         for (int i = 0; i < 1_000; i++) {
-            Socket half = new Socket("127.0.0.1", proxy.port());
+            Socket half = new Socket(InetAddress.getLoopbackAddress(), proxy.port());
             open.add(half);
             send(half, "GET /read HTTP/1.1\r\nHost: x\r\nX-Req");
             if (i % 50 == 49) {
@@ -469,17 +471,17 @@
                                                     ? "Transfer-Encoding: chunked"
                                                     : "Content-Length: " + bytes)
                                             + "\r\n\r\n")
-                                    .getBytes());
+                                    .getBytes(UTF_8));
                     byte[] piece = new byte[10_000];
                     for (int sent = 0; sent < stopAfter; sent += piece.length) {
                         Arrays.fill(piece, (byte) ('a' + sent / piece.length % 26));
-                        out.write((chunked ? "2710\r\n" : "").getBytes());
+                        out.write((chunked ? "2710\r\n" : "").getBytes(UTF_8));
                         out.write(piece);
-                        out.write((chunked ? "\r\n" : "").getBytes());
+                        out.write((chunked ? "\r\n" : "").getBytes(UTF_8));
                     }
                     out.write(
                             (chunked && stopAfter == bytes ? "0\r\nX-Trailer: t\r\n\r\n" : "")
-                                    .getBytes());
+                                    .getBytes(UTF_8));
                     return stopAfter == bytes ? SILENT : CLOSE;
                 };
         return backend;
--- a/src/test/java/cottonlock/proxy/ProxyFixture.java
+++ b/src/test/java/cottonlock/proxy/ProxyFixture.java
@@ -47,7 +47,7 @@
 
     /** A stand-in that answers each request as its play says. */
     final class StandIn implements AutoCloseable {
-        final ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         final List<Socket> sockets = new CopyOnWriteArrayList<>();
         final List<List<String>> requests = new CopyOnWriteArrayList<>();
         volatile Play play;
@@ -236,7 +236,7 @@
     }
 
     Socket connect() throws IOException {
-        Socket socket = new Socket("127.0.0.1", proxy.port());
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), proxy.port());
         socket.setSoTimeout(8_000);
         open.add(socket);
         return socket;
--- a/src/test/java/cottonlock/proxy/ProxyTest.java
+++ b/src/test/java/cottonlock/proxy/ProxyTest.java
@@ -1,5 +1,6 @@
 package cottonlock.proxy;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -310,7 +311,9 @@
                     odd.sockets
                             .get(odd.sockets.size() - 1)
                             .getOutputStream()
-                            .write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".getBytes());
+                            .write(
+                                    "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"
+                                            .getBytes(UTF_8));
                     return SILENT;
                 };
         start(good);
@@ -607,7 +610,7 @@
         open.add(process::destroyForcibly);
         BufferedReader log = process.inputReader();
         eventually(() -> !discovery[0].requests.isEmpty(), "it follows the list");
-        try (Socket held = new Socket("127.0.0.1", port)) {
+        try (Socket held = new Socket(InetAddress.getLoopbackAddress(), port)) {
             one.play =
                     request -> {
                         Thread.sleep(900);
@@ -632,7 +635,7 @@
             eventually(() -> discovery[0].sockets.get(0).isClosed(), "the old watch is closed");
             assertTrue(discovery[1].requests.get(0).get(0).endsWith("index=0 HTTP/1.1"));
         }
-        try (Socket moved = new Socket("127.0.0.1", port)) {
+        try (Socket moved = new Socket(InetAddress.getLoopbackAddress(), port)) {
             send(moved, request("read", "moved", "", ""));
             assertEquals(200, status(receive(moved)));
             assertEquals(1, two.requests.size(), "the new list is in force");
@@ -758,7 +761,7 @@
     @Example
     void aMachineThatTakesNoConnectionCostsOneConnectLimit() throws Exception {
         StandIn good = new StandIn(request -> OK);
-        try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+        try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             for (int i = 0; i < 3; i++) {
                 Socket filling = new Socket();
                 open.add(filling);
@@ -835,10 +838,14 @@
     @Example
     void oddDatagramsAreDropped() throws Exception {
         StandIn backend = new StandIn(request -> OK);
-        try (DatagramSocket peer = new DatagramSocket(new InetSocketAddress("127.0.0.1", 0));
+        try (DatagramSocket peer =
+                        new DatagramSocket(
+                                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
                 DatagramSocket stranger =
-                        new DatagramSocket(new InetSocketAddress("127.0.0.1", 0))) {
-            DatagramSocket probe = new DatagramSocket(new InetSocketAddress("127.0.0.1", 0));
+                        new DatagramSocket(
+                                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
+            DatagramSocket probe =
+                    new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             int own = probe.getLocalPort();
             probe.close();
             String at = "\"127.0.0.1:" + peer.getLocalPort() + "\"";
@@ -861,7 +868,7 @@
                 for (DatagramSocket from : List.of(peer, stranger)) {
                     from.send(
                             new DatagramPacket(
-                                    bytes, length, InetAddress.getByName("127.0.0.1"), own));
+                                    bytes, length, InetAddress.getLoopbackAddress(), own));
                 }
             }
             assertEquals(200, status(call(request("read", "p", "", ""))));
@@ -902,7 +909,12 @@
         String body = "b".repeat(random.nextInt(20_000));
         StringBuilder text =
                 new StringBuilder(
-                        "POST /x HTTP/1.1\r\nHost: h\r\n" + "Transfer-Encoding: chunked\r\n\r\n");
+                        """
+                        POST /x HTTP/1.1
+                        Host: h
+                        Transfer-Encoding: chunked
+
+                        """);
         for (int at = 0; at < body.length(); ) {
             int n = Math.min(body.length() - at, 1 + random.nextInt(9_000));
             text.append(Integer.toHexString(n))
@@ -917,8 +929,9 @@
         }
         BufferPool buffers = new BufferPool(40, 0);
         byte[] buffer = buffers.take();
-        try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-                Socket sender = new Socket("127.0.0.1", server.getLocalPort());
+        try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                Socket sender =
+                        new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort());
                 Socket socket = server.accept()) {
             Sockets.start(
                     "sender",
--- a/src/test/java/cottonlock/proxy/RacesTest.java
+++ b/src/test/java/cottonlock/proxy/RacesTest.java
@@ -43,7 +43,7 @@
             new LoadBalancerActor(clock, entry -> null, figures, log);
 
     private static InetSocketAddress address(StandIn at) {
-        return new InetSocketAddress("127.0.0.1", at.server.getLocalPort());
+        return new InetSocketAddress(InetAddress.getLoopbackAddress(), at.server.getLocalPort());
     }
 
     private static boolean anyBlocked() {
@@ -179,7 +179,7 @@
         CountDownLatch goOn = new CountDownLatch(1);
         ClientListener listener =
                 new ClientListener(
-                        new InetSocketAddress("127.0.0.1", 0),
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         false,
                         50,
                         (socket, from) -> {
@@ -202,7 +202,7 @@
         Thread thread = Sockets.start("listener", listener);
         Socket[] sockets = new Socket[6];
         for (int i = 0; i < sockets.length; i++) {
-            sockets[i] = new Socket("127.0.0.1", listener.port());
+            sockets[i] = new Socket(InetAddress.getLoopbackAddress(), listener.port());
             sockets[i].setSoTimeout(8_000);
             open.add(sockets[i]);
             send(sockets[i], "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -295,7 +295,7 @@
                 settings(256, discovery.server.getLocalPort(), "", backend.host("b0"))
                         .replace("1500000", "20000000");
         int port;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
         text = text.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\"");
@@ -320,7 +320,7 @@
                     }
                 });
         assertTrue(read.await(8, TimeUnit.SECONDS), "SIGHUP is carried out");
-        try (Socket socket = new Socket("127.0.0.1", port)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(8_000);
             send(socket, request("once", "held", "X-Timeout-Ms: 20000\r\n", "body"));
             eventually(() -> backend.requests.size() == 1, "it is out");
--- a/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
+++ b/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
@@ -8,6 +8,7 @@
 import cottonlock.setup.OperatorConfig;
 import cottonlock.setup.RolloutConfig;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -101,14 +102,14 @@
         String figure(String key) throws IOException {
             try {
                 return String.valueOf(
-                        ((Map<?, ?>) JsonReader.read(ask("DUMP").split("\n")[0])).get(key));
+                        ((Map<?, ?>) JsonReader.read(ask("DUMP").split("\n", 0)[0])).get(key));
             } catch (java.net.ConnectException e) {
                 return null;
             }
         }
 
         String ask(String call) throws IOException {
-            try (Socket socket = new Socket("127.0.0.1", mgmt)) {
+            try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), mgmt)) {
                 socket.setSoTimeout(4_000);
                 send(socket, call + "\n");
                 return new String(
@@ -117,7 +118,7 @@
         }
 
         int status(String category) throws IOException {
-            try (Socket socket = new Socket("127.0.0.1", listen)) {
+            try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), listen)) {
                 socket.setSoTimeout(4_000);
                 send(socket, request(category, "r" + System.nanoTime(), "", "body"));
                 return ProxyFixture.status(receive(socket));
--- a/src/test/java/cottonlock/simulator/TranscriptTest.java
+++ b/src/test/java/cottonlock/simulator/TranscriptTest.java
@@ -156,10 +156,11 @@
 
         /** What the adapter has asked for since. */
         private void heed() {
-            String[] lines = replies.toString(StandardCharsets.UTF_8).substring(seen).split("\n");
+            String[] lines =
+                    replies.toString(StandardCharsets.UTF_8).substring(seen).split("\n", 0);
             seen = replies.size();
             for (String line : lines) {
-                String[] words = line.split(" ");
+                String[] words = line.split(" ", 0);
                 if (words[0].equals("set_timer")) {
                     timers.add(new long[] {Long.parseLong(words[2]), Long.parseLong(words[3])});
                 } else if (words[0].equals("dispatch")) {
--- a/src/test/java/cottonlock/simulator/WireHostTest.java
+++ b/src/test/java/cottonlock/simulator/WireHostTest.java
@@ -1,5 +1,6 @@
 package cottonlock.simulator;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -35,7 +36,7 @@
     private void assertFault(String input, String fault) throws IOException {
         complaints.reset();
         assertEquals(1, run(input));
-        String said = complaints.toString().trim();
+        String said = complaints.toString(UTF_8).trim();
         assertTrue(said.contains(fault) && said.lines().count() == 1, said);
     }
 
@@ -53,9 +54,14 @@
                                 + "left proxy/0 77\n"
                                 + "eob\n"));
         assertEquals(
-                "set_timer proxy/0 26000 0\nyield 1\ndispatch proxy/0 77 backend.a 0\nyield 2\n"
-                        + "yield 3\n",
-                replies.toString());
+                """
+                set_timer proxy/0 26000 0
+                yield 1
+                dispatch proxy/0 77 backend.a 0
+                yield 2
+                yield 3
+                """,
+                replies.toString(UTF_8));
     }
 
     @Example
@@ -66,7 +72,7 @@
                         START
                                 + "tick 6000 2\nretire proxy/0\n"
                                 + START.substring(START.indexOf("init"))));
-        assertTrue(replies.toString().endsWith("yield 2\n"));
+        assertTrue(replies.toString(UTF_8).endsWith("yield 2\n"));
     }
 
     @Example
