--- a/src/test/java/cottonlock/proxy/ProxyTest.java
+++ b/src/test/java/cottonlock/proxy/ProxyTest.java
@@ -909,12 +909,7 @@
         String body = "b".repeat(random.nextInt(20_000));
         StringBuilder text =
                 new StringBuilder(
-                        """
-                        POST /x HTTP/1.1
-                        Host: h
-                        Transfer-Encoding: chunked
-
-                        """);
+                        "POST /x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n");
         for (int at = 0; at < body.length(); ) {
             int n = Math.min(body.length() - at, 1 + random.nextInt(9_000));
             text.append(Integer.toHexString(n))
