--- a/src/main/java/cottonlock/cli/LogLines.java
+++ b/src/main/java/cottonlock/cli/JsonLogFormatter.java
@@ -8,16 +8,24 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Sets how the lines of System.Logger are written, as the operator's file has it. */
-final class LogLines extends Formatter {
-    /** Kept: a logger that nobody holds forgets its level. */
-    private static final Logger OURS = Logger.getLogger("cottonlock");
+/** Formats log records as one JSON object a line. */
+final class JsonLogFormatter extends Formatter {
+    /** Referenced for the process's life: a logger without a reference loses its level. */
+    private static final Logger LOGGER = Logger.getLogger("cottonlock");
 
-    private LogLines() {}
+    /** Separates a message's kind from its text. */
+    private static final String KIND_SEPARATOR = ": ";
 
-    /** Levels are those of the operator's file: info, warning, off. */
-    static void install(String format, String level) {
-        OURS.setLevel(
+    private JsonLogFormatter() {}
+
+    /**
+     * Configures the log of this process as the operator's file says.
+     *
+     * @param format {@code json} for this formatter; any other keeps Java's
+     * @param level {@code info}, {@code warning} or {@code off}
+     */
+    static void configureLogging(String format, String level) {
+        LOGGER.setLevel(
                 switch (level) {
                     case "warning" -> Level.WARNING;
                     case "off" -> Level.OFF;
@@ -25,17 +33,21 @@
                 });
         if (format.equals("json")) {
             for (Handler handler : LogManager.getLogManager().getLogger("").getHandlers()) {
-                handler.setFormatter(new LogLines());
+                handler.setFormatter(new JsonLogFormatter());
             }
         }
     }
 
+    /**
+     * Returns a record as an object with {@code time}, {@code level}, {@code kind}, {@code text}.
+     */
     @Override
     public String format(LogRecord line) {
         String message = formatMessage(line);
-        int colon = message.indexOf(": ");
-        String kind = colon < 0 ? "" : message.substring(0, colon);
-        String text = colon < 0 ? message : message.substring(colon + 2);
+        int separator = message.indexOf(KIND_SEPARATOR);
+        String kind = separator < 0 ? "" : message.substring(0, separator);
+        String text =
+                separator < 0 ? message : message.substring(separator + KIND_SEPARATOR.length());
         return "{\"time\":\""
                 + line.getInstant()
                 + "\",\"level\":\""
--- /dev/null
+++ b/src/main/java/cottonlock/cli/LabCompareCommand.java
@@ -0,0 +1,24 @@
+package cottonlock.cli;
+
+import java.nio.file.Path;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Parameters;
+
+/** Compares the reports of two runs. */
+@Command(
+        name = "compare",
+        mixinStandardHelpOptions = true,
+        description = "Puts two reports side by side.")
+final class LabCompareCommand implements Callable<Integer> {
+    @Parameters(paramLabel = "A", description = "A report.json, or its folder.")
+    private Path one;
+
+    @Parameters(paramLabel = "B")
+    private Path other;
+
+    @Override
+    public Integer call() {
+        return LabCommand.lab().compare(one, other);
+    }
+}
