--- a/src/main/java/cottonlock/admin/ManagementServer.java
+++ b/src/main/java/cottonlock/admin/ManagementServer.java
@@ -10,56 +10,47 @@
 import java.util.Deque;
 
 /**
- * Answers operators' calls, one line to a connection, on threads and descriptors of its own: it
- * must answer within a second also while everything else is full.
+ * Answers management commands, one command line a connection.
+ *
+ * <p>It has a thread for each connection and file descriptors reserved for it, so that it answers
+ * within a second while the request path is overloaded.
  */
-public final class ManagementServer implements Runnable {
-    /**
-     * Connections at most: some hold theirs for seconds, and each takes a descriptor and a thread.
-     */
-    public static final int MOST = 12;
-
-    /** Bytes of a call: an id is far shorter. */
-    private static final int LONGEST = 512;
-
-    /** Milliseconds without a byte until a caller is left. */
-    private static final int SILENCE = 5_000;
+public final class ManagementServer implements Runnable, AutoCloseable {
+    /** Connections that may be open at once; each takes a file descriptor and a thread. */
+    public static final int MAX_CONNECTIONS = 12;
 
-    /** Bytes of a thread's stack: the calls here are shallow. */
-    private static final long STACK = 192 << 10;
+    private static final int MAX_COMMAND_BYTES = 512;
 
-    /** Who carries out the calls; from many threads, and at once. */
-    public interface Desk {
-        /** Whether this process serves. */
-        boolean serves();
+    private static final int READ_TIMEOUT_MILLIS = 5_000;
 
-        /** The figures as one line of JSON. */
-        String figures();
+    private static final int ACCEPT_RETRY_MILLIS = 20;
 
-        /** The view of the fleet, in lines; null where membership is off. */
-        String members();
-
-        /** Takes a backend out; null, or why not. */
-        String takeOut(String id);
-
-        /** Uses a backend again; null, or why not. */
-        String takeBack(String id);
-    }
+    /** Stack of a connection's thread: the calls here are shallow. */
+    private static final long THREAD_STACK_BYTES = 192 << 10;
 
-    private final Desk desk;
+    private final ManagementOperations operations;
     private final ServerSocket server = new ServerSocket();
 
-    /** Those that have not brought a whole call, the oldest first. */
-    private final Deque<Socket> unheard = new ArrayDeque<>();
+    /**
+     * Connections whose command has not arrived completely, the oldest first. Also the lock that
+     * guards {@link #openConnections}.
+     */
+    private final Deque<Socket> awaitingCommand = new ArrayDeque<>();
 
-    private int open;
+    /** Guarded by {@link #awaitingCommand}. */
+    private int openConnections;
 
-    /** Listens from now on, and answers when it is run. */
-    public ManagementServer(InetSocketAddress address, Desk desk) throws IOException {
-        this.desk = desk;
+    /**
+     * Binds the listener; {@link #run} accepts connections.
+     *
+     * @throws IOException if the address can't be bound; its message names the address
+     */
+    public ManagementServer(InetSocketAddress address, ManagementOperations operations)
+            throws IOException {
+        this.operations = operations;
         server.setReuseAddress(true);
         try {
-            server.bind(address, MOST);
+            server.bind(address, MAX_CONNECTIONS);
         } catch (IOException e) {
             server.close();
             throw new IOException(
@@ -67,133 +58,153 @@
         }
     }
 
+    /** Accepts connections on the caller's thread until {@link #close} is called. */
     @Override
     public void run() {
         while (!server.isClosed()) {
             try {
-                take(server.accept());
+                startConnection(server.accept());
             } catch (IOException | OutOfMemoryError e) {
-                pause();
+                pauseAccepting();
             }
         }
     }
 
-    private void take(Socket socket) {
-        synchronized (unheard) {
-            // Whoever holds a connection without a call must not keep the next caller out.
-            if (open >= MOST && !unheard.isEmpty()) {
-                close(unheard.poll());
+    private void startConnection(Socket socket) {
+        synchronized (awaitingCommand) {
+            // An idle connection must not keep a new caller out.
+            if (openConnections >= MAX_CONNECTIONS && !awaitingCommand.isEmpty()) {
+                closeQuietly(awaitingCommand.poll());
             }
-            open++;
-            unheard.add(socket);
+            openConnections++;
+            awaitingCommand.add(socket);
         }
         try {
-            Thread thread = new Thread(null, () -> serve(socket), "operator", STACK);
+            Thread thread = new Thread(null, () -> serve(socket), "operator", THREAD_STACK_BYTES);
             thread.setDaemon(true);
             thread.start();
         } catch (OutOfMemoryError e) {
-            ended(socket);
+            endConnection(socket);
         }
     }
 
     private void serve(Socket socket) {
         try {
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout(SILENCE);
-            String line = line(socket.getInputStream());
-            synchronized (unheard) {
-                unheard.remove(socket);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
+            String command = readCommand(socket.getInputStream());
+            synchronized (awaitingCommand) {
+                awaitingCommand.remove(socket);
             }
-            socket.getOutputStream().write(answer(line).getBytes(StandardCharsets.UTF_8));
+            socket.getOutputStream().write(respond(command).getBytes(StandardCharsets.UTF_8));
             socket.shutdownOutput();
         } catch (IOException e) {
-            // The caller has gone, or given way to another.
+            // The caller has closed the connection, or it was closed for a newer one.
         } finally {
-            ended(socket);
+            endConnection(socket);
         }
     }
 
-    private void ended(Socket socket) {
-        close(socket);
-        synchronized (unheard) {
-            unheard.remove(socket);
-            open--;
+    private void endConnection(Socket socket) {
+        closeQuietly(socket);
+        synchronized (awaitingCommand) {
+            awaitingCommand.remove(socket);
+            openConnections--;
         }
     }
 
-    /** One line without its end; null when it is too long. */
-    private static String line(InputStream in) throws IOException {
-        byte[] bytes = new byte[LONGEST];
-        int n = 0;
-        for (int b = in.read(); b != '\n'; b = in.read()) {
-            if (b < 0) {
+    /** Returns one line without its end, or null if it is too long. */
+    private static String readCommand(InputStream in) throws IOException {
+        byte[] bytes = new byte[MAX_COMMAND_BYTES];
+        int length = 0;
+        for (int next = in.read(); next != '\n'; next = in.read()) {
+            if (next < 0) {
                 throw new IOException("the call ends early");
             }
-            if (n == LONGEST) {
+            if (length == MAX_COMMAND_BYTES) {
                 return null;
             }
-            bytes[n++] = (byte) b;
+            bytes[length] = (byte) next;
+            length++;
         }
-        return new String(bytes, 0, n, StandardCharsets.UTF_8);
+        return new String(bytes, 0, length, StandardCharsets.UTF_8);
     }
 
-    /** What is answered to a call, ends of lines included. */
-    private String answer(String line) {
-        if (line == null) {
-            return "NAK the call is longer than " + LONGEST + " bytes\n";
+    /** Carries out a command; returns the response with its line ends. */
+    private String respond(String command) {
+        if (command == null) {
+            return "NAK the call is longer than " + MAX_COMMAND_BYTES + " bytes\n";
         }
-        String[] words = line.trim().split(" +", 0);
-        String fault;
+        String[] words = command.trim().split(" +", 0);
         try {
-            if (words.length == 1 && words[0].equals("DUMP")) {
-                return desk.figures() + "\n--\n";
-            }
-            if (words.length == 1 && words[0].equals("MEMBERS")) {
-                String members = desk.members();
-                return members == null ? "NAK membership is off\n" : members + "--\n";
-            }
-            if (words.length == 1 && words[0].equals("HEALTH")) {
-                fault = desk.serves() ? null : "not serving yet";
-            } else if (words.length == 2 && words[0].equals("OFFLINE")) {
-                fault = desk.takeOut(words[1]);
-            } else if (words.length == 2 && words[0].equals("ONLINE")) {
-                fault = desk.takeBack(words[1]);
-            } else {
-                fault = "expected HEALTH, DUMP, MEMBERS, OFFLINE ID or ONLINE ID";
-            }
+            return words.length == 2 ? execute(words[0], words[1]) : execute(words);
         } catch (RuntimeException e) {
-            fault = "fault: " + e;
+            return negative("fault: " + e);
         }
-        return fault == null ? "ACK\n" : "NAK " + fault + "\n";
     }
 
-    private static void close(Socket socket) {
+    private String execute(String... words) {
+        String name = words.length == 1 ? words[0] : "";
+        return switch (name) {
+            case "DUMP" -> operations.metricsJson() + "\n--\n";
+            case "MEMBERS" -> members(operations.membersReport());
+            case "HEALTH" -> result(operations.isServing() ? null : "not serving yet");
+            default -> unknownCommand();
+        };
+    }
+
+    private static String members(String report) {
+        return report == null ? negative("membership is off") : report + "--\n";
+    }
+
+    private String execute(String name, String backendId) {
+        return switch (name) {
+            case "OFFLINE" -> result(operations.ejectBackend(backendId));
+            case "ONLINE" -> result(operations.restoreBackend(backendId));
+            default -> unknownCommand();
+        };
+    }
+
+    private static String unknownCommand() {
+        return negative("expected HEALTH, DUMP, MEMBERS, OFFLINE ID or ONLINE ID");
+    }
+
+    private static String result(String refusal) {
+        return refusal == null ? "ACK\n" : negative(refusal);
+    }
+
+    private static String negative(String reason) {
+        return "NAK " + reason + "\n";
+    }
+
+    private static void closeQuietly(Socket socket) {
         try {
             socket.close();
         } catch (IOException e) {
-            // It is closed all the same.
+            // Its descriptor is released all the same.
         }
     }
 
-    private static void pause() {
+    /** Without free descriptors, accept fails at once and repeatedly. */
+    private static void pauseAccepting() {
         try {
-            // Out of descriptors, accept fails at once again and again.
-            Thread.sleep(20);
+            Thread.sleep(ACCEPT_RETRY_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Takes no more calls. */
+    /** Accepts no more connections; commands under way are answered. */
+    @Override
     public void close() {
         try {
             server.close();
         } catch (IOException e) {
-            // It is closed all the same.
+            // Its descriptor is released all the same.
         }
     }
 
-    /** The port that it listens on. */
+    /** Returns the port that it listens on. */
     public int port() {
         return server.getLocalPort();
     }
--- a/src/main/java/cottonlock/admin/Metrics.java
+++ b/src/main/java/cottonlock/admin/Metrics.java
@@ -10,164 +10,185 @@
 import java.util.stream.Collectors;
 
 /**
- * What this process has counted since it started; each count is defined here, and kept where it
- * happens.
+ * Counters of this process since its start, and their JSON form. All methods may be called from any
+ * thread; {@link #addSource} belongs to the start, before the counters are read.
  */
 public final class Metrics {
     /** How a request ended, as its client saw it. */
-    private enum End {
-        SUCCESS,
-        BUSY,
-        FAILURE
+    private enum RequestResult {
+        SUCCESS("success"),
+        REJECTED("busy"),
+        FAILED("failure");
+
+        private final String jsonField;
+
+        RequestResult(String jsonField) {
+            this.jsonField = jsonField;
+        }
+
+        static RequestResult ofStatus(int status) {
+            if (status == 200) {
+                return SUCCESS;
+            }
+            return status == 503 || status == 429 ? REJECTED : FAILED;
+        }
     }
 
-    private final Map<End, Map<String, LongAdder>> ends =
+    /** Requests by result and request class. */
+    private final Map<RequestResult, Map<String, LongAdder>> requestsByResult =
             Map.of(
-                    End.SUCCESS,
+                    RequestResult.SUCCESS,
                     new ConcurrentSkipListMap<>(),
-                    End.BUSY,
+                    RequestResult.REJECTED,
                     new ConcurrentSkipListMap<>(),
-                    End.FAILURE,
+                    RequestResult.FAILED,
                     new ConcurrentSkipListMap<>());
 
-    /**
-     * Why what was not a success ended so: by category and by tenant, which each add up to all of
-     * it.
-     */
-    private final Map<String, Map<RejectionReason, LongAdder>> byCategory =
+    /** Requests without success by class; adds up to the same total as {@link #reasonsByTenant}. */
+    private final Map<String, Map<RejectionReason, LongAdder>> reasonsByClass =
             new ConcurrentSkipListMap<>();
 
-    private final Map<String, Map<RejectionReason, LongAdder>> byTenant =
+    private final Map<String, Map<RejectionReason, LongAdder>> reasonsByTenant =
             new ConcurrentSkipListMap<>();
     private final LongAdder attempts = new LongAdder();
-    private final AtomicInteger inflight = new AtomicInteger();
-    private final LongAdder filesTaken = new LongAdder();
-    private final LongAdder filesRefused = new LongAdder();
-    private volatile int listed;
-    private volatile int avoided;
+    private final AtomicInteger requestsInFlight = new AtomicInteger();
+    private final LongAdder reloadsAccepted = new LongAdder();
+    private final LongAdder reloadsRefused = new LongAdder();
+    private volatile int backendsListed;
+    private volatile int backendsAvoided;
 
-    /** More fields, each behind a comma; null: none. */
-    private volatile Supplier<String> more;
+    /** Further JSON fields, each after a comma; null if there are none. */
+    private volatile Supplier<String> source;
 
-    /** A category is in force: it stands among the figures from now on, with 0 at first. */
-    public void category(String name) {
-        ends.values().forEach(counts -> counts.computeIfAbsent(name, n -> new LongAdder()));
-        byCategory.computeIfAbsent(name, n -> zeros());
+    /** Makes a request class appear in the metrics, with counts of zero. */
+    public void registerRequestClass(String name) {
+        requestsByResult
+                .values()
+                .forEach(counts -> counts.computeIfAbsent(name, n -> new LongAdder()));
+        reasonsByClass.computeIfAbsent(name, n -> zeroForEachReason());
     }
 
-    /** A tenant may bring work: it stands among the figures, with 0 at first. */
-    public void tenant(String name) {
-        byTenant.computeIfAbsent(name, n -> zeros());
+    /** Makes a tenant appear in the metrics, with counts of zero. */
+    public void registerTenant(String name) {
+        reasonsByTenant.computeIfAbsent(name, n -> zeroForEachReason());
     }
 
-    private static Map<RejectionReason, LongAdder> zeros() {
-        Map<RejectionReason, LongAdder> zeros = new EnumMap<>(RejectionReason.class);
-        for (RejectionReason why : RejectionReason.values()) {
-            zeros.put(why, new LongAdder());
+    private static Map<RejectionReason, LongAdder> zeroForEachReason() {
+        Map<RejectionReason, LongAdder> counts = new EnumMap<>(RejectionReason.class);
+        for (RejectionReason reason : RejectionReason.values()) {
+            counts.put(reason, new LongAdder());
         }
-        return zeros;
+        return counts;
+    }
+
+    /** Counts a request that has been read completely. */
+    public void requestStarted() {
+        requestsInFlight.incrementAndGet();
     }
 
-    /** A request has been read whole. */
-    public void taken() {
-        inflight.incrementAndGet();
+    /** Counts a started request that was answered or whose client disconnected. */
+    public void requestEnded() {
+        requestsInFlight.decrementAndGet();
     }
 
     /**
-     * A request that was taken needs nothing more, whether it was answered or its client has left.
+     * Counts a response to a client.
+     *
+     * @param tenant the request's tenant; null if it is unknown
+     * @param status the HTTP status of the response
+     * @param reason why the request did not succeed; ignored with status 200
      */
-    public void over() {
-        inflight.decrementAndGet();
-    }
-
-    /** A client has been answered, with this status; why it was no success, if it was none. */
-    public void answered(String category, String tenant, int status, RejectionReason why) {
-        End end =
-                status == 200
-                        ? End.SUCCESS
-                        : status == 503 || status == 429 ? End.BUSY : End.FAILURE;
-        ends.get(end).computeIfAbsent(category, n -> new LongAdder()).increment();
-        if (end != End.SUCCESS) {
-            byCategory.computeIfAbsent(category, n -> zeros()).get(why).increment();
-            if (tenant != null && byTenant.containsKey(tenant)) {
-                byTenant.get(tenant).get(why).increment();
-            }
+    public void responseSent(
+            String requestClass, String tenant, int status, RejectionReason reason) {
+        RequestResult result = RequestResult.ofStatus(status);
+        requestsByResult
+                .get(result)
+                .computeIfAbsent(requestClass, n -> new LongAdder())
+                .increment();
+        if (result == RequestResult.SUCCESS) {
+            return;
+        }
+        reasonsByClass
+                .computeIfAbsent(requestClass, n -> zeroForEachReason())
+                .get(reason)
+                .increment();
+        if (tenant != null && reasonsByTenant.containsKey(tenant)) {
+            reasonsByTenant.get(tenant).get(reason).increment();
         }
     }
 
-    /** An attempt has been written whole to a backend. */
-    public void attempted() {
+    /** Counts an attempt that has been written completely to a backend. */
+    public void attemptSent() {
         attempts.increment();
     }
 
     /**
-     * How many backends the list holds, and how many of these get nothing now, by hand or by
-     * choice.
+     * Sets the backend counts.
+     *
+     * @param listed backends in the endpoint list
+     * @param avoided those of them that get no requests now: ejected manually or by the balancer
      */
-    public void backends(int inList, int avoidedNow) {
-        listed = inList;
-        avoided = avoidedNow;
+    public void setBackendCounts(int listed, int avoided) {
+        backendsListed = listed;
+        backendsAvoided = avoided;
     }
 
-    /** A configuration has been read again, and was taken or turned down. */
-    public void file(boolean taken) {
-        (taken ? filesTaken : filesRefused).increment();
+    /** Counts a reload of the configuration file. */
+    public void configurationReloaded(boolean accepted) {
+        (accepted ? reloadsAccepted : reloadsRefused).increment();
     }
 
-    /** Further figures of a part that is there: fields of a JSON object, each behind a comma. */
-    public void also(Supplier<String> fields) {
-        Supplier<String> before = more;
-        more = before == null ? fields : () -> before.get() + fields.get();
+    /**
+     * Adds metrics that another part of the process keeps.
+     *
+     * @param fields supplies JSON fields, each after a comma
+     */
+    public void addSource(Supplier<String> fields) {
+        Supplier<String> before = source;
+        source = before == null ? fields : () -> before.get() + fields.get();
     }
 
-    /** All of it as one line of JSON. */
-    public String json() {
+    /** Returns all metrics as one line of JSON. */
+    public String toJson() {
         StringBuilder json = new StringBuilder(512).append('{');
-        counts(json, "success", End.SUCCESS);
-        counts(json, "busy", End.BUSY);
-        counts(json, "failure", End.FAILURE);
+        for (RequestResult result : RequestResult.values()) {
+            appendCounts(json, result);
+        }
         return json.append("\"backend_calls\":")
                 .append(attempts.sum())
                 .append(",\"inflight\":")
-                .append(Math.max(0, inflight.get()))
+                .append(Math.max(0, requestsInFlight.get()))
                 .append(",\"hosts_listed\":")
-                .append(listed)
+                .append(backendsListed)
                 .append(",\"hosts_down\":")
-                .append(avoided)
+                .append(backendsAvoided)
                 .append(",\"reconfig_ok\":")
-                .append(filesTaken.sum())
+                .append(reloadsAccepted.sum())
                 .append(",\"reconfig_failed\":")
-                .append(filesRefused.sum())
-                .append(reasons("why_by_category", byCategory))
-                .append(reasons("why_by_tenant", byTenant))
-                .append(more == null ? "" : more.get())
+                .append(reloadsRefused.sum())
+                .append(reasons("why_by_category", reasonsByClass))
+                .append(reasons("why_by_tenant", reasonsByTenant))
+                .append(source == null ? "" : source.get())
                 .append('}')
                 .toString();
     }
 
     private static String reasons(
-            String field, Map<String, Map<RejectionReason, LongAdder>> counts) {
-        return counts.entrySet().stream()
-                .map(
-                        named ->
-                                '"'
-                                        + quoted(named.getKey())
-                                        + "\":{"
-                                        + named.getValue().entrySet().stream()
-                                                .map(
-                                                        e ->
-                                                                '"'
-                                                                        + label(e.getKey())
-                                                                        + "\":"
-                                                                        + e.getValue().sum())
-                                                .collect(Collectors.joining(","))
-                                        + '}')
+            String field, Map<String, Map<RejectionReason, LongAdder>> countsByName) {
+        return countsByName.entrySet().stream()
+                .map(named -> '"' + escaped(named.getKey()) + "\":" + reasons(named.getValue()))
                 .collect(Collectors.joining(",", ",\"" + field + "\":{", "}"));
     }
 
-    /** The name of a reason in the management interface. */
-    private static String label(RejectionReason rejectionReason) {
-        return switch (rejectionReason) {
+    private static String reasons(Map<RejectionReason, LongAdder> counts) {
+        return counts.entrySet().stream()
+                .map(count -> '"' + jsonName(count.getKey()) + "\":" + count.getValue().sum())
+                .collect(Collectors.joining(",", "{", "}"));
+    }
+
+    /** Returns a reason's name in the management interface. */
+    private static String jsonName(RejectionReason reason) {
+        return switch (reason) {
             case OVER_QUOTA -> "over_quota";
             case NO_CAPACITY -> "no_room";
             case QUEUE_FULL -> "line_full";
@@ -179,21 +200,21 @@
         };
     }
 
-    private void counts(StringBuilder json, String name, End end) {
-        json.append('"').append(name).append("\":{");
-        String comma = "";
-        for (Map.Entry<String, LongAdder> count : ends.get(end).entrySet()) {
-            json.append(comma)
+    private void appendCounts(StringBuilder json, RequestResult result) {
+        json.append('"').append(result.jsonField).append("\":{");
+        String separator = "";
+        for (Map.Entry<String, LongAdder> count : requestsByResult.get(result).entrySet()) {
+            json.append(separator)
                     .append('"')
-                    .append(quoted(count.getKey()))
+                    .append(escaped(count.getKey()))
                     .append("\":")
                     .append(count.getValue().sum());
-            comma = ",";
+            separator = ",";
         }
         json.append("},");
     }
 
-    private static String quoted(String name) {
+    private static String escaped(String name) {
         return name.replace("\\", "\\\\").replace("\"", "\\\"");
     }
 }
--- a/src/main/java/cottonlock/config/Fields.java
+++ b/src/main/java/cottonlock/config/Fields.java
@@ -5,349 +5,396 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalDouble;
 import java.util.Set;
 
 /**
- * Reads the fields of one table, and keeps account of what is wrong and of what was never asked
- * for. All tables of a file share one list of faults, which {@link #end} throws at once. A field
- * that is at fault reads as its default, so that reading goes on and finds the next fault too.
+ * Reads the fields of one table of a configuration file.
+ *
+ * <p>A fault doesn't end the reading: the field reads as its default, and {@link #throwIfInvalid}
+ * reports the faults of all tables of the file together, unknown keys among them. Not for several
+ * threads.
  */
 public final class Fields {
-    /** The most edits at which a known key is named as the one that was probably meant. */
-    private static final int NEAR = 3;
+    /** The form of an address, for error messages. */
+    public static final String ADDRESS_FORM =
+            "an address of digits with a port, such as 127.0.0.1:5000";
 
     private static final String BYTE = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])";
     private static final String ADDRESS =
             "(" + BYTE + "(\\." + BYTE + "){3}|\\[[0-9a-fA-F:.]+\\]):[0-9]{1,5}";
-    private static final int LAST_PORT = 0xffff;
+    private static final int MAX_PORT = 0xffff;
 
-    /** What an address looks like, in words. */
-    public static final String ADDRESS_WORDS =
-            "an address of digits with a port, such as 127.0.0.1:5000";
+    /** Whole numbers below this are written without a decimal point. */
+    private static final double MAX_EXACT_WHOLE = 1e15;
 
-    /** One fault and the line that it is told of. */
+    /** A fault and the line that it sorts by. */
     private record Fault(int line, String text) {}
 
-    private final ConfigurationDocument doc;
+    private final ConfigurationDocument document;
+
+    /** The keys that lead to this table, each with a dot; empty for the top table. */
     private final String path;
+
+    /** Shared by all tables of the file. */
     private final List<Fault> faults;
-    private final Set<String> asked = new LinkedHashSet<>();
-    private final List<Fields> inner;
-    private boolean open;
 
-    private Fields(ConfigurationDocument doc, String path, List<Fault> faults, List<Fields> all) {
-        this.doc = doc;
+    /** All tables of the file that have been read. */
+    private final List<Fields> tables;
+
+    private final Set<String> requestedKeys = new LinkedHashSet<>();
+    private boolean allowsOtherKeys;
+
+    private Fields(
+            ConfigurationDocument document, String path, List<Fault> faults, List<Fields> tables) {
+        this.document = document;
         this.path = path;
         this.faults = faults;
-        this.inner = all;
-        all.add(this);
+        this.tables = tables;
+        tables.add(this);
     }
 
-    /** The top of a file. */
-    public static Fields of(ConfigurationDocument doc) throws InvalidConfigurationException {
-        if (!doc.isMap()) {
+    /**
+     * Returns the fields of a file's top table.
+     *
+     * @throws InvalidConfigurationException if the document is no table
+     */
+    public static Fields of(ConfigurationDocument document) throws InvalidConfigurationException {
+        if (!document.isTable()) {
             throw InvalidConfigurationException.of(
-                    doc.file, doc.line, "", "expected a table, found " + doc.kind());
+                    document.file,
+                    document.line,
+                    "",
+                    "expected a table, found " + document.describe());
         }
-        return new Fields(doc, "", new ArrayList<>(), new ArrayList<>());
+        return new Fields(document, "", new ArrayList<>(), new ArrayList<>());
     }
 
-    /** Throws what has been found wrong, unknown keys among it. */
-    public void end() throws InvalidConfigurationException {
-        for (Fields table : inner) {
-            if (!table.open) {
-                table.doc
-                        .map()
-                        .forEach(
-                                (key, value) -> {
-                                    if (!table.asked.contains(key)) {
-                                        table.fault(
-                                                key,
-                                                value,
-                                                "unknown key" + nearest(key, table.asked));
-                                    }
-                                });
-            }
-        }
+    /**
+     * Ends the reading of a file.
+     *
+     * @throws InvalidConfigurationException if any of its tables has a fault or an unknown key
+     */
+    public void throwIfInvalid() throws InvalidConfigurationException {
+        tables.forEach(Fields::reportUnknownKeys);
         if (!faults.isEmpty()) {
             faults.sort(Comparator.comparingInt(Fault::line));
             throw new InvalidConfigurationException(faults.stream().map(Fault::text).toList());
         }
     }
 
-    /** Keys that nobody asks for are fine in this table: others read them. */
-    public void mayHoldMore() {
-        open = true;
+    private void reportUnknownKeys() {
+        if (allowsOtherKeys) {
+            return;
+        }
+        document.entries()
+                .forEach(
+                        (key, value) -> {
+                            if (!requestedKeys.contains(key)) {
+                                addFault(key, value, "unknown key" + hint(key));
+                            }
+                        });
     }
 
-    private static String nearest(String key, Set<String> known) {
-        return known.stream()
-                .filter(k -> edits(key, k) <= Math.min(NEAR, k.length() - 1))
-                .min(Comparator.comparingInt((String k) -> edits(key, k)))
-                .map(k -> "; did you mean " + k + "?")
-                .orElse("; known here: " + String.join(", ", known));
+    private String hint(String key) {
+        return EditDistance.nearest(key, requestedKeys)
+                .map(known -> "; did you mean " + known + "?")
+                .orElse("; known here: " + String.join(", ", requestedKeys));
     }
 
-    /** The fewest letters to add, drop or change (Levenshtein). */
-    static int edits(String one, String other) {
-        int[] row = new int[other.length() + 1];
-        for (int j = 0; j < row.length; j++) {
-            row[j] = j;
-        }
-        for (int i = 1; i <= one.length(); i++) {
-            int corner = row[0];
-            row[0] = i;
-            for (int j = 1; j < row.length; j++) {
-                int change = corner + (one.charAt(i - 1) == other.charAt(j - 1) ? 0 : 1);
-                corner = row[j];
-                row[j] = Math.min(change, 1 + Math.min(row[j], row[j - 1]));
-            }
-        }
-        return row[other.length()];
+    /** Accepts keys in this table that are never read. */
+    public void allowOtherKeys() {
+        allowsOtherKeys = true;
     }
 
-    /** A fault at one of the keys, found by whoever knows what the values mean together. */
-    public void fault(String key, String expected) {
-        fault(key, doc.map().getOrDefault(key, doc), expected);
+    /**
+     * Adds a fault that a single field's check can't find.
+     *
+     * @param key the key it is reported at; where it is missing, the table's line counts
+     * @param expected what was expected and what was found
+     */
+    public void addFault(String key, String expected) {
+        addFault(key, document.entries().getOrDefault(key, document), expected);
     }
 
-    private void fault(String key, ConfigurationDocument at, String text) {
+    private void addFault(String key, ConfigurationDocument at, String text) {
         faults.add(
                 new Fault(
                         at.line,
                         InvalidConfigurationException.line(at.file, at.line, path + key, text)));
     }
 
-    /** Whether the key is there. */
+    /** Returns whether the table has the key. */
     public boolean has(String key) {
-        asked.add(key);
-        return doc.map().containsKey(key);
+        requestedKeys.add(key);
+        return document.has(key);
     }
 
+    /** Returns the value at a key, or null. */
     private ConfigurationDocument get(String key) {
-        asked.add(key);
-        return doc.map().get(key);
+        requestedKeys.add(key);
+        return document.entries().get(key);
     }
 
-    /** A text; a default of null makes the key one that must be there. */
-    public String text(String key, String otherwise) {
-        ConfigurationDocument at = get(key);
-        if (at == null) {
-            if (otherwise == null) {
-                fault(key, doc, "expected a text, but the key is not there");
+    /**
+     * Returns a text.
+     *
+     * @param defaultValue null if the key is required
+     */
+    public String text(String key, String defaultValue) {
+        String fallback = defaultValue == null ? "" : defaultValue;
+        ConfigurationDocument value = get(key);
+        if (value == null) {
+            if (defaultValue == null) {
+                addFault(key, document, "expected a text, but the key is not there");
             }
-            return otherwise == null ? "" : otherwise;
+            return fallback;
         }
-        if (at.plain() instanceof String text) {
-            return text;
+        Optional<String> text = value.text();
+        if (text.isEmpty()) {
+            addFault(key, value, "expected a text, found " + value.describe());
         }
-        fault(key, at, "expected a text, found " + at.kind());
-        return otherwise == null ? "" : otherwise;
+        return text.orElse(fallback);
     }
 
-    /** One of a few words. */
-    public String word(String key, String otherwise, String... words) {
-        String text = text(key, otherwise);
+    /**
+     * Returns one of several words.
+     *
+     * @param defaultValue null if the key is required
+     */
+    public String oneOf(String key, String defaultValue, String... words) {
+        String text = text(key, defaultValue);
         if (List.of(words).contains(text)) {
             return text;
         }
-        if (doc.map().containsKey(key)) {
-            ConfigurationDocument at = doc.map().get(key);
-            fault(key, at, "expected one of " + String.join(", ", words) + ", found " + at.kind());
+        ConfigurationDocument value = get(key);
+        if (value != null) {
+            addFault(
+                    key,
+                    value,
+                    "expected one of " + String.join(", ", words) + ", found " + value.describe());
         }
-        return otherwise == null ? words[0] : otherwise;
+        return defaultValue == null ? words[0] : defaultValue;
     }
 
     /**
-     * The same, where words have been renamed: an old one is read as its new one, with one warning.
+     * Returns one of several words; one that was renamed is read as its new name, with a warning in
+     * the log.
+     *
+     * @param defaultValue null if the key is required
+     * @param renamed new names by old ones
      */
-    public String word(String key, String otherwise, Map<String, String> renamed, String... words) {
-        ConfigurationDocument at = doc.map().get(key);
-        String now = at == null ? null : renamed.get(String.valueOf(at.plain()));
-        if (now == null) {
-            return word(key, otherwise, words);
+    public String oneOf(
+            String key, String defaultValue, Map<String, String> renamed, String... words) {
+        ConfigurationDocument value = document.entries().get(key);
+        String newName = value == null ? null : renamed.get(value.plainText());
+        if (newName == null) {
+            return oneOf(key, defaultValue, words);
         }
-        asked.add(key);
+        requestedKeys.add(key);
+        String warning = "\"" + value.plainText() + "\" is called \"" + newName + "\" now";
         System.getLogger("cottonlock")
                 .log(
                         System.Logger.Level.WARNING,
                         InvalidConfigurationException.line(
-                                at.file,
-                                at.line,
-                                path + key,
-                                "\"" + at.plain() + "\" is called \"" + now + "\" now"));
-        return now;
+                                value.file, value.line, path + key, warning));
+        return newName;
     }
 
-    /** A text of the given form, which the words describe. */
-    public String formed(String key, String otherwise, String form, String words) {
-        String text = text(key, otherwise);
-        if (has(key) && doc.map().get(key).plain() instanceof String && !text.matches(form)) {
-            fault(key, "expected " + words + ", found \"" + text + "\"");
+    /**
+     * Returns a text that matches a pattern.
+     *
+     * @param defaultValue null if the key is required
+     * @param description the pattern in words, for the error message
+     */
+    public String matching(String key, String defaultValue, String pattern, String description) {
+        String text = text(key, defaultValue);
+        if (hasText(key) && !text.matches(pattern)) {
+            addFault(key, "expected " + description + ", found \"" + text + "\"");
         }
         return text;
     }
 
-    /** Whether a text is an address of digits with a port. */
+    private boolean hasText(String key) {
+        ConfigurationDocument value = get(key);
+        return value != null && value.text().isPresent();
+    }
+
+    /** Returns whether a text is a numeric IPv4 or bracketed IPv6 address with a port. */
     public static boolean isAddress(String text) {
         return text.matches(ADDRESS)
-                && Integer.parseInt(text.substring(text.lastIndexOf(':') + 1)) <= LAST_PORT;
+                && Integer.parseInt(text.substring(text.lastIndexOf(':') + 1)) <= MAX_PORT;
     }
 
-    /** An address of digits with a port; a default of "" makes it one that may be left empty. */
-    public String address(String key, String otherwise) {
-        String text = text(key, otherwise);
-        if (has(key)
-                && doc.map().get(key).plain() instanceof String
-                && !isAddress(text)
-                && !(text.isEmpty() && otherwise != null)) {
-            fault(key, "expected " + ADDRESS_WORDS + ", found \"" + text + "\"");
+    /**
+     * Returns a numeric address with a port.
+     *
+     * @param defaultValue null if the key is required; otherwise the text may also be empty
+     */
+    public String address(String key, String defaultValue) {
+        String text = text(key, defaultValue);
+        boolean mayBeEmpty = defaultValue != null;
+        if (hasText(key) && !isAddress(text) && !(text.isEmpty() && mayBeEmpty)) {
+            addFault(key, "expected " + ADDRESS_FORM + ", found \"" + text + "\"");
         }
         return text;
     }
 
-    public boolean flag(String key, boolean otherwise) {
-        ConfigurationDocument at = get(key);
-        if (at == null) {
-            return otherwise;
+    /** Returns a boolean. */
+    public boolean bool(String key, boolean defaultValue) {
+        ConfigurationDocument value = get(key);
+        if (value == null) {
+            return defaultValue;
         }
-        if (at.plain() instanceof Boolean value) {
-            return value;
+        Optional<Boolean> flag = value.flag();
+        if (flag.isEmpty()) {
+            addFault(key, value, "expected true or false, found " + value.describe());
         }
-        fault(key, at, "expected true or false, found " + at.kind());
-        return otherwise;
+        return flag.orElse(defaultValue);
     }
 
     /**
-     * A number within bounds, both allowed; a default of NaN makes the key one that must be there.
+     * Returns a number.
+     *
+     * @param defaultValue NaN if the key is required
+     * @param min the least number allowed
+     * @param max the greatest number allowed
      */
-    public double number(String key, double otherwise, double least, double most) {
-        ConfigurationDocument at = get(key);
-        if (at == null) {
-            if (Double.isNaN(otherwise)) {
-                fault(key, doc, "expected a number, but the key is not there");
-                return least;
+    public double number(String key, double defaultValue, double min, double max) {
+        boolean required = Double.isNaN(defaultValue);
+        double fallback = required ? min : defaultValue;
+        ConfigurationDocument value = get(key);
+        if (value == null) {
+            if (required) {
+                addFault(key, document, "expected a number, but the key is not there");
             }
-            return otherwise;
+            return fallback;
         }
-        double usable = Double.isNaN(otherwise) ? least : otherwise;
-        if (!(at.plain() instanceof Number number)) {
-            fault(key, at, "expected a number, found " + at.kind());
-            return usable;
+        OptionalDouble number = value.number();
+        if (number.isEmpty()) {
+            addFault(key, value, "expected a number, found " + value.describe());
+            return fallback;
         }
-        double value = number.doubleValue();
-        if (!(value >= least && value <= most)) {
-            fault(key, at, "expected " + range(least, most) + ", found " + at.kind());
-            return usable;
+        if (number.getAsDouble() >= min && number.getAsDouble() <= max) {
+            return number.getAsDouble();
         }
-        return value;
+        addFault(key, value, "expected " + range(min, max) + ", found " + value.describe());
+        return fallback;
     }
 
-    /** A whole number within bounds, both allowed. */
-    public int whole(String key, int otherwise, int least, int most) {
-        double value = number(key, otherwise, least, most);
+    /**
+     * Returns a whole number.
+     *
+     * @param min the least number allowed
+     * @param max the greatest number allowed
+     */
+    public int integer(String key, int defaultValue, int min, int max) {
+        double value = number(key, defaultValue, min, max);
         if (value != Math.rint(value)) {
-            fault(key, "expected a whole number, found " + doc.map().get(key).kind());
-            return otherwise;
+            addFault(key, "expected a whole number, found " + get(key).describe());
+            return defaultValue;
         }
         return (int) value;
     }
 
-    private static String range(double least, double most) {
-        return most == Double.MAX_VALUE
-                ? "a number of " + plain(least) + " or more"
-                : "a number from " + plain(least) + " to " + plain(most);
+    private static String range(double min, double max) {
+        return max == Double.MAX_VALUE
+                ? "a number of " + format(min) + " or more"
+                : "a number from " + format(min) + " to " + format(max);
     }
 
-    private static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15
+    private static String format(double value) {
+        return value == Math.rint(value) && Math.abs(value) < MAX_EXACT_WHOLE
                 ? Long.toString((long) value)
                 : Double.toString(value);
     }
 
-    /** A list of texts. */
-    public List<String> texts(String key, List<String> otherwise) {
-        ConfigurationDocument at = get(key);
-        if (at == null) {
-            return otherwise;
+    /** Returns a list of texts. */
+    public List<String> texts(String key, List<String> defaultValue) {
+        ConfigurationDocument value = get(key);
+        if (value == null) {
+            return defaultValue;
+        }
+        if (!value.isList()) {
+            addFault(key, value, "expected a list of texts, found " + value.describe());
+            return defaultValue;
         }
         List<String> texts = new ArrayList<>();
-        if (at.isList()) {
-            for (ConfigurationDocument item : at.list()) {
-                if (item.plain() instanceof String text) {
-                    texts.add(text);
-                } else {
-                    fault(key, item, "expected texts in the list, found " + item.kind());
-                }
+        for (ConfigurationDocument item : value.items()) {
+            if (item.text().isPresent()) {
+                texts.add(item.text().get());
+            } else {
+                addFault(key, item, "expected texts in the list, found " + item.describe());
             }
-            return texts;
         }
-        fault(key, at, "expected a list of texts, found " + at.kind());
-        return otherwise;
+        return texts;
     }
 
-    /** A table; an empty one where the key is missing. */
+    /** Returns a table; an empty one if the key is missing. */
     public Fields table(String key) {
-        ConfigurationDocument at = get(key);
-        if (at != null && !at.isMap()) {
-            fault(key, at, "expected a table, found " + at.kind());
+        ConfigurationDocument value = get(key);
+        if (value != null && !value.isTable()) {
+            addFault(key, value, "expected a table, found " + value.describe());
         }
         return new Fields(
-                at == null || !at.isMap() ? empty() : at, path + key + ".", faults, inner);
+                value == null || !value.isTable() ? document.emptyTable() : value,
+                path + key + ".",
+                faults,
+                tables);
     }
 
-    /** A list of tables. */
+    /** Returns a list of tables; an empty one if the key is missing. */
     public List<Fields> tables(String key) {
-        ConfigurationDocument at = get(key);
-        List<Fields> tables = new ArrayList<>();
-        if (at == null) {
-            return tables;
+        ConfigurationDocument value = get(key);
+        if (value == null) {
+            return new ArrayList<>();
         }
-        if (!at.isList()) {
-            fault(key, at, "expected a list of tables, found " + at.kind());
-            return tables;
+        if (!value.isList()) {
+            addFault(key, value, "expected a list of tables, found " + value.describe());
         }
-        for (int i = 0; i < at.list().size(); i++) {
-            ConfigurationDocument item = at.list().get(i);
-            if (item.isMap()) {
-                tables.add(new Fields(item, path + key + "." + i + ".", faults, inner));
+        List<Fields> found = new ArrayList<>();
+        for (int i = 0; i < value.items().size(); i++) {
+            ConfigurationDocument item = value.items().get(i);
+            if (item.isTable()) {
+                found.add(new Fields(item, path + key + "." + i + ".", faults, tables));
             } else {
-                fault(key, item, "expected tables in the list, found " + item.kind());
+                addFault(key, item, "expected tables in the list, found " + item.describe());
             }
         }
-        return tables;
-    }
-
-    private ConfigurationDocument empty() {
-        return doc.emptyTable();
+        return found;
     }
 
-    /** The names of the fields, in the order of the file. */
+    /** Returns the table's keys. */
     public Set<String> keys() {
-        return Set.copyOf(doc.map().keySet());
+        return Set.copyOf(document.entries().keySet());
     }
 
-    /** Where the table stands. */
+    /** Returns the name of the file. */
     public String file() {
-        return doc.file;
+        return document.file;
     }
 
-    /** The table's plain values as lines of TOML, for a file made of it, but for some. */
-    public String toml(Set<String> without) {
+    /**
+     * Returns the table's plain values as lines of TOML.
+     *
+     * @param excludedKeys keys that are left out
+     */
+    public String toToml(Set<String> excludedKeys) {
         StringBuilder lines = new StringBuilder();
-        doc.map()
+        document.entries()
                 .forEach(
                         (key, value) -> {
-                            if (!without.contains(key)) {
-                                lines.append(key).append(" = ").append(value.toml()).append('\n');
+                            if (!excludedKeys.contains(key)) {
+                                lines.append(key).append(" = ").append(value.toToml()).append('\n');
                             }
                         });
         return lines.toString();
     }
 
-    /** A plain value in words, for messages and reports; empty where there is none. */
-    public String shown(String key) {
-        Map<String, ConfigurationDocument> map = doc.map();
-        return map.containsKey(key) ? String.valueOf(map.get(key).plain()) : "";
+    /** Returns a plain value as reports show it; empty if the key is missing. */
+    public String plainText(String key) {
+        ConfigurationDocument value = document.entries().get(key);
+        return value == null ? "" : value.plainText();
     }
 }
--- a/src/main/java/cottonlock/config/InvalidConfigurationException.java
+++ b/src/main/java/cottonlock/config/InvalidConfigurationException.java
@@ -2,16 +2,17 @@
 
 import java.util.List;
 
-/**
- * A file, or a value given on the command line, that can't be used, with everything that is wrong
- * with it.
- */
+/** Reports everything that is wrong with a configuration file. */
 public final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final transient List<String> faults;
 
-    /** One line a fault, each with the place it was found at. */
+    /**
+     * Creates an exception for a file's faults.
+     *
+     * @param faults one line a fault, each beginning with the place of the fault
+     */
     public InvalidConfigurationException(List<String> faults) {
         super(String.join("\n", faults));
         this.faults = List.copyOf(faults);
@@ -21,6 +22,7 @@
         return new InvalidConfigurationException(List.of(line(file, line, key, fault)));
     }
 
+    /** Returns a fault's line; the line number 0 and an empty key are left out. */
     static String line(String file, int line, String key, String fault) {
         return file
                 + (line > 0 ? ":" + line : "")
@@ -29,7 +31,7 @@
                 + fault;
     }
 
-    /** Each fault as one line: file, line, key, what was expected. */
+    /** Returns one line a fault: file, line, key, and what was expected. */
     public List<String> faults() {
         return faults;
     }
--- /dev/null
+++ b/src/main/java/cottonlock/config/MembershipTable.java
@@ -0,0 +1,95 @@
+package cottonlock.config;
+
+import cottonlock.setup.MembershipConfig;
+import cottonlock.setup.MembershipProtocolConfig;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+
+/** Reads the table {@code [membership]} of operators' files and of the lab's scenarios. */
+public final class MembershipTable {
+    private MembershipTable() {}
+
+    /**
+     * Reads the table; faults are added to the file's.
+     *
+     * @param file the file that holds the table; key files are named relative to its folder
+     * @return the configuration, or null if membership is off
+     */
+    public static MembershipConfig read(Fields table, Path file) {
+        boolean enabled = table.bool("enabled", false);
+        String listen = table.address("listen", "");
+        String advertise = table.address("advertise", "");
+        List<String> seeds = Addresses.read(table, "seeds");
+        String key = keyFile(table, "key_file", file);
+        String nextKey = keyFile(table, "next_key_file", file);
+        if (key.isEmpty() && !nextKey.isEmpty()) {
+            table.addFault(
+                    "next_key_file", "expected key_file beside it: tags are made with that one");
+        }
+        MembershipProtocolConfig protocol = protocol(table);
+        return enabled
+                ? new MembershipConfig(listen, advertise, seeds, key, nextKey, protocol)
+                : null;
+    }
+
+    /**
+     * Reads the protocol's parameters from an operator's file, also if membership is off there.
+     * Other tables of the file are not checked.
+     *
+     * @throws InvalidConfigurationException with all faults of the parameters
+     */
+    public static MembershipProtocolConfig readProtocol(Path file)
+            throws InvalidConfigurationException {
+        Fields top = Fields.of(ConfigurationDocument.toml(file));
+        top.allowOtherKeys();
+        Fields table = top.table("membership");
+        MembershipProtocolConfig protocol = protocol(table);
+        table.allowOtherKeys();
+        top.throwIfInvalid();
+        return protocol;
+    }
+
+    private static MembershipProtocolConfig protocol(Fields table) {
+        MembershipProtocolConfig defaults = MembershipProtocolConfig.DEFAULTS;
+        long period = Durations.millisAsTicks(table, "period_ms", defaults.periodTicks(), 50, 60_000);
+        long defaultAnswer = Math.min(defaults.answerTimeoutTicks(), period * 3 / 10);
+        long answer = Durations.millisAsTicks(table, "answer_ms", defaultAnswer, 10, 60_000);
+        if (answer >= period) {
+            table.addFault(
+                    table.has("answer_ms") ? "answer_ms" : "period_ms",
+                    "expected answer_ms to be less than period_ms, found "
+                            + answer / 10
+                            + " and "
+                            + period / 10);
+        }
+        return new MembershipProtocolConfig(
+                period,
+                answer,
+                table.integer("helpers", defaults.indirectProbeCount(), 0, 16),
+                table.number("suspicion_periods", defaults.suspicionMultiplier(), 0.5, 1_000),
+                table.number("suspicion_longest", defaults.maxSuspicionMultiplier(), 1, 100),
+                table.integer("confirmations", defaults.confirmationCount(), 0, 16),
+                Durations.millisAsTicks(table, "hung_ms", defaults.stallTimeoutTicks(), 100, 600_000),
+                table.number("repeats", defaults.retransmitMultiplier(), 0.5, 20),
+                table.integer("most", defaults.maxMembers(), 2, 4_096),
+                Durations.secondsAsTicks(table, "forget_s", defaults.deadMemberRetentionTicks(), 10, 86_400),
+                table.integer("bytes_per_second", defaults.maxBytesPerSecond(), 1_024, 1 << 20),
+                table.integer("self_doubt", defaults.maxLocalHealthScore(), 0, 16),
+                Durations.millisAsTicks(table, "join_ms", defaults.joinTimeoutTicks(), 100, 60_000),
+                table.integer("contact_periods", defaults.contactIntervalPeriods(), 1, 100));
+    }
+
+    /** Returns the path of a key file, as this process can open it; empty if none is named. */
+    private static String keyFile(Fields table, String key, Path file) {
+        String name = table.text(key, "");
+        if (name.isEmpty()) {
+            return name;
+        }
+        Path path = file.toAbsolutePath().getParent().resolve(name);
+        if (!Files.isRegularFile(path)) {
+            table.addFault(key, "there is no file " + path);
+        }
+        return path.toString();
+    }
+}
--- a/src/main/java/cottonlock/config/PlatformFile.java
+++ b/src/main/java/cottonlock/config/PlatformFile.java
@@ -6,124 +6,149 @@
 import java.util.Set;
 
 /**
- * Checks the platform's JSON ({@code EDGE_CONFIG}) more closely than {@code serve} does, which
- * takes what it can use: a slip that would only show in service is told here. The settings may hold
- * more than a proxy reads.
+ * Checks the platform's JSON ({@code EDGE_CONFIG}) for the command {@code check}. It is stricter
+ * than {@code serve}, which replaces some unusable values by defaults. The settings may hold keys
+ * that a proxy doesn't read.
  */
 public final class PlatformFile {
-    /** Microseconds: a day, beyond which a time is taken for a slip in its unit. */
-    private static final double DAY = 86_400e6;
+    /** A time beyond a day is probably given in the wrong unit. */
+    private static final double MAX_TIME_MICROS = 86_400e6;
+
+    private static final double DEFAULT_EXPIRY_MICROS = 60e6;
+
+    /** Rounded shares may add up to a little more than 1. */
+    private static final double MAX_SUM_OF_SHARES = 1.001;
+
+    private static final double MAX_RATE = 1e9;
+    private static final double MAX_FEE = 1e6;
+    private static final int MAX_COUNT = 1 << 20;
 
     private PlatformFile() {}
 
-    /** Throws all that is wrong with it. */
+    /**
+     * Checks a file.
+     *
+     * @throws InvalidConfigurationException with all faults of the file
+     */
     public static void check(Path file) throws InvalidConfigurationException {
         Fields top = Fields.of(ConfigurationDocument.json(file));
         top.text("name", "");
         top.address("listen", null);
         top.address("discovery", null);
-        top.formed("seed", null, "[0-9a-fA-F]{1,16}", "up to 16 hex digits");
+        top.matching("seed", null, "[0-9a-fA-F]{1,16}", "up to 16 hex digits");
         top.address("mgmt", "");
         top.address("peer_listen", "");
         top.address("peers_all", "");
-        for (String peer : top.texts("peers", List.of())) {
-            if (!Fields.isAddress(peer)) {
-                top.fault("peers", "expected " + Fields.ADDRESS_WORDS + ", found \"" + peer + "\"");
-            }
-        }
+        Addresses.read(top, "peers");
         Fields limits = top.table("limits");
         limits.number("cores", 1, 0.01, 1024);
-        limits.whole("memory_mb", 192, 32, 1 << 20);
-        limits.whole("sockets", 1024, 64, 1 << 20);
-        known(top.table("known"));
+        limits.integer("memory_mb", 192, 32, MAX_COUNT);
+        limits.integer("sockets", 1024, 64, MAX_COUNT);
+        checkEndpointList(top.table("known"));
         if (top.has("settings")) {
-            settings(top.table("settings"));
+            checkSettings(top.table("settings"));
         } else {
-            top.fault("settings", "expected a table, but the key is not there");
+            top.addFault("settings", "expected a table, but the key is not there");
         }
-        top.end();
+        top.throwIfInvalid();
     }
 
-    private static void known(Fields known) {
-        known.number("seq", 0, 0, Double.MAX_VALUE);
-        known.flag("whole", true);
+    private static void checkEndpointList(Fields list) {
+        list.number("seq", 0, 0, Double.MAX_VALUE);
+        list.bool("whole", true);
         Set<String> hosts = new HashSet<>();
-        for (Fields host : known.tables("hosts")) {
+        for (Fields host : list.tables("hosts")) {
             if (!hosts.add(host.text("host", null))) {
-                host.fault("host", "stands twice in the list");
+                host.addFault("host", "stands twice in the list");
             }
             host.address("dial", null);
-            host.word("health", null, "active", "leaving", "left");
+            host.oneOf("health", null, "active", "leaving", "left");
             host.number("share", 1, 0, 1e6);
             host.number("born_ms", 0, 0, Double.MAX_VALUE);
             host.number("block", 0, 0, Double.MAX_VALUE);
-            host.mayHoldMore();
+            host.allowOtherKeys();
         }
     }
 
-    private static void settings(Fields settings) {
-        Set<String> names = new HashSet<>();
-        List<Fields> categories = settings.tables("Categories");
-        if (categories.isEmpty()) {
-            settings.fault("Categories", "expected a list with one table or more");
+    private static void checkSettings(Fields settings) {
+        checkRequestClasses(settings);
+        checkTenants(settings);
+        settings.oneOf("MembershipMode", "automatic", "automatic", "subscribe");
+        settings.texts("Zones", List.of());
+        settings.texts("Flavors", List.of());
+        checkLimits(settings.table("Limits"));
+        checkObligations(settings.table("Obligations"));
+        settings.oneOf("Workload", "chain", "chain", "mesh", "proxy");
+        settings.integer("FleetSize", 1, 1, MAX_COUNT);
+        settings.integer("Me", 0, 0, MAX_COUNT);
+        Fields fees = settings.table("Fees");
+        fees.number("Connection", 0, 0, MAX_FEE);
+        fees.number("Handshake", 0, 0, MAX_FEE);
+        fees.allowOtherKeys();
+        settings.allowOtherKeys();
+    }
+
+    private static void checkRequestClasses(Fields settings) {
+        List<Fields> requestClasses = settings.tables("Categories");
+        if (requestClasses.isEmpty()) {
+            settings.addFault("Categories", "expected a list with one table or more");
         }
-        for (Fields category : categories) {
-            if (!names.add(category.text("Name", null))) {
-                category.fault("Name", "stands twice in the list");
+        Set<String> names = new HashSet<>();
+        for (Fields requestClass : requestClasses) {
+            if (!names.add(requestClass.text("Name", null))) {
+                requestClass.addFault("Name", "stands twice in the list");
             }
-            double due = category.number("DueTime", Double.NaN, 1, DAY);
-            double expiry = category.number("Expiry", 60e6, 1, DAY);
-            if (expiry < due) {
-                category.fault("Expiry", "expected no less than DueTime");
+            double latencyObjective =
+                    requestClass.number("DueTime", Double.NaN, 1, MAX_TIME_MICROS);
+            double timeout =
+                    requestClass.number("Expiry", DEFAULT_EXPIRY_MICROS, 1, MAX_TIME_MICROS);
+            if (timeout < latencyObjective) {
+                requestClass.addFault("Expiry", "expected no less than DueTime");
             }
-            category.word("Repeat", "safe", "safe", "keyed", "unsafe");
-            category.word("KeyScope", "all", "all", "zone", "cell");
-            category.number("RepeatWindow", 0, 0, DAY);
-            category.number("Credit", 1, 0, 1e9);
-            category.number("LateCredit", 0, 0, 1e9);
-            category.mayHoldMore();
+            requestClass.oneOf("Repeat", "safe", "safe", "keyed", "unsafe");
+            requestClass.oneOf("KeyScope", "all", "all", "zone", "cell");
+            requestClass.number("RepeatWindow", 0, 0, MAX_TIME_MICROS);
+            requestClass.number("Credit", 1, 0, MAX_RATE);
+            requestClass.number("LateCredit", 0, 0, MAX_RATE);
+            requestClass.allowOtherKeys();
         }
-        double shares = 0;
-        names.clear();
+    }
+
+    private static void checkTenants(Fields settings) {
+        double sumOfShares = 0;
+        Set<String> names = new HashSet<>();
         for (Fields tenant : settings.tables("Projects")) {
             if (!names.add(tenant.text("Name", null))) {
-                tenant.fault("Name", "stands twice in the list");
+                tenant.addFault("Name", "stands twice in the list");
             }
-            shares += tenant.number("Share", 0, 0, 1);
-            tenant.number("QuotaRps", 0, 0, 1e9);
-            tenant.mayHoldMore();
+            sumOfShares += tenant.number("Share", 0, 0, 1);
+            tenant.number("QuotaRps", 0, 0, MAX_RATE);
+            tenant.allowOtherKeys();
         }
-        // A little more than one is what rounded shares add up to.
-        if (shares > 1.001) {
-            settings.fault("Projects", "expected shares of 1 at most together, found " + shares);
+        if (sumOfShares > MAX_SUM_OF_SHARES) {
+            settings.addFault(
+                    "Projects", "expected shares of 1 at most together, found " + sumOfShares);
         }
-        settings.word("MembershipMode", "automatic", "automatic", "subscribe");
-        settings.texts("Zones", List.of());
-        settings.texts("Flavors", List.of());
-        Fields limits = settings.table("Limits");
-        limits.whole("MaxHandOffs", 1, 1, 1000);
+    }
+
+    private static void checkLimits(Fields limits) {
+        limits.integer("MaxHandOffs", 1, 1, 1000);
         for (String flag : List.of("Cancel", "RetryAfter", "PeerMessages")) {
-            limits.flag(flag, false);
+            limits.bool(flag, false);
         }
         for (String time : List.of("MaxRetryAfter", "ConnectTimeout", "ConnIdle")) {
-            limits.number(time, 0, 0, DAY);
+            limits.number(time, 0, 0, MAX_TIME_MICROS);
         }
-        limits.mayHoldMore();
-        Fields obligations = settings.table("Obligations");
-        obligations.flag("RemovalNotBinding", false);
+        limits.allowOtherKeys();
+    }
+
+    private static void checkObligations(Fields obligations) {
+        obligations.bool("RemovalNotBinding", false);
         obligations.number("ColdShare", 1, 0, 1);
         obligations.number("FallMultiple", 1, 0, 1e6);
         for (String time : List.of("AskWithin", "Cold", "Fall")) {
-            obligations.number(time, 0, 0, DAY);
+            obligations.number(time, 0, 0, MAX_TIME_MICROS);
         }
-        obligations.mayHoldMore();
-        settings.word("Workload", "chain", "chain", "mesh", "proxy");
-        settings.whole("FleetSize", 1, 1, 1 << 20);
-        settings.whole("Me", 0, 0, 1 << 20);
-        Fields fees = settings.table("Fees");
-        fees.number("Connection", 0, 0, 1e6);
-        fees.number("Handshake", 0, 0, 1e6);
-        fees.mayHoldMore();
-        settings.mayHoldMore();
+        obligations.allowOtherKeys();
     }
 }
--- a/src/main/java/cottonlock/config/package-info.java
+++ b/src/main/java/cottonlock/config/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Reads files that people write, TOML and JSON, into checked values; each fault is told with file,
- * line, key and what was expected, all of them at once. {@code serve} without an operator's file
- * loads nothing of it.
+ * Reads configuration files, TOML and JSON, into checked values. A file's faults are reported
+ * together, each with file, line, key and what was expected. {@code serve} without an operator's
+ * file loads no class of this package.
  */
 package cottonlock.config;
--- a/src/main/java/cottonlock/lab/Lab.java
+++ b/src/main/java/cottonlock/lab/Lab.java
@@ -2,7 +2,7 @@
 
 import cottonlock.config.ConfigurationDocument;
 import cottonlock.config.InvalidConfigurationException;
-import cottonlock.config.OperatorFile;
+import cottonlock.config.MembershipTable;
 import cottonlock.lab.world.Topology;
 import cottonlock.setup.MembershipProtocolConfig;
 import java.io.IOException;
@@ -293,7 +293,7 @@
             MembershipProtocolConfig rules =
                     operator == null
                             ? MembershipProtocolConfig.DEFAULTS
-                            : OperatorFile.rules(operator);
+                            : MembershipTable.readProtocol(operator);
             MembersStudy study = new MembersStudy(sizes, losses, rules);
             study.play(seed, deaths, quiet, out);
             if (folder != null) {
@@ -324,7 +324,7 @@
             MembershipProtocolConfig rules =
                     operator == null
                             ? MembershipProtocolConfig.DEFAULTS
-                            : OperatorFile.rules(operator);
+                            : MembershipTable.readProtocol(operator);
             MembersRegions study =
                     new MembersRegions(
                             new Topology(regions, zones), quiet, apart, known, rules, out);
--- a/src/main/java/cottonlock/lab/Scenario.java
+++ b/src/main/java/cottonlock/lab/Scenario.java
@@ -3,7 +3,7 @@
 import cottonlock.config.ConfigurationDocument;
 import cottonlock.config.Fields;
 import cottonlock.config.InvalidConfigurationException;
-import cottonlock.config.OperatorFile;
+import cottonlock.config.MembershipTable;
 import cottonlock.setup.MembershipConfig;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -221,20 +221,20 @@
         Fields top = Fields.of(doc);
         String stem = String.valueOf(file.getFileName()).replaceAll("\\.toml$", "");
         Scenario scenario = new Scenario(top, stem, file.toAbsolutePath().getParent());
-        top.end();
+        top.throwIfInvalid();
         return scenario;
     }
 
     private Scenario(Fields top, String stem, Path folder) {
-        name = top.formed("name", stem, NAME, "a short name");
+        name = top.matching("name", stem, NAME, "a short name");
         about = top.text("about", "");
         seed = (long) top.number("seed", 1, 0, 1L << 53);
         length = (long) (SECOND * top.number("seconds", 10, 1, 3_600));
         lateLimit = (long) (MILLI * top.number("late_limit_ms", 20, 1, 1_000));
-        sabotage = top.word("sabotage", "none", SABOTAGE);
+        sabotage = top.oneOf("sabotage", "none", SABOTAGE);
         rooms = top.texts("rooms", List.of("a"));
         if (rooms.isEmpty() || new HashSet<>(rooms).size() < rooms.size()) {
-            top.fault("rooms", "expected one name or more, each once");
+            top.addFault("rooms", "expected one name or more, each once");
         }
         proxies = proxies(top.table("proxy"));
         knowing = knowing(top, folder);
@@ -251,7 +251,7 @@
                             f.text("tenant", ""));
             if (!burst.tenant.isEmpty()
                     && tenants.stream().noneMatch(t -> t.name.equals(burst.tenant))) {
-                f.fault("tenant", "there is no tenant " + burst.tenant);
+                f.addFault("tenant", "there is no tenant " + burst.tenant);
             }
             bursts.add(burst);
         }
@@ -262,7 +262,7 @@
         double rate = tenants.stream().mapToDouble(TenantPlan::rate).sum();
         double times = Math.max(1, bursts.stream().mapToDouble(Burst::times).max().orElse(1));
         if (rate * times * length / SECOND > MOST_ARRIVALS) {
-            top.fault(
+            top.addFault(
                     "seconds",
                     "expected "
                             + (long) MOST_ARRIVALS
@@ -286,34 +286,34 @@
 
     private static Proxies proxies(Fields f) {
         return new Proxies(
-                f.whole("count", 1, 1, 1_000),
-                f.word("policy", "lanes", "lanes", "random", "least", "round", "direct"),
-                f.flag("processes", false),
-                f.whole("memory_mb", 192, 32, 4_096),
-                f.whole("sockets", 1_024, 64, 65_536),
-                f.whole("max_hand_offs", 3, 1, 20),
-                f.flag("retry_after", true),
-                f.flag("cancel", true),
+                f.integer("count", 1, 1, 1_000),
+                f.oneOf("policy", "lanes", "lanes", "random", "least", "round", "direct"),
+                f.bool("processes", false),
+                f.integer("memory_mb", 192, 32, 4_096),
+                f.integer("sockets", 1_024, 64, 65_536),
+                f.integer("max_hand_offs", 3, 1, 20),
+                f.bool("retry_after", true),
+                f.bool("cancel", true),
                 millis(f, "connect_timeout_ms", 150, 1),
                 seconds(f, "idle_s", 60, 0.1));
     }
 
     private Knowing knowing(Fields top, Path folder) {
         Fields f = top.table("membership");
-        boolean on = f.flag("enabled", false);
+        boolean on = f.bool("enabled", false);
         double limit = f.number("watch_limit_ms", 200, 1, 60_000);
-        boolean keyed = f.flag("keyed", false);
-        MembershipConfig plan = OperatorFile.membership(f, folder.resolve("scenario.toml"));
+        boolean keyed = f.bool("keyed", false);
+        MembershipConfig plan = MembershipTable.read(f, folder.resolve("scenario.toml"));
         if (!on) {
             return null;
         }
         if (!proxies.processes || !proxies.policy.equals("lanes")) {
-            top.fault(
+            top.addFault(
                     "membership",
                     "needs proxies in processes of their own: proxy.processes = true");
         }
         return new Knowing(
-                f.toml(Set.of("watch_limit_ms", "keyed")),
+                f.toToml(Set.of("watch_limit_ms", "keyed")),
                 keyed,
                 plan.protocol().periodTicks() * 100_000,
                 limit);
@@ -333,23 +333,23 @@
     private void tiers(Fields top) {
         List<Fields> list = top.tables("tier");
         if (list.isEmpty() || list.size() > 3) {
-            top.fault("tier", "expected one to three tables [[tier]], found " + list.size());
+            top.addFault("tier", "expected one to three tables [[tier]], found " + list.size());
         }
         for (Fields f : list) {
             boolean last = tiers.size() == list.size() - 1;
-            int calls = f.whole("calls", last ? 0 : 1, 0, 100);
+            int calls = f.integer("calls", last ? 0 : 1, 0, 100);
             if (last && calls > 0) {
-                f.fault("calls", "expected 0: there is no tier behind this one");
+                f.addFault("calls", "expected 0: there is no tier behind this one");
             }
             tiers.add(
                     new Tier(
-                            f.whole("backends", 1, 1, 2_000),
-                            f.whole("cores", 4, 1, 1_024),
+                            f.integer("backends", 1, 1, 2_000),
+                            f.integer("cores", 4, 1, 1_024),
                             f.number("speed", 1, 0.001, 1_000),
-                            f.whole("queue", 50, 0, 100_000),
-                            f.whole("connections", 512, 1, 65_536),
+                            f.integer("queue", 50, 0, 100_000),
+                            f.integer("connections", 512, 1, 65_536),
                             calls,
-                            f.flag("reports", false)));
+                            f.bool("reports", false)));
         }
     }
 
@@ -359,31 +359,31 @@
         for (Fields f : top.tables("tenant")) {
             TenantPlan t =
                     new TenantPlan(
-                            f.formed("name", null, NAME, "a short name"),
+                            f.matching("name", null, NAME, "a short name"),
                             f.number("share", 0, 0, 1),
                             f.number("quota", 1e6, 0, 1e9),
                             f.number("rate", Double.NaN, 0, 1e6));
             if (!seen.add(t.name)) {
-                f.fault("name", "stands twice");
+                f.addFault("name", "stands twice");
             }
             shares += t.share;
             tenants.add(t);
         }
         if (tenants.isEmpty()) {
-            top.fault("tenant", "expected one table [[tenant]] or more");
+            top.addFault("tenant", "expected one table [[tenant]] or more");
         }
         if (shares > 1.001) {
-            top.fault("tenant", "expected shares of 1 at most together, found " + shares);
+            top.addFault("tenant", "expected shares of 1 at most together, found " + shares);
         }
         seen.clear();
         for (Fields f : top.tables("category")) {
             CategoryPlan c =
                     new CategoryPlan(
-                            f.formed("name", null, NAME, "a short name"),
+                            f.matching("name", null, NAME, "a short name"),
                             millis(f, "due_ms", Double.NaN, 1),
                             millis(f, "expiry_ms", Double.NaN, 1),
-                            f.word("repeat", "safe", OLD_WORDS, "safe", "keyed", "unsafe"),
-                            f.word("scope", "all", "all", "room"),
+                            f.oneOf("repeat", "safe", OLD_WORDS, "safe", "keyed", "unsafe"),
+                            f.oneOf("scope", "all", "all", "room"),
                             seconds(f, "window_s", 10, 0),
                             f.number("credit", 1, 0, 1e6),
                             f.number("late_credit", 0, 0, 1),
@@ -391,34 +391,34 @@
                             MILLI * f.number("work_ms", Double.NaN, 0, 60_000),
                             f.number("spread", 0.3, 0, 3));
             if (!seen.add(c.name)) {
-                f.fault("name", "stands twice");
+                f.addFault("name", "stands twice");
             }
             if (c.expiry < c.due) {
-                f.fault("expiry_ms", "expected no less than due_ms");
+                f.addFault("expiry_ms", "expected no less than due_ms");
             }
             categories.add(c);
         }
         if (categories.stream().mapToDouble(CategoryPlan::weight).sum() <= 0) {
-            top.fault(
+            top.addFault(
                     "category",
                     "expected one table [[category]] or more, with weights above 0 together");
         }
     }
 
     private static ClientPlan clients(Fields f, Path folder) {
-        String arrivals = f.word("arrivals", "poisson", "poisson", "even", "trace");
+        String arrivals = f.oneOf("arrivals", "poisson", "poisson", "even", "trace");
         List<Long> trace = new ArrayList<>();
         String file = f.text("trace", "");
         if (arrivals.equals("trace")) {
             trace.addAll(trace(f, folder.resolve(file)));
         } else if (!file.isEmpty()) {
-            f.fault("trace", "is read only with arrivals = \"trace\"");
+            f.addFault("trace", "is read only with arrivals = \"trace\"");
         }
         return new ClientPlan(
                 arrivals,
                 trace,
                 f.number("keep", 0.9, 0, 1),
-                f.whole("retries", 0, 0, 10),
+                f.integer("retries", 0, 0, 10),
                 f.number("leave", 0, 0, 1),
                 seconds(f, "notice_s", 2, 0));
     }
@@ -438,7 +438,7 @@
                                 ? (long) (MILLI * Double.parseDouble(text))
                                 : -1;
                 if (at < 0 || (!times.isEmpty() && at < times.get(times.size() - 1))) {
-                    f.fault(
+                    f.addFault(
                             "trace",
                             file
                                     + ":"
@@ -452,13 +452,13 @@
                 times.add(at);
             }
         } catch (java.io.IOException e) {
-            f.fault("trace", "cannot be read: " + file);
+            f.addFault("trace", "cannot be read: " + file);
         }
         return times;
     }
 
     private Fault fault(Fields f) {
-        String kind = f.word("kind", null, KINDS.keySet().toArray(String[]::new));
+        String kind = f.oneOf("kind", null, KINDS.keySet().toArray(String[]::new));
         String amount = KINDS.get(kind);
         double value = 0;
         if (amount != null && !amount.isEmpty()) {
@@ -468,10 +468,10 @@
                             : f.number(
                                     amount, Double.NaN, kind.equals("proxy-clock") ? -ANY : 0, ANY);
         }
-        int tier = f.whole("tier", 0, 0, Math.max(0, tiers.size() - 1));
+        int tier = f.integer("tier", 0, 0, Math.max(0, tiers.size() - 1));
         String backend = f.text("backend", "");
         if (!backend.isEmpty() && !isBackend(backend)) {
-            f.fault(
+            f.addFault(
                     "backend",
                     "there is no backend "
                             + backend
@@ -482,30 +482,30 @@
         }
         String room = f.text("room", "");
         if (!room.isEmpty() && !rooms.contains(room)) {
-            f.fault("room", "there is no room " + room + "; known: " + String.join(", ", rooms));
+            f.addFault("room", "there is no room " + room + "; known: " + String.join(", ", rooms));
         }
-        int count = f.whole("count", 0, 0, 2_000);
+        int count = f.integer("count", 0, 0, 2_000);
         double part = f.number("part", 0, 0, 1);
         if (kind.startsWith("proxy") && part > 0) {
             count = Math.max(1, (int) Math.round(part * proxies.count));
         }
         if (OF_PROCESSES.contains(kind) && !proxies.processes) {
-            f.fault(
+            f.addFault(
                     "kind",
                     kind + " needs proxies in processes of their own: proxy.processes = true");
         }
         if ((kind.equals("proxy-hang") || kind.equals("proxy-replace")) && knowing == null) {
-            f.fault("kind", kind + " needs membership.enabled = true");
+            f.addFault("kind", kind + " needs membership.enabled = true");
         }
         String after =
-                f.formed(
+                f.matching(
                         "after",
                         "",
                         "[A-Za-z0-9-]{1,40}\\.(begin|end|up)",
                         "the name of a fault or " + "proxy and .begin, .end or .up");
         long at = seconds(f, "at", Double.NaN, 0);
         if (at >= length && f.has("at")) {
-            f.fault("at", "expected a time before the end of the run");
+            f.addFault("at", "expected a time before the end of the run");
         }
         return new Fault(
                 at,
@@ -519,8 +519,8 @@
                 value,
                 seconds(f, "every", 0, 0),
                 groups(f, kind),
-                f.flag("one_way", false),
-                f.formed("name", "", "[A-Za-z0-9-]{1,40}", "a short name"),
+                f.bool("one_way", false),
+                f.matching("name", "", "[A-Za-z0-9-]{1,40}", "a short name"),
                 after);
     }
 
@@ -530,7 +530,7 @@
             return numbers(f, "proxies", f.text("proxies", ""));
         }
         boolean drawn = kind.startsWith("proxy") && count > 0 && !f.has("proxy");
-        return drawn ? List.of() : List.of(f.whole("proxy", 0, 0, proxies.count - 1));
+        return drawn ? List.of() : List.of(f.integer("proxy", 0, 0, proxies.count - 1));
     }
 
     /** Such as "0-2,5": numbers of proxies, with ranges; or "all". */
@@ -544,7 +544,7 @@
             boolean right = part.matches("[0-9]{1,3}(-[0-9]{1,3})?");
             int last = right ? Integer.parseInt(ends[ends.length - 1]) : 0;
             if (!right || last >= proxies.count || Integer.parseInt(ends[0]) > last) {
-                f.fault(
+                f.addFault(
                         key,
                         "expected numbers below "
                                 + proxies.count
@@ -564,8 +564,8 @@
     private List<List<Integer>> groups(Fields f, String kind) {
         List<List<Integer>> groups = new ArrayList<>();
         String text = f.text("groups", "");
-        int parts = f.whole("parts", 0, 0, 100);
-        boolean mixed = f.flag("mixed", false);
+        int parts = f.integer("parts", 0, 0, 100);
+        boolean mixed = f.bool("mixed", false);
         if (parts > 1 && text.isEmpty()) {
             for (int part = 0; part < parts; part++) {
                 List<Integer> group = new ArrayList<>();
@@ -581,10 +581,10 @@
                 groups.add(numbers(f, "groups", group));
             }
             if (groups.size() < 2) {
-                f.fault("groups", "expected two groups or more, such as \"0-3/4-7\"");
+                f.addFault("groups", "expected two groups or more, such as \"0-3/4-7\"");
             }
         } else if (kind.equals("peer-cut") || kind.equals("peer-split")) {
-            f.fault("kind", kind + " needs parts = 2 or more, or groups such as \"0-3/4-7\"");
+            f.addFault("kind", kind + " needs parts = 2 or more, or groups such as \"0-3/4-7\"");
         }
         return groups;
     }
@@ -627,7 +627,7 @@
                         "peer-delay");
         for (String kind : kinds) {
             if (!drawn.contains(kind)) {
-                f.fault(
+                f.addFault(
                         "kinds",
                         "expected kinds out of "
                                 + String.join(", ", new java.util.TreeSet<>(drawn))
@@ -638,14 +638,14 @@
         }
         for (String kind : kinds) {
             if (OF_PROCESSES.contains(kind) && !proxies.processes) {
-                f.fault(
+                f.addFault(
                         "kinds",
                         kind + " needs proxies in processes of their own: proxy.processes = true");
             }
         }
         double end = length / SECOND;
         return new RandomFaults(
-                f.whole("count", 0, 0, 1_000),
+                f.integer("count", 0, 0, 1_000),
                 kinds,
                 seconds(f, "from", 0.2 * end, 0),
                 seconds(f, "to", 0.8 * end, 0),
@@ -660,9 +660,9 @@
                         : text.startsWith("=") ? "=" : "";
         String number = text.substring(operator.length());
         if (operator.isEmpty() || !number.matches("-?[0-9]{1,12}(\\.[0-9]{1,9})?")) {
-            f.fault(key, "expected a bound such as \">= 0.98\", \"<= 50\" or \"= 0\"");
+            f.addFault(key, "expected a bound such as \">= 0.98\", \"<= 50\" or \"= 0\"");
         } else if (!Verdict.KEYS.contains(key) && !Verdict.MEMBERS.contains(key)) {
-            f.fault(
+            f.addFault(
                     key,
                     "the verdict has no such figure; it has "
                             + String.join(", ", Verdict.KEYS)
--- a/src/main/java/cottonlock/lab/scale/Budget.java
+++ b/src/main/java/cottonlock/lab/scale/Budget.java
@@ -120,26 +120,26 @@
         for (Fields f : top.tables("constant")) {
             Constant c =
                     new Constant(
-                            f.formed("name", null, "[a-z0-9_]+", "a short name"),
+                            f.matching("name", null, "[a-z0-9_]+", "a short name"),
                             f.text("file", null),
                             f.text("field", null),
                             f.number("value", Double.NaN, 0, MOST));
             if (!seen.add(c.name)) {
-                f.fault("name", "stands twice");
+                f.addFault("name", "stands twice");
             }
             budget.constants.add(c);
             budget.given.put("constant." + c.name, c.value);
         }
         for (Fields f : top.tables("need")) {
-            String key = f.formed("budget", "", KEY, "a name such as operators.backends");
-            String at = f.formed("at", SIZE, KEY, "a name such as operators.backends");
+            String key = f.matching("budget", "", KEY, "a name such as operators.backends");
+            String at = f.matching("at", SIZE, KEY, "a name such as operators.backends");
             budget.needs.add(
                     new Need(
                             f.text("part", null),
                             f.text("figure", null),
-                            f.formed("source", null, SOURCE, "KIND:PATH, worked:NAME or none:"),
+                            f.matching("source", null, SOURCE, "KIND:PATH, worked:NAME or none:"),
                             at,
-                            f.flag("slope", true),
+                            f.bool("slope", true),
                             f.text("unit", ""),
                             key,
                             f.text("carried", null)));
@@ -147,14 +147,14 @@
                 if (!name.isEmpty()
                         && !name.startsWith("worked.")
                         && !budget.given.containsKey(name)) {
-                    f.fault(name.equals(key) ? "budget" : "at", "there is no figure " + name);
+                    f.addFault(name.equals(key) ? "budget" : "at", "there is no figure " + name);
                 }
             }
             if (!seen.add(f.text("part", "") + "/" + f.text("figure", ""))) {
-                f.fault("figure", "stands twice in its part");
+                f.addFault("figure", "stands twice in its part");
             }
         }
-        top.end();
+        top.throwIfInvalid();
         return budget;
     }
 
--- a/src/main/java/cottonlock/lab/scale/HollowHost.java
+++ b/src/main/java/cottonlock/lab/scale/HollowHost.java
@@ -1,7 +1,7 @@
 package cottonlock.lab.scale;
 
 import cottonlock.config.InvalidConfigurationException;
-import cottonlock.config.OperatorFile;
+import cottonlock.config.MembershipTable;
 import cottonlock.membership.LocalMember;
 import cottonlock.membership.MembershipHost;
 import cottonlock.membership.MembershipService;
@@ -152,7 +152,7 @@
         java.util.logging.Logger.getLogger("cottonlock").setLevel(java.util.logging.Level.OFF);
         HollowHost host =
                 new HollowHost(
-                        args.length > 1 ? OperatorFile.rules(Path.of(args[1])) : null,
+                        args.length > 1 ? MembershipTable.readProtocol(Path.of(args[1])) : null,
                         Long.parseLong(args[0]));
         Thread teller = new Thread(host::tell, "teller");
         teller.setDaemon(true);
--- a/src/main/java/cottonlock/lab/scale/ScaleFile.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleFile.java
@@ -3,7 +3,7 @@
 import cottonlock.config.ConfigurationDocument;
 import cottonlock.config.Fields;
 import cottonlock.config.InvalidConfigurationException;
-import cottonlock.config.OperatorFile;
+import cottonlock.config.MembershipTable;
 import cottonlock.setup.MembershipConfig;
 import cottonlock.setup.MembershipProtocolConfig;
 import java.nio.file.Path;
@@ -91,7 +91,7 @@
         ScaleFile read =
                 new ScaleFile(
                         top, String.valueOf(file.getFileName()).replaceAll("\\.toml$", ""), file);
-        top.end();
+        top.throwIfInvalid();
         return read;
     }
 
@@ -101,45 +101,47 @@
     }
 
     private ScaleFile(Fields top, String stem, Path file) {
-        name = top.formed("name", stem, NAME, "a short name");
+        name = top.matching("name", stem, NAME, "a short name");
         about = top.text("about", "");
         seed = (long) top.number("seed", 1, 0, 1L << 53);
         Fields f = top.table("fleet");
         fleet =
                 new Fleet(
-                        f.whole("size", 100, 2, 4_096),
-                        f.whole("real", 4, 0, 190),
-                        f.whole("per_jvm", 200, 1, 1_000),
-                        f.whole("regions", 2, 1, 8),
-                        f.whole("zones", 7, 1, 64),
-                        f.whole("racks", 4, 1, 64),
-                        f.whole("services", 460, 1, 4_096));
+                        f.integer("size", 100, 2, 4_096),
+                        f.integer("real", 4, 0, 190),
+                        f.integer("per_jvm", 200, 1, 1_000),
+                        f.integer("regions", 2, 1, 8),
+                        f.integer("zones", 7, 1, 64),
+                        f.integer("racks", 4, 1, 64),
+                        f.integer("services", 460, 1, 4_096));
         if (fleet.regions > fleet.zones) {
-            f.fault("regions", "expected no more than zones, found " + fleet.regions);
+            f.addFault("regions", "expected no more than zones, found " + fleet.regions);
         }
         if (fleet.real > fleet.size / fleet.regions) {
-            f.fault("real", "expected no more than the proxies of one region, found " + fleet.real);
+            f.addFault(
+                    "real", "expected no more than the proxies of one region, found " + fleet.real);
         }
         Fields c = top.table("control");
         control =
                 new Control(
-                        c.whole("machines", 3, 1, 60),
+                        c.integer("machines", 3, 1, 60),
                         c.number("calls_s", 50, 1, 1e6),
                         seconds(c, "takeover_s", 1));
         if (control.machines < fleet.regions) {
-            c.fault("machines", "expected one for each region at least, found " + control.machines);
+            c.addFault(
+                    "machines", "expected one for each region at least, found " + control.machines);
         }
         Fields d = top.table("day");
         day =
                 new Day(
-                        d.whole("changes", 2_100, 0, 100_000),
-                        d.whole("restarts", 350, 0, 10_000),
-                        d.whole("failures", 4, 0, 1_000),
+                        d.integer("changes", 2_100, 0, 100_000),
+                        d.integer("restarts", 350, 0, 10_000),
+                        d.integer("failures", 4, 0, 1_000),
                         d.number("part", 0.01, 0.0001, 1),
                         seconds(d, "over_s", 20));
         events = top.texts("events", EVENTS);
         if (!EVENTS.containsAll(events) || new HashSet<>(events).size() < events.size()) {
-            top.fault("events", "expected some of " + String.join(", ", EVENTS) + ", each once");
+            top.addFault("events", "expected some of " + String.join(", ", EVENTS) + ", each once");
         }
         settle = seconds(top, "settle_s", 60);
         patience = seconds(top, "patience_s", 20);
@@ -147,15 +149,15 @@
         quiet = seconds(top, "quiet_s", 2);
         lateLimitMs = top.number("late_limit_ms", 500, 1, 60_000);
         Fields bounds = top.table("bounds");
-        processes = bounds.whole("processes", 200, 2, 200);
-        memoryMb = bounds.whole("memory_mb", Integer.MAX_VALUE, 64, Integer.MAX_VALUE);
+        processes = bounds.integer("processes", 200, 2, 200);
+        memoryMb = bounds.integer("memory_mb", Integer.MAX_VALUE, 64, Integer.MAX_VALUE);
         Fields m = top.table("membership");
-        membershipToml = m.toml(Set.of("enabled", "listen", "advertise", "seeds"));
+        membershipToml = m.toToml(Set.of("enabled", "listen", "advertise", "seeds"));
         // The process's own reader, so that a file means here what it means in service.
-        MembershipConfig plan = OperatorFile.membership(m, file);
+        MembershipConfig plan = MembershipTable.read(m, file);
         membership = plan == null ? null : plan.protocol();
         if (membership != null && membership.maxMembers() < fleet.size) {
-            m.fault(
+            m.addFault(
                     "most",
                     "expected fleet.size ("
                             + fleet.size
--- a/src/main/java/cottonlock/proxy/BackendConnection.java
+++ b/src/main/java/cottonlock/proxy/BackendConnection.java
@@ -197,7 +197,7 @@
                                     attempt.req,
                                     host,
                                     () -> Math.max(1, (attempt.req.expiry - clock.now()) / 10)));
-            figures.attempted();
+            figures.attemptSent();
             return null;
         } catch (IOException e) {
             long now = clock.now();
--- a/src/main/java/cottonlock/proxy/ClientConnection.java
+++ b/src/main/java/cottonlock/proxy/ClientConnection.java
@@ -140,7 +140,7 @@
             ClientRequest unanswered = unanswered();
             // Claimed before all else: it might just be about to be sent on.
             if (unanswered != null && unanswered.claim()) {
-                figures.over();
+                figures.requestEnded();
                 module.left(unanswered);
             }
             Sockets.close(socket);
@@ -293,7 +293,7 @@
             reading = false;
             closing |= !keep;
         }
-        figures.taken();
+        figures.requestStarted();
         module.arrive(next);
         return true;
     }
@@ -343,7 +343,7 @@
         try {
             answer(status, name, value, body, close);
             whole = true;
-            figures.answered(done.categoryName, done.tenantName, status, done.why);
+            figures.responseSent(done.categoryName, done.tenantName, status, done.why);
         } catch (IOException e) {
             log.info("client gone", "an answer could not be written whole");
         }
@@ -353,7 +353,7 @@
     /** The request under way is over, and with it perhaps the connection. */
     private void over(boolean close) {
         boolean ends;
-        figures.over();
+        figures.requestEnded();
         synchronized (this) {
             req = null;
             reading = false;
@@ -393,10 +393,10 @@
                         writer.end(out, chunked);
                     });
             whole = true;
-            figures.answered(done.categoryName, done.tenantName, 200, done.why);
+            figures.responseSent(done.categoryName, done.tenantName, 200, done.why);
         } catch (IOException e) {
             log.info("broken relay", "a long answer was not passed on whole: " + e.getMessage());
-            figures.answered(done.categoryName, done.tenantName, 502, done.why);
+            figures.responseSent(done.categoryName, done.tenantName, 502, done.why);
             reset();
         }
         over(close || !whole);
--- a/src/main/java/cottonlock/proxy/LoadBalancerActor.java
+++ b/src/main/java/cottonlock/proxy/LoadBalancerActor.java
@@ -345,7 +345,7 @@
     }
 
     private void count() {
-        figures.backends(
+        figures.setBackendCounts(
                 listed.size(),
                 (int)
                                 listed.values().stream()
@@ -500,7 +500,7 @@
             req.why = why;
             if (!clerk.offer(() -> req.client.finish(req, status, name, value, null))) {
                 // So far behind that nobody would still wait: it ends without an answer.
-                figures.over();
+                figures.requestEnded();
                 req.client.abort();
             }
         }
--- a/src/main/java/cottonlock/proxy/Proxy.java
+++ b/src/main/java/cottonlock/proxy/Proxy.java
@@ -1,5 +1,6 @@
 package cottonlock.proxy;
 
+import cottonlock.admin.ManagementOperations;
 import cottonlock.admin.ManagementServer;
 import cottonlock.admin.Metrics;
 import cottonlock.setup.LoadBalancerFactory;
@@ -131,7 +132,7 @@
         SplittableRandom random = new SplittableRandom(config.seed());
         // Operators' calls hold theirs for seconds: taken from what is left for the list, they kept
         // it away.
-        int own = OWN_SOCKETS + (shares ? ManagementServer.MOST : 0);
+        int own = OWN_SOCKETS + (shares ? ManagementServer.MAX_CONNECTIONS : 0);
         int sockets = Math.max(4, config.limit("sockets", 1024) - own);
         sockets -= sockets / FOR_BODIES;
         int toBackends = Math.max(2, (int) (sockets * TO_BACKENDS));
@@ -208,8 +209,8 @@
         module.list(known, true);
         inForce = config;
         rules = new RequestRules(null, assembly, settings);
-        rules.names().forEach(figures::category);
-        rules.tenantNames.forEach(figures::tenant);
+        rules.names().forEach(figures::registerRequestClass);
+        rules.tenantNames.forEach(figures::registerTenant);
         admission = new RequestValidator(clock, rules);
         InetSocketAddress listen = config.address("listen");
         listener =
@@ -233,7 +234,7 @@
                             clock,
                             random.split(),
                             log);
-            figures.also(rollout::figures);
+            figures.addSource(rollout::figures);
             rollout.begin();
         }
         threads.add(Sockets.start("module", module));
@@ -252,7 +253,7 @@
                                     clock,
                                     kept == null ? null : succession,
                                     log));
-            figures.also(members.service()::metricsJson);
+            figures.addSource(members.service()::metricsJson);
         }
         if (members == null || !members.sharesPeerSocket()) {
             threads.add(Sockets.start("peers", peers));
@@ -277,29 +278,29 @@
     }
 
     /** What operators ask for, carried out on the threads of their calls. */
-    private final class Desk implements ManagementServer.Desk {
+    private final class Desk implements ManagementOperations {
         @Override
-        public boolean serves() {
+        public boolean isServing() {
             return serves;
         }
 
         @Override
-        public String figures() {
-            return figures.json();
+        public String metricsJson() {
+            return figures.toJson();
         }
 
         @Override
-        public String members() {
+        public String membersReport() {
             return members == null ? null : members.service().statusLines();
         }
 
         @Override
-        public String takeOut(String id) {
+        public String ejectBackend(String id) {
             return change(id, true);
         }
 
         @Override
-        public String takeBack(String id) {
+        public String restoreBackend(String id) {
             return change(id, false);
         }
 
@@ -333,7 +334,7 @@
             }
             inForce = config;
             watch.move(discovery);
-            figures.file(true);
+            figures.configurationReloaded(true);
             log.info(
                     "configuration",
                     "read again, discovery is at "
@@ -341,7 +342,7 @@
                             + (told ? "; the settings that control has told stay in force" : ""));
         } catch (RuntimeException e) {
             // A slip in a file must not end a proxy that serves.
-            figures.file(false);
+            figures.configurationReloaded(false);
             log.warn(
                     "configuration",
                     configuration + ": the old one stays in force: " + e.getMessage());
@@ -366,7 +367,7 @@
     private void takeIn(Settings settings, LoadBalancerFactory assembly) {
         int most = settings.count("Limits.MaxHandOffs", 1);
         rules = new RequestRules(rules, assembly, settings);
-        rules.names().forEach(figures::category);
+        rules.names().forEach(figures::registerRequestClass);
         // The module first: it must know a category before a request of it comes.
         module.retune(rules.categories, most);
         admission.follow(rules);
--- a/src/test/java/cottonlock/config/ConfigTest.java
+++ b/src/test/java/cottonlock/config/ConfigTest.java
@@ -150,12 +150,12 @@
     void editsAreADistance(
             @ForAll @AlphaChars @StringLength(max = 8) String one,
             @ForAll @AlphaChars @StringLength(max = 8) String other) {
-        int there = Fields.edits(one, other);
-        assertEquals(there, Fields.edits(other, one));
+        int there = EditDistance.between(one, other);
+        assertEquals(there, EditDistance.between(other, one));
         assertEquals(one.equals(other), there == 0);
         assertTrue(
                 there <= Math.max(one.length(), other.length())
                         && there >= Math.abs(one.length() - other.length()));
-        assertTrue(Fields.edits(one, other + "x") <= there + 1);
+        assertTrue(EditDistance.between(one, other + "x") <= there + 1);
     }
 }
--- a/src/test/java/cottonlock/proxy/ListsTest.java
+++ b/src/test/java/cottonlock/proxy/ListsTest.java
@@ -683,7 +683,7 @@
         Process process = serve(jars + "; ", text, output);
         sometime(() -> healthy(port), "it has started");
         while (open.stream().filter(o -> o instanceof Socket s && s.getPort() == operators).count()
-                < ManagementServer.MOST) {
+                < ManagementServer.MAX_CONNECTIONS) {
             sometime(
                     () -> {
                         try {
