--- a/src/main/java/cottonlock/config/MembershipTable.java
+++ b/src/main/java/cottonlock/config/MembershipTable.java
@@ -52,7 +52,8 @@
 
     private static MembershipProtocolConfig protocol(Fields table) {
         MembershipProtocolConfig defaults = MembershipProtocolConfig.DEFAULTS;
-        long period = Durations.millisAsTicks(table, "period_ms", defaults.periodTicks(), 50, 60_000);
+        long period =
+                Durations.millisAsTicks(table, "period_ms", defaults.periodTicks(), 50, 60_000);
         long defaultAnswer = Math.min(defaults.answerTimeoutTicks(), period * 3 / 10);
         long answer = Durations.millisAsTicks(table, "answer_ms", defaultAnswer, 10, 60_000);
         if (answer >= period) {
@@ -70,10 +71,12 @@
                 table.number("suspicion_periods", defaults.suspicionMultiplier(), 0.5, 1_000),
                 table.number("suspicion_longest", defaults.maxSuspicionMultiplier(), 1, 100),
                 table.integer("confirmations", defaults.confirmationCount(), 0, 16),
-                Durations.millisAsTicks(table, "hung_ms", defaults.stallTimeoutTicks(), 100, 600_000),
+                Durations.millisAsTicks(
+                        table, "hung_ms", defaults.stallTimeoutTicks(), 100, 600_000),
                 table.number("repeats", defaults.retransmitMultiplier(), 0.5, 20),
                 table.integer("most", defaults.maxMembers(), 2, 4_096),
-                Durations.secondsAsTicks(table, "forget_s", defaults.deadMemberRetentionTicks(), 10, 86_400),
+                Durations.secondsAsTicks(
+                        table, "forget_s", defaults.deadMemberRetentionTicks(), 10, 86_400),
                 table.integer("bytes_per_second", defaults.maxBytesPerSecond(), 1_024, 1 << 20),
                 table.integer("self_doubt", defaults.maxLocalHealthScore(), 0, 16),
                 Durations.millisAsTicks(table, "join_ms", defaults.joinTimeoutTicks(), 100, 60_000),
--- a/src/main/java/cottonlock/config/OperatorFile.java
+++ b/src/main/java/cottonlock/config/OperatorFile.java
@@ -65,8 +65,7 @@
             settings.put("Workload", table.oneOf("workload", "mesh", WORKLOADS));
             FEE_PATHS.forEach(
                     (key, path) ->
-                            settings.put(
-                                    path, Double.toString(table.number(key, 0, 0, MAX_FEE))));
+                            settings.put(path, Double.toString(table.number(key, 0, 0, MAX_FEE))));
         } else if (hasShadowSetting(table)) {
             table.oneOf("workload", "mesh", WORKLOADS);
             FEE_PATHS.keySet().forEach(key -> table.number(key, 0, 0, MAX_FEE));
--- a/src/main/java/cottonlock/config/RolloutTable.java
+++ b/src/main/java/cottonlock/config/RolloutTable.java
@@ -12,12 +12,7 @@
     /** Reads the table; faults are added to the file's. Returns null if rollout is off. */
     static RolloutConfig read(Fields table) {
         boolean enabled = table.bool("enabled", false);
-        String service =
-                table.matching(
-                        "service",
-                        "",
-                        SERVICE_PATTERN,
-                        "up to 64 letters, digits, dots, dashes and underscores");
+        String service = service(table);
         List<String> control = Addresses.read(table, "control");
         List<String> far = Addresses.read(table, "far");
         if (enabled && service.isEmpty()) {
@@ -31,11 +26,32 @@
                         service,
                         control,
                         far,
-                        Durations.millisAsTicks(table, "call_ms", RolloutConfig.DEFAULT_CALL_TIMEOUT_TICKS, 50, 2_000),
                         Durations.millisAsTicks(
-                                table, "compare_ms", RolloutConfig.DEFAULT_COMPARISON_INTERVAL_TICKS, 1_000, 60_000),
+                                table,
+                                "call_ms",
+                                RolloutConfig.DEFAULT_CALL_TIMEOUT_TICKS,
+                                50,
+                                2_000),
                         Durations.millisAsTicks(
-                                table, "retry_ms", RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS, 500, 60_000));
+                                table,
+                                "compare_ms",
+                                RolloutConfig.DEFAULT_COMPARISON_INTERVAL_TICKS,
+                                1_000,
+                                60_000),
+                        Durations.millisAsTicks(
+                                table,
+                                "retry_ms",
+                                RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS,
+                                500,
+                                60_000));
         return enabled ? config : null;
     }
+
+    private static String service(Fields table) {
+        return table.matching(
+                "service",
+                "",
+                SERVICE_PATTERN,
+                "up to 64 letters, digits, dots, dashes and underscores");
+    }
 }
