--- a/src/test/java/cottonlock/lab/scale/CapacityPageTest.java
+++ b/src/test/java/cottonlock/lab/scale/CapacityPageTest.java
@@ -23,6 +23,7 @@
 class CapacityPageTest {
     private static final Path FOLDER = Path.of("docs", "capacity");
     private static final Path PAGE = Path.of("docs", "CAPACITY.md");
+    private static final Path RECORDED = Path.of("src", "test", "resources", "capacity-recorded");
     private static final Path FIXTURE = Path.of("src", "test", "resources", "capacity");
 
     @Example
@@ -34,6 +35,16 @@
                         + "files; docs/capacity/README.md tells how it is made anew");
     }
 
+    /**
+     * The files of commit 7f2d4cc, before classes were renamed, with the page made of them then.
+     */
+    @Example
+    void recordedResultsAreReadAsBeforeTheRenaming() throws Exception {
+        assertEquals(
+                Files.readString(RECORDED.resolve("expected.md")),
+                CapacityPage.of(RECORDED.resolve("capacity")));
+    }
+
     @Example
     void everyNeedOfTheBudgetHasItsPlaceOnThePage() throws Exception {
         String template = Files.readString(FOLDER.resolve("page.md"));
