--- a/src/main/java/cottonlock/proxy/LoadBalancerActor.java
+++ b/src/main/java/cottonlock/proxy/LoadBalancerActor.java
@@ -460,10 +460,10 @@
             shadow.decided(number, backend);
         }
         BackendActor actor = backends.get(backend);
-        if ((bans.isEjected(backend) || req.unseen && attempt.number > 0) && attempt.abandon()) {
-            // The yes to the operator went out before the module could hear of it; and a client
-            // that nobody
-            // sees may have left.
+        boolean unobservedRetry = req.unseen && attempt.number > 0;
+        if ((bans.isEjected(backend) || unobservedRetry) && attempt.abandon()) {
+            // An ejection is acknowledged before the load balancer learns of it, and a client that
+            // is not observed may have left.
             next.add(() -> ended(attempt, AttemptOutcome.NOT_SENT));
         } else if ((actor == null || !actor.attempt(attempt) || !begun(actor))
                 && attempt.abandon()) {
--- a/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
+++ b/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
@@ -38,7 +38,6 @@
         String first;
         int sent;
         boolean out;
-        boolean over;
         boolean compared;
     }
 
@@ -140,7 +139,6 @@
         Deed deed = deeds.get(number);
         if (deed != null && deed.out) {
             deed.out = false;
-            deed.over |= over;
             guard(() -> balancer.onAttemptCompleted(now, number, deed.sent - 1, outcome, over));
         }
     }
