--- a/src/main/java/cottonlock/proxy/BackendActor.java
+++ b/src/main/java/cottonlock/proxy/BackendActor.java
@@ -4,6 +4,8 @@
 import cottonlock.decision.api.AttemptOutcome;
 import cottonlock.proxy.concurrent.Mailbox;
 import cottonlock.proxy.concurrent.TickClock;
+import cottonlock.proxy.http.BufferPool;
+import cottonlock.proxy.http.HttpWriter;
 import cottonlock.proxy.io.RateLimitedLog;
 import cottonlock.proxy.io.Sockets;
 import java.net.InetSocketAddress;
@@ -311,7 +313,7 @@
                 resting.addLast(connection);
                 return;
             }
-            if (attempt.req.body.spooled() && elsewhere(connection, attempt)) {
+            if (attempt.req.body.isInFile() && elsewhere(connection, attempt)) {
                 return;
             }
             if (connection.send(attempt)) {
--- a/src/main/java/cottonlock/proxy/BackendConnection.java
+++ b/src/main/java/cottonlock/proxy/BackendConnection.java
@@ -3,6 +3,12 @@
 import cottonlock.admin.Metrics;
 import cottonlock.decision.api.AttemptOutcome;
 import cottonlock.proxy.concurrent.TickClock;
+import cottonlock.proxy.http.BufferPool;
+import cottonlock.proxy.http.HttpReader;
+import cottonlock.proxy.http.HttpWriter;
+import cottonlock.proxy.http.MalformedMessageException;
+import cottonlock.proxy.http.MessageBody;
+import cottonlock.proxy.http.MessageHead;
 import cottonlock.proxy.io.RateLimitedLog;
 import cottonlock.proxy.io.Sockets;
 import java.io.FilterOutputStream;
@@ -81,7 +87,7 @@
                 buffer = buffers.take();
                 HttpReader reader = new HttpReader(socket, buffer);
                 if (send(first)) {
-                    while (reader.awaitOne() && expects() && exchange(reader)) {
+                    while (reader.awaitSingleByte() && expects() && exchange(reader)) {
                         // One attempt after the other.
                     }
                 }
@@ -195,9 +201,9 @@
             watchdog.write(
                     socket,
                     out ->
-                            writer.request(
+                            writer.writeRequest(
                                     new Until(out, attempt),
-                                    attempt.req,
+                                    attempt.req.outbound(),
                                     host,
                                     () -> Math.max(1, (attempt.req.expiry - clock.now()) / 10)));
             figures.attemptSent();
@@ -235,12 +241,12 @@
 
     /** Reads one answer; false when the connection is to end. */
     private boolean exchange(HttpReader reader) throws IOException, MalformedMessageException {
-        reader.within(0);
-        MessageHead head = reader.answer(GAP);
-        MessageBody body = reader.first(buffers);
+        reader.setTimeout(0);
+        MessageHead head = reader.readResponseHead(GAP);
+        MessageBody body = reader.readBodyStart(buffers);
         try {
             ClientRequest.Attempt attempt;
-            boolean keep = head.keepsAlive(head.start[0]);
+            boolean keep = head.keepsAlive(head.responseVersion());
             synchronized (this) {
                 attempt = current;
                 current = null;
@@ -250,11 +256,11 @@
                 return false;
             }
             boolean passed = pass(attempt, head, body, reader);
-            reader.within(0);
+            reader.setTimeout(0);
             if (!passed) {
                 return false;
             }
-            if (keep && reader.surplus()) {
+            if (keep && reader.hasSurplusBytes()) {
                 // A second copy or noise: the next attempt on this connection would be answered
                 // with it.
                 log.warn("surplus", "more than its answer, from " + address);
@@ -273,19 +279,19 @@
     private boolean pass(
             ClientRequest.Attempt attempt, MessageHead head, MessageBody body, HttpReader reader)
             throws MalformedMessageException {
-        int status = Integer.parseInt(head.start[1]);
+        int status = Integer.parseInt(head.status());
         boolean notRun = "1".equals(head.only("X-Not-Processed"));
         if (status != 200) {
             attempt.settle(
                     (status == 503 || status == 504) && notRun
                             ? AttemptOutcome.REJECTED
                             : AttemptOutcome.ERROR);
-            return reader.over();
+            return reader.isBodyComplete();
         }
         // Claimed first: the module must learn that the request is over, by this attempt.
         boolean owed = attempt.req.claim();
         attempt.settle(AttemptOutcome.COMPLETED);
-        if (!reader.over()) {
+        if (!reader.isBodyComplete()) {
             // Begun, it is the client's: no other attempt could answer it any more, nor would one
             // be needed.
             return owed && attempt.req.client.relay(attempt.req, body, reader);
--- a/src/main/java/cottonlock/proxy/ClientConnection.java
+++ b/src/main/java/cottonlock/proxy/ClientConnection.java
@@ -1,6 +1,13 @@
 package cottonlock.proxy;
 
 import cottonlock.admin.Metrics;
+import cottonlock.proxy.http.BodySpillFiles;
+import cottonlock.proxy.http.BufferPool;
+import cottonlock.proxy.http.HttpReader;
+import cottonlock.proxy.http.HttpWriter;
+import cottonlock.proxy.http.MalformedMessageException;
+import cottonlock.proxy.http.MessageBody;
+import cottonlock.proxy.http.MessageHead;
 import cottonlock.proxy.io.RateLimitedLog;
 import cottonlock.proxy.io.Sockets;
 import java.io.IOException;
@@ -175,27 +182,27 @@
 
     /** Waits for the next request to begin; false when the connection is to end. */
     private boolean awaitRequest(HttpReader reader) throws IOException {
-        for (boolean owed = owed(); owed || !reader.ahead(); owed = owed()) {
+        for (boolean owed = owed(); owed || !reader.hasBufferedBytes(); owed = owed()) {
             try {
                 // A request that comes before the last answer waits its turn. Its client may leave
                 // all the
                 // same: not read on, it was not noticed, and what it had asked for was sent on
                 // after it had
                 // gone.
-                reader.within(owed && reader.ahead() ? LOOK : asked ? REST : READ);
+                reader.setTimeout(owed && reader.hasBufferedBytes() ? LOOK : asked ? REST : READ);
                 looks();
-                if (!reader.more()) {
+                if (!reader.readAhead()) {
                     return false;
                 }
             } catch (SocketTimeoutException e) {
-                if (!owed && !owed() && !reader.ahead()) {
+                if (!owed && !owed() && !reader.hasBufferedBytes()) {
                     return false;
                 }
             }
-            if (reader.dropped() > 0) {
+            if (reader.discardedBytes() > 0) {
                 lastOne();
             }
-            if (reader.dropped() > DROP) {
+            if (reader.discardedBytes() > DROP) {
                 awaitAnswer();
             }
         }
@@ -208,7 +215,7 @@
             // meanwhile: its
             // client sends again only what was left unread. After an answer that said so nothing
             // more is due.
-            reading = !told && reader.dropped() == 0;
+            reading = !told && reader.discardedBytes() == 0;
             since = System.nanoTime();
             return reading;
         }
@@ -244,18 +251,18 @@
         RequestValidator.Asked judged = null;
         try {
             if (asked) {
-                reader.within(READ);
+                reader.setTimeout(READ);
             }
             asked = true;
-            head = reader.request();
-            boolean health = head.start[1].equals("/_health");
+            head = reader.readRequestHead();
+            boolean health = head.target().equals("/_health");
             judged = health ? null : admission.asked(head);
             if (head.lists("Expect", "100-continue")) {
                 watchdog.write(socket, out -> out.write(CONTINUE));
             }
-            reader.paced(READ, SLOWEST);
-            body = reader.body(buffers, spools, MessageBody.MOST);
-            if (reader.stray()) {
+            reader.setPacing(READ, SLOWEST);
+            body = reader.readBody(buffers, spools, MessageBody.MAX_REQUEST_BYTES);
+            if (reader.hasStrayBytes()) {
                 body.release();
                 throw new MalformedMessageException(400, "more than its length");
             }
@@ -265,12 +272,12 @@
         } catch (SocketTimeoutException e) {
             refuse(new MalformedMessageException(408, "half a request"), reader);
             return false;
-        } catch (BufferPool.NoneFree e) {
+        } catch (BufferPool.ExhaustedException e) {
             // Closed without an answer, what has come whole by now would be lost.
             refuse(new MalformedMessageException(500, e.getMessage()), reader);
             return false;
         }
-        boolean keep = head.keepsAlive(head.start[2]);
+        boolean keep = head.keepsAlive(head.requestVersion());
         if (judged == null) {
             body.release();
             keep &= !last();
@@ -283,7 +290,9 @@
         }
         ClientRequest next;
         try {
-            next = admission.request(this, judged, body, System.nanoTime() - reader.readAt());
+            next =
+                    admission.request(
+                            this, judged, body, System.nanoTime() - reader.lastReadNanos());
         } catch (MalformedMessageException e) {
             body.release();
             refuse(e, reader);
@@ -306,7 +315,7 @@
      * twice.
      */
     private synchronized boolean late(HttpReader reader) {
-        return inputEnded && reader.readAt() - endedAt > 0;
+        return inputEnded && reader.lastReadNanos() - endedAt > 0;
     }
 
     /** Ends the connection too: some send the same again at once, or hundreds of it in a row. */
@@ -316,11 +325,11 @@
                 e.getMessage() + ", from " + socket.getInetAddress().getHostAddress());
         // What it says names the fault of this request alone, never what others have sent or may
         // send.
-        watchdog.write(socket, out -> writer.refusal(out, e.status, e.getMessage()));
+        watchdog.write(socket, out -> writer.writeRefusal(out, e.status(), e.getMessage()));
         socket.shutdownOutput();
         // Closed with bytes unread, the connection would take the answer with it.
-        reader.within(LINGER);
-        reader.drop(DROP);
+        reader.setTimeout(LINGER);
+        reader.discard(DROP);
     }
 
     private void answer(int status, String name, String value, MessageBody body, boolean close)
@@ -328,7 +337,7 @@
         synchronized (this) {
             told |= close;
         }
-        watchdog.write(socket, out -> writer.answer(out, status, name, value, body, close));
+        watchdog.write(socket, out -> writer.writeResponse(out, status, name, value, body, close));
         synchronized (this) {
             reading = false;
             since = System.nanoTime();
@@ -374,7 +383,7 @@
      * that it is not.
      */
     boolean relay(ClientRequest done, MessageBody part, HttpReader rest) {
-        long length = part.length() > 0 ? -1 : rest.length();
+        long length = part.length() > 0 ? -1 : rest.declaredLength();
         boolean chunked = length < 0 && done.knowsChunks;
         boolean close;
         synchronized (this) {
@@ -386,13 +395,15 @@
             watchdog.write(
                     socket,
                     out -> {
-                        writer.begin(out, length, chunked, part, close);
+                        writer.beginRelay(out, length, chunked, part, close);
                         // The rest may take as long as the client likes; what is in hand would be
                         // missed by others.
                         part.release();
-                        rest.paced(STALL, HttpReader.ANY_RATE);
-                        rest.pass((from, at, count) -> writer.piece(out, chunked, from, at, count));
-                        writer.end(out, chunked);
+                        rest.setPacing(STALL, HttpReader.ANY_RATE_BYTES_PER_SECOND);
+                        rest.relayBody(
+                                (from, at, count) ->
+                                        writer.writeRelayed(out, chunked, from, at, count));
+                        writer.endRelay(out, chunked);
                     });
             whole = true;
             figures.responseSent(done.categoryName, done.tenantName, 200, done.why);
@@ -459,7 +470,7 @@
 
     /** Since when it rests, or the last byte of what is being read came, by the monotonic clock. */
     synchronized long since() {
-        return reading && coming != null ? coming.readAt() : since;
+        return reading && coming != null ? coming.lastReadNanos() : since;
     }
 
     /** Whether it has ever brought a request. */
--- a/src/main/java/cottonlock/proxy/ClientRequest.java
+++ b/src/main/java/cottonlock/proxy/ClientRequest.java
@@ -2,6 +2,10 @@
 
 import cottonlock.decision.api.AttemptOutcome;
 import cottonlock.decision.api.RejectionReason;
+import cottonlock.proxy.http.MalformedMessageException;
+import cottonlock.proxy.http.MessageBody;
+import cottonlock.proxy.http.MessageHead;
+import cottonlock.proxy.http.OutboundRequest;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -77,8 +81,8 @@
         MessageHead head = asked.head();
         this.openIds = openIds;
         this.client = client;
-        this.method = head.start[0];
-        this.target = head.start[1];
+        this.method = head.method();
+        this.target = head.target();
         this.contentType = head.only("Content-Type");
         this.requestId = asked.id();
         this.idempotencyKey = asked.idempotencyKey();
@@ -88,10 +92,23 @@
         this.tenant = asked.tenant();
         this.tenantName = asked.tenantName();
         this.repeated = "1".equals(head.only("X-Retried"));
-        this.knowsChunks = head.start[2].equals("HTTP/1.1");
+        this.knowsChunks = head.requestVersion().equals("HTTP/1.1");
         this.expiry = expiry;
     }
 
+    /** The request as it is written to a backend. */
+    OutboundRequest outbound() {
+        return new OutboundRequest(
+                method,
+                target,
+                requestId,
+                categoryName,
+                tenantName,
+                idempotencyKey,
+                contentType,
+                body);
+    }
+
     /**
      * From the thread that has read it: it reads on, and sees it if its client has gone meanwhile.
      */
--- a/src/main/java/cottonlock/proxy/Proxy.java
+++ b/src/main/java/cottonlock/proxy/Proxy.java
@@ -13,6 +13,9 @@
 import cottonlock.proxy.discovery.EndpointList;
 import cottonlock.proxy.discovery.EndpointListParser;
 import cottonlock.proxy.discovery.EndpointListWatch;
+import cottonlock.proxy.http.BodySpillFiles;
+import cottonlock.proxy.http.BufferPool;
+import cottonlock.proxy.http.HttpWriter;
 import cottonlock.proxy.io.RateLimitedLog;
 import cottonlock.proxy.io.Sockets;
 import cottonlock.setup.LoadBalancerFactory;
@@ -480,7 +483,7 @@
 
     /** How many buffers of the pool are free. */
     int freeBuffers() {
-        return buffers.left();
+        return buffers.available();
     }
 
     /** Waits until it is closed. */
--- a/src/main/java/cottonlock/proxy/RequestValidator.java
+++ b/src/main/java/cottonlock/proxy/RequestValidator.java
@@ -2,6 +2,10 @@
 
 import cottonlock.decision.api.RequestClass;
 import cottonlock.proxy.concurrent.TickClock;
+import cottonlock.proxy.http.MalformedMessageException;
+import cottonlock.proxy.http.MessageBody;
+import cottonlock.proxy.http.MessageHead;
+import cottonlock.proxy.http.MessageHeadParser;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
@@ -62,7 +66,7 @@
     /** Judges a head by itself: a long body behind a bad one need not be read. */
     Asked asked(MessageHead head) throws MalformedMessageException {
         RequestRules in = rules;
-        String method = head.start[0];
+        String method = head.method();
         if (!method.equals("GET") && !method.equals("POST")) {
             throw new MalformedMessageException(405, "neither GET nor POST");
         }
@@ -71,7 +75,7 @@
             throw new MalformedMessageException(400, "no X-Request-ID");
         }
         String name = head.only("X-Priority-Class");
-        String target = head.start[1];
+        String target = head.target();
         int end = 1;
         while (end < target.length() && "/?#".indexOf(target.charAt(end)) < 0) {
             end++;
@@ -99,7 +103,7 @@
                     400, "no Idempotency-Key, which this category needs");
         }
         String patience = head.only("X-Timeout-Ms");
-        if (patience == null || !HttpReader.digits(patience)) {
+        if (patience == null || !MessageHeadParser.isDecimal(patience)) {
             throw new MalformedMessageException(
                     400,
                     patience == null
--- a/src/main/java/cottonlock/proxy/control/RolloutActor.java
+++ b/src/main/java/cottonlock/proxy/control/RolloutActor.java
@@ -1,8 +1,8 @@
 package cottonlock.proxy.control;
 
-import cottonlock.proxy.BufferPool;
-import cottonlock.proxy.MalformedMessageException;
 import cottonlock.proxy.concurrent.TickClock;
+import cottonlock.proxy.http.BufferPool;
+import cottonlock.proxy.http.MalformedMessageException;
 import cottonlock.proxy.io.HttpLineStream;
 import cottonlock.proxy.io.JsonLineAssembler;
 import cottonlock.proxy.io.RateLimitedLog;
--- a/src/main/java/cottonlock/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cottonlock/proxy/discovery/DiscoveryClient.java
@@ -1,7 +1,7 @@
 package cottonlock.proxy.discovery;
 
 import cottonlock.decision.api.Endpoint;
-import cottonlock.proxy.BufferPool;
+import cottonlock.proxy.http.BufferPool;
 import cottonlock.proxy.io.RateLimitedLog;
 import cottonlock.proxy.io.Sockets;
 import java.net.InetSocketAddress;
--- a/src/main/java/cottonlock/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/cottonlock/proxy/discovery/EndpointListWatch.java
@@ -1,7 +1,7 @@
 package cottonlock.proxy.discovery;
 
-import cottonlock.proxy.BufferPool;
-import cottonlock.proxy.MalformedMessageException;
+import cottonlock.proxy.http.BufferPool;
+import cottonlock.proxy.http.MalformedMessageException;
 import cottonlock.proxy.io.HttpLineStream;
 import cottonlock.proxy.io.JsonLineAssembler;
 import cottonlock.proxy.io.JsonReader;
--- /dev/null
+++ b/src/main/java/cottonlock/proxy/http/HttpReader.java
@@ -0,0 +1,382 @@
+package cottonlock.proxy.http;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.net.SocketTimeoutException;
+import java.nio.charset.StandardCharsets;
+
+/**
+ * Parses HTTP/1.1 messages from one socket, strictly: what could be read in two ways is refused.
+ * One thread reads; {@link #lastReadNanos} may be asked for from any thread. Reads end with a
+ * {@link SocketTimeoutException} at the deadline that {@link #setTimeout} or {@link #setPacing} has
+ * set.
+ */
+public final class HttpReader {
+    /** A rate in bytes a second that any sender reaches: only its pauses count. */
+    public static final long ANY_RATE_BYTES_PER_SECOND = 16;
+
+    private static final int MAX_CHUNK_LINE_CHARS = 256;
+
+    /** The remaining length of a body that ends with the connection. */
+    private static final long UNTIL_END_OF_STREAM = Long.MAX_VALUE;
+
+    private final TimedSocketInput input;
+    private boolean chunked;
+
+    /** Bytes that are left of the body, or of its present chunk. */
+    private long remainingBytes;
+
+    private boolean bodyComplete = true;
+
+    /** Reads through the given buffer, which stays the caller's. */
+    public HttpReader(Socket socket, byte[] buffer) throws IOException {
+        this.input = new TimedSocketInput(socket, buffer);
+    }
+
+    /** All reads from now on must be done within so many milliseconds; 0: no deadline. */
+    public void setTimeout(long timeoutMillis) {
+        input.setTimeout(timeoutMillis);
+    }
+
+    /**
+     * From now on no pause may last longer than so many milliseconds, nor may less than so many
+     * bytes a second arrive for longer than that.
+     */
+    public void setPacing(long maxPauseMillis, long minBytesPerSecond) {
+        input.setPacing(maxPauseMillis, minBytesPerSecond);
+    }
+
+    /** Waits for the first byte of a message; false when the other side has ended its sending. */
+    public boolean awaitFirstByte() throws IOException {
+        return hasBufferedBytes() || input.fill();
+    }
+
+    /**
+     * The same, but reads that one byte alone: what comes with it can still be seen in the socket.
+     */
+    public boolean awaitSingleByte() throws IOException {
+        return hasBufferedBytes() || input.fill(1);
+    }
+
+    /** Whether bytes have been read that are not parsed yet. */
+    public boolean hasBufferedBytes() {
+        return input.buffered() > 0;
+    }
+
+    /**
+     * Reads on behind what is buffered; false when the other side has ended its sending. If the
+     * buffer is full, its bytes are discarded, and counted by {@link #discardedBytes}.
+     */
+    public boolean readAhead() throws IOException {
+        return input.fillDiscardingIfFull();
+    }
+
+    /**
+     * How many bytes were discarded; with any, the start of the next message is not known any more.
+     */
+    public long discardedBytes() {
+        return input.discardedBytes();
+    }
+
+    /** Whether the buffered bytes can't begin a message: the length of the last one was wrong. */
+    public boolean hasStrayBytes() {
+        if (!hasBufferedBytes()) {
+            return false;
+        }
+        byte first = input.peek(0);
+        return first != '\r' && (first < 'A' || first > 'Z');
+    }
+
+    /** When bytes were read last, by the monotonic clock; from any thread. */
+    public long lastReadNanos() {
+        return input.lastReadNanos();
+    }
+
+    /** Whether bytes have come beyond the last message. */
+    public boolean hasSurplusBytes() throws IOException {
+        return input.hasUnconsumedBytes();
+    }
+
+    /**
+     * Reads and discards what still comes, so many bytes at most, until the end or the deadline.
+     */
+    public void discard(int maxBytes) throws IOException {
+        input.discard(maxBytes);
+    }
+
+    /**
+     * Reads the head of a request.
+     *
+     * @throws MalformedMessageException with the status of the response that the request earns
+     */
+    public MessageHead readRequestHead() throws IOException, MalformedMessageException {
+        MessageHead head = readHead();
+        head.checkRequestLine();
+        beginBody(head, 0);
+        return head;
+    }
+
+    /**
+     * Reads the head of the final response.
+     *
+     * @param maxPauseMillis for any pause once a response has begun; 0: the deadline that is set
+     *     stays
+     */
+    public MessageHead readResponseHead(long maxPauseMillis)
+            throws IOException, MalformedMessageException {
+        while (true) {
+            if (!awaitFirstByte()) {
+                throw new IOException("the answer ends early");
+            }
+            if (maxPauseMillis > 0) {
+                setPacing(maxPauseMillis, ANY_RATE_BYTES_PER_SECOND);
+            }
+            MessageHead head = readHead();
+            head.checkStatusLine();
+            beginBody(head, head.hasNoBody() ? 0 : UNTIL_END_OF_STREAM);
+            bodyComplete |= head.hasNoBody();
+            if (!head.isInterim()) {
+                return head;
+            }
+            // The final response may take as long as the backend needs.
+            if (maxPauseMillis > 0) {
+                setTimeout(0);
+            }
+        }
+    }
+
+    private MessageHead readHead() throws IOException, MalformedMessageException {
+        skipLeadingLineEnds();
+        int seen = 0;
+        while (true) {
+            for (; seen < input.buffered(); seen++) {
+                if (endsHead(seen)) {
+                    String text =
+                            new String(
+                                    input.buffer(),
+                                    input.position(),
+                                    seen - 3,
+                                    StandardCharsets.ISO_8859_1);
+                    input.skip(seen + 1);
+                    return MessageHeadParser.parse(text);
+                }
+            }
+            if (input.isFull()) {
+                throw new MalformedMessageException(431, "the head is too large");
+            }
+            if (!input.fill()) {
+                throw new IOException("the head ends early");
+            }
+        }
+    }
+
+    /** Some senders end a body with a line end too many. */
+    private void skipLeadingLineEnds() {
+        while (input.buffered() > 1 && input.peek(0) == '\r' && input.peek(1) == '\n') {
+            input.skip(2);
+        }
+    }
+
+    /** Checks one byte of a head; true if it ends the empty line that closes the head. */
+    private boolean endsHead(int offset) throws MalformedMessageException {
+        byte octet = input.peek(offset);
+        boolean afterReturn = offset > 0 && input.peek(offset - 1) == '\r';
+        if (afterReturn != (octet == '\n') || MessageHeadParser.isForbiddenControl(octet)) {
+            throw new MalformedMessageException(400, "a control character in the head");
+        }
+        return octet == '\n' && offset >= 3 && input.peek(offset - 2) == '\n';
+    }
+
+    private void beginBody(MessageHead head, long lengthIfUnknown)
+            throws MalformedMessageException {
+        String coding = head.only("Transfer-Encoding");
+        String length = head.only("Content-Length");
+        chunked = coding != null;
+        if (chunked) {
+            checkChunked(head, coding, length);
+            remainingBytes = 0;
+            bodyComplete = false;
+            return;
+        }
+        if (length != null && !MessageHeadParser.isDecimal(length)) {
+            throw new MalformedMessageException(400, "Content-Length is not a number");
+        }
+        remainingBytes = length == null ? lengthIfUnknown : Long.parseLong(length);
+        bodyComplete = remainingBytes == 0;
+    }
+
+    private static void checkChunked(MessageHead head, String coding, String length)
+            throws MalformedMessageException {
+        if (length != null) {
+            throw new MalformedMessageException(400, "both Transfer-Encoding and Content-Length");
+        }
+        if (head.isHttp10()) {
+            throw new MalformedMessageException(400, "a transfer coding in HTTP/1.0");
+        }
+        if (!coding.equalsIgnoreCase("chunked")) {
+            throw new MalformedMessageException(501, "a transfer coding other than chunked");
+        }
+    }
+
+    /** The length of the body in bytes as its head declares it; -1 if it does not. */
+    public long declaredLength() {
+        if (bodyComplete) {
+            return 0;
+        }
+        return chunked || remainingBytes == UNTIL_END_OF_STREAM ? -1 : remainingBytes;
+    }
+
+    /** Whether all of the body has been read. */
+    public boolean isBodyComplete() {
+        return bodyComplete;
+    }
+
+    /**
+     * Reads the whole body of the message whose head came last; on failure its buffers are
+     * released.
+     *
+     * @throws MalformedMessageException for one of more than {@code maxBytes}
+     */
+    public MessageBody readBody(BufferPool buffers, BodySpillFiles files, long maxBytes)
+            throws IOException, MalformedMessageException {
+        return readBody(new MessageBody(buffers, files), maxBytes, true);
+    }
+
+    /**
+     * Reads the body if it fits into buffers, else none or only its first part; see {@link
+     * #isBodyComplete}.
+     */
+    public MessageBody readBodyStart(BufferPool buffers)
+            throws IOException, MalformedMessageException {
+        return readBody(new MessageBody(buffers, null), MessageBody.MAX_BUFFERED_BYTES, false);
+    }
+
+    private MessageBody readBody(MessageBody body, long maxBytes, boolean whole)
+            throws IOException, MalformedMessageException {
+        boolean done = false;
+        try {
+            while (declaredLength() <= maxBytes && bodyContinues() && body.length() < maxBytes) {
+                long space = maxBytes - body.length();
+                int count = (int) Math.min(Math.min(remainingBytes, input.buffered()), space);
+                body.add(input.buffer(), input.position(), count);
+                consume(count);
+            }
+            if (whole && (declaredLength() > maxBytes || bodyContinues())) {
+                throw new MalformedMessageException(413, "the body is too large");
+            }
+            done = true;
+            return body;
+        } finally {
+            if (!done) {
+                body.release();
+            }
+        }
+    }
+
+    /** Takes the pieces of a body that is relayed. */
+    public interface BodyConsumer {
+        /**
+         * Takes {@code count} bytes of the array from an offset on; they are valid during the call.
+         */
+        void accept(byte[] bytes, int offset, int count) throws IOException;
+    }
+
+    /** Passes on what is left of the body, piece by piece as it comes. */
+    public void relayBody(BodyConsumer consumer) throws IOException {
+        try {
+            while (bodyContinues()) {
+                int count = (int) Math.min(remainingBytes, input.buffered());
+                consumer.accept(input.buffer(), input.position(), count);
+                consume(count);
+            }
+        } catch (MalformedMessageException e) {
+            throw new IOException(e.getMessage(), e);
+        }
+    }
+
+    /** The next line of a body of lines, without its end; null at the end of the body. */
+    public String readLine(int maxChars) throws IOException, MalformedMessageException {
+        StringBuilder line = new StringBuilder();
+        while (bodyContinues()) {
+            byte octet = input.peek(0);
+            consume(1);
+            if (octet == '\n') {
+                return line.toString();
+            }
+            if (line.length() >= maxChars) {
+                throw new MalformedMessageException(502, "a line is too long");
+            }
+            line.append((char) (octet & 0xff));
+        }
+        return null;
+    }
+
+    /** Whether the body goes on; there is a byte of it in the buffer then. */
+    private boolean bodyContinues() throws IOException, MalformedMessageException {
+        if (!bodyComplete && chunked && remainingBytes == 0) {
+            beginChunk();
+        }
+        if (bodyComplete) {
+            return false;
+        }
+        if (hasBufferedBytes() || input.fill()) {
+            return true;
+        }
+        if (remainingBytes != UNTIL_END_OF_STREAM) {
+            throw new IOException("the body ends early");
+        }
+        bodyComplete = true;
+        return false;
+    }
+
+    private void beginChunk() throws IOException, MalformedMessageException {
+        remainingBytes = readChunkSize();
+        if (remainingBytes == 0) {
+            while (!readChunkLine().isEmpty()) {
+                // Trailer fields are not needed.
+            }
+            bodyComplete = true;
+        }
+    }
+
+    private void consume(int count) throws IOException, MalformedMessageException {
+        input.skip(count);
+        if (remainingBytes == UNTIL_END_OF_STREAM) {
+            return;
+        }
+        remainingBytes -= count;
+        if (remainingBytes > 0) {
+            return;
+        }
+        if (!chunked) {
+            bodyComplete = true;
+        } else if (!readChunkLine().isEmpty()) {
+            throw new MalformedMessageException(400, "a chunk is longer than its size");
+        }
+    }
+
+    private long readChunkSize() throws IOException, MalformedMessageException {
+        String size = readChunkLine().split(";", 2)[0].trim();
+        // Some senders pad it with zeros.
+        if (!size.matches("0{0,16}[0-9a-fA-F]{1,8}")) {
+            throw new MalformedMessageException(400, "not the size of a chunk");
+        }
+        return Long.parseLong(size, 16);
+    }
+
+    private String readChunkLine() throws IOException, MalformedMessageException {
+        StringBuilder line = new StringBuilder();
+        while (true) {
+            char character = (char) (input.next() & 0xff);
+            int length = line.length();
+            if (character == '\n' && length > 0 && line.charAt(length - 1) == '\r') {
+                line.setLength(length - 1);
+                return line.toString();
+            }
+            if (character == '\n' || length >= MAX_CHUNK_LINE_CHARS) {
+                throw new MalformedMessageException(400, "not a line between chunks");
+            }
+            line.append(character);
+        }
+    }
+}
--- a/src/main/java/cottonlock/proxy/HttpWriter.java
+++ b/src/main/java/cottonlock/proxy/http/HttpWriter.java
@@ -1,4 +1,4 @@
-package cottonlock.proxy;
+package cottonlock.proxy.http;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -7,64 +7,83 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 
-/** Writes HTTP/1.1 messages, in one piece where they fit into one buffer. */
-final class HttpWriter {
+/**
+ * Writes HTTP/1.1 messages, in one call where they fit into one buffer. Thread-safe; each call
+ * writes to the stream that it is given.
+ */
+public final class HttpWriter {
     private static final byte[] LINE_END = {'\r', '\n'};
     private static final byte[] LAST_CHUNK = {'0', '\r', '\n', '\r', '\n'};
 
     private final BufferPool buffers;
 
-    HttpWriter(BufferPool buffers) {
+    /** A writer that gathers short messages in buffers of the pool. */
+    public HttpWriter(BufferPool buffers) {
         this.buffers = buffers;
     }
 
     /**
-     * A request on its way to a backend, with how many milliseconds its balancer will wait: asked
-     * for at the last moment, for a buffer may have to be waited for before it.
+     * Writes a request to a backend.
+     *
+     * @param timeoutMillis how long this proxy will wait for the response; asked for at the last
+     *     moment, as a buffer may have to be waited for before it
      */
-    void request(OutputStream out, ClientRequest req, String host, LongSupplier wait)
+    public void writeRequest(
+            OutputStream out, OutboundRequest request, String host, LongSupplier timeoutMillis)
             throws IOException {
-        send(out, () -> request(req, host, wait.getAsLong()), req.body);
+        send(out, () -> requestHead(request, host, timeoutMillis.getAsLong()), request.body());
     }
 
-    private static StringBuilder request(ClientRequest req, String host, long wait) {
+    private static StringBuilder requestHead(
+            OutboundRequest request, String host, long timeoutMillis) {
         StringBuilder head = new StringBuilder(256);
-        head.append(req.method).append(' ').append(req.target).append(" HTTP/1.1\r\n");
+        head.append(request.method()).append(' ').append(request.target()).append(" HTTP/1.1\r\n");
         field(head, "Host", host);
-        field(head, "X-Request-ID", req.requestId);
-        field(head, "X-Timeout-Ms", Long.toString(wait));
-        field(head, "X-Priority-Class", req.categoryName);
-        field(head, "X-Tenant-Id", req.tenantName);
-        field(head, "Idempotency-Key", req.idempotencyKey);
-        field(head, "Content-Type", req.contentType);
-        if (req.body.length() > 0 || !req.method.equals("GET")) {
-            field(head, "Content-Length", Long.toString(req.body.length()));
+        field(head, "X-Request-ID", request.requestId());
+        field(head, "X-Timeout-Ms", Long.toString(timeoutMillis));
+        field(head, "X-Priority-Class", request.requestClass());
+        field(head, "X-Tenant-Id", request.tenant());
+        field(head, "Idempotency-Key", request.idempotencyKey());
+        field(head, "Content-Type", request.contentType());
+        if (request.body().length() > 0 || !request.method().equals("GET")) {
+            field(head, "Content-Length", Long.toString(request.body().length()));
         }
         return head;
     }
 
-    /** An answer to a client; a body of null is an empty one. */
-    void answer(
+    /**
+     * Writes a response to a client.
+     *
+     * @param fieldName of one more field, or null
+     * @param fieldValue of that field
+     * @param body null for an empty one
+     * @param close whether the connection ends after it
+     */
+    public void writeResponse(
             OutputStream out,
             int status,
-            String name,
-            String value,
+            String fieldName,
+            String fieldValue,
             MessageBody body,
             boolean close)
             throws IOException {
         StringBuilder head = new StringBuilder(128);
         head.append("HTTP/1.1 ").append(status).append(' ').append(reason(status)).append("\r\n");
-        field(head, name, value);
+        field(head, fieldName, fieldValue);
         field(head, "Content-Length", Long.toString(body == null ? 0 : body.length()));
         field(head, "Connection", close ? "close" : null);
         send(out, () -> head, body);
     }
 
     /**
-     * The head of a long answer that is passed on as it comes, and what of it is in hand; -1:
-     * length unknown, and the rest follows in chunks where the client knows them.
+     * Writes the head of a long response that is relayed as it comes, and the first part of its
+     * body.
+     *
+     * @param length of the whole body in bytes; -1 if it is not known
+     * @param chunked whether the body goes out in chunks
      */
-    void begin(OutputStream out, long length, boolean chunked, MessageBody part, boolean close)
+    public void beginRelay(
+            OutputStream out, long length, boolean chunked, MessageBody part, boolean close)
             throws IOException {
         StringBuilder head = new StringBuilder(128);
         head.append("HTTP/1.1 200 OK\r\n");
@@ -80,27 +99,27 @@
         }
     }
 
-    /** The next piece of it. */
-    void piece(OutputStream out, boolean chunked, byte[] from, int at, int count)
+    /** Writes the next piece of a relayed body. */
+    public void writeRelayed(OutputStream out, boolean chunked, byte[] bytes, int offset, int count)
             throws IOException {
         if (chunked) {
             out.write((Integer.toHexString(count) + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
         }
-        out.write(from, at, count);
+        out.write(bytes, offset, count);
         if (chunked) {
             out.write(LINE_END);
         }
     }
 
-    /** Its end, by which the client knows that it is whole. */
-    void end(OutputStream out, boolean chunked) throws IOException {
+    /** Ends a relayed body, so that the client knows it to be complete. */
+    public void endRelay(OutputStream out, boolean chunked) throws IOException {
         if (chunked) {
             out.write(LAST_CHUNK);
         }
     }
 
-    /** An answer to a request that is wrong in itself, with one plain line that names the fault. */
-    void refusal(OutputStream out, int status, String fault) throws IOException {
+    /** Writes the response to a malformed request, with one plain line that names the fault. */
+    public void writeRefusal(OutputStream out, int status, String fault) throws IOException {
         byte[] line = (fault + "\n").getBytes(StandardCharsets.UTF_8);
         StringBuilder head = new StringBuilder(160);
         head.append("HTTP/1.1 ").append(status).append(' ').append(reason(status)).append("\r\n");
@@ -108,9 +127,9 @@
         field(head, "Content-Length", Integer.toString(line.length));
         field(head, "Connection", "close");
         byte[] start = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
-        byte[] whole = Arrays.copyOf(start, start.length + line.length);
-        System.arraycopy(line, 0, whole, start.length, line.length);
-        out.write(whole);
+        byte[] message = Arrays.copyOf(start, start.length + line.length);
+        System.arraycopy(line, 0, message, start.length, line.length);
+        out.write(message);
     }
 
     private static void field(StringBuilder head, String name, String value) {
@@ -125,20 +144,20 @@
             out.write(bytes(head));
             return;
         }
-        if (!body.spooled() && body.length() <= BufferPool.SIZE) {
-            byte[] whole = buffers.take();
+        if (!body.isInFile() && body.length() <= BufferPool.SIZE) {
+            byte[] message = buffers.take();
             try {
                 byte[] bytes = bytes(head);
                 if (bytes.length + body.length() <= BufferPool.SIZE) {
-                    System.arraycopy(bytes, 0, whole, 0, bytes.length);
-                    body.copyTo(whole, bytes.length);
-                    out.write(whole, 0, bytes.length + (int) body.length());
+                    System.arraycopy(bytes, 0, message, 0, bytes.length);
+                    body.copyTo(message, bytes.length);
+                    out.write(message, 0, bytes.length + (int) body.length());
                 } else {
                     out.write(bytes);
                     body.writeTo(out);
                 }
             } finally {
-                buffers.give(whole);
+                buffers.give(message);
             }
             return;
         }
--- /dev/null
+++ b/src/main/java/cottonlock/proxy/http/MessageHead.java
@@ -0,0 +1,156 @@
+package cottonlock.proxy.http;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * The start line and the header fields of one message. Of a request, {@link #method}, {@link
+ * #target} and {@link #requestVersion} may be asked for; of a response, {@link #responseVersion}
+ * and {@link #status}.
+ */
+public final class MessageHead {
+    private static final String HTTP_1_0 = "HTTP/1.0";
+    private static final String HTTP_1_1 = "HTTP/1.1";
+    private static final String ABSOLUTE_FORM = "http://";
+    private static final int STATUS_DIGITS = 3;
+
+    /** The words of the start line: three at most, the last one may hold spaces. */
+    private final String[] startLine;
+
+    private final List<String> names = new ArrayList<>();
+    private final List<String> values = new ArrayList<>();
+
+    /**
+     * A head without fields.
+     *
+     * @param startLine the words of the start line: three at most, the last one may hold spaces
+     */
+    public MessageHead(String[] startLine) {
+        this.startLine = startLine.clone();
+    }
+
+    /** Appends a field. */
+    public void add(String name, String value) {
+        names.add(name);
+        values.add(value);
+    }
+
+    /** A request's method. */
+    public String method() {
+        return startLine[0];
+    }
+
+    /** A request's target in the origin form. */
+    public String target() {
+        return startLine[1];
+    }
+
+    /** A request's protocol version. */
+    public String requestVersion() {
+        return startLine[2];
+    }
+
+    /** A response's protocol version. */
+    public String responseVersion() {
+        return startLine[0];
+    }
+
+    /** A response's status: three digits. */
+    public String status() {
+        return startLine[1];
+    }
+
+    /** Whether either side speaks HTTP/1.0. */
+    boolean isHttp10() {
+        return List.of(startLine).contains(HTTP_1_0);
+    }
+
+    /**
+     * Checks a request's start line, and brings a target in the absolute form into the origin form.
+     */
+    void checkRequestLine() throws MalformedMessageException {
+        boolean complete = startLine.length == 3;
+        if (complete && target().startsWith(ABSOLUTE_FORM)) {
+            int path = target().indexOf('/', ABSOLUTE_FORM.length());
+            startLine[1] = path < 0 ? "/" : target().substring(path);
+        }
+        if (!complete
+                || !MessageHeadParser.isToken(method())
+                || !MessageHeadParser.isTarget(target())
+                || !requestVersion().startsWith("HTTP/")) {
+            throw new MalformedMessageException(400, "not a request line");
+        }
+        if (!isSupportedVersion(requestVersion())) {
+            throw new MalformedMessageException(505, "neither HTTP/1.1 nor HTTP/1.0");
+        }
+        if (requestVersion().equals(HTTP_1_1) && only("Host") == null) {
+            throw new MalformedMessageException(400, "no Host");
+        }
+    }
+
+    /** Checks a response's start line. */
+    void checkStatusLine() throws MalformedMessageException {
+        if (startLine.length < 2
+                || !isSupportedVersion(responseVersion())
+                || status().length() != STATUS_DIGITS
+                || !MessageHeadParser.isDecimal(status())) {
+            throw new MalformedMessageException(502, "not a status line");
+        }
+    }
+
+    private static boolean isSupportedVersion(String version) {
+        return version.equals(HTTP_1_1) || version.equals(HTTP_1_0);
+    }
+
+    /** Whether a response is an interim one, which the final one follows. */
+    boolean isInterim() {
+        return status().startsWith("1");
+    }
+
+    /** Whether a response has no body, whatever its fields say. */
+    boolean hasNoBody() {
+        return isInterim() || status().equals("204") || status().equals("304");
+    }
+
+    /**
+     * The value of a field that may stand only once, or null.
+     *
+     * @throws MalformedMessageException if it stands more than once
+     */
+    public String only(String name) throws MalformedMessageException {
+        String found = null;
+        for (int i = 0; i < names.size(); i++) {
+            if (names.get(i).equalsIgnoreCase(name)) {
+                if (found != null) {
+                    throw new MalformedMessageException(400, "more than one " + name);
+                }
+                found = values.get(i);
+            }
+        }
+        return found;
+    }
+
+    /** Whether a field that lists words holds the given one. */
+    public boolean lists(String name, String word) {
+        for (int i = 0; i < names.size(); i++) {
+            if (names.get(i).equalsIgnoreCase(name) && containsWord(values.get(i), word)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private static boolean containsWord(String value, String word) {
+        for (String part : value.split(",", -1)) {
+            if (part.trim().equalsIgnoreCase(word)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Whether the sender keeps the connection, given the version that it speaks. */
+    public boolean keepsAlive(String version) {
+        return version.equals(HTTP_1_1) && !lists("Connection", "close");
+    }
+}
--- a/src/main/java/cottonlock/proxy/io/HttpLineStream.java
+++ b/src/main/java/cottonlock/proxy/io/HttpLineStream.java
@@ -1,8 +1,8 @@
 package cottonlock.proxy.io;
 
-import cottonlock.proxy.HttpReader;
-import cottonlock.proxy.MalformedMessageException;
-import cottonlock.proxy.MessageHead;
+import cottonlock.proxy.http.HttpReader;
+import cottonlock.proxy.http.MalformedMessageException;
+import cottonlock.proxy.http.MessageHead;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -45,21 +45,21 @@
         socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
         reader = new HttpReader(socket, buffer);
         // A deadline for the whole head: one that trickles in does not extend it.
-        reader.within(timeoutMillis);
-        MessageHead head = reader.answer(0);
-        if (!head.start[1].equals(STATUS_OK)) {
-            throw new IOException("status " + head.start[1]);
+        reader.setTimeout(timeoutMillis);
+        MessageHead head = reader.readResponseHead(0);
+        if (!head.status().equals(STATUS_OK)) {
+            throw new IOException("status " + head.status());
         }
     }
 
     /** All reads from now on must be done within that time; 0: no limit. */
     public void readWithin(long timeoutMillis) {
-        reader.within(timeoutMillis);
+        reader.setTimeout(timeoutMillis);
     }
 
     /** Whether bytes have been received that are not read yet. */
     public boolean hasBufferedBytes() {
-        return reader.ahead();
+        return reader.hasBufferedBytes();
     }
 
     /**
@@ -69,7 +69,7 @@
      * @throws SocketTimeoutException when the time is over; nothing has been read then
      */
     public boolean awaitBytes() throws IOException {
-        return reader.await();
+        return reader.awaitFirstByte();
     }
 
     /**
@@ -79,7 +79,7 @@
      * @throws MalformedMessageException for a line that is too long, or no proper body
      */
     public String readLine(int maxChars) throws IOException, MalformedMessageException {
-        return reader.line(maxChars);
+        return reader.readLine(maxChars);
     }
 
     @Override
--- a/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
+++ b/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
@@ -7,6 +7,10 @@
 import cottonlock.admin.Metrics;
 import cottonlock.proxy.concurrent.TickClock;
 import cottonlock.proxy.control.ProxyConfiguration;
+import cottonlock.proxy.http.BufferPool;
+import cottonlock.proxy.http.HttpWriter;
+import cottonlock.proxy.http.MessageBody;
+import cottonlock.proxy.http.MessageHead;
 import cottonlock.proxy.io.RateLimitedLog;
 import cottonlock.proxy.io.Sockets;
 import cottonlock.setup.LoadBalancerFactory;
@@ -38,7 +42,7 @@
     private static final int FLOOD = 320 << 10;
 
     /** Where the thread of a connection to a backend stands between two answers. */
-    private static final String RESTS = "NioSocketImpl.*HttpReader.awaitOne";
+    private static final String RESTS = "NioSocketImpl.*HttpReader.awaitSingleByte";
 
     private final RateLimitedLog log = new RateLimitedLog(System.getLogger("test"));
     private final TickClock clock = new TickClock();
@@ -302,7 +306,7 @@
         actor.end();
         thread.join(4_000);
         assertTrue(stays.request.claim());
-        eventually(() -> buffers.left() == 16, "all buffers are back");
+        eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
     /** It is up, and what it needs to go on is held back until the client has left. */
@@ -312,7 +316,7 @@
         for (boolean leaves : new boolean[] {true, false}) {
             Sent sent = attempt(null);
             List<byte[]> taken = new ArrayList<>();
-            while (buffers.left() > 0) {
+            while (buffers.available() > 0) {
                 taken.add(buffers.take());
             }
             Thread thread = Sockets.start("connection", connection(backend, sent));
@@ -327,7 +331,7 @@
             thread.join(4_000);
             assertTrue(leaves || sent.request.claim());
         }
-        eventually(() -> buffers.left() == 16, "all buffers are back");
+        eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
     /** A connection rests, and may yet bring a second answer. */
@@ -350,7 +354,7 @@
         actor.end();
         thread.join(4_000);
         assertTrue(first.request.claim());
-        eventually(() -> buffers.left() == 16, "all buffers are back");
+        eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
     /** Held between the decision to write and its first byte. */
@@ -366,7 +370,7 @@
             Sent next = attempt(null);
             assertTrue(next.attempt.attach(connection));
             List<byte[]> taken = new ArrayList<>();
-            while (buffers.left() > 0) {
+            while (buffers.available() > 0) {
                 taken.add(buffers.take());
             }
             Thread writer = Sockets.start("writer", () -> connection.send(next.attempt));
@@ -382,7 +386,7 @@
             thread.join(4_000);
             assertTrue(first.request.claim() && (leaves || next.request.claim()));
         }
-        eventually(() -> buffers.left() == 16, "all buffers are back");
+        eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
     /**
@@ -412,7 +416,7 @@
         backend.sockets.forEach(Sockets::close);
         thread.join(4_000);
         assertTrue(first.request.claim());
-        eventually(() -> buffers.left() == 16, "all buffers are back");
+        eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
     // Behind another request
@@ -562,7 +566,7 @@
         actor.end();
         thread.join(4_000);
         assertTrue(unseen.request.claim() && stays.request.claim());
-        eventually(() -> buffers.left() == 16, "all buffers are back");
+        eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
     // As the connection is ended from here
@@ -710,7 +714,7 @@
             listener.close();
             thread.join(4_000);
         }
-        eventually(() -> listener.empty() && buffers.left() == 16, "all buffers are back");
+        eventually(() -> listener.empty() && buffers.available() == 16, "all buffers are back");
     }
 
     // What an attempt tells of the time that is left
@@ -748,7 +752,7 @@
         Sent next = attempt(null);
         assertTrue(next.attempt.attach(connection));
         List<byte[]> taken = new ArrayList<>();
-        while (buffers.left() > 0) {
+        while (buffers.available() > 0) {
             taken.add(buffers.take());
         }
         Thread writer = Sockets.start("writer", () -> connection.send(next.attempt));
@@ -764,6 +768,6 @@
         writer.join(4_000);
         thread.join(4_000);
         assertTrue(first.request.claim() && next.request.claim());
-        eventually(() -> buffers.left() == 16, "all buffers are back");
+        eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 }
--- a/src/test/java/cottonlock/proxy/ListsTest.java
+++ b/src/test/java/cottonlock/proxy/ListsTest.java
@@ -18,6 +18,7 @@
 import cottonlock.proxy.discovery.EndpointList;
 import cottonlock.proxy.discovery.EndpointListParser;
 import cottonlock.proxy.discovery.EndpointListWatch;
+import cottonlock.proxy.http.BufferPool;
 import cottonlock.proxy.io.JsonReader;
 import cottonlock.proxy.io.RateLimitedLog;
 import cottonlock.proxy.io.Sockets;
--- a/src/test/java/cottonlock/proxy/OperatorDaysTest.java
+++ b/src/test/java/cottonlock/proxy/OperatorDaysTest.java
@@ -10,6 +10,10 @@
 import cottonlock.proxy.concurrent.TickClock;
 import cottonlock.proxy.control.ManualEjections;
 import cottonlock.proxy.control.SharedFile;
+import cottonlock.proxy.http.BufferPool;
+import cottonlock.proxy.http.HttpReader;
+import cottonlock.proxy.http.MessageBody;
+import cottonlock.proxy.http.MessageHead;
 import cottonlock.proxy.io.JsonReader;
 import cottonlock.proxy.io.RateLimitedLog;
 import cottonlock.setup.OperatorConfig;
@@ -498,12 +502,12 @@
      */
     private static int readBulk(Socket socket, int pauseEach) throws Exception {
         HttpReader reader = new HttpReader(socket, new byte[BufferPool.SIZE]);
-        reader.within(0);
-        MessageHead head = reader.answer(8_000);
-        assertEquals("200", head.start[1]);
+        reader.setTimeout(0);
+        MessageHead head = reader.readResponseHead(8_000);
+        assertEquals("200", head.status());
         int[] read = {0};
         try {
-            reader.pass(
+            reader.relayBody(
                     (from, at, count) -> {
                         for (int i = 0; i < count; i++) {
                             assertEquals('a' + (read[0] + i) / 10_000 % 26, from[at + i]);
@@ -584,7 +588,7 @@
                 send(slow, body.substring(i * 1_000_000, (i + 1) * 1_000_000));
                 assertTrue(
                         before - proxy.freeBuffers()
-                                <= 2 * (MessageBody.IN_HAND / BufferPool.SIZE + 2));
+                                <= 2 * (MessageBody.MAX_BUFFERED_BYTES / BufferPool.SIZE + 2));
                 pause(i < 2 ? 600 : 0);
             }
             assertEquals(200, status(receive(slow)));
--- a/src/test/java/cottonlock/proxy/ProxyFixture.java
+++ b/src/test/java/cottonlock/proxy/ProxyFixture.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cottonlock.proxy.http.BufferPool;
 import cottonlock.proxy.io.JsonValue;
 import cottonlock.proxy.io.JsonValue.JsonArray;
 import cottonlock.proxy.io.JsonValue.JsonObject;
--- a/src/test/java/cottonlock/proxy/ProxyTest.java
+++ b/src/test/java/cottonlock/proxy/ProxyTest.java
@@ -7,6 +7,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cottonlock.proxy.concurrent.Mailbox;
+import cottonlock.proxy.http.BufferPool;
+import cottonlock.proxy.http.HttpReader;
+import cottonlock.proxy.http.MalformedMessageException;
+import cottonlock.proxy.http.MessageBody;
+import cottonlock.proxy.http.MessageHead;
 import cottonlock.proxy.io.JsonReader;
 import cottonlock.proxy.io.RateLimitedLog;
 import cottonlock.proxy.io.Sockets;
@@ -512,9 +517,9 @@
         assertTrue(req.hold());
         assertTrue(req.claim());
         assertFalse(req.claim());
-        assertEquals(0, buffers.left(), "a write of it is under way");
+        assertEquals(0, buffers.available(), "a write of it is under way");
         req.release();
-        assertEquals(1, buffers.left());
+        assertEquals(1, buffers.available());
         assertFalse(req.hold());
     }
 
@@ -948,10 +953,10 @@
                     });
             HttpReader reader = new HttpReader(socket, buffer);
             try {
-                assertTrue(reader.await());
-                reader.within(3_000);
-                reader.request();
-                MessageBody read = reader.body(buffers, null, MessageBody.IN_HAND);
+                assertTrue(reader.awaitFirstByte());
+                reader.setTimeout(3_000);
+                reader.readRequestHead();
+                MessageBody read = reader.readBody(buffers, null, MessageBody.MAX_BUFFERED_BYTES);
                 assertTrue(spoilt || read.length() == body.length());
                 read.release();
             } catch (MalformedMessageException | IOException e) {
@@ -959,7 +964,7 @@
             }
         }
         buffers.give(buffer);
-        assertEquals(40, buffers.left());
+        assertEquals(40, buffers.available());
     }
 
     @Property(seed = "20261201", tries = 300)
--- a/src/test/java/cottonlock/proxy/RacesTest.java
+++ b/src/test/java/cottonlock/proxy/RacesTest.java
@@ -8,6 +8,10 @@
 import cottonlock.proxy.concurrent.TickClock;
 import cottonlock.proxy.discovery.EndpointListParser;
 import cottonlock.proxy.discovery.EndpointListWatch;
+import cottonlock.proxy.http.BufferPool;
+import cottonlock.proxy.http.HttpWriter;
+import cottonlock.proxy.http.MessageBody;
+import cottonlock.proxy.http.MessageHead;
 import cottonlock.proxy.io.RateLimitedLog;
 import cottonlock.proxy.io.Sockets;
 import java.io.IOException;
@@ -231,7 +235,7 @@
                 "nobody is left");
         thread.join(4_000);
         assertFalse(thread.isAlive());
-        eventually(() -> buffers.left() == 16, "all buffers are back");
+        eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
     @Example
@@ -489,7 +493,7 @@
                 assertTrue(sent.request.claim());
             }
         }
-        eventually(() -> buffers.left() == 16, "all buffers are back");
+        eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
     /** Until its first attempt an actor has no thread, and nobody reads what it is told. */
@@ -512,7 +516,7 @@
         assertEquals(0, old.requests.size());
         actor.end();
         assertTrue(sent.request.claim());
-        eventually(() -> buffers.left() == 16, "all buffers are back");
+        eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
     // Connections to backends at rest
@@ -541,7 +545,8 @@
                         first.attempt.settled()
                                 && List.of(thread.getStackTrace())
                                         .toString()
-                                        .matches("(?s).*NioSocketImpl.*HttpReader.awaitOne.*"),
+                                        .matches(
+                                                "(?s).*NioSocketImpl.*HttpReader.awaitSingleByte.*"),
                 "it rests");
         Sent next = attempt(null, Long.MAX_VALUE);
         synchronized (connection) {
@@ -554,7 +559,7 @@
         assertFalse(next.attempt.settled(), "it may go out elsewhere");
         assertEquals(1, backend.requests.size());
         assertTrue(first.request.claim() && next.request.claim());
-        eventually(() -> buffers.left() == 16, "all buffers are back");
+        eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
     /** It comes while the connection settles: for eight seconds here, that no machine is late. */
@@ -574,7 +579,8 @@
                                                                 .toString()
                                                                 .matches(
                                                                         "(?s).*NioSocketImpl."
-                                                                            + "*HttpReader.awaitOne.*")),
+                                                                            + "*HttpReader"
+                                                                            + ".awaitSingleByte.*")),
                 "it rests");
         Sent next = attempt(actor, Long.MAX_VALUE);
         CountDownLatch looked = new CountDownLatch(1);
@@ -587,7 +593,7 @@
         actor.end();
         thread.join(4_000);
         assertTrue(first.request.claim() && next.request.claim());
-        eventually(() -> buffers.left() == 16, "all buffers are back");
+        eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
     // Clients that leave
--- a/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
+++ b/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
@@ -7,6 +7,7 @@
 import cottonlock.lab.ControlMachine.Trouble;
 import cottonlock.proxy.control.ConfigurationVersionDigest;
 import cottonlock.proxy.control.ProxyConfiguration;
+import cottonlock.proxy.http.BufferPool;
 import cottonlock.proxy.io.JsonReader;
 import cottonlock.proxy.io.JsonValue.JsonObject;
 import cottonlock.setup.OperatorConfig;
