--- a/src/main/java/cottonlock/admin/Metrics.java
+++ b/src/main/java/cottonlock/admin/Metrics.java
@@ -126,7 +126,8 @@
      * Sets the backend counts.
      *
      * @param listed backends in the endpoint list
-     * @param avoided those of them that get no requests now: ejected manually or by the balancer
+     * @param avoided those of them that get few or no requests now: ejected manually, draining, or
+     *     suspected outliers
      */
     public void setBackendCounts(int listed, int avoided) {
         backendsListed = listed;
--- a/src/main/java/cottonlock/decision/LoadBalancer.java
+++ b/src/main/java/cottonlock/decision/LoadBalancer.java
@@ -150,7 +150,7 @@
         attempts.onClientDisconnected(requestId, nowTicks);
     }
 
-    /** Moves the deadlines of all requests in progress forward to this time, for a shutdown. */
+    /** Bounds the deadlines of all requests in progress by this time, for a shutdown. */
     public void limitDeadlines(long latestTicks) {
         admission.limitDeadlines(latestTicks);
         attempts.limitDeadlines(latestTicks);
--- a/src/main/java/cottonlock/decision/admission/AdmissionController.java
+++ b/src/main/java/cottonlock/decision/admission/AdmissionController.java
@@ -172,10 +172,10 @@
         }
     }
 
-    /** An attempt has ended after so long: a sample for the tenant's rate limit. */
-    public void onAttemptCompleted(Request request, AttemptOutcome outcome, long tookTicks) {
+    /** An attempt has ended: its latency is a sample for the tenant's rate limit. */
+    public void onAttemptCompleted(Request request, AttemptOutcome outcome, long latencyTicks) {
         laneRateLimits[request.tenant()].onAttemptCompleted(
-                outcome, tookTicks, request.requestClass().latencyObjectiveTicks());
+                outcome, latencyTicks, request.requestClass().latencyObjectiveTicks());
     }
 
     /** Ends what has waited too long, admits what has capacity now, and samples the latency. */
@@ -198,7 +198,7 @@
         queue.removeById(requestId);
     }
 
-    /** Moves the deadlines of all queued requests forward to this time. */
+    /** Bounds the deadlines of all queued requests by this time. */
     public void limitDeadlines(long latestTicks) {
         queue.limitDeadlines(latestTicks);
     }
--- a/src/main/java/cottonlock/decision/admission/AdmissionQueue.java
+++ b/src/main/java/cottonlock/decision/admission/AdmissionQueue.java
@@ -72,7 +72,7 @@
                 || nowTicks - request.queuedAtTicks() > maxWaitTicks;
     }
 
-    /** Moves the deadlines of all queued requests forward to this time. */
+    /** Bounds the deadlines of all queued requests by this time. */
     void limitDeadlines(long latestTicks) {
         requests.forEach(request -> request.limitDeadline(latestTicks));
     }
--- a/src/main/java/cottonlock/decision/api/DeploymentTopology.java
+++ b/src/main/java/cottonlock/decision/api/DeploymentTopology.java
@@ -11,7 +11,7 @@
  * @param connectionBreakEvenTicks for each backend, how long a connection must be idle to cost as
  *     much as opening a new one; 0 where an idle connection costs nothing
  * @param peerMessagesAllowed whether load balancers may send messages to each other
- * @param endpointListPolled whether changes of the endpoint list come only to those that poll it
+ * @param endpointListPolled whether load balancers must subscribe to the endpoint list themselves
  * @param maxPollIntervalTicks how long a load balancer may go without a poll
  * @param removalBinding whether a backend that has left the list without draining must get no more
  *     requests
--- a/src/main/java/cottonlock/decision/api/LoadBalancerActions.java
+++ b/src/main/java/cottonlock/decision/api/LoadBalancerActions.java
@@ -3,9 +3,9 @@
 import cottonlock.decision.LoadBalancer;
 
 /**
- * What the load balancer asks its host to do. Called on the load balancer's thread, within one of
- * its {@code on...} methods, and carried out at that call's time. Times are in {@link
- * cottonlock.core.Ticks}.
+ * What the load balancer asks its host to do. Called on the load balancer's thread, within {@code
+ * start} or one of its {@code on...} methods, and carried out at that call's time. Times are in
+ * {@link cottonlock.core.Ticks}.
  *
  * <p>Every request ends with exactly one response to its client: the response of an attempt, {@link
  * #reject} or {@link #fail}.
@@ -43,12 +43,12 @@
     /** Closes the connections to a backend that carry no request. */
     void closeIdleConnections(String backendId);
 
-    /** Requests a backend's load report. */
+    /** Requests a backend's load report. Not called at present. */
     void probe(String backendId);
 
     /** Sends a short message to every other load balancer of the deployment. */
     void broadcastToPeers(byte[] message);
 
-    /** Writes a log line for the operators. */
+    /** Writes a log line for the operators. Not called at present. */
     void log(String line);
 }
--- a/src/main/java/cottonlock/decision/backend/Backend.java
+++ b/src/main/java/cottonlock/decision/backend/Backend.java
@@ -74,7 +74,7 @@
     /** Sum of these gaps in ticks, each times the attempts in flight during it. */
     final SlidingWindowSum responseGapTicks;
 
-    /** Completed attempts over the window in which warming backends are counted. */
+    /** Attempts of this load balancer completed here, over SlowStartConfig.overloadWindowTicks. */
     final SlidingWindowSum completions;
 
     /** While warming up: when it was last sent a request, or was first considered. */
--- a/src/main/java/cottonlock/decision/backend/EndpointListFreshness.java
+++ b/src/main/java/cottonlock/decision/backend/EndpointListFreshness.java
@@ -14,6 +14,7 @@
      */
     private static final int BACKOFFS_PER_POLL_INTERVAL = 4;
 
+    /** Half of the first backoff, which is 0.2 s: each failure, the first one too, doubles it. */
     private static final long BASE_BACKOFF_TICKS = 1_000;
 
     /**
--- a/src/main/java/cottonlock/decision/backend/LoadTracker.java
+++ b/src/main/java/cottonlock/decision/backend/LoadTracker.java
@@ -34,7 +34,7 @@
      */
     private static final double MAX_COUNTED_AGE_OBJECTIVES = 0.6;
 
-    /** The only series of a mean that is not divided. */
+    /** The series number for means that have a single series. */
     private static final int ALL = 0;
 
     private final DeploymentTopology topology;
--- a/src/main/java/cottonlock/decision/backend/OutlierDetector.java
+++ b/src/main/java/cottonlock/decision/backend/OutlierDetector.java
@@ -46,7 +46,7 @@
     /** The resolution of logarithms of latencies, which are kept as whole numbers. */
     private static final int LOG_UNITS = 1_000;
 
-    /** The only series of a mean that is not divided. */
+    /** The series number for means that have a single series. */
     private static final int ALL = 0;
 
     private final SplittableRandom random;
--- a/src/main/java/cottonlock/decision/backend/SlowStart.java
+++ b/src/main/java/cottonlock/decision/backend/SlowStart.java
@@ -17,7 +17,11 @@
     private final DeploymentTopology topology;
     private final SplittableRandom random;
 
-    /** What a backend of weight 1 that is warm completes, in the overload window. */
+    /**
+     * What a warm backend of weight 1 completes of this load balancer's own attempts in the
+     * overload window. Own attempts only, so limits derived from it need no division by the number
+     * of load balancers.
+     */
     private double completionsPerWeight;
 
     SlowStart(SlowStartConfig config, DeploymentTopology topology, SplittableRandom random) {
--- a/src/main/java/cottonlock/decision/request/Request.java
+++ b/src/main/java/cottonlock/decision/request/Request.java
@@ -83,7 +83,7 @@
         return objectiveDeadlineTicks;
     }
 
-    /** Moves the deadline, and the end of the latency objective, forward to this time. */
+    /** Bounds the deadline, and the end of the latency objective, by this time. */
     public void limitDeadline(long latestTicks) {
         deadlineTicks = Math.min(deadlineTicks, latestTicks);
         objectiveDeadlineTicks = Math.min(objectiveDeadlineTicks, latestTicks);
--- a/src/main/java/cottonlock/decision/retry/AttemptTracker.java
+++ b/src/main/java/cottonlock/decision/retry/AttemptTracker.java
@@ -152,7 +152,7 @@
         }
     }
 
-    /** Moves the deadlines of all requests in flight forward to this time. */
+    /** Bounds the deadlines of all requests in flight by this time. */
     public void limitDeadlines(long latestTicks) {
         requests.values().forEach(request -> request.limitDeadline(latestTicks));
     }
--- a/src/main/java/cottonlock/decision/routing/BackendPicker.java
+++ b/src/main/java/cottonlock/decision/routing/BackendPicker.java
@@ -32,12 +32,12 @@
     /** Reduces the request's candidates, of which there must be one or more, to the chosen one. */
     @Override
     public void process(Request request, long nowTicks) {
-        double totalSize = 0;
+        double totalCapacity = 0;
         Backend chosen = null;
         for (Backend backend : request.candidates()) {
-            double size = registry.eligibility().effectiveCapacity(backend, nowTicks);
-            totalSize += size;
-            if (random.nextDouble() * totalSize < size) {
+            double capacity = registry.eligibility().effectiveCapacity(backend, nowTicks);
+            totalCapacity += capacity;
+            if (random.nextDouble() * totalCapacity < capacity) {
                 chosen = backend;
             }
         }
--- a/src/main/java/cottonlock/decision/routing/LaneSelector.java
+++ b/src/main/java/cottonlock/decision/routing/LaneSelector.java
@@ -53,7 +53,7 @@
     }
 
     private List<Backend> candidates(Request request, long nowTicks) {
-        double maxInFlightPerSize = maxInFlightPerSize(nowTicks);
+        double maxInFlightPerCapacity = maxInFlightPerCapacity(nowTicks);
         double spareRequests = admission.isUnderPressure(nowTicks) ? 0 : 1;
         boolean crowded =
                 registry.laneLoad().isCrowded(request.tenant(), maxRelativeAttemptTime(), nowTicks);
@@ -62,7 +62,8 @@
             List<Backend> lane = registry.lane(request.tenant());
             usable =
                     registry.eligibility()
-                            .eligible(lane, request, maxInFlightPerSize, spareRequests, nowTicks);
+                            .eligible(
+                                    lane, request, maxInFlightPerCapacity, spareRequests, nowTicks);
         }
         List<Backend> spill =
                 crowded ? registry.laneLoad().backendsOfUncrowdedLanes(nowTicks) : registry.ready();
@@ -73,7 +74,7 @@
                                 .eligible(
                                         group,
                                         request,
-                                        maxInFlightPerSize,
+                                        maxInFlightPerCapacity,
                                         spareRequests,
                                         nowTicks);
             }
@@ -83,13 +84,13 @@
                 : usable;
     }
 
-    private double maxInFlightPerSize(long nowTicks) {
+    private double maxInFlightPerCapacity(long nowTicks) {
         double inFlight = registry.ready().stream().mapToInt(Backend::inFlight).sum();
-        double totalSize =
+        double totalCapacity =
                 registry.ready().stream()
                         .mapToDouble(b -> registry.eligibility().effectiveCapacity(b, nowTicks))
                         .sum();
-        return MAX_RELATIVE_LOAD * inFlight / totalSize;
+        return MAX_RELATIVE_LOAD * inFlight / totalCapacity;
     }
 
     private double maxRelativeAttemptTime() {
--- a/src/main/java/cottonlock/membership/MemberRecord.java
+++ b/src/main/java/cottonlock/membership/MemberRecord.java
@@ -53,7 +53,10 @@
     /** The suspicion in progress; null if there is none. */
     SuspicionTimer suspicion;
 
-    /** Whether another member found it failed, and it has not been probed from here since. */
+    /**
+     * Whether it is to be probed from here before it is declared failed: another member reported
+     * its failure, or its suspicion has expired.
+     */
     boolean contested;
 
     /** Whether it was removed from the table. */
--- a/src/main/java/cottonlock/proxy/control/RolloutActor.java
+++ b/src/main/java/cottonlock/proxy/control/RolloutActor.java
@@ -128,7 +128,10 @@
                 + '"';
     }
 
-    /** -1 for what does not hold. */
+    /**
+     * Milliseconds since that time, 0 at least; -1 where the condition does not hold (a negative
+     * argument).
+     */
     private long millisSince(long sinceTicks) {
         return sinceTicks < 0 ? -1 : Math.max(0, clock.now() - sinceTicks) / TICKS_PER_MILLI;
     }
--- a/src/main/java/cottonlock/setup/LoadBalancerFactory.java
+++ b/src/main/java/cottonlock/setup/LoadBalancerFactory.java
@@ -41,7 +41,10 @@
                     "zone", DeduplicationScope.ZONE,
                     "cell", DeduplicationScope.CELL);
 
-    /** Whether changes of the endpoint list come only to load balancers that poll it. */
+    /**
+     * Whether this load balancer must subscribe to the endpoint list itself (MembershipMode
+     * "subscribe"); with "automatic" its host keeps the list up to date.
+     */
     private static final Map<String, Boolean> POLLED_BY_SETTING =
             Map.of("automatic", false, "subscribe", true);
 
@@ -71,7 +74,8 @@
     }
 
     /**
-     * Whether changes of the endpoint list come only to load balancers that poll it.
+     * Whether this load balancer must subscribe to the endpoint list itself (MembershipMode
+     * "subscribe"); with "automatic" its host keeps the list up to date.
      *
      * @throws InvalidSettingsException if the setting has an unknown value
      */
