--- a/src/main/java/cottonlock/lab/scale/HollowHost.java
+++ b/src/main/java/cottonlock/lab/scale/HollowHost.java
@@ -162,6 +162,9 @@
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 host.carryOut(line.split(" "));
             }
+        } catch (IOException | RuntimeException e) {
+            // Standard error is this process's log, which the run shows when the process has ended.
+            e.printStackTrace();
         } finally {
             Runtime.getRuntime().halt(0);
         }
