--- a/src/main/java/cottonlock/decision/RequestIntake.java
+++ b/src/main/java/cottonlock/decision/RequestIntake.java
@@ -72,16 +72,16 @@
      * @param stalledTicks how long this process was stalled just before, 0 if it was not
      */
     void onRequest(RequestArrival arrival, long stalledTicks, long nowTicks) {
-        int number = arrival.requestClass();
+        int classNumber = arrival.requestClass();
         long timeoutTicks = arrival.clientTimeoutTicks();
-        longestTimeoutTicks[number] = Math.max(longestTimeoutTicks[number], timeoutTicks);
+        longestTimeoutTicks[classNumber] = Math.max(longestTimeoutTicks[classNumber], timeoutTicks);
         // Clients of a class have similar timeouts, so what a timeout lacks of the longest one has
         // passed while the request waited for this process.
-        long waitedTicks = Math.min(stalledTicks, longestTimeoutTicks[number] - timeoutTicks);
+        long waitedTicks = Math.min(stalledTicks, longestTimeoutTicks[classNumber] - timeoutTicks);
         Request request =
                 new Request(
                         arrival,
-                        requestClasses.get(number),
+                        requestClasses.get(classNumber),
                         nowTicks - waitedTicks,
                         nowTicks + timeoutTicks);
         if (firstTier && !quota.tryTake(arrival.tenant(), arrival.clientRetry(), nowTicks)) {
--- a/src/main/java/cottonlock/decision/admission/ConcurrencyLimit.java
+++ b/src/main/java/cottonlock/decision/admission/ConcurrencyLimit.java
@@ -78,8 +78,8 @@
     private double latencyBasedLimit(boolean overQuota, long nowTicks) {
         double tolerance = overQuota ? OVER_QUOTA_LATENCY_TOLERANCE : LATENCY_TOLERANCE;
         double reduction = Math.min(1, tolerance * statistics.calmRatio(nowTicks));
-        double steady = statistics.meanConcurrency(nowTicks) * reduction;
+        double steadyConcurrency = statistics.meanConcurrency(nowTicks) * reduction;
         int deviations = statistics.isCalm(nowTicks) ? CALM_MARGIN_DEVIATIONS : MARGIN_DEVIATIONS;
-        return steady + deviations * Math.sqrt(steady);
+        return steadyConcurrency + deviations * Math.sqrt(steadyConcurrency);
     }
 }
--- a/src/main/java/cottonlock/decision/admission/LaneRateLimit.java
+++ b/src/main/java/cottonlock/decision/admission/LaneRateLimit.java
@@ -36,12 +36,12 @@
     abstract double maxSampleTicks(long objectiveTicks);
 
     /** An attempt has ended after so long. */
-    final void onAttemptCompleted(AttemptOutcome outcome, long tookTicks, long objectiveTicks) {
+    final void onAttemptCompleted(AttemptOutcome outcome, long durationTicks, long objectiveTicks) {
         // A quick failure must not pass for a quick response.
         double sampleTicks =
                 outcome == AttemptOutcome.COMPLETED
-                        ? (double) tookTicks
-                        : Math.max((double) tookTicks, 2 * attemptTicks);
+                        ? (double) durationTicks
+                        : Math.max((double) durationTicks, 2 * attemptTicks);
         double boundedTicks = Math.min(sampleTicks, maxSampleTicks(objectiveTicks));
         attemptTicks += (boundedTicks - attemptTicks) / SAMPLE_WEIGHT_DIVISOR;
     }
@@ -53,9 +53,9 @@
         if (updatedAtTicks < 0) {
             attemptTicks = expectedTicks;
         } else {
-            double kept = Math.exp((updatedAtTicks - nowTicks) / DECAY_TICKS);
+            double decayFactor = Math.exp((updatedAtTicks - nowTicks) / DECAY_TICKS);
             attemptTicks =
-                    Math.min(attemptTicks, expectedTicks + (attemptTicks - expectedTicks) * kept);
+                    Math.min(attemptTicks, expectedTicks + (attemptTicks - expectedTicks) * decayFactor);
         }
         updatedAtTicks = nowTicks;
         return attemptTicks;
@@ -72,7 +72,7 @@
     }
 
     /** The rate of a lane in requests a tick, by Little's law. */
-    static double lanePerTick(double perBackend, double usableBackends, double attemptTicks) {
-        return perBackend * usableBackends / Math.max(1, attemptTicks);
+    static double laneRequestsPerTick(double concurrencyPerBackend, double usableBackends, double attemptTicks) {
+        return concurrencyPerBackend * usableBackends / Math.max(1, attemptTicks);
     }
 }
--- a/src/main/java/cottonlock/decision/admission/LatencyStatistics.java
+++ b/src/main/java/cottonlock/decision/admission/LatencyStatistics.java
@@ -42,7 +42,7 @@
     private final SlidingWindowMin calmLogLatency;
 
     /** When the first request arrived; -1 before it. */
-    private long startedAtTicks = -1;
+    private long firstRequestAtTicks = -1;
 
     /** Statistics without samples, for this mean latency objective. */
     LatencyStatistics(long meanObjectiveTicks) {
@@ -56,7 +56,7 @@
 
     /** A request has arrived. */
     void onRequest(long nowTicks) {
-        startedAtTicks = startedAtTicks < 0 ? nowTicks : startedAtTicks;
+        firstRequestAtTicks = firstRequestAtTicks < 0 ? nowTicks : firstRequestAtTicks;
     }
 
     /** A request has stopped counting against the limit, after so long. */
@@ -103,7 +103,7 @@
      */
     void sampleCalmLatency(int inFlight, long nowTicks) {
         long samples = completed.sum(nowTicks);
-        if (nowTicks - startedAtTicks >= spanTicks
+        if (nowTicks - firstRequestAtTicks >= spanTicks
                 && samples >= MIN_COMPLETED_FOR_CALM
                 && samples >= 2L * inFlight) {
             calmLogLatency.add(nowTicks, typicalLogLatency(nowTicks));
@@ -116,6 +116,6 @@
     }
 
     private double measuredTicks(long nowTicks) {
-        return Math.min(spanTicks, Math.max(1, nowTicks - startedAtTicks));
+        return Math.min(spanTicks, Math.max(1, nowTicks - firstRequestAtTicks));
     }
 }
--- a/src/main/java/cottonlock/decision/admission/ProportionalLaneRateLimit.java
+++ b/src/main/java/cottonlock/decision/admission/ProportionalLaneRateLimit.java
@@ -59,11 +59,11 @@
                                 nowTicks);
         long elapsedTicks = ticksSinceUpdate(nowTicks);
         double attemptTicks = updateAttemptTicks(expectedTicks, nowTicks);
-        double perTick = lanePerTick(perBackend, usableBackends, attemptTicks);
+        double laneRequestsPerTick = laneRequestsPerTick(perBackend, usableBackends, attemptTicks);
         fraction =
                 Math.min(
                         fraction + elapsedTicks * MAX_FRACTION_GROWTH_PER_TICK,
-                        perTick / quotaPerTick);
+                        laneRequestsPerTick / quotaPerTick);
         return draw(request) < fraction * expectedCredit(request, attemptTicks, nowTicks);
     }
 
--- a/src/main/java/cottonlock/decision/admission/TenantQuota.java
+++ b/src/main/java/cottonlock/decision/admission/TenantQuota.java
@@ -35,10 +35,10 @@
     public TenantQuota(List<Tenant> tenants, DeploymentTopology topology) {
         requestsPerTick = new double[tenants.size()];
         buckets = new TokenBucket[tenants.size()];
-        int granting = topology.evenlyLoaded() ? topology.loadBalancerCount() : 1;
+        int grantingLoadBalancers = topology.evenlyLoaded() ? topology.loadBalancerCount() : 1;
         for (int tenant = 0; tenant < requestsPerTick.length; tenant++) {
             requestsPerTick[tenant] =
-                    tenants.get(tenant).quotaPerSecond() / granting / Ticks.PER_SECOND;
+                    tenants.get(tenant).quotaPerSecond() / grantingLoadBalancers / Ticks.PER_SECOND;
             buckets[tenant] = new TokenBucket(burst(tenant) / INITIAL_FILL_DIVISOR);
         }
     }
--- a/src/main/java/cottonlock/decision/backend/BackendEligibility.java
+++ b/src/main/java/cottonlock/decision/backend/BackendEligibility.java
@@ -107,7 +107,7 @@
      * Where every ready backend is under suspicion, those with nothing in flight: one of them may
      * be sound. Only for idempotent requests, of which a failure costs least.
      */
-    public List<Backend> whereAllAreSuspected(BackendRequest request, long nowTicks) {
+    public List<Backend> candidatesIfAllSuspected(BackendRequest request, long nowTicks) {
         boolean idempotent = request.requestClass().idempotency() == Idempotency.IDEMPOTENT;
         if (!idempotent || ready.all().stream().anyMatch(b -> !outliers.isSuspected(b, nowTicks))) {
             return List.of();
--- a/src/main/java/cottonlock/decision/backend/BackendRegistry.java
+++ b/src/main/java/cottonlock/decision/backend/BackendRegistry.java
@@ -31,7 +31,7 @@
     private final SlowStartConfig slowStartConfig;
 
     /** By id, in the order of the ids, which fixes the order of random draws. */
-    private final Map<String, Backend> known = new TreeMap<>();
+    private final Map<String, Backend> backendsById = new TreeMap<>();
 
     private final ReadyBackends ready;
     private final EndpointListFreshness listFreshness;
@@ -78,7 +78,7 @@
 
     /** All known backends, by id; a view that follows changes. */
     public Collection<Backend> all() {
-        return Collections.unmodifiableCollection(known.values());
+        return Collections.unmodifiableCollection(backendsById.values());
     }
 
     /** The backends that take new requests, in this load balancer's order of preference. */
@@ -98,7 +98,7 @@
 
     /** Whether a backend is known and takes new requests. */
     public boolean isReady(String backendId) {
-        Backend backend = known.get(backendId);
+        Backend backend = backendsById.get(backendId);
         return backend != null && !backend.isLeaving();
     }
 
@@ -135,7 +135,7 @@
         stallNoticedAtTicks = nowTicks;
         stallTicks = stalledForTicks;
         load.onStall(nowTicks);
-        for (Backend backend : known.values()) {
+        for (Backend backend : backendsById.values()) {
             backend.lastSignOfLifeTicks =
                     Math.min(nowTicks, backend.lastSignOfLifeTicks + stalledForTicks);
         }
@@ -161,12 +161,12 @@
             long nowTicks, List<Endpoint> endpoints, boolean complete, boolean cached) {
         if (complete) {
             Set<String> listed = endpoints.stream().map(Endpoint::id).collect(toSet());
-            known.values().stream()
+            backendsById.values().stream()
                     .filter(backend -> !listed.contains(backend.id()))
                     .forEach(backend -> delist(backend, nowTicks));
         }
         for (Endpoint endpoint : endpoints) {
-            Backend backend = known.computeIfAbsent(endpoint.id(), id -> newBackend(endpoint));
+            Backend backend = backendsById.computeIfAbsent(endpoint.id(), id -> newBackend(endpoint));
             backend.update(endpoint);
             if (endpoint.state() == Endpoint.State.DRAINING) {
                 backend.leave();
@@ -188,18 +188,18 @@
      */
     private void delist(Backend backend, long nowTicks) {
         backend.delisted = !topology.removalBinding();
-        if (!backend.delisted || !answersLately(backend, nowTicks)) {
+        if (!backend.delisted || !hasRecentSuccess(backend, nowTicks)) {
             backend.leave();
         }
     }
 
-    private static boolean answersLately(Backend backend, long nowTicks) {
+    private static boolean hasRecentSuccess(Backend backend, long nowTicks) {
         return backend.successes.sum(nowTicks) > 0;
     }
 
     private void refreshReady() {
-        known.values().removeIf(backend -> backend.isLeaving() && backend.inFlight == 0);
-        ready.refresh(known.values());
+        backendsById.values().removeIf(backend -> backend.isLeaving() && backend.inFlight == 0);
+        ready.refresh(backendsById.values());
     }
 
     /** A subscription to the endpoint list failed, or its changes no longer come. */
@@ -210,7 +210,7 @@
     /** The regular upkeep: the list, connections, load, and what warming backends may be sent. */
     public void maintain(long nowTicks) {
         listFreshness.pollIfDue(nowTicks);
-        load.sampleInFlight(known.values(), nowTicks);
+        load.sampleInFlight(backendsById.values(), nowTicks);
         closeIdleConnections(nowTicks);
         load.updateRelativeSpeeds(ready.all(), nowTicks);
         slowStart.updateCompletionRate(ready.all(), nowTicks);
@@ -220,7 +220,7 @@
     /** Closes connections that have been idle for so long that opening new ones costs less. */
     private void closeIdleConnections(long nowTicks) {
         double maxIdleTicks = topology.connectionBreakEvenTicks() * ready.count();
-        for (Backend backend : known.values()) {
+        for (Backend backend : backendsById.values()) {
             boolean idleTooLong = nowTicks - backend.idleSinceTicks > maxIdleTicks;
             if (idleTooLong
                     && topology.connectionBreakEvenTicks() > 0
@@ -234,7 +234,7 @@
 
     private void removeSilentDelisted(long nowTicks) {
         List<Backend> delisted = ready.all().stream().filter(backend -> backend.delisted).toList();
-        if (delisted.stream().anyMatch(backend -> !answersLately(backend, nowTicks))) {
+        if (delisted.stream().anyMatch(backend -> !hasRecentSuccess(backend, nowTicks))) {
             delisted.forEach(backend -> delist(backend, nowTicks));
             refreshReady();
         }
@@ -242,13 +242,13 @@
 
     /** Notifies peers of the backends found lost since the last call. */
     public void reportLossesToPeers() {
-        peerExchange.reportLosses(known.values(), ready.count());
+        peerExchange.reportLosses(backendsById.values(), ready.count());
     }
 
     /** A peer has sent what its {@link #reportLossesToPeers} gave out. */
     public void onPeerMessage(long nowTicks, byte[] message) {
         for (String backendId : PeerExchange.lostBackendIds(message)) {
-            Backend backend = known.get(backendId);
+            Backend backend = backendsById.get(backendId);
             if (backend != null) {
                 outliers.onPeerReport(backend, nowTicks);
             }
--- a/src/main/java/cottonlock/decision/backend/EndpointListFreshness.java
+++ b/src/main/java/cottonlock/decision/backend/EndpointListFreshness.java
@@ -81,10 +81,10 @@
 
     private long maxBackoffTicks(long nowTicks) {
         long callTicks = nowTicks - lastPollAtTicks;
-        long leftTicks = callTicks < MIN_QUEUE_WAIT_TICKS ? 0 : MAX_CALL_INTERVAL_TICKS - callTicks;
+        long remainingTicks = callTicks < MIN_QUEUE_WAIT_TICKS ? 0 : MAX_CALL_INTERVAL_TICKS - callTicks;
         return Math.min(
                 topology.maxPollIntervalTicks() / BACKOFFS_PER_POLL_INTERVAL,
-                Math.max(MAX_BACKOFF_TICKS, leftTicks));
+                Math.max(MAX_BACKOFF_TICKS, remainingTicks));
     }
 
     /** Subscribes again where the backoff is over. */
--- a/src/main/java/cottonlock/decision/backend/LoadTracker.java
+++ b/src/main/java/cottonlock/decision/backend/LoadTracker.java
@@ -35,7 +35,7 @@
     private static final double MAX_COUNTED_AGE_OBJECTIVES = 0.6;
 
     /** The series number for means that have a single series. */
-    private static final int ALL = 0;
+    private static final int SINGLE_SERIES = 0;
 
     private final DeploymentTopology topology;
     private final long loadWindowTicks;
@@ -93,7 +93,7 @@
         if (measurable && hasLatency) {
             long latencyTicks = attempt.latencyTicks(nowTicks);
             Backend backend = attempt.backend();
-            latency.add(nowTicks, ALL, latencyTicks);
+            latency.add(nowTicks, SINGLE_SERIES, latencyTicks);
             latencyByLane.add(nowTicks, backend.laneIndex, latencyTicks);
             latencyByMachineKind.add(nowTicks, backend.endpoint.machineKind(), latencyTicks);
         }
@@ -106,9 +106,9 @@
             for (BackendRequest request : backend.requestsInFlight.values()) {
                 long ageTicks = nowTicks - request.lastSentAtTicks();
                 long objectiveTicks = request.requestClass().latencyObjectiveTicks();
-                boolean counts = ageTicks < MAX_COUNTED_AGE_OBJECTIVES * objectiveTicks;
+                boolean countsAsLoad = ageTicks < MAX_COUNTED_AGE_OBJECTIVES * objectiveTicks;
                 inFlightTicks.add(
-                        nowTicks, counts ? Math.min(ageTicks, nowTicks - sampledAtTicks) : 0);
+                        nowTicks, countsAsLoad ? Math.min(ageTicks, nowTicks - sampledAtTicks) : 0);
             }
         }
         sampledAtTicks = nowTicks;
@@ -116,7 +116,7 @@
 
     /** Compares the kinds of machines by their latency. */
     void updateRelativeSpeeds(List<Backend> ready, long nowTicks) {
-        double mean = latency.mean(nowTicks, ALL, 1, 1);
+        double mean = latency.mean(nowTicks, SINGLE_SERIES, 1, 1);
         for (Backend backend : ready) {
             double speed =
                     mean
@@ -157,7 +157,7 @@
 
     /** The mean latency of all attempts, in ticks; 0 where there are none. */
     double meanLatencyTicks(long nowTicks) {
-        return latency.mean(nowTicks, ALL, 0, 0);
+        return latency.mean(nowTicks, SINGLE_SERIES, 0, 0);
     }
 
     /** The mean latency of attempts in a lane, with one assumed sample of the mean of all. */
--- a/src/main/java/cottonlock/decision/backend/OutlierDetector.java
+++ b/src/main/java/cottonlock/decision/backend/OutlierDetector.java
@@ -47,7 +47,7 @@
     private static final int LOG_UNITS = 1_000;
 
     /** The series number for means that have a single series. */
-    private static final int ALL = 0;
+    private static final int SINGLE_SERIES = 0;
 
     private final SplittableRandom random;
 
@@ -165,11 +165,11 @@
                         && isOverdue(attempt.request(), latencyTicks, nowTicks);
         long objectiveTicks = attempt.request().requestClass().latencyObjectiveTicks();
         logLatencyRatio.add(
-                nowTicks, ALL, logOfLatency(latencyTicks) - logOfLatency(objectiveTicks));
+                nowTicks, SINGLE_SERIES, logOfLatency(latencyTicks) - logOfLatency(objectiveTicks));
         logLatencyByClass.add(nowTicks, classNumber, logOfLatency(latencyTicks));
         (slow ? backend.failures : backend.successes).add(nowTicks, 1);
         backend.consecutiveFailures = 0;
-        latency.add(nowTicks, ALL, latencyTicks);
+        latency.add(nowTicks, SINGLE_SERIES, latencyTicks);
     }
 
     private static void recordFailure(Backend backend, AttemptOutcome outcome, long nowTicks) {
@@ -238,7 +238,7 @@
     public boolean isOverdue(BackendRequest request, long elapsedTicks, long nowTicks) {
         long logObjective = logOfLatency(request.requestClass().latencyObjectiveTicks());
         double logRatioOfAll =
-                logLatencyRatio.mean(nowTicks, ALL, PRIOR_LATENCY_SAMPLES, (double) -log(2));
+                logLatencyRatio.mean(nowTicks, SINGLE_SERIES, PRIOR_LATENCY_SAMPLES, (double) -log(2));
         double typicalLogLatency =
                 logLatencyByClass.mean(
                         nowTicks,
@@ -264,7 +264,7 @@
      */
     public double silenceScore(Backend backend, long nowTicks) {
         double meanLatencyTicks =
-                latency.mean(nowTicks, ALL, PRIOR_RESPONSE_GAPS, assumedLatencyTicks);
+                latency.mean(nowTicks, SINGLE_SERIES, PRIOR_RESPONSE_GAPS, assumedLatencyTicks);
         double meanGapTicks =
                 (backend.responseGapTicks.sum(nowTicks) + PRIOR_RESPONSE_GAPS * meanLatencyTicks)
                         / (backend.responseGaps.sum(nowTicks) + PRIOR_RESPONSE_GAPS);
--- a/src/main/java/cottonlock/decision/backend/SlowStart.java
+++ b/src/main/java/cottonlock/decision/backend/SlowStart.java
@@ -56,9 +56,9 @@
                         * completionsPerWeight
                         * backend.capacityWeight();
         // Until completions are known, all load balancers together may send one in a window.
-        double leastRequestsPerWindow = 1.0 / topology.loadBalancerCount();
+        double minRequestsPerWindow = 1.0 / topology.loadBalancerCount();
         return (nowTicks - backend.lastSentAtTicks)
-                        * Math.max(ownRequestsPerWindow, leastRequestsPerWindow)
+                        * Math.max(ownRequestsPerWindow, minRequestsPerWindow)
                 >= config.overloadWindowTicks() * backend.spacingFactor;
     }
 
@@ -70,16 +70,16 @@
 
     /** Learns from the backends that are warm and no outliers what backends can complete. */
     void updateCompletionRate(List<Backend> ready, long nowTicks) {
-        double weight = 0;
+        double totalWeight = 0;
         long completions = 0;
         for (Backend backend : ready) {
             if (warmUpFraction(backend, nowTicks) >= 1 && !OutlierDetector.isOutlier(backend)) {
-                weight += backend.capacityWeight();
+                totalWeight += backend.capacityWeight();
                 completions += backend.completions.sum(nowTicks);
             }
         }
-        if (weight > 0) {
-            completionsPerWeight = completions / weight;
+        if (totalWeight > 0) {
+            completionsPerWeight = completions / totalWeight;
         }
     }
 }
--- a/src/main/java/cottonlock/decision/lane/LaneAssignment.java
+++ b/src/main/java/cottonlock/decision/lane/LaneAssignment.java
@@ -49,11 +49,11 @@
     public static int[] laneSizes(List<Tenant> tenants, int backendCount) {
         int[] sizes = new int[tenants.size()];
         for (int assigned = 0; assigned < backendCount; assigned++) {
-            int neediest = tenantWithLargestDeficit(tenants, sizes, backendCount);
-            if (neediest < 0) {
+            int tenantToGrow = tenantWithLargestDeficit(tenants, sizes, backendCount);
+            if (tenantToGrow < 0) {
                 break;
             }
-            sizes[neediest]++;
+            sizes[tenantToGrow]++;
         }
         return sizes;
     }
@@ -61,19 +61,19 @@
     /** The tenant that lacks most of its share; -1 where none lacks anything. */
     private static int tenantWithLargestDeficit(
             List<Tenant> tenants, int[] sizes, int backendCount) {
-        int neediest = -1;
-        double largest = MIN_DEFICIT;
+        int tenantToGrow = -1;
+        double largestDeficit = MIN_DEFICIT;
         for (int t = 0; t < sizes.length; t++) {
             // A tenant without any backend comes first, the earlier the more.
             double deficit =
                     sizes[t] == 0
                             ? Integer.MAX_VALUE - t
                             : tenants.get(t).capacityShare() * backendCount - sizes[t];
-            if (deficit > largest) {
-                largest = deficit;
-                neediest = t;
+            if (deficit > largestDeficit) {
+                largestDeficit = deficit;
+                tenantToGrow = t;
             }
         }
-        return neediest;
+        return tenantToGrow;
     }
 }
--- a/src/main/java/cottonlock/decision/retry/RetryPolicy.java
+++ b/src/main/java/cottonlock/decision/retry/RetryPolicy.java
@@ -74,7 +74,7 @@
             return false;
         }
         boolean possiblyExecuted = request.firstPossiblyExecuted() != null;
-        if (!possiblyExecuted && !rejectedBySparseFleet(lastOutcome)) {
+        if (!possiblyExecuted && !isRejectionWithFewBackends(lastOutcome)) {
             return true;
         }
         boolean safe =
@@ -88,7 +88,7 @@
     }
 
     /** Where many load balancers share few backends, free retries of rejections would overload. */
-    private boolean rejectedBySparseFleet(AttemptOutcome lastOutcome) {
+    private boolean isRejectionWithFewBackends(AttemptOutcome lastOutcome) {
         return lastOutcome == AttemptOutcome.REJECTED
                 && topology.loadBalancerCount()
                         > MAX_LOAD_BALANCERS_PER_BACKEND * registry.ready().size();
--- a/src/main/java/cottonlock/decision/routing/LaneSelector.java
+++ b/src/main/java/cottonlock/decision/routing/LaneSelector.java
@@ -65,9 +65,9 @@
                             .eligible(
                                     lane, request, maxInFlightPerCapacity, spareRequests, nowTicks);
         }
-        List<Backend> spill =
+        List<Backend> spillOverBackends =
                 crowded ? registry.laneLoad().backendsOfUncrowdedLanes(nowTicks) : registry.ready();
-        for (List<Backend> group : List.of(registry.unassigned(), spill)) {
+        for (List<Backend> group : List.of(registry.unassigned(), spillOverBackends)) {
             if (usable.isEmpty()) {
                 usable =
                         registry.eligibility()
@@ -80,7 +80,7 @@
             }
         }
         return usable.isEmpty()
-                ? registry.eligibility().whereAllAreSuspected(request, nowTicks)
+                ? registry.eligibility().candidatesIfAllSuspected(request, nowTicks)
                 : usable;
     }
 
--- a/src/main/java/cottonlock/simulator/EndpointListReader.java
+++ b/src/main/java/cottonlock/simulator/EndpointListReader.java
@@ -9,7 +9,7 @@
 
 /** Reads endpoint lists and keeps each under its buffer number until it is replaced. */
 final class EndpointListReader {
-    private static final int BUFFERS = 16;
+    private static final int BUFFER_COUNT = 16;
 
     /** Numbers of the protocol stay below this. */
     private static final int NUMBER_LIMIT = Integer.MAX_VALUE;
@@ -20,12 +20,12 @@
     private final LineReader in;
 
     /** By buffer number; null where no list has been read. */
-    private final List<List<Endpoint>> buffers = new ArrayList<>();
+    private final List<List<Endpoint>> listsByBuffer = new ArrayList<>();
 
     EndpointListReader(LineReader in) {
         this.in = in;
-        for (int buffer = 0; buffer < BUFFERS; buffer++) {
-            buffers.add(null);
+        for (int buffer = 0; buffer < BUFFER_COUNT; buffer++) {
+            listsByBuffer.add(null);
         }
     }
 
@@ -34,18 +34,18 @@
      *
      * @throws InvalidSettingsException if the list is malformed or too short
      */
-    void read() throws IOException {
-        int buffer = in.index("Buffer", BUFFERS);
-        int count = in.index("MembersList", NUMBER_LIMIT);
+    void readList() throws IOException {
+        int buffer = in.readIndex("Buffer", BUFFER_COUNT);
+        int count = in.readIndex("MembersList", NUMBER_LIMIT);
         List<Endpoint> endpoints = new ArrayList<>();
         while (endpoints.size() < count) {
-            if (!in.next() || !in.word("message").equals(WireVocabulary.ENDPOINT)) {
+            if (!in.nextLine() || !in.readText("message").equals(WireVocabulary.ENDPOINT)) {
                 throw new InvalidSettingsException(
                         "a list of " + count + " ends after " + endpoints.size());
             }
             endpoints.add(readEndpoint());
         }
-        buffers.set(buffer, endpoints);
+        listsByBuffer.set(buffer, endpoints);
     }
 
     /**
@@ -53,8 +53,8 @@
      *
      * @throws InvalidSettingsException if no list has been read for it
      */
-    List<Endpoint> referenced() {
-        List<Endpoint> endpoints = buffers.get(in.index("Buffer", BUFFERS));
+    List<Endpoint> readReferencedList() {
+        List<Endpoint> endpoints = listsByBuffer.get(in.readIndex("Buffer", BUFFER_COUNT));
         if (endpoints == null) {
             throw new InvalidSettingsException("no list has been registered under this Buffer");
         }
@@ -62,15 +62,15 @@
     }
 
     private Endpoint readEndpoint() {
-        String id = in.word("Backend");
-        int zone = in.index("FailureDomain", NUMBER_LIMIT);
-        int machineKind = in.index("ClassOfHost", NUMBER_LIMIT);
-        int cell = in.index("UnitGroup", NUMBER_LIMIT);
-        Endpoint.State state = WireVocabulary.state(in.word("Lifecycle"), id);
-        double capacityWeight = capacityWeight(in.word("Size"));
+        String id = in.readText("Backend");
+        int zone = in.readIndex("FailureDomain", NUMBER_LIMIT);
+        int machineKind = in.readIndex("ClassOfHost", NUMBER_LIMIT);
+        int cell = in.readIndex("UnitGroup", NUMBER_LIMIT);
+        Endpoint.State state = WireVocabulary.state(in.readText("Lifecycle"), id);
+        double capacityWeight = capacityWeight(in.readText("Size"));
         // Rounded up: a backend must not be taken for older, and so for warmer, than it is.
         long startedAtTicks =
-                (in.whole("ReadyAt") + Ticks.MICROSECONDS_PER_TICK - 1)
+                (in.readLong("ReadyAt") + Ticks.MICROSECONDS_PER_TICK - 1)
                         / Ticks.MICROSECONDS_PER_TICK;
         return new Endpoint(id, zone, machineKind, cell, state, capacityWeight, startedAtTicks);
     }
--- a/src/main/java/cottonlock/simulator/LineReader.java
+++ b/src/main/java/cottonlock/simulator/LineReader.java
@@ -15,22 +15,22 @@
 
     private final InputStream in;
     private byte[] buffer = new byte[INITIAL_CAPACITY_BYTES];
-    private int filled;
+    private int filledBytes;
     private int lineStart;
     private int lineEnd;
 
     /** Where the next field begins. */
-    private int at;
+    private int position;
 
-    private long number;
+    private long lineNumber;
 
     LineReader(InputStream in) {
         this.in = in;
     }
 
     /** The number of the current line, from 1. */
-    long number() {
-        return number;
+    long lineNumber() {
+        return lineNumber;
     }
 
     /**
@@ -38,105 +38,105 @@
      *
      * @throws InvalidSettingsException if the input ends within a line
      */
-    boolean next() throws IOException {
-        lineStart = number == 0 ? 0 : lineEnd + 1;
+    boolean nextLine() throws IOException {
+        lineStart = lineNumber == 0 ? 0 : lineEnd + 1;
         int scan = lineStart;
         while (true) {
-            for (; scan < filled; scan++) {
+            for (; scan < filledBytes; scan++) {
                 if (buffer[scan] == '\n') {
                     lineEnd = scan;
-                    at = lineStart;
-                    number++;
+                    position = lineStart;
+                    lineNumber++;
                     return true;
                 }
             }
             scan -= lineStart;
-            if (!fill()) {
+            if (!fillBuffer()) {
                 return false;
             }
         }
     }
 
     /** Moves the unfinished line to the buffer's start and reads on; false at the end. */
-    private boolean fill() throws IOException {
-        int kept = Math.max(0, filled - lineStart);
+    private boolean fillBuffer() throws IOException {
+        int kept = Math.max(0, filledBytes - lineStart);
         byte[] target = kept > buffer.length / 2 ? new byte[buffer.length * 2] : buffer;
-        System.arraycopy(buffer, Math.min(lineStart, filled), target, 0, kept);
+        System.arraycopy(buffer, Math.min(lineStart, filledBytes), target, 0, kept);
         buffer = target;
         lineStart = 0;
-        filled = kept;
-        int read = in.read(buffer, filled, buffer.length - filled);
+        filledBytes = kept;
+        int read = in.read(buffer, filledBytes, buffer.length - filledBytes);
         if (read >= 0) {
-            filled += read;
+            filledBytes += read;
             return true;
         }
         if (kept > 0) {
-            number++;
+            lineNumber++;
             throw new InvalidSettingsException("the input ends within a line");
         }
         return false;
     }
 
     /** Whether the line has another field. */
-    boolean hasMore() {
-        return at < lineEnd;
+    boolean hasMoreFields() {
+        return position < lineEnd;
     }
 
-    private int fieldEnd(String what) {
-        if (at >= lineEnd) {
-            throw new InvalidSettingsException("no " + what);
+    private int fieldEnd(String fieldName) {
+        if (position >= lineEnd) {
+            throw new InvalidSettingsException("no " + fieldName);
         }
-        int end = at;
+        int end = position;
         while (end < lineEnd && buffer[end] != ' ') {
             end++;
         }
-        if (end == at) {
-            throw new InvalidSettingsException("no " + what);
+        if (end == position) {
+            throw new InvalidSettingsException("no " + fieldName);
         }
         return end;
     }
 
     /** The next field as text. */
-    String word(String what) {
-        int end = fieldEnd(what);
-        String word = new String(buffer, at, end - at, StandardCharsets.UTF_8);
-        at = end + 1;
+    String readText(String fieldName) {
+        int end = fieldEnd(fieldName);
+        String word = new String(buffer, position, end - position, StandardCharsets.UTF_8);
+        position = end + 1;
         return word;
     }
 
     /** Skips the next field. */
-    void skip(String what) {
-        at = fieldEnd(what) + 1;
+    void skipField(String fieldName) {
+        position = fieldEnd(fieldName) + 1;
     }
 
     /** The next field as a whole number; absent ('-') gives 0. */
-    long whole(String what) {
-        int end = fieldEnd(what);
-        boolean negative = buffer[at] == '-';
-        int digits = negative ? at + 1 : at;
+    long readLong(String fieldName) {
+        int end = fieldEnd(fieldName);
+        boolean negative = buffer[position] == '-';
+        int digits = negative ? position + 1 : position;
         if (digits == end) {
-            at = end + 1;
+            position = end + 1;
             return 0;
         }
         long value = 0;
         for (int index = digits; index < end; index++) {
             int digit = buffer[index] - '0';
             if (digit < 0 || digit > 9 || value > (Long.MAX_VALUE - digit) / 10) {
-                throw new InvalidSettingsException(what + " is not a whole number: " + word(what));
+                throw new InvalidSettingsException(fieldName + " is not a whole number: " + readText(fieldName));
             }
             value = value * 10 + digit;
         }
-        at = end + 1;
+        position = end + 1;
         return negative ? -value : value;
     }
 
     /** The next field as a whole number from 0 up to, not including, a limit. */
-    int index(String what, int limit) {
-        int start = at;
-        long value = whole(what);
+    int readIndex(String fieldName, int limit) {
+        int start = position;
+        long value = readLong(fieldName);
         if (value < 0 || value >= limit) {
-            at = start;
-            throw new InvalidSettingsException(what + " is out of range: " + word(what));
+            position = start;
+            throw new InvalidSettingsException(fieldName + " is out of range: " + readText(fieldName));
         }
         return (int) value;
     }
--- a/src/main/java/cottonlock/simulator/Reply.java
+++ b/src/main/java/cottonlock/simulator/Reply.java
@@ -48,10 +48,10 @@
             return append(Long.toString(value));
         }
         int end = length + digitCount(value);
-        long rest = value;
+        long remaining = value;
         for (int index = end - 1; index >= length; index--) {
-            buffer[index] = (byte) ('0' + rest % 10);
-            rest /= 10;
+            buffer[index] = (byte) ('0' + remaining % 10);
+            remaining /= 10;
         }
         length = end;
         return this;
@@ -59,7 +59,7 @@
 
     private static int digitCount(long value) {
         int digits = 1;
-        for (long rest = value; rest >= 10; rest /= 10) {
+        for (long remaining = value; remaining >= 10; remaining /= 10) {
             digits++;
         }
         return digits;
--- a/src/main/java/cottonlock/simulator/WireHost.java
+++ b/src/main/java/cottonlock/simulator/WireHost.java
@@ -27,10 +27,10 @@
     private static final int NUMBER_LIMIT = Integer.MAX_VALUE;
 
     /** The bit of a request's flags that says that the estimated work is meaningful. */
-    private static final long HAS_ESTIMATED_WORK = 1;
+    private static final long ESTIMATED_WORK_FLAG = 1;
 
     /** The bit of a request's flags that marks a retry by the client. */
-    private static final long IS_CLIENT_RETRY = 2;
+    private static final long CLIENT_RETRY_FLAG = 2;
 
     private final LineReader in;
     private final Reply reply;
@@ -55,26 +55,26 @@
      */
     public int run() throws IOException {
         try {
-            while (in.next()) {
+            while (in.nextLine()) {
                 serveBatch();
             }
             return 0;
         } catch (InvalidSettingsException e) {
-            errors.println("cottonlock: line " + in.number() + ": " + e.getMessage());
+            errors.println("cottonlock: line " + in.lineNumber() + ": " + e.getMessage());
             return 1;
         }
     }
 
     private void serveBatch() throws IOException {
-        if (!in.word("message").equals(WireVocabulary.BATCH_START)) {
+        if (!in.readText("message").equals(WireVocabulary.BATCH_START)) {
             throw new InvalidSettingsException("a batch must start with 'tick'");
         }
-        long clockMicros = in.whole("clock");
+        long clockMicros = in.readLong("clock");
         if (clockMicros < 0 || clockMicros / MICROSECONDS_PER_TICK < nowTicks) {
             throw new InvalidSettingsException("the clock goes backwards: " + clockMicros);
         }
         nowTicks = clockMicros / MICROSECONDS_PER_TICK;
-        long batchNumber = in.whole("batch number");
+        long batchNumber = in.readLong("batch number");
         for (String message = nextMessage();
                 !message.equals(WireVocabulary.BATCH_END);
                 message = nextMessage()) {
@@ -85,17 +85,17 @@
     }
 
     private String nextMessage() throws IOException {
-        if (!in.next()) {
+        if (!in.nextLine()) {
             throw new InvalidSettingsException("the input ends within a batch");
         }
-        return in.word("message");
+        return in.readText("message");
     }
 
     private void handle(Event event) throws IOException {
         switch (event) {
             case INSTANCE_STARTED -> startInstance();
             case INSTANCE_STOPPED -> stopInstance();
-            case ENDPOINT_LIST -> endpointLists.read();
+            case ENDPOINT_LIST -> endpointLists.readList();
             default -> handle(event, readInstance());
         }
     }
@@ -106,20 +106,20 @@
             case REQUEST -> onRequest(instance);
             case ATTEMPT_COMPLETED -> onAttemptCompleted(loadBalancer);
             case TIMER -> {
-                in.skip("Ref");
+                in.skipField("Ref");
                 loadBalancer.onTimer(nowTicks);
             }
             case ENDPOINT_LIST_CHANGED -> onEndpointList(loadBalancer);
             case CLIENT_DISCONNECTED ->
-                    loadBalancer.onClientDisconnected(nowTicks, in.whole("Rid"));
+                    loadBalancer.onClientDisconnected(nowTicks, in.readLong("Rid"));
             case PROBE_COMPLETED -> skipProbeResult();
             case PEER_MESSAGE -> {
-                in.whole("SrcPeer");
-                loadBalancer.onPeerMessage(nowTicks, decode(in.word("Msg")));
+                in.readLong("SrcPeer");
+                loadBalancer.onPeerMessage(nowTicks, decode(in.readText("Msg")));
             }
             case RESPONSE_STARTED -> {
-                long requestId = in.whole("Rid");
-                int attemptNumber = in.index("SendNo", NUMBER_LIMIT);
+                long requestId = in.readLong("Rid");
+                int attemptNumber = in.readIndex("SendNo", NUMBER_LIMIT);
                 loadBalancer.onResponseStarted(nowTicks, requestId, attemptNumber);
             }
             default -> throw new IllegalArgumentException(event + " concerns no instance");
@@ -127,7 +127,7 @@
     }
 
     private LoadBalancerInstance readInstance() {
-        String name = in.word("Proxy");
+        String name = in.readText("Proxy");
         LoadBalancerInstance instance = instances.get(name);
         if (instance == null) {
             throw new InvalidSettingsException("unknown instance: " + name);
@@ -136,11 +136,11 @@
     }
 
     private void startInstance() {
-        String name = in.word("Proxy");
-        long seed = in.whole("Prng");
+        String name = in.readText("Proxy");
+        long seed = in.readLong("Prng");
         Settings settings = new Settings();
-        while (in.hasMore()) {
-            settings.put(in.word("setting"));
+        while (in.hasMoreFields()) {
+            settings.put(in.readText("setting"));
         }
         LoadBalancerInstance instance = new LoadBalancerInstance(name, reply, seed, settings);
         instances.put(name, instance);
@@ -148,21 +148,21 @@
     }
 
     private void stopInstance() {
-        String name = in.word("Proxy");
+        String name = in.readText("Proxy");
         if (instances.remove(name) == null) {
             throw new InvalidSettingsException("unknown instance: " + name);
         }
     }
 
     private void onRequest(LoadBalancerInstance instance) {
-        long requestId = in.whole("Rid");
-        int requestClass = in.index("Service", instance.requestClassCount());
-        int tenant = in.index("Team", Math.max(1, instance.tenantCount()));
-        in.skip("Object");
-        long clientTimeoutTicks = Math.floorDiv(in.whole("Budget"), MICROSECONDS_PER_TICK);
-        long workMicros = in.whole("Cost");
-        long flags = in.whole("Bitmap");
-        boolean hasEstimatedWork = (flags & HAS_ESTIMATED_WORK) != 0;
+        long requestId = in.readLong("Rid");
+        int requestClass = in.readIndex("Service", instance.requestClassCount());
+        int tenant = in.readIndex("Team", Math.max(1, instance.tenantCount()));
+        in.skipField("Object");
+        long clientTimeoutTicks = Math.floorDiv(in.readLong("Budget"), MICROSECONDS_PER_TICK);
+        long workMicros = in.readLong("Cost");
+        long flags = in.readLong("Bitmap");
+        boolean hasEstimatedWork = (flags & ESTIMATED_WORK_FLAG) != 0;
         instance.loadBalancer()
                 .onRequest(
                         nowTicks,
@@ -170,45 +170,45 @@
                         requestClass,
                         tenant,
                         clientTimeoutTicks,
-                        (flags & IS_CLIENT_RETRY) != 0,
+                        (flags & CLIENT_RETRY_FLAG) != 0,
                         hasEstimatedWork ? workMicros / MICROSECONDS_PER_TICK : 0);
     }
 
     private void onAttemptCompleted(LoadBalancer loadBalancer) {
-        long requestId = in.whole("Rid");
-        AttemptOutcome outcome = WireVocabulary.outcome(in.word("Outcome"));
-        int attemptNumber = in.index("SendNo", NUMBER_LIMIT);
-        in.whole("Latency");
-        boolean requestCompleted = in.whole("NoMore") != 0;
-        in.skip("Backend");
+        long requestId = in.readLong("Rid");
+        AttemptOutcome outcome = WireVocabulary.outcome(in.readText("Outcome"));
+        int attemptNumber = in.readIndex("SendNo", NUMBER_LIMIT);
+        in.readLong("Latency");
+        boolean requestCompleted = in.readLong("NoMore") != 0;
+        in.skipField("Backend");
         skipFeedback();
         loadBalancer.onAttemptCompleted(
                 nowTicks, requestId, attemptNumber, outcome, requestCompleted);
     }
 
     private void onEndpointList(LoadBalancer loadBalancer) {
-        String scopeName = in.word("Scope");
-        in.whole("Revision");
+        String scopeName = in.readText("Scope");
+        in.readLong("Revision");
         if (scopeName.equals(WireVocabulary.LIST_FAILED)) {
             loadBalancer.onEndpointListFailed(nowTicks);
             return;
         }
-        List<Endpoint> endpoints = endpointLists.referenced();
+        List<Endpoint> endpoints = endpointLists.readReferencedList();
         ListScope scope = ListScope.of(scopeName);
         loadBalancer.onEndpointList(
                 nowTicks, endpoints, scope != ListScope.CHANGES, scope == ListScope.CACHED);
     }
 
     private void skipProbeResult() {
-        WireVocabulary.outcome(in.word("Outcome"));
-        in.whole("Latency");
-        in.skip("Backend");
+        WireVocabulary.outcome(in.readText("Outcome"));
+        in.readLong("Latency");
+        in.skipField("Backend");
         skipFeedback();
     }
 
     private void skipFeedback() {
-        if (in.hasMore()) {
-            in.skip("Feedback");
+        if (in.hasMoreFields()) {
+            in.skipField("Feedback");
         }
     }
 
