--- a/src/main/java/cottonlock/decision/LoadBalancer.java
+++ b/src/main/java/cottonlock/decision/LoadBalancer.java
@@ -18,7 +18,7 @@
  * goes, and what is retried, rejected or failed.
  *
  * <p>Its host reports events through the {@code on...} methods, from a single thread and with times
- * in {@link cottonlock.core.Ticks} that never go back. It acts through {@link LoadBalancerActions}
+ * in {@link cottonlock.core.Ticks} that never decrease. It acts through {@link LoadBalancerActions}
  * during the call. It does no input or output, reads no clock, and draws random numbers only from
  * the generators it was given.
  *
@@ -28,7 +28,7 @@
  * capacity, and ends at the intake. {@link BackendRegistry} holds the state of the backends.
  */
 public final class LoadBalancer {
-    /** A timer that is late by more than this shows that this process was stalled. */
+    /** A timer event that is later than this, 0.2 s, shows that this process was stalled. */
     private static final long STALL_THRESHOLD_TICKS = 2_000;
 
     private final LoadBalancerActions actions;
@@ -40,7 +40,7 @@
     /** When the next timer event is due; far in the future before the start. */
     private long timerDueTicks = Long.MAX_VALUE - STALL_THRESHOLD_TICKS;
 
-    /** Connects the stages; each has been given its own settings. */
+    /** Connects the stages, each of which is already configured. */
     public LoadBalancer(
             LoadBalancerActions actions,
             RequestIntake intake,
@@ -72,8 +72,7 @@
     }
 
     /**
-     * Detects that this process was stalled: what took place meanwhile could not be seen, so that
-     * silence and latency of that time say nothing about the backends.
+     * Detects that this process was stalled. It handled no events meanwhile, so silence and latency of that time say nothing about the backends.
      */
     private void detectStall(long nowTicks) {
         if (nowTicks > timerDueTicks + STALL_THRESHOLD_TICKS) {
@@ -83,8 +82,7 @@
     }
 
     /**
-     * Applies other request classes, by number, and another limit of attempts to the requests that
-     * arrive from now on; the limit also to those in progress.
+     * Replaces the request classes, by number, for requests that arrive from now on, and the maximum number of attempts for these and the requests in progress.
      */
     public void reconfigure(List<RequestClass> requestClasses, int maxAttempts) {
         intake.reconfigure(requestClasses);
@@ -157,10 +155,10 @@
     }
 
     /**
-     * The endpoint list, or changes of it, have come.
+     * The endpoint list, or changes to it, have arrived.
      *
-     * @param endpoints the listed endpoints; of changes, those that differ
-     * @param complete whether endpoints that are missing have left the list
+     * @param endpoints the listed endpoints; for changes, only those that differ
+     * @param complete whether endpoints that are missing here have left the list
      * @param cached whether the list was kept from an earlier run and may be out of date
      */
     public void onEndpointList(
@@ -181,17 +179,17 @@
         registry.onEndpointListFailed(nowTicks);
     }
 
-    /** How many ready backends get almost no requests now, as they are suspected outliers. */
+    /** How many ready backends get almost no requests now because they are suspected outliers. */
     public long avoidedBackendCount(long nowTicks) {
         return registry.countAvoided(nowTicks);
     }
 
-    /** Another load balancer sent this with {@link LoadBalancerActions#broadcastToPeers}. */
+    /** A message has arrived that another load balancer sent with {@link LoadBalancerActions#broadcastToPeers}. */
     public void onPeerMessage(long nowTicks, byte[] message) {
         registry.onPeerMessage(nowTicks, message);
     }
 
-    /** The time given to {@link LoadBalancerActions#scheduleTimer} has come. */
+    /** The time given to {@link LoadBalancerActions#scheduleTimer} has been reached. */
     public void onTimer(long nowTicks) {
         detectStall(nowTicks);
         registry.maintain(nowTicks);
--- a/src/main/java/cottonlock/decision/RequestIntake.java
+++ b/src/main/java/cottonlock/decision/RequestIntake.java
@@ -22,7 +22,7 @@
     private final LoadBalancerActions actions;
     private final TenantQuota quota;
 
-    /** Whether requests come straight from clients, so that quotas apply here. */
+    /** Whether requests come directly from clients, so that quotas apply here. */
     private final boolean firstTier;
 
     private final long maxRetryAfterTicks;
@@ -37,7 +37,7 @@
     /**
      * An intake for these request classes and tenants.
      *
-     * @param firstTier whether requests come straight from clients, so that quotas apply here
+     * @param firstTier whether requests come directly from clients, so that quotas apply here
      * @param maxRetryAfterTicks the longest time to advise clients to wait before a retry; 0 where
      *     clients follow no such advice
      */
@@ -60,14 +60,14 @@
         next = nextStage;
     }
 
-    /** Other request classes apply to the requests that arrive from now on. */
+    /** Replaces the request classes for the requests that arrive from now on. */
     void reconfigure(List<RequestClass> otherClasses) {
         requestClasses = otherClasses;
         longestTimeoutTicks = Arrays.copyOf(longestTimeoutTicks, otherClasses.size());
     }
 
     /**
-     * Takes in a request.
+     * Handles a request that has arrived.
      *
      * @param stalledTicks how long this process was stalled just before, 0 if it was not
      */
@@ -75,8 +75,8 @@
         int classNumber = arrival.requestClass();
         long timeoutTicks = arrival.clientTimeoutTicks();
         longestTimeoutTicks[classNumber] = Math.max(longestTimeoutTicks[classNumber], timeoutTicks);
-        // Clients of a class have similar timeouts, so what a timeout lacks of the longest one has
-        // passed while the request waited for this process.
+        // Clients of a class have similar timeouts, so the difference from the longest one is the
+        // time that the request waited for this process while it was stalled.
         long waitedTicks = Math.min(stalledTicks, longestTimeoutTicks[classNumber] - timeoutTicks);
         Request request =
                 new Request(
--- a/src/main/java/cottonlock/decision/admission/AdmissionController.java
+++ b/src/main/java/cottonlock/decision/admission/AdmissionController.java
@@ -20,7 +20,7 @@
  * balancer's thread.
  */
 public final class AdmissionController implements RequestStage, RequestReturnHandler {
-    /** With fewer backends for each load balancer, its requests in flight tell too little. */
+    /** With fewer backends per load balancer, its own requests in flight say too little about the load. */
     private static final double MIN_BACKENDS_PER_LOAD_BALANCER = 0.5;
 
     /** A request is queued only if its deadline is further away than this. */
@@ -29,7 +29,7 @@
     private final BackendRegistry registry;
     private final DeploymentTopology topology;
 
-    /** Whether requests may be rejected here; not where another tier has worked on them. */
+    /** Whether requests may be rejected here; false in a tier whose requests have already passed another tier. */
     private final boolean enforced;
 
     private final LatencyStatistics statistics;
@@ -37,7 +37,7 @@
     private final AdmissionQueue queue = new AdmissionQueue();
     private final QuotaWorkload workload;
 
-    /** By tenant; one if there are no tenants. */
+    /** One for each tenant; a single one if there are no tenants. */
     private final LaneRateLimit[] laneRateLimits;
 
     /** Assigned once, before the first request. */
@@ -47,10 +47,9 @@
     private RequestReturnHandler completion;
 
     /**
-     * A controller with nothing admitted.
+     * A controller without admitted requests.
      *
-     * @param enforced whether requests may be rejected here; not where another tier has worked on
-     *     them
+     * @param enforced whether requests may be rejected here; false in a tier whose requests have already passed another tier
      */
     public AdmissionController(
             BackendRegistry registry,
@@ -144,7 +143,8 @@
         if (request.isCompleted() && request.holdsCapacity()) {
             statistics.recordCapacityUse(latencyTicks, nowTicks);
         }
-        // A request at a backend that is overdue holds no capacity, but its latency counts.
+        // An overdue request no longer holds capacity, but its latency counts unless its backend
+        // was found silent.
         if (request.isCompleted() && !request.lastAttempt().backendWasSilent()) {
             statistics.recordLatency(request, latencyTicks, nowTicks);
         }
@@ -178,7 +178,7 @@
                 outcome, latencyTicks, request.requestClass().latencyObjectiveTicks());
     }
 
-    /** Ends what has waited too long, admits what has capacity now, and samples the latency. */
+    /** Ends queued requests that have waited too long, admits those for which there is capacity now, and samples the latency. */
     public void onTimer(long nowTicks) {
         for (Request request : queue.expired(nowTicks)) {
             queue.remove(request);
--- a/src/main/java/cottonlock/decision/admission/AdmissionQueue.java
+++ b/src/main/java/cottonlock/decision/admission/AdmissionQueue.java
@@ -8,15 +8,14 @@
 import java.util.List;
 
 /**
- * Requests within their quota that wait for capacity. The one that has waited for the largest part
- * of its latency objective is next, so that classes with short objectives don't starve. Owned by
+ * Requests within their quota that wait for capacity. The request that has waited for the largest fraction of its latency objective is next, so that classes with short objectives do not starve. Owned by
  * the load balancer's thread.
  */
 final class AdmissionQueue {
-    /** The part of the latency objective for which a request is meant to wait at most. */
+    /** The intended maximum wait, as a fraction of a request's latency objective. */
     static final double MAX_WAIT_FRACTION = 0.15;
 
-    /** A request is ended after this many times the wait it was meant to have. */
+    /** A request is ended after this multiple of its intended maximum wait. */
     private static final int OVERDUE_FACTOR = 2;
 
     /** A request is ended if its deadline is this close. */
--- a/src/main/java/cottonlock/decision/admission/ConcurrencyLimit.java
+++ b/src/main/java/cottonlock/decision/admission/ConcurrencyLimit.java
@@ -8,7 +8,7 @@
  * than in calm times, plus a margin for random variation. Owned by the load balancer's thread.
  */
 final class ConcurrencyLimit {
-    /** Requests in flight that every backend may have, however high the latency. */
+    /** Requests in flight per backend that are always permitted, however high the latency. */
     private static final double MIN_CONCURRENCY_PER_BACKEND = 4;
 
     /** The same for requests over their tenant's quota. */
@@ -66,8 +66,8 @@
                 overQuota ? MIN_OVER_QUOTA_CONCURRENCY_PER_BACKEND : MIN_CONCURRENCY_PER_BACKEND;
         double minimum = minimumPerBackend * readyBackends / topology.loadBalancerCount();
         if (overQuota && topology.hasManyLoadBalancers()) {
-            // One of many sees too few responses to tell the concurrency that excess causes from
-            // the concurrency that the backends can bear.
+            // One of many load balancers sees too few responses to tell concurrency caused by requests
+            // over quota from concurrency that the backends can sustain.
             return !statistics.isUnderPressure(nowTicks)
                     && inFlight + random.nextDouble() < minimum;
         }
--- a/src/main/java/cottonlock/decision/admission/EqualShareLaneRateLimit.java
+++ b/src/main/java/cottonlock/decision/admission/EqualShareLaneRateLimit.java
@@ -12,7 +12,7 @@
     private final int loadBalancers;
     private final TokenBucket bucket = new TokenBucket(BURST_REQUESTS);
 
-    /** A limit for one of so many load balancers. */
+    /** A limit for one of this many load balancers. */
     EqualShareLaneRateLimit(int loadBalancers) {
         this.loadBalancers = loadBalancers;
     }
--- a/src/main/java/cottonlock/decision/admission/LaneRateLimit.java
+++ b/src/main/java/cottonlock/decision/admission/LaneRateLimit.java
@@ -5,15 +5,14 @@
 
 /**
  * Limits how fast a tenant's requests are admitted where there are so few backends for each load
- * balancer that one load balancer's requests in flight tell nothing. By Little's law, a lane can
- * take the concurrency its backends may have, divided by the time that attempts take. Owned by the
+ * balancer that one load balancer's requests in flight say nothing about the load. By Little's law, the rate of a lane is the concurrency that its backends may have, divided by the time that attempts take. Owned by the
  * load balancer's thread. Times are in {@link cottonlock.core.Ticks}.
  */
 abstract class LaneRateLimit {
-    /** Requests in flight that a backend may have, where nothing is known of their work. */
+    /** Requests in flight that a backend may have where there is no estimate of their work. */
     static final double MAX_CONCURRENCY_PER_BACKEND = 5;
 
-    /** The time in which an attempt time learned fades to 1/e: an overload has ended by then. */
+    /** The time constant, 5 s, with which a measured attempt time decays to the expected one: an overload has ended by then. */
     private static final double DECAY_TICKS = 50_000;
 
     /** The weight of a new sample is one in this many. */
@@ -28,16 +27,16 @@
     /**
      * Whether a request is admitted now.
      *
-     * @param usableBackends how many backends the tenant's lane amounts to
+     * @param usableBackends the capacity of the tenant's lane, in backends
      */
     abstract boolean permits(Request request, double usableBackends, long nowTicks);
 
-    /** The longest time that an attempt of a class with this objective counts for. */
+    /** The upper bound of a sample from a class with this latency objective. */
     abstract double maxSampleTicks(long objectiveTicks);
 
-    /** An attempt has ended after so long. */
+    /** Records an ended attempt as a sample of the attempt time. */
     final void onAttemptCompleted(AttemptOutcome outcome, long durationTicks, long objectiveTicks) {
-        // A quick failure must not pass for a quick response.
+        // A fast failure must not count as a fast response.
         double sampleTicks =
                 outcome == AttemptOutcome.COMPLETED
                         ? (double) durationTicks
@@ -66,12 +65,12 @@
         return updatedAtTicks < 0 ? 0 : nowTicks - updatedAtTicks;
     }
 
-    /** The time that attempts of a class are expected to take, before any is known. */
+    /** The time that attempts of the request's class are expected to take without any sample. */
     static double expectedTicks(Request request) {
         return request.requestClass().latencyObjectiveTicks() / 3.0;
     }
 
-    /** The rate of a lane in requests a tick, by Little's law. */
+    /** The rate of a lane in requests per tick, by Little's law. */
     static double laneRequestsPerTick(double concurrencyPerBackend, double usableBackends, double attemptTicks) {
         return concurrencyPerBackend * usableBackends / Math.max(1, attemptTicks);
     }
--- a/src/main/java/cottonlock/decision/admission/LatencyStatistics.java
+++ b/src/main/java/cottonlock/decision/admission/LatencyStatistics.java
@@ -5,12 +5,11 @@
 import cottonlock.decision.stats.SlidingWindowSum;
 
 /**
- * Throughput and latency of the requests that completed of late, and the typical latency of calm
- * times for comparison. Owned by the load balancer's thread. Times are in {@link
+ * Throughput and latency of recently completed requests, and the typical latency of calm times for comparison. Owned by the load balancer's thread. Times are in {@link
  * cottonlock.core.Ticks}.
  */
 final class LatencyStatistics {
-    /** The measured span, in mean latency objectives. */
+    /** The measured time span, in mean latency objectives. */
     private static final double SPAN_OBJECTIVES = 1.28;
 
     private static final int SPAN_SLOTS = 20;
@@ -20,16 +19,16 @@
 
     private static final int CALM_SLOTS = 6;
 
-    /** The least completed requests from which pressure is inferred. */
+    /** The minimum number of completed requests from which pressure is inferred. */
     private static final int MIN_COMPLETED_FOR_PRESSURE = 10;
 
-    /** The least completed requests from which a calm latency is taken. */
+    /** The minimum number of completed requests from which a calm latency is taken. */
     private static final int MIN_COMPLETED_FOR_CALM = 20;
 
-    /** An increase of the logarithm of the latency that shows pressure: by a fifth. */
+    /** The increase of the mean logarithm of the latency that shows pressure: about a fifth. */
     private static final double PRESSURE_LOG_INCREASE = 0.2;
 
-    /** Logarithms are summed as whole thousandths. */
+    /** Logarithms are summed as integers, in thousandths. */
     private static final double LOG_SCALE = 1000.0;
 
     private final long spanTicks;
@@ -38,7 +37,7 @@
     private final SlidingWindowSum capacityTicks;
     private final SlidingWindowSum logLatency;
 
-    /** The lowest typical logarithm of the latency of late. */
+    /** The lowest recent mean logarithm of the latency. */
     private final SlidingWindowMin calmLogLatency;
 
     /** When the first request arrived; -1 before it. */
@@ -59,19 +58,19 @@
         firstRequestAtTicks = firstRequestAtTicks < 0 ? nowTicks : firstRequestAtTicks;
     }
 
-    /** A request has stopped counting against the limit, after so long. */
+    /** Records the time for which a completed request counted against the limit. */
     void recordCapacityUse(long heldTicks, long nowTicks) {
         capacityTicks.add(nowTicks, heldTicks);
     }
 
-    /** A request has completed so long after it was admitted. */
+    /** Records the latency of a completed request since its admission. */
     void recordLatency(Request request, long latencyTicks, long nowTicks) {
         logLatency.add(nowTicks, Math.round(LOG_SCALE * Math.log((double) (1 + latencyTicks))));
         completed.add(nowTicks, 1);
         objectiveTicks.add(nowTicks, request.requestClass().latencyObjectiveTicks());
     }
 
-    /** The usual concurrency by Little's law: request time held in the span, over the span. */
+    /** The mean concurrency by Little's law: the time for which requests counted against the limit, divided by the measured time span. */
     double meanConcurrency(long nowTicks) {
         return capacityTicks.sum(nowTicks) / measuredTicks(nowTicks);
     }
@@ -98,8 +97,7 @@
     }
 
     /**
-     * Takes the present typical latency as a sample for calm times. Skipped while few of the
-     * requests in flight can have completed, as after a start: the quick ones come first.
+     * Takes the present typical latency as a sample for calm times. Skipped while few of the requests in flight can have completed, as after a start: fast responses arrive first and would lower the sample.
      */
     void sampleCalmLatency(int inFlight, long nowTicks) {
         long samples = completed.sum(nowTicks);
--- a/src/main/java/cottonlock/decision/admission/ProportionalLaneRateLimit.java
+++ b/src/main/java/cottonlock/decision/admission/ProportionalLaneRateLimit.java
@@ -5,23 +5,22 @@
 import java.util.SplittableRandom;
 
 /**
- * For load balancers that carry very different load: each admits the same fraction of what arrives,
- * which is the lane's rate divided by the tenant's quota over all load balancers.
+ * For load balancers that carry very different load: each admits the same fraction of the requests that arrive, which is the lane's rate divided by the tenant's quota over all load balancers.
  */
 final class ProportionalLaneRateLimit extends LaneRateLimit {
-    /** Usual attempt times assumed beside the measured ones. */
+    /** Prior samples of the expected attempt time that are added to the measured ones. */
     private static final int ASSUMED_SAMPLES = 4;
 
     /** The fraction admitted at the start. */
     private static final double INITIAL_FRACTION = 0.6;
 
-    /** The most by which the fraction grows in a tick. */
+    /** The maximum growth of the fraction per tick. */
     private static final double MAX_FRACTION_GROWTH_PER_TICK = 7e-6;
 
-    /** The concurrency that a backend may have above its cores, in square roots of them. */
+    /** The margin above the mean number of busy cores, in standard deviations of a Poisson count. */
     private static final double MARGIN_DEVIATIONS = 0.7;
 
-    /** An attempt counts for this many latency objectives at most. */
+    /** The upper bound of a sample, in latency objectives. */
     private static final int MAX_SAMPLE_OBJECTIVES = 4;
 
     private final double quotaPerTick;
@@ -49,7 +48,8 @@
     @Override
     boolean permits(Request request, double usableBackends, long nowTicks) {
         double perBackend = concurrencyPerBackend(nowTicks);
-        // Small load balancers rarely see a tenant's responses, so those of all tenants stand in.
+        // A load balancer with little load rarely sees responses for one tenant, so those of all
+        // tenants are used.
         double atQuotaTicks = perBackend * usableBackends / quotaPerTick;
         double expectedTicks =
                 registry.load()
@@ -72,7 +72,7 @@
         return MAX_SAMPLE_OBJECTIVES * objectiveTicks;
     }
 
-    /** What the quotas demand of each backend, in cores, with a margin for random variation. */
+    /** The cores that the quotas keep busy at each backend, with a margin for random variation. */
     private double concurrencyPerBackend(long nowTicks) {
         double cores = workload.coresPerBackend(registry.ready().size(), nowTicks);
         return cores > 0
@@ -82,7 +82,7 @@
 
     /**
      * A number from 0 to 1. It is the same for each retry of a request, which its estimated work
-     * identifies: with independent draws, a client that retries would nearly always be admitted.
+     * identifies: with independent draws, a client that retries would nearly always be admitted in the end.
      */
     private double draw(Request request) {
         SplittableRandom source =
@@ -92,7 +92,7 @@
         return source.nextDouble();
     }
 
-    /** The part of its credit that a request admitted now can be expected to earn. */
+    /** The expected fraction of its credit that a request admitted now earns. */
     private static double expectedCredit(Request request, double attemptTicks, long nowTicks) {
         if (nowTicks + attemptTicks / 2 < request.objectiveDeadlineTicks()) {
             return 1;
--- a/src/main/java/cottonlock/decision/admission/QuotaWorkload.java
+++ b/src/main/java/cottonlock/decision/admission/QuotaWorkload.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * The work that all tenants' quotas add up to, by the mean estimated work of the requests of late.
+ * The total work that all tenants' quotas permit, from the mean estimated work of recent requests.
  * Owned by the load balancer's thread.
  */
 final class QuotaWorkload {
@@ -28,7 +28,7 @@
         }
     }
 
-    /** The cores that the quotas keep busy at each of so many backends; 0 if unknown. */
+    /** The number of cores that the quotas keep busy at each of this many backends; 0 if unknown. */
     double coresPerBackend(int backends, long nowTicks) {
         return quotasPerTick / Math.max(1, backends) * estimatedWorkTicks.mean(nowTicks, 0, 0, 0);
     }
--- a/src/main/java/cottonlock/decision/admission/TenantQuota.java
+++ b/src/main/java/cottonlock/decision/admission/TenantQuota.java
@@ -6,9 +6,8 @@
 import java.util.List;
 
 /**
- * The request quotas of all tenants at this load balancer, one token bucket for each. Where the
- * load balancers carry similar load, each grants an equal part of a quota; otherwise each grants
- * all of it.
+ * The request quotas of all tenants at this load balancer, with a token bucket for each tenant. Where the
+ * load balancers carry similar load, each grants an equal part of a quota; otherwise each grants the whole quota.
  */
 public final class TenantQuota {
     /** The smallest burst: Poisson arrivals at nine tenths of a quota rarely exceed it. */
@@ -18,15 +17,14 @@
     private static final long BURST_TICKS = Ticks.PER_SECOND / 2;
 
     /**
-     * What a client's retry must leave in the bucket, as a time at the quota's rate: retries are
-     * mostly excess and must not use up the quota of first requests.
+     * What a client's retry must leave in the bucket, as a time at the quota's rate: retries are mostly requests over quota and must not use up the quota of first requests.
      */
     private static final long RETRY_RESERVE_TICKS = Ticks.PER_SECOND / 4;
 
-    /** The part of a full bucket present at the start is one in this many. */
+    /** A bucket starts with its full burst divided by this number. */
     private static final int INITIAL_FILL_DIVISOR = 4;
 
-    /** Each tenant's quota at this load balancer, in requests a tick. */
+    /** Each tenant's quota at this load balancer, in requests per tick. */
     private final double[] requestsPerTick;
 
     private final TokenBucket[] buckets;
--- a/src/main/java/cottonlock/decision/admission/TokenBucket.java
+++ b/src/main/java/cottonlock/decision/admission/TokenBucket.java
@@ -16,7 +16,7 @@
      * Refills the bucket and takes one token.
      *
      * @param tokensPerTick the refill rate since the last call
-     * @param capacity the most tokens that the bucket keeps
+     * @param capacity the maximum number of tokens in the bucket
      * @param minimumTokens the tokens that must be present, 1 or more
      * @return whether a token was taken
      */
--- a/src/main/java/cottonlock/decision/api/AttemptOutcome.java
+++ b/src/main/java/cottonlock/decision/api/AttemptOutcome.java
@@ -2,13 +2,13 @@
 
 /** How an attempt, or a health probe, ended. */
 public enum AttemptOutcome {
-    /** The backend answered, and the answer arrived complete. */
+    /** The backend answered, and its response arrived completely. */
     COMPLETED,
     /** The backend answered with an error. */
     ERROR,
     /** The backend refused the request without executing it. */
     REJECTED,
-    /** No answer had come by the deadline. */
+    /** No response had arrived by the deadline. */
     TIMED_OUT,
     /** No connection to the backend could be opened. */
     CONNECT_FAILED,
--- a/src/main/java/cottonlock/decision/api/Endpoint.java
+++ b/src/main/java/cottonlock/decision/api/Endpoint.java
@@ -1,16 +1,15 @@
 package cottonlock.decision.api;
 
 /**
- * One entry of the endpoint list: a backend as discovery describes it.
+ * One entry of the endpoint list: a backend as reported by discovery.
  *
- * @param id its name, unique in the list
+ * @param id its identifier, unique in the list
  * @param zone the zone that it runs in
  * @param machineKind the kind of machine, as a number without further meaning
- * @param cell the group of backends, below the zone, that share idempotency keys
- * @param state what the list says of its process
- * @param capacityWeight its capacity against other backends'; 0 where the list gives none
- * @param startedAtTicks when it last started, in {@linkplain cottonlock.core.Ticks ticks}; 0 for
- *     long ago
+ * @param cell the group of backends within the zone that share idempotency keys
+ * @param state the state of its process according to the list
+ * @param capacityWeight its capacity relative to other backends; 0 where the list gives none
+ * @param startedAtTicks when it last started, in {@linkplain cottonlock.core.Ticks ticks}; 0 if that was long ago
  */
 public record Endpoint(
         String id,
@@ -21,13 +20,13 @@
         double capacityWeight,
         long startedAtTicks) {
 
-    /** What the list says of a backend's process. */
+    /** The state of a backend's process according to the list. */
     public enum State {
-        /** Takes requests. */
+        /** Accepts requests. */
         READY,
-        /** Finishes what it has and takes no new requests. */
+        /** Finishes the requests in progress and accepts no new ones. */
         DRAINING,
-        /** Runs no more. */
+        /** No longer runs. */
         GONE
     }
 }
--- a/src/main/java/cottonlock/decision/api/LoadBalancerActions.java
+++ b/src/main/java/cottonlock/decision/api/LoadBalancerActions.java
@@ -3,8 +3,8 @@
 import cottonlock.decision.LoadBalancer;
 
 /**
- * What the load balancer asks its host to do. Called on the load balancer's thread, within {@code
- * start} or one of its {@code on...} methods, and carried out at that call's time. Times are in
+ * The actions that the load balancer requests from its host. Called on the load balancer's thread, within {@code
+ * start} or one of its {@code on...} methods, and executed at the time of that call. Times are in
  * {@link cottonlock.core.Ticks}.
  *
  * <p>Every request ends with exactly one response to its client: the response of an attempt, {@link
@@ -16,8 +16,7 @@
      * Sends a request to a backend as its next attempt; the attempt ends with the request's
      * deadline at the latest.
      *
-     * @param sendByTicks the request's last byte may only be written before this time: a later
-     *     repeat would no longer be recognised by the backends and could be executed twice
+     * @param sendByTicks the request's last byte must be written before this time: backends would no longer recognise a later repeat and could execute it twice
      */
     void startAttempt(long requestId, String backendId, long sendByTicks);
 
--- a/src/main/java/cottonlock/decision/api/RejectionReason.java
+++ b/src/main/java/cottonlock/decision/api/RejectionReason.java
@@ -2,21 +2,21 @@
 
 /** Why a request ended without a successful response: the decision that ended it. */
 public enum RejectionReason {
-    /** The tenant is over its quota, and no capacity is spare. */
+    /** The tenant is over its quota, and there is no spare capacity. */
     OVER_QUOTA,
     /** No capacity was free, and none became free while the request was queued. */
     NO_CAPACITY,
-    /** No capacity was free, and the queue holds as much as can be admitted soon. */
+    /** No capacity was free, and the queue already holds as many requests as can be admitted within the intended wait. */
     QUEUE_FULL,
-    /** The deadline is too near for another step, or has passed. */
+    /** The deadline has passed, or is too close for the request to be queued. */
     DEADLINE_EXCEEDED,
-    /** No backend may receive the request. */
+    /** No backend is eligible for the request. */
     NO_BACKEND,
     /** The last attempt could not connect, or was not sent. */
     CONNECT_FAILED,
     /** The backend of the last attempt rejected it. */
     REJECTED_BY_BACKEND,
-    /** The last attempt may have been executed, its response is missing and it is not retried. */
+    /** The last attempt may have been executed, its response was lost, and it is not retried. */
     RESPONSE_LOST;
 
     /** The reason for ending a request whose last attempt ended with this outcome. */
--- a/src/main/java/cottonlock/decision/api/SlowStartConfig.java
+++ b/src/main/java/cottonlock/decision/api/SlowStartConfig.java
@@ -1,14 +1,13 @@
 package cottonlock.decision.api;
 
 /**
- * How backends that have just started warm up. Lengths of time are {@linkplain
+ * How backends that have just started warm up. Durations are {@linkplain
  * cottonlock.core.Ticks ticks} of 0.1 ms.
  *
- * @param initialFraction the fraction of its full capacity that a backend starts with, or more
+ * @param initialFraction the minimum fraction of its full capacity that a backend has when it starts
  * @param warmUpTicks the time from its start after which a backend has its full capacity
- * @param overloadMultiple how many times its present capacity a warming backend may be sent before
- *     it is overloaded
- * @param overloadWindowTicks the time over which that is counted
+ * @param overloadMultiple the multiple of its present capacity that overloads a warming backend when sent to it
+ * @param overloadWindowTicks the window over which the requests sent to it are counted
  */
 public record SlowStartConfig(
         double initialFraction,
@@ -17,8 +16,7 @@
         long overloadWindowTicks) {
 
     /**
-     * The fraction of its full capacity that a backend has at least, above 0 and up to 1: it grows
-     * linearly from its start to the end of the warm-up.
+     * The minimum fraction of its full capacity that a backend has now, above 0 and up to 1. It grows linearly from the start to the end of the warm-up.
      */
     public double warmUpFraction(Endpoint endpoint, long nowTicks) {
         if (endpoint.startedAtTicks() <= 0 || nowTicks - endpoint.startedAtTicks() >= warmUpTicks) {
--- a/src/main/java/cottonlock/decision/api/package-info.java
+++ b/src/main/java/cottonlock/decision/api/package-info.java
@@ -1,6 +1,5 @@
 /**
- * What the load balancer and its surroundings share: the values that describe a deployment,
- * endpoints, tenants, request classes and outcomes, and the actions that it answers with. Free of
+ * The types shared by the load balancer and its host: descriptions of the deployment, endpoints, tenants, request classes and outcomes, and the actions that the load balancer requests. Free of
  * I/O and clocks.
  */
 package cottonlock.decision.api;
--- a/src/main/java/cottonlock/decision/backend/Backend.java
+++ b/src/main/java/cottonlock/decision/backend/Backend.java
@@ -8,8 +8,7 @@
 import java.util.Map;
 
 /**
- * The state of one backend, as this load balancer knows it: its entry of the endpoint list and what
- * the attempts sent to it have shown. The classes of this package change it; others read it. Owned
+ * The state of one backend, as known to this load balancer: its entry in the endpoint list and the results of the attempts sent to it. The classes of this package change it; others read it. Owned
  * by the load balancer's thread.
  */
 public final class Backend {
@@ -29,19 +28,19 @@
     /** Whether it drains or is gone. */
     private boolean leaving;
 
-    /** Whether it is gone from the list but may be used as long as it answers. */
+    /** Whether it has left the list but may be used as long as it answers. */
     boolean delisted;
 
-    /** The index of its tenant's lane; the number of tenants where it is in none. */
+    /** The index of its tenant's lane; the number of tenants if it is in no lane. */
     int laneIndex;
 
     /** The requests that have an attempt in flight here, by id, in the order of sending. */
     final Map<Long, BackendRequest> requestsInFlight = new LinkedHashMap<>();
 
-    /** Attempts whose outcome is open. */
+    /** Attempts that have no outcome yet. */
     int inFlight;
 
-    /** Attempts in flight that are not waited for any more, as the backend was found silent. */
+    /** Attempts in flight whose response is no longer expected because the backend was found silent. */
     int inFlightOverdue;
 
     /** Whether a connection to it may be open. */
@@ -50,16 +49,16 @@
     /** When an attempt last ended here. */
     long idleSinceTicks;
 
-    /** How fast its kind of machine answers, against the mean of all; above 1: faster. */
+    /** The speed of its kind of machine relative to the mean of all; above 1 is faster. */
     double relativeSpeed = 1;
 
-    /** Failures since the last completed attempt; a silence counts as several. */
+    /** Failures since the last completed attempt; a detected silence counts as several. */
     int consecutiveFailures;
 
     /** Whether it was found lost since peers were last notified. */
     boolean lossUnreported;
 
-    /** When it last responded, or when something became in flight where nothing had been. */
+    /** When it last responded, or when an attempt was last sent while no response was expected. */
     long lastSignOfLifeTicks;
 
     /** Attempts that completed in time, over the window of recent outcomes. */
@@ -68,22 +67,22 @@
     /** Attempts that failed or were slow, over the window of recent outcomes. */
     final SlidingWindowSum failures;
 
-    /** Number of gaps between responses while something was in flight. */
+    /** Number of gaps between responses while attempts were in flight. */
     final SlidingWindowSum responseGaps;
 
-    /** Sum of these gaps in ticks, each times the attempts in flight during it. */
+    /** Sum of these gaps in ticks, each multiplied by the number of attempts in flight. */
     final SlidingWindowSum responseGapTicks;
 
     /** Attempts of this load balancer completed here, over SlowStartConfig.overloadWindowTicks. */
     final SlidingWindowSum completions;
 
-    /** While warming up: when it was last sent a request, or was first considered. */
+    /** While warming up: when it was last sent a request, or was first considered for one. */
     long lastSentAtTicks;
 
-    /** While warming up: the time until the next request, against the mean time. */
+    /** While warming up: the interval until the next request, relative to the mean interval. */
     double spacingFactor;
 
-    /** The start, by the endpoint list, that the spacing was drawn for. */
+    /** The start time, from the endpoint list, for which the spacing factor was drawn. */
     long spacedForStartTicks = -1;
 
     Backend(Endpoint endpoint, SlowStartConfig slowStart, long meanLatencyObjectiveTicks) {
@@ -99,12 +98,12 @@
         completions = new SlidingWindowSum(slowStart.overloadWindowTicks(), COMPLETION_BUCKETS);
     }
 
-    /** Its name in the endpoint list. */
+    /** Its id in the endpoint list. */
     public String id() {
         return id;
     }
 
-    /** The number of attempts whose outcome is open. */
+    /** The number of attempts that have no outcome yet. */
     public int inFlight() {
         return inFlight;
     }
@@ -124,22 +123,22 @@
         return leaving;
     }
 
-    /** The attempts in flight that are still waited for. */
+    /** The number of attempts in flight whose response is still expected. */
     int inFlightAwaited() {
         return inFlight - inFlightOverdue;
     }
 
-    /** Its capacity against other backends' by the list; 1 where the list gives none. */
+    /** Its capacity relative to other backends, from the list; 1 where the list gives none. */
     double capacityWeight() {
         return endpoint.capacityWeight() > 0 ? endpoint.capacityWeight() : 1;
     }
 
-    /** Gives it no new requests from now on. */
+    /** Excludes it from new requests. */
     void leave() {
         leaving = true;
     }
 
-    /** Takes a new entry of the list; a process that started anew has no history. */
+    /** Applies a new entry of the list; a restarted process has no history of outcomes. */
     void update(Endpoint newEndpoint) {
         if (newEndpoint.startedAtTicks() > endpoint.startedAtTicks()) {
             consecutiveFailures = 0;
--- a/src/main/java/cottonlock/decision/backend/BackendEligibility.java
+++ b/src/main/java/cottonlock/decision/backend/BackendEligibility.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * Which backends a request may be sent to now, and how much each can take. Owned by the load
+ * Decides which backends a request may be sent to now, and how much load each can take. Owned by the load
  * balancer's thread.
  */
 public final class BackendEligibility {
@@ -34,8 +34,7 @@
     }
 
     /**
-     * The capacity of a backend against others': by the endpoint list, its warm-up and how fast its
-     * kind of machine answers. Above 0.
+     * The capacity of a backend relative to others, from the endpoint list, its warm-up and the speed of its kind of machine; above 0.
      */
     public double effectiveCapacity(Backend backend, long nowTicks) {
         return Math.max(
@@ -46,11 +45,9 @@
     }
 
     /**
-     * The first of these backends that a request may be sent to now, in their order. Where
-     * connections are expensive, one more than its tenant has attempts in flight; else all.
+     * The backends of a list that a request may be sent to now, in the order of the list. Where idle connections cost something, only the first ones: one more than its tenant has attempts in flight.
      *
-     * @param maxInFlightPerCapacity the load, in attempts in flight per effective capacity, up to
-     *     which a backend is taken
+     * @param maxInFlightPerCapacity the load, in attempts in flight per effective capacity, up to which a backend is eligible
      * @param spareInFlight attempts in flight that each backend may have beyond that
      */
     public List<Backend> eligible(
@@ -70,7 +67,7 @@
             }
             double maxInFlight =
                     spareInFlight + maxInFlightPerCapacity * effectiveCapacity(backend, nowTicks);
-            // The last two draw at random, so the order of the conditions matters.
+            // The last two draw random numbers, so the order of the conditions matters.
             if (backend.inFlight <= maxInFlight
                     && !request.hasTried(backend)
                     && mayExecute(backend, request, nowTicks)
@@ -83,8 +80,7 @@
     }
 
     /**
-     * Whether a backend may execute a request that another may have executed already: by its class,
-     * or as both recognise its idempotency key.
+     * Whether a backend may execute a request that another may already have executed: its class permits it, or both recognise its idempotency key.
      */
     private static boolean mayExecute(Backend backend, BackendRequest request, long nowTicks) {
         Backend executor = request.firstPossibleExecutor();
@@ -104,8 +100,7 @@
     }
 
     /**
-     * Where every ready backend is under suspicion, those with nothing in flight: one of them may
-     * be sound. Only for idempotent requests, of which a failure costs least.
+     * The backends without attempts in flight if every ready backend is suspected, as one of them may be healthy; otherwise none. Only for idempotent requests, whose failure costs least.
      */
     public List<Backend> candidatesIfAllSuspected(BackendRequest request, long nowTicks) {
         boolean idempotent = request.requestClass().idempotency() == Idempotency.IDEMPOTENT;
--- a/src/main/java/cottonlock/decision/backend/BackendRegistry.java
+++ b/src/main/java/cottonlock/decision/backend/BackendRegistry.java
@@ -17,11 +17,9 @@
 import java.util.TreeMap;
 
 /**
- * The backends that this load balancer knows. It applies the endpoint list, passes the events of
- * attempts to the parts that judge backends, and gives the stages of the load balancer access to
- * them. Owned by the load balancer's thread; moments and lengths of time are ticks.
+ * The backends that this load balancer knows. It applies the endpoint list, passes the events of attempts to the classes that rate backends, and gives the stages of the load balancer access to them. Owned by the load balancer's thread; times and durations are in {@link cottonlock.core.Ticks}.
  *
- * <p>A backend that drains or is gone stays known until none of its attempts is in flight.
+ * <p>A backend that is draining or gone is kept until none of its attempts is in flight.
  */
 public final class BackendRegistry {
     private static final long NO_STALL = -1;
@@ -42,13 +40,13 @@
     private final LaneLoad laneLoad;
     private final BackendEligibility eligibility;
 
-    /** When the last stall of this process was noticed, and how long it had lasted. */
+    /** When the last stall of this process was detected; {@code stallTicks} is its duration. */
     private long stallNoticedAtTicks = NO_STALL;
 
     private long stallTicks;
 
     /**
-     * Knows no backend yet.
+     * A registry without backends.
      *
      * @param random the source of all random draws of this package
      */
@@ -81,12 +79,12 @@
         return Collections.unmodifiableCollection(backendsById.values());
     }
 
-    /** The backends that take new requests, in this load balancer's order of preference. */
+    /** The backends that accept new requests, in this load balancer's order of preference. */
     public List<Backend> ready() {
         return ready.all();
     }
 
-    /** The lane of a tenant, in the same order. */
+    /** The backends of a tenant's lane, in the same order. */
     public List<Backend> lane(int tenant) {
         return ready.lane(tenant);
     }
@@ -96,18 +94,18 @@
         return ready.unassigned();
     }
 
-    /** Whether a backend is known and takes new requests. */
+    /** Whether a backend is known and accepts new requests. */
     public boolean isReady(String backendId) {
         Backend backend = backendsById.get(backendId);
         return backend != null && !backend.isLeaving();
     }
 
-    /** How many of the ready backends get next to no requests, as they are under suspicion. */
+    /** How many of the ready backends get almost no requests because they are suspected. */
     public long countAvoided(long nowTicks) {
         return outliers.countAvoided(ready.all(), nowTicks);
     }
 
-    /** The judgement of backends by outcomes, latency and silence. */
+    /** The detector of outliers, which rates backends by outcomes, latency and silence. */
     public OutlierDetector outliers() {
         return outliers;
     }
@@ -117,19 +115,18 @@
         return load;
     }
 
-    /** The load and the capacity of lanes. */
+    /** The load and capacity of lanes. */
     public LaneLoad laneLoad() {
         return laneLoad;
     }
 
-    /** Which backends a request may be sent to. */
+    /** The rules for which backends a request may be sent to. */
     public BackendEligibility eligibility() {
         return eligibility;
     }
 
     /**
-     * This process was stalled until now. Backends were not silent for as long, and latencies of
-     * what is handled at this moment measure the stall.
+     * This process was stalled until now. The stall does not count as silence of backends, and latencies of the events handled at this time measure the stall.
      */
     public void onStall(long nowTicks, long stalledForTicks) {
         stallNoticedAtTicks = nowTicks;
@@ -141,21 +138,21 @@
         }
     }
 
-    /** Whether a stall of this process was noticed at this very moment. */
+    /** Whether a stall of this process was detected at exactly this time. */
     public boolean isResumingFromStall(long nowTicks) {
         return nowTicks == stallNoticedAtTicks;
     }
 
-    /** How long the stall lasted that was noticed at this very moment; 0 where there was none. */
+    /** The duration of the stall that was detected at exactly this time; 0 if there was none. */
     public long stallTicks(long nowTicks) {
         return isResumingFromStall(nowTicks) ? stallTicks : 0;
     }
 
     /**
-     * The endpoint list, or changes of it, has come.
+     * The endpoint list, or changes to it, have arrived.
      *
-     * @param complete whether it is the whole list, so that what it lacks is removed
-     * @param cached whether it is only what this load balancer last held
+     * @param complete whether it is the complete list, so that backends missing from it are removed
+     * @param cached whether it was kept from an earlier run and may be out of date
      */
     public void onEndpointList(
             long nowTicks, List<Endpoint> endpoints, boolean complete, boolean cached) {
@@ -183,8 +180,7 @@
     }
 
     /**
-     * A backend has left the list without draining. Where the list may be wrong, it is used as long
-     * as it answers.
+     * Handles a backend that has left the list without draining. Where removal is not binding, it is used as long as it answers.
      */
     private void delist(Backend backend, long nowTicks) {
         backend.delisted = !topology.removalBinding();
@@ -202,12 +198,12 @@
         ready.refresh(backendsById.values());
     }
 
-    /** A subscription to the endpoint list failed, or its changes no longer come. */
+    /** A subscription to the endpoint list has failed or ended. */
     public void onEndpointListFailed(long nowTicks) {
         listFreshness.onFailure(nowTicks);
     }
 
-    /** The regular upkeep: the list, connections, load, and what warming backends may be sent. */
+    /** Periodic maintenance: polls the list if due, samples the load, closes idle connections, updates relative speeds and the rate for slow start, and removes delisted backends that no longer answer. */
     public void maintain(long nowTicks) {
         listFreshness.pollIfDue(nowTicks);
         load.sampleInFlight(backendsById.values(), nowTicks);
@@ -217,7 +213,7 @@
         removeSilentDelisted(nowTicks);
     }
 
-    /** Closes connections that have been idle for so long that opening new ones costs less. */
+    /** Closes connections that have been idle for so long that opening new ones is cheaper. */
     private void closeIdleConnections(long nowTicks) {
         double maxIdleTicks = topology.connectionBreakEvenTicks() * ready.count();
         for (Backend backend : backendsById.values()) {
@@ -240,12 +236,12 @@
         }
     }
 
-    /** Notifies peers of the backends found lost since the last call. */
+    /** Notifies peers of the backends found lost since the previous call. */
     public void reportLossesToPeers() {
         peerExchange.reportLosses(backendsById.values(), ready.count());
     }
 
-    /** A peer has sent what its {@link #reportLossesToPeers} gave out. */
+    /** A peer has sent a message by its {@link #reportLossesToPeers}. */
     public void onPeerMessage(long nowTicks, byte[] message) {
         for (String backendId : PeerExchange.lostBackendIds(message)) {
             Backend backend = backendsById.get(backendId);
@@ -269,7 +265,7 @@
         slowStart.onSent(backend, nowTicks);
     }
 
-    /** A backend was found silent with an attempt in flight; once for each attempt. */
+    /** A backend was found silent with an attempt in flight; called once for each attempt. */
     public void onSilenceDetected(Backend backend, long nowTicks) {
         outliers.onSilenceDetected(backend, nowTicks);
     }
--- a/src/main/java/cottonlock/decision/backend/BackendRequest.java
+++ b/src/main/java/cottonlock/decision/backend/BackendRequest.java
@@ -2,16 +2,16 @@
 
 import cottonlock.decision.api.RequestClass;
 
-/** A request, as far as the choice of a backend and the statistics of backends need to know it. */
+/** The part of a request that the choice of a backend and the statistics of backends need. */
 public interface BackendRequest {
 
-    /** The number of the request, unique while it is in flight. */
+    /** The id of the request, unique among those in progress. */
     long id();
 
     /** The index of its tenant. */
     int tenant();
 
-    /** Its class, with the latency objective and the rules of retries. */
+    /** Its class, with the latency objective and the retry rules. */
     RequestClass requestClass();
 
     /** When its latest attempt was sent, in ticks; there must have been one. */
--- a/src/main/java/cottonlock/decision/backend/CompletedAttempt.java
+++ b/src/main/java/cottonlock/decision/backend/CompletedAttempt.java
@@ -5,7 +5,7 @@
 /**
  * An attempt that has ended.
  *
- * @param backend where it was sent
+ * @param backend the backend that it was sent to
  * @param request the request that it was made for
  * @param sentAtTicks when it was sent
  * @param backendWasSilent whether its backend was found silent while it was in flight
@@ -18,7 +18,7 @@
         boolean backendWasSilent,
         AttemptOutcome outcome) {
 
-    /** The time from its sending until now, in ticks. */
+    /** The time since it was sent, in ticks. */
     long latencyTicks(long nowTicks) {
         return nowTicks - sentAtTicks;
     }
--- a/src/main/java/cottonlock/decision/backend/EndpointListFreshness.java
+++ b/src/main/java/cottonlock/decision/backend/EndpointListFreshness.java
@@ -5,30 +5,28 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides when the endpoint list is subscribed to again, with an exponential backoff after
- * failures. Owned by the load balancer's thread.
+ * Decides when to subscribe to the endpoint list again, with exponential backoff after failures. Owned by the load balancer's thread.
  */
 final class EndpointListFreshness {
     /**
-     * A backoff is at most this fraction of the time that a load balancer may go without a poll.
+     * The longest backoff is at most the maximum poll interval divided by this number.
      */
     private static final int BACKOFFS_PER_POLL_INTERVAL = 4;
 
-    /** Half of the first backoff, which is 0.2 s: each failure, the first one too, doubles it. */
+    /** Half of the first backoff of 0.2 s: each failure, including the first one, doubles it. */
     private static final long BASE_BACKOFF_TICKS = 1_000;
 
-    /** Doublings of the base backoff: more would not change the longest one. */
+    /** The maximum number of doublings of the base backoff; more would not change the longest one. */
     private static final int MAX_BACKOFF_DOUBLINGS = 8;
 
-    /** The longest backoff, but after a call that has waited in a queue: 0.8 s. */
+    /** The longest backoff, 0.8 s, except after a call that has waited in a queue. */
     private static final long MAX_BACKOFF_TICKS = 8_000;
 
-    /** A call that fails after so long has waited in the queue of an overloaded discovery. */
+    /** A call that fails after this time, 1 s, or later has waited in the queue of an overloaded discovery. */
     private static final long MIN_QUEUE_WAIT_TICKS = 10_000;
 
     /**
-     * Between the beginnings of a call that has waited so and of the next one: with 2 s for which
-     * that may wait too, the list is there within the 6 s after which it counts as known.
+     * The longest time, 3.9 s, between the starts of a call that has waited in the queue and of the next one. With up to 2 s for which the next one may wait too, the list arrives within the 6 s after which a change is expected to be known.
      */
     private static final long MAX_CALL_INTERVAL_TICKS = 39_000;
 
@@ -49,9 +47,9 @@
     }
 
     /**
-     * A list has come.
+     * A list has arrived.
      *
-     * @param cached whether it is only what this load balancer last held
+     * @param cached whether it was kept from an earlier run and may be out of date
      */
     void onList(boolean cached) {
         if (!topology.endpointListPolled()) {
@@ -65,8 +63,7 @@
     }
 
     /**
-     * A subscription has failed or ended: the next one follows after a backoff, the longer the more
-     * have failed, since a discovery that has more callers than it can answer refuses all of them.
+     * A subscription has failed or ended. The next one follows after a backoff that grows with each failure, since a discovery that has more callers than it can answer refuses all of them.
      */
     void onFailure(long nowTicks) {
         consecutiveFailures++;
@@ -87,7 +84,7 @@
                 Math.max(MAX_BACKOFF_TICKS, remainingTicks));
     }
 
-    /** Subscribes again where the backoff is over. */
+    /** Subscribes again if the backoff has ended. */
     void pollIfDue(long nowTicks) {
         if (nowTicks >= nextPollAtTicks) {
             nextPollAtTicks = NEVER;
--- a/src/main/java/cottonlock/decision/backend/LaneLoad.java
+++ b/src/main/java/cottonlock/decision/backend/LaneLoad.java
@@ -5,17 +5,17 @@
 import java.util.SplittableRandom;
 
 /**
- * How loaded the lanes are: whether a lane is too crowded to use, and how much capacity a lane has.
+ * The load of lanes: whether a lane is overloaded compared with the others, and how much capacity a lane has.
  * Owned by the load balancer's thread.
  */
 public final class LaneLoad {
-    /** With so many backends for each load balancer, its own attempts in flight show the load. */
+    /** With at least this many backends per load balancer, its own attempts in flight show the load, and no lane counts as crowded. */
     private static final double MAX_BACKENDS_PER_LOAD_BALANCER = 2;
 
-    /** Attempts in flight for each backend up to which no lane is crowded. */
+    /** Attempts in flight per backend up to which no lane counts as crowded. */
     private static final double UNCROWDED_IN_FLIGHT_PER_BACKEND = 2;
 
-    /** The fraction of the capacity of all backends from which lanes are lent none. */
+    /** The load of all backends, as a fraction of their capacity, from which no capacity is lent to lanes. */
     private static final double MAX_LOAD_TO_LEND = 0.75;
 
     private final DeploymentTopology topology;
@@ -38,10 +38,9 @@
     }
 
     /**
-     * Whether a request should leave its lane, as latency there is far above the mean. It is drawn
-     * at random, so that the part that stays keeps the lane's latency at the given limit.
+     * Whether a request should leave its lane because latency there is far above the mean. The decision is drawn at random, so that the requests that stay keep the lane's latency at the given limit.
      *
-     * @param maxLatencyRatio a lane's latency against the mean of all, above which requests leave
+     * @param maxLatencyRatio a lane's latency relative to the mean of all, above which requests leave
      */
     public boolean isCrowded(int lane, double maxLatencyRatio, long nowTicks) {
         double latencyRatio =
@@ -51,7 +50,7 @@
                 load.estimatedTotalInFlight(latencyRatio, nowTicks) / ready.count();
         boolean fewBackends =
                 MAX_BACKENDS_PER_LOAD_BALANCER * topology.loadBalancerCount() > ready.count();
-        // Where load balancers differ in load, the own one tells nothing of that of all.
+        // Where load balancers carry different loads, their own says nothing about the total.
         boolean mayBeCrowded =
                 inFlightPerBackend > UNCROWDED_IN_FLIGHT_PER_BACKEND || !topology.evenlyLoaded();
         return fewBackends && mayBeCrowded && random.nextDouble() * latencyRatio > maxLatencyRatio;
@@ -66,8 +65,7 @@
     }
 
     /**
-     * The capacity of a tenant's lane, in backends: those of the lane that are no outliers, by
-     * their warm-up, and what all backends can lend it; 1 at least.
+     * The capacity of a tenant's lane, in backends, at least 1: the sum of the warm-up fractions of its backends that are not outliers, and the capacity that all backends can lend it.
      *
      * @param maxInFlightPerBackend attempts in flight at which a backend is full
      */
--- a/src/main/java/cottonlock/decision/backend/LoadTracker.java
+++ b/src/main/java/cottonlock/decision/backend/LoadTracker.java
@@ -10,11 +10,10 @@
 import java.util.Map;
 
 /**
- * The load of this load balancer's attempts: how many are in flight, and how long they stay so, by
- * lane and by kind of machine. Owned by the load balancer's thread.
+ * The load of this load balancer's attempts: how many are in flight, and for how long, by lane and by kind of machine. Owned by the load balancer's thread.
  */
 public final class LoadTracker {
-    /** Window of latencies, in mean latency objectives. */
+    /** Window of the latencies, in mean latency objectives. */
     static final double LATENCY_WINDOW_OBJECTIVES = 6.4;
 
     /**
@@ -25,12 +24,11 @@
 
     private static final int LOAD_BUCKETS = 8;
 
-    /** Samples of the mean latency assumed for each kind of machine. */
+    /** Prior samples of the mean latency for each kind of machine. */
     private static final int PRIOR_SAMPLES_PER_MACHINE_KIND = 10;
 
     /**
-     * Attempts count as load up to this fraction of their latency objective: one that is lost
-     * counts as much as a slow one.
+     * An attempt counts as load up to this age, as a fraction of its latency objective, so that a lost attempt counts only as much as a slow one.
      */
     private static final double MAX_COUNTED_AGE_OBJECTIVES = 0.6;
 
@@ -40,7 +38,7 @@
     private final DeploymentTopology topology;
     private final long loadWindowTicks;
 
-    /** The time that attempts were in flight, in ticks, added up at samples. */
+    /** The sum of the times that attempts were in flight between samples, in ticks. */
     private final SlidingWindowSum inFlightTicks;
 
     /** The number of attempts sent. */
@@ -65,12 +63,12 @@
         latencyByMachineKind = new SlidingWindowMean(latencyWindowTicks);
     }
 
-    /** Counts no load for the time of a stall of this process, which has just ended. */
+    /** Excludes the time of a stall of this process, which has just ended, from the load. */
     void onStall(long nowTicks) {
         sampledAtTicks = nowTicks;
     }
 
-    /** The first attempt of all is sent now. */
+    /** The first attempt of this load balancer is sent. */
     void onFirstSent(long nowTicks) {
         firstSentAtTicks = nowTicks;
     }
@@ -114,7 +112,7 @@
         sampledAtTicks = nowTicks;
     }
 
-    /** Compares the kinds of machines by their latency. */
+    /** Updates the relative speeds of the kinds of machines from their latencies. */
     void updateRelativeSpeeds(List<Backend> ready, long nowTicks) {
         double mean = latency.mean(nowTicks, SINGLE_SERIES, 1, 1);
         for (Backend backend : ready) {
@@ -125,24 +123,25 @@
                                     backend.endpoint.machineKind(),
                                     PRIOR_SAMPLES_PER_MACHINE_KIND,
                                     mean);
-            // Squared, as much of a latency is often spent in further tiers, alike for all kinds.
+            // Squared, because much of the latency is often spent in further tiers, which does not
+            // depend on the kind of machine.
             backend.relativeSpeed = speed * speed;
         }
     }
 
-    /** The attempts of a tenant that are in flight. */
+    /** The number of attempts of a tenant that are in flight. */
     int inFlight(int tenant) {
         return inFlightByTenant.getOrDefault(tenant, 0);
     }
 
-    /** Attempts in flight, in the mean of the load window, times the number of load balancers. */
+    /** The mean number of attempts in flight over the load window, multiplied by the number of load balancers. */
     double estimatedTotalInFlight(long nowTicks) {
         return inFlightTicks.sum(nowTicks)
                 * (double) topology.loadBalancerCount()
                 / loadWindowTicks;
     }
 
-    /** The same, with this load balancer's part of it times a factor. */
+    /** The same, with this load balancer's mean multiplied by a factor. */
     double estimatedTotalInFlight(double factor, long nowTicks) {
         return inFlightTicks.sum(nowTicks)
                 * factor
@@ -150,26 +149,26 @@
                 / loadWindowTicks;
     }
 
-    /** Whether the load window has been filled since the first attempt. */
+    /** Whether the first attempt was sent at least a load window ago. */
     boolean isWindowFull(long nowTicks) {
         return nowTicks - firstSentAtTicks >= loadWindowTicks;
     }
 
-    /** The mean latency of all attempts, in ticks; 0 where there are none. */
+    /** The mean latency of all attempts, in ticks; 0 if there are none. */
     double meanLatencyTicks(long nowTicks) {
         return latency.mean(nowTicks, SINGLE_SERIES, 0, 0);
     }
 
-    /** The mean latency of attempts in a lane, with one assumed sample of the mean of all. */
+    /** The mean latency of attempts in a lane, with one prior sample of the mean of all. */
     double laneLatencyTicks(int laneIndex, long nowTicks) {
         return latencyByLane.mean(nowTicks, laneIndex, 1, meanLatencyTicks(nowTicks));
     }
 
     /**
-     * The mean time in flight, in ticks, by Little's law, so that what is still in flight counts.
+     * The mean time in flight, in ticks, by Little's law, so that attempts still in flight count.
      *
-     * @param priorSamples samples that are assumed beside the measured ones, 1 at least
-     * @param priorTicks the value of these samples
+     * @param priorSamples the number of prior samples that are added to the measured ones, at least 1
+     * @param priorTicks the value of the prior samples
      */
     public double meanTimeInFlightTicks(int priorSamples, double priorTicks, long nowTicks) {
         return (inFlightTicks.sum(nowTicks) + priorSamples * priorTicks)
--- a/src/main/java/cottonlock/decision/backend/OutlierDetector.java
+++ b/src/main/java/cottonlock/decision/backend/OutlierDetector.java
@@ -8,42 +8,39 @@
 import java.util.SplittableRandom;
 
 /**
- * Judges backends by the outcomes of attempts, by slow responses and by silence. A backend under
- * suspicion still gets some requests, by a draw from what is known of it, so that it is found again
- * once it recovers. Owned by the load balancer's thread.
+ * Rates backends by the outcomes of attempts, by slow responses and by silence. A suspected backend still gets some requests, decided by a draw from its estimated probability of success, so that its recovery is noticed. Owned by the load balancer's thread.
  */
 public final class OutlierDetector {
-    /** From so many failures in a row a backend is an outlier; a silence counts as as many. */
+    /** The consecutive failures from which a backend is an outlier; a silence counts as this many. */
     static final int OUTLIER_CONSECUTIVE_FAILURES = 3;
 
-    /** More failures in a row than these raise the suspicion no further. */
+    /** Consecutive failures beyond this number do not raise the suspicion further. */
     private static final int MAX_COUNTED_CONSECUTIVE_FAILURES = 4;
 
-    /** A latency of so many times the typical one is overdue: few requests cost that much more. */
+    /** A latency above this multiple of the typical one is overdue: few requests take that much longer. */
     private static final double OVERDUE_LATENCY_MULTIPLE = 3;
 
     /**
-     * Samples of a latency of half the objective assumed for each request class, and for all
-     * classes together.
+     * Prior samples of the latency: of half the objective for all classes together, and of the typical latency that results for each request class.
      */
     private static final int PRIOR_LATENCY_SAMPLES = 10;
 
-    /** Gaps between responses of the mean latency assumed for each backend. */
+    /** Prior gaps between responses for each backend, each as long as the mean latency. */
     private static final int PRIOR_RESPONSE_GAPS = 3;
 
-    /** A silence is a reason for suspicion from this score. */
+    /** The silence score above which a silence raises the suspicion. */
     private static final double MIN_SUSPICIOUS_SILENCE = 3;
 
-    /** A suspicion score below this is none. */
+    /** A backend with a suspicion score below this is not suspected. */
     private static final double MIN_SUSPICION = 1;
 
-    /** Outcomes beyond so many are scaled down, so that a draw stays uncertain. */
+    /** Counts of outcomes that add up to more than this are scaled down, so that a draw stays uncertain. */
     private static final double MAX_OUTCOMES_TO_DRAW_FROM = 30;
 
-    /** A backend is trusted where the drawn probability of success is above this. */
+    /** A suspected backend gets a request if the drawn probability of success is above this. */
     private static final double MIN_SUCCESS_PROBABILITY = 0.5;
 
-    /** The resolution of logarithms of latencies, which are kept as whole numbers. */
+    /** The resolution of logarithms of latencies, which are kept as integers: units per 1. */
     private static final int LOG_UNITS = 1_000;
 
     /** The series number for means that have a single series. */
@@ -51,7 +48,7 @@
 
     private final SplittableRandom random;
 
-    /** Logarithms of latencies against the objectives of their classes. */
+    /** Logarithms of the ratios of latencies to the objectives of their classes. */
     private final SlidingWindowMean logLatencyRatio;
 
     /** Logarithms of latencies by request class. */
@@ -60,7 +57,7 @@
     /** Latencies in ticks. */
     private final SlidingWindowMean latency;
 
-    /** Stands in for the mean latency until there are samples; 0 before the first attempt. */
+    /** The prior value of the mean latency; 0 before the first attempt. */
     private double assumedLatencyTicks;
 
     OutlierDetector(DeploymentTopology topology, SplittableRandom random) {
@@ -74,17 +71,17 @@
         latency = new SlidingWindowMean(windowTicks);
     }
 
-    /** Whether a backend has failed so often in a row that it counts for no capacity. */
+    /** Whether a backend has so many consecutive failures that its capacity does not count. */
     static boolean isOutlier(Backend backend) {
         return backend.consecutiveFailures >= OUTLIER_CONSECUTIVE_FAILURES;
     }
 
-    /** Whether no attempt has been sent yet, so that no latency can be assumed. */
+    /** Whether no attempt has been sent yet, so that there is no assumed latency. */
     boolean isWithoutAssumedLatency() {
         return assumedLatencyTicks == 0;
     }
 
-    /** Assumes half the latency objective of the first attempt as the mean latency. */
+    /** Assumes half the latency objective of the first request as the mean latency. */
     void assumeLatency(BackendRequest firstRequest) {
         assumedLatencyTicks = firstRequest.requestClass().latencyObjectiveTicks() / 2.0;
     }
@@ -97,8 +94,7 @@
     }
 
     /**
-     * A backend was found silent with an attempt in flight. It is not waited for any more, as it
-     * may be lost, and would keep a backend that has recovered silent until it times out.
+     * A backend was found silent with an attempt in flight. Its response is no longer expected: the attempt may be lost, and would make a recovered backend look silent until it times out.
      */
     void onSilenceDetected(Backend backend, long nowTicks) {
         backend.inFlightOverdue++;
@@ -107,7 +103,7 @@
         backend.lossUnreported = true;
     }
 
-    /** A peer has found a backend lost: taken as a failure, unless it has answered here lately. */
+    /** A peer has found a backend lost. This counts as a failure unless the backend has answered here recently. */
     void onPeerReport(Backend backend, long nowTicks) {
         if (backend.recentSuccesses(nowTicks) == 0) {
             backend.failures.add(nowTicks, 1);
@@ -158,7 +154,8 @@
         long latencyTicks = attempt.latencyTicks(nowTicks);
         boolean typicalLatencyKnown =
                 logLatencyByClass.count(nowTicks, classNumber) >= PRIOR_LATENCY_SAMPLES;
-        // A backend that has slowed down still answers, and would attract requests by that.
+        // A backend that has slowed down still answers. Counted as successes, its slow responses
+        // would attract requests.
         boolean slow =
                 measurable
                         && typicalLatencyKnown
@@ -175,15 +172,14 @@
     private static void recordFailure(Backend backend, AttemptOutcome outcome, long nowTicks) {
         backend.failures.add(nowTicks, 1);
         backend.consecutiveFailures++;
-        // Peers are spared the attempts by which each would find a lost zone out by itself.
+        // Reported to peers, so that they detect a lost zone without failed attempts of their own.
         boolean unreachable =
                 outcome == AttemptOutcome.CONNECT_FAILED && backend.consecutiveFailures >= 2;
         backend.lossUnreported |= unreachable;
     }
 
     /**
-     * How far a backend is under suspicion: its recent failures, or those in a row if there are
-     * more, and its silence. Below 1: not at all.
+     * How strongly a backend is suspected: the greater of its recent and its consecutive failures, and its silence. Below 1 it is not suspected.
      */
     double suspicionScore(Backend backend, long nowTicks) {
         long failures =
@@ -193,21 +189,20 @@
         return failures + Math.max(0, silenceScore(backend, nowTicks) - MIN_SUSPICIOUS_SILENCE);
     }
 
-    /** Whether a backend is under suspicion. */
+    /** Whether a backend is suspected. */
     boolean isSuspected(Backend backend, long nowTicks) {
         return suspicionScore(backend, nowTicks) >= MIN_SUSPICION;
     }
 
     /**
-     * Whether a backend gets a request now: always if it is not under suspicion, else by a draw of
-     * its probability of success from the beta distribution of its successes and failures.
+     * Whether a backend gets a request now: always if it is not suspected; otherwise by a draw of its probability of success from the beta distribution of its successes and failures.
      */
     boolean isTrusted(Backend backend, long nowTicks) {
         double suspicion = suspicionScore(backend, nowTicks);
         if (suspicion < MIN_SUSPICION) {
             return true;
         }
-        // Earlier successes count less with each failure in a row, and the longer the silence.
+        // Earlier successes count less with each consecutive failure, and with a longer silence.
         double successes =
                 backend.successes.sum(nowTicks)
                         * Math.exp(
@@ -219,7 +214,7 @@
         return successProbability > MIN_SUCCESS_PROBABILITY;
     }
 
-    /** How many of these backends get next to no requests, as they are under suspicion. */
+    /** How many of these backends get almost no requests because they are suspected. */
     long countAvoided(List<Backend> backends, long nowTicks) {
         return backends.stream()
                 .filter(
@@ -230,8 +225,7 @@
     }
 
     /**
-     * Whether a request has taken far longer than is typical of its class. Where the class has few
-     * samples, the latencies of all classes against their objectives stand in.
+     * Whether a request has taken far longer than is typical of its class. Where the class has few samples, the ratios of latency to objective of all classes are used.
      *
      * @param elapsedTicks the time since its attempt was sent
      */
@@ -258,9 +252,7 @@
     }
 
     /**
-     * How improbable the present silence of a backend is: minus the natural logarithm of its
-     * probability, as the gaps between responses before it are exponentially distributed. A backend
-     * that has failed lately is given less time.
+     * How improbable the present silence of a backend is: the negative natural logarithm of its probability, if gaps between responses are exponentially distributed with the mean of the recent ones. Consecutive failures raise the score, so that a failing backend is given less time.
      */
     public double silenceScore(Backend backend, long nowTicks) {
         double meanLatencyTicks =
--- a/src/main/java/cottonlock/decision/backend/PeerExchange.java
+++ b/src/main/java/cottonlock/decision/backend/PeerExchange.java
@@ -9,7 +9,7 @@
 
 /**
  * Messages between load balancers about lost backends: the ids of the backends, separated by
- * spaces. What a peer reports is never passed on. Owned by the load balancer's thread.
+ * spaces. Reports from peers are never forwarded. Owned by the load balancer's thread.
  */
 final class PeerExchange {
     private static final int MAX_MESSAGE_BYTES = 256;
@@ -23,8 +23,7 @@
     }
 
     /**
-     * Notifies peers of the backends found lost since the last call. Not where load balancers
-     * outnumber backends, as the false findings of all would make backends suspect everywhere.
+     * Notifies peers of the backends found lost since the previous call. Nothing is sent where load balancers outnumber backends, as the false detections of all of them would make healthy backends suspected everywhere.
      */
     void reportLosses(Collection<Backend> backends, int readyCount) {
         byte[] message = message(backends);
@@ -37,8 +36,7 @@
     }
 
     /**
-     * The first of the ids of backends found lost, as many as fit into one message. An id that is
-     * longer than a message is passed over: peers have to find that backend lost themselves.
+     * The ids of the backends found lost, up to the first that does not fit into the message. An id that is longer than a whole message is skipped: peers have to detect the loss of that backend themselves.
      */
     private static byte[] message(Collection<Backend> backends) {
         StringBuilder ids = new StringBuilder();
--- a/src/main/java/cottonlock/decision/backend/ReadyBackends.java
+++ b/src/main/java/cottonlock/decision/backend/ReadyBackends.java
@@ -9,7 +9,7 @@
 import java.util.List;
 
 /**
- * The backends that take new requests, and their lanes. Each list is in this load balancer's order
+ * The backends that accept new requests, and their lanes. Each list is in this load balancer's order
  * of preference, which differs between load balancers: where only a few backends of a list are
  * used, load balancers use different ones. Owned by the load balancer's thread.
  */
@@ -24,12 +24,12 @@
         this.preference = preference(topology);
     }
 
-    /** By weighted rendezvous hash, so that a larger backend is the first choice of more peers. */
+    /** By id where idle connections cost nothing; otherwise by weighted rendezvous hash, so that a larger backend is the first choice of more load balancers. */
     private static Comparator<Backend> preference(DeploymentTopology topology) {
         if (topology.connectionBreakEvenTicks() <= 0) {
             return Comparator.comparing(Backend::id);
         }
-        // Numbers below 0 keep these hashes apart from those of tenants.
+        // Negative numbers keep these hashes distinct from those of tenants.
         int hashNumber = -1 - topology.ownIndex();
         return Comparator.comparingDouble(
                 backend ->
@@ -37,7 +37,7 @@
                                 / backend.capacityWeight());
     }
 
-    /** Takes the ready ones of these backends, which come in the order of their ids. */
+    /** Rebuilds the lists from the ready ones of these backends, which must be in the order of their ids. */
     void refresh(Collection<Backend> known) {
         List<Backend> ready = known.stream().filter(backend -> !backend.isLeaving()).toList();
         lanes = LaneAssignment.assign(tenants, ready, Backend::id);
@@ -61,7 +61,7 @@
         return all.size();
     }
 
-    /** The lane of a tenant; what is in no lane, for a tenant that has none. */
+    /** The lane of a tenant; the backends in no lane for a tenant without one. */
     List<Backend> lane(int tenant) {
         return tenant < lanes.lanes().size() ? lanes.lanes().get(tenant) : lanes.unassigned();
     }
--- a/src/main/java/cottonlock/decision/backend/SlowStart.java
+++ b/src/main/java/cottonlock/decision/backend/SlowStart.java
@@ -6,11 +6,11 @@
 import java.util.SplittableRandom;
 
 /**
- * Limits what this load balancer sends to backends that warm up after a start, so that all load
+ * Limits the requests that this load balancer sends to backends that warm up after a start, so that all load
  * balancers together do not overload them. Owned by the load balancer's thread.
  */
 final class SlowStart {
-    /** The part of what overloads a warming backend that all load balancers may send it. */
+    /** The fraction of the requests that overload a warming backend which all load balancers together may send it. */
     private static final double OVERLOAD_FRACTION = 0.5;
 
     private final SlowStartConfig config;
@@ -18,9 +18,7 @@
     private final SplittableRandom random;
 
     /**
-     * What a warm backend of weight 1 completes of this load balancer's own attempts in the
-     * overload window. Own attempts only, so limits derived from it need no division by the number
-     * of load balancers.
+     * The number of this load balancer's attempts that a warm backend of weight 1 completes in the overload window. As attempts of other load balancers are not included, limits derived from it need no division by the number of load balancers.
      */
     private double completionsPerWeight;
 
@@ -36,8 +34,7 @@
     }
 
     /**
-     * Whether a backend may be sent a request now: always when warm; while it warms up, at randomly
-     * spaced times.
+     * Whether a backend may be sent a request now: always if it is warm; at randomly spaced times while it warms up.
      */
     boolean admits(Backend backend, long nowTicks) {
         double warmUpFraction = warmUpFraction(backend, nowTicks);
@@ -55,20 +52,20 @@
                         * warmUpFraction
                         * completionsPerWeight
                         * backend.capacityWeight();
-        // Until completions are known, all load balancers together may send one in a window.
+        // Until completions are known, all load balancers together may send one request per window.
         double minRequestsPerWindow = 1.0 / topology.loadBalancerCount();
         return (nowTicks - backend.lastSentAtTicks)
                         * Math.max(ownRequestsPerWindow, minRequestsPerWindow)
                 >= config.overloadWindowTicks() * backend.spacingFactor;
     }
 
-    /** A request was sent: draws the time until the next, 0.5 to 1.5 times the mean. */
+    /** A request was sent: draws the interval until the next one, 0.5 to 1.5 times the mean. */
     void onSent(Backend backend, long nowTicks) {
         backend.lastSentAtTicks = nowTicks;
         backend.spacingFactor = 0.5 + random.nextDouble();
     }
 
-    /** Learns from the backends that are warm and no outliers what backends can complete. */
+    /** Updates the completion rate from the backends that are warm and not outliers. */
     void updateCompletionRate(List<Backend> ready, long nowTicks) {
         double totalWeight = 0;
         long completions = 0;
--- a/src/main/java/cottonlock/decision/lane/LaneAssignment.java
+++ b/src/main/java/cottonlock/decision/lane/LaneAssignment.java
@@ -7,23 +7,21 @@
 import java.util.function.Function;
 
 /**
- * Which backends form the lane of each tenant. Every load balancer with the same list of backends
- * comes to the same assignment, and a change of the list moves few backends between lanes.
+ * The assignment of backends to the lanes of tenants. Every load balancer with the same list of backends computes the same assignment, and a change of the list moves few backends between lanes.
  *
  * @param <T> the type that stands for a backend
  * @param lanes the lane of each tenant, in the order of the tenants
- * @param unassigned the backends that are in no lane, open to all tenants
+ * @param unassigned the backends that are in no lane, available to all tenants
  */
 public record LaneAssignment<T>(List<List<T>> lanes, List<T> unassigned) {
     /** A deficit below this is a rounding error, in backends. */
     private static final double MIN_DEFICIT = 1e-9;
 
     /**
-     * Assigns backends to lanes: in the order of the tenants, each takes those with its highest
-     * rendezvous hash among the backends that are still free.
+     * Assigns backends to lanes: in the order of the tenants, each gets those with its highest rendezvous hashes among the backends that are still unassigned.
      *
      * @param backends the backends to assign; the list is not changed
-     * @param id gives the unique name of a backend
+     * @param id returns the unique id of a backend
      */
     public static <T> LaneAssignment<T> assign(
             List<Tenant> tenants, List<T> backends, Function<T, String> id) {
@@ -43,8 +41,7 @@
     }
 
     /**
-     * The number of backends in the lane of each tenant: its share of them, rounded, and one at
-     * least as long as there are enough backends.
+     * The number of backends in the lane of each tenant: its share of them, rounded, and at least one if there are enough backends.
      */
     public static int[] laneSizes(List<Tenant> tenants, int backendCount) {
         int[] sizes = new int[tenants.size()];
@@ -58,13 +55,13 @@
         return sizes;
     }
 
-    /** The tenant that lacks most of its share; -1 where none lacks anything. */
+    /** The tenant that is furthest below its share; -1 if none is below it. */
     private static int tenantWithLargestDeficit(
             List<Tenant> tenants, int[] sizes, int backendCount) {
         int tenantToGrow = -1;
         double largestDeficit = MIN_DEFICIT;
         for (int t = 0; t < sizes.length; t++) {
-            // A tenant without any backend comes first, the earlier the more.
+            // Tenants without any backend take precedence, in the order of the tenants.
             double deficit =
                     sizes[t] == 0
                             ? Integer.MAX_VALUE - t
--- a/src/main/java/cottonlock/decision/lane/package-info.java
+++ b/src/main/java/cottonlock/decision/lane/package-info.java
@@ -1,5 +1,4 @@
 /**
- * Lanes: each tenant prefers a part of the backends of its own, so that a tenant that overloads its
- * backends leaves the others' alone.
+ * Lanes: each tenant prefers its own part of the backends, so that a tenant that overloads its part does not affect the others.
  */
 package cottonlock.decision.lane;
--- a/src/main/java/cottonlock/decision/request/Attempt.java
+++ b/src/main/java/cottonlock/decision/request/Attempt.java
@@ -27,12 +27,12 @@
         return sentAtTicks;
     }
 
-    /** Whether its outcome is still open. */
+    /** Whether it has no outcome yet. */
     public boolean isInFlight() {
         return inFlight;
     }
 
-    /** Whether it may be cancelled: not twice, and not once its response reaches the client. */
+    /** Whether it may be cancelled: only once, and only before its response begins to reach the client. */
     public boolean isCancellable() {
         return cancellable;
     }
@@ -47,18 +47,18 @@
         return neverExecuted;
     }
 
-    /** It has ended. */
+    /** Records its outcome. */
     public void complete(AttemptOutcome outcome) {
         inFlight = false;
         neverExecuted = outcome.neverExecuted();
     }
 
-    /** It was cancelled, or its response has begun to reach the client. */
+    /** Records that it was cancelled, or that its response has begun to reach the client. */
     public void forbidCancelling() {
         cancellable = false;
     }
 
-    /** Its backend was found silent. */
+    /** Records that its backend was found silent. */
     public void onBackendSilent() {
         backendWasSilent = true;
     }
--- a/src/main/java/cottonlock/decision/request/Request.java
+++ b/src/main/java/cottonlock/decision/request/Request.java
@@ -13,7 +13,7 @@
  * balancer's thread. Times are in {@link cottonlock.core.Ticks}.
  */
 public final class Request implements BackendRequest {
-    /** Tenths of the deduplication window within which a repeat must have been written. */
+    /** The part of the deduplication window, in tenths, within which a repeat must be written. */
     private static final int WINDOW_TENTHS_TO_SEND = 9;
 
     private final long id;
@@ -37,7 +37,7 @@
     /**
      * A request without attempts.
      *
-     * @param arrivedAtTicks when it arrived, earlier than it was read if this process was stalled
+     * @param arrivedAtTicks when it arrived, which is earlier than when it was read if this process was stalled
      */
     public Request(
             RequestArrival arrival,
@@ -78,7 +78,7 @@
         return deadlineTicks;
     }
 
-    /** When the latency objective ends, the deadline at the latest. */
+    /** When the latency objective ends, at the latest the deadline. */
     public long objectiveDeadlineTicks() {
         return objectiveDeadlineTicks;
     }
@@ -94,7 +94,7 @@
         return overQuota;
     }
 
-    /** The tenant has used up its quota. */
+    /** Records that the tenant had used up its quota. */
     public void markOverQuota() {
         overQuota = true;
     }
@@ -109,12 +109,12 @@
         rejectionReason = reason;
     }
 
-    /** When the request was queued for capacity; meaningless if it never was. */
+    /** When the request was queued for capacity; 0 if it never was. */
     public long queuedAtTicks() {
         return queuedAtTicks;
     }
 
-    /** It waits for capacity from now on. */
+    /** Records that the request is queued for capacity. */
     public void onQueued(long nowTicks) {
         queuedAtTicks = nowTicks;
     }
@@ -129,13 +129,13 @@
         return holdsCapacity;
     }
 
-    /** It is admitted, and counts against the limit. */
+    /** Records that the request is admitted and counts against the limit. */
     public void onAdmitted(long nowTicks) {
         holdsCapacity = true;
         admittedAtTicks = nowTicks;
     }
 
-    /** It counts against the limit no longer. */
+    /** Records that the request no longer counts against the limit. */
     public void onCapacityReleased() {
         holdsCapacity = false;
     }
@@ -145,7 +145,7 @@
         return completed;
     }
 
-    /** The client has its final response, or has disconnected. */
+    /** Records that the client has its final response, or has disconnected. */
     public void complete() {
         completed = true;
     }
@@ -185,7 +185,7 @@
         return lastAttempt().sentAtTicks();
     }
 
-    /** Whether the outcome of any attempt is still open. */
+    /** Whether any attempt has no outcome yet. */
     public boolean hasAttemptInFlight() {
         for (Attempt attempt : attempts) {
             if (attempt.isInFlight()) {
--- a/src/main/java/cottonlock/decision/retry/AttemptTracker.java
+++ b/src/main/java/cottonlock/decision/retry/AttemptTracker.java
@@ -18,7 +18,7 @@
  * RetryPolicy} says. Owned by the load balancer's thread.
  */
 public final class AttemptTracker implements RequestStage {
-    /** A backend counts as silent when its silence has a probability of e^-8 or less. */
+    /** The silence score from which a backend counts as silent: a probability of e^-8. */
     private static final double SILENCE_THRESHOLD = 8;
 
     private final LoadBalancerActions actions;
@@ -35,7 +35,7 @@
     /**
      * A tracker without requests.
      *
-     * @param maxAttempts the most attempts of a request, 1 or more
+     * @param maxAttempts the maximum number of attempts of a request, 1 or more
      * @param cancellationAllowed whether attempts in flight may be cancelled
      */
     public AttemptTracker(
@@ -51,12 +51,12 @@
                 new RetryPolicy(registry, registry.topology(), maxAttempts, cancellationAllowed);
     }
 
-    /** Connects the stages that follow; called once, before the first request. */
+    /** Connects the stage that handles retries; called once, before the first request. */
     public void connect(RequestStage stageForRetries) {
         retryStage = stageForRetries;
     }
 
-    /** Sets the most attempts of a request, 1 or more. */
+    /** Sets the maximum number of attempts of a request, 1 or more. */
     public void setMaxAttempts(int attempts) {
         retryPolicy.setMaxAttempts(attempts);
     }
@@ -121,7 +121,7 @@
                 nowTicks);
         boolean answeredOrFailed =
                 outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.NOT_SENT;
-        // Times taken right after a stall of this process measure the stall, not the backend.
+        // Latencies measured right after a stall of this process include the stall.
         if (!registry.isResumingFromStall(nowTicks) && answeredOrFailed) {
             admission.onAttemptCompleted(request, outcome, nowTicks - attempt.sentAtTicks());
         }
@@ -135,7 +135,7 @@
         }
     }
 
-    /** Forbids to cancel an attempt whose response is on its way to the client. */
+    /** Makes an attempt whose response has begun to reach the client uncancellable. */
     public void onResponseStarted(long requestId, int attemptNumber) {
         Request request = requests.get(requestId);
         if (request != null && attemptNumber < request.attemptCount()) {
@@ -163,7 +163,7 @@
      */
     public void checkSilentBackends(long nowTicks) {
         long silentBackends = registry.all().stream().filter(b -> isSilent(b, nowTicks)).count();
-        // If most are silent, the cause is likely not the backends, and retries would add load.
+        // If most are silent, the backends are probably not the cause, and retries would add load.
         boolean fewSilent = silentBackends * 2 <= registry.ready().size();
         for (Backend backend : registry.all()) {
             boolean silent = isSilent(backend, nowTicks);
--- a/src/main/java/cottonlock/decision/retry/RetryBudget.java
+++ b/src/main/java/cottonlock/decision/retry/RetryBudget.java
@@ -1,19 +1,18 @@
 package cottonlock.decision.retry;
 
 /**
- * Limits retries of requests that may have been executed to a part of all attempts, so that retries
- * don't amplify an overload. Owned by the load balancer's thread.
+ * Limits retries of requests that may have been executed to a fraction of all attempts, so that retries do not amplify an overload. Owned by the load balancer's thread.
  */
 final class RetryBudget {
-    /** Retries that each attempt permits. */
+    /** Retries that each attempt adds to the budget. */
     private static final double RETRIES_PER_ATTEMPT = 0.1;
 
-    /** The most retries that attempts save up. */
+    /** The maximum number of retries that attempts accumulate. */
     private static final double MAX_SAVED_RETRIES = 5;
 
     private double retries;
 
-    /** An attempt, first or repeated, is sent. */
+    /** An attempt, first or retry, is sent. */
     void onAttempt() {
         retries = Math.min(MAX_SAVED_RETRIES, retries + RETRIES_PER_ATTEMPT);
     }
@@ -28,7 +27,7 @@
         retries--;
     }
 
-    /** Adds one retry that does not count against the budget. */
+    /** Adds one retry, so that the next one does not reduce the budget. */
     void grant() {
         retries++;
     }
--- a/src/main/java/cottonlock/decision/retry/RetryPolicy.java
+++ b/src/main/java/cottonlock/decision/retry/RetryPolicy.java
@@ -10,11 +10,10 @@
 import cottonlock.decision.request.Request;
 
 /**
- * When a request is sent again, by the load balancer or by its client, and when an attempt is
- * cancelled for it. Owned by the load balancer's thread.
+ * Decides when a request is sent again, by the load balancer or by its client, and when an attempt is cancelled for a retry. Owned by the load balancer's thread.
  */
 public final class RetryPolicy {
-    /** With more load balancers for each ready backend than this, all retries use the budget. */
+    /** With more load balancers per ready backend than this, retries of rejected attempts use the budget too. */
     private static final int MAX_LOAD_BALANCERS_PER_BACKEND = 2;
 
     private final BackendRegistry registry;
@@ -24,9 +23,9 @@
     private int maxAttempts;
 
     /**
-     * A policy with an unspent budget.
+     * A policy with an empty budget.
      *
-     * @param maxAttempts the most attempts of a request, 1 or more
+     * @param maxAttempts the maximum number of attempts of a request, 1 or more
      * @param cancellationAllowed whether attempts in flight may be cancelled
      */
     RetryPolicy(
@@ -41,8 +40,7 @@
     }
 
     /**
-     * Whether a client may send the request again at a time without harm: it was not executed,
-     * repeated execution is harmless, or every backend would still recognise its idempotency key.
+     * Whether it is safe if the client sends the request again at the given time: it was not executed, it is idempotent, or every backend would still recognise its idempotency key.
      */
     public static boolean clientMayRetry(Request request, long atTicks) {
         RequestClass requestClass = request.requestClass();
@@ -55,19 +53,18 @@
                 && atTicks < executed.sentAtTicks() + requestClass.deduplicationWindowTicks();
     }
 
-    /** Sets the most attempts of a request, 1 or more. */
+    /** Sets the maximum number of attempts of a request, 1 or more. */
     void setMaxAttempts(int attempts) {
         maxAttempts = attempts;
     }
 
-    /** An attempt, first or repeated, is sent. */
+    /** An attempt, first or retry, is sent. */
     void onAttempt() {
         budget.onAttempt();
     }
 
     /**
-     * Whether a request whose last attempt has ended is sent again. A retry that is permitted only
-     * by the budget is taken out of it.
+     * Whether a request whose last attempt has ended is sent again. A retry that needs the budget is subtracted from it.
      */
     boolean tryRetry(Request request, AttemptOutcome lastOutcome, long nowTicks) {
         if (!hasAttemptsAndTimeLeft(request, nowTicks)) {
@@ -87,7 +84,7 @@
         return true;
     }
 
-    /** Where many load balancers share few backends, free retries of rejections would overload. */
+    /** Where many load balancers share few backends, unlimited retries of rejected attempts would overload the backends. */
     private boolean isRejectionWithFewBackends(AttemptOutcome lastOutcome) {
         return lastOutcome == AttemptOutcome.REJECTED
                 && topology.loadBalancerCount()
@@ -98,8 +95,7 @@
      * Whether an attempt at a silent backend is cancelled, so that its request can be sent to
      * another one.
      *
-     * @param fewBackendsSilent whether the fault is likely the backends' own; only then the retry
-     *     that follows does not count against the budget
+     * @param fewBackendsSilent whether the backends are probably the cause; only then the retry that follows does not count against the budget
      */
     boolean tryCancel(Request request, boolean fewBackendsSilent, long nowTicks) {
         boolean cancels =
--- a/src/main/java/cottonlock/decision/routing/BackendPicker.java
+++ b/src/main/java/cottonlock/decision/routing/BackendPicker.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 
 /**
- * Picks one of the candidates at random, weighted by their effective size. Owned by the load
+ * Picks one of the candidates at random, weighted by their effective capacity. Owned by the load
  * balancer's thread.
  */
 public final class BackendPicker implements RequestStage {
@@ -24,12 +24,12 @@
         this.random = random;
     }
 
-    /** Connects the stages that follow; called once, before the first request. */
+    /** Connects the stage that follows; called once, before the first request. */
     public void connect(RequestStage nextStage) {
         next = nextStage;
     }
 
-    /** Reduces the request's candidates, of which there must be one or more, to the chosen one. */
+    /** Reduces the request's candidates, of which there must be at least one, to the chosen one. */
     @Override
     public void process(Request request, long nowTicks) {
         double totalCapacity = 0;
--- a/src/main/java/cottonlock/decision/routing/LaneSelector.java
+++ b/src/main/java/cottonlock/decision/routing/LaneSelector.java
@@ -9,15 +9,14 @@
 import java.util.List;
 
 /**
- * Chooses the group of backends that a request may go to: its tenant's lane; the backends in no
- * lane if none of the lane is usable; all backends if none of those is. Owned by the load
+ * Chooses the group of backends that a request may go to: its tenant's lane; the backends in no lane if the lane has no eligible backend; all backends if those have none either. A request that spills over from a crowded lane skips the lane and gets the backends of uncrowded lanes instead of all. Owned by the load
  * balancer's thread.
  */
 public final class LaneSelector implements RequestStage {
-    /** The multiple of the mean load above which a backend is passed over. */
+    /** The multiple of the mean load above which a backend is not eligible. */
     private static final double MAX_RELATIVE_LOAD = 1.25;
 
-    /** The multiple of the usual attempt time above which requests spill out of a lane. */
+    /** The multiple of the mean attempt time above which requests spill over from a lane. */
     private static final double MAX_RELATIVE_ATTEMPT_TIME = 1.25;
 
     /** The same where the load balancers carry very different load. */
@@ -35,12 +34,12 @@
         this.registry = registry;
     }
 
-    /** Connects the stages that follow; called once, before the first request. */
+    /** Connects the stage that follows; called once, before the first request. */
     public void connect(RequestStage nextStage) {
         next = nextStage;
     }
 
-    /** Leaves the usable backends in the request's candidates, or returns the request. */
+    /** Sets the request's candidates to the eligible backends, or returns the request if there are none. */
     @Override
     public void process(Request request, long nowTicks) {
         request.setCandidates(candidates(request, nowTicks));
--- a/src/main/java/cottonlock/decision/stats/SlidingWindowMean.java
+++ b/src/main/java/cottonlock/decision/stats/SlidingWindowMean.java
@@ -5,7 +5,7 @@
 
 /**
  * Means over a sliding window, for several series that are numbered from 0, such as one for each
- * request class. Moments never go back. Owned by the load balancer's thread.
+ * request class. Times must not decrease. Owned by the load balancer's thread.
  */
 public final class SlidingWindowMean {
     private static final int BUCKETS = 10;
@@ -35,10 +35,9 @@
     }
 
     /**
-     * The mean of a series with some assumed samples of one value beside those in the window; 0
-     * where there are neither.
+     * The mean of the samples of a series in the window and of some prior samples of one value; 0 if there are neither.
      *
-     * @param priorSamples the number of assumed samples, 0 or more
+     * @param priorSamples the number of prior samples, 0 or more
      * @param priorValue the value of each of them
      */
     public double mean(long nowTicks, int series, int priorSamples, double priorValue) {
--- a/src/main/java/cottonlock/decision/stats/SlidingWindowMin.java
+++ b/src/main/java/cottonlock/decision/stats/SlidingWindowMin.java
@@ -3,8 +3,7 @@
 import java.util.Arrays;
 
 /**
- * The minimum over a sliding window, kept in a ring of buckets of equal length. Moments never go
- * back. Owned by the load balancer's thread.
+ * The minimum over a sliding window, kept in a ring of buckets of equal length. Times must not decrease. Owned by the load balancer's thread.
  */
 public final class SlidingWindowMin {
     private static final double EMPTY = Double.POSITIVE_INFINITY;
@@ -12,7 +11,7 @@
     private final double[] buckets;
     private final long bucketTicks;
 
-    /** The number of the latest bucket in use, counted from the origin of time. */
+    /** The number of the latest bucket in use, counted from time 0. */
     private long newestBucket = Long.MIN_VALUE;
 
     /** A window of this length, rounded up to whole buckets, without samples. */
@@ -44,7 +43,7 @@
         return (int) Math.floorMod(bucket, (long) buckets.length);
     }
 
-    /** The minimum of the window that ended with the latest sample; infinite where it is empty. */
+    /** The minimum of the window that ended with the latest sample; infinite if it is empty. */
     public double value() {
         double lowest = EMPTY;
         for (double bucket : buckets) {
--- a/src/main/java/cottonlock/decision/stats/SlidingWindowSum.java
+++ b/src/main/java/cottonlock/decision/stats/SlidingWindowSum.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 
 /**
- * A sum over a sliding window, kept in a ring of buckets of equal length. Moments never go back.
+ * A sum over a sliding window, kept in a ring of buckets of equal length. Times must not decrease.
  * Owned by the load balancer's thread.
  */
 public final class SlidingWindowSum {
     private final long[] buckets;
     private final long bucketTicks;
 
-    /** The number of the latest bucket in use, counted from the origin of time. */
+    /** The number of the latest bucket in use, counted from time 0. */
     private long newestBucket = Long.MIN_VALUE;
 
     private long total;
@@ -28,13 +28,13 @@
         total += amount;
     }
 
-    /** The sum of the window that ends now; a bucket counts until all of it is too old. */
+    /** The sum of the window that ends now; a bucket counts until all of it is outside the window. */
     public long sum(long nowTicks) {
         advance(nowTicks);
         return total;
     }
 
-    /** Forgets all amounts. */
+    /** Removes all amounts. */
     public void clear() {
         Arrays.fill(buckets, 0);
         total = 0;
--- a/src/main/java/cottonlock/decision/stats/package-info.java
+++ b/src/main/java/cottonlock/decision/stats/package-info.java
@@ -1,5 +1,4 @@
 /**
- * Statistics over sliding windows of time and random draws, which the load balancer decides by.
- * Free of I/O and clocks: the time, in ticks, is an argument.
+ * Statistics over sliding time windows and random draws, on which the load balancer's decisions are based. Free of I/O and clocks: the time, in ticks, is an argument.
  */
 package cottonlock.decision.stats;
