--- a/src/main/java/cottonlock/core/Deterministic.java
+++ b/src/main/java/cottonlock/core/Deterministic.java
@@ -6,9 +6,7 @@
 import java.lang.annotation.Target;
 
 /**
- * Marks a class that decides something: it takes time and chance as arguments and knows no input or
- * output, clock, thread, lock or logger. A test reads the mark from the compiled class; nothing
- * loads it in service.
+ * Marks a class whose behaviour depends only on its arguments: it receives the time and random generators from its caller and uses no input or output, clock, thread, lock or logger. An architecture test reads the annotation from the compiled class; it is not available at run time.
  */
 @Retention(RetentionPolicy.CLASS)
 @Target(ElementType.TYPE)
--- a/src/main/java/cottonlock/core/Ticks.java
+++ b/src/main/java/cottonlock/core/Ticks.java
@@ -1,12 +1,9 @@
 package cottonlock.core;
 
 /**
- * Ticks of 0.1 ms, the unit in which the deciding classes count time. The simulator's wire and the
- * settings give microseconds; they are converted once, where they are read.
+ * Ticks of 0.1 ms, the unit of time in decisions. The simulator's protocol and the settings use microseconds, which are converted once, where they are read.
  *
- * <p>A variable that holds ticks says so by its name: {@code nowTicks} is a moment, {@code
- * timeoutTicks} a length of time. Moments count from an origin that the caller chooses and never go
- * back.
+ * <p>Names of variables that hold ticks end in {@code Ticks}: {@code nowTicks} is a point in time, {@code timeoutTicks} a duration. Points in time count from an origin that the caller chooses and never decrease.
  */
 public final class Ticks {
     /** Ticks in a millisecond. */
@@ -23,22 +20,22 @@
 
     private Ticks() {}
 
-    /** The ticks of so many milliseconds. */
+    /** Converts milliseconds to ticks. */
     public static long ofMillis(long millis) {
         return millis * PER_MILLISECOND;
     }
 
-    /** The ticks of so many seconds. */
+    /** Converts seconds to ticks. */
     public static long ofSeconds(long seconds) {
         return seconds * PER_SECOND;
     }
 
-    /** Whole milliseconds of so many ticks, rounded down. */
+    /** Converts ticks to milliseconds, rounded down. */
     public static long toMillis(long ticks) {
         return ticks / PER_MILLISECOND;
     }
 
-    /** Nanoseconds of so many ticks. */
+    /** Converts ticks to nanoseconds. */
     public static long toNanos(long ticks) {
         return ticks * NANOSECONDS_PER_TICK;
     }
--- a/src/main/java/cottonlock/core/package-info.java
+++ b/src/main/java/cottonlock/core/package-info.java
@@ -1,5 +1,4 @@
 /**
- * What every package that decides shares: the unit of time and the mark of classes that decide
- * without I/O.
+ * The unit of time and the annotation of deterministic classes, shared by all packages that make decisions.
  */
 package cottonlock.core;
--- a/src/main/java/cottonlock/setup/InvalidSettingsException.java
+++ b/src/main/java/cottonlock/setup/InvalidSettingsException.java
@@ -1,10 +1,10 @@
 package cottonlock.setup;
 
-/** Settings, or input of the simulator, that do not keep to their form. */
+/** Thrown for malformed settings or malformed input from the simulator. */
 public final class InvalidSettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** The message names what is wrong: the path of the setting, its value and what it must be. */
+    /** The message must name the fault: the path of the setting, its value and what is expected. */
     public InvalidSettingsException(String message) {
         super(message);
     }
--- a/src/main/java/cottonlock/setup/LoadBalancerFactory.java
+++ b/src/main/java/cottonlock/setup/LoadBalancerFactory.java
@@ -21,12 +21,10 @@
 import java.util.SplittableRandom;
 
 /**
- * Builds load balancers from the settings of one, for the simulator and the proxy alike. The names
- * of the settings stand here and nowhere else in the way to a decision. Not thread-safe as long as
- * its settings change.
+ * Builds load balancers from settings, for both the simulator and the proxy. It is the only class that knows the names of the settings on which decisions depend. Thread-safe only while its settings do not change.
  */
 public final class LoadBalancerFactory {
-    /** The fee for connections that are kept counts for so many backends. */
+    /** The number of backends that the fee for open connections is quoted for. */
     private static final int BACKENDS_PER_CONNECTION_FEE = 100;
 
     private static final Map<String, Idempotency> IDEMPOTENCY_BY_SETTING =
@@ -53,9 +51,9 @@
     private final List<Tenant> tenants;
 
     /**
-     * Reads request classes and tenants; the other settings are read with each load balancer.
+     * Reads request classes and tenants; the other settings are read when a load balancer is created.
      *
-     * @throws InvalidSettingsException if one of them does not keep to its form
+     * @throws InvalidSettingsException if one of them is malformed
      */
     public LoadBalancerFactory(Settings settings) {
         this.settings = settings;
@@ -84,14 +82,14 @@
     }
 
     /**
-     * A new load balancer.
+     * Creates a load balancer.
      *
-     * @param actions what it answers through
-     * @param seed of all its random draws
-     * @throws InvalidSettingsException if a setting does not keep to its form
+     * @param actions receives the actions of the load balancer
+     * @param seed the seed of all its random draws
+     * @throws InvalidSettingsException if a setting is malformed
      */
     public LoadBalancer create(LoadBalancerActions actions, long seed) {
-        // Each part has a source of random draws of its own; the order of the splits fixes them.
+        // Each part has its own random generator, which the order of the splits determines.
         SplittableRandom random = new SplittableRandom(seed);
         boolean firstTier = settings.count("Stage", 0) == 0;
         boolean retryAfterAllowed = settings.flag("Limits.RetryAfter", false);
@@ -152,9 +150,7 @@
     }
 
     /**
-     * For each backend, the time after which an idle connection has cost as much as a new one: the
-     * fee for handshakes is by the request, as many as the quotas allow. 0 where idle connections
-     * cost nothing.
+     * For each backend, the time after which an idle connection has cost as much as a new one. The handshake fee applies to handshakes per request, with as many requests as the quotas allow. 0 where idle connections cost nothing.
      */
     private double readConnectionBreakEvenTicks() {
         double connectionFee = readFee("Fees.Connection");
--- a/src/main/java/cottonlock/setup/OperatorConfig.java
+++ b/src/main/java/cottonlock/setup/OperatorConfig.java
@@ -3,12 +3,11 @@
 import java.util.Map;
 
 /**
- * What the operator's file configures beside the platform's file.
+ * The configuration from the operator's file, which complements the platform's file.
  *
- * @param shadowSettings settings, by path, of a shadow load balancer whose decisions are only
- *     counted; empty: there is none
- * @param membership how proxies know each other; null: they don't
- * @param rollout where new versions of the configuration are learnt of; null: from the file alone
+ * @param shadowSettings settings, by path, of a shadow load balancer whose decisions are only counted; if empty, there is none
+ * @param membership how proxies find each other; null if they do not
+ * @param rollout the source of new versions of the configuration; null if the file is the only source
  */
 public record OperatorConfig(
         Map<String, String> shadowSettings, MembershipConfig membership, RolloutConfig rollout) {
--- a/src/main/java/cottonlock/setup/Settings.java
+++ b/src/main/java/cottonlock/setup/Settings.java
@@ -9,11 +9,9 @@
 import java.util.TreeMap;
 
 /**
- * The settings of one load balancer: texts by path, such as {@code Limits.MaxRetryAfter}, read as
- * the type that is asked for. Settings that nothing asks for are ignored. Lengths of time are given
- * in microseconds and read in ticks. Not thread-safe.
+ * The settings of one load balancer: text values by path, such as {@code Limits.MaxRetryAfter}, which are converted to a type when read. Settings that are never read are ignored. Durations are given in microseconds and read in ticks. Not thread-safe.
  *
- * <p>Each method that reads throws {@link InvalidSettingsException} if the value is not of its
+ * <p>Each method that reads a value throws {@link InvalidSettingsException} if the value is not of its
  * type; the message names the path and the value.
  */
 public final class Settings {
@@ -33,7 +31,7 @@
         put(pathAndValue.substring(0, equals), pathAndValue.substring(equals + 1));
     }
 
-    /** Adds a setting, in place of an earlier one of the same path. */
+    /** Adds a setting, or replaces an earlier one with the same path. */
     public void put(String path, String value) {
         valuesByPath.put(path, value);
     }
@@ -43,12 +41,12 @@
         return new TreeMap<>(valuesByPath);
     }
 
-    /** A text. */
+    /** The value as text. */
     public String text(String path, String defaultValue) {
         return valuesByPath.getOrDefault(path, defaultValue);
     }
 
-    /** A boolean: {@code true} or 1, {@code false} or 0. */
+    /** The value as a boolean: {@code true} or 1, {@code false} or 0. */
     public boolean flag(String path, boolean defaultValue) {
         String value = valuesByPath.get(path);
         if (value == null) {
@@ -63,7 +61,7 @@
         };
     }
 
-    /** A number. */
+    /** The value as a number. */
     public double number(String path, double defaultValue) {
         String value = valuesByPath.get(path);
         if (value == null) {
@@ -75,24 +73,24 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Reported below, as NaN is.
+            // Reported below, like NaN.
         }
         throw new InvalidSettingsException("setting " + path + " is not a number: " + value);
     }
 
-    /** A whole number: cut to one, and to the range of an int. */
+    /** The value as a whole number, truncated and limited to the range of an int. */
     public int count(String path, int defaultValue) {
         double number = number(path, defaultValue);
         return (int) Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, number));
     }
 
-    /** A list of texts, separated by commas; empty where there is none. */
+    /** The value as a list of texts separated by commas; empty if there is none. */
     public List<String> list(String path) {
         String value = text(path, "");
         return value.isEmpty() ? List.of() : List.of(value.split(","));
     }
 
-    /** One field of each item of a list of objects; empty texts where an item lacks it. */
+    /** The values of one field in each item of a list of objects; empty where an item lacks the field. */
     public List<String> fieldOfEach(String path, String field) {
         List<String> values = new ArrayList<>();
         for (int i = 0; i < count(path + ".count", 0); i++) {
@@ -101,30 +99,30 @@
         return values;
     }
 
-    /** A length of time in ticks, rounded down; 0 where none is given. */
+    /** A duration in ticks, rounded down; 0 if the setting is absent. */
     public long ticksRoundedDown(String path) {
         return ticksRoundedDown(path, 0);
     }
 
     /**
-     * A length of time in ticks, rounded down.
+     * A duration in ticks, rounded down.
      *
-     * @param defaultMicros what holds where none is given, in microseconds
+     * @param defaultMicros the default, in microseconds
      */
     public long ticksRoundedDown(String path, double defaultMicros) {
         return (long) Math.floor(number(path, defaultMicros) / Ticks.MICROSECONDS_PER_TICK);
     }
 
-    /** A length of time in ticks, rounded up; 0 where none is given. */
+    /** A duration in ticks, rounded up; 0 if the setting is absent. */
     public long ticksRoundedUp(String path) {
         return (long) Math.ceil(number(path, 0) / Ticks.MICROSECONDS_PER_TICK);
     }
 
     /**
-     * A setting that must be one of a few words.
+     * The value as one of a few words.
      *
-     * @param defaultWord the word that holds where none is given
-     * @param valuesByWord what each word stands for
+     * @param defaultWord the default
+     * @param valuesByWord the value for each word
      */
     public <T> T choice(String path, String defaultWord, Map<String, T> valuesByWord) {
         String word = text(path, defaultWord);
--- a/src/main/java/cottonlock/simulator/EndpointListReader.java
+++ b/src/main/java/cottonlock/simulator/EndpointListReader.java
@@ -11,10 +11,10 @@
 final class EndpointListReader {
     private static final int BUFFER_COUNT = 16;
 
-    /** Numbers of the protocol stay below this. */
+    /** The exclusive upper bound of numbers in the protocol. */
     private static final int NUMBER_LIMIT = Integer.MAX_VALUE;
 
-    /** The endpoints' capacity weight where the list gives none. */
+    /** The capacity weight of an endpoint for which the list gives none. */
     private static final double DEFAULT_CAPACITY_WEIGHT = 1;
 
     private final LineReader in;
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Reads a list, whose first line has been begun, up to its last endpoint.
+     * Reads a list up to its last endpoint; the message name of its first line has already been read.
      *
      * @throws InvalidSettingsException if the list is malformed or too short
      */
@@ -49,7 +49,7 @@
     }
 
     /**
-     * The list under the buffer number in the next field.
+     * Returns the list with the buffer number in the next field.
      *
      * @throws InvalidSettingsException if no list has been read for it
      */
@@ -68,7 +68,7 @@
         int cell = in.readIndex("UnitGroup", NUMBER_LIMIT);
         Endpoint.State state = WireVocabulary.state(in.readText("Lifecycle"), id);
         double capacityWeight = capacityWeight(in.readText("Size"));
-        // Rounded up: a backend must not be taken for older, and so for warmer, than it is.
+        // Rounded up: an earlier start would make the backend count as warmer than it is.
         long startedAtTicks =
                 (in.readLong("ReadyAt") + Ticks.MICROSECONDS_PER_TICK - 1)
                         / Ticks.MICROSECONDS_PER_TICK;
--- a/src/main/java/cottonlock/simulator/LineReader.java
+++ b/src/main/java/cottonlock/simulator/LineReader.java
@@ -6,9 +6,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads lines of fields separated by spaces. Numbers are parsed in the buffer, with no string for
- * each. The fields of a line are read in order; each method names its field, for error messages,
- * and throws {@link InvalidSettingsException} if it is absent or malformed. Used by one thread.
+ * Reads lines of fields separated by spaces. Numbers are parsed in the buffer without creating strings. The fields of a line are read in order; each method takes the name of its field for error messages, and throws {@link InvalidSettingsException} if it is absent or malformed. Used by one thread.
  */
 final class LineReader {
     private static final int INITIAL_CAPACITY_BYTES = 1 << 16;
@@ -19,7 +17,7 @@
     private int lineStart;
     private int lineEnd;
 
-    /** Where the next field begins. */
+    /** Where the next field starts. */
     private int position;
 
     private long lineNumber;
@@ -34,7 +32,7 @@
     }
 
     /**
-     * Moves to the next line; false at the end of the input.
+     * Moves to the next line; returns false at the end of the input.
      *
      * @throws InvalidSettingsException if the input ends within a line
      */
@@ -57,7 +55,7 @@
         }
     }
 
-    /** Moves the unfinished line to the buffer's start and reads on; false at the end. */
+    /** Moves the unfinished line to the start of the buffer and reads more input; returns false at the end of the input. */
     private boolean fillBuffer() throws IOException {
         int kept = Math.max(0, filledBytes - lineStart);
         byte[] target = kept > buffer.length / 2 ? new byte[buffer.length * 2] : buffer;
@@ -96,7 +94,7 @@
         return end;
     }
 
-    /** The next field as text. */
+    /** Reads the next field as text. */
     String readText(String fieldName) {
         int end = fieldEnd(fieldName);
         String word = new String(buffer, position, end - position, StandardCharsets.UTF_8);
@@ -109,7 +107,7 @@
         position = fieldEnd(fieldName) + 1;
     }
 
-    /** The next field as a whole number; absent ('-') gives 0. */
+    /** Reads the next field as a whole number; an absent value ('-') gives 0. */
     long readLong(String fieldName) {
         int end = fieldEnd(fieldName);
         boolean negative = buffer[position] == '-';
@@ -130,7 +128,7 @@
         return negative ? -value : value;
     }
 
-    /** The next field as a whole number from 0 up to, not including, a limit. */
+    /** Reads the next field as a whole number from 0 up to, but not including, a limit. */
     int readIndex(String fieldName, int limit) {
         int start = position;
         long value = readLong(fieldName);
--- a/src/main/java/cottonlock/simulator/LoadBalancerInstance.java
+++ b/src/main/java/cottonlock/simulator/LoadBalancerInstance.java
@@ -48,7 +48,7 @@
 
     @Override
     public void startAttempt(long requestId, String backendId, long sendByTicks) {
-        // The simulator writes an attempt at once, so the latest time to write it is not sent.
+        // The simulator writes an attempt immediately, so sendByTicks is not sent.
         start(Action.START_ATTEMPT).field(requestId).field(backendId).field(0).end();
     }
 
--- a/src/main/java/cottonlock/simulator/Reply.java
+++ b/src/main/java/cottonlock/simulator/Reply.java
@@ -6,8 +6,7 @@
 import java.util.Arrays;
 
 /**
- * Collects the messages of one reply, one a line with fields separated by spaces, and writes them
- * together. Numbers are formatted into the buffer, with no string for each. Used by one thread.
+ * Collects the messages of one reply, one per line with fields separated by spaces, and writes them together. Numbers are formatted in the buffer without creating strings. Used by one thread.
  */
 final class Reply {
     private static final int INITIAL_CAPACITY_BYTES = 1 << 14;
@@ -23,12 +22,12 @@
         this.out = out;
     }
 
-    /** Begins a message that concerns an instance. */
+    /** Starts a message that concerns an instance. */
     Reply start(String message, String instance) {
         return append(message).field(instance);
     }
 
-    /** Begins a message that concerns no instance. */
+    /** Starts a message that concerns no instance. */
     Reply start(String message) {
         return append(message);
     }
--- a/src/main/java/cottonlock/simulator/WireHost.java
+++ b/src/main/java/cottonlock/simulator/WireHost.java
@@ -19,14 +19,13 @@
 import java.util.Map;
 
 /**
- * Hosts the load balancers of a simulation: each message read becomes a call of one of them, and
- * their actions, in order, the reply to the batch. Used by one thread.
+ * Hosts the load balancers of a simulation. Each message that is read becomes a call to one of them, and their actions, in order, form the reply to the batch. Used by one thread.
  */
 public final class WireHost {
-    /** Numbers of requests and attempts stay below this. */
+    /** The exclusive upper bound of attempt numbers. */
     private static final int NUMBER_LIMIT = Integer.MAX_VALUE;
 
-    /** The bit of a request's flags that says that the estimated work is meaningful. */
+    /** The bit of a request's flags that marks its estimated work as valid. */
     private static final long ESTIMATED_WORK_FLAG = 1;
 
     /** The bit of a request's flags that marks a retry by the client. */
@@ -39,7 +38,7 @@
     private final Map<String, LoadBalancerInstance> instances = new HashMap<>();
     private long nowTicks;
 
-    /** A host without instances that writes replies to one stream and errors to another. */
+    /** A host without instances, which writes replies to one stream and errors to another. */
     public WireHost(InputStream in, OutputStream out, PrintStream errors) {
         this.in = new LineReader(in);
         this.reply = new Reply(out);
--- a/src/main/java/cottonlock/simulator/WireVocabulary.java
+++ b/src/main/java/cottonlock/simulator/WireVocabulary.java
@@ -4,15 +4,15 @@
 import cottonlock.decision.api.Endpoint;
 import cottonlock.setup.InvalidSettingsException;
 
-/** The simulator protocol's words, and what they are called in this program. */
+/** The words of the simulator's protocol and the names that this program uses for them. */
 final class WireVocabulary {
-    /** Opens a batch of messages. */
+    /** Starts a batch of messages. */
     static final String BATCH_START = "tick";
 
-    /** Closes a batch of messages. */
+    /** Ends a batch of messages. */
     static final String BATCH_END = "eob";
 
-    /** Closes the reply to a batch. */
+    /** Ends the reply to a batch. */
     static final String REPLY_END = "yield";
 
     /** One endpoint of a list. */
@@ -21,7 +21,7 @@
     /** Stands for a value that is absent. */
     static final String ABSENT = "-";
 
-    /** Every other load balancer of the deployment. */
+    /** Addresses every other load balancer of the deployment. */
     static final String ALL_PEERS = "all";
 
     /** The scope that reports a failed request for the endpoint list. */
@@ -29,7 +29,7 @@
 
     private WireVocabulary() {}
 
-    /** Messages of a batch; each concerns one instance, but for {@link #ENDPOINT_LIST}. */
+    /** Messages of a batch; each concerns one instance, except {@link #ENDPOINT_LIST}. */
     enum Event {
         INSTANCE_STARTED,
         INSTANCE_STOPPED,
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Which part of the endpoint list a message brings. */
+    /** The part of the endpoint list that a message contains. */
     enum ListScope {
         COMPLETE,
         CHANGES,
