--- a/src/test/java/cottonlock/decision/ColdFleet.java
+++ b/src/test/java/cottonlock/decision/ColdFleet.java
@@ -26,24 +26,23 @@
 import java.util.TreeMap;
 
 /**
- * Balancers in virtual time, each as it decides, before backends that join and come back cold;
- * counts what all of them together send a cold one, against what it bears. One seed gives one run.
+ * Simulates in virtual time many load balancers in front of backends that join or restart cold, and compares the work that all of them together send to a cold backend with the work that overloads it. A run is determined by its seed.
  */
 final class ColdFleet {
-    static final SlowStartConfig COLD = new SlowStartConfig(0.35, 87_000, 3, 30_000);
+    static final SlowStartConfig SLOW_START = new SlowStartConfig(0.35, 87_000, 3, 30_000);
 
-    /** When backends come cold and the traffic changes, and until when the run goes on. */
-    private static final long EVENT = 200_000;
+    /** When backends start cold and the traffic changes. */
+    private static final long EVENT_TICKS = 200_000;
 
-    private static final long END = 320_000;
-    private static final long BURST = 80_000;
+    private static final long END_TICKS = 320_000;
+    private static final long BURST_TICKS = 80_000;
 
-    /** Work of each category, in that of the mean request, and its part of the requests. */
-    private static final double[] WORK = {0.4, 1, 2.8};
+    /** Work of the requests of each class, relative to the mean request, and their fraction of all requests. */
+    private static final double[] RELATIVE_WORK = {0.4, 1, 2.8};
 
-    private static final double[] PARTS = {0.45, 0.4, 0.15};
-    private static final long[] PATIENCE = {20_000, 40_000, 60_000};
-    private static final List<RequestClass> CATEGORIES =
+    private static final double[] REQUEST_FRACTIONS = {0.45, 0.4, 0.15};
+    private static final long[] CLIENT_TIMEOUT_TICKS = {20_000, 40_000, 60_000};
+    private static final List<RequestClass> REQUEST_CLASSES =
             List.of(
                     new RequestClass(
                             0, 7_500, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 50_000),
@@ -63,244 +62,246 @@
                             Idempotency.WITH_KEY,
                             DeduplicationScope.ZONE,
                             100_000));
-    private static final int WORKERS = 4;
-    private static final int QUEUE = 20;
+    private static final int WORKERS_PER_BACKEND = 4;
+    private static final int QUEUE_CAPACITY = 20;
 
-    /** What happens. Capacities and rates are in requests of mean work a second. */
-    static final class Day {
+    /** The settings of a run. Capacities and rates are in requests of mean work per second. */
+    static final class Scenario {
         final String name;
-        int proxies = 30;
+        int proxyCount = 30;
 
-        /** What the settings call the number of proxies; 0 for the true one. */
-        int fleetSize;
+        /** The number of proxies according to the settings; 0 for the actual number. */
+        int configuredProxyCount;
 
-        int backends = 12;
-        double capacity = 25;
-        double load = 0.6;
-        double burst = 1;
+        int backendCount = 12;
+        double capacityPerBackend = 25;
+        double loadFraction = 0.6;
+        double burstFactor = 1;
 
-        /** How many times the mean the busiest callers get: one in six of them. */
-        double uneven = 1;
+        /** The traffic of the busiest proxies, two of six, relative to the others. */
+        double busyProxyWeight = 1;
 
-        /** Whether at the event traffic leaves one half of the proxies for the other. */
-        boolean moves;
+        /** Whether the traffic moves from one half of the proxies to the other at the event. */
+        boolean trafficMoves;
 
-        /** The part of the proxies that start anew at the event. */
-        double restarts;
+        /** The fraction of the proxies that restart at the event. */
+        double restartedFraction;
 
-        /** The part of the backends that start anew, and within what time; how many join. */
-        double replaced = 0.25;
+        /** The fraction of the backends that restart from the event on. */
+        double replacedFraction = 0.25;
 
-        long within;
-        int added = 1;
+                /** The time within which backends restart and join. */
+        long replacementTicks;
 
-        /** How late the list may come. */
-        long late;
+        int addedBackends = 1;
 
-        boolean first = true;
-        int tenants = 5;
+        /** The maximum delay of a change of the endpoint list. */
+        long maxListDelayTicks;
 
-        /** The part of the backends that are dead from a second before the event on. */
-        double dead;
+        boolean firstTier = true;
+        int tenantCount = 5;
 
-        Day(String name) {
+        /** The fraction of the backends that are dead from one second before the event. */
+        double deadFraction;
+
+        Scenario(String name) {
             this.name = name;
         }
     }
 
     /**
-     * What came of a day.
+     * The results of a run.
      *
-     * @param worst the most work sent to a cold backend in a window, against what makes it fall
-     * @param mean the same, each backend's worst window, in the mean of the cold ones
-     * @param used the part of what a cold one bears that it was sent in its first window
-     * @param served the part of the requests after the event that were answered
-     * @param broken backends that fell of what over two thirds came from proxies told of the start
+     * @param maxOverloadRatio the maximum work sent to a cold backend in a window, relative to the work that overloads it plus a margin for random variation
+     * @param meanOverloadRatio the maximum of each cold start, averaged over all of them
+     * @param firstWindowUse the work sent to a cold backend in its first window, relative to the work that overloads it, averaged over all cold starts
+     * @param completedFraction the fraction of the requests after the event that completed
+     * @param overloadedCount cold starts with an overloaded window of which more than two thirds of the work came from proxies that knew of the start
      */
-    record Result(double worst, double mean, double used, double served, int broken) {}
+    record Result(double maxOverloadRatio, double meanOverloadRatio, double firstWindowUse, double completedFraction, int overloadedCount) {}
 
-    private record Job(Proxy proxy, int life, long id, int attempt, double work, long expiry) {}
+    private record Job(ProxyModel proxy, int incarnation, long id, int attempt, double work, long deadlineTicks) {}
 
-    private record Sent(long at, double work, boolean told) {}
+    private record SentAttempt(long sentAtTicks, double work, boolean startKnown) {}
 
-    /** A request that a balancer holds, and which of its attempts are out. */
-    private static final class Open {
+    /** A request in progress, and which of its attempts are in flight. */
+    private static final class OpenRequest {
         final double work;
-        final long expiry;
-        final int category;
+        final long deadlineTicks;
+        final int requestClass;
         final int tenant;
-        final boolean again;
-        final List<Boolean> out = new ArrayList<>();
-        boolean answered;
+        final boolean clientRetry;
+        final List<Boolean> attemptsInFlight = new ArrayList<>();
+        boolean completed;
 
-        Open(double work, long expiry, int category, int tenant, boolean again) {
+        OpenRequest(double work, long deadlineTicks, int requestClass, int tenant, boolean clientRetry) {
             this.work = work;
-            this.expiry = expiry;
-            this.category = category;
+            this.deadlineTicks = deadlineTicks;
+            this.requestClass = requestClass;
             this.tenant = tenant;
-            this.again = again;
+            this.clientRetry = clientRetry;
         }
     }
 
-    private final class Machine {
-        Endpoint member;
+    private final class BackendModel {
+        Endpoint endpoint;
         final Deque<Job> queue = new ArrayDeque<>();
-        int busy;
-        int start;
+        int busyWorkers;
+        int startCount;
         boolean dead;
 
-        /** What was sent since each cold start, and the starts. */
-        final List<Sent> sent = new ArrayList<>();
+        /** The attempts sent since the last cold start. */
+        final List<SentAttempt> sentAttempts = new ArrayList<>();
 
-        final List<Double> ratios = new ArrayList<>();
-        double worst;
-        double used;
-        double inWindow;
-        int oldest;
-        boolean broken;
+        final List<Double> overloadRatios = new ArrayList<>();
+        double maxOverloadRatio;
+        double firstWindowUse;
+        double workInWindow;
+        int oldestInWindow;
+        boolean overloaded;
 
-        Machine(Endpoint member) {
-            this.member = member;
+        BackendModel(Endpoint endpoint) {
+            this.endpoint = endpoint;
         }
 
         double capacity() {
-            return day.capacity * member.capacityWeight();
+            return scenario.capacityPerBackend * endpoint.capacityWeight();
         }
 
-        void comes(Job job) {
+        void onAttempt(Job job) {
             if (dead) {
                 world.at(
                         world.now() + 1_500,
-                        () -> job.proxy.settle(job, AttemptOutcome.CONNECT_FAILED));
-            } else if (busy < WORKERS) {
+                        () -> job.proxy.completeAttempt(job, AttemptOutcome.CONNECT_FAILED));
+            } else if (busyWorkers < WORKERS_PER_BACKEND) {
                 run(job);
-            } else if (queue.size() < QUEUE) {
+            } else if (queue.size() < QUEUE_CAPACITY) {
                 queue.add(job);
             } else {
-                answer(job, AttemptOutcome.REJECTED);
+                respond(job, AttemptOutcome.REJECTED);
             }
         }
 
         private void run(Job job) {
-            busy++;
-            int life = start;
-            double rate = capacity() / WORKERS * COLD.warmUpFraction(member, world.now());
+            busyWorkers++;
+            int startCountBefore = startCount;
+            double rate = capacity() / WORKERS_PER_BACKEND * SLOW_START.warmUpFraction(endpoint, world.now());
             world.at(
                     world.now() + Math.round(10_000 * job.work / rate),
                     () -> {
-                        if (life == start) {
-                            busy--;
-                            answer(job, AttemptOutcome.COMPLETED);
-                            while (!queue.isEmpty() && busy < WORKERS) {
+                        if (startCountBefore == startCount) {
+                            busyWorkers--;
+                            respond(job, AttemptOutcome.COMPLETED);
+                            while (!queue.isEmpty() && busyWorkers < WORKERS_PER_BACKEND) {
                                 Job next = queue.poll();
-                                if (next.expiry > world.now()) {
+                                if (next.deadlineTicks > world.now()) {
                                     run(next);
                                 }
                             }
                         } else {
-                            answer(job, AttemptOutcome.CONNECTION_BROKEN);
+                            respond(job, AttemptOutcome.CONNECTION_BROKEN);
                         }
                     });
         }
 
-        private void answer(Job job, AttemptOutcome outcome) {
-            world.at(world.now() + 3, () -> job.proxy.settle(job, outcome));
+        private void respond(Job job, AttemptOutcome outcome) {
+            world.at(world.now() + 3, () -> job.proxy.completeAttempt(job, outcome));
         }
 
-        /** Starts cold, now. */
+        /** Restarts the backend cold. */
         void start() {
-            close();
-            start++;
-            busy = 0;
+            finishColdStart();
+            startCount++;
+            busyWorkers = 0;
             List<Job> lost = new ArrayList<>(queue);
             queue.clear();
-            lost.forEach(job -> answer(job, AttemptOutcome.CONNECTION_BROKEN));
-            member =
+            lost.forEach(job -> respond(job, AttemptOutcome.CONNECTION_BROKEN));
+            endpoint =
                     new Endpoint(
-                            member.id(),
-                            member.zone(),
-                            member.machineKind(),
-                            member.cell(),
+                            endpoint.id(),
+                            endpoint.zone(),
+                            endpoint.machineKind(),
+                            endpoint.cell(),
                             Endpoint.State.READY,
-                            member.capacityWeight(),
+                            endpoint.capacityWeight(),
                             world.now());
-            Endpoint m = member;
-            for (Proxy p : proxies) {
-                long late = day.late > 0 ? world.chance().nextLong(day.late) : 0;
-                world.at(world.now() + late, () -> p.told(m));
+            Endpoint m = endpoint;
+            for (ProxyModel p : proxies) {
+                long delayTicks = scenario.maxListDelayTicks > 0 ? world.chance().nextLong(scenario.maxListDelayTicks) : 0;
+                world.at(world.now() + delayTicks, () -> p.onEndpointChanged(m));
             }
         }
 
-        /** Ends the count of one cold start. */
-        void close() {
-            if (member.startedAtTicks() > 0) {
-                ratios.add(worst);
-                allUsed += used;
-                broke += broken ? 1 : 0;
+        /** Records the results of the last cold start and resets them. */
+        void finishColdStart() {
+            if (endpoint.startedAtTicks() > 0) {
+                overloadRatios.add(maxOverloadRatio);
+                totalFirstWindowUse += firstWindowUse;
+                overloadedCount += overloaded ? 1 : 0;
             }
-            sent.clear();
-            worst = 0;
-            used = 0;
-            inWindow = 0;
-            oldest = 0;
-            broken = false;
+            sentAttempts.clear();
+            maxOverloadRatio = 0;
+            firstWindowUse = 0;
+            workInWindow = 0;
+            oldestInWindow = 0;
+            overloaded = false;
         }
 
-        void count(double work, boolean told) {
+        void recordSent(double work, boolean startKnown) {
             long now = world.now();
-            long age = now - member.startedAtTicks();
-            if (member.startedAtTicks() == 0 || age >= COLD.warmUpTicks()) {
+            long age = now - endpoint.startedAtTicks();
+            if (endpoint.startedAtTicks() == 0 || age >= SLOW_START.warmUpTicks()) {
                 return;
             }
-            sent.add(new Sent(now, work, told));
-            inWindow += work;
-            while (sent.get(oldest).at <= now - COLD.overloadWindowTicks()) {
-                inWindow -= sent.get(oldest++).work;
+            sentAttempts.add(new SentAttempt(now, work, startKnown));
+            workInWindow += work;
+            while (sentAttempts.get(oldestInWindow).sentAtTicks <= now - SLOW_START.overloadWindowTicks()) {
+                workInWindow -= sentAttempts.get(oldestInWindow++).work;
             }
-            // The capacity grows evenly: over the window it is the mean of its ends, and least at
-            // the start.
-            double from = Math.max(0, age - COLD.overloadWindowTicks());
-            double before = Math.max(0, COLD.overloadWindowTicks() - age);
-            double grown =
-                    COLD.initialFraction()
-                            + (1 - COLD.initialFraction()) * (from + age) / 2 / COLD.warmUpTicks();
-            double bears =
-                    COLD.overloadMultiple()
+            // The capacity grows linearly, so its mean over the window is the mean of its values at both
+            // ends; before the start, the initial capacity is assumed.
+            double windowStartAge = Math.max(0, age - SLOW_START.overloadWindowTicks());
+            double ticksBeforeStart = Math.max(0, SLOW_START.overloadWindowTicks() - age);
+            double meanWarmUpFraction =
+                    SLOW_START.initialFraction()
+                            + (1 - SLOW_START.initialFraction()) * (windowStartAge + age) / 2 / SLOW_START.warmUpTicks();
+            double overloadWork =
+                    SLOW_START.overloadMultiple()
                             * capacity()
                             / 10_000
-                            * (COLD.initialFraction() * before
-                                    + grown * (COLD.overloadWindowTicks() - before));
-            double ratio = inWindow / (bears + 2 * Math.sqrt(bears) + 2);
-            worst = Math.max(worst, ratio);
-            used = age <= COLD.overloadWindowTicks() ? inWindow / bears : used;
+                            * (SLOW_START.initialFraction() * ticksBeforeStart
+                                    + meanWarmUpFraction * (SLOW_START.overloadWindowTicks() - ticksBeforeStart));
+            double ratio = workInWindow / (overloadWork + 2 * Math.sqrt(overloadWork) + 2);
+            maxOverloadRatio = Math.max(maxOverloadRatio, ratio);
+            firstWindowUse = age <= SLOW_START.overloadWindowTicks() ? workInWindow / overloadWork : firstWindowUse;
             if (ratio > 1) {
-                double known =
-                        sent.subList(oldest, sent.size()).stream()
-                                .filter(s -> s.told)
+                double knownWork =
+                        sentAttempts.subList(oldestInWindow, sentAttempts.size()).stream()
+                                .filter(s -> s.startKnown)
                                 .mapToDouble(s -> s.work)
                                 .sum();
-                broken |= known > inWindow * 2 / 3;
+                overloaded |= knownWork > workInWindow * 2 / 3;
             }
         }
     }
 
-    private final class Proxy implements LoadBalancerActions {
+    private final class ProxyModel implements LoadBalancerActions {
         final int number;
-        LoadBalancer balancer;
-        int life;
-        private final Map<Long, Open> open = new HashMap<>();
-        private final Map<String, Long> heardOf = new HashMap<>();
+        LoadBalancer loadBalancer;
+        int incarnation;
+        private final Map<Long, OpenRequest> openRequests = new HashMap<>();
+        private final Map<String, Long> knownStartTicks = new HashMap<>();
 
-        Proxy(int number) {
+        ProxyModel(int number) {
             this.number = number;
         }
 
         void start() {
-            life++;
-            open.clear();
-            DeploymentTopology shape =
+            incarnation++;
+            openRequests.clear();
+            DeploymentTopology topology =
                     new DeploymentTopology(
-                            day.fleetSize > 0 ? day.fleetSize : day.proxies,
+                            scenario.configuredProxyCount > 0 ? scenario.configuredProxyCount : scenario.proxyCount,
                             number,
                             true,
                             0,
@@ -310,98 +311,98 @@
                             true,
                             15_000);
             SplittableRandom random = new SplittableRandom(world.chance().nextLong());
-            BackendRegistry fleet = new BackendRegistry(this, random.split(), tenants, shape, COLD);
-            AdmissionController line =
-                    new AdmissionController(fleet, random.split(), tenants, shape, day.first);
-            balancer =
+            BackendRegistry registry = new BackendRegistry(this, random.split(), tenants, topology, SLOW_START);
+            AdmissionController admission =
+                    new AdmissionController(registry, random.split(), tenants, topology, scenario.firstTier);
+            loadBalancer =
                     new LoadBalancer(
                             this,
-                            new RequestIntake(this, CATEGORIES, tenants, day.first, shape, 10_000),
-                            line,
-                            new LaneSelector(line, fleet),
-                            new BackendPicker(fleet, random.split()),
-                            new AttemptTracker(this, line, fleet, 4, true),
-                            fleet);
-            balancer.start(world.now());
-            List<Endpoint> members = machines.values().stream().map(m -> m.member).toList();
-            members.forEach(m -> heardOf.put(m.id(), m.startedAtTicks()));
-            balancer.onEndpointList(world.now(), members, true, false);
+                            new RequestIntake(this, REQUEST_CLASSES, tenants, scenario.firstTier, topology, 10_000),
+                            admission,
+                            new LaneSelector(admission, registry),
+                            new BackendPicker(registry, random.split()),
+                            new AttemptTracker(this, admission, registry, 4, true),
+                            registry);
+            loadBalancer.start(world.now());
+            List<Endpoint> endpoints = backends.values().stream().map(m -> m.endpoint).toList();
+            endpoints.forEach(m -> knownStartTicks.put(m.id(), m.startedAtTicks()));
+            loadBalancer.onEndpointList(world.now(), endpoints, true, false);
         }
 
-        void told(Endpoint m) {
-            heardOf.put(m.id(), m.startedAtTicks());
-            balancer.onEndpointList(world.now(), List.of(m), false, false);
+        void onEndpointChanged(Endpoint m) {
+            knownStartTicks.put(m.id(), m.startedAtTicks());
+            loadBalancer.onEndpointList(world.now(), List.of(m), false, false);
         }
 
-        void arrive(int category, int tenant, double work, boolean again) {
+        void onRequest(int requestClass, int tenant, double work, boolean clientRetry) {
             long id = nextId++;
-            open.put(id, new Open(work, world.now() + PATIENCE[category], category, tenant, again));
-            balancer.onRequest(world.now(), id, category, tenant, PATIENCE[category], again, 0);
+            openRequests.put(id, new OpenRequest(work, world.now() + CLIENT_TIMEOUT_TICKS[requestClass], requestClass, tenant, clientRetry));
+            loadBalancer.onRequest(world.now(), id, requestClass, tenant, CLIENT_TIMEOUT_TICKS[requestClass], clientRetry, 0);
         }
 
-        void settle(Job job, AttemptOutcome outcome) {
-            Open of = open.get(job.id);
-            if (job.life != life || of == null || !of.out.get(job.attempt)) {
+        void completeAttempt(Job job, AttemptOutcome outcome) {
+            OpenRequest request = openRequests.get(job.id);
+            if (job.incarnation != incarnation || request == null || !request.attemptsInFlight.get(job.attempt)) {
                 return;
             }
-            of.out.set(job.attempt, false);
-            served +=
-                    outcome == AttemptOutcome.COMPLETED && !of.answered && world.now() > EVENT
+            request.attemptsInFlight.set(job.attempt, false);
+            completedCount +=
+                    outcome == AttemptOutcome.COMPLETED && !request.completed && world.now() > EVENT_TICKS
                             ? 1
                             : 0;
-            of.answered |= outcome == AttemptOutcome.COMPLETED;
-            balancer.onAttemptCompleted(world.now(), job.id, job.attempt, outcome, of.answered);
-            if (of.answered && !of.out.contains(true)) {
-                open.remove(job.id);
+            request.completed |= outcome == AttemptOutcome.COMPLETED;
+            loadBalancer.onAttemptCompleted(world.now(), job.id, job.attempt, outcome, request.completed);
+            if (request.completed && !request.attemptsInFlight.contains(true)) {
+                openRequests.remove(job.id);
             }
         }
 
         @Override
-        public void startAttempt(long req, String backend, long sendBy) {
-            Open of = open.get(req);
-            of.out.add(true);
-            Machine machine = machines.get(backend);
-            Job job = new Job(this, life, req, of.out.size() - 1, of.work, of.expiry);
-            machine.count(
-                    of.work, heardOf.getOrDefault(backend, 0L) == machine.member.startedAtTicks());
-            world.at(world.now() + 3, () -> machine.comes(job));
-            world.at(of.expiry, () -> settle(job, AttemptOutcome.TIMED_OUT));
+        public void startAttempt(long requestId, String backend, long sendByTicks) {
+            OpenRequest request = openRequests.get(requestId);
+            request.attemptsInFlight.add(true);
+            BackendModel model = backends.get(backend);
+            Job job = new Job(this, incarnation, requestId, request.attemptsInFlight.size() - 1, request.work, request.deadlineTicks);
+            model.recordSent(
+                    request.work, knownStartTicks.getOrDefault(backend, 0L) == model.endpoint.startedAtTicks());
+            world.at(world.now() + 3, () -> model.onAttempt(job));
+            world.at(request.deadlineTicks, () -> completeAttempt(job, AttemptOutcome.TIMED_OUT));
         }
 
         @Override
-        public void cancelAttempt(long req, int attempt) {
-            Job job = new Job(this, life, req, attempt, 0, 0);
-            world.at(world.now() + 1, () -> settle(job, AttemptOutcome.CANCELLED));
+        public void cancelAttempt(long requestId, int attempt) {
+            Job job = new Job(this, incarnation, requestId, attempt, 0, 0);
+            world.at(world.now() + 1, () -> completeAttempt(job, AttemptOutcome.CANCELLED));
         }
 
         @Override
-        public void reject(long req, long comeBack, RejectionReason why) {
-            Open of = open.get(req);
-            fail(req, why);
-            if (!of.again && world.chance().nextInt(2) == 0) {
+        public void reject(long requestId, long retryAfterTicks, RejectionReason reason) {
+            OpenRequest request = openRequests.get(requestId);
+            fail(requestId, reason);
+            if (!request.clientRetry && world.chance().nextInt(2) == 0) {
                 world.at(
-                        world.now() + comeBack,
-                        () -> arrive(of.category, of.tenant, of.work, true));
+                        world.now() + retryAfterTicks,
+                        () -> onRequest(request.requestClass, request.tenant, request.work, true));
             }
         }
 
         @Override
-        public void fail(long req, RejectionReason why) {
-            Open of = open.get(req);
-            of.answered = true;
-            if (!of.out.contains(true)) {
-                open.remove(req);
+        public void fail(long requestId, RejectionReason reason) {
+            OpenRequest request = openRequests.get(requestId);
+            request.completed = true;
+            if (!request.attemptsInFlight.contains(true)) {
+                openRequests.remove(requestId);
             }
         }
 
         @Override
-        public void scheduleTimer(long at) {
-            int now = life;
+        public void scheduleTimer(long atTicks) {
+            int scheduledIncarnation = incarnation;
             world.at(
-                    at,
+                    atTicks,
                     () -> {
-                        if (now == life) {
-                            balancer.onTimer(world.now());
+                        if (scheduledIncarnation == incarnation) {
+                            loadBalancer.onTimer(world.now());
                         }
                     });
         }
@@ -423,7 +424,7 @@
                             p ->
                                     world.at(
                                             world.now() + 5,
-                                            () -> p.balancer.onPeerMessage(world.now(), message)));
+                                            () -> p.loadBalancer.onPeerMessage(world.now(), message)));
         }
 
         @Override
@@ -431,27 +432,27 @@
     }
 
     private final World world;
-    private final Day day;
+    private final Scenario scenario;
     private final List<Tenant> tenants = new ArrayList<>();
-    private final Map<String, Machine> machines = new TreeMap<>();
-    private final List<Proxy> proxies = new ArrayList<>();
+    private final Map<String, BackendModel> backends = new TreeMap<>();
+    private final List<ProxyModel> proxies = new ArrayList<>();
     private long nextId = 1;
-    private long came;
-    private long served;
-    private double allUsed;
-    private int broke;
+    private long requestCount;
+    private long completedCount;
+    private double totalFirstWindowUse;
+    private int overloadedCount;
 
-    private ColdFleet(Day day, long seed) {
-        this.day = day;
+    private ColdFleet(Scenario scenario, long seed) {
+        this.scenario = scenario;
         world = new World(seed);
     }
 
-    static Result run(Day day, long seed) {
-        return new ColdFleet(day, seed).run();
+    static Result run(Scenario scenario, long seed) {
+        return new ColdFleet(scenario, seed).run();
     }
 
-    private Machine machine(int n, long startedAt) {
-        return new Machine(
+    private BackendModel newBackend(int n, long startedAt) {
+        return new BackendModel(
                 new Endpoint(
                         "b" + n,
                         n % 3,
@@ -463,81 +464,81 @@
     }
 
     private Result run() {
-        double capacity = 0;
-        for (int n = 0; n < day.backends; n++) {
-            machines.put("b" + n, machine(n, 0));
-            capacity += machines.get("b" + n).capacity();
+        double totalCapacity = 0;
+        for (int n = 0; n < scenario.backendCount; n++) {
+            backends.put("b" + n, newBackend(n, 0));
+            totalCapacity += backends.get("b" + n).capacity();
         }
-        for (int t = 0; t < day.tenants; t++) {
-            double share = t == 0 ? 0.4 : 0.6 / (day.tenants - 1);
-            tenants.add(new Tenant(share, share * capacity * 0.7));
+        for (int t = 0; t < scenario.tenantCount; t++) {
+            double share = t == 0 ? 0.4 : 0.6 / (scenario.tenantCount - 1);
+            tenants.add(new Tenant(share, share * totalCapacity * 0.7));
         }
-        for (int n = 0; n < day.proxies; n++) {
-            proxies.add(new Proxy(n));
+        for (int n = 0; n < scenario.proxyCount; n++) {
+            proxies.add(new ProxyModel(n));
         }
         proxies.forEach(p -> world.at(world.chance().nextLong(250), p::start));
-        for (int n = 0; n < Math.round(day.dead * day.backends); n++) {
-            Machine m = machines.get("b" + (day.backends - 1 - n));
-            world.at(EVENT - 10_000, () -> m.dead = true);
+        for (int n = 0; n < Math.round(scenario.deadFraction * scenario.backendCount); n++) {
+            BackendModel m = backends.get("b" + (scenario.backendCount - 1 - n));
+            world.at(EVENT_TICKS - 10_000, () -> m.dead = true);
         }
-        int replaced = (int) Math.round(day.replaced * day.backends);
-        for (int n = 0; n < replaced; n++) {
-            Machine m = machines.get("b" + n);
-            world.at(EVENT + day.within * n / replaced, m::start);
+        int replacedCount = (int) Math.round(scenario.replacedFraction * scenario.backendCount);
+        for (int n = 0; n < replacedCount; n++) {
+            BackendModel m = backends.get("b" + n);
+            world.at(EVENT_TICKS + scenario.replacementTicks * n / replacedCount, m::start);
         }
-        for (int n = 0; n < day.added; n++) {
-            int number = day.backends + n;
+        for (int n = 0; n < scenario.addedBackends; n++) {
+            int number = scenario.backendCount + n;
             world.at(
-                    EVENT + day.within * n / Math.max(1, day.added),
+                    EVENT_TICKS + scenario.replacementTicks * n / Math.max(1, scenario.addedBackends),
                     () -> {
-                        Machine m = machine(number, 0);
-                        machines.put("b" + number, m);
+                        BackendModel m = newBackend(number, 0);
+                        backends.put("b" + number, m);
                         m.start();
                     });
         }
-        for (int n = 0; n < Math.round(day.restarts * day.proxies); n++) {
-            Proxy p = proxies.get(n);
-            world.at(EVENT + world.chance().nextLong(1_000), p::start);
+        for (int n = 0; n < Math.round(scenario.restartedFraction * scenario.proxyCount); n++) {
+            ProxyModel p = proxies.get(n);
+            world.at(EVENT_TICKS + world.chance().nextLong(1_000), p::start);
         }
-        traffic(capacity * day.load / 10_000);
-        world.until(END);
-        machines.values().forEach(Machine::close);
-        List<Double> ratios = machines.values().stream().flatMap(m -> m.ratios.stream()).toList();
-        double sum = ratios.stream().mapToDouble(r -> r).sum();
-        double worst = ratios.stream().mapToDouble(r -> r).max().orElse(0);
+        scheduleArrivals(totalCapacity * scenario.loadFraction / 10_000);
+        world.until(END_TICKS);
+        backends.values().forEach(BackendModel::finishColdStart);
+        List<Double> overloadRatios = backends.values().stream().flatMap(m -> m.overloadRatios.stream()).toList();
+        double sum = overloadRatios.stream().mapToDouble(r -> r).sum();
+        double maxRatio = overloadRatios.stream().mapToDouble(r -> r).max().orElse(0);
         return new Result(
-                worst, sum / ratios.size(), allUsed / ratios.size(), (double) served / came, broke);
+                maxRatio, sum / overloadRatios.size(), totalFirstWindowUse / overloadRatios.size(), (double) completedCount / requestCount, overloadedCount);
     }
 
-    private void traffic(double rate) {
-        boolean after = world.now() >= EVENT;
-        double now = rate * (after && world.now() < EVENT + BURST ? day.burst : 1);
-        double gap = -Math.log(1 - world.chance().nextDouble()) / now;
+    private void scheduleArrivals(double rate) {
+        boolean afterEvent = world.now() >= EVENT_TICKS;
+        double currentRate = rate * (afterEvent && world.now() < EVENT_TICKS + BURST_TICKS ? scenario.burstFactor : 1);
+        double gap = -Math.log(1 - world.chance().nextDouble()) / currentRate;
         world.at(
                 world.now() + Math.max(0, Math.round(gap)),
                 () -> {
                     if (world.now() > 300) {
-                        came += world.now() > EVENT ? 1 : 0;
-                        int category = drawn(PARTS);
+                        requestCount += world.now() > EVENT_TICKS ? 1 : 0;
+                        int requestClass = drawIndex(REQUEST_FRACTIONS);
                         double[] shares =
                                 tenants.stream().mapToDouble(Tenant::capacityShare).toArray();
-                        double work = WORK[category] * (0.5 + world.chance().nextDouble());
-                        caller().arrive(category, drawn(shares), work, false);
+                        double work = RELATIVE_WORK[requestClass] * (0.5 + world.chance().nextDouble());
+                        drawProxy().onRequest(requestClass, drawIndex(shares), work, false);
                     }
-                    traffic(rate);
+                    scheduleArrivals(rate);
                 });
     }
 
-    private Proxy caller() {
-        double[] weights = new double[day.proxies];
+    private ProxyModel drawProxy() {
+        double[] weights = new double[scenario.proxyCount];
         for (int n = 0; n < weights.length; n++) {
-            boolean quiet = day.moves && (n % 2 == 0) == world.now() < EVENT;
-            weights[n] = quiet ? 0.02 : n % 6 == 5 || n % 6 == 2 ? day.uneven : 1;
+            boolean quiet = scenario.trafficMoves && (n % 2 == 0) == world.now() < EVENT_TICKS;
+            weights[n] = quiet ? 0.02 : n % 6 == 5 || n % 6 == 2 ? scenario.busyProxyWeight : 1;
         }
-        return proxies.get(drawn(weights));
+        return proxies.get(drawIndex(weights));
     }
 
-    private int drawn(double[] weights) {
+    private int drawIndex(double[] weights) {
         double sum = 0;
         for (double w : weights) {
             sum += w;
--- a/src/test/java/cottonlock/decision/ColdFleetTest.java
+++ b/src/test/java/cottonlock/decision/ColdFleetTest.java
@@ -7,125 +7,122 @@
 import net.jqwik.api.Example;
 
 /**
- * Whether what each balancer sends a cold backend adds up to what that bears, over a whole fleet.
+ * Checks that all load balancers of a fleet together do not overload a cold backend.
  */
 class ColdFleetTest {
     /**
-     * Runs a day on some seeds; no cold backend may get more than it bears. Returns the part it
-     * used.
+     * Runs a scenario with two seeds and checks that no cold backend is overloaded. Returns the mean work sent in the first window of a cold start, relative to the work that overloads it.
      */
-    private static double holds(String name, int proxies, Consumer<ColdFleet.Day> change) {
-        double used = 0;
+    private static double assertNotOverloaded(String name, int proxies, Consumer<ColdFleet.Scenario> change) {
+        double firstWindowUse = 0;
         int seeds = 2;
         for (int seed = 1; seed <= seeds; seed++) {
-            ColdFleet.Day day = new ColdFleet.Day(name + ", " + proxies + " proxies");
-            day.proxies = proxies;
-            day.burst = 1.5;
-            change.accept(day);
-            ColdFleet.Result result = ColdFleet.run(day, seed);
-            String told = day.name + ", seed " + seed + ": " + result;
-            assertTrue(result.worst() > 0 && result.served() > 0.2, told);
-            assertTrue(result.worst() <= 1, told);
-            assertEquals(0, result.broken(), told);
-            used += result.used() / seeds;
+            ColdFleet.Scenario scenario = new ColdFleet.Scenario(name + ", " + proxies + " proxies");
+            scenario.proxyCount = proxies;
+            scenario.burstFactor = 1.5;
+            change.accept(scenario);
+            ColdFleet.Result result = ColdFleet.run(scenario, seed);
+            String description = scenario.name + ", seed " + seed + ": " + result;
+            assertTrue(result.maxOverloadRatio() > 0 && result.completedFraction() > 0.2, description);
+            assertTrue(result.maxOverloadRatio() <= 1, description);
+            assertEquals(0, result.overloadedCount(), description);
+            firstWindowUse += result.firstWindowUse() / seeds;
         }
-        return used;
+        return firstWindowUse;
     }
 
     @Example
-    void coldBackendsGetWorkInCalmAndInABurst() {
-        assertTrue(holds("calm", 20, day -> day.burst = 1) > 0.1);
-        assertTrue(holds("burst", 30, day -> day.burst = 1.5) > 0.15);
-        assertTrue(holds("three times", 30, day -> day.burst = 3) > 0.15);
+    void coldBackendsGetRequestsInCalmAndInABurst() {
+        assertTrue(assertNotOverloaded("calm", 20, scenario -> scenario.burstFactor = 1) > 0.1);
+        assertTrue(assertNotOverloaded("burst", 30, scenario -> scenario.burstFactor = 1.5) > 0.15);
+        assertTrue(assertNotOverloaded("three times", 30, scenario -> scenario.burstFactor = 3) > 0.15);
     }
 
     @Example
-    void unevenCallersSendNoMoreTogether() {
+    void unevenTrafficDoesNotOverload() {
         assertTrue(
-                holds(
+                assertNotOverloaded(
                                 "uneven",
                                 30,
-                                day -> {
-                                    day.uneven = 5;
-                                    day.first = false;
+                                scenario -> {
+                                    scenario.busyProxyWeight = 5;
+                                    scenario.firstTier = false;
                                 })
                         > 0.1);
-        holds("uneven", 100, day -> day.uneven = 5);
+        assertNotOverloaded("uneven", 100, scenario -> scenario.busyProxyWeight = 5);
     }
 
     @Example
-    void trafficMovesBetweenProxiesAtTheJoin() {
+    void trafficThatMovesBetweenProxiesAtTheJoinDoesNotOverload() {
         assertTrue(
-                holds(
+                assertNotOverloaded(
                                 "moves",
                                 30,
-                                day -> {
-                                    day.moves = true;
-                                    day.first = false;
+                                scenario -> {
+                                    scenario.trafficMoves = true;
+                                    scenario.firstTier = false;
                                 })
                         > 0.1);
-        holds(
+        assertNotOverloaded(
                 "moves, nearly all backends new",
                 30,
-                day -> {
-                    day.moves = true;
-                    day.first = false;
-                    day.replaced = 0.9;
-                    day.within = 70_000;
-                    day.burst = 3;
-                    day.capacity = 5;
-                    day.load = 0.8;
+                scenario -> {
+                    scenario.trafficMoves = true;
+                    scenario.firstTier = false;
+                    scenario.replacedFraction = 0.9;
+                    scenario.replacementTicks = 70_000;
+                    scenario.burstFactor = 3;
+                    scenario.capacityPerBackend = 5;
+                    scenario.loadFraction = 0.8;
                 });
     }
 
     @Example
-    void proxiesStartAnewAtTheJoin() {
-        holds("restarts", 20, day -> day.restarts = 0.5);
-        holds(
+    void proxiesThatRestartAtTheJoinDoNotOverload() {
+        assertNotOverloaded("restarts", 20, scenario -> scenario.restartedFraction = 0.5);
+        assertNotOverloaded(
                 "restarts, small backends",
                 30,
-                day -> {
-                    day.restarts = 0.5;
-                    day.first = false;
-                    day.capacity = 5;
+                scenario -> {
+                    scenario.restartedFraction = 0.5;
+                    scenario.firstTier = false;
+                    scenario.capacityPerBackend = 5;
                 });
     }
 
     @Example
-    void theSettingsNumberOfProxiesIsNotTheTrueOne() {
-        holds("half", 30, day -> day.fleetSize = 15);
-        holds("twice", 30, day -> day.fleetSize = 60);
-        holds("late lists", 20, day -> day.late = 10_000);
+    void wrongConfiguredNumberOfProxiesDoesNotOverload() {
+        assertNotOverloaded("half", 30, scenario -> scenario.configuredProxyCount = 15);
+        assertNotOverloaded("twice", 30, scenario -> scenario.configuredProxyCount = 60);
+        assertNotOverloaded("late lists", 20, scenario -> scenario.maxListDelayTicks = 10_000);
     }
 
     /**
-     * Found by this model: where few warm backends were left, all that was sent to them, tried
-     * again and turned away, passed for what backends can do, and the cold ones got twice what they
-     * bear.
+     * Guards against counting rejected and retried attempts as completions: where few warm backends were left, all attempts sent to them counted as what a backend can complete, and cold backends were sent twice the work that overloads them.
      */
     @Example
-    void whatWarmBackendsCannotDoIsNoMeasure() {
-        holds(
+    void rejectedAttemptsDoNotCountAsCapacityOfWarmBackends() {
+        assertNotOverloaded(
                 "nearly all backends new",
                 30,
-                day -> {
-                    day.replaced = 0.9;
-                    day.within = 70_000;
-                    day.first = false;
-                    day.capacity = 5;
-                    day.load = 0.8;
-                    day.burst = 3;
+                scenario -> {
+                    scenario.replacedFraction = 0.9;
+                    scenario.replacementTicks = 70_000;
+                    scenario.firstTier = false;
+                    scenario.capacityPerBackend = 5;
+                    scenario.loadFraction = 0.8;
+                    scenario.burstFactor = 3;
                 });
-        holds(
+        assertNotOverloaded(
                 "most new, some dead",
                 100,
-                day -> {
-                    day.replaced = 0.6;
-                    day.dead = 0.25;
-                    day.first = false;
-                    day.capacity = 5;
-                    day.load = 0.8;
-                    day.burst = 3;
+                scenario -> {
+                    scenario.replacedFraction = 0.6;
+                    scenario.deadFraction = 0.25;
+                    scenario.firstTier = false;
+                    scenario.capacityPerBackend = 5;
+                    scenario.loadFraction = 0.8;
+                    scenario.burstFactor = 3;
                 });
     }
 }
