--- a/src/test/java/cottonlock/decision/LoadBalancerTest.java
+++ b/src/test/java/cottonlock/decision/LoadBalancerTest.java
@@ -25,38 +25,38 @@
 import java.util.stream.Collectors;
 import net.jqwik.api.Example;
 
-/** Plain cases, and one small case for each failure found. */
+/** Basic cases, and a regression test for each failure found. */
 class LoadBalancerTest {
-    private static final List<RequestClass> PLAIN =
+    private static final List<RequestClass> REQUEST_CLASSES =
             List.of(
-                    Ledger.category(0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
-                    Ledger.category(1, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL));
-    private static final List<Tenant> TWO = List.of(new Tenant(0.75, 100), new Tenant(0.25, 100));
+                    InvariantCheckingHost.requestClass(0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+                    InvariantCheckingHost.requestClass(1, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL));
+    private static final List<Tenant> TWO_TENANTS = List.of(new Tenant(0.75, 100), new Tenant(0.25, 100));
 
-    private static Ledger ledger(boolean first, List<Tenant> tenants, int backends) {
-        Ledger ledger = new Ledger(PLAIN, tenants, 7, first, false);
-        ledger.list(Ledger.ready(0, backends), true, true);
-        return ledger;
+    private static InvariantCheckingHost newHost(boolean firstTier, List<Tenant> tenants, int backends) {
+        InvariantCheckingHost host = new InvariantCheckingHost(REQUEST_CLASSES, tenants, 7, firstTier, false);
+        host.updateEndpoints(InvariantCheckingHost.ready(0, backends), true, true);
+        return host;
     }
 
     private static Set<String> ids(List<Backend> lane) {
         return lane.stream().map(Backend::id).collect(Collectors.toSet());
     }
 
-    /** Answers everything that is out, in the order of arrival. */
-    private static void finishAll(Ledger ledger) {
-        for (long id : List.copyOf(ledger.items.keySet())) {
-            Ledger.Item item = ledger.items.get(id);
-            for (int n = 0; item != null && n < item.sent.size(); n++) {
-                if (item.sent.get(n).out) {
-                    ledger.settle(id, n, AttemptOutcome.COMPLETED);
+    /** Completes all attempts in flight, in the order in which their requests arrived. */
+    private static void completeAll(InvariantCheckingHost host) {
+        for (long id : List.copyOf(host.requests.keySet())) {
+            InvariantCheckingHost.TrackedRequest request = host.requests.get(id);
+            for (int n = 0; request != null && n < request.attempts.size(); n++) {
+                if (request.attempts.get(n).inFlight) {
+                    host.completeAttempt(id, n, AttemptOutcome.COMPLETED);
                 }
             }
         }
     }
 
     @Example
-    void lanesHoldTheSharesAndAtLeastOneBackend() {
+    void laneSizesFollowSharesWithAtLeastOneBackend() {
         List<Tenant> tenants =
                 List.of(new Tenant(0.5, 0), new Tenant(0.45, 0), new Tenant(0.05, 0));
         assertArrayEquals(new int[] {5, 4, 1}, LaneAssignment.laneSizes(tenants, 10));
@@ -67,287 +67,283 @@
     }
 
     @Example
-    void whoHasGoneWithoutDrainingIsUsedWhileItAnswersWhereThatBindsNobody() {
-        for (boolean binds : new boolean[] {false, true}) {
-            Ledger ledger =
-                    new Ledger(
-                            PLAIN,
-                            TWO,
+    void delistedBackendIsUsedWhileItAnswersUnlessRemovalIsBinding() {
+        for (boolean removalBinding : new boolean[] {false, true}) {
+            InvariantCheckingHost host =
+                    new InvariantCheckingHost(
+                            REQUEST_CLASSES,
+                            TWO_TENANTS,
                             5,
                             false,
                             true,
-                            new DeploymentTopology(2, 0, true, 0, true, false, 100_000, binds, 0));
-            ledger.list(Ledger.ready(0, 3), true, true);
+                            new DeploymentTopology(2, 0, true, 0, true, false, 100_000, removalBinding, 0));
+            host.updateEndpoints(InvariantCheckingHost.ready(0, 3), true, true);
             for (int i = 0; i < 30; i++) {
-                ledger.arrive(0, i % 2, 20_000);
-                ledger.pass(100);
-                finishAll(ledger);
+                host.sendRequest(0, i % 2, 20_000);
+                host.advanceTime(100);
+                completeAll(host);
             }
             Endpoint draining = new Endpoint("b2", 2, 0, 1, Endpoint.State.DRAINING, 1, 0);
-            ledger.list(List.of(draining), false, false);
-            // Past the ledger, which holds all to what binds elsewhere: the list loses both others.
-            ledger.balancer.onEndpointList(ledger.now, List.of(), true, false);
-            assertEquals(!binds, ledger.balancer.mayUse("b0") && ledger.balancer.mayUse("b1"));
+            host.updateEndpoints(List.of(draining), false, false);
+            // Bypasses the host, which treats removal as binding: the list loses both other backends.
+            host.loadBalancer.onEndpointList(host.nowTicks, List.of(), true, false);
+            assertEquals(!removalBinding, host.loadBalancer.mayUse("b0") && host.loadBalancer.mayUse("b1"));
             assertFalse(
-                    ledger.balancer.mayUse("b2"),
-                    "draining binds, whatever the list says after it");
-            ledger.pass(25_000);
+                    host.loadBalancer.mayUse("b2"),
+                    "draining is binding, whatever a later list says");
+            host.advanceTime(25_000);
             assertFalse(
-                    ledger.balancer.mayUse("b0") || ledger.balancer.mayUse("b1"),
-                    "they answer no more");
+                    host.loadBalancer.mayUse("b0") || host.loadBalancer.mayUse("b1"),
+                    "backends that no longer answer are not used");
         }
     }
 
     @Example
-    void lanesAreAlikeInEveryOrderOfTheListAndShareNothing() {
-        Ledger one = ledger(true, TWO, 8);
-        Ledger other = new Ledger(PLAIN, TWO, 99, false, false);
-        other.list(Ledger.ready(4, 8), false, false);
-        other.list(Ledger.ready(0, 4), false, false);
+    void lanesAreDisjointAndIndependentOfListOrder() {
+        InvariantCheckingHost one = newHost(true, TWO_TENANTS, 8);
+        InvariantCheckingHost other = new InvariantCheckingHost(REQUEST_CLASSES, TWO_TENANTS, 99, false, false);
+        other.updateEndpoints(InvariantCheckingHost.ready(4, 8), false, false);
+        other.updateEndpoints(InvariantCheckingHost.ready(0, 4), false, false);
         Set<String> all = new HashSet<>();
         for (int t = 0; t < 2; t++) {
-            assertEquals(ids(one.fleet.lane(t)), ids(other.fleet.lane(t)));
-            all.addAll(ids(one.fleet.lane(t)));
+            assertEquals(ids(one.registry.lane(t)), ids(other.registry.lane(t)));
+            all.addAll(ids(one.registry.lane(t)));
         }
         assertEquals(8, all.size());
     }
 
     @Example
-    void workStaysInItsLaneWhileTheLaneIsUsable() {
-        Ledger ledger = ledger(false, TWO, 8);
+    void requestsStayInTheirLaneWhileItIsUsable() {
+        InvariantCheckingHost host = newHost(false, TWO_TENANTS, 8);
         for (int i = 0; i < 200; i++) {
-            ledger.arrive(0, i % 2, 20_000);
-            ledger.pass(100);
-            finishAll(ledger);
+            host.sendRequest(0, i % 2, 20_000);
+            host.advanceTime(100);
+            completeAll(host);
         }
-        Set<String> small = ids(ledger.fleet.lane(1));
+        Set<String> smallLane = ids(host.registry.lane(1));
         long inSmall =
-                ledger.sends.entrySet().stream()
-                        .filter(e -> small.contains(e.getKey()))
+                host.sendTimesByBackend.entrySet().stream()
+                        .filter(e -> smallLane.contains(e.getKey()))
                         .mapToLong(e -> e.getValue().size())
                         .sum();
         assertEquals(100, inSmall);
     }
 
     @Example
-    void aLaneWithoutUsableBackendsSpills() {
-        Ledger ledger = ledger(false, TWO, 8);
-        long id = ledger.arrive(0, 1, 20_000);
-        ledger.settle(id, 0, AttemptOutcome.CONNECT_FAILED);
-        ledger.settle(id, 1, AttemptOutcome.CONNECT_FAILED);
-        List<String> tried = ledger.items.get(id).sent.stream().map(s -> s.to.id()).toList();
-        assertEquals(ids(ledger.fleet.lane(1)), Set.copyOf(tried.subList(0, 2)));
-        assertFalse(ids(ledger.fleet.lane(1)).contains(tried.get(2)));
+    void requestsSpillOverFromALaneWithoutUsableBackends() {
+        InvariantCheckingHost host = newHost(false, TWO_TENANTS, 8);
+        long id = host.sendRequest(0, 1, 20_000);
+        host.completeAttempt(id, 0, AttemptOutcome.CONNECT_FAILED);
+        host.completeAttempt(id, 1, AttemptOutcome.CONNECT_FAILED);
+        List<String> tried = host.requests.get(id).attempts.stream().map(s -> s.endpoint.id()).toList();
+        assertEquals(ids(host.registry.lane(1)), Set.copyOf(tried.subList(0, 2)));
+        assertFalse(ids(host.registry.lane(1)).contains(tried.get(2)));
     }
 
     /**
-     * Found in a newcomer's first minute: one broken answer, and up to six sound ones were deferred
-     * behind it.
+     * Guards against rejecting requests while the only backend is suspected: after one broken response, up to six further requests were rejected.
      */
     @Example
-    void aSoleBackendThatFailedOnceGetsSafeWorkAtOnce() {
+    void soleBackendGetsIdempotentRequestsRightAfterAFailure() {
         for (int n = 0; n < 20; n++) {
-            Ledger ledger = ledger(true, TWO, 1);
-            ledger.settle(ledger.arrive(0, 0, 20_000), 0, AttemptOutcome.CONNECTION_BROKEN);
-            ledger.pass(1_000 + 10 * n);
-            long id = ledger.arrive(0, 0, 20_000);
-            assertEquals(1, ledger.items.get(id).sent.size());
-            finishAll(ledger);
+            InvariantCheckingHost host = newHost(true, TWO_TENANTS, 1);
+            host.completeAttempt(host.sendRequest(0, 0, 20_000), 0, AttemptOutcome.CONNECTION_BROKEN);
+            host.advanceTime(1_000 + 10 * n);
+            long id = host.sendRequest(0, 0, 20_000);
+            assertEquals(1, host.requests.get(id).attempts.size());
+            completeAll(host);
         }
     }
 
     /**
-     * A client that comes back after its backends have forgotten it would have its effect twice.
+     * Guards against advising a retry for which the backends no longer know the idempotency key, so that the request would be executed twice.
      */
     @Example
-    void whatMayHaveRunIsDeferredOnlyWhileItIsStillKnownWhenItsClientComesBack() {
-        for (long window : new long[] {2_000, 100_000}) {
+    void possiblyExecutedRequestIsRejectedOnlyWithinTheDeduplicationWindow() {
+        for (long windowTicks : new long[] {2_000, 100_000}) {
             RequestClass keyed =
                     new RequestClass(
-                            0, 10_000, 1, 0, Idempotency.WITH_KEY, DeduplicationScope.ALL, window);
-            Ledger ledger = new Ledger(List.of(keyed), TWO, 7, true, false);
-            ledger.list(Ledger.ready(0, 1), true, true);
-            long id = ledger.arrive(0, 0, 20_000);
-            ledger.pass(100);
-            ledger.settle(id, 0, AttemptOutcome.CONNECTION_BROKEN);
+                            0, 10_000, 1, 0, Idempotency.WITH_KEY, DeduplicationScope.ALL, windowTicks);
+            InvariantCheckingHost host = new InvariantCheckingHost(List.of(keyed), TWO_TENANTS, 7, true, false);
+            host.updateEndpoints(InvariantCheckingHost.ready(0, 1), true, true);
+            long id = host.sendRequest(0, 0, 20_000);
+            host.advanceTime(100);
+            host.completeAttempt(id, 0, AttemptOutcome.CONNECTION_BROKEN);
             assertEquals(
-                    window > 10_000 ? 1 : 0, ledger.ends.values().stream().mapToInt(n -> n).sum());
+                    windowTicks > 10_000 ? 1 : 0, host.rejectionCounts.values().stream().mapToInt(n -> n).sum());
         }
     }
 
     @Example
-    void whenItLeavesAllIsOverByThen() {
-        Ledger ledger = ledger(true, TWO, 1);
-        long id = ledger.arrive(0, 0, 100_000);
-        assertEquals(1, ledger.items.get(id).sent.size());
-        ledger.balancer.limitDeadlines(ledger.now + 500);
-        ledger.pass(500);
-        // Safe, well before its due time, but there is no time left for another try.
-        ledger.settle(id, 0, AttemptOutcome.TIMED_OUT);
-        assertTrue(!ledger.items.containsKey(id) || ledger.items.get(id).answered);
+    void requestsEndByTheLimitedDeadline() {
+        InvariantCheckingHost host = newHost(true, TWO_TENANTS, 1);
+        long id = host.sendRequest(0, 0, 100_000);
+        assertEquals(1, host.requests.get(id).attempts.size());
+        host.loadBalancer.limitDeadlines(host.nowTicks + 500);
+        host.advanceTime(500);
+        // Idempotent and well before its latency objective, but no time is left for another attempt.
+        host.completeAttempt(id, 0, AttemptOutcome.TIMED_OUT);
+        assertTrue(!host.requests.containsKey(id) || host.requests.get(id).completed);
     }
 
     /**
-     * Where each client has a balancer of its own, and where keeping connections costs something.
+     * A host of a deployment in which each client has its own load balancer, and in which idle connections cost something if the break-even time is above 0.
      */
-    private static Ledger apart(int me, double rest, int backends) {
-        Ledger ledger =
-                new Ledger(
-                        PLAIN,
+    private static InvariantCheckingHost unevenlyLoadedHost(int ownIndex, double connectionBreakEvenTicks, int backends) {
+        InvariantCheckingHost host =
+                new InvariantCheckingHost(
+                        REQUEST_CLASSES,
                         List.of(new Tenant(1, 100)),
-                        7 + me,
+                        7 + ownIndex,
                         true,
                         true,
-                        new DeploymentTopology(200, me, false, rest, false, false, 0, true, 0));
-        ledger.list(Ledger.ready(0, backends), true, true);
-        return ledger;
+                        new DeploymentTopology(200, ownIndex, false, connectionBreakEvenTicks, false, false, 0, true, 0));
+        host.updateEndpoints(InvariantCheckingHost.ready(0, backends), true, true);
+        return host;
     }
 
     /**
-     * Found on an overloaded day: with a new draw for each try nearly all got in at their fourth.
+     * Guards against an independent draw for each retry: under overload, nearly all requests were admitted by their fourth try.
      */
     @Example
-    void aRepeatWithTheSameHintGetsTheSameAnswer() {
-        Ledger ledger = apart(0, 0, 8);
-        int letIn = 0;
-        for (int hint = 1; hint <= 100; hint++) {
-            boolean first = ledger.items.containsKey(ledger.arrive(0, 0, 20_000, hint));
-            finishAll(ledger);
+    void clientRetryWithTheSameEstimatedWorkGetsTheSameDecision() {
+        InvariantCheckingHost host = unevenlyLoadedHost(0, 0, 8);
+        int admitted = 0;
+        for (int estimatedWorkTicks = 1; estimatedWorkTicks <= 100; estimatedWorkTicks++) {
+            boolean firstAdmitted = host.requests.containsKey(host.sendRequest(0, 0, 20_000, estimatedWorkTicks));
+            completeAll(host);
             for (int n = 0; n < 3; n++) {
-                assertEquals(first, ledger.items.containsKey(ledger.arrive(0, 0, 20_000, hint)));
-                finishAll(ledger);
+                assertEquals(firstAdmitted, host.requests.containsKey(host.sendRequest(0, 0, 20_000, estimatedWorkTicks)));
+                completeAll(host);
             }
-            letIn += first ? 1 : 0;
+            admitted += firstAdmitted ? 1 : 0;
         }
-        assertTrue(letIn > 30 && letIn < 90, letIn + " of 100 let in");
+        assertTrue(admitted > 30 && admitted < 90, admitted + " of 100 admitted");
     }
 
     /**
-     * Found at hundreds of balancers: each held a connection to nearly each backend, and many got
-     * none.
+     * Guards against hundreds of load balancers that each hold a connection to nearly every backend, so that many of them get none.
      */
     @Example
-    void dearConnectionsAreFewAndThoseThatRestAreClosed() {
+    void costlyConnectionsAreFewAndClosedWhenIdle() {
         Set<String> all = new HashSet<>();
-        for (int me = 0; me < 30; me++) {
-            Ledger ledger = apart(me, 100, 8);
+        for (int ownIndex = 0; ownIndex < 30; ownIndex++) {
+            InvariantCheckingHost host = unevenlyLoadedHost(ownIndex, 100, 8);
             for (int n = 0; n < 40; n++) {
-                ledger.arrive(0, 0, 20_000);
-                finishAll(ledger);
-                ledger.pass(100);
+                host.sendRequest(0, 0, 20_000);
+                completeAll(host);
+                host.advanceTime(100);
             }
-            assertTrue(ledger.sends.size() == 1, ledger.sends.keySet() + " used one at a time");
-            assertTrue(ledger.released.isEmpty());
-            ledger.pass(1_500);
-            assertEquals(List.copyOf(ledger.sends.keySet()), ledger.released);
-            all.addAll(ledger.sends.keySet());
+            assertTrue(host.sendTimesByBackend.size() == 1, host.sendTimesByBackend.keySet() + " used with one request at a time");
+            assertTrue(host.closedBackends.isEmpty());
+            host.advanceTime(1_500);
+            assertEquals(List.copyOf(host.sendTimesByBackend.keySet()), host.closedBackends);
+            all.addAll(host.sendTimesByBackend.keySet());
         }
-        assertTrue(all.size() >= 6, "balancers differ in what they use: " + all);
+        assertTrue(all.size() >= 6, "load balancers should differ in the backends that they use: " + all);
     }
 
     /**
-     * Found on days on which balancers stand still: what waited for them passed for silence of
-     * backends.
+     * Guards against taking a stall of the load balancer for silence of backends, whose responses had waited for the stalled process.
      */
     @Example
-    void afterAStandstillNothingIsTakenForSilent() {
-        Ledger ledger = ledger(true, TWO, 8);
+    void backendsAreNotSilentAfterAStall() {
+        InvariantCheckingHost host = newHost(true, TWO_TENANTS, 8);
         for (int n = 0; n < 60; n++) {
-            ledger.arrive(0, n % 2, 20_000);
-            ledger.pass(50);
-            finishAll(ledger);
+            host.sendRequest(0, n % 2, 20_000);
+            host.advanceTime(50);
+            completeAll(host);
         }
-        long id = ledger.arrive(0, 0, 20_000);
-        ledger.now += 4_000;
-        ledger.balancer.onTimer(ledger.now);
-        assertFalse(ledger.items.get(id).sent.get(0).recalled);
-        ledger.pass(5_000);
-        assertTrue(ledger.items.get(id).sent.get(0).recalled, "but silence after it is");
+        long id = host.sendRequest(0, 0, 20_000);
+        host.nowTicks += 4_000;
+        host.loadBalancer.onTimer(host.nowTicks);
+        assertFalse(host.requests.get(id).attempts.get(0).cancelled);
+        host.advanceTime(5_000);
+        assertTrue(host.requests.get(id).attempts.get(0).cancelled, "silence after the stall is detected");
     }
 
     /**
-     * Found on quiet days with many balancers: a tenant held to its lane's rate while all else
-     * idled.
+     * Guards against limiting a tenant to its lane's rate while all other backends are idle, as seen with many load balancers at low load.
      */
     @Example
-    void anIdleFleetIsLentToALane() {
-        Ledger ledger = many(50, List.of(new Tenant(0.05, 1), new Tenant(0.95, 1_000))).get(0);
-        ledger.list(Ledger.ready(0, 20), true, true);
-        int[] letIn = new int[2];
+    void idleBackendsAreLentToALane() {
+        InvariantCheckingHost host = newHosts(50, List.of(new Tenant(0.05, 1), new Tenant(0.95, 1_000))).get(0);
+        host.updateEndpoints(InvariantCheckingHost.ready(0, 20), true, true);
+        int[] admitted = new int[2];
         for (int i = 0; i < 400; i++) {
-            long id = ledger.arrive(0, 0, 60_000);
-            letIn[ledger.now < 40_000 ? 0 : 1] += ledger.items.containsKey(id) ? 1 : 0;
-            ledger.pass(500);
-            finishAll(ledger);
+            long id = host.sendRequest(0, 0, 60_000);
+            admitted[host.nowTicks < 40_000 ? 0 : 1] += host.requests.containsKey(id) ? 1 : 0;
+            host.advanceTime(500);
+            completeAll(host);
         }
         assertTrue(
-                letIn[1] > 20 * letIn[0],
-                letIn[0] + " let in while unknown, " + letIn[1] + " then");
+                admitted[1] > 20 * admitted[0],
+                admitted[0] + " admitted before the load was known, " + admitted[1] + " after");
     }
 
     @Example
-    void anEmptyListDefersAtOnce() {
-        Ledger ledger = ledger(true, TWO, 0);
-        ledger.arrive(0, 0, 20_000);
-        assertTrue(ledger.items.isEmpty());
+    void emptyEndpointListRejectsAtOnce() {
+        InvariantCheckingHost host = newHost(true, TWO_TENANTS, 0);
+        host.sendRequest(0, 0, 20_000);
+        assertTrue(host.requests.isEmpty());
     }
 
     @Example
-    void excessIsTurnedAwayFirst() {
-        Ledger ledger = ledger(true, List.of(new Tenant(0.5, 1_000), new Tenant(0.5, 2)), 4);
-        int[] letIn = new int[2];
+    void requestsOverQuotaAreRejectedFirst() {
+        InvariantCheckingHost host = newHost(true, List.of(new Tenant(0.5, 1_000), new Tenant(0.5, 2)), 4);
+        int[] admitted = new int[2];
         for (int i = 0; i < 400; i++) {
-            Ledger.Item item = ledger.items.get(ledger.arrive(0, i % 2, 20_000));
-            letIn[i % 2] += item == null ? 0 : 1;
+            InvariantCheckingHost.TrackedRequest request = host.requests.get(host.sendRequest(0, i % 2, 20_000));
+            admitted[i % 2] += request == null ? 0 : 1;
             if (i % 16 == 15) {
-                finishAll(ledger);
+                completeAll(host);
             }
-            ledger.pass(100);
+            host.advanceTime(100);
         }
-        assertTrue(letIn[0] > letIn[1], letIn[0] + " within quota, " + letIn[1] + " beyond");
+        assertTrue(admitted[0] > admitted[1], admitted[0] + " admitted within quota, " + admitted[1] + " over quota");
     }
 
-    /** Answers what has been out for so long: a fleet that slows down as more is inside. */
-    private static int answerOlder(Ledger ledger, Map<Long, Long> sentAt, long age) {
-        for (long id : List.copyOf(ledger.items.keySet())) {
-            Ledger.Item item = ledger.items.get(id);
-            if (item != null
-                    && item.sent.size() == 1
-                    && item.sent.get(0).out
-                    && ledger.now - sentAt.get(id) >= age) {
-                ledger.settle(id, 0, AttemptOutcome.COMPLETED);
+    /** Completes the attempts that have been in flight for at least a given time, and returns the number of requests still in flight. */
+    private static int completeOlder(InvariantCheckingHost host, Map<Long, Long> sentAtTicks, long minAgeTicks) {
+        for (long id : List.copyOf(host.requests.keySet())) {
+            InvariantCheckingHost.TrackedRequest request = host.requests.get(id);
+            if (request != null
+                    && request.attempts.size() == 1
+                    && request.attempts.get(0).inFlight
+                    && host.nowTicks - sentAtTicks.get(id) >= minAgeTicks) {
+                host.completeAttempt(id, 0, AttemptOutcome.COMPLETED);
             }
         }
         return (int)
-                ledger.items.values().stream()
-                        .filter(i -> i.sent.stream().anyMatch(s -> s.out))
+                host.requests.values().stream()
+                        .filter(i -> i.attempts.stream().anyMatch(s -> s.inFlight))
                         .count();
     }
 
     /**
-     * Danger: what is inside made the room for more excess, until a hundred small balancers choked.
+     * Guards against requests over quota that raise the concurrency limit by their own concurrency, until a hundred small load balancers were overloaded.
      */
     @Example
-    void excessMakesNoRoomOfItsOwn() {
-        Ledger ledger = new Ledger(PLAIN, List.of(new Tenant(1, 2)), 7, true, false, true, 9);
-        ledger.list(Ledger.ready(0, 18), true, true);
-        Map<Long, Long> sentAt = new HashMap<>();
-        int most = 0;
+    void requestsOverQuotaDoNotRaiseTheConcurrencyLimit() {
+        InvariantCheckingHost host = new InvariantCheckingHost(REQUEST_CLASSES, List.of(new Tenant(1, 2)), 7, true, false, true, 9);
+        host.updateEndpoints(InvariantCheckingHost.ready(0, 18), true, true);
+        Map<Long, Long> sentAtTicks = new HashMap<>();
+        int maxInFlight = 0;
         for (int i = 0; i < 1_000; i++) {
-            sentAt.put(ledger.arrive(0, 0, 20_000), ledger.now);
-            ledger.pass(50);
-            int inside = answerOlder(ledger, sentAt, 1_500 + 300L * most);
-            most = Math.max(most, inside);
+            sentAtTicks.put(host.sendRequest(0, 0, 20_000), host.nowTicks);
+            host.advanceTime(50);
+            int inFlight = completeOlder(host, sentAtTicks, 1_500 + 300L * maxInFlight);
+            maxInFlight = Math.max(maxInFlight, inFlight);
         }
-        // Two for each of a part of two backends, one by chance, and a little that is within the
-        // quota.
-        assertTrue(most <= 8, () -> "so much excess inside of one of nine before 18 backends");
-        assertTrue(most >= 4, "while nothing is pressed, excess is served");
+        // Two for each of this load balancer's share of two backends, one from the random draw, and
+        // a few requests that are within the quota.
+        assertTrue(maxInFlight <= 8, () -> "too many requests over quota in flight at one of nine load balancers with 18 backends");
+        assertTrue(maxInFlight >= 4, "requests over quota are admitted while there is no pressure");
     }
 
-    /** Danger: where due times are long, two seconds hold too few answers to learn a calm from. */
+    /** Guards against too short windows: with long latency objectives, two seconds hold too few responses to measure a calm latency. */
     @Example
-    void spansOfMeasuresFollowDueTimes() {
+    void statisticsWindowsFollowLatencyObjectives() {
         assertEquals(
                 20_000,
                 Math.round(
@@ -358,189 +354,185 @@
                 15_625,
                 new DeploymentTopology(8, 0, true, 0, true, true, 0, true, 60_000)
                         .meanLatencyObjectiveTicks(),
-                "few balancers");
-        Ledger ledger =
-                new Ledger(
-                        PLAIN,
-                        TWO,
+                "few load balancers");
+        InvariantCheckingHost host =
+                new InvariantCheckingHost(
+                        REQUEST_CLASSES,
+                        TWO_TENANTS,
                         7,
                         true,
                         true,
                         new DeploymentTopology(9, 0, true, 0, true, false, 100_000, true, 60_000));
-        ledger.list(Ledger.ready(0, 3), true, true);
-        ledger.arrive(0, 0, 20_000);
-        finishAll(ledger);
-        ledger.pass(30_000);
-        Backend answered =
-                ledger.fleet.all().stream()
-                        .filter(b -> ledger.sends.containsKey(b.id()))
+        host.updateEndpoints(InvariantCheckingHost.ready(0, 3), true, true);
+        host.sendRequest(0, 0, 20_000);
+        completeAll(host);
+        host.advanceTime(30_000);
+        Backend usedBackend =
+                host.registry.all().stream()
+                        .filter(b -> host.sendTimesByBackend.containsKey(b.id()))
                         .findFirst()
                         .orElseThrow();
         assertEquals(
                 1,
-                answered.recentSuccesses(ledger.now),
-                "an answer of three seconds ago, half a due time");
+                usedBackend.recentSuccesses(host.nowTicks),
+                "a response of three seconds ago, half a latency objective, still counts");
     }
 
     @Example
-    void failedCallsForTheListAreRepeatedInTime() {
-        Ledger ledger = new Ledger(PLAIN, TWO, 3, true, true);
-        ledger.list(Ledger.ready(0, 3), true, true);
-        assertEquals(1, ledger.asked);
+    void failedSubscriptionsAreRepeatedInTime() {
+        InvariantCheckingHost host = new InvariantCheckingHost(REQUEST_CLASSES, TWO_TENANTS, 3, true, true);
+        host.updateEndpoints(InvariantCheckingHost.ready(0, 3), true, true);
+        assertEquals(1, host.subscriptionCount);
         for (int i = 2; i < 20; i++) {
-            ledger.balancer.onEndpointListFailed(ledger.now);
-            ledger.pass(26_000);
-            assertEquals(i, ledger.asked);
+            host.loadBalancer.onEndpointListFailed(host.nowTicks);
+            host.advanceTime(26_000);
+            assertEquals(i, host.subscriptionCount);
         }
     }
 
-    /** Found on a day with a lost server room: sent on from the line after its client had left. */
+    /** Guards against sending a queued request after its client has disconnected, as seen during the loss of a zone. */
     @Example
-    void workWhoseClientLeftIsNotSentOn() {
-        Ledger ledger = ledger(true, TWO, 2);
+    void queuedRequestOfADisconnectedClientIsNotSent() {
+        InvariantCheckingHost host = newHost(true, TWO_TENANTS, 2);
         for (int i = 0; i < 8; i++) {
-            ledger.arrive(0, 0, 20_000);
+            host.sendRequest(0, 0, 20_000);
         }
-        for (long id : List.copyOf(ledger.items.keySet())) {
-            if (ledger.items.get(id).sent.isEmpty()) {
-                ledger.left(id);
+        for (long id : List.copyOf(host.requests.keySet())) {
+            if (host.requests.get(id).attempts.isEmpty()) {
+                host.disconnectClient(id);
             }
         }
-        finishAll(ledger);
-        ledger.pass(1_000);
-        assertTrue(ledger.items.isEmpty());
+        completeAll(host);
+        host.advanceTime(1_000);
+        assertTrue(host.requests.isEmpty());
     }
 
     /**
-     * Found when a product of zero and infinity shut the door: the first requests must get through.
+     * Guards against a limit computed as zero times infinity, with which no first request was admitted.
      */
     @Example
-    void aFreshBalancerLetsWorkIn() {
-        Ledger ledger = ledger(true, TWO, 6);
-        long id = ledger.arrive(0, 0, 20_000);
-        assertEquals(1, ledger.items.get(id).sent.size());
+    void newLoadBalancerAdmitsItsFirstRequest() {
+        InvariantCheckingHost host = newHost(true, TWO_TENANTS, 6);
+        long id = host.sendRequest(0, 0, 20_000);
+        assertEquals(1, host.requests.get(id).attempts.size());
     }
 
     /**
-     * Found on a day with a lost server room: what it held filled the room and all else was turned
-     * away.
+     * Guards against requests at silent backends that use up the concurrency limit, so that all others were rejected, as seen during the loss of a zone.
      */
     @Example
-    void workStuckAtSilentBackendsFreesItsRoom() {
-        Ledger ledger = ledger(true, List.of(), 6);
+    void requestsAtSilentBackendsReleaseTheirCapacity() {
+        InvariantCheckingHost host = newHost(true, List.of(), 6);
         for (int i = 0; i < 300; i++) {
-            ledger.arrive(1, 0, 60_000);
-            ledger.pass(100);
-            for (long id : List.copyOf(ledger.items.keySet())) {
-                Ledger.Item item = ledger.items.get(id);
-                if (!item.sent.isEmpty() && item.sent.get(0).to.zone() != 0) {
-                    ledger.settle(id, 0, AttemptOutcome.COMPLETED);
+            host.sendRequest(1, 0, 60_000);
+            host.advanceTime(100);
+            for (long id : List.copyOf(host.requests.keySet())) {
+                InvariantCheckingHost.TrackedRequest request = host.requests.get(id);
+                if (!request.attempts.isEmpty() && request.attempts.get(0).endpoint.zone() != 0) {
+                    host.completeAttempt(id, 0, AttemptOutcome.COMPLETED);
                 }
             }
         }
-        long id = ledger.arrive(0, 0, 20_000);
-        assertTrue(ledger.items.containsKey(id), "turned away while backends idle");
+        long id = host.sendRequest(0, 0, 20_000);
+        assertTrue(host.requests.containsKey(id), "rejected while backends are idle");
     }
 
     /**
-     * Found on a day with slow backends: answers that come far too late count against a backend.
+     * Guards against counting overdue responses as successes, as seen with slow backends.
      */
     @Example
-    void aSlowBackendGetsLessWork() {
-        Ledger ledger = ledger(false, List.of(), 4);
+    void slowBackendGetsFewerRequests() {
+        InvariantCheckingHost host = newHost(false, List.of(), 4);
         for (int i = 0; i < 400; i++) {
-            ledger.arrive(0, 0, 60_000);
-            ledger.pass(100);
-            for (long id : List.copyOf(ledger.items.keySet())) {
-                Ledger.Sent sent = ledger.items.get(id).sent.get(0);
-                if (sent.out && ledger.now - sent.at >= (sent.to.id().equals("b0") ? 3_000 : 100)) {
-                    ledger.settle(id, 0, AttemptOutcome.COMPLETED);
+            host.sendRequest(0, 0, 60_000);
+            host.advanceTime(100);
+            for (long id : List.copyOf(host.requests.keySet())) {
+                InvariantCheckingHost.TrackedAttempt attempt = host.requests.get(id).attempts.get(0);
+                if (attempt.inFlight && host.nowTicks - attempt.sentAtTicks >= (attempt.endpoint.id().equals("b0") ? 3_000 : 100)) {
+                    host.completeAttempt(id, 0, AttemptOutcome.COMPLETED);
                 }
             }
         }
         assertTrue(
-                ledger.sends.get("b0").size() * 2 < ledger.sends.get("b1").size(),
-                ledger.sends.get("b0").size() + " to the slow one");
+                host.sendTimesByBackend.get("b0").size() * 2 < host.sendTimesByBackend.get("b1").size(),
+                host.sendTimesByBackend.get("b0").size() + " to the slow one");
     }
 
     /**
-     * Found on a full fleet: what was promised found two places a backend, and few answers make no
-     * more.
+     * Guards against a minimum concurrency of two instead of four requests per backend within quota, as seen at full load; few responses do not raise the limit above the minimum.
      */
     @Example
-    void whatIsWithinQuotasHasFourPlacesABackendFromTheStart() {
-        for (int[] shape : new int[][] {{1, 4}, {3, 12}, {16, 35}, {90, 150}, {120, 300}}) {
+    void minimumConcurrencyPerBackendHoldsFromTheStart() {
+        for (int[] counts : new int[][] {{1, 4}, {3, 12}, {16, 35}, {90, 150}, {120, 300}}) {
             for (double quota : new double[] {100_000, 0.1}) {
-                Ledger ledger =
-                        new Ledger(
-                                PLAIN,
+                InvariantCheckingHost host =
+                        new InvariantCheckingHost(
+                                REQUEST_CLASSES,
                                 List.of(new Tenant(1, quota)),
-                                shape[0],
+                                counts[0],
                                 true,
                                 true,
                                 new DeploymentTopology(
-                                        shape[0], 0, true, 0, true, false, 100_000, true, 60_000));
-                ledger.list(Ledger.ready(0, shape[1]), true, true);
-                for (int i = 0; i < 10 * shape[1]; i++) {
-                    ledger.arrive(0, 0, 200_000);
+                                        counts[0], 0, true, 0, true, false, 100_000, true, 60_000));
+                host.updateEndpoints(InvariantCheckingHost.ready(0, counts[1]), true, true);
+                for (int i = 0; i < 10 * counts[1]; i++) {
+                    host.sendRequest(0, 0, 200_000);
                 }
                 long sent =
-                        ledger.items.values().stream().filter(item -> !item.sent.isEmpty()).count();
-                double each = (double) sent * shape[0] / shape[1];
-                // The part below one is drawn; a quota's bucket lets four in that are not excess.
-                double chance = (quota < 1 ? 5.0 : 1.0) * shape[0] / shape[1];
-                double places = quota < 1 ? 2 : 4;
+                        host.requests.values().stream().filter(request -> !request.attempts.isEmpty()).count();
+                double perBackend = (double) sent * counts[0] / counts[1];
+                // The fraction below one is drawn at random; the quota's token bucket admits four
+                // requests that are not over quota.
+                double tolerance = (quota < 1 ? 5.0 : 1.0) * counts[0] / counts[1];
+                double expectedPerBackend = quota < 1 ? 2 : 4;
                 assertTrue(
-                        each >= places - chance && each <= places + chance,
-                        each
-                                + " for each backend, quota "
+                        perBackend >= expectedPerBackend - tolerance && perBackend <= expectedPerBackend + tolerance,
+                        perBackend
+                                + " per backend, quota "
                                 + quota
                                 + " at "
-                                + shape[0]
+                                + counts[0]
                                 + " balancers");
             }
         }
     }
 
     /**
-     * Found on a full fleet with a zone cut off: what was stuck behind sound backends filled the
-     * room, and a backend that held nothing else passed for silent for as long as that did not
-     * expire.
+     * Guards against overdue requests at healthy backends that use up the concurrency limit, as seen at full load with a zone cut off. A backend with no other request in flight also counted as silent until they timed out.
      */
     @Example
-    void workStuckBehindBackendsThatAnswerFreesItsRoom() {
-        for (int[] shape : new int[][] {{1, 6}, {2, 6}, {16, 35}, {90, 150}, {120, 300}}) {
-            Ledger ledger =
-                    new Ledger(
-                            PLAIN,
+    void overdueRequestsAtAnsweringBackendsReleaseTheirCapacity() {
+        for (int[] counts : new int[][] {{1, 6}, {2, 6}, {16, 35}, {90, 150}, {120, 300}}) {
+            InvariantCheckingHost host =
+                    new InvariantCheckingHost(
+                            REQUEST_CLASSES,
                             List.of(),
-                            shape[0],
+                            counts[0],
                             true,
                             true,
                             new DeploymentTopology(
-                                    shape[0], 0, true, 0, true, false, 100_000, true, 10_000));
-            ledger.list(Ledger.ready(0, shape[1]), true, true);
+                                    counts[0], 0, true, 0, true, false, 100_000, true, 10_000));
+            host.updateEndpoints(InvariantCheckingHost.ready(0, counts[1]), true, true);
             for (int i = 0; i < 1_000; i++) {
-                // A share of what this balancer's part of the backends can hold, and a tenth of it
-                // is stuck.
-                ledger.arrive(1, 0, 5_000_000);
-                ledger.pass(1_000L * shape[0] / shape[1]);
-                ledger.finish(1_000, Integer.MAX_VALUE, out -> out % 10 != 0);
+                // A part of what this load balancer's share of the backends can hold, of which a tenth is
+                // never answered.
+                host.sendRequest(1, 0, 5_000_000);
+                host.advanceTime(1_000L * counts[0] / counts[1]);
+                host.completeOldest(1_000, Integer.MAX_VALUE, id -> id % 10 != 0);
             }
             assertTrue(
-                    ledger.ends.isEmpty(),
-                    "deferred for " + ledger.ends + " at " + shape[0] + " balancers");
+                    host.rejectionCounts.isEmpty(),
+                    "rejected for " + host.rejectionCounts + " at " + counts[0] + " balancers");
         }
     }
 
     /**
-     * Found on a full fleet with a zone cut off: work of long due times filled the line and kept it
-     * full.
+     * Guards against requests with long latency objectives that fill the queue and keep it full, as seen at full load with a zone cut off.
      */
     @Example
-    void noCategoryStarvesInTheLineOfOthers() {
-        for (int[] shape : new int[][] {{1, 4}, {2, 8}, {16, 35}, {90, 150}}) {
-            List<RequestClass> categories =
+    void noRequestClassStarvesInTheQueue() {
+        for (int[] counts : new int[][] {{1, 4}, {2, 8}, {16, 35}, {90, 150}}) {
+            List<RequestClass> requestClasses =
                     List.of(
                             new RequestClass(
                                     0,
@@ -558,285 +550,283 @@
                                     Idempotency.IDEMPOTENT,
                                     DeduplicationScope.ALL,
                                     0));
-            Ledger ledger =
-                    new Ledger(
-                            categories,
+            InvariantCheckingHost host =
+                    new InvariantCheckingHost(
+                            requestClasses,
                             List.of(new Tenant(1, 100_000)),
-                            shape[0],
+                            counts[0],
                             true,
                             true,
                             new DeploymentTopology(
-                                    shape[0], 0, true, 0, true, false, 100_000, true, 27_500));
-            ledger.list(Ledger.ready(0, shape[1]), true, true);
-            SplittableRandom random = new SplittableRandom(shape[0]);
+                                    counts[0], 0, true, 0, true, false, 100_000, true, 27_500));
+            host.updateEndpoints(InvariantCheckingHost.ready(0, counts[1]), true, true);
+            SplittableRandom random = new SplittableRandom(counts[0]);
             int[] finished = new int[2];
             for (int i = 0; i < 6_000; i++) {
-                // Twice what can be done, half of it of either category.
-                ledger.arrive(random.nextInt(2), 0, 200_000);
-                ledger.arrive(random.nextInt(2), 0, 200_000);
-                ledger.pass(100);
-                int[] now = ledger.finish(1_000, 1, id -> true);
-                finished[0] += now[0];
-                finished[1] += now[1];
+                // Twice the capacity, on average half of it from each request class.
+                host.sendRequest(random.nextInt(2), 0, 200_000);
+                host.sendRequest(random.nextInt(2), 0, 200_000);
+                host.advanceTime(100);
+                int[] completed = host.completeOldest(1_000, 1, id -> true);
+                finished[0] += completed[0];
+                finished[1] += completed[1];
             }
             for (int c = 0; c < 2; c++) {
                 assertTrue(
                         finished[c] * 2 > finished[1 - c],
                         finished[0]
-                                + " of short due times finished, "
+                                + " with short latency objectives completed, "
                                 + finished[1]
-                                + " of long ones, at "
-                                + shape[0]
+                                + " with long ones, at "
+                                + counts[0]
                                 + " balancers");
             }
         }
     }
 
     /**
-     * Found on a day without queues at the backends: turned-away work must lower what is let in.
+     * Guards against rejected attempts that do not lower the admitted load, as seen with backends that have no queues.
      */
     @Example
-    void turnedAwayWorkLowersTheRoom() {
-        Ledger ledger = ledger(true, List.of(), 8);
+    void rejectedAttemptsLowerTheConcurrencyLimit() {
+        InvariantCheckingHost host = newHost(true, List.of(), 8);
         for (int i = 0; i < 200; i++) {
-            ledger.arrive(0, 0, 60_000);
-            ledger.pass(100);
-            for (long id : List.copyOf(ledger.items.keySet())) {
+            host.sendRequest(0, 0, 60_000);
+            host.advanceTime(100);
+            for (long id : List.copyOf(host.requests.keySet())) {
                 for (int n = 0;
-                        ledger.items.containsKey(id) && n < ledger.items.get(id).sent.size();
+                        host.requests.containsKey(id) && n < host.requests.get(id).attempts.size();
                         n++) {
-                    if (ledger.items.get(id).sent.get(n).out) {
-                        ledger.settle(id, n, AttemptOutcome.REJECTED);
+                    if (host.requests.get(id).attempts.get(n).inFlight) {
+                        host.completeAttempt(id, n, AttemptOutcome.REJECTED);
                     }
                 }
             }
         }
-        long before = ledger.sends.values().stream().mapToLong(List::size).sum();
+        long before = host.sendTimesByBackend.values().stream().mapToLong(List::size).sum();
         for (int i = 0; i < 40; i++) {
-            ledger.arrive(0, 0, 60_000);
+            host.sendRequest(0, 0, 60_000);
         }
-        long more = ledger.sends.values().stream().mapToLong(List::size).sum() - before;
-        assertFalse(more > 20, more + " let in at once");
+        long more = host.sendTimesByBackend.values().stream().mapToLong(List::size).sum() - before;
+        assertFalse(more > 20, more + " admitted at once");
     }
 
     /**
-     * Found on a day with a lost server room: each balancer lost work to find out what its peers
-     * knew.
+     * Guards against each load balancer losing requests to detect a loss that its peers already know, as seen during the loss of a zone.
      */
     @Example
-    void whatPeersFoundLostIsDoubtedButNotPassedOn() {
-        Ledger finder = ledger(false, List.of(), 2);
+    void lossesReportedByPeersAreUsedButNotForwarded() {
+        InvariantCheckingHost reporter = newHost(false, List.of(), 2);
         for (int i = 0; i < 40; i++) {
-            long id = finder.arrive(0, 0, 20_000);
+            long id = reporter.sendRequest(0, 0, 20_000);
             for (int n = 0;
-                    finder.items.containsKey(id) && n < finder.items.get(id).sent.size();
+                    reporter.requests.containsKey(id) && n < reporter.requests.get(id).attempts.size();
                     n++) {
-                boolean lost = finder.items.get(id).sent.get(n).to.id().equals("b0");
-                finder.settle(
+                boolean lost = reporter.requests.get(id).attempts.get(n).endpoint.id().equals("b0");
+                reporter.completeAttempt(
                         id, n, lost ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.COMPLETED);
             }
-            finder.pass(300);
+            reporter.advanceTime(300);
         }
-        assertEquals(Set.of("b0"), Set.copyOf(finder.told));
-        Ledger hearer = ledger(false, List.of(), 2);
-        hearer.balancer.onPeerMessage(hearer.now, "b0".getBytes(UTF_8));
-        hearer.pass(600);
-        assertTrue(hearer.told.isEmpty());
+        assertEquals(Set.of("b0"), Set.copyOf(reporter.peerMessages));
+        InvariantCheckingHost receiver = newHost(false, List.of(), 2);
+        receiver.loadBalancer.onPeerMessage(receiver.nowTicks, "b0".getBytes(UTF_8));
+        receiver.advanceTime(600);
+        assertTrue(receiver.peerMessages.isEmpty());
         for (int i = 0; i < 40; i++) {
-            hearer.balancer.onPeerMessage(hearer.now, "b0".getBytes(UTF_8));
-            hearer.arrive(0, 0, 20_000);
-            hearer.pass(300);
-            for (long id : List.copyOf(hearer.items.keySet())) {
-                if (hearer.items.get(id).sent.get(0).to.id().equals("b1")) {
-                    hearer.settle(id, 0, AttemptOutcome.COMPLETED);
+            receiver.loadBalancer.onPeerMessage(receiver.nowTicks, "b0".getBytes(UTF_8));
+            receiver.sendRequest(0, 0, 20_000);
+            receiver.advanceTime(300);
+            for (long id : List.copyOf(receiver.requests.keySet())) {
+                if (receiver.requests.get(id).attempts.get(0).endpoint.id().equals("b1")) {
+                    receiver.completeAttempt(id, 0, AttemptOutcome.COMPLETED);
                 }
             }
         }
-        assertTrue(hearer.sends.get("b1").size() > 25, hearer.sends.toString());
+        assertTrue(receiver.sendTimesByBackend.get("b1").size() > 25, receiver.sendTimesByBackend.toString());
     }
 
-    private static List<Ledger> many(int balancers, List<Tenant> tenants) {
-        List<Ledger> many = new ArrayList<>();
-        for (int n = 0; n < balancers; n++) {
-            many.add(new Ledger(PLAIN, tenants, n, true, false, true, balancers));
+    private static List<InvariantCheckingHost> newHosts(int loadBalancers, List<Tenant> tenants) {
+        List<InvariantCheckingHost> hosts = new ArrayList<>();
+        for (int n = 0; n < loadBalancers; n++) {
+            hosts.add(new InvariantCheckingHost(REQUEST_CLASSES, tenants, n, true, false, true, loadBalancers));
         }
-        return many;
+        return hosts;
     }
 
     /**
-     * Found with hundreds of balancers: one request from each at once pushed a cold backend over.
+     * Guards against simultaneous requests from hundreds of load balancers, one from each, that overload a cold backend.
      */
     @Example
-    void manyBalancersTogetherKeepAColdBackendUp() {
-        int balancers = 200;
+    void manyLoadBalancersTogetherDoNotOverloadAColdBackend() {
+        int loadBalancers = 200;
         List<Long> sent = new ArrayList<>();
-        for (Ledger ledger : many(balancers, List.of())) {
-            List<Endpoint> members = new ArrayList<>(Ledger.ready(0, 20));
-            ledger.list(members, true, true);
+        for (InvariantCheckingHost host : newHosts(loadBalancers, List.of())) {
+            List<Endpoint> endpoints = new ArrayList<>(InvariantCheckingHost.ready(0, 20));
+            host.updateEndpoints(endpoints, true, true);
             for (int i = 0; i < 60; i++) {
-                ledger.arrive(0, 0, 20_000);
-                ledger.pass(1_000);
-                finishAll(ledger);
+                host.sendRequest(0, 0, 20_000);
+                host.advanceTime(1_000);
+                completeAll(host);
                 if (i == 20) {
                     Endpoint fresh =
-                            new Endpoint("b3", 0, 0, 1, Endpoint.State.READY, 1, ledger.now);
-                    ledger.list(List.of(fresh), false, false);
+                            new Endpoint("b3", 0, 0, 1, Endpoint.State.READY, 1, host.nowTicks);
+                    host.updateEndpoints(List.of(fresh), false, false);
                 }
             }
-            List<Long> toFresh = ledger.sends.getOrDefault("b3", List.of());
+            List<Long> toFresh = host.sendTimesByBackend.getOrDefault("b3", List.of());
             sent.addAll(toFresh.stream().filter(at -> at > 20_900).toList());
         }
-        // Each warm backend gets 10 a second of the 200; a cold one bears the multiple of its share
-        // of that.
-        double bears = Ledger.FALL_MULTIPLE * Ledger.COLD_SHARE * 10 * Ledger.FALL / 10_000.0;
-        long inWindow = sent.stream().filter(at -> at <= 20_900 + Ledger.FALL).count();
-        assertTrue(inWindow <= bears, inWindow + " sent in the first window, it bears " + bears);
-        assertTrue(inWindow > 0, "a cold backend is not left out");
+        // Counts on 10 requests per second from the 200 load balancers to each warm backend; a cold
+        // one is overloaded by the multiple of its share of that.
+        double overloadCount = InvariantCheckingHost.OVERLOAD_MULTIPLE * InvariantCheckingHost.INITIAL_FRACTION * 10 * InvariantCheckingHost.OVERLOAD_WINDOW_TICKS / 10_000.0;
+        long inWindow = sent.stream().filter(at -> at <= 20_900 + InvariantCheckingHost.OVERLOAD_WINDOW_TICKS).count();
+        assertTrue(inWindow <= overloadCount, inWindow + " sent in the first window, overloaded above " + overloadCount);
+        assertTrue(inWindow > 0, "a cold backend gets requests");
     }
 
     /**
-     * Found with hundreds of balancers: the least rooms of one request each added up and choked
-     * all.
+     * Guards against a minimum limit of one request per load balancer: with hundreds of load balancers, these added up and overloaded all backends.
      */
     @Example
-    void manyBalancersTogetherLetInWhatTheBackendsMayHold() {
+    void manyLoadBalancersTogetherAdmitWhatTheBackendsCanHold() {
         long held = 0;
-        for (Ledger ledger : many(100, List.of(new Tenant(1, 1_000)))) {
-            ledger.list(Ledger.ready(0, 10), true, true);
+        for (InvariantCheckingHost host : newHosts(100, List.of(new Tenant(1, 1_000)))) {
+            host.updateEndpoints(InvariantCheckingHost.ready(0, 10), true, true);
             for (int i = 0; i < 200; i++) {
-                ledger.arrive(0, 0, 60_000);
-                ledger.pass(1_000);
-                for (long id : List.copyOf(ledger.items.keySet())) {
-                    if (ledger.now - ledger.items.get(id).sent.get(0).at >= 3_000) {
-                        ledger.settle(id, 0, AttemptOutcome.COMPLETED);
+                host.sendRequest(0, 0, 60_000);
+                host.advanceTime(1_000);
+                for (long id : List.copyOf(host.requests.keySet())) {
+                    if (host.nowTicks - host.requests.get(id).attempts.get(0).sentAtTicks >= 3_000) {
+                        host.completeAttempt(id, 0, AttemptOutcome.COMPLETED);
                     }
                 }
             }
-            // By Little's law: what each second brought in, over the 0.3 s that it stays.
+            // By Little's law: the requests admitted per second multiplied by the 0.3 s for which each
+            // is in flight.
             held +=
-                    ledger.sends.values().stream()
+                    host.sendTimesByBackend.values().stream()
                             .flatMap(List::stream)
                             .filter(at -> at > 100_000)
                             .count();
         }
         held = held * 3 / 100;
-        assertTrue(held > 20 && held < 70, held + " held by ten backends together");
+        assertTrue(held > 20 && held < 70, held + " in flight at ten backends together");
     }
 
     /**
-     * Found at a start with many balancers: nearly all backends passed for silent in the first
-     * second.
+     * Guards against taking a typical latency for silence: at a start with many load balancers, nearly all backends counted as silent in the first second.
      */
     @Example
-    void anAnswerOfUsualLengthIsNoSilence() {
-        Ledger ledger = ledger(true, List.of(), 10);
+    void typicalLatencyIsNotSilence() {
+        InvariantCheckingHost host = newHost(true, List.of(), 10);
         for (int i = 0; i < 10; i++) {
-            ledger.arrive(0, 0, 60_000);
+            host.sendRequest(0, 0, 60_000);
         }
-        ledger.pass(3_000);
-        assertTrue(ledger.told.isEmpty(), "told peers " + ledger.told);
-        assertTrue(ledger.items.values().stream().allMatch(item -> item.sent.size() == 1));
+        host.advanceTime(3_000);
+        assertTrue(host.peerMessages.isEmpty(), "reported to peers: " + host.peerMessages);
+        assertTrue(host.requests.values().stream().allMatch(request -> request.attempts.size() == 1));
     }
 
     /**
-     * Found on a day with eight lanes and many balancers: two lanes choked while the others idled.
+     * Guards against overloaded lanes beside idle ones, as seen with many load balancers for two of eight lanes.
      */
     @Example
-    void aLaneThatHoldsFarMoreThanTheOthersSpills() {
+    void requestsSpillOverFromACrowdedLane() {
         int outside = 0;
-        for (Ledger ledger : many(20, TWO)) {
-            ledger.list(Ledger.ready(0, 20), true, true);
-            Set<String> small = ids(ledger.fleet.lane(1));
+        for (InvariantCheckingHost host : newHosts(20, TWO_TENANTS)) {
+            host.updateEndpoints(InvariantCheckingHost.ready(0, 20), true, true);
+            Set<String> smallLane = ids(host.registry.lane(1));
             for (int i = 0; i < 60; i++) {
-                ledger.arrive(0, i % 3 == 0 ? 0 : 1, 60_000);
-                ledger.pass(900);
-                for (long id : List.copyOf(ledger.items.keySet())) {
-                    for (Ledger.Sent sent : List.copyOf(ledger.items.get(id).sent)) {
-                        long time = small.contains(sent.to.id()) ? 4_000 : 500;
-                        if (sent.out && ledger.now - sent.at >= time) {
-                            ledger.settle(id, 0, AttemptOutcome.COMPLETED);
+                host.sendRequest(0, i % 3 == 0 ? 0 : 1, 60_000);
+                host.advanceTime(900);
+                for (long id : List.copyOf(host.requests.keySet())) {
+                    for (InvariantCheckingHost.TrackedAttempt attempt : List.copyOf(host.requests.get(id).attempts)) {
+                        long latencyTicks = smallLane.contains(attempt.endpoint.id()) ? 4_000 : 500;
+                        if (attempt.inFlight && host.nowTicks - attempt.sentAtTicks >= latencyTicks) {
+                            host.completeAttempt(id, 0, AttemptOutcome.COMPLETED);
                         }
                     }
                 }
             }
-            outside += ledger.spilled(1, small);
+            outside += host.countSpilledOver(1, smallLane);
         }
-        assertTrue(outside > 50, outside + " of the crowded lane's requests spilled");
+        assertTrue(outside > 50, outside + " of the crowded lane's requests spilled over");
     }
 
-    /** Found after a flood: so few were let in that nobody learned that it was over. */
+    /** Guards against a rate limit that stays low after an overload, because too few requests are admitted to measure that it has ended. */
     @Example
-    void aLaneOpensAgainAfterAFlood() {
-        Ledger ledger = many(200, TWO).get(0);
-        ledger.list(Ledger.ready(0, 50), true, true);
-        int[] letIn = new int[2];
+    void laneRateRecoversAfterAnOverload() {
+        InvariantCheckingHost host = newHosts(200, TWO_TENANTS).get(0);
+        host.updateEndpoints(InvariantCheckingHost.ready(0, 50), true, true);
+        int[] admitted = new int[2];
         for (int i = 0; i < 800; i++) {
-            long id = ledger.arrive(0, 0, 60_000);
-            letIn[i / 400] += ledger.items.containsKey(id) ? 1 : 0;
+            long id = host.sendRequest(0, 0, 60_000);
+            admitted[i / 400] += host.requests.containsKey(id) ? 1 : 0;
             for (int n = 0;
-                    ledger.items.containsKey(id) && n < ledger.items.get(id).sent.size();
+                    host.requests.containsKey(id) && n < host.requests.get(id).attempts.size();
                     n++) {
-                ledger.settle(id, n, i < 400 ? AttemptOutcome.REJECTED : AttemptOutcome.COMPLETED);
+                host.completeAttempt(id, n, i < 400 ? AttemptOutcome.REJECTED : AttemptOutcome.COMPLETED);
             }
-            ledger.pass(500);
+            host.advanceTime(500);
         }
         assertTrue(
-                letIn[1] > letIn[0] * 1.3, letIn[0] + " let in during it, " + letIn[1] + " after");
+                admitted[1] > admitted[0] * 1.3, admitted[0] + " admitted during the overload, " + admitted[1] + " after");
     }
 
     /**
-     * Found where listed sizes are alike: the slower kind of machine held most and choked first.
+     * Guards against overloading the slower kind of machine where the list gives equal weights: it held the most requests and was overloaded first.
      */
     @Example
-    void aSlowerKindGetsLessWork() {
-        Ledger ledger = ledger(false, List.of(), 20);
+    void slowerMachineKindGetsFewerRequests() {
+        InvariantCheckingHost host = newHost(false, List.of(), 20);
         int[] byKind = new int[2];
         for (int i = 0; i < 800; i++) {
-            long id = ledger.arrive(0, 0, 60_000);
-            byKind[ledger.items.get(id).sent.get(0).to.machineKind()]++;
-            ledger.pass(100);
-            for (long out : List.copyOf(ledger.items.keySet())) {
-                Ledger.Sent sent = ledger.items.get(out).sent.get(0);
-                if (ledger.now - sent.at >= (sent.to.machineKind() == 1 ? 600 : 300)) {
-                    ledger.settle(out, 0, AttemptOutcome.COMPLETED);
+            long id = host.sendRequest(0, 0, 60_000);
+            byKind[host.requests.get(id).attempts.get(0).endpoint.machineKind()]++;
+            host.advanceTime(100);
+            for (long requestId : List.copyOf(host.requests.keySet())) {
+                InvariantCheckingHost.TrackedAttempt attempt = host.requests.get(requestId).attempts.get(0);
+                if (host.nowTicks - attempt.sentAtTicks >= (attempt.endpoint.machineKind() == 1 ? 600 : 300)) {
+                    host.completeAttempt(requestId, 0, AttemptOutcome.COMPLETED);
                 }
             }
         }
         assertTrue(
-                byKind[1] * 3 < byKind[0] * 2, byKind[1] + " to the slower kind of " + byKind[0]);
+                byKind[1] * 3 < byKind[0] * 2, byKind[1] + " to the slower kind, others " + byKind[0]);
     }
 
     /**
-     * What has gone for good must not be kept, nor looked at, for as long as the balancer lives.
+     * Guards against keeping backends that are gone for good, and iterating over them, as long as the load balancer runs.
      */
     @Example
-    void whatHasGoneIsForgotten() {
-        Ledger ledger = ledger(false, TWO, 4);
+    void removedBackendsAreForgotten() {
+        InvariantCheckingHost host = newHost(false, TWO_TENANTS, 4);
         for (int i = 4; i < 100; i++) {
-            ledger.list(Ledger.ready(i, i + 4), true, false);
-            ledger.pass(100);
+            host.updateEndpoints(InvariantCheckingHost.ready(i, i + 4), true, false);
+            host.advanceTime(100);
         }
-        assertEquals(4, ledger.fleet.all().size());
+        assertEquals(4, host.registry.all().size());
     }
 
     /**
-     * Found with many balancers: the false finds of all added up, and sound backends were shunned.
+     * Guards against false detections by many load balancers that add up, so that healthy backends were avoided.
      */
     @Example
-    void manyBalancersDoNotTell() {
-        for (int balancers : new int[] {2, 200}) {
-            Ledger ledger = new Ledger(PLAIN, List.of(), 1, false, false, true, balancers);
-            ledger.list(Ledger.ready(0, 4), true, true);
+    void manyLoadBalancersDoNotReportLosses() {
+        for (int loadBalancers : new int[] {2, 200}) {
+            InvariantCheckingHost host = new InvariantCheckingHost(REQUEST_CLASSES, List.of(), 1, false, false, true, loadBalancers);
+            host.updateEndpoints(InvariantCheckingHost.ready(0, 4), true, true);
             for (int i = 0; i < 20; i++) {
-                long id = ledger.arrive(0, 0, 20_000);
+                long id = host.sendRequest(0, 0, 20_000);
                 for (int n = 0;
-                        ledger.items.containsKey(id) && n < ledger.items.get(id).sent.size();
+                        host.requests.containsKey(id) && n < host.requests.get(id).attempts.size();
                         n++) {
-                    ledger.settle(id, n, AttemptOutcome.CONNECT_FAILED);
+                    host.completeAttempt(id, n, AttemptOutcome.CONNECT_FAILED);
                 }
-                ledger.pass(300);
+                host.advanceTime(300);
             }
-            assertEquals(balancers > 4, ledger.told.isEmpty());
+            assertEquals(loadBalancers > 4, host.peerMessages.isEmpty());
         }
     }
 }
