--- a/src/main/java/cottonlock/simulator/EndpointListReader.java
+++ b/src/main/java/cottonlock/simulator/EndpointListReader.java
@@ -41,7 +41,7 @@
         while (endpoints.size() < count) {
             if (!in.nextLine() || !in.readText("message").equals(WireVocabulary.ENDPOINT)) {
                 throw new InvalidSettingsException(
-                        "a list of " + count + " ends after " + endpoints.size());
+                        "an endpoint list of " + count + " ends after " + endpoints.size());
             }
             endpoints.add(readEndpoint());
         }
--- a/src/main/java/cottonlock/simulator/LineReader.java
+++ b/src/main/java/cottonlock/simulator/LineReader.java
@@ -82,14 +82,14 @@
 
     private int fieldEnd(String fieldName) {
         if (position >= lineEnd) {
-            throw new InvalidSettingsException("no " + fieldName);
+            throw new InvalidSettingsException("missing field: " + fieldName);
         }
         int end = position;
         while (end < lineEnd && buffer[end] != ' ') {
             end++;
         }
         if (end == position) {
-            throw new InvalidSettingsException("no " + fieldName);
+            throw new InvalidSettingsException("missing field: " + fieldName);
         }
         return end;
     }
--- a/src/test/java/cottonlock/decision/LoadBalancerTest.java
+++ b/src/test/java/cottonlock/decision/LoadBalancerTest.java
@@ -492,7 +492,7 @@
                                 + quota
                                 + " at "
                                 + counts[0]
-                                + " balancers");
+                                + " load balancers");
             }
         }
     }
@@ -522,7 +522,7 @@
             }
             assertTrue(
                     host.rejectionCounts.isEmpty(),
-                    "rejected for " + host.rejectionCounts + " at " + counts[0] + " balancers");
+                    "rejected for " + host.rejectionCounts + " at " + counts[0] + " load balancers");
         }
     }
 
@@ -579,7 +579,7 @@
                                 + finished[1]
                                 + " with long ones, at "
                                 + counts[0]
-                                + " balancers");
+                                + " load balancers");
             }
         }
     }
--- a/src/test/java/cottonlock/decision/backend/EndpointListFreshnessTest.java
+++ b/src/test/java/cottonlock/decision/backend/EndpointListFreshnessTest.java
@@ -12,22 +12,22 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
 
-/** When a load balancer asks discovery again after calls that failed. */
+/** Tests when a load balancer calls discovery again after failed calls. */
 class EndpointListFreshnessTest {
     private static final long SECOND_TICKS = 10_000;
-    private static final long TICK_TICKS = 50;
+    private static final long STEP_TICKS = 50;
 
-    /** A change counts as known so long after discovery had it and could be reached. */
-    private static final long KNOWN_AFTER_TICKS = 6 * SECOND_TICKS;
+    /** The time after which a change must be known, once discovery has it and can be reached. */
+    private static final long MAX_UPDATE_DELAY_TICKS = 6 * SECOND_TICKS;
 
     /** How long discovery lets a call wait before it refuses it. */
     private static final long QUEUE_WAIT_TICKS = 2 * SECOND_TICKS;
 
-    /** A call that says nothing is given up then. */
-    private static final long SILENCE_TICKS = 4 * SECOND_TICKS;
+    /** The timeout of a call without a response. */
+    private static final long CALL_TIMEOUT_TICKS = 4 * SECOND_TICKS;
 
-    /** The pause with which a fleet of 120 kept discovery overloaded for a whole day. */
-    private static final long OVERLOADING_PAUSE_TICKS = 8_000;
+    /** The backoff with which 120 load balancers kept discovery overloaded for a whole day. */
+    private static final long OVERLOADING_BACKOFF_TICKS = 8_000;
 
     private static final long MAX_POLL_INTERVAL_TICKS = 10 * SECOND_TICKS;
 
@@ -52,47 +52,47 @@
                         });
     }
 
-    /** Fails the call under way, and returns how long the next one is waited for. */
-    private long pauseAfterFailure(EndpointListFreshness freshness) {
+    /** Fails the call in progress, and returns the time until the next one. */
+    private long backoffAfterFailure(EndpointListFreshness freshness) {
         long failedAtTicks = nowTicks;
         int callsBefore = calls;
         freshness.onFailure(failedAtTicks);
         while (calls == callsBefore) {
-            nowTicks += TICK_TICKS;
+            nowTicks += STEP_TICKS;
             freshness.pollIfDue(nowTicks);
         }
         return nowTicks - failedAtTicks;
     }
 
-    /** Guards against a fleet whose repeated calls keep discovery overloaded for good. */
+    /** Guards against load balancers whose repeated calls keep discovery overloaded permanently. */
     @Example
-    void callsThatAreRefusedAgainAndAgainBecomeRarer() {
+    void repeatedlyRefusedCallsBecomeLessFrequent() {
         for (int seed = 0; seed < 100; seed++) {
             EndpointListFreshness freshness = freshness(seed);
-            long pauseTicks = pauseAfterFailure(freshness);
+            long backoffTicks = backoffAfterFailure(freshness);
             for (int refusals = 0; refusals < 6; refusals++) {
                 nowTicks += QUEUE_WAIT_TICKS;
-                pauseTicks = pauseAfterFailure(freshness);
+                backoffTicks = backoffAfterFailure(freshness);
             }
-            assertTrue(pauseTicks > OVERLOADING_PAUSE_TICKS, "a pause of " + pauseTicks);
+            assertTrue(backoffTicks > OVERLOADING_BACKOFF_TICKS, "a backoff of " + backoffTicks);
         }
     }
 
     @Property(tries = 300)
-    void afterAnyFailuresTheNextAnswerIsInTime(
+    void nextResponseIsInTimeAfterAnyFailures(
             @ForAll @IntRange(min = 0, max = 20) int failures,
-            @ForAll @LongRange(min = 0, max = SILENCE_TICKS) long callTicks,
+            @ForAll @LongRange(min = 0, max = CALL_TIMEOUT_TICKS) long callTicks,
             @ForAll long seed) {
         EndpointListFreshness freshness = freshness(seed);
-        long pauseTicks = pauseAfterFailure(freshness);
+        long backoffTicks = backoffAfterFailure(freshness);
         for (int i = 0; i < failures; i++) {
             nowTicks += callTicks;
-            pauseTicks = pauseAfterFailure(freshness);
+            backoffTicks = backoffAfterFailure(freshness);
         }
-        // A refused call has waited in discovery's queue, as the next one may; a silent one has
-        // not.
+        // A refused call has waited in discovery's queue, as the next one may; a call that timed
+        // out has not.
         long answerTicks = callTicks <= QUEUE_WAIT_TICKS ? QUEUE_WAIT_TICKS : SECOND_TICKS;
-        long sumTicks = callTicks + pauseTicks + answerTicks;
-        assertTrue(sumTicks <= KNOWN_AFTER_TICKS, callTicks + " and a pause of " + pauseTicks);
+        long totalTicks = callTicks + backoffTicks + answerTicks;
+        assertTrue(totalTicks <= MAX_UPDATE_DELAY_TICKS, callTicks + " and a backoff of " + backoffTicks);
     }
 }
--- a/src/test/java/cottonlock/decision/backend/PeerExchangeTest.java
+++ b/src/test/java/cottonlock/decision/backend/PeerExchangeTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Guards against ids that do not fit into a message to peers: they stopped the load balancer. */
+/** Guards against backend ids that do not fit into a message to peers, which stopped the load balancer. */
 class PeerExchangeTest {
     private static final int MAX_MESSAGE_BYTES = 256;
     private static final String LONGEST_ID = "x".repeat(MAX_MESSAGE_BYTES);
@@ -50,20 +50,20 @@
     }
 
     @Example
-    void anIdLongerThanAMessageIsPassedOver() {
+    void idLongerThanAMessageIsSkipped() {
         report(LONGEST_ID + "y", "b1", "b2");
         report(LONGEST_ID + "y");
         assertEquals(List.of("b1 b2"), sent);
     }
 
     @Example
-    void anIdAsLongAsAMessageIsSentAlone() {
+    void idAsLongAsAMessageIsSentAlone() {
         report(LONGEST_ID, "b1");
         assertEquals(List.of(LONGEST_ID), sent);
     }
 
     @Example
-    void theLimitCountsBytesAsTheWireDoes() {
+    void limitCountsEncodedBytes() {
         String twoBytesEach = "\u00e9".repeat(60);
         report(twoBytesEach, "b".repeat(135), "b2");
         report(twoBytesEach, "b".repeat(136), "b2");
--- a/src/test/java/cottonlock/simulator/TranscriptTest.java
+++ b/src/test/java/cottonlock/simulator/TranscriptTest.java
@@ -21,14 +21,11 @@
 import net.jqwik.api.Example;
 
 /**
- * A day on the wire for each kind of site, made from a seed: arrivals, answers that depend on what
- * was sent, a list that changes, standstills. The same input gives the same actions. What was said
- * is left in target/transcripts, so that a change which is to decide nothing else can be compared
- * with the state before it, line by line.
+ * Simulates each kind of deployment from a seed, at the level of the wire protocol: requests that arrive, responses that depend on the attempts sent, changes of the endpoint list, and stalls. The same input must give the same actions. Transcripts of the replies are written to target/transcripts, so that a change that must not alter decisions can be compared with the previous state line by line.
  */
 class TranscriptTest {
-    private static final int TICKS = 4_000;
-    private static final Map<String, String> SITES =
+    private static final int BATCHES = 4_000;
+    private static final Map<String, String> SETTINGS_BY_DEPLOYMENT =
             new TreeMap<>(
                     Map.of(
                             "few",
@@ -43,7 +40,7 @@
                             "FleetSize=60 Me=7 Stage=0 Workload=mesh Fees.Connection=0.05"
                                     + " Fees.Handshake=0.00001 Limits.MaxHandOffs=3"
                                     + " Limits.Cancel=true"));
-    private static final String COMMON =
+    private static final String COMMON_SETTINGS =
             " Categories.count=3 Categories.0.DueTime=750000 Categories.0.Repeat=safe"
                 + " Categories.1.DueTime=1500000 Categories.1.Repeat=keyed"
                 + " Categories.1.KeyScope=zone Categories.1.RepeatWindow=3000000"
@@ -53,25 +50,25 @@
                 + " Obligations.ColdShare=0.4 Obligations.Cold=8000000 Obligations.FallMultiple=3"
                 + " Obligations.Fall=3000000";
 
-    /** The world around the adapter: each batch follows from the replies to those before. */
-    private static final class World extends InputStream {
+    /** The environment of the adapter: each batch depends on the replies to the previous ones. */
+    private static final class SimulatedEnvironment extends InputStream {
         private final SplittableRandom random;
         private final ByteArrayOutputStream replies;
         private final Deque<Byte> batch = new ArrayDeque<>();
         private final PriorityQueue<long[]> timers =
                 new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
 
-        /** When, which request, which of its attempts; what is said of it. */
-        private final Map<Long, List<String>> due = new TreeMap<>();
+        /** Messages to send, by the time at which they are due. */
+        private final Map<Long, List<String>> dueMessages = new TreeMap<>();
 
-        private final Map<Long, Integer> attempts = new TreeMap<>();
+        private final Map<Long, Integer> attemptCounts = new TreeMap<>();
         private final String settings;
-        private int tick;
-        private int seen;
-        private long clock;
+        private int batchNumber;
+        private int processedBytes;
+        private long clockMicros;
         private long lastId;
 
-        World(long seed, String settings, ByteArrayOutputStream replies) {
+        SimulatedEnvironment(long seed, String settings, ByteArrayOutputStream replies) {
             this.random = new SplittableRandom(seed);
             this.settings = settings;
             this.replies = replies;
@@ -79,8 +76,8 @@
 
         @Override
         public int read() {
-            if (batch.isEmpty() && tick <= TICKS) {
-                String text = next();
+            if (batch.isEmpty() && batchNumber <= BATCHES) {
+                String text = nextBatch();
                 for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
                     batch.add(b);
                 }
@@ -89,35 +86,35 @@
         }
 
         @Override
-        public int read(byte[] to, int from, int most) {
-            int n = 0;
-            for (int b = read(); b >= 0; b = n < most && !batch.isEmpty() ? read() : -1) {
-                to[from + n++] = (byte) b;
+        public int read(byte[] target, int offset, int maxLength) {
+            int length = 0;
+            for (int b = read(); b >= 0; b = length < maxLength && !batch.isEmpty() ? read() : -1) {
+                target[offset + length++] = (byte) b;
             }
-            return n == 0 ? -1 : n;
+            return length == 0 ? -1 : length;
         }
 
-        private String next() {
-            heed();
-            // A standstill now and then.
-            clock += random.nextInt(700) == 0 ? 900_000 : 5_000;
-            StringBuilder out = new StringBuilder("tick " + clock + " " + ++tick + "\n");
-            if (tick == 1) {
-                out.append("init p 5 ").append(settings).append(COMMON).append('\n');
-                list(out, "cached", 0, 12, "ready");
-            } else if (tick % 500 == 0) {
+        private String nextBatch() {
+            handleReplies();
+            // An occasional stall.
+            clockMicros += random.nextInt(700) == 0 ? 900_000 : 5_000;
+            StringBuilder out = new StringBuilder("tick " + clockMicros + " " + ++batchNumber + "\n");
+            if (batchNumber == 1) {
+                out.append("init p 5 ").append(settings).append(COMMON_SETTINGS).append('\n');
+                appendEndpointList(out, "cached", 0, 12, "ready");
+            } else if (batchNumber % 500 == 0) {
                 int from = random.nextInt(10);
                 String state = List.of("draining", "gone", "ready").get(random.nextInt(3));
-                list(out, "delta", from, from + 2, state);
+                appendEndpointList(out, "delta", from, from + 2, state);
             }
-            while (!timers.isEmpty() && timers.peek()[0] <= clock) {
+            while (!timers.isEmpty() && timers.peek()[0] <= clockMicros) {
                 out.append("timer p ").append(timers.poll()[1]).append('\n');
             }
-            while (!due.isEmpty() && due.keySet().iterator().next() <= clock) {
-                due.remove(due.keySet().iterator().next())
+            while (!dueMessages.isEmpty() && dueMessages.keySet().iterator().next() <= clockMicros) {
+                dueMessages.remove(dueMessages.keySet().iterator().next())
                         .forEach(line -> out.append(line).append('\n'));
             }
-            boolean burst = tick > TICKS / 2 && tick < TICKS * 3 / 4;
+            boolean burst = batchNumber > BATCHES / 2 && batchNumber < BATCHES * 3 / 4;
             for (int i = random.nextInt(burst ? 4 : 2); i > 0; i--) {
                 out.append("inbound p ")
                         .append(++lastId)
@@ -134,7 +131,7 @@
             return out.append("eob\n").toString();
         }
 
-        private void list(StringBuilder out, String scope, int from, int to, String state) {
+        private void appendEndpointList(StringBuilder out, String scope, int from, int to, String state) {
             out.append("register 0 ").append(to - from).append('\n');
             for (int n = from; n < to; n++) {
                 out.append("item b")
@@ -148,26 +145,26 @@
                         .append(' ')
                         .append(state)
                         .append(" 1 ")
-                        .append(state.equals("ready") && tick > 1 ? clock : 0)
+                        .append(state.equals("ready") && batchNumber > 1 ? clockMicros : 0)
                         .append('\n');
             }
-            out.append("endpoints p ").append(scope).append(' ').append(tick).append(" 0\n");
+            out.append("endpoints p ").append(scope).append(' ').append(batchNumber).append(" 0\n");
         }
 
-        /** What the adapter has asked for since. */
-        private void heed() {
+        /** Handles the actions in the replies since the last call. */
+        private void handleReplies() {
             String[] lines =
-                    replies.toString(StandardCharsets.UTF_8).substring(seen).split("\n", 0);
-            seen = replies.size();
+                    replies.toString(StandardCharsets.UTF_8).substring(processedBytes).split("\n", 0);
+            processedBytes = replies.size();
             for (String line : lines) {
                 String[] words = line.split(" ", 0);
                 if (words[0].equals("set_timer")) {
                     timers.add(new long[] {Long.parseLong(words[2]), Long.parseLong(words[3])});
                 } else if (words[0].equals("dispatch")) {
                     long id = Long.parseLong(words[2]);
-                    int number = attempts.merge(id, 1, Integer::sum) - 1;
+                    int attemptNumber = attemptCounts.merge(id, 1, Integer::sum) - 1;
                     int kind = random.nextInt(40);
-                    String how =
+                    String outcome =
                             kind == 0
                                     ? "errored"
                                     : kind == 1
@@ -177,19 +174,19 @@
                                                     : kind == 3
                                                             ? "severed"
                                                             : kind == 4 ? "overdue" : "completed";
-                    long took = (long) (-120_000 * Math.log(1 - random.nextDouble())) + 20_000;
-                    due.computeIfAbsent(clock + took, at -> new ArrayList<>())
+                    long latencyMicros = (long) (-120_000 * Math.log(1 - random.nextDouble())) + 20_000;
+                    dueMessages.computeIfAbsent(clockMicros + latencyMicros, at -> new ArrayList<>())
                             .add(
                                     "settled p "
                                             + id
                                             + " "
-                                            + how
+                                            + outcome
                                             + " "
-                                            + number
+                                            + attemptNumber
                                             + " "
-                                            + took
+                                            + latencyMicros
                                             + " "
-                                            + (how.equals("completed") ? 1 : 0)
+                                            + (outcome.equals("completed") ? 1 : 0)
                                             + " "
                                             + words[3]
                                             + " -");
@@ -198,33 +195,33 @@
         }
     }
 
-    private static String play(String site, long seed) throws IOException {
+    private static String run(String deployment, long seed) throws IOException {
         ByteArrayOutputStream replies = new ByteArrayOutputStream();
-        ByteArrayOutputStream complaints = new ByteArrayOutputStream();
-        int code =
+        ByteArrayOutputStream errors = new ByteArrayOutputStream();
+        int exitCode =
                 new WireHost(
-                                new World(seed, SITES.get(site), replies),
+                                new SimulatedEnvironment(seed, SETTINGS_BY_DEPLOYMENT.get(deployment), replies),
                                 replies,
-                                new PrintStream(complaints, true, StandardCharsets.UTF_8))
+                                new PrintStream(errors, true, StandardCharsets.UTF_8))
                         .run();
-        assertEquals(0, code, complaints::toString);
+        assertEquals(0, exitCode, errors::toString);
         return replies.toString(StandardCharsets.UTF_8);
     }
 
     @Example
     void theSameInputGivesTheSameActions() throws IOException {
         Path folder = Files.createDirectories(Path.of("target", "transcripts"));
-        for (String site : SITES.keySet()) {
+        for (String deployment : SETTINGS_BY_DEPLOYMENT.keySet()) {
             for (long seed = 1; seed <= 3; seed++) {
-                String said = play(site, seed);
-                assertEquals(said, play(site, seed));
+                String transcript = run(deployment, seed);
+                assertEquals(transcript, run(deployment, seed));
                 for (String action :
                         List.of("dispatch ", "overload_reply ", "give_up ", "listen ")) {
                     assertTrue(
-                            said.contains("\n" + action),
-                            site + " " + seed + " never says " + action);
+                            transcript.contains("\n" + action),
+                            deployment + " " + seed + " has no action " + action);
                 }
-                Files.writeString(folder.resolve(site + "-" + seed + ".txt"), said);
+                Files.writeString(folder.resolve(deployment + "-" + seed + ".txt"), transcript);
             }
         }
     }
--- a/src/test/java/cottonlock/simulator/WireHostTest.java
+++ b/src/test/java/cottonlock/simulator/WireHostTest.java
@@ -12,8 +12,7 @@
 import net.jqwik.api.Example;
 
 /**
- * The adapter's own duties: the order of the reply, and a plain end on input that is not the
- * wire's.
+ * Tests the order of the messages in replies, and the error for input that does not follow the protocol.
  */
 class WireHostTest {
     private static final String START =
@@ -23,25 +22,25 @@
                     + "endpoints proxy/0 cached 1 0\neob\n";
 
     private final ByteArrayOutputStream replies = new ByteArrayOutputStream();
-    private final ByteArrayOutputStream complaints = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
 
     private int run(String input) throws IOException {
         return new WireHost(
                         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
                         replies,
-                        new PrintStream(complaints, true))
+                        new PrintStream(errors, true))
                 .run();
     }
 
-    private void assertFault(String input, String fault) throws IOException {
-        complaints.reset();
+    private void assertRejected(String input, String error) throws IOException {
+        errors.reset();
         assertEquals(1, run(input));
-        String said = complaints.toString(UTF_8).trim();
-        assertTrue(said.contains(fault) && said.lines().count() == 1, said);
+        String output = errors.toString(UTF_8).trim();
+        assertTrue(output.contains(error) && output.lines().count() == 1, output);
     }
 
     @Example
-    void aRequestIsSentAndFinished() throws IOException {
+    void requestIsSentAndCompleted() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -65,7 +64,7 @@
     }
 
     @Example
-    void anInstanceMayStopAndStartInOneBatch() throws IOException {
+    void instanceCanStopAndStartInOneBatch() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -76,27 +75,27 @@
     }
 
     @Example
-    void malformedInputEndsWithOneLineThatNamesTheFault() throws IOException {
-        assertFault("tock 1 1\n", "line 1: a batch must start with 'tick'");
-        assertFault(
+    void malformedInputIsReportedInOneLine() throws IOException {
+        assertRejected("tock 1 1\n", "line 1: a batch must start with 'tick'");
+        assertRejected(
                 "tick 1 1\ninbound proxy/9 1 0 0 - 5 0 0\n", "line 2: unknown instance: proxy/9");
-        assertFault("tick 1 1\nsing proxy/9\n", "line 2: unknown message: sing");
-        assertFault("tick x 1\n", "line 1: clock is not a whole number: x");
-        assertFault("tick 1 1\n", "line 1: the input ends within a batch");
-        assertFault("tick 1 1", "line 1: the input ends within a line");
-        assertFault(
+        assertRejected("tick 1 1\nsing proxy/9\n", "line 2: unknown message: sing");
+        assertRejected("tick x 1\n", "line 1: clock is not a whole number: x");
+        assertRejected("tick 1 1\n", "line 1: the input ends within a batch");
+        assertRejected("tick 1 1", "line 1: the input ends within a line");
+        assertRejected(
                 "tick 1 1\nregister 0 2\nitem b 0 0 0 ready 1 -\neob\n",
-                "a list of 2 ends after 1");
-        assertFault("tick 1 1\nregister 16 0\n", "Buffer is out of range: 16");
-        assertFault(
+                "an endpoint list of 2 ends after 1");
+        assertRejected("tick 1 1\nregister 16 0\n", "Buffer is out of range: 16");
+        assertRejected(
                 "tick 1 1\ninit proxy/0 5 Limits.Cancel=perhaps\n",
                 "Limits.Cancel is neither true nor false");
-        assertFault(
+        assertRejected(
                 START + "tick 2000 2\nendpoints proxy/0 full 2 9\n", "no list has been registered");
-        assertFault(
+        assertRejected(
                 START + "tick 2000 2\ninbound proxy/0 1 4 0 - 5 0 0\n",
                 "Service is out of range: 4");
-        assertFault(
+        assertRejected(
                 START + "tick 2000 2\nsettled proxy/0 1 vanished 0 1 0 b -\n",
                 "unknown Outcome: vanished");
     }
