--- a/src/main/java/cottonlock/decision/admission/LaneRateLimit.java
+++ b/src/main/java/cottonlock/decision/admission/LaneRateLimit.java
@@ -66,7 +66,7 @@
     }
 
     /** The time that attempts of the request's class are expected to take without any sample. */
-    static double expectedTicks(Request request) {
+    static double expectedAttemptTicks(Request request) {
         return request.requestClass().latencyObjectiveTicks() / 3.0;
     }
 
--- a/src/main/java/cottonlock/decision/admission/ProportionalLaneRateLimit.java
+++ b/src/main/java/cottonlock/decision/admission/ProportionalLaneRateLimit.java
@@ -27,7 +27,7 @@
     private final QuotaWorkload workload;
     private final BackendRegistry registry;
     private final SplittableRandom random;
-    private double fraction = INITIAL_FRACTION;
+    private double admittedFraction = INITIAL_FRACTION;
 
     /**
      * A limit for one tenant.
@@ -55,16 +55,16 @@
                 registry.load()
                         .meanTimeInFlightTicks(
                                 ASSUMED_SAMPLES,
-                                Math.min(expectedTicks(request), atQuotaTicks),
+                                Math.min(expectedAttemptTicks(request), atQuotaTicks),
                                 nowTicks);
         long elapsedTicks = ticksSinceUpdate(nowTicks);
         double attemptTicks = updateAttemptTicks(expectedTicks, nowTicks);
         double laneRequestsPerTick = laneRequestsPerTick(perBackend, usableBackends, attemptTicks);
-        fraction =
+        admittedFraction =
                 Math.min(
-                        fraction + elapsedTicks * MAX_FRACTION_GROWTH_PER_TICK,
+                        admittedFraction + elapsedTicks * MAX_FRACTION_GROWTH_PER_TICK,
                         laneRequestsPerTick / quotaPerTick);
-        return draw(request) < fraction * expectedCredit(request, attemptTicks, nowTicks);
+        return admissionDraw(request) < admittedFraction * expectedCredit(request, attemptTicks, nowTicks);
     }
 
     @Override
@@ -84,7 +84,7 @@
      * A number from 0 to 1. It is the same for each retry of a request, which its estimated work
      * identifies: with independent draws, a client that retries would nearly always be admitted in the end.
      */
-    private double draw(Request request) {
+    private double admissionDraw(Request request) {
         SplittableRandom source =
                 request.estimatedWorkTicks() > 0
                         ? new SplittableRandom(request.estimatedWorkTicks())
--- a/src/main/java/cottonlock/decision/backend/Backend.java
+++ b/src/main/java/cottonlock/decision/backend/Backend.java
@@ -134,7 +134,7 @@
     }
 
     /** Excludes it from new requests. */
-    void leave() {
+    void markLeaving() {
         leaving = true;
     }
 
--- a/src/main/java/cottonlock/decision/backend/BackendRegistry.java
+++ b/src/main/java/cottonlock/decision/backend/BackendRegistry.java
@@ -166,7 +166,7 @@
             Backend backend = backendsById.computeIfAbsent(endpoint.id(), id -> newBackend(endpoint));
             backend.update(endpoint);
             if (endpoint.state() == Endpoint.State.DRAINING) {
-                backend.leave();
+                backend.markLeaving();
             } else if (endpoint.state() == Endpoint.State.GONE) {
                 delist(backend, nowTicks);
             }
@@ -185,7 +185,7 @@
     private void delist(Backend backend, long nowTicks) {
         backend.delisted = !topology.removalBinding();
         if (!backend.delisted || !hasRecentSuccess(backend, nowTicks)) {
-            backend.leave();
+            backend.markLeaving();
         }
     }
 
--- a/src/main/java/cottonlock/decision/backend/EndpointListFreshness.java
+++ b/src/main/java/cottonlock/decision/backend/EndpointListFreshness.java
@@ -72,13 +72,13 @@
                         maxBackoffTicks(nowTicks),
                         BASE_BACKOFF_TICKS << Math.min(MAX_BACKOFF_DOUBLINGS, consecutiveFailures));
         // All load balancers lose discovery at once, so the upper half of the backoff is jitter.
-        long halfTicks = backoffTicks / 2;
-        nextPollAtTicks = nowTicks + halfTicks + random.nextLong(Math.max(1, halfTicks));
+        long halfBackoffTicks = backoffTicks / 2;
+        nextPollAtTicks = nowTicks + halfBackoffTicks + random.nextLong(Math.max(1, halfBackoffTicks));
     }
 
     private long maxBackoffTicks(long nowTicks) {
-        long callTicks = nowTicks - lastPollAtTicks;
-        long remainingTicks = callTicks < MIN_QUEUE_WAIT_TICKS ? 0 : MAX_CALL_INTERVAL_TICKS - callTicks;
+        long callDurationTicks = nowTicks - lastPollAtTicks;
+        long remainingTicks = callDurationTicks < MIN_QUEUE_WAIT_TICKS ? 0 : MAX_CALL_INTERVAL_TICKS - callDurationTicks;
         return Math.min(
                 topology.maxPollIntervalTicks() / BACKOFFS_PER_POLL_INTERVAL,
                 Math.max(MAX_BACKOFF_TICKS, remainingTicks));
--- a/src/main/java/cottonlock/decision/backend/LaneLoad.java
+++ b/src/main/java/cottonlock/decision/backend/LaneLoad.java
@@ -70,13 +70,13 @@
      * @param maxInFlightPerBackend attempts in flight at which a backend is full
      */
     public double capacityInBackends(int tenant, double maxInFlightPerBackend, long nowTicks) {
-        double lent = lentBackends(maxInFlightPerBackend, nowTicks);
-        double own =
+        double lentBackends = lentBackends(maxInFlightPerBackend, nowTicks);
+        double ownBackends =
                 ready.lane(tenant).stream()
                         .filter(backend -> !OutlierDetector.isOutlier(backend))
                         .mapToDouble(backend -> slowStart.warmUpFraction(backend, nowTicks))
                         .sum();
-        return Math.max(1, lent + own);
+        return Math.max(1, lentBackends + ownBackends);
     }
 
     private double lentBackends(double maxInFlightPerBackend, long nowTicks) {
--- a/src/main/java/cottonlock/decision/backend/ReadyBackends.java
+++ b/src/main/java/cottonlock/decision/backend/ReadyBackends.java
@@ -42,13 +42,13 @@
         List<Backend> ready = known.stream().filter(backend -> !backend.isLeaving()).toList();
         lanes = LaneAssignment.assign(tenants, ready, Backend::id);
         for (int tenant = 0; tenant < tenants.size(); tenant++) {
-            arrange(lanes.lanes().get(tenant), tenant);
+            sortLane(lanes.lanes().get(tenant), tenant);
         }
-        arrange(lanes.unassigned(), tenants.size());
+        sortLane(lanes.unassigned(), tenants.size());
         all = ready.stream().sorted(preference).toList();
     }
 
-    private void arrange(List<Backend> lane, int laneIndex) {
+    private void sortLane(List<Backend> lane, int laneIndex) {
         lane.sort(preference);
         lane.forEach(backend -> backend.laneIndex = laneIndex);
     }
--- a/src/main/java/cottonlock/decision/retry/AttemptTracker.java
+++ b/src/main/java/cottonlock/decision/retry/AttemptTracker.java
@@ -164,11 +164,11 @@
     public void checkSilentBackends(long nowTicks) {
         long silentBackends = registry.all().stream().filter(b -> isSilent(b, nowTicks)).count();
         // If most are silent, the backends are probably not the cause, and retries would add load.
-        boolean fewSilent = silentBackends * 2 <= registry.ready().size();
+        boolean fewBackendsSilent = silentBackends * 2 <= registry.ready().size();
         for (Backend backend : registry.all()) {
             boolean silent = isSilent(backend, nowTicks);
             for (long requestId : backend.requestIdsInFlight()) {
-                checkAttempt(requests.get(requestId), silent, fewSilent, nowTicks);
+                checkAttempt(requests.get(requestId), silent, fewBackendsSilent, nowTicks);
             }
         }
     }
@@ -178,7 +178,7 @@
     }
 
     private void checkAttempt(
-            Request request, boolean backendSilent, boolean fewSilent, long nowTicks) {
+            Request request, boolean backendSilent, boolean fewBackendsSilent, long nowTicks) {
         Attempt attempt = request.lastAttempt();
         if (backendSilent
                 || registry.outliers()
@@ -188,7 +188,7 @@
         if (backendSilent && !attempt.backendWasSilent()) {
             attempt.onBackendSilent();
             registry.onSilenceDetected(attempt.backend(), nowTicks);
-            if (retryPolicy.tryCancel(request, fewSilent, nowTicks)) {
+            if (retryPolicy.tryCancel(request, fewBackendsSilent, nowTicks)) {
                 attempt.forbidCancelling();
                 actions.cancelAttempt(request.id(), request.attemptCount() - 1);
             }
--- a/src/main/java/cottonlock/decision/retry/RetryBudget.java
+++ b/src/main/java/cottonlock/decision/retry/RetryBudget.java
@@ -10,25 +10,25 @@
     /** The maximum number of retries that attempts accumulate. */
     private static final double MAX_SAVED_RETRIES = 5;
 
-    private double retries;
+    private double savedRetries;
 
     /** An attempt, first or retry, is sent. */
     void onAttempt() {
-        retries = Math.min(MAX_SAVED_RETRIES, retries + RETRIES_PER_ATTEMPT);
+        savedRetries = Math.min(MAX_SAVED_RETRIES, savedRetries + RETRIES_PER_ATTEMPT);
     }
 
     /** Whether one more retry is permitted. */
     boolean permitsRetry() {
-        return retries >= 1;
+        return savedRetries >= 1;
     }
 
     /** Takes one retry out of the budget, which must permit it. */
     void spend() {
-        retries--;
+        savedRetries--;
     }
 
     /** Adds one retry, so that the next one does not reduce the budget. */
     void grant() {
-        retries++;
+        savedRetries++;
     }
 }
