--- a/src/main/java/cottonlock/decision/admission/ConcurrencyLimit.java
+++ b/src/main/java/cottonlock/decision/admission/ConcurrencyLimit.java
@@ -67,8 +67,7 @@
         double minimum = minimumPerBackend * readyBackends / topology.loadBalancerCount();
         if (overQuota && topology.hasManyLoadBalancers()) {
             // One of many load balancers sees too few responses to tell concurrency caused by
-            // requests
-            // over quota from concurrency that the backends can sustain.
+            // requests over quota from concurrency that the backends can sustain.
             return !statistics.isUnderPressure(nowTicks)
                     && inFlight + random.nextDouble() < minimum;
         }
--- a/src/test/java/cottonlock/decision/ColdFleet.java
+++ b/src/test/java/cottonlock/decision/ColdFleet.java
@@ -290,8 +290,7 @@
                 workInWindow -= sentAttempts.get(oldestInWindow++).work;
             }
             // The capacity grows linearly, so its mean over the window is the mean of its values at
-            // both
-            // ends; before the start, the initial capacity is assumed.
+            // both ends; before the start, the initial capacity is assumed.
             double windowStartAge = Math.max(0, age - SLOW_START.overloadWindowTicks());
             double ticksBeforeStart = Math.max(0, SLOW_START.overloadWindowTicks() - age);
             double meanWarmUpFraction =
--- a/src/test/java/cottonlock/decision/LoadBalancerTest.java
+++ b/src/test/java/cottonlock/decision/LoadBalancerTest.java
@@ -596,8 +596,7 @@
             host.updateEndpoints(InvariantCheckingHost.ready(0, counts[1]), true, true);
             for (int i = 0; i < 1_000; i++) {
                 // A part of what this load balancer's share of the backends can hold, of which a
-                // tenth is
-                // never answered.
+                // tenth is never answered.
                 host.sendRequest(1, 0, 5_000_000);
                 host.advanceTime(1_000L * counts[0] / counts[1]);
                 host.completeOldest(1_000, Integer.MAX_VALUE, id -> id % 10 != 0);
@@ -810,8 +809,7 @@
                 }
             }
             // By Little's law: the requests admitted per second multiplied by the 0.3 s for which
-            // each
-            // is in flight.
+            // each is in flight.
             held +=
                     host.sendTimesByBackend.values().stream()
                             .flatMap(List::stream)
