--- a/src/main/java/cottonlock/decision/admission/EqualShareLaneRateLimit.java
+++ b/src/main/java/cottonlock/decision/admission/EqualShareLaneRateLimit.java
@@ -12,17 +12,19 @@
     private final int loadBalancers;
     private final TokenBucket bucket = new TokenBucket(BURST_REQUESTS);
 
-    /** A limit for one of so many load balancers. */
+    /** A limit for one of this many load balancers. */
     EqualShareLaneRateLimit(int loadBalancers) {
         this.loadBalancers = loadBalancers;
     }
 
     @Override
     boolean permits(Request request, double usableBackends, long nowTicks) {
-        double attemptTicks = updateAttemptTicks(expectedTicks(request), nowTicks);
-        double perTick = lanePerTick(MAX_CONCURRENCY_PER_BACKEND, usableBackends, attemptTicks);
+        double attemptTicks = updateAttemptTicks(expectedAttemptTicks(request), nowTicks);
+        double laneRequestsPerTick =
+                laneRequestsPerTick(MAX_CONCURRENCY_PER_BACKEND, usableBackends, attemptTicks);
         double minimumTokens = request.isOverQuota() ? OVER_QUOTA_MINIMUM_TOKENS : 1;
-        return bucket.tryTake(nowTicks, perTick / loadBalancers, BURST_REQUESTS, minimumTokens);
+        return bucket.tryTake(
+                nowTicks, laneRequestsPerTick / loadBalancers, BURST_REQUESTS, minimumTokens);
     }
 
     @Override
--- a/src/main/java/cottonlock/decision/admission/TenantQuota.java
+++ b/src/main/java/cottonlock/decision/admission/TenantQuota.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * The request quotas of all tenants at this load balancer, one token bucket for each. Where the
- * load balancers carry similar load, each grants an equal part of a quota; otherwise each grants
- * all of it.
+ * The request quotas of all tenants at this load balancer, with a token bucket for each tenant.
+ * Where the load balancers carry similar load, each grants an equal part of a quota; otherwise each
+ * grants the whole quota.
  */
 public final class TenantQuota {
     /** The smallest burst: Poisson arrivals at nine tenths of a quota rarely exceed it. */
@@ -19,14 +19,14 @@
 
     /**
      * What a client's retry must leave in the bucket, as a time at the quota's rate: retries are
-     * mostly excess and must not use up the quota of first requests.
+     * mostly requests over quota and must not use up the quota of first requests.
      */
     private static final long RETRY_RESERVE_TICKS = Ticks.PER_SECOND / 4;
 
-    /** The part of a full bucket present at the start is one in this many. */
+    /** A bucket starts with its full burst divided by this number. */
     private static final int INITIAL_FILL_DIVISOR = 4;
 
-    /** Each tenant's quota at this load balancer, in requests a tick. */
+    /** Each tenant's quota at this load balancer, in requests per tick. */
     private final double[] requestsPerTick;
 
     private final TokenBucket[] buckets;
@@ -35,10 +35,10 @@
     public TenantQuota(List<Tenant> tenants, DeploymentTopology topology) {
         requestsPerTick = new double[tenants.size()];
         buckets = new TokenBucket[tenants.size()];
-        int granting = topology.evenlyLoaded() ? topology.loadBalancerCount() : 1;
+        int grantingLoadBalancers = topology.evenlyLoaded() ? topology.loadBalancerCount() : 1;
         for (int tenant = 0; tenant < requestsPerTick.length; tenant++) {
             requestsPerTick[tenant] =
-                    tenants.get(tenant).quotaPerSecond() / granting / Ticks.PER_SECOND;
+                    tenants.get(tenant).quotaPerSecond() / grantingLoadBalancers / Ticks.PER_SECOND;
             buckets[tenant] = new TokenBucket(burst(tenant) / INITIAL_FILL_DIVISOR);
         }
     }
--- a/src/main/java/cottonlock/simulator/Reply.java
+++ b/src/main/java/cottonlock/simulator/Reply.java
@@ -6,8 +6,8 @@
 import java.util.Arrays;
 
 /**
- * Collects the messages of one reply, one a line with fields separated by spaces, and writes them
- * together. Numbers are formatted into the buffer, with no string for each. Used by one thread.
+ * Collects the messages of one reply, one per line with fields separated by spaces, and writes them
+ * together. Numbers are formatted in the buffer without creating strings. Used by one thread.
  */
 final class Reply {
     private static final int INITIAL_CAPACITY_BYTES = 1 << 14;
@@ -23,12 +23,12 @@
         this.out = out;
     }
 
-    /** Begins a message that concerns an instance. */
+    /** Starts a message that concerns an instance. */
     Reply start(String message, String instance) {
         return append(message).field(instance);
     }
 
-    /** Begins a message that concerns no instance. */
+    /** Starts a message that concerns no instance. */
     Reply start(String message) {
         return append(message);
     }
@@ -48,10 +48,10 @@
             return append(Long.toString(value));
         }
         int end = length + digitCount(value);
-        long rest = value;
+        long remaining = value;
         for (int index = end - 1; index >= length; index--) {
-            buffer[index] = (byte) ('0' + rest % 10);
-            rest /= 10;
+            buffer[index] = (byte) ('0' + remaining % 10);
+            remaining /= 10;
         }
         length = end;
         return this;
@@ -59,7 +59,7 @@
 
     private static int digitCount(long value) {
         int digits = 1;
-        for (long rest = value; rest >= 10; rest /= 10) {
+        for (long remaining = value; remaining >= 10; remaining /= 10) {
             digits++;
         }
         return digits;
