--- a/src/main/java/cottonlock/proxy/BackendActor.java
+++ b/src/main/java/cottonlock/proxy/BackendActor.java
@@ -22,7 +22,7 @@
     private static final int MAILBOX_CAPACITY = 4_096;
 
     /** Parts of the idle time after which a connection is retired, before the backend does it. */
-    private static final double IDLE_TIMEOUT_PART = 0.8;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.8;
 
     /**
      * Nanoseconds after an answer within which a second one may come, some milliseconds late: used
@@ -37,33 +37,33 @@
     private final ConnectionPermits permits;
     private final KeepAlivePolicy keepAlive;
     private final ConnectionThreads workers;
-    private final int connectLimit;
-    private final long retireAfter;
-    private final long settle;
+    private final int connectTimeoutMillis;
+    private final long idleTimeoutNanos;
+    private final long settleNanos;
     private final BufferPool buffers;
     private final HttpWriter writer;
     private final WriteTimeoutWatchdog watchdog;
     private final TickClock clock;
-    private final Metrics figures;
+    private final Metrics metrics;
     private final RateLimitedLog log;
     private InetSocketAddress address;
-    private final Deque<BackendConnection> resting = new ArrayDeque<>();
+    private final Deque<BackendConnection> idleConnections = new ArrayDeque<>();
     private final Set<BackendConnection> connections = new HashSet<>();
 
     /**
      * Attempts that wait for connections to settle: sooner than a new one is up, which also costs
      * more.
      */
-    private final Deque<ClientRequest.Attempt> held = new ArrayDeque<>();
+    private final Deque<ClientRequest.Attempt> waitingAttempts = new ArrayDeque<>();
 
-    private boolean leaving;
+    private boolean closing;
 
     /**
      * Whether it has a thread, or is just being given one: from its first attempt on, for many a
      * list names hundreds of which a balancer needs a few. Until then the module's thread owns what
      * it holds.
      */
-    private volatile boolean begun;
+    private volatile boolean started;
 
     /** Set by the thread that started it; null before. */
     private volatile Thread thread;
@@ -71,7 +71,7 @@
     /**
      * Whether no thread could be had: what waits is settled by the one that should have started it.
      */
-    private boolean threadless;
+    private boolean threadUnavailable;
 
     /**
      * What the list and the operators said last; told by the module's thread, looked at where bytes
@@ -85,27 +85,27 @@
             ConnectionPermits permits,
             KeepAlivePolicy keepAlive,
             ConnectionThreads workers,
-            long connectLimit,
-            long idle,
-            long settle,
+            long connectTimeoutMillis,
+            long idleTimeoutMillis,
+            long settleNanos,
             BufferPool buffers,
             HttpWriter writer,
             WriteTimeoutWatchdog watchdog,
             TickClock clock,
-            Metrics figures,
+            Metrics metrics,
             RateLimitedLog log) {
         this.address = address;
         this.permits = permits;
         this.keepAlive = keepAlive;
         this.workers = workers;
-        this.connectLimit = (int) Math.max(1, Math.min(Integer.MAX_VALUE, connectLimit));
-        this.retireAfter = (long) (idle * IDLE_TIMEOUT_PART * 1_000_000);
-        this.settle = settle;
+        this.connectTimeoutMillis = (int) Math.max(1, Math.min(Integer.MAX_VALUE, connectTimeoutMillis));
+        this.idleTimeoutNanos = (long) (idleTimeoutMillis * IDLE_TIMEOUT_FRACTION * 1_000_000);
+        this.settleNanos = settleNanos;
         this.buffers = buffers;
         this.writer = writer;
         this.watchdog = watchdog;
         this.clock = clock;
-        this.figures = figures;
+        this.metrics = metrics;
         this.log = log;
         this.mailbox = new Mailbox(MAILBOX_CAPACITY, log);
     }
@@ -113,31 +113,31 @@
     /**
      * From the module's thread, behind the attempt: true where the caller has to have it started.
      */
-    boolean begins() {
-        boolean first = !begun;
-        begun = true;
-        return first;
+    boolean markStarted() {
+        boolean firstCall = !started;
+        started = true;
+        return firstCall;
     }
 
     /** From the module's thread: it was not started after all. */
-    void noThread() {
-        begun = false;
+    void clearStarted() {
+        started = false;
     }
 
     /** Starts its thread; never on the module's, which would wait for it. */
-    void begin() {
+    void startThread() {
         try {
-            Thread started = Sockets.thread("backend", this);
-            started.start();
-            thread = started;
+            Thread backendThread = Sockets.thread("backend", this);
+            backendThread.start();
+            thread = backendThread;
         } catch (OutOfMemoryError e) {
             // No thread can be had: these attempts fail, the next one tries again, the proxy must
             // not end.
             log.warn("no thread", "attempts got no connection");
-            begun = false;
-            threadless = true;
+            started = false;
+            threadUnavailable = true;
             mailbox.drain();
-            threadless = false;
+            threadUnavailable = false;
         }
     }
 
@@ -147,125 +147,125 @@
     }
 
     /** From the module's thread, after {@link #leave}: whether no thread runs it any more. */
-    boolean isOver() {
-        Thread started = thread;
-        return !begun || (started != null && !started.isAlive());
+    boolean isTerminated() {
+        Thread backendThread = thread;
+        return !started || (backendThread != null && !backendThread.isAlive());
     }
 
     @Override
     public void run() {
-        begun = true;
-        permits.join(this);
+        started = true;
+        permits.register(this);
         try {
-            while (!leaving || !connections.isEmpty() || !held.isEmpty()) {
-                mailbox.next(held.isEmpty() ? IDLE_CHECK_MICROS : unsettled() / 1_000);
-                retire();
-                while (!held.isEmpty() && unsettled() <= 0) {
-                    send(held.poll());
+            while (!closing || !connections.isEmpty() || !waitingAttempts.isEmpty()) {
+                mailbox.next(waitingAttempts.isEmpty() ? IDLE_CHECK_MICROS : nanosUntilSettled() / 1_000);
+                closeExpiredIdle();
+                while (!waitingAttempts.isEmpty() && nanosUntilSettled() <= 0) {
+                    send(waitingAttempts.poll());
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            permits.leave(this);
+            permits.unregister(this);
         }
     }
 
     /** From the module's thread: whether what is still on its way to a connection may go out. */
-    void ready(boolean now) {
-        ready = now;
+    void setReady(boolean newReady) {
+        ready = newReady;
     }
 
     /** Whether anything new may be written to it; from any thread. */
-    boolean ready() {
+    boolean isReady() {
         return ready;
     }
 
     /** From the module's thread, which never waits here: false when the mailbox is full. */
-    boolean attempt(ClientRequest.Attempt attempt) {
+    boolean offer(ClientRequest.Attempt attempt) {
         return mailbox.offer(() -> send(attempt));
     }
 
     /**
      * From the module's thread: without a thread it has no connections, and nobody to read this.
      */
-    private void tell(Runnable message) {
-        if (begun) {
+    private void offerIfStarted(Runnable message) {
+        if (started) {
             mailbox.offer(message);
         }
     }
 
     /** From the module's thread: the list has told where it listens now. */
-    void listensAt(InetSocketAddress now) {
-        if (!begun) {
-            address = now;
+    void addressChanged(InetSocketAddress newAddress) {
+        if (!started) {
+            address = newAddress;
         }
-        tell(
+        offerIfStarted(
                 () -> {
-                    if (!now.equals(address)) {
-                        address = now;
-                        resting.forEach(BackendConnection::kill);
-                        resting.clear();
+                    if (!newAddress.equals(address)) {
+                        address = newAddress;
+                        idleConnections.forEach(BackendConnection::closeNow);
+                        idleConnections.clear();
                     }
                 });
     }
 
     /** From the module's thread: it has gone from the list; what is out may still end. */
-    void leave() {
+    void removedFromList() {
         ready = false;
-        tell(
+        offerIfStarted(
                 () -> {
-                    leaving = true;
-                    resting.forEach(BackendConnection::kill);
-                    resting.clear();
+                    closing = true;
+                    idleConnections.forEach(BackendConnection::closeNow);
+                    idleConnections.clear();
                 });
     }
 
     /** From the module's thread: what rests is worth less than it costs. */
-    void release() {
-        tell(
+    void closeIdleConnections() {
+        offerIfStarted(
                 () -> {
-                    resting.forEach(BackendConnection::kill);
-                    resting.clear();
+                    idleConnections.forEach(BackendConnection::closeNow);
+                    idleConnections.clear();
                 });
     }
 
     /** From another backend's actor: sockets have run out, so the longest at rest is closed. */
-    void spareOne() {
+    void closeOldestIdle() {
         mailbox.offer(
                 () -> {
-                    BackendConnection spare = resting.pollFirst();
-                    if (spare != null) {
-                        spare.kill();
+                    BackendConnection oldest = idleConnections.pollFirst();
+                    if (oldest != null) {
+                        oldest.closeNow();
                     }
                 });
     }
 
     /** The proxy closes: nothing that is out is waited for. */
-    void end() {
-        tell(
+    void stop() {
+        offerIfStarted(
                 () -> {
-                    leaving = true;
-                    connections.forEach(BackendConnection::kill);
+                    closing = true;
+                    connections.forEach(BackendConnection::closeNow);
                 });
     }
 
     /** For tests alone: carried out on its thread, after all that it has been told. */
-    void then(Runnable next) {
-        mailbox.put(next);
+    void runAfterPending(Runnable task) {
+        mailbox.put(task);
     }
 
     /** From a connection: its attempt is over and it may carry the next. */
-    void rests(BackendConnection connection) {
+    void onIdle(BackendConnection connection) {
         mailbox.put(
                 () -> {
-                    if (leaving
+                    if (closing
                             || !connection.address().equals(address)
-                            || !keepAlive.worthwhile()) {
-                        connection.kill();
+                            || !keepAlive.isReuseAllowed()) {
+                        connection.closeNow();
                     } else {
-                        connection.restingSince = System.nanoTime();
-                        resting.addLast(connection);
+                        connection.idleSinceNanos = System.nanoTime();
+                        idleConnections.addLast(connection);
                     }
                 });
     }
@@ -274,34 +274,34 @@
      * From a connection: its attempt, not its first, broke off so many nanoseconds after it was
      * sent.
      */
-    void brokeWhenUsedAgain(long after) {
-        keepAlive.broke(after);
+    void reusedConnectionBroke(long nanosAfterSend) {
+        keepAlive.reusedConnectionBroke(nanosAfterSend);
     }
 
     /** From a connection: it has given back all that it held. */
-    void ended(BackendConnection connection) {
-        permits.give();
+    void connectionClosed(BackendConnection connection) {
+        permits.release();
         mailbox.put(
                 () -> {
                     connections.remove(connection);
-                    resting.remove(connection);
+                    idleConnections.remove(connection);
                 });
     }
 
     /** Nanoseconds until the connection that has rested longest has settled; 0 where none rests. */
-    private long unsettled() {
-        return resting.isEmpty()
+    private long nanosUntilSettled() {
+        return idleConnections.isEmpty()
                 ? 0
-                : settle - (System.nanoTime() - resting.peekFirst().restingSince);
+                : settleNanos - (System.nanoTime() - idleConnections.peekFirst().idleSinceNanos);
     }
 
     /** Takes the connection that was used last, of those that have settled; null if none has. */
-    private BackendConnection settled() {
+    private BackendConnection takeSettledConnection() {
         long now = System.nanoTime();
-        for (Iterator<BackendConnection> last = resting.descendingIterator(); last.hasNext(); ) {
-            BackendConnection connection = last.next();
-            if (now - connection.restingSince >= settle) {
-                last.remove();
+        for (Iterator<BackendConnection> iterator = idleConnections.descendingIterator(); iterator.hasNext(); ) {
+            BackendConnection connection = iterator.next();
+            if (now - connection.idleSinceNanos >= settleNanos) {
+                iterator.remove();
                 return connection;
             }
         }
@@ -309,42 +309,42 @@
     }
 
     private void send(ClientRequest.Attempt attempt) {
-        if (!attempt.mayBegin(clock.now())) {
+        if (!attempt.mayStart(clock.now())) {
             // It waited in the mailbox: for a client that has left no connection is made or used.
             attempt.settle(AttemptOutcome.NOT_SENT);
             return;
         }
-        if (threadless) {
+        if (threadUnavailable) {
             attempt.settle(AttemptOutcome.CONNECT_FAILED);
             return;
         }
         // Looked through now and then only, some had rested too long when they were used, and were
         // reset.
-        retire();
-        if (!keepAlive.worthwhile()) {
-            resting.forEach(BackendConnection::kill);
-            resting.clear();
+        closeExpiredIdle();
+        if (!keepAlive.isReuseAllowed()) {
+            idleConnections.forEach(BackendConnection::closeNow);
+            idleConnections.clear();
         }
-        for (BackendConnection connection = settled(); connection != null; connection = settled()) {
+        for (BackendConnection connection = takeSettledConnection(); connection != null; connection = takeSettledConnection()) {
             if (!attempt.attach(connection)) {
-                resting.addLast(connection);
+                idleConnections.addLast(connection);
                 return;
             }
-            if (attempt.req.body.isInFile() && elsewhere(connection, attempt)) {
+            if (attempt.req.body.isInFile() && sendOnWorkerThread(connection, attempt)) {
                 return;
             }
             if (connection.send(attempt)) {
                 return;
             }
-            if (attempt.settled()) {
+            if (attempt.isSettled()) {
                 return;
             }
         }
-        if (resting.size() > held.size()) {
-            held.add(attempt);
+        if (idleConnections.size() > waitingAttempts.size()) {
+            waitingAttempts.add(attempt);
             return;
         }
-        if (!permits.take()) {
+        if (!permits.acquire()) {
             log.warn("out of sockets", "an attempt got no connection");
             attempt.settle(AttemptOutcome.CONNECT_FAILED);
             return;
@@ -353,12 +353,12 @@
                 new BackendConnection(
                         this,
                         address,
-                        connectLimit,
+                        connectTimeoutMillis,
                         buffers,
                         writer,
                         watchdog,
                         clock,
-                        figures,
+                        metrics,
                         log,
                         attempt);
         connections.add(connection);
@@ -368,7 +368,7 @@
             // No thread can be had: this attempt fails, the proxy must not.
             log.warn("no thread", "an attempt got no connection");
             connections.remove(connection);
-            permits.give();
+            permits.release();
             attempt.settle(AttemptOutcome.CONNECT_FAILED);
         }
     }
@@ -377,11 +377,11 @@
      * A long body is written on another thread: a backend that reads slowly must not stop this
      * actor.
      */
-    private boolean elsewhere(BackendConnection connection, ClientRequest.Attempt attempt) {
+    private boolean sendOnWorkerThread(BackendConnection connection, ClientRequest.Attempt attempt) {
         try {
             workers.serve(
                     () -> {
-                        if (!connection.send(attempt) && !attempt.settled()) {
+                        if (!connection.send(attempt) && !attempt.isSettled()) {
                             mailbox.put(() -> send(attempt));
                         }
                     });
@@ -391,10 +391,10 @@
         }
     }
 
-    private void retire() {
+    private void closeExpiredIdle() {
         long now = System.nanoTime();
-        while (!resting.isEmpty() && now - resting.peekFirst().restingSince > retireAfter) {
-            resting.pollFirst().kill();
+        while (!idleConnections.isEmpty() && now - idleConnections.peekFirst().idleSinceNanos > idleTimeoutNanos) {
+            idleConnections.pollFirst().closeNow();
         }
     }
 }
--- a/src/main/java/cottonlock/proxy/BackendConnection.java
+++ b/src/main/java/cottonlock/proxy/BackendConnection.java
@@ -30,46 +30,46 @@
 
     private final BackendActor backend;
     private final InetSocketAddress address;
-    private final int connectLimit;
+    private final int connectTimeoutMillis;
     private final BufferPool buffers;
     private final HttpWriter writer;
     private final WriteTimeoutWatchdog watchdog;
     private final TickClock clock;
-    private final Metrics figures;
+    private final Metrics metrics;
     private final RateLimitedLog log;
     private final Socket socket = new Socket();
-    private final ClientRequest.Attempt first;
+    private final ClientRequest.Attempt firstAttempt;
 
     /** When it last began to rest, for the actor; 0 before it first does. */
-    long restingSince;
+    long idleSinceNanos;
 
-    private long sentAt;
+    private long sentAtNanos;
     private ClientRequest.Attempt current;
     private boolean writing;
     private boolean written;
-    private boolean ended;
+    private boolean closed;
 
     BackendConnection(
             BackendActor backend,
             InetSocketAddress address,
-            int connectLimit,
+            int connectTimeoutMillis,
             BufferPool buffers,
             HttpWriter writer,
             WriteTimeoutWatchdog watchdog,
             TickClock clock,
-            Metrics figures,
+            Metrics metrics,
             RateLimitedLog log,
-            ClientRequest.Attempt first) {
+            ClientRequest.Attempt firstAttempt) {
         this.backend = backend;
         this.address = address;
-        this.connectLimit = connectLimit;
+        this.connectTimeoutMillis = connectTimeoutMillis;
         this.buffers = buffers;
         this.writer = writer;
         this.watchdog = watchdog;
         this.clock = clock;
-        this.figures = figures;
+        this.metrics = metrics;
         this.log = log;
-        this.first = first;
+        this.firstAttempt = firstAttempt;
     }
 
     InetSocketAddress address() {
@@ -80,14 +80,14 @@
     public void run() {
         byte[] buffer = null;
         try {
-            if (first.attach(this)) {
-                current = first;
+            if (firstAttempt.attach(this)) {
+                current = firstAttempt;
                 socket.setTcpNoDelay(true);
-                socket.connect(address, connectLimit);
+                socket.connect(address, connectTimeoutMillis);
                 buffer = buffers.take();
                 HttpReader reader = new HttpReader(socket, buffer);
-                if (send(first)) {
-                    while (reader.awaitSingleByte() && expects() && exchange(reader)) {
+                if (send(firstAttempt)) {
+                    while (reader.awaitSingleByte() && isResponseExpected() && exchange(reader)) {
                         // One attempt after the other.
                     }
                 }
@@ -97,44 +97,44 @@
         } catch (IOException e) {
             // What was under way is settled below.
         } finally {
-            end(buffer);
+            closeAndSettle(buffer);
         }
     }
 
     /** The one place where the connection, its buffer and its permit are given back. */
-    private void end(byte[] buffer) {
+    private void closeAndSettle(byte[] buffer) {
         Sockets.close(socket);
         if (buffer != null) {
             buffers.give(buffer);
         }
-        ClientRequest.Attempt broken = null;
-        long after;
+        ClientRequest.Attempt unfinished = null;
+        long nanosAfterSend;
         synchronized (this) {
-            ended = true;
-            after = System.nanoTime() - sentAt;
+            closed = true;
+            nanosAfterSend = System.nanoTime() - sentAtNanos;
             if (!writing) {
                 // While it is being written the writer knows better how far it got.
-                broken = current;
+                unfinished = current;
                 current = null;
             }
         }
-        if (broken != null) {
-            if (broken != first && !broken.settled()) {
-                backend.brokeWhenUsedAgain(after);
+        if (unfinished != null) {
+            if (unfinished != firstAttempt && !unfinished.isSettled()) {
+                backend.reusedConnectionBroke(nanosAfterSend);
             }
-            broken.settle(
+            unfinished.settle(
                     written ? AttemptOutcome.CONNECTION_BROKEN : AttemptOutcome.CONNECT_FAILED);
         }
-        backend.ended(this);
+        backend.connectionClosed(this);
     }
 
     /**
      * Whether an answer is due; what comes unasked would be taken for the answer to the next
      * attempt.
      */
-    private synchronized boolean expects() {
+    private synchronized boolean isResponseExpected() {
         if (current == null) {
-            ended = true;
+            closed = true;
             log.warn("surplus", "an answer that was not asked for, from " + address);
         }
         return current != null;
@@ -143,34 +143,34 @@
     /** Writes an attempt; false when nothing more can go out on this connection. */
     boolean send(ClientRequest.Attempt attempt) {
         synchronized (this) {
-            if (ended || unasked()) {
+            if (closed || hasUnsolicitedBytes()) {
                 return false;
             }
             current = attempt;
-            sentAt = System.nanoTime();
+            sentAtNanos = System.nanoTime();
             writing = true;
             written = false;
         }
-        AttemptOutcome skipped = write(attempt);
-        boolean over;
+        AttemptOutcome failure = write(attempt);
+        boolean closedMeanwhile;
         synchronized (this) {
             writing = false;
-            written = skipped == null;
-            over = ended;
-            if (skipped != null || over) {
+            written = failure == null;
+            closedMeanwhile = closed;
+            if (failure != null || closedMeanwhile) {
                 current = null;
             }
         }
-        if (skipped != null) {
-            attempt.settle(skipped);
+        if (failure != null) {
+            attempt.settle(failure);
             Sockets.close(socket);
             return false;
         }
-        if (over) {
+        if (closedMeanwhile) {
             // It went out whole, but the other side had ended: it may have been read before that.
             attempt.settle(AttemptOutcome.CONNECTION_BROKEN);
         }
-        return !over;
+        return !closedMeanwhile;
     }
 
     /**
@@ -178,7 +178,7 @@
      * next. The thread that reads takes one byte only while nothing is out, so that it cannot hide
      * the others.
      */
-    private boolean unasked() {
+    private boolean hasUnsolicitedBytes() {
         try {
             return socket.getInputStream().available() > 0;
         } catch (IOException e) {
@@ -188,12 +188,12 @@
 
     /** Writes it whole and returns null, or tells why its last byte was never written. */
     private AttemptOutcome write(ClientRequest.Attempt attempt) {
-        attempt.req.awaitLook();
-        if (!attempt.req.hold()) {
+        attempt.req.awaitClientCheck();
+        if (!attempt.req.retainBody()) {
             return AttemptOutcome.NOT_SENT;
         }
         try {
-            if (!backend.ready()) {
+            if (!backend.isReady()) {
                 // It waited in a mailbox or for a connection: meanwhile a drain may have been told.
                 return AttemptOutcome.NOT_SENT;
             }
@@ -202,28 +202,28 @@
                     socket,
                     out ->
                             writer.writeRequest(
-                                    new Until(out, attempt),
+                                    new DeadlineOutputStream(out, attempt),
                                     attempt.req.outbound(),
                                     host,
-                                    () -> Math.max(1, (attempt.req.expiry - clock.now()) / 10)));
-            figures.attemptSent();
+                                    () -> Math.max(1, (attempt.req.deadlineTicks - clock.now()) / 10)));
+            metrics.attemptSent();
             return null;
         } catch (IOException e) {
             long now = clock.now();
-            return now >= attempt.sendBy || !attempt.mayBegin(now)
+            return now >= attempt.sendByTicks || !attempt.mayStart(now)
                     ? AttemptOutcome.NOT_SENT
                     : AttemptOutcome.CONNECT_FAILED;
         } finally {
-            attempt.req.release();
+            attempt.req.releaseBody();
         }
     }
 
     /** Fails before it writes anything too late: short of its last byte, a request never runs. */
-    private final class Until extends FilterOutputStream {
+    private final class DeadlineOutputStream extends FilterOutputStream {
         private final ClientRequest.Attempt attempt;
-        private boolean begun;
+        private boolean started;
 
-        Until(OutputStream out, ClientRequest.Attempt attempt) {
+        DeadlineOutputStream(OutputStream out, ClientRequest.Attempt attempt) {
             super(out);
             this.attempt = attempt;
         }
@@ -231,10 +231,10 @@
         @Override
         public void write(byte[] bytes, int from, int count) throws IOException {
             long now = clock.now();
-            if (now >= attempt.sendBy || (!begun && !attempt.mayBegin(now))) {
+            if (now >= attempt.sendByTicks || (!started && !attempt.mayStart(now))) {
                 throw new IOException("too late to be sent, or for nobody");
             }
-            begun = true;
+            started = true;
             out.write(bytes, from, count);
         }
     }
@@ -246,64 +246,64 @@
         MessageBody body = reader.readBodyStart(buffers);
         try {
             ClientRequest.Attempt attempt;
-            boolean keep = head.keepsAlive(head.responseVersion());
+            boolean keepAlive = head.keepsAlive(head.responseVersion());
             synchronized (this) {
                 attempt = current;
                 current = null;
-                keep &= !writing;
+                keepAlive &= !writing;
             }
             if (attempt == null) {
                 return false;
             }
-            boolean passed = pass(attempt, head, body, reader);
+            boolean forwarded = forwardResponse(attempt, head, body, reader);
             reader.setTimeout(0);
-            if (!passed) {
+            if (!forwarded) {
                 return false;
             }
-            if (keep && reader.hasSurplusBytes()) {
+            if (keepAlive && reader.hasSurplusBytes()) {
                 // A second copy or noise: the next attempt on this connection would be answered
                 // with it.
                 log.warn("surplus", "more than its answer, from " + address);
                 return false;
             }
-            if (keep) {
-                backend.rests(this);
+            if (keepAlive) {
+                backend.onIdle(this);
             }
-            return keep;
+            return keepAlive;
         } finally {
             body.release();
         }
     }
 
     /** Settles the attempt and passes its answer on; false when some of it is left unread. */
-    private boolean pass(
+    private boolean forwardResponse(
             ClientRequest.Attempt attempt, MessageHead head, MessageBody body, HttpReader reader)
             throws MalformedMessageException {
         int status = Integer.parseInt(head.status());
-        boolean notRun = "1".equals(head.only("X-Not-Processed"));
+        boolean notProcessed = "1".equals(head.only("X-Not-Processed"));
         if (status != 200) {
             attempt.settle(
-                    (status == 503 || status == 504) && notRun
+                    (status == 503 || status == 504) && notProcessed
                             ? AttemptOutcome.REJECTED
                             : AttemptOutcome.ERROR);
             return reader.isBodyComplete();
         }
         // Claimed first: the module must learn that the request is over, by this attempt.
-        boolean owed = attempt.req.claim();
+        boolean responseOwed = attempt.req.claim();
         attempt.settle(AttemptOutcome.COMPLETED);
         if (!reader.isBodyComplete()) {
             // Begun, it is the client's: no other attempt could answer it any more, nor would one
             // be needed.
-            return owed && attempt.req.client.relay(attempt.req, body, reader);
+            return responseOwed && attempt.req.client.relay(attempt.req, body, reader);
         }
-        if (owed) {
-            attempt.req.client.finish(attempt.req, 200, null, null, body);
+        if (responseOwed) {
+            attempt.req.client.sendResponse(attempt.req, 200, null, null, body);
         }
         return true;
     }
 
     /** Ends the connection at once, from any thread. */
-    void kill() {
+    void closeNow() {
         Sockets.close(socket);
     }
 }
--- a/src/main/java/cottonlock/proxy/ClientConnection.java
+++ b/src/main/java/cottonlock/proxy/ClientConnection.java
@@ -72,65 +72,65 @@
 
     private final Socket socket;
     private final ClientListener listener;
-    private final LoadBalancerActor module;
-    private final RequestValidator admission;
+    private final LoadBalancerActor loadBalancer;
+    private final RequestValidator validator;
     private final BufferPool buffers;
-    private final BodySpillFiles spools;
+    private final BodySpillFiles spillFiles;
     private final HttpWriter writer;
     private final WriteTimeoutWatchdog watchdog;
-    private final Metrics figures;
+    private final Metrics metrics;
     private final RateLimitedLog log;
     private ClientRequest req;
-    private HttpReader coming;
+    private HttpReader inputReader;
     private boolean reading;
 
     /** Whether some of the next request has been read while the answer to the last is owed. */
-    private boolean nextBegun;
+    private boolean nextRequestStarted;
 
     private boolean closing;
-    private boolean inputEnded;
+    private boolean inputShutDown;
 
     /** When that was, by the monotonic clock. */
-    private long endedAt;
+    private long inputShutDownNanos;
 
-    private volatile boolean asked;
-    private boolean worked;
+    private volatile boolean firstRequestStarted;
+    private boolean requestSubmitted;
 
     /**
      * Whether the connection ends after the next answer; whether an answer has said that it was the
      * last.
      */
-    private boolean last;
+    private boolean closeAfterResponse;
 
-    private boolean told;
-    private long since = System.nanoTime();
+    private boolean closeAnnounced;
+    private long lastActivityNanos = System.nanoTime();
 
     /**
      * For tests alone: what its thread does when it has read, and before it says so. Null in
      * service.
      */
-    volatile Runnable afterRead;
+    volatile Runnable afterReadHook;
 
     ClientConnection(
             Socket socket,
             ClientListener listener,
-            LoadBalancerActor module,
-            RequestValidator admission,
+            LoadBalancerActor loadBalancer,
+            RequestValidator validator,
             BufferPool buffers,
-            BodySpillFiles spools,
+            BodySpillFiles spillFiles,
             HttpWriter writer,
             WriteTimeoutWatchdog watchdog,
-            Metrics figures,
+            Metrics metrics,
             RateLimitedLog log) {
         this.socket = socket;
         this.listener = listener;
-        this.module = module;
-        this.admission = admission;
+        this.loadBalancer = loadBalancer;
+        this.validator = validator;
         this.buffers = buffers;
-        this.spools = spools;
+        this.spillFiles = spillFiles;
         this.writer = writer;
         this.watchdog = watchdog;
-        this.figures = figures;
+        this.metrics = metrics;
         this.log = log;
     }
 
@@ -142,7 +142,7 @@
             buffer = buffers.take();
             HttpReader reader = new HttpReader(socket, buffer);
             synchronized (this) {
-                coming = reader;
+                inputReader = reader;
             }
             while (awaitRequest(reader) && serve(reader)) {
                 // One request after the other.
@@ -150,31 +150,31 @@
         } catch (IOException e) {
             // The client is gone; what it was owed is settled below.
         } finally {
-            ClientRequest unanswered = unanswered();
+            ClientRequest abandoned = abandonedRequest();
             // Claimed before all else: it might just be about to be sent on.
-            if (unanswered != null && unanswered.claim()) {
-                figures.requestEnded();
-                module.left(unanswered);
+            if (abandoned != null && abandoned.claim()) {
+                metrics.requestEnded();
+                loadBalancer.clientDisconnected(abandoned);
             }
             Sockets.close(socket);
             if (buffer != null) {
                 buffers.give(buffer);
             }
-            listener.ended(this);
+            listener.connectionClosed(this);
         }
     }
 
     /**
      * The request that the client has left behind, if it was the client who ended the connection.
      */
-    private synchronized ClientRequest unanswered() {
+    private synchronized ClientRequest abandonedRequest() {
         // Ended from here just as a request had come whole, it looks the same, but the answer is
         // still owed.
-        if (req != null && inputEnded) {
+        if (req != null && inputShutDown) {
             // Nothing is read from here any more, so its leaving would not be seen.
-            module.unseen(req, true);
+            loadBalancer.clientUnobserved(req, true);
         }
-        while (req != null && inputEnded) {
+        while (req != null && inputShutDown) {
             try {
                 wait();
             } catch (InterruptedException e) {
@@ -186,7 +186,7 @@
 
     /** Waits for the next request to begin; false when the connection is to end. */
     private boolean awaitRequest(HttpReader reader) throws IOException {
-        for (boolean owed = owed(); owed || !reader.hasBufferedBytes(); owed = owed()) {
+        for (boolean responseOwed = hasOpenRequest(); responseOwed || !reader.hasBufferedBytes(); responseOwed = hasOpenRequest()) {
             try {
                 // A request that comes before the last answer waits its turn. Its client may leave
                 // all the
@@ -194,49 +194,49 @@
                 // after it had
                 // gone.
                 reader.setTimeout(
-                        owed && reader.hasBufferedBytes()
+                        responseOwed && reader.hasBufferedBytes()
                                 ? READ_AHEAD_CHECK_MILLIS
-                                : asked ? IDLE_TIMEOUT_MILLIS : READ_TIMEOUT_MILLIS);
-                looks();
+                                : firstRequestStarted ? IDLE_TIMEOUT_MILLIS : READ_TIMEOUT_MILLIS);
+                markClientChecked();
                 if (!reader.readAhead()) {
                     return false;
                 }
             } catch (SocketTimeoutException e) {
-                if (!owed && !owed() && !reader.hasBufferedBytes()) {
+                if (!responseOwed && !hasOpenRequest() && !reader.hasBufferedBytes()) {
                     return false;
                 }
             }
             if (reader.discardedBytes() > 0) {
-                lastOne();
+                closeAfterNextResponse();
             }
-            nextBegun(owed && reader.hasBufferedBytes());
+            setNextRequestStarted(responseOwed && reader.hasBufferedBytes());
             if (reader.discardedBytes() > MAX_DISCARDED_BYTES) {
-                awaitAnswer();
+                awaitResponse();
             }
         }
-        Runnable held = afterRead;
-        if (held != null) {
-            held.run();
+        Runnable hook = afterReadHook;
+        if (hook != null) {
+            hook.run();
         }
         synchronized (this) {
             // What has been read is served, also where the connection was ended from here
             // meanwhile: its
             // client sends again only what was left unread. After an answer that said so nothing
             // more is due.
-            nextBegun = false;
-            reading = !told && reader.discardedBytes() == 0;
-            since = System.nanoTime();
+            nextRequestStarted = false;
+            reading = !closeAnnounced && reader.discardedBytes() == 0;
+            lastActivityNanos = System.nanoTime();
             return reading;
         }
     }
 
-    private synchronized void nextBegun(boolean begun) {
-        nextBegun = begun;
+    private synchronized void setNextRequestStarted(boolean started) {
+        nextRequestStarted = started;
     }
 
-    private synchronized void looks() {
+    private synchronized void markClientChecked() {
         if (req != null) {
-            req.looks();
+            req.markClientChecked();
         }
     }
 
@@ -244,9 +244,9 @@
      * Waits for the answer under way: whoever sends without end is read no further meanwhile, so
      * that nobody sees it leave.
      */
-    private synchronized void awaitAnswer() throws IOException {
+    private synchronized void awaitResponse() throws IOException {
         if (req != null) {
-            module.unseen(req, false);
+            loadBalancer.clientUnobserved(req, false);
         }
         while (req != null) {
             try {
@@ -261,20 +261,20 @@
     private boolean serve(HttpReader reader) throws IOException {
         MessageBody body = null;
         MessageHead head;
-        RequestValidator.Asked judged = null;
+        RequestValidator.ValidatedHead validated = null;
         try {
-            if (asked) {
+            if (firstRequestStarted) {
                 reader.setTimeout(READ_TIMEOUT_MILLIS);
             }
-            asked = true;
+            firstRequestStarted = true;
             head = reader.readRequestHead();
-            boolean health = head.target().equals("/_health");
-            judged = health ? null : admission.asked(head);
+            boolean isHealthCheck = head.target().equals("/_health");
+            validated = isHealthCheck ? null : validator.validate(head);
             if (head.lists("Expect", "100-continue")) {
                 watchdog.write(socket, out -> out.write(CONTINUE_RESPONSE));
             }
             reader.setPacing(READ_TIMEOUT_MILLIS, MIN_BODY_BYTES_PER_SECOND);
-            body = reader.readBody(buffers, spools, MessageBody.MAX_REQUEST_BYTES);
+            body = reader.readBody(buffers, spillFiles, MessageBody.MAX_REQUEST_BYTES);
             if (reader.hasStrayBytes()) {
                 body.release();
                 throw new MalformedMessageException(400, "more than its length");
@@ -290,35 +290,35 @@
             refuse(new MalformedMessageException(500, e.getMessage()), reader);
             return false;
         }
-        boolean keep = head.keepsAlive(head.requestVersion());
-        if (judged == null) {
+        boolean keepAlive = head.keepsAlive(head.requestVersion());
+        if (validated == null) {
             body.release();
-            keep &= !last();
-            answer(200, null, null, null, !keep);
-            return keep;
+            keepAlive &= !closesAfterResponse();
+            writeResponse(200, null, null, null, !keepAlive);
+            return keepAlive;
         }
-        if (late(reader)) {
+        if (isReadAfterShutdown(reader)) {
             body.release();
             return false;
         }
-        ClientRequest next;
+        ClientRequest request;
         try {
-            next =
-                    admission.request(
-                            this, judged, body, System.nanoTime() - reader.lastReadNanos());
+            request =
+                    validator.createRequest(
+                            this, validated, body, System.nanoTime() - reader.lastReadNanos());
         } catch (MalformedMessageException e) {
             body.release();
             refuse(e, reader);
             return false;
         }
         synchronized (this) {
-            req = next;
-            worked = true;
+            req = request;
+            requestSubmitted = true;
             reading = false;
-            closing |= !keep;
+            closing |= !keepAlive;
         }
-        figures.requestStarted();
-        module.arrive(next);
+        metrics.requestStarted();
+        loadBalancer.requestReceived(request);
         return true;
     }
 
@@ -327,8 +327,8 @@
      * takes it for unread and sends it again, so sent on it would be lost, or have its effect
      * twice.
      */
-    private synchronized boolean late(HttpReader reader) {
-        return inputEnded && reader.lastReadNanos() - endedAt > 0;
+    private synchronized boolean isReadAfterShutdown(HttpReader reader) {
+        return inputShutDown && reader.lastReadNanos() - inputShutDownNanos > 0;
     }
 
     /** Ends the connection too: some send the same again at once, or hundreds of it in a row. */
@@ -345,48 +345,48 @@
         reader.discard(MAX_DISCARDED_BYTES);
     }
 
-    private void answer(int status, String name, String value, MessageBody body, boolean close)
+    private void writeResponse(int status, String headerName, String headerValue, MessageBody body, boolean close)
             throws IOException {
         synchronized (this) {
-            told |= close;
+            closeAnnounced |= close;
         }
-        watchdog.write(socket, out -> writer.writeResponse(out, status, name, value, body, close));
+        watchdog.write(socket, out -> writer.writeResponse(out, status, headerName, headerValue, body, close));
         synchronized (this) {
             reading = false;
-            since = System.nanoTime();
+            lastActivityNanos = System.nanoTime();
         }
     }
 
     /** The final answer to the request under way, by whoever has claimed it. */
-    void finish(ClientRequest done, int status, String name, String value, MessageBody body) {
+    void sendResponse(ClientRequest request, int status, String headerName, String headerValue, MessageBody body) {
         boolean close;
         synchronized (this) {
-            close = closing || last;
+            close = closing || closeAfterResponse;
         }
-        boolean whole = false;
+        boolean complete = false;
         try {
-            answer(status, name, value, body, close);
-            whole = true;
-            figures.responseSent(done.categoryName, done.tenantName, status, done.why);
+            writeResponse(status, headerName, headerValue, body, close);
+            complete = true;
+            metrics.responseSent(request.requestClassName, request.tenantName, status, request.rejectionReason);
         } catch (IOException e) {
             log.info("client gone", "an answer could not be written whole");
         }
-        over(close || !whole);
+        endRequest(close || !complete);
     }
 
     /** The request under way is over, and with it perhaps the connection. */
-    private void over(boolean close) {
-        figures.requestEnded();
+    private void endRequest(boolean close) {
+        metrics.requestEnded();
         synchronized (this) {
             req = null;
-            reading = nextBegun;
-            since = System.nanoTime();
+            reading = nextRequestStarted;
+            lastActivityNanos = System.nanoTime();
             notifyAll();
         }
         // Only after an answer that has said so: a client that was told nothing may be sending its
         // next request. Who has been told to end meanwhile ends once it rests.
         if (close) {
-            endReading();
+            shutDownInput();
         }
     }
 
@@ -395,38 +395,38 @@
      * hand, the reader has the rest. False when it could not be passed on whole: the client sees
      * that it is not.
      */
-    boolean relay(ClientRequest done, MessageBody part, HttpReader rest) {
-        long length = part.length() > 0 ? -1 : rest.declaredLength();
-        boolean chunked = length < 0 && done.knowsChunks;
+    boolean relay(ClientRequest request, MessageBody firstPart, HttpReader remainder) {
+        long length = firstPart.length() > 0 ? -1 : remainder.declaredLength();
+        boolean chunked = length < 0 && request.acceptsChunked;
         boolean close;
         synchronized (this) {
-            close = closing || last || (length < 0 && !chunked);
-            told |= close;
+            close = closing || closeAfterResponse || (length < 0 && !chunked);
+            closeAnnounced |= close;
         }
-        boolean whole = false;
+        boolean complete = false;
         try {
             watchdog.write(
                     socket,
                     out -> {
-                        writer.beginRelay(out, length, chunked, part, close);
+                        writer.beginRelay(out, length, chunked, firstPart, close);
                         // The rest may take as long as the client likes; what is in hand would be
                         // missed by others.
-                        part.release();
-                        rest.setPacing(RELAY_PAUSE_MILLIS, HttpReader.ANY_RATE_BYTES_PER_SECOND);
-                        rest.relayBody(
-                                (from, at, count) ->
-                                        writer.writeRelayed(out, chunked, from, at, count));
+                        firstPart.release();
+                        remainder.setPacing(RELAY_PAUSE_MILLIS, HttpReader.ANY_RATE_BYTES_PER_SECOND);
+                        remainder.relayBody(
+                                (bytes, offset, count) ->
+                                        writer.writeRelayed(out, chunked, bytes, offset, count));
                         writer.endRelay(out, chunked);
                     });
-            whole = true;
-            figures.responseSent(done.categoryName, done.tenantName, 200, done.why);
+            complete = true;
+            metrics.responseSent(request.requestClassName, request.tenantName, 200, request.rejectionReason);
         } catch (IOException e) {
             log.info("broken relay", "a long answer was not passed on whole: " + e.getMessage());
-            figures.responseSent(done.categoryName, done.tenantName, 502, done.why);
+            metrics.responseSent(request.requestClassName, request.tenantName, 502, request.rejectionReason);
             reset();
         }
-        over(close || !whole);
-        return whole;
+        endRequest(close || !complete);
+        return complete;
     }
 
     /** Ends the connection so that nobody takes what has been sent for all of it. */
@@ -440,12 +440,12 @@
     }
 
     /** Ends the connection after its next answer, however long that takes to be asked for. */
-    synchronized void lastOne() {
-        last = true;
+    synchronized void closeAfterNextResponse() {
+        closeAfterResponse = true;
     }
 
-    synchronized boolean last() {
-        return last;
+    synchronized boolean closesAfterResponse() {
+        return closeAfterResponse;
     }
 
     /**
@@ -455,12 +455,12 @@
     void close() {
         synchronized (this) {
             closing = true;
-            boolean awaitsFirstRequest = !asked && System.nanoTime() - since < FIRST_REQUEST_NANOS;
-            if (reading || req != null || inputEnded || awaitsFirstRequest) {
+            boolean awaitsFirstRequest = !firstRequestStarted && System.nanoTime() - lastActivityNanos < FIRST_REQUEST_NANOS;
+            if (reading || req != null || inputShutDown || awaitsFirstRequest) {
                 return;
             }
         }
-        endReading();
+        shutDownInput();
     }
 
     /** Ends the connection at once, from any thread. */
@@ -469,10 +469,10 @@
     }
 
     /** The thread sees the end of the stream and closes the socket, which is its own. */
-    private void endReading() {
+    private void shutDownInput() {
         synchronized (this) {
-            endedAt = inputEnded ? endedAt : System.nanoTime();
-            inputEnded = true;
+            inputShutDownNanos = inputShutDown ? inputShutDownNanos : System.nanoTime();
+            inputShutDown = true;
         }
         try {
             socket.shutdownInput();
@@ -482,38 +482,38 @@
     }
 
     /** Since when it rests, or the last byte of what is being read came, by the monotonic clock. */
-    synchronized long since() {
-        return reading && coming != null ? coming.lastReadNanos() : since;
+    synchronized long lastActivityNanos() {
+        return reading && inputReader != null ? inputReader.lastReadNanos() : lastActivityNanos;
     }
 
     /** Whether it has ever brought a request. */
-    synchronized boolean worked() {
-        return worked;
+    synchronized boolean hasSubmittedRequest() {
+        return requestSubmitted;
     }
 
     /** Whether it has been told to end while it rested. */
-    synchronized boolean ends() {
-        return inputEnded;
+    synchronized boolean isInputShutDown() {
+        return inputShutDown;
     }
 
     /** Whether a request of its is under way. */
-    synchronized boolean owed() {
+    synchronized boolean hasOpenRequest() {
         return req != null;
     }
 
     /** Ends it, unless a request is under way or may be just about to come in whole. */
-    void giveWay() {
+    void evictUnlessActive() {
         synchronized (this) {
-            if (req != null || (reading && System.nanoTime() - since() < PARTIAL_REQUEST_NANOS)) {
+            if (req != null || (reading && System.nanoTime() - lastActivityNanos() < PARTIAL_REQUEST_NANOS)) {
                 return;
             }
             closing = true;
         }
-        endReading();
+        shutDownInput();
     }
 
     /** Whether a request is being read or is under way. */
-    synchronized boolean busy() {
+    synchronized boolean isBusy() {
         return reading || req != null;
     }
 }
--- a/src/main/java/cottonlock/proxy/ClientListener.java
+++ b/src/main/java/cottonlock/proxy/ClientListener.java
@@ -29,40 +29,40 @@
     /**
      * Milliseconds for a connection to come free; whoever waits longer is better served elsewhere.
      */
-    private static final long MAX_PLACE_WAIT_MILLIS = 250;
+    private static final long MAX_SLOT_WAIT_MILLIS = 250;
 
     /** Milliseconds between looks for one that can be closed. */
-    private static final long PLACE_CHECK_MILLIS = 5;
+    private static final long SLOT_CHECK_MILLIS = 5;
 
     /** Milliseconds between looks at whether to leave; and at a queue that may be empty. */
     private static final int ACCEPT_TIMEOUT_MILLIS = 100;
 
     private static final int LAST_ACCEPT_TIMEOUT_MILLIS = 1;
 
-    private final Semaphore places;
-    private final BiFunction<Socket, ClientListener, ClientConnection> clientOf;
+    private final Semaphore slots;
+    private final BiFunction<Socket, ClientListener, ClientConnection> connectionFactory;
     private final ConnectionThreads workers;
     private final RateLimitedLog log;
-    private volatile boolean leaving;
+    private volatile boolean draining;
     private final Set<ClientConnection> clients = ConcurrentHashMap.newKeySet();
     private final RunCompletion completion = new RunCompletion();
 
     /** Shares: another process of this proxy may listen there too. */
     ClientListener(
             InetSocketAddress address,
-            boolean shares,
-            int most,
-            BiFunction<Socket, ClientListener, ClientConnection> clientOf,
+            boolean sharesPort,
+            int maxClients,
+            BiFunction<Socket, ClientListener, ClientConnection> connectionFactory,
             ConnectionThreads workers,
             RateLimitedLog log)
             throws IOException {
-        this.places = new Semaphore(most);
-        this.clientOf = clientOf;
+        this.slots = new Semaphore(maxClients);
+        this.connectionFactory = connectionFactory;
         this.workers = workers;
         this.log = log;
         this.server = new ServerSocket();
         server.setReuseAddress(true);
-        if (shares) {
+        if (sharesPort) {
             server.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         }
         server.setSoTimeout(ACCEPT_TIMEOUT_MILLIS);
@@ -89,39 +89,39 @@
     private void acceptAll() {
         while (!server.isClosed()) {
             try {
-                if (leaving) {
+                if (draining) {
                     server.setSoTimeout(LAST_ACCEPT_TIMEOUT_MILLIS);
                 }
-                take(server.accept());
+                register(server.accept());
             } catch (SocketTimeoutException e) {
                 // Closed before it was empty, the kernel would reset what it has queued here
                 // unheard.
-                if (leaving) {
+                if (draining) {
                     Sockets.close(server);
                 }
             } catch (IOException e) {
                 if (!server.isClosed()) {
                     log.warn("accept failed", String.valueOf(e.getMessage()));
                     // Without free descriptors nobody would come in until somebody leaves.
-                    oneGivesWay();
+                    evictOne();
                     pause();
                 }
             }
         }
     }
 
-    private void take(Socket socket) {
-        if (!placeFound()) {
+    private void register(Socket socket) {
+        if (!acquireSlot()) {
             log.warn(
                     "too many clients",
                     "closed a new connection unread; " + clients.size() + " are open");
             Sockets.close(socket);
             return;
         }
-        ClientConnection client = clientOf.apply(socket, this);
+        ClientConnection client = connectionFactory.apply(socket, this);
         clients.add(client);
-        if (leaving) {
-            client.lastOne();
+        if (draining) {
+            client.closeAfterNextResponse();
         }
         try {
             workers.serve(client);
@@ -129,22 +129,22 @@
             // No thread can be had: one client less is better than no proxy.
             log.warn("no thread", "closed a new connection unread");
             Sockets.close(socket);
-            ended(client);
+            connectionClosed(client);
         }
     }
 
     /** Takes a place, if need be that of the client that will miss it least. */
-    private boolean placeFound() {
-        for (long waited = 0; waited <= MAX_PLACE_WAIT_MILLIS; waited += PLACE_CHECK_MILLIS) {
+    private boolean acquireSlot() {
+        for (long waitedMillis = 0; waitedMillis <= MAX_SLOT_WAIT_MILLIS; waitedMillis += SLOT_CHECK_MILLIS) {
             try {
-                if (places.tryAcquire(
-                        waited == 0 ? 0 : PLACE_CHECK_MILLIS, TimeUnit.MILLISECONDS)) {
+                if (slots.tryAcquire(
+                        waitedMillis == 0 ? 0 : SLOT_CHECK_MILLIS, TimeUnit.MILLISECONDS)) {
                     return true;
                 }
             } catch (InterruptedException e) {
                 return false;
             }
-            oneGivesWay();
+            evictOne();
         }
         return false;
     }
@@ -154,14 +154,14 @@
      * nothing, must not keep the others out; and a crowd that asks for nothing but our health must
      * not push out those who bring work, however long at rest.
      */
-    private void oneGivesWay() {
+    private void evictOne() {
         clients.stream()
-                .filter(client -> !client.owed())
+                .filter(client -> !client.hasOpenRequest())
                 .min(
-                        Comparator.comparing(ClientConnection::busy)
-                                .thenComparing(ClientConnection::worked)
-                                .thenComparingLong(ClientConnection::since))
-                .ifPresent(ClientConnection::giveWay);
+                        Comparator.comparing(ClientConnection::isBusy)
+                                .thenComparing(ClientConnection::hasSubmittedRequest)
+                                .thenComparingLong(ClientConnection::lastActivityNanos))
+                .ifPresent(ClientConnection::evictUnlessActive);
     }
 
     private static void pause() {
@@ -174,30 +174,30 @@
     }
 
     /** From a client's thread, once: it has given back all that it held. */
-    void ended(ClientConnection client) {
+    void connectionClosed(ClientConnection client) {
         clients.remove(client);
-        places.release();
+        slots.release();
     }
 
     /**
      * Takes in what has been queued and nothing more, and leaves each connection after the next
      * answer.
      */
-    void leave() {
-        leaving = true;
-        List.copyOf(clients).forEach(ClientConnection::lastOne);
+    void drain() {
+        draining = true;
+        List.copyOf(clients).forEach(ClientConnection::closeAfterNextResponse);
     }
 
     /**
      * Ends each connection that rests; again and again while it leaves, as some have just been
      * taken in.
      */
-    void endResting() {
+    void closeIdle() {
         clients.forEach(ClientConnection::close);
     }
 
     /** Whether no connection is left, and none can come. */
-    boolean empty() {
+    boolean isEmpty() {
         return server.isClosed() && clients.isEmpty();
     }
 
@@ -210,7 +210,7 @@
         completion.close();
         Sockets.close(server);
         completion.awaitEnd();
-        endResting();
+        closeIdle();
     }
 
     /** Ends all connections at once. */
--- a/src/main/java/cottonlock/proxy/ClientRequest.java
+++ b/src/main/java/cottonlock/proxy/ClientRequest.java
@@ -25,26 +25,26 @@
     final String method;
     final String target;
     final String requestId;
-    final String categoryName;
+    final String requestClassName;
     final String tenantName;
     final String idempotencyKey;
     final String contentType;
     final MessageBody body;
-    final int category;
+    final int requestClass;
     final int tenant;
-    final boolean repeated;
+    final boolean retried;
 
     /** Whether its client reads chunked answers. */
-    final boolean knowsChunks;
+    final boolean acceptsChunked;
 
     /** By the module's clock: its client waits no longer. Shorter where the proxy leaves before. */
-    volatile long expiry;
+    volatile long deadlineTicks;
 
     /**
      * By the module's clock: nothing of it begins to be sent on after that, for from then on nobody
      * sees whether its client leaves.
      */
-    volatile long seenUntil = Long.MAX_VALUE;
+    volatile long observedUntilTicks = Long.MAX_VALUE;
 
     /** The ids of all requests that wait for their answer, its own among them. */
     private final Set<String> openIds;
@@ -52,10 +52,10 @@
     private final AtomicBoolean claimed = new AtomicBoolean();
 
     /** One for the answer that is owed, and one for each write of the body that is under way. */
-    private final AtomicInteger holds = new AtomicInteger(1);
+    private final AtomicInteger bodyReferences = new AtomicInteger(1);
 
     /** What it ended by, where no backend's answer ended it; told before its client is answered. */
-    volatile RejectionReason why = RejectionReason.RESPONSE_LOST;
+    volatile RejectionReason rejectionReason = RejectionReason.RESPONSE_LOST;
 
     /**
      * The module's number for it, its attempts, and how many are out: the module's thread alone.
@@ -63,37 +63,37 @@
     long number;
 
     final List<Attempt> attempts = new ArrayList<>(1);
-    int out;
+    int attemptsInFlight;
 
     /** When its client was first looked at behind it, by the monotonic clock; 0: not yet. */
-    private long lookedAt;
+    private long clientCheckedAtNanos;
 
     /** Whether its client may leave unseen; the module's thread alone. */
-    boolean unseen;
+    boolean clientUnobserved;
 
     ClientRequest(
             ClientConnection client,
-            RequestValidator.Asked asked,
+            RequestValidator.ValidatedHead validated,
             MessageBody body,
-            long expiry,
+            long deadlineTicks,
             Set<String> openIds)
             throws MalformedMessageException {
-        MessageHead head = asked.head();
+        MessageHead head = validated.head();
         this.openIds = openIds;
         this.client = client;
         this.method = head.method();
         this.target = head.target();
         this.contentType = head.only("Content-Type");
-        this.requestId = asked.id();
-        this.idempotencyKey = asked.idempotencyKey();
+        this.requestId = validated.id();
+        this.idempotencyKey = validated.idempotencyKey();
         this.body = body;
-        this.category = asked.category();
-        this.categoryName = asked.name();
-        this.tenant = asked.tenant();
-        this.tenantName = asked.tenantName();
-        this.repeated = "1".equals(head.only("X-Retried"));
-        this.knowsChunks = head.requestVersion().equals("HTTP/1.1");
-        this.expiry = expiry;
+        this.requestClass = validated.requestClass();
+        this.requestClassName = validated.requestClassName();
+        this.tenant = validated.tenant();
+        this.tenantName = validated.tenantName();
+        this.retried = "1".equals(head.only("X-Retried"));
+        this.acceptsChunked = head.requestVersion().equals("HTTP/1.1");
+        this.deadlineTicks = deadlineTicks;
     }
 
     /** The request as it is written to a backend. */
@@ -102,7 +102,7 @@
                 method,
                 target,
                 requestId,
-                categoryName,
+                requestClassName,
                 tenantName,
                 idempotencyKey,
                 contentType,
@@ -112,20 +112,20 @@
     /**
      * From the thread that has read it: it reads on, and sees it if its client has gone meanwhile.
      */
-    synchronized void looks() {
-        lookedAt = lookedAt == 0 ? System.nanoTime() : lookedAt;
+    synchronized void markClientChecked() {
+        clientCheckedAtNanos = clientCheckedAtNanos == 0 ? System.nanoTime() : clientCheckedAtNanos;
     }
 
-    private synchronized boolean looked() {
-        return lookedAt != 0 && System.nanoTime() - lookedAt >= CLIENT_CHECK_NANOS;
+    private synchronized boolean isClientChecked() {
+        return clientCheckedAtNanos != 0 && System.nanoTime() - clientCheckedAtNanos >= CLIENT_CHECK_NANOS;
     }
 
     /**
      * Waits, 2 ms at most, until that thread has looked. Where a request was read late its client
      * may have left before; without the wait three to five of a hundred such were sent on.
      */
-    void awaitLook() {
-        for (int i = 0; i < MAX_CLIENT_CHECKS && !looked() && !claimed(); i++) {
+    void awaitClientCheck() {
+        for (int i = 0; i < MAX_CLIENT_CHECKS && !isClientChecked() && !claimed(); i++) {
             LockSupport.parkNanos(CLIENT_CHECK_NANOS);
         }
     }
@@ -136,7 +136,7 @@
             return false;
         }
         openIds.remove(requestId);
-        release();
+        releaseBody();
         return true;
     }
 
@@ -145,13 +145,13 @@
     }
 
     /** Keeps the body for a write; false when the request has been answered. */
-    boolean hold() {
-        return holds.getAndUpdate(n -> n == 0 ? 0 : n + 1) > 0;
+    boolean retainBody() {
+        return bodyReferences.getAndUpdate(n -> n == 0 ? 0 : n + 1) > 0;
     }
 
     /** The last one to let go gives the body's buffers back. */
-    void release() {
-        if (holds.decrementAndGet() == 0) {
+    void releaseBody() {
+        if (bodyReferences.decrementAndGet() == 0) {
             body.release();
         }
     }
@@ -162,32 +162,32 @@
         final int number;
 
         /** By the module's clock: its last byte may be written until then. */
-        final long sendBy;
+        final long sendByTicks;
 
-        private final LoadBalancerActor module;
+        private final LoadBalancerActor loadBalancer;
         private BackendConnection connection;
         private boolean settled;
 
-        Attempt(ClientRequest req, int number, long sendBy, LoadBalancerActor module) {
+        Attempt(ClientRequest req, int number, long sendByTicks, LoadBalancerActor loadBalancer) {
             this.req = req;
             this.number = number;
-            this.sendBy = sendBy;
-            this.module = module;
+            this.sendByTicks = sendByTicks;
+            this.loadBalancer = loadBalancer;
         }
 
         /**
          * Whether its first byte may still be written: not after its client has left, or may have
          * unseen.
          */
-        boolean mayBegin(long now) {
-            return !req.claimed() && now < req.seenUntil;
+        boolean mayStart(long now) {
+            return !req.claimed() && now < req.observedUntilTicks;
         }
 
         /**
          * Binds it to the connection it will go out on; false if it has been settled before that.
          */
-        synchronized boolean attach(BackendConnection to) {
-            connection = settled ? null : to;
+        synchronized boolean attach(BackendConnection target) {
+            connection = settled ? null : target;
             return !settled;
         }
 
@@ -200,11 +200,11 @@
                 settled = true;
                 connection = null;
             }
-            module.settled(this, outcome);
+            loadBalancer.attemptSettled(this, outcome);
             return true;
         }
 
-        synchronized boolean settled() {
+        synchronized boolean isSettled() {
             return settled;
         }
 
@@ -213,18 +213,18 @@
          * happens.
          */
         boolean abandon() {
-            BackendConnection closing;
+            BackendConnection toClose;
             synchronized (this) {
                 if (settled) {
                     return false;
                 }
                 settled = true;
-                closing = connection;
+                toClose = connection;
                 connection = null;
             }
             // A repeat may be sent next: with this copy still out it would be a second one.
-            if (closing != null) {
-                closing.kill();
+            if (toClose != null) {
+                toClose.closeNow();
             }
             return true;
         }
--- a/src/main/java/cottonlock/proxy/ConnectionPermits.java
+++ b/src/main/java/cottonlock/proxy/ConnectionPermits.java
@@ -11,27 +11,27 @@
     private static final long PERMIT_WAIT_MILLIS = 20;
 
     private final Semaphore free;
-    private final List<BackendActor> sharers = new CopyOnWriteArrayList<>();
+    private final List<BackendActor> backends = new CopyOnWriteArrayList<>();
 
-    ConnectionPermits(int most) {
-        this.free = new Semaphore(most);
+    ConnectionPermits(int maxConnections) {
+        this.free = new Semaphore(maxConnections);
     }
 
-    void join(BackendActor actor) {
-        sharers.add(actor);
+    void register(BackendActor actor) {
+        backends.add(actor);
     }
 
-    void leave(BackendActor actor) {
-        sharers.remove(actor);
+    void unregister(BackendActor actor) {
+        backends.remove(actor);
     }
 
     /** Takes a permit; false when all are in use. */
-    boolean take() {
+    boolean acquire() {
         if (free.tryAcquire()) {
             return true;
         }
         // Connections that rest at some backends must not shut out work for the others.
-        sharers.forEach(BackendActor::spareOne);
+        backends.forEach(BackendActor::closeOldestIdle);
         try {
             return free.tryAcquire(PERMIT_WAIT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
@@ -40,7 +40,7 @@
         }
     }
 
-    void give() {
+    void release() {
         free.release();
     }
 }
--- a/src/main/java/cottonlock/proxy/ConnectionThreads.java
+++ b/src/main/java/cottonlock/proxy/ConnectionThreads.java
@@ -30,12 +30,12 @@
                     this::newThread);
 
     /** Those that have been made and have not ended: the pool forgets a thread before its end. */
-    private final Set<Thread> made = ConcurrentHashMap.newKeySet();
+    private final Set<Thread> liveThreads = ConcurrentHashMap.newKeySet();
 
     private Thread newThread(Runnable task) {
         Thread thread = Sockets.thread("connection", task);
-        made.removeIf(older -> older.getState() == Thread.State.TERMINATED);
-        made.add(thread);
+        liveThreads.removeIf(older -> older.getState() == Thread.State.TERMINATED);
+        liveThreads.add(thread);
         return thread;
     }
 
@@ -50,6 +50,6 @@
      */
     void close() {
         threads.shutdownNow();
-        Sockets.join(List.copyOf(made));
+        Sockets.join(List.copyOf(liveThreads));
     }
 }
--- a/src/main/java/cottonlock/proxy/KeepAlivePolicy.java
+++ b/src/main/java/cottonlock/proxy/KeepAlivePolicy.java
@@ -9,7 +9,7 @@
     /**
      * Nanoseconds: a request that was read and begun is not broken off so soon after it was sent.
      */
-    private static final long BROKEN_AT_ONCE_NANOS = 20_000_000;
+    private static final long IMMEDIATE_BREAK_NANOS = 20_000_000;
 
     /**
      * Nanoseconds for which breaks are remembered, and then none is kept: seldom enough to try
@@ -21,30 +21,30 @@
      * So many within the span are no chance: a backend that dies breaks one or two at the same
      * moment.
      */
-    private static final int MAX_BROKEN = 3;
+    private static final int BREAKS_TO_STOP_REUSE = 3;
 
-    private long first = System.nanoTime() - WINDOW_NANOS;
-    private int breaks;
-    private long notUntil = System.nanoTime();
+    private long windowStartNanos = System.nanoTime() - WINDOW_NANOS;
+    private int breaksInWindow;
+    private long reuseBlockedUntilNanos = System.nanoTime();
 
     /**
      * A connection that had been kept broke so many nanoseconds after its next attempt was sent.
      */
-    synchronized void broke(long after) {
-        if (after > BROKEN_AT_ONCE_NANOS) {
+    synchronized void reusedConnectionBroke(long nanosAfterSend) {
+        if (nanosAfterSend > IMMEDIATE_BREAK_NANOS) {
             return;
         }
         long now = System.nanoTime();
-        if (now - first > WINDOW_NANOS) {
-            first = now;
-            breaks = 0;
+        if (now - windowStartNanos > WINDOW_NANOS) {
+            windowStartNanos = now;
+            breaksInWindow = 0;
         }
-        if (++breaks >= MAX_BROKEN) {
-            notUntil = now + WINDOW_NANOS;
+        if (++breaksInWindow >= BREAKS_TO_STOP_REUSE) {
+            reuseBlockedUntilNanos = now + WINDOW_NANOS;
         }
     }
 
-    synchronized boolean worthwhile() {
-        return System.nanoTime() - notUntil >= 0;
+    synchronized boolean isReuseAllowed() {
+        return System.nanoTime() - reuseBlockedUntilNanos >= 0;
     }
 }
--- a/src/main/java/cottonlock/proxy/LoadBalancerActor.java
+++ b/src/main/java/cottonlock/proxy/LoadBalancerActor.java
@@ -48,42 +48,42 @@
      * Tenths of a millisecond after a client was last seen there in which an attempt may begin:
      * within 100 ms of its leaving none is a fault, and the write takes some of them.
      */
-    private static final long CLIENT_SEEN_TICKS = 800;
+    private static final long CLIENT_OBSERVED_TICKS = 800;
 
     private final Mailbox mailbox;
 
     /** Writes the answers that the module gives of itself, for this thread waits for no client. */
-    private final Mailbox clerk;
+    private final Mailbox ioMailbox;
 
     /**
      * Starts backends' threads: whoever starts one waits until it has been given a core for the
      * first time, and this thread must not wait.
      */
-    private final Mailbox starter;
+    private final Mailbox threadStarter;
 
     /** What the module's own answers lead to, after the call that made them. */
-    private final Deque<Runnable> next = new ArrayDeque<>();
+    private final Deque<Runnable> deferredEvents = new ArrayDeque<>();
 
     private final TickClock clock;
-    private final Function<EndpointList.Entry, BackendActor> actorOf;
-    private final Metrics figures;
+    private final Function<EndpointList.Entry, BackendActor> actorFactory;
+    private final Metrics metrics;
     private final RateLimitedLog log;
 
     /** The backends in the list, as discovery has told them, and their ids for others to see. */
-    private final Map<String, Endpoint> listed = new TreeMap<>();
+    private final Map<String, Endpoint> listedEndpoints = new TreeMap<>();
 
-    private final Set<String> unlisted = new TreeSet<>();
-    private volatile Set<String> ids = Set.of();
-    private boolean listLost;
-    private ManualEjections bans;
+    private final Set<String> unlistedIds = new TreeSet<>();
+    private volatile Set<String> listedIds = Set.of();
+    private boolean listWatchEnded;
+    private ManualEjections manualEjections;
     private final Map<Long, ClientRequest> requests = new HashMap<>();
     private final Map<String, BackendActor> backends = new TreeMap<>();
 
     /** Backends that have gone from the list; some still have attempts in flight. */
-    private final List<BackendActor> retired = new ArrayList<>();
+    private final List<BackendActor> retiredBackends = new ArrayList<>();
 
-    private final PriorityQueue<ClientRequest> expiries =
-            new PriorityQueue<>(Comparator.comparingLong((ClientRequest req) -> req.expiry));
+    private final PriorityQueue<ClientRequest> requestsByDeadline =
+            new PriorityQueue<>(Comparator.comparingLong((ClientRequest req) -> req.deadlineTicks));
     private LoadBalancer balancer;
     private EndpointListWatch watch;
     private PeerMessenger peers;
@@ -92,81 +92,81 @@
     private ShadowLoadBalancer shadow;
 
     /** When its thread last came round, for whoever watches over it. */
-    private volatile long progressAt;
+    private volatile long lastProgressTicks;
 
-    private long lastNumber;
+    private long lastRequestNumber;
 
     /** By when all is over, once the proxy leaves. */
-    private long latestEnd = Long.MAX_VALUE;
+    private long shutdownDeadlineTicks = Long.MAX_VALUE;
 
-    private long wakeAt;
+    private long timerAtTicks;
 
     LoadBalancerActor(
             TickClock clock,
-            Function<EndpointList.Entry, BackendActor> actorOf,
-            Metrics figures,
+            Function<EndpointList.Entry, BackendActor> actorFactory,
+            Metrics metrics,
             RateLimitedLog log) {
         this.clock = clock;
-        this.actorOf = actorOf;
-        this.figures = figures;
+        this.actorFactory = actorFactory;
+        this.metrics = metrics;
         this.log = log;
         this.mailbox = new Mailbox(MAILBOX_CAPACITY, log);
-        this.clerk = new Mailbox(MAILBOX_CAPACITY, log);
-        this.starter = new Mailbox(MAILBOX_CAPACITY, log);
+        this.ioMailbox = new Mailbox(MAILBOX_CAPACITY, log);
+        this.threadStarter = new Mailbox(MAILBOX_CAPACITY, log);
     }
 
     /**
      * Before the thread starts: the module, where its asks for the list go, and its messages to
      * peers.
      */
-    void join(
-            LoadBalancer module,
-            EndpointListWatch list,
-            PeerMessenger others,
-            ManualEjections taken) {
-        balancer = module;
-        bans = taken;
-        watch = list;
-        peers = others;
+    void initialize(
+            LoadBalancer loadBalancer,
+            EndpointListWatch endpointListWatch,
+            PeerMessenger peerMessenger,
+            ManualEjections ejections) {
+        balancer = loadBalancer;
+        manualEjections = ejections;
+        watch = endpointListWatch;
+        peers = peerMessenger;
     }
 
     /** Before the thread starts: a module that is told all and whose decisions are only counted. */
-    void watch(ShadowLoadBalancer watched) {
-        shadow = watched;
+    void setShadow(ShadowLoadBalancer shadowLoadBalancer) {
+        shadow = shadowLoadBalancer;
     }
 
     @Override
     public void run() {
-        Thread writing = Sockets.start("clerk", clerk);
-        Thread starting = Sockets.start("starter", starter);
+        Thread ioThread = Sockets.start("clerk", ioMailbox);
+        Thread starterThread = Sockets.start("starter", threadStarter);
         mailbox.guard(() -> balancer.start(clock.now()));
         if (shadow != null) {
             shadow.start(clock.now());
         }
         try {
             while (true) {
-                progressAt = clock.now();
-                if (next.isEmpty()) {
-                    mailbox.next(untilDue() * 100);
+                lastProgressTicks = clock.now();
+                if (deferredEvents.isEmpty()) {
+                    mailbox.next(ticksUntilNextEvent() * 100);
                 } else {
-                    mailbox.guard(next.poll());
+                    mailbox.guard(deferredEvents.poll());
                 }
-                mailbox.guard(this::due);
+                mailbox.guard(this::runDueTimers);
             }
         } catch (InterruptedException e) {
-            writing.interrupt();
-            starting.interrupt();
-            endBackends(List.of(writing, starting));
+            ioThread.interrupt();
+            starterThread.interrupt();
+            stopBackends(List.of(ioThread, starterThread));
         }
     }
 
     /**
      * Returns when the threads of all backends have ended; the starter's before, as it adds some.
      */
-    private void endBackends(List<Thread> helpers) {
-        List<BackendActor> all = new ArrayList<>(retired);
+    private void stopBackends(List<Thread> helpers) {
+        List<BackendActor> all = new ArrayList<>(retiredBackends);
         all.addAll(backends.values());
-        all.forEach(BackendActor::end);
+        all.forEach(BackendActor::stop);
         Sockets.join(helpers);
         List<Thread> threads = new ArrayList<>();
         for (BackendActor backend : all) {
@@ -175,53 +175,53 @@
         Sockets.join(threads);
     }
 
-    private long untilDue() {
-        ClientRequest first = expiries.peek();
-        return Math.min(wakeAt, first == null ? wakeAt : first.expiry) - clock.now();
+    private long ticksUntilNextEvent() {
+        ClientRequest earliest = requestsByDeadline.peek();
+        return Math.min(timerAtTicks, earliest == null ? timerAtTicks : earliest.deadlineTicks) - clock.now();
     }
 
-    private void due() {
+    private void runDueTimers() {
         long now = clock.now();
-        while (!expiries.isEmpty() && expiries.peek().expiry <= now) {
-            ClientRequest req = expiries.poll();
+        while (!requestsByDeadline.isEmpty() && requestsByDeadline.peek().deadlineTicks <= now) {
+            ClientRequest req = requestsByDeadline.poll();
             for (ClientRequest.Attempt attempt : req.attempts) {
                 if (attempt.abandon()) {
-                    ended(attempt, AttemptOutcome.TIMED_OUT);
+                    attemptEnded(attempt, AttemptOutcome.TIMED_OUT);
                 }
             }
             // The module has given each its answer by now; this is for one that it lost in a fault.
-            if (requests.containsKey(req.number) && req.out == 0) {
+            if (requests.containsKey(req.number) && req.attemptsInFlight == 0) {
                 fail(req.number, RejectionReason.RESPONSE_LOST);
             }
         }
-        if (now >= wakeAt) {
+        if (now >= timerAtTicks) {
             // The module sets its next time itself; if it failed on the way, it would never be
             // woken again.
-            wakeAt = now + TIMER_RETRY_TICKS;
+            timerAtTicks = now + TIMER_RETRY_TICKS;
             balancer.onTimer(now);
             retireUnlisted();
-            count();
+            updateBackendCounts();
         }
         if (shadow != null) {
-            shadow.due(now);
+            shadow.runDueTimers(now);
         }
     }
 
     /** The proxy leaves: all that it holds is answered by then, before it is killed. */
-    void endBy(long latest) {
+    void limitDeadlines(long latestTicks) {
         mailbox.put(
                 () -> {
-                    latestEnd = latest;
-                    balancer.limitDeadlines(latest);
-                    List<ClientRequest> held = new ArrayList<>(expiries);
-                    expiries.clear();
-                    held.forEach(req -> req.expiry = Math.min(req.expiry, latest));
-                    expiries.addAll(held);
+                    shutdownDeadlineTicks = latestTicks;
+                    balancer.limitDeadlines(latestTicks);
+                    List<ClientRequest> openRequests = new ArrayList<>(requestsByDeadline);
+                    requestsByDeadline.clear();
+                    openRequests.forEach(req -> req.deadlineTicks = Math.min(req.deadlineTicks, latestTicks));
+                    requestsByDeadline.addAll(openRequests);
                 });
     }
 
     /** A client's request has been read whole. */
-    void arrive(ClientRequest req) {
+    void requestReceived(ClientRequest req) {
         mailbox.put(
                 () -> {
                     if (req.claimed()) {
@@ -229,36 +229,36 @@
                         // all.
                         return;
                     }
-                    req.number = ++lastNumber;
+                    req.number = ++lastRequestNumber;
                     // It may have been admitted just before the end was told, and come here just
                     // behind it.
-                    req.expiry = Math.min(req.expiry, latestEnd);
+                    req.deadlineTicks = Math.min(req.deadlineTicks, shutdownDeadlineTicks);
                     requests.put(req.number, req);
-                    expiries.add(req);
+                    requestsByDeadline.add(req);
                     long now = clock.now();
                     if (shadow != null) {
-                        shadow.arrive(req, now);
+                        shadow.requestReceived(req, now);
                     }
                     balancer.onRequest(
                             now,
                             req.number,
-                            req.category,
+                            req.requestClass,
                             req.tenant,
-                            req.expiry - now,
-                            req.repeated,
+                            req.deadlineTicks - now,
+                            req.retried,
                             0);
                 });
     }
 
     /** The client of a request has left. */
-    void left(ClientRequest req) {
+    void clientDisconnected(ClientRequest req) {
         mailbox.put(
                 () -> {
                     if (shadow != null) {
-                        shadow.left(clock.now(), req.number);
+                        shadow.clientDisconnected(clock.now(), req.number);
                     }
                     balancer.onClientDisconnected(clock.now(), req.number);
-                    forget(req);
+                    removeIfDone(req);
                 });
     }
 
@@ -267,15 +267,15 @@
      * and no further attempt is made; the first may still go out, soon, or, where it was just about
      * to, at all.
      */
-    void unseen(ClientRequest req, boolean first) {
-        req.seenUntil = first ? Long.MAX_VALUE : clock.now() + CLIENT_SEEN_TICKS;
+    void clientUnobserved(ClientRequest req, boolean firstAttemptAnyTime) {
+        req.observedUntilTicks = firstAttemptAnyTime ? Long.MAX_VALUE : clock.now() + CLIENT_OBSERVED_TICKS;
         mailbox.put(
                 () -> {
-                    req.unseen = true;
+                    req.clientUnobserved = true;
                     if (req.attempts.isEmpty()) {
-                        answer(req.number, RejectionReason.NO_CAPACITY, 503, null, null);
+                        respond(req.number, RejectionReason.NO_CAPACITY, 503, null, null);
                         if (shadow != null) {
-                            shadow.left(clock.now(), req.number);
+                            shadow.clientDisconnected(clock.now(), req.number);
                         }
                         balancer.onClientDisconnected(clock.now(), req.number);
                     }
@@ -283,121 +283,121 @@
     }
 
     /** An attempt has been settled, by the thread that saw how it ended. */
-    void settled(ClientRequest.Attempt attempt, AttemptOutcome outcome) {
-        mailbox.put(() -> ended(attempt, outcome));
+    void attemptSettled(ClientRequest.Attempt attempt, AttemptOutcome outcome) {
+        mailbox.put(() -> attemptEnded(attempt, outcome));
     }
 
-    private void ended(ClientRequest.Attempt attempt, AttemptOutcome outcome) {
-        attempt.req.out--;
+    private void attemptEnded(ClientRequest.Attempt attempt, AttemptOutcome outcome) {
+        attempt.req.attemptsInFlight--;
         if (shadow != null) {
-            shadow.settled(clock.now(), attempt.req.number, outcome, attempt.req.claimed());
+            shadow.attemptSettled(clock.now(), attempt.req.number, outcome, attempt.req.claimed());
         }
         balancer.onAttemptCompleted(
                 clock.now(), attempt.req.number, attempt.number, outcome, attempt.req.claimed());
-        forget(attempt.req);
+        removeIfDone(attempt.req);
     }
 
-    private void forget(ClientRequest req) {
-        if (req.claimed() && req.out == 0) {
+    private void removeIfDone(ClientRequest req) {
+        if (req.claimed() && req.attemptsInFlight == 0) {
             if (shadow != null) {
-                shadow.decided(req.number, null);
-                shadow.forget(clock.now(), req.number);
+                shadow.compareFirstDecision(req.number, null);
+                shadow.requestEnded(clock.now(), req.number);
             }
             requests.remove(req.number);
         }
     }
 
     @Override
-    public void endpointListReceived(EndpointList news, boolean cached) {
+    public void endpointListReceived(EndpointList list, boolean cached) {
         mailbox.put(
                 () -> {
-                    List<Endpoint> members = new ArrayList<>();
+                    List<Endpoint> endpoints = new ArrayList<>();
                     Map<String, BackendActor> absent =
-                            news.complete() ? new TreeMap<>(backends) : new TreeMap<>();
-                    listLost = false;
-                    if (news.complete()) {
-                        listed.clear();
+                            list.complete() ? new TreeMap<>(backends) : new TreeMap<>();
+                    listWatchEnded = false;
+                    if (list.complete()) {
+                        listedEndpoints.clear();
                     }
-                    for (EndpointList.Entry entry : news.entries()) {
-                        Endpoint m = entry.endpoint();
-                        members.add(bans.effective(m));
-                        if (m.state() == Endpoint.State.GONE) {
-                            listed.remove(m.id());
+                    for (EndpointList.Entry entry : list.entries()) {
+                        Endpoint endpoint = entry.endpoint();
+                        endpoints.add(manualEjections.effective(endpoint));
+                        if (endpoint.state() == Endpoint.State.GONE) {
+                            listedEndpoints.remove(endpoint.id());
                         } else {
-                            listed.put(m.id(), m);
+                            listedEndpoints.put(endpoint.id(), endpoint);
                         }
-                        BackendActor actor = backends.get(m.id());
-                        if (m.state() == Endpoint.State.GONE) {
-                            absent.put(m.id(), actor);
+                        BackendActor actor = backends.get(endpoint.id());
+                        if (endpoint.state() == Endpoint.State.GONE) {
+                            absent.put(endpoint.id(), actor);
                             continue;
                         }
-                        absent.remove(m.id());
+                        absent.remove(endpoint.id());
                         if (actor == null && entry.address() != null) {
-                            backends.put(m.id(), actorOf.apply(entry));
+                            backends.put(endpoint.id(), actorFactory.apply(entry));
                         } else if (entry.address() != null) {
-                            actor.listensAt(entry.address());
+                            actor.addressChanged(entry.address());
                         }
-                        ready(m);
+                        updateReadiness(endpoint);
                     }
                     if (shadow != null) {
-                        shadow.list(clock.now(), members, news.complete(), cached);
+                        shadow.endpointListReceived(clock.now(), endpoints, list.complete(), cached);
                     }
-                    balancer.onEndpointList(clock.now(), members, news.complete(), cached);
-                    unlisted.addAll(absent.keySet());
-                    listed.keySet().forEach(unlisted::remove);
+                    balancer.onEndpointList(clock.now(), endpoints, list.complete(), cached);
+                    unlistedIds.addAll(absent.keySet());
+                    listedEndpoints.keySet().forEach(unlistedIds::remove);
                     retireUnlisted();
-                    ids = Set.copyOf(listed.keySet());
-                    count();
+                    listedIds = Set.copyOf(listedEndpoints.keySet());
+                    updateBackendCounts();
                 });
     }
 
     /** What is on its way to a connection must not go out after a drain or a ban was told. */
-    private void ready(Endpoint m) {
-        BackendActor actor = backends.get(m.id());
+    private void updateReadiness(Endpoint endpoint) {
+        BackendActor actor = backends.get(endpoint.id());
         if (actor != null) {
-            actor.ready(bans.effective(m).state() == Endpoint.State.READY);
+            actor.setReady(manualEjections.effective(endpoint).state() == Endpoint.State.READY);
         }
     }
 
     /** Where removal from the list binds nobody, the module may use one for some time after it. */
     private void retireUnlisted() {
-        unlisted.removeIf(
+        unlistedIds.removeIf(
                 id -> {
                     BackendActor actor = balancer.mayUse(id) ? null : backends.remove(id);
                     if (actor != null) {
-                        actor.leave();
-                        retired.removeIf(BackendActor::isOver);
-                        retired.add(actor);
+                        actor.removedFromList();
+                        retiredBackends.removeIf(BackendActor::isTerminated);
+                        retiredBackends.add(actor);
                     }
                     return !balancer.mayUse(id);
                 });
     }
 
-    private void count() {
-        figures.setBackendCounts(
-                listed.size(),
+    private void updateBackendCounts() {
+        metrics.setBackendCounts(
+                listedEndpoints.size(),
                 (int)
-                                listed.values().stream()
+                                listedEndpoints.values().stream()
                                         .filter(
-                                                m ->
-                                                        bans.effective(m).state()
+                                                endpoint ->
+                                                        manualEjections.effective(endpoint).state()
                                                                 != Endpoint.State.READY)
                                         .count()
                         + (int) balancer.avoidedBackendCount(clock.now()));
     }
 
     /** When its thread last made progress, by the module's clock; from any thread. */
-    long progressAt() {
-        return progressAt;
+    long lastProgressTicks() {
+        return lastProgressTicks;
     }
 
     /** For tests alone: its thread stands still for as long as this takes. */
-    void hang(Runnable still) {
-        mailbox.put(still);
+    void stall(Runnable task) {
+        mailbox.put(task);
     }
 
     /** Waits until all is done that it has been told so far, a second at most. */
-    void settle() {
+    void awaitProcessed() {
         CountDownLatch done = new CountDownLatch(1);
         mailbox.put(done::countDown);
         try {
@@ -408,44 +408,44 @@
     }
 
     /** Whether the list holds a backend of that id; from any thread. */
-    boolean lists(String id) {
-        return ids.contains(id);
+    boolean isListed(String id) {
+        return listedIds.contains(id);
     }
 
     /** Backends have been taken out or back by hand; from any thread. */
-    void bansChanged() {
+    void manualEjectionsChanged() {
         mailbox.put(
                 () -> {
-                    List<Endpoint> members = new ArrayList<>();
-                    for (Endpoint m : listed.values()) {
-                        members.add(bans.effective(m));
-                        ready(m);
-                        if (bans.isEjected(m.id()) && backends.containsKey(m.id())) {
+                    List<Endpoint> endpoints = new ArrayList<>();
+                    for (Endpoint endpoint : listedEndpoints.values()) {
+                        endpoints.add(manualEjections.effective(endpoint));
+                        updateReadiness(endpoint);
+                        if (manualEjections.isEjected(endpoint.id()) && backends.containsKey(endpoint.id())) {
                             // It will be restarted: what rests there would break as soon as it is
                             // used again.
-                            backends.get(m.id()).release();
+                            backends.get(endpoint.id()).closeIdleConnections();
                         }
                     }
                     if (shadow != null) {
-                        shadow.list(clock.now(), members, false, false);
+                        shadow.endpointListReceived(clock.now(), endpoints, false, false);
                     }
-                    balancer.onEndpointList(clock.now(), members, false, false);
-                    if (listLost) {
+                    balancer.onEndpointList(clock.now(), endpoints, false, false);
+                    if (listWatchEnded) {
                         // This was no news from discovery: it still has to be asked again.
                         balancer.onEndpointListFailed(clock.now());
                     }
-                    count();
+                    updateBackendCounts();
                 });
     }
 
     /** Other categories, by number, and most attempts are in force for what comes from now on. */
-    void retune(List<RequestClass> categories, int most) {
+    void reconfigure(List<RequestClass> requestClasses, int maxAttempts) {
         mailbox.put(
                 () -> {
                     if (shadow != null) {
-                        shadow.retune(categories, most);
+                        shadow.reconfigure(requestClasses, maxAttempts);
                     }
-                    balancer.reconfigure(categories, most);
+                    balancer.reconfigure(requestClasses, maxAttempts);
                 });
     }
 
@@ -453,41 +453,41 @@
     public void endpointListWatchEnded() {
         mailbox.put(
                 () -> {
-                    listLost = true;
+                    listWatchEnded = true;
                     balancer.onEndpointListFailed(clock.now());
                 });
     }
 
     /** Another balancer of the tier has told something. */
-    void heard(byte[] message) {
+    void peerMessageReceived(byte[] message) {
         mailbox.put(
                 () -> {
                     if (shadow != null) {
-                        shadow.heard(clock.now(), message);
+                        shadow.peerMessageReceived(clock.now(), message);
                     }
                     balancer.onPeerMessage(clock.now(), message);
                 });
     }
 
     @Override
-    public void startAttempt(long number, String backend, long sendBy) {
+    public void startAttempt(long number, String backend, long sendByTicks) {
         ClientRequest req = requests.get(number);
         ClientRequest.Attempt attempt =
-                new ClientRequest.Attempt(req, req.attempts.size(), sendBy, this);
+                new ClientRequest.Attempt(req, req.attempts.size(), sendByTicks, this);
         req.attempts.add(attempt);
-        req.out++;
+        req.attemptsInFlight++;
         if (shadow != null) {
-            shadow.decided(number, backend);
+            shadow.compareFirstDecision(number, backend);
         }
         BackendActor actor = backends.get(backend);
-        boolean unobservedRetry = req.unseen && attempt.number > 0;
-        if ((bans.isEjected(backend) || unobservedRetry) && attempt.abandon()) {
+        boolean unobservedRetry = req.clientUnobserved && attempt.number > 0;
+        if ((manualEjections.isEjected(backend) || unobservedRetry) && attempt.abandon()) {
             // An ejection is acknowledged before the load balancer learns of it, and a client that
             // is not observed may have left.
-            next.add(() -> ended(attempt, AttemptOutcome.NOT_SENT));
-        } else if ((actor == null || !actor.attempt(attempt) || !begun(actor))
+            deferredEvents.add(() -> attemptEnded(attempt, AttemptOutcome.NOT_SENT));
+        } else if ((actor == null || !actor.offer(attempt) || !ensureStarted(actor))
                 && attempt.abandon()) {
-            next.add(() -> ended(attempt, AttemptOutcome.CONNECT_FAILED));
+            deferredEvents.add(() -> attemptEnded(attempt, AttemptOutcome.CONNECT_FAILED));
         }
     }
 
@@ -495,9 +495,9 @@
      * Has its thread started if it has none; false when so many wait for theirs that it would never
      * be.
      */
-    private boolean begun(BackendActor actor) {
-        if (actor.begins() && !starter.offer(actor::begin)) {
-            actor.noThread();
+    private boolean ensureStarted(BackendActor actor) {
+        if (actor.markStarted() && !threadStarter.offer(actor::startThread)) {
+            actor.clearStarted();
             return false;
         }
         return true;
@@ -507,43 +507,43 @@
     public void cancelAttempt(long number, int attempt) {
         ClientRequest req = requests.get(number);
         if (req != null && req.attempts.get(attempt).abandon()) {
-            next.add(() -> ended(req.attempts.get(attempt), AttemptOutcome.CANCELLED));
+            deferredEvents.add(() -> attemptEnded(req.attempts.get(attempt), AttemptOutcome.CANCELLED));
         }
     }
 
     @Override
-    public void reject(long number, long comeBack, RejectionReason why) {
-        answer(
+    public void reject(long number, long retryAfterTicks, RejectionReason rejectionReason) {
+        respond(
                 number,
-                why,
+                rejectionReason,
                 503,
-                comeBack > 0 ? "Retry-After" : null,
-                comeBack / 10_000 + "." + Long.toString(10_000 + comeBack % 10_000).substring(1));
+                retryAfterTicks > 0 ? "Retry-After" : null,
+                retryAfterTicks / 10_000 + "." + Long.toString(10_000 + retryAfterTicks % 10_000).substring(1));
     }
 
     @Override
-    public void fail(long number, RejectionReason why) {
-        answer(number, why, 502, null, null);
+    public void fail(long number, RejectionReason rejectionReason) {
+        respond(number, rejectionReason, 502, null, null);
     }
 
-    private void answer(long number, RejectionReason why, int status, String name, String value) {
+    private void respond(long number, RejectionReason rejectionReason, int status, String headerName, String headerValue) {
         ClientRequest req = requests.get(number);
         if (req != null && req.claim()) {
-            req.why = why;
-            if (!clerk.offer(() -> req.client.finish(req, status, name, value, null))) {
+            req.rejectionReason = rejectionReason;
+            if (!ioMailbox.offer(() -> req.client.sendResponse(req, status, headerName, headerValue, null))) {
                 // So far behind that nobody would still wait: it ends without an answer.
-                figures.requestEnded();
+                metrics.requestEnded();
                 req.client.abort();
             }
         }
         if (req != null) {
-            forget(req);
+            removeIfDone(req);
         }
     }
 
     @Override
-    public void scheduleTimer(long at) {
-        wakeAt = at;
+    public void scheduleTimer(long atTicks) {
+        timerAtTicks = atTicks;
     }
 
     @Override
@@ -555,7 +555,7 @@
     public void closeIdleConnections(String backend) {
         BackendActor actor = backends.get(backend);
         if (actor != null) {
-            actor.release();
+            actor.closeIdleConnections();
         }
     }
 
@@ -566,7 +566,7 @@
 
     @Override
     public void broadcastToPeers(byte[] message) {
-        clerk.offer(() -> peers.send(message));
+        ioMailbox.offer(() -> peers.send(message));
     }
 
     @Override
--- a/src/main/java/cottonlock/proxy/MembershipAdapter.java
+++ b/src/main/java/cottonlock/proxy/MembershipAdapter.java
@@ -99,7 +99,7 @@
         RateLimitedLog log = collaborators.log();
         return new MembershipHost(
                 collaborators.clock()::now,
-                collaborators.loadBalancer()::progressAt,
+                collaborators.loadBalancer()::lastProgressTicks,
                 handover == null ? null : handover::isReplaced,
                 collaborators.peers()::receive,
                 line -> log.each("members", line));
@@ -161,7 +161,7 @@
         try {
             while (true) {
                 if (file.exists()) {
-                    loadBalancer.hang(() -> parkWhileExists(file));
+                    loadBalancer.stall(() -> parkWhileExists(file));
                 }
                 Thread.sleep(STALL_FILE_CHECK_MILLIS);
             }
--- a/src/main/java/cottonlock/proxy/Proxy.java
+++ b/src/main/java/cottonlock/proxy/Proxy.java
@@ -37,13 +37,13 @@
      * Descriptors for the program itself, its jars, discovery, peers and the listener, and for a
      * moment a connection just accepted, files that processes share, the configuration.
      */
-    private static final int OWN_SOCKETS = 24;
+    private static final int RESERVED_DESCRIPTORS = 24;
 
     /** Part of the others that backends have: clients hold a third of all at most for requests. */
     private static final double BACKEND_SOCKET_SHARE = 0.375;
 
     /** MB that the program takes by itself, and connections of clients that one more holds. */
-    private static final int OWN_MEMORY_MB = 48;
+    private static final int RESERVED_MEMORY_MB = 48;
 
     private static final int CLIENTS_PER_MB = 6;
 
@@ -65,7 +65,7 @@
     private static final long MIN_ACCEPT_MILLIS = 450;
 
     /** Milliseconds that the last requests taken have at least: twice what most of them need. */
-    private static final long LAST_REQUEST_MILLIS = 900;
+    private static final long LAST_REQUESTS_MILLIS = 900;
 
     /**
      * Where the settings give none, in their microseconds: a far network's connect, a common idle
@@ -84,27 +84,27 @@
     private final Path configuration;
 
     /** What is in force: the file as it was last taken, and what its requests are taken in by. */
-    private ProxyConfiguration inForce;
+    private ProxyConfiguration currentConfiguration;
 
     private RequestRules rules;
-    private final Metrics figures = new Metrics();
-    private final ManualEjections bans;
-    private final ProcessHandover succession;
+    private final Metrics metrics = new Metrics();
+    private final ManualEjections manualEjections;
+    private final ProcessHandover handover;
 
     /** Null where operators have no address to call. */
     private ManagementServer management;
 
-    private volatile boolean serves;
+    private volatile boolean serving;
     private final RateLimitedLog log;
     private final List<Thread> threads = new ArrayList<>();
-    private final RequestValidator admission;
+    private final RequestValidator validator;
     private final ClientListener listener;
     private final PeerMessenger peers;
 
     /** What it knows of the other proxies; null where it knows nothing. */
-    private MembershipAdapter members;
+    private MembershipAdapter membership;
 
-    private final LoadBalancerActor module;
+    private final LoadBalancerActor loadBalancer;
     private final EndpointListWatch watch;
     private final ConnectionThreads workers = new ConnectionThreads();
     private final BufferPool buffers;
@@ -113,7 +113,7 @@
     private RolloutActor rollout;
 
     /** Whether settings that control has told are in force, not the file's. */
-    private boolean told;
+    private boolean controlSettingsInForce;
 
     /** The module that is only watched, or null. */
     private ShadowLoadBalancer shadow;
@@ -128,48 +128,48 @@
      * address, else at the given one, if any. What the processes of one proxy share is kept in the
      * folder; null: nothing is.
      */
-    public Proxy(Path configuration, OperatorConfig operator, String calledAt, Path folder)
+    public Proxy(Path configuration, OperatorConfig operator, String defaultManagementAddress, Path stateDirectory)
             throws IOException {
         this.configuration = configuration;
         ProxyConfiguration config = ProxyConfiguration.read(configuration);
-        String operators = config.text("mgmt", calledAt);
-        boolean shares = operators != null;
+        String managementAddress = config.text("mgmt", defaultManagementAddress);
+        boolean sharesPorts = managementAddress != null;
         Settings settings = config.settings();
-        LoadBalancerFactory assembly = new LoadBalancerFactory(settings);
+        LoadBalancerFactory factory = new LoadBalancerFactory(settings);
         log = new RateLimitedLog(System.getLogger("cottonlock"));
         TickClock clock = new TickClock();
         SplittableRandom random = new SplittableRandom(config.seed());
         // Operators' calls hold theirs for seconds: taken from what is left for the list, they kept
         // it away.
-        int own = OWN_SOCKETS + (shares ? ManagementServer.MAX_CONNECTIONS : 0);
-        int sockets = Math.max(4, allowedSockets(config) - own);
+        int reservedDescriptors = RESERVED_DESCRIPTORS + (sharesPorts ? ManagementServer.MAX_CONNECTIONS : 0);
+        int sockets = Math.max(4, allowedSockets(config) - reservedDescriptors);
         sockets -= sockets / SOCKETS_PER_BODY_FILE;
-        int toBackends = Math.max(2, (int) (sockets * BACKEND_SOCKET_SHARE));
+        int maxBackendConnections = Math.max(2, (int) (sockets * BACKEND_SOCKET_SHARE));
         int memoryMb = config.limit("memory_mb", 192);
-        int fromClients =
+        int maxClientConnections =
                 Math.min(
-                        sockets - toBackends,
-                        Math.max(16, (memoryMb - OWN_MEMORY_MB) * CLIENTS_PER_MB));
+                        sockets - maxBackendConnections,
+                        Math.max(16, (memoryMb - RESERVED_MEMORY_MB) * CLIENTS_PER_MB));
         // An eighth of the memory, a third of the heap at most: one for each connection, the rest
         // for bodies.
-        long bytes = Math.min(((long) memoryMb << 20) / 8, Runtime.getRuntime().maxMemory() / 3);
-        int connections = fromClients + toBackends;
-        buffers = new BufferPool((int) Math.max(connections, bytes / BufferPool.SIZE), connections);
-        Path spooled = folder == null ? Path.of(System.getProperty("java.io.tmpdir")) : folder;
-        BodySpillFiles spools =
-                new BodySpillFiles(spooled, Math.max(2, sockets / SOCKETS_PER_BODY_FILE));
+        long bufferBytes = Math.min(((long) memoryMb << 20) / 8, Runtime.getRuntime().maxMemory() / 3);
+        int connections = maxClientConnections + maxBackendConnections;
+        buffers = new BufferPool((int) Math.max(connections, bufferBytes / BufferPool.SIZE), connections);
+        Path spillDirectory = stateDirectory == null ? Path.of(System.getProperty("java.io.tmpdir")) : stateDirectory;
+        BodySpillFiles spillFiles =
+                new BodySpillFiles(spillDirectory, Math.max(2, sockets / SOCKETS_PER_BODY_FILE));
         HttpWriter writer = new HttpWriter(buffers);
         WriteTimeoutWatchdog watchdog = new WriteTimeoutWatchdog();
-        ConnectionPermits permits = new ConnectionPermits(toBackends);
+        ConnectionPermits permits = new ConnectionPermits(maxBackendConnections);
         KeepAlivePolicy keepAlive = new KeepAlivePolicy();
-        long connect =
+        long connectTimeoutMillis =
                 settings.ticksRoundedDown("Limits.ConnectTimeout", DEFAULT_CONNECT_TIMEOUT_MICROS)
                         / 10;
-        long idle = settings.ticksRoundedDown("Limits.ConnIdle", DEFAULT_IDLE_TIMEOUT_MICROS) / 10;
+        long idleTimeoutMillis = settings.ticksRoundedDown("Limits.ConnIdle", DEFAULT_IDLE_TIMEOUT_MICROS) / 10;
         String name = config.text("name", "proxy") + "-" + config.text("listen", "");
-        Path kept = shares ? folder : null;
-        succession = new ProcessHandover(new SharedFile(kept, name, "serving", log));
-        module =
+        Path sharedStateDirectory = sharesPorts ? stateDirectory : null;
+        handover = new ProcessHandover(new SharedFile(sharedStateDirectory, name, "serving", log));
+        loadBalancer =
                 new LoadBalancerActor(
                         clock,
                         entry ->
@@ -178,64 +178,64 @@
                                         permits,
                                         keepAlive,
                                         workers,
-                                        connect,
-                                        idle,
+                                        connectTimeoutMillis,
+                                        idleTimeoutMillis,
                                         BackendActor.SETTLE_NANOS,
                                         buffers,
                                         writer,
                                         watchdog,
                                         clock,
-                                        figures,
+                                        metrics,
                                         log),
-                        figures,
+                        metrics,
                         log);
-        bans =
+        manualEjections =
                 new ManualEjections(
-                        new SharedFile(kept, name, "bans", log), clock, module::bansChanged);
-        EndpointListParser directory =
+                        new SharedFile(sharedStateDirectory, name, "bans", log), clock, loadBalancer::manualEjectionsChanged);
+        EndpointListParser listParser =
                 new EndpointListParser(log, settings.list("Zones"), settings.list("Flavors"));
-        EndpointList known = config.cachedEndpointList(directory);
+        EndpointList cachedList = config.cachedEndpointList(listParser);
         watch =
                 new EndpointListWatch(
                         config.address("discovery"),
-                        directory,
+                        listParser,
                         new EndpointListWatch.Options(
-                                known.version(),
-                                assembly.isEndpointListPolled(),
+                                cachedList.version(),
+                                factory.isEndpointListPolled(),
                                 EndpointListWatch.SILENCE_TIMEOUT_MILLIS),
-                        module,
+                        loadBalancer,
                         buffers,
                         log,
                         random.split());
-        InetSocketAddress all = config.addressOrNull("peers_all");
+        InetSocketAddress allPeersAddress = config.addressOrNull("peers_all");
         InetSocketAddress peerListen = config.addressOrNull("peer_listen");
-        boolean talks = peerListen != null && all != null;
-        DatagramSocket peerSocket = talks ? PeerMessenger.openSocket(peerListen, shares) : null;
-        peers = new PeerMessenger(peerSocket, config.addresses("peers"), all, module::heard, log);
-        module.join(assembly.create(module, random.nextLong()), watch, peers, bans);
+        boolean hasPeers = peerListen != null && allPeersAddress != null;
+        DatagramSocket peerSocket = hasPeers ? PeerMessenger.openSocket(peerListen, sharesPorts) : null;
+        peers = new PeerMessenger(peerSocket, config.addresses("peers"), allPeersAddress, loadBalancer::peerMessageReceived, log);
+        loadBalancer.initialize(factory.create(loadBalancer, random.nextLong()), watch, peers, manualEjections);
         if (!operator.shadowSettings().isEmpty()) {
-            Settings others = config.settings();
-            operator.shadowSettings().forEach(others::put);
+            Settings shadowSettings = config.settings();
+            operator.shadowSettings().forEach(shadowSettings::put);
             shadow = new ShadowLoadBalancer(log);
-            shadow.join(new LoadBalancerFactory(others).create(shadow, random.nextLong()));
-            module.watch(shadow);
+            shadow.setLoadBalancer(new LoadBalancerFactory(shadowSettings).create(shadow, random.nextLong()));
+            loadBalancer.setShadow(shadow);
         }
-        module.endpointListReceived(known, true);
-        inForce = config;
-        rules = new RequestRules(null, assembly, settings);
-        rules.names().forEach(figures::registerRequestClass);
-        rules.tenantNames.forEach(figures::registerTenant);
-        admission = new RequestValidator(clock, rules);
+        loadBalancer.endpointListReceived(cachedList, true);
+        currentConfiguration = config;
+        rules = new RequestRules(null, factory, settings);
+        rules.namesInForce().forEach(metrics::registerRequestClass);
+        rules.tenantNames.forEach(metrics::registerTenant);
+        validator = new RequestValidator(clock, rules);
         InetSocketAddress listen = config.address("listen");
         listener =
                 new ClientListener(
                         listen,
-                        shares,
-                        fromClients,
+                        sharesPorts,
+                        maxClientConnections,
                         (socket, from) ->
                                 new ClientConnection(
-                                        socket, from, module, admission, buffers, spools, writer,
-                                        watchdog, figures, log),
+                                        socket, from, loadBalancer, validator, buffers, spillFiles, writer,
+                                        watchdog, metrics, log),
                         workers,
                         log);
         if (operator.rollout() != null) {
@@ -243,19 +243,19 @@
                     new RolloutActor(
                             operator.rollout(),
                             settings,
-                            this::takeIn,
-                            new SharedFile(folder, name, "configuration", log),
+                            this::applySettings,
+                            new SharedFile(stateDirectory, name, "configuration", log),
                             clock,
                             random.split(),
                             log);
-            figures.addSource(rollout::metrics);
+            metrics.addSource(rollout::metrics);
             rollout.begin();
         }
-        threads.add(Sockets.start("module", module));
+        threads.add(Sockets.start("module", loadBalancer));
         threads.add(Sockets.start("watchdog", watchdog));
         threads.add(Sockets.start("list", watch));
         if (operator.membership() != null) {
-            members =
+            membership =
                     new MembershipAdapter(
                             operator.membership(),
                             config,
@@ -263,32 +263,32 @@
                             new MembershipAdapter.Collaborators(
                                     peerSocket,
                                     peers,
-                                    module,
+                                    loadBalancer,
                                     clock,
-                                    kept == null ? null : succession,
+                                    sharedStateDirectory == null ? null : handover,
                                     log));
-            figures.addSource(members.service()::metricsJson);
+            metrics.addSource(membership.service()::metricsJson);
         }
-        if (members == null || !members.sharesPeerSocket()) {
+        if (membership == null || !membership.sharesPeerSocket()) {
             threads.add(Sockets.start("peers", peers));
         }
         threads.add(Sockets.start("listener", listener));
-        if (shares) {
+        if (sharesPorts) {
             // Called before the module had the list, ids that are there were told to be nobody's.
-            module.settle();
+            loadBalancer.awaitProcessed();
             management =
-                    new ManagementServer(ProxyConfiguration.address("mgmt", operators), new Desk());
+                    new ManagementServer(ProxyConfiguration.address("mgmt", managementAddress), new ManagementCommands());
             threads.add(Sockets.start("management", management));
-            threads.add(Sockets.start("bans", bans));
+            threads.add(Sockets.start("bans", manualEjections));
         }
-        succession.announceServing();
-        if (members != null) {
-            threads.add(Sockets.start("members", members.service()));
+        handover.announceServing();
+        if (membership != null) {
+            threads.add(Sockets.start("members", membership.service()));
         }
         if (rollout != null) {
             threads.add(Sockets.start("rollout", rollout));
         }
-        serves = true;
+        serving = true;
     }
 
     /** Where the system allows fewer, more would only fail when they are opened. */
@@ -308,40 +308,40 @@
     }
 
     /** What operators ask for, carried out on the threads of their calls. */
-    private final class Desk implements ManagementOperations {
+    private final class ManagementCommands implements ManagementOperations {
         @Override
         public boolean isServing() {
-            return serves;
+            return serving;
         }
 
         @Override
         public String metricsJson() {
-            return figures.toJson();
+            return metrics.toJson();
         }
 
         @Override
         public String membersReport() {
-            return members == null ? null : members.service().statusLines();
+            return membership == null ? null : membership.service().statusLines();
         }
 
         @Override
         public String ejectBackend(String id) {
-            return change(id, true);
+            return setEjected(id, true);
         }
 
         @Override
         public String restoreBackend(String id) {
-            return change(id, false);
+            return setEjected(id, false);
         }
 
-        private String change(String id, boolean out) {
-            if (!module.lists(id) && !bans.isEjected(id)) {
+        private String setEjected(String id, boolean ejected) {
+            if (!loadBalancer.isListed(id) && !manualEjections.isEjected(id)) {
                 return "no backend has that id";
             }
-            if (!bans.setEjected(id, out)) {
+            if (!manualEjections.setEjected(id, ejected)) {
                 return "too many backends are out";
             }
-            bans.awaitPropagation();
+            manualEjections.awaitPropagation();
             return null;
         }
     }
@@ -354,25 +354,25 @@
     public synchronized void reload() {
         try {
             ProxyConfiguration config = ProxyConfiguration.read(configuration);
-            config.requireCompatibleWith(inForce);
+            config.requireCompatibleWith(currentConfiguration);
             Settings settings = config.settings();
             InetSocketAddress discovery = config.address("discovery");
             // A file that could not start a proxy is not trusted with where discovery is either.
-            LoadBalancerFactory assembly = tried(settings);
-            if (!told) {
-                takeIn(settings, assembly);
+            LoadBalancerFactory factory = checkedFactory(settings);
+            if (!controlSettingsInForce) {
+                applySettings(settings, factory);
             }
-            inForce = config;
+            currentConfiguration = config;
             watch.move(discovery);
-            figures.configurationReloaded(true);
+            metrics.configurationReloaded(true);
             log.info(
                     "configuration",
                     "read again, discovery is at "
                             + discovery
-                            + (told ? "; the settings that control has told stay in force" : ""));
+                            + (controlSettingsInForce ? "; the settings that control has told stay in force" : ""));
         } catch (RuntimeException e) {
             // A slip in a file must not end a proxy that serves.
-            figures.configurationReloaded(false);
+            metrics.configurationReloaded(false);
             log.warn(
                     "configuration",
                     configuration + ": the old one stays in force: " + e.getMessage());
@@ -380,27 +380,27 @@
     }
 
     /** A module by these settings, to the side: whatever can't be built ends here. */
-    private LoadBalancerFactory tried(Settings settings) {
-        LoadBalancerFactory assembly = new LoadBalancerFactory(settings);
-        assembly.create(module, 0);
-        return assembly;
+    private LoadBalancerFactory checkedFactory(Settings settings) {
+        LoadBalancerFactory factory = new LoadBalancerFactory(settings);
+        factory.create(loadBalancer, 0);
+        return factory;
     }
 
     /** Takes in work by these settings from now on, or by the old ones where they can't be used. */
-    private synchronized void takeIn(Settings settings) {
-        takeIn(settings, tried(settings));
+    private synchronized void applySettings(Settings settings) {
+        applySettings(settings, checkedFactory(settings));
         // Under the same lock: a SIGHUP just behind it would put the file's settings in their
         // place.
-        told = true;
+        controlSettingsInForce = true;
     }
 
-    private void takeIn(Settings settings, LoadBalancerFactory assembly) {
-        int most = settings.count("Limits.MaxHandOffs", 1);
-        rules = new RequestRules(rules, assembly, settings);
-        rules.names().forEach(figures::registerRequestClass);
+    private void applySettings(Settings settings, LoadBalancerFactory factory) {
+        int maxAttempts = settings.count("Limits.MaxHandOffs", 1);
+        rules = new RequestRules(rules, factory, settings);
+        rules.namesInForce().forEach(metrics::registerRequestClass);
         // The module first: it must know a category before a request of it comes.
-        module.retune(rules.categories, most);
-        admission.follow(rules);
+        loadBalancer.reconfigure(rules.requestClasses, maxAttempts);
+        validator.setRules(rules);
     }
 
     /**
@@ -416,43 +416,43 @@
      * The same, for a proxy that was told to at that moment, by the monotonic clock: before it
      * served.
      */
-    public void drain(long toldAt) throws InterruptedException {
-        long left =
-                Math.min(MAX_DEADLINE_MILLIS, admission.longest())
+    public void drain(long signalledAtNanos) throws InterruptedException {
+        long remainingMillis =
+                Math.min(MAX_DEADLINE_MILLIS, validator.maxTimeoutMillis())
                         + KILL_DELAY_MILLIS
                         - EXIT_MARGIN_MILLIS;
-        left -= (System.nanoTime() - toldAt) / 1_000_000;
-        long end = System.nanoTime() + left * 1_000_000;
+        remainingMillis -= (System.nanoTime() - signalledAtNanos) / 1_000_000;
+        long endNanos = System.nanoTime() + remainingMillis * 1_000_000;
         // Taken before, some requests might wait for longer than the program is let live.
-        module.endBy(admission.endWithin(left));
-        if (succession.isReplaced()) {
+        loadBalancer.limitDeadlines(validator.limitDeadlines(remainingMillis));
+        if (handover.isReplaced()) {
             // Another process takes what comes from now on: this one answers what it has, and one
             // more each.
-            listener.leave();
-            emptied(end, () -> {});
+            listener.drain();
+            awaitNoClients(endNanos, () -> {});
         } else {
             Thread.sleep(
                     Math.max(
                             0,
                             Math.min(
-                                    left,
+                                    remainingMillis,
                                     Math.max(
                                             MIN_ACCEPT_MILLIS,
-                                            Math.max(left / 2, left - LAST_REQUEST_MILLIS)))));
-            if (members != null) {
-                members.service().leave();
+                                            Math.max(remainingMillis / 2, remainingMillis - LAST_REQUESTS_MILLIS)))));
+            if (membership != null) {
+                membership.service().leave();
             }
-            listener.leave();
+            listener.drain();
         }
         // A look at who is busy would not do: a request may have been read and not yet be known to
         // be.
-        emptied(end + EXIT_MARGIN_MILLIS / 2 * 1_000_000, listener::endResting);
+        awaitNoClients(endNanos + EXIT_MARGIN_MILLIS / 2 * 1_000_000, listener::closeIdle);
     }
 
     /** Waits until no connection is left, or the time has come. */
-    private void emptied(long until, Runnable each) throws InterruptedException {
-        while (!listener.empty() && System.nanoTime() < until) {
-            each.run();
+    private void awaitNoClients(long endNanos, Runnable beforeEachCheck) throws InterruptedException {
+        while (!listener.isEmpty() && System.nanoTime() < endNanos) {
+            beforeEachCheck.run();
             Thread.sleep(DRAIN_CHECK_MILLIS);
         }
     }
@@ -464,24 +464,24 @@
      * any thread, and more than once.
      */
     public void close() {
-        serves = false;
+        serving = false;
         if (management != null) {
             management.close();
         }
         listener.close();
         listener.abort();
         peers.close();
-        if (members != null) {
-            members.close();
+        if (membership != null) {
+            membership.close();
         }
         threads.forEach(Thread::interrupt);
         watch.close();
         if (rollout != null) {
             rollout.close();
         }
-        List<Thread> left = Sockets.join(threads);
+        List<Thread> unfinished = Sockets.join(threads);
         workers.close();
-        for (Thread thread : left) {
+        for (Thread thread : unfinished) {
             log.warn("close", "the thread " + thread.getName() + " has not ended");
         }
     }
@@ -499,7 +499,7 @@
     /**
      * What the watched module would have decided otherwise, by kind; null where none is watched.
      */
-    Map<ShadowLoadBalancer.Kind, Long> watched() {
+    Map<ShadowLoadBalancer.Kind, Long> shadowCounts() {
         return shadow == null ? null : shadow.counts();
     }
 
@@ -509,8 +509,8 @@
     }
 
     /** For tests alone. */
-    LoadBalancerActor module() {
-        return module;
+    LoadBalancerActor loadBalancer() {
+        return loadBalancer;
     }
 
     /** How many buffers of the pool are free. */
--- a/src/main/java/cottonlock/proxy/RequestRules.java
+++ b/src/main/java/cottonlock/proxy/RequestRules.java
@@ -16,15 +16,15 @@
  */
 final class RequestRules {
     /** The patience of categories without an expiry, in tenths of a millisecond: a minute. */
-    private static final long LONGEST = 600_000;
+    private static final long DEFAULT_MAX_TIMEOUT_TICKS = 600_000;
 
     /** By number; those that are no longer in force among them. */
-    final List<RequestClass> categories;
+    final List<RequestClass> requestClasses;
 
     private final List<String> names;
 
     /** The numbers of those in force. */
-    private final Map<String, Integer> inForce = new HashMap<>();
+    private final Map<String, Integer> numbersInForce = new HashMap<>();
 
     final List<String> tenantNames;
 
@@ -32,51 +32,51 @@
      * A longer patience is taken for this: it would keep what is remembered of a request for as
      * long.
      */
-    private final long[] longest;
+    private final long[] maxTimeoutTicks;
 
     /** The rules of the given settings, after the given ones (null at the start). */
-    RequestRules(RequestRules before, LoadBalancerFactory assembly, Settings settings) {
-        categories = before == null ? new ArrayList<>() : new ArrayList<>(before.categories);
-        names = before == null ? new ArrayList<>() : new ArrayList<>(before.names);
+    RequestRules(RequestRules previous, LoadBalancerFactory factory, Settings settings) {
+        requestClasses = previous == null ? new ArrayList<>() : new ArrayList<>(previous.requestClasses);
+        names = previous == null ? new ArrayList<>() : new ArrayList<>(previous.names);
         tenantNames = settings.fieldOfEach("Projects", "Name");
-        List<String> told = settings.fieldOfEach("Categories", "Name");
-        for (int i = 0; i < told.size(); i++) {
-            int number = names.indexOf(told.get(i));
+        List<String> configuredNames = settings.fieldOfEach("Categories", "Name");
+        for (int i = 0; i < configuredNames.size(); i++) {
+            int number = names.indexOf(configuredNames.get(i));
             if (number < 0) {
                 number = names.size();
-                names.add(told.get(i));
-                categories.add(null);
+                names.add(configuredNames.get(i));
+                requestClasses.add(null);
             }
-            categories.set(number, assembly.requestClasses().get(i).withNumber(number));
-            inForce.put(told.get(i), number);
+            requestClasses.set(number, factory.requestClasses().get(i).withNumber(number));
+            numbersInForce.put(configuredNames.get(i), number);
         }
-        longest =
-                before == null
+        maxTimeoutTicks =
+                previous == null
                         ? new long[names.size()]
-                        : Arrays.copyOf(before.longest, names.size());
-        for (int i = 0; i < told.size(); i++) {
-            long expiry = settings.ticksRoundedDown("Categories." + i + ".Expiry");
-            longest[inForce.get(told.get(i))] = expiry > 0 ? expiry : LONGEST;
+                        : Arrays.copyOf(previous.maxTimeoutTicks, names.size());
+        for (int i = 0; i < configuredNames.size(); i++) {
+            long timeoutTicks = settings.ticksRoundedDown("Categories." + i + ".Expiry");
+            maxTimeoutTicks[numbersInForce.get(configuredNames.get(i))] = timeoutTicks > 0 ? timeoutTicks : DEFAULT_MAX_TIMEOUT_TICKS;
         }
     }
 
     /** The number of a category in force, or -1. */
-    int number(String name) {
-        return inForce.getOrDefault(name, -1);
+    int numberOf(String name) {
+        return numbersInForce.getOrDefault(name, -1);
     }
 
     /** The names in force. */
-    Iterable<String> names() {
-        return inForce.keySet();
+    Iterable<String> namesInForce() {
+        return numbersInForce.keySet();
     }
 
     /** The longest that a request of a category is waited for, in tenths of a millisecond. */
-    long longest(int category) {
-        return longest[category];
+    long maxTimeoutTicks(int requestClass) {
+        return maxTimeoutTicks[requestClass];
     }
 
     /** The longest that any is waited for, in tenths of a millisecond. */
-    long longest() {
-        return Arrays.stream(longest).max().orElse(0);
+    long maxTimeoutTicks() {
+        return Arrays.stream(maxTimeoutTicks).max().orElse(0);
     }
 }
--- a/src/main/java/cottonlock/proxy/RequestValidator.java
+++ b/src/main/java/cottonlock/proxy/RequestValidator.java
@@ -21,7 +21,7 @@
     private volatile RequestRules rules;
 
     /** By the module's clock: all requests are over by then, as the program leaves. */
-    private volatile long leaving = Long.MAX_VALUE;
+    private volatile long latestDeadlineTicks = Long.MAX_VALUE;
 
     private final Set<String> openIds = ConcurrentHashMap.newKeySet();
 
@@ -34,38 +34,38 @@
      * What comes from now on is taken in by these; what has been taken keeps the category it came
      * with.
      */
-    void follow(RequestRules other) {
-        rules = other;
+    void setRules(RequestRules newRules) {
+        rules = newRules;
     }
 
     /**
      * The proxy leaves in so many milliseconds: what comes from now on is answered before that.
      * Returns by when, by the module's clock.
      */
-    long endWithin(long millis) {
-        leaving = clock.now() + millis * 10 - DEADLINE_RESERVE_TICKS;
-        return leaving;
+    long limitDeadlines(long millis) {
+        latestDeadlineTicks = clock.now() + millis * 10 - DEADLINE_RESERVE_TICKS;
+        return latestDeadlineTicks;
     }
 
     /** The longest that any request is waited for, in milliseconds. */
-    long longest() {
-        return rules.longest() / 10;
+    long maxTimeoutMillis() {
+        return rules.maxTimeoutTicks() / 10;
     }
 
     /** A request that is taken in as soon as its body is there. */
-    record Asked(
+    record ValidatedHead(
             MessageHead head,
             String id,
             String idempotencyKey,
-            int category,
-            String name,
+            int requestClass,
+            String requestClassName,
             int tenant,
             String tenantName,
-            long patience) {}
+            long timeoutTicks) {}
 
     /** Judges a head by itself: a long body behind a bad one need not be read. */
-    Asked asked(MessageHead head) throws MalformedMessageException {
-        RequestRules in = rules;
+    ValidatedHead validate(MessageHead head) throws MalformedMessageException {
+        RequestRules current = rules;
         String method = head.method();
         if (!method.equals("GET") && !method.equals("POST")) {
             throw new MalformedMessageException(405, "neither GET nor POST");
@@ -74,47 +74,47 @@
         if (requestId == null || requestId.isEmpty()) {
             throw new MalformedMessageException(400, "no X-Request-ID");
         }
-        String name = head.only("X-Priority-Class");
+        String classHeader = head.only("X-Priority-Class");
         String target = head.target();
-        int end = 1;
-        while (end < target.length() && "/?#".indexOf(target.charAt(end)) < 0) {
-            end++;
+        int segmentEnd = 1;
+        while (segmentEnd < target.length() && "/?#".indexOf(target.charAt(segmentEnd)) < 0) {
+            segmentEnd++;
         }
-        String first = target.substring(1, end);
-        int category = in.number(name == null ? first : name);
-        if (category < 0) {
+        String pathClass = target.substring(1, segmentEnd);
+        int requestClass = current.numberOf(classHeader == null ? pathClass : classHeader);
+        if (requestClass < 0) {
             throw new MalformedMessageException(
                     404, "unknown category; the first part of the path names one");
         }
-        if (name != null && !first.equals(name)) {
+        if (classHeader != null && !pathClass.equals(classHeader)) {
             throw new MalformedMessageException(400, "the path and X-Priority-Class differ");
         }
         String tenantName = head.only("X-Tenant-Id");
-        int tenant = in.tenantNames.isEmpty() ? 0 : in.tenantNames.indexOf(tenantName);
+        int tenant = current.tenantNames.isEmpty() ? 0 : current.tenantNames.indexOf(tenantName);
         if (tenant < 0) {
             throw new MalformedMessageException(
                     400, tenantName == null ? "no X-Tenant-Id" : "unknown tenant in X-Tenant-Id");
         }
         String idempotencyKey = head.only("Idempotency-Key");
         if (idempotencyKey == null
-                && in.categories.get(category).idempotency() == RequestClass.Idempotency.WITH_KEY) {
+                && current.requestClasses.get(requestClass).idempotency() == RequestClass.Idempotency.WITH_KEY) {
             // Sent on without it, a repeat could not be known, and would have its effect twice.
             throw new MalformedMessageException(
                     400, "no Idempotency-Key, which this category needs");
         }
-        String patience = head.only("X-Timeout-Ms");
-        if (patience == null || !MessageHeadParser.isDecimal(patience)) {
+        String timeoutHeader = head.only("X-Timeout-Ms");
+        if (timeoutHeader == null || !MessageHeadParser.isDecimal(timeoutHeader)) {
             throw new MalformedMessageException(
                     400,
-                    patience == null
+                    timeoutHeader == null
                             ? "no X-Timeout-Ms"
                             : "X-Timeout-Ms is not a number of whole milliseconds");
         }
-        long wait =
-                Math.min(in.longest(category) / 10, Long.parseLong(patience)) * 10
+        long timeoutTicks =
+                Math.min(current.maxTimeoutTicks(requestClass) / 10, Long.parseLong(timeoutHeader)) * 10
                         - DEADLINE_RESERVE_TICKS;
-        return new Asked(
-                head, requestId, idempotencyKey, category, first, tenant, tenantName, wait);
+        return new ValidatedHead(
+                head, requestId, idempotencyKey, requestClass, pathClass, tenant, tenantName, timeoutTicks);
     }
 
     /**
@@ -122,13 +122,13 @@
      * may have waited behind another one, and would be given, and its backends told, time that its
      * client has not.
      */
-    ClientRequest request(ClientConnection client, Asked asked, MessageBody body, long age)
+    ClientRequest createRequest(ClientConnection client, ValidatedHead validated, MessageBody body, long ageNanos)
             throws MalformedMessageException {
-        long spent = (age + 99_999) / 100_000;
+        long spentTicks = (ageNanos + 99_999) / 100_000;
         // Taken but unanswered when the program is killed, it would be lost.
-        long expiry = Math.min(clock.now() - spent + asked.patience, leaving);
-        ClientRequest request = new ClientRequest(client, asked, body, expiry, openIds);
-        if (!openIds.add(asked.id)) {
+        long deadlineTicks = Math.min(clock.now() - spentTicks + validated.timeoutTicks, latestDeadlineTicks);
+        ClientRequest request = new ClientRequest(client, validated, body, deadlineTicks, openIds);
+        if (!openIds.add(validated.id)) {
             // Backends know a request by its id: the other one would get this one's answer, or
             // none.
             throw new MalformedMessageException(409, "the id of a request that is under way");
--- a/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
+++ b/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
@@ -22,7 +22,7 @@
  */
 final class ShadowLoadBalancer implements LoadBalancerActions {
     /** Tenths of a millisecond between two lines in the log. */
-    private static final long TELL = 100_000;
+    private static final long LOG_INTERVAL_TICKS = 100_000;
 
     /** How a first decision can differ, or not. */
     enum Kind {
@@ -34,27 +34,27 @@
     }
 
     /** What it decided about one request. */
-    private static final class Deed {
-        String first;
-        int sent;
-        boolean out;
+    private static final class ShadowRequest {
+        String firstBackend;
+        int attempts;
+        boolean attemptInFlight;
         boolean compared;
     }
 
     private final RateLimitedLog log;
     private final Map<Kind, Long> counts = new TreeMap<>();
-    private final Map<Long, Deed> deeds = new HashMap<>();
+    private final Map<Long, ShadowRequest> requests = new HashMap<>();
     private LoadBalancer balancer;
-    private long wakeAt = Long.MAX_VALUE;
-    private long tellAt;
+    private long timerAtTicks = Long.MAX_VALUE;
+    private long nextLogAtTicks;
 
     ShadowLoadBalancer(RateLimitedLog log) {
         this.log = log;
     }
 
     /** Before the module's thread starts: the module that is watched. */
-    void join(LoadBalancer module) {
-        balancer = module;
+    void setLoadBalancer(LoadBalancer loadBalancer) {
+        balancer = loadBalancer;
     }
 
     private void guard(Runnable call) {
@@ -65,90 +65,90 @@
         } catch (RuntimeException e) {
             // A fault among settings that are only tried out must not touch what is served.
             balancer = null;
-            deeds.clear();
+            requests.clear();
             log.warn("watch", "ended by a fault: " + e);
         }
     }
 
     void start(long now) {
-        tellAt = now + TELL;
+        nextLogAtTicks = now + LOG_INTERVAL_TICKS;
         guard(() -> balancer.start(now));
     }
 
     /** The categories are what is served, the rest its own settings. */
-    void retune(List<RequestClass> categories, int most) {
-        guard(() -> balancer.reconfigure(categories, most));
+    void reconfigure(List<RequestClass> requestClasses, int maxAttempts) {
+        guard(() -> balancer.reconfigure(requestClasses, maxAttempts));
     }
 
-    void due(long now) {
-        if (now >= wakeAt) {
-            wakeAt = Long.MAX_VALUE;
+    void runDueTimers(long now) {
+        if (now >= timerAtTicks) {
+            timerAtTicks = Long.MAX_VALUE;
             guard(() -> balancer.onTimer(now));
         }
-        if (now >= tellAt) {
-            tellAt = now + TELL;
+        if (now >= nextLogAtTicks) {
+            nextLogAtTicks = now + LOG_INTERVAL_TICKS;
             log.info("watch", "decisions so far " + counts());
         }
     }
 
-    void arrive(ClientRequest req, long now) {
-        deeds.put(req.number, new Deed());
+    void requestReceived(ClientRequest req, long now) {
+        requests.put(req.number, new ShadowRequest());
         guard(
                 () ->
                         balancer.onRequest(
                                 now,
                                 req.number,
-                                req.category,
+                                req.requestClass,
                                 req.tenant,
-                                req.expiry - now,
-                                req.repeated,
+                                req.deadlineTicks - now,
+                                req.retried,
                                 0));
     }
 
-    void list(long now, List<Endpoint> members, boolean whole, boolean cached) {
-        guard(() -> balancer.onEndpointList(now, members, whole, cached));
+    void endpointListReceived(long now, List<Endpoint> endpoints, boolean complete, boolean cached) {
+        guard(() -> balancer.onEndpointList(now, endpoints, complete, cached));
     }
 
-    void heard(long now, byte[] message) {
+    void peerMessageReceived(long now, byte[] message) {
         guard(() -> balancer.onPeerMessage(now, message));
     }
 
-    void left(long now, long number) {
+    void clientDisconnected(long now, long number) {
         guard(() -> balancer.onClientDisconnected(now, number));
     }
 
     /** The real module has sent (a backend) or answered (null): its first decision is compared. */
-    void decided(long number, String backend) {
-        Deed deed = deeds.get(number);
-        if (deed == null || deed.compared) {
+    void compareFirstDecision(long number, String backend) {
+        ShadowRequest request = requests.get(number);
+        if (request == null || request.compared) {
             return;
         }
-        deed.compared = true;
-        boolean deferred = deed.first == null;
+        request.compared = true;
+        boolean noAttempt = request.firstBackend == null;
         Kind kind =
                 backend == null
-                        ? deferred ? Kind.ALIKE : Kind.WOULD_HAND_OFF
-                        : deferred
+                        ? noAttempt ? Kind.ALIKE : Kind.WOULD_HAND_OFF
+                        : noAttempt
                                 ? Kind.WOULD_DEFER
-                                : backend.equals(deed.first) ? Kind.ALIKE : Kind.OTHER_BACKEND;
+                                : backend.equals(request.firstBackend) ? Kind.ALIKE : Kind.OTHER_BACKEND;
         counts.merge(kind, 1L, Long::sum);
     }
 
     /** A real attempt has ended: so has the one that stands beside it. */
-    void settled(long now, long number, AttemptOutcome outcome, boolean over) {
-        Deed deed = deeds.get(number);
-        if (deed != null && deed.out) {
-            deed.out = false;
-            guard(() -> balancer.onAttemptCompleted(now, number, deed.sent - 1, outcome, over));
+    void attemptSettled(long now, long number, AttemptOutcome outcome, boolean requestOver) {
+        ShadowRequest request = requests.get(number);
+        if (request != null && request.attemptInFlight) {
+            request.attemptInFlight = false;
+            guard(() -> balancer.onAttemptCompleted(now, number, request.attempts - 1, outcome, requestOver));
         }
     }
 
     /** The real request is over and nothing of it is out any more. */
-    void forget(long now, long number) {
+    void requestEnded(long now, long number) {
         // Where only the watched module would have sent, nothing is known of how that would have
         // ended.
-        settled(now, number, AttemptOutcome.NOT_SENT, true);
-        deeds.remove(number);
+        attemptSettled(now, number, AttemptOutcome.NOT_SENT, true);
+        requests.remove(number);
     }
 
     /** How many decisions differed, by kind. */
@@ -161,12 +161,12 @@
     }
 
     @Override
-    public void startAttempt(long number, String backend, long sendBy) {
-        Deed deed = deeds.get(number);
-        if (deed != null) {
-            deed.first = deed.first == null ? backend : deed.first;
-            deed.sent++;
-            deed.out = true;
+    public void startAttempt(long number, String backend, long sendByTicks) {
+        ShadowRequest request = requests.get(number);
+        if (request != null) {
+            request.firstBackend = request.firstBackend == null ? backend : request.firstBackend;
+            request.attempts++;
+            request.attemptInFlight = true;
         }
     }
 
@@ -176,18 +176,18 @@
     }
 
     @Override
-    public void reject(long number, long comeBack, RejectionReason why) {
+    public void reject(long number, long retryAfterTicks, RejectionReason rejectionReason) {
         // Seen from there being no attempt.
     }
 
     @Override
-    public void fail(long number, RejectionReason why) {
+    public void fail(long number, RejectionReason rejectionReason) {
         // As for a deferral.
     }
 
     @Override
-    public void scheduleTimer(long at) {
-        wakeAt = at;
+    public void scheduleTimer(long atTicks) {
+        timerAtTicks = atTicks;
     }
 
     @Override
--- a/src/main/java/cottonlock/proxy/WriteTimeoutWatchdog.java
+++ b/src/main/java/cottonlock/proxy/WriteTimeoutWatchdog.java
@@ -19,7 +19,7 @@
      */
     private static final long WRITE_TIMEOUT_NANOS = 5_000_000_000L;
 
-    private final Map<Socket, Long> writing = new ConcurrentHashMap<>();
+    private final Map<Socket, Long> lastProgressNanos = new ConcurrentHashMap<>();
 
     /** What is to be written. */
     interface Write {
@@ -28,7 +28,7 @@
 
     /** Carries out a write that fails when none of it is taken for too long. */
     void write(Socket socket, Write write) throws IOException {
-        writing.put(socket, System.nanoTime());
+        lastProgressNanos.put(socket, System.nanoTime());
         try {
             write.to(
                     new FilterOutputStream(socket.getOutputStream()) {
@@ -36,11 +36,11 @@
                         public void write(byte[] bytes, int from, int count) throws IOException {
                             out.write(bytes, from, count);
                             // A long body is many writes, and each piece taken is a sign of life.
-                            writing.put(socket, System.nanoTime());
+                            lastProgressNanos.put(socket, System.nanoTime());
                         }
                     });
         } finally {
-            writing.remove(socket);
+            lastProgressNanos.remove(socket);
         }
     }
 
@@ -50,7 +50,7 @@
             while (true) {
                 Thread.sleep(CHECK_MILLIS);
                 long now = System.nanoTime();
-                writing.forEach(
+                lastProgressNanos.forEach(
                         (socket, since) -> {
                             if (now - since > WRITE_TIMEOUT_NANOS) {
                                 Sockets.close(socket);
--- a/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
+++ b/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
@@ -42,18 +42,18 @@
     private static final int FLOOD = 320 << 10;
 
     /** Where the thread of a connection to a backend stands between two answers. */
-    private static final String RESTS = "NioSocketImpl.*HttpReader.awaitSingleByte";
+    private static final String IDLE_CONNECTION = "NioSocketImpl.*HttpReader.awaitSingleByte";
 
     private final RateLimitedLog log = new RateLimitedLog(System.getLogger("test"));
     private final TickClock clock = new TickClock();
-    private final Metrics figures = new Metrics();
+    private final Metrics metrics = new Metrics();
     private final BufferPool buffers = new BufferPool(16, 4);
     private final ConnectionThreads workers = new ConnectionThreads();
     private final WriteTimeoutWatchdog watchdog = new WriteTimeoutWatchdog();
 
     /** Its thread is never started: what it is told stays in its mailbox. */
-    private final LoadBalancerActor module =
-            new LoadBalancerActor(clock, entry -> null, figures, log);
+    private final LoadBalancerActor loadBalancer =
+            new LoadBalancerActor(clock, entry -> null, metrics, log);
 
     private record Sent(ClientRequest request, ClientRequest.Attempt attempt) {}
 
@@ -64,13 +64,13 @@
         ClientRequest request =
                 new ClientRequest(
                         null,
-                        new RequestValidator.Asked(head, "id", null, 0, "once", 0, "acme", 0),
+                        new RequestValidator.ValidatedHead(head, "id", null, 0, "once", 0, "acme", 0),
                         body,
                         clock.now() + 100_000,
                         ConcurrentHashMap.newKeySet());
         ClientRequest.Attempt attempt =
-                new ClientRequest.Attempt(request, 0, Long.MAX_VALUE, module);
-        assertTrue(actor == null || actor.attempt(attempt));
+                new ClientRequest.Attempt(request, 0, Long.MAX_VALUE, loadBalancer);
+        assertTrue(actor == null || actor.offer(attempt));
         return new Sent(request, attempt);
     }
 
@@ -78,7 +78,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), at.server.getLocalPort());
     }
 
-    private BackendActor actor(StandIn backend, long settle) {
+    private BackendActor actor(StandIn backend, long settleNanos) {
         return new BackendActor(
                 address(backend),
                 new ConnectionPermits(4),
@@ -86,12 +86,12 @@
                 workers,
                 8_000,
                 60_000,
-                settle,
+                settleNanos,
                 buffers,
                 new HttpWriter(buffers),
                 watchdog,
                 clock,
-                figures,
+                metrics,
                 log);
     }
 
@@ -104,17 +104,17 @@
                 new HttpWriter(buffers),
                 watchdog,
                 clock,
-                figures,
+                metrics,
                 log,
                 first.attempt);
     }
 
-    private static boolean stands(String where) {
+    private static boolean anyThreadIn(String where) {
         return Thread.getAllStackTraces().values().stream()
                 .anyMatch(trace -> List.of(trace).toString().matches("(?s).*" + where + ".*"));
     }
 
-    private static boolean awaits(CountDownLatch latch) {
+    private static boolean awaitLatch(CountDownLatch latch) {
         try {
             return latch.await(8, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
@@ -128,7 +128,7 @@
      * A long wait without a second answer, and much time until it is due; the module's line, that
      * of the first tier, holds work for long.
      */
-    private void startPatient(StandIn... backends) throws IOException {
+    private void startWithLongTimeouts(StandIn... backends) throws IOException {
         String[] hosts = new String[backends.length];
         for (int i = 0; i < hosts.length; i++) {
             hosts[i] = backends[i].host("b" + i);
@@ -143,7 +143,7 @@
         buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
     }
 
-    private static String patient(String category, String id) {
+    private static String longTimeoutRequest(String category, String id) {
         return request(
                 category, id, "X-Timeout-Ms: 20000\r\n", category.equals("read") ? "" : "body");
     }
@@ -154,15 +154,15 @@
     }
 
     /** All that is known so far has been worked off by the module. */
-    private void settle() {
-        proxy.module().settle();
+    private void awaitLoadBalancer() {
+        proxy.loadBalancer().awaitProcessed();
     }
 
-    private void leave(Socket socket, boolean reset, int others) throws Exception {
+    private void disconnect(Socket socket, boolean reset, int remainingClients) throws Exception {
         socket.setSoLinger(reset, 0);
         socket.close();
-        eventually(() -> proxy.listener().clients().size() == others, "its leaving is noticed");
-        settle();
+        eventually(() -> proxy.listener().clients().size() == remainingClients, "its leaving is noticed");
+        awaitLoadBalancer();
     }
 
     // Before an attempt
@@ -172,35 +172,35 @@
      * the last ones, wait in the line of the module. Its thread stands still by then, until {@code
      * goOn}.
      */
-    private List<Socket> fill(int waiting, CountDownLatch goOn) throws Exception {
+    private List<Socket> fillBackend(int waiting, CountDownLatch proceed) throws Exception {
         for (int i = 0; i < 6; i++) {
             // Without answers before, nothing waits.
-            assertEquals(200, status(call(patient("read", "quick" + i))));
+            assertEquals(200, status(call(longTimeoutRequest("read", "quick" + i))));
         }
         eventually(() -> proxy.listener().clients().isEmpty(), "they have gone");
-        CountDownLatch come = new CountDownLatch(1);
+        CountDownLatch received = new CountDownLatch(1);
         CountDownLatch decided = new CountDownLatch(1);
-        proxy.module().hang(() -> awaits(come));
+        proxy.loadBalancer().stall(() -> awaitLatch(received));
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < 8 + waiting; i++) {
             Socket socket = connect();
-            send(socket, patient("read", "held" + i));
+            send(socket, longTimeoutRequest("read", "held" + i));
             sockets.add(socket);
             eventually(
                     () ->
                             proxy.listener().clients().size() == sockets.size()
                                     && proxy.listener().clients().stream()
-                                            .allMatch(ClientConnection::owed),
+                                            .allMatch(ClientConnection::hasOpenRequest),
                     "taken in");
         }
-        proxy.module()
-                .hang(
+        proxy.loadBalancer()
+                .stall(
                         () -> {
                             decided.countDown();
-                            awaits(goOn);
+                            awaitLatch(proceed);
                         });
-        come.countDown();
-        assertTrue(awaits(decided), "decided");
+        received.countDown();
+        assertTrue(awaitLatch(decided), "decided");
         return sockets;
     }
 
@@ -210,29 +210,29 @@
                 .toList();
     }
 
-    private static boolean quick(List<String> request) {
+    private static boolean isQuick(List<String> request) {
         return field(request, "X-Request-ID", "").startsWith("quick");
     }
 
     @Example
     void inTheLineOfTheModule() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        StandIn backend = new StandIn(request -> quick(request) || awaits(answer) ? OK : CLOSE);
-        startPatient(backend);
-        CountDownLatch goOn = new CountDownLatch(1);
-        List<Socket> sockets = fill(12, goOn);
+        StandIn backend = new StandIn(request -> isQuick(request) || awaitLatch(answer) ? OK : CLOSE);
+        startWithLongTimeouts(backend);
+        CountDownLatch proceed = new CountDownLatch(1);
+        List<Socket> sockets = fillBackend(12, proceed);
         while (sockets.size() > 8) {
             sockets.remove(sockets.size() - 1).close();
         }
         eventually(() -> proxy.listener().clients().size() == 8, "their leaving is noticed");
         answer.countDown();
-        goOn.countDown();
+        proceed.countDown();
         for (Socket socket : sockets) {
             assertEquals(200, status(receive(socket)));
         }
         for (int i = 0; i < 4; i++) {
             assertEquals(
-                    200, status(call(patient("read", "quick-after" + i))), "they hold no room");
+                    200, status(call(longTimeoutRequest("read", "quick-after" + i))), "they hold no room");
         }
         assertEquals(18, backend.requests.size(), "sent on though they had left: " + ids(backend));
     }
@@ -241,21 +241,21 @@
     @Example
     void inTheLineBehindAFlood() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        StandIn backend = new StandIn(request -> quick(request) || awaits(answer) ? OK : CLOSE);
-        startPatient(backend);
-        CountDownLatch goOn = new CountDownLatch(1);
-        List<Socket> sockets = fill(1, goOn);
+        StandIn backend = new StandIn(request -> isQuick(request) || awaitLatch(answer) ? OK : CLOSE);
+        startWithLongTimeouts(backend);
+        CountDownLatch proceed = new CountDownLatch(1);
+        List<Socket> sockets = fillBackend(1, proceed);
         flood(sockets.remove(8));
         eventually(
-                () -> stands("Object.wait.*ClientConnection.awaitAnswer"), "it is read no further");
+                () -> anyThreadIn("Object.wait.*ClientConnection.awaitResponse"), "it is read no further");
         long since = clock.now();
         eventually(() -> clock.now() - since > 1_000, "it may have left 0.1 s ago");
         CountDownLatch further = new CountDownLatch(1);
-        proxy.module().hang(() -> awaits(further));
-        goOn.countDown();
+        proxy.loadBalancer().stall(() -> awaitLatch(further));
+        proceed.countDown();
         eventually(
                 () ->
-                        proxy.listener().clients().stream().filter(ClientConnection::owed).count()
+                        proxy.listener().clients().stream().filter(ClientConnection::hasOpenRequest).count()
                                 == 8,
                 "answered at once, by no attempt's end");
         answer.countDown();
@@ -264,9 +264,9 @@
             assertEquals(200, status(receive(socket)));
         }
         eventually(
-                () -> proxy.listener().clients().stream().noneMatch(ClientConnection::owed),
+                () -> proxy.listener().clients().stream().noneMatch(ClientConnection::hasOpenRequest),
                 "answered");
-        assertEquals(200, status(call(patient("read", "quick-after"))));
+        assertEquals(200, status(call(longTimeoutRequest("read", "quick-after"))));
         assertEquals(
                 15, backend.requests.size(), "sent on though it might have left: " + ids(backend));
     }
@@ -274,20 +274,20 @@
     @Example
     void inTheMailboxOfTheModule() throws Exception {
         StandIn backend = new StandIn(request -> OK);
-        startPatient(backend);
+        startWithLongTimeouts(backend);
         for (boolean reset : new boolean[] {false, true}) {
-            CountDownLatch goOn = new CountDownLatch(1);
-            proxy.module().hang(() -> awaits(goOn));
+            CountDownLatch proceed = new CountDownLatch(1);
+            proxy.loadBalancer().stall(() -> awaitLatch(proceed));
             Socket socket = connect();
-            send(socket, patient("read", "gone"));
-            eventually(() -> onlyClient().owed(), "read whole");
+            send(socket, longTimeoutRequest("read", "gone"));
+            eventually(() -> onlyClient().hasOpenRequest(), "read whole");
             socket.setSoLinger(reset, 0);
             socket.close();
             eventually(() -> proxy.listener().clients().isEmpty(), "its leaving is noticed");
-            goOn.countDown();
-            settle();
+            proceed.countDown();
+            awaitLoadBalancer();
         }
-        assertEquals(200, status(call(patient("read", "after"))));
+        assertEquals(200, status(call(longTimeoutRequest("read", "after"))));
         assertEquals(1, backend.requests.size());
         assertEquals(1, backend.sockets.size(), "no connection was made for those who had left");
     }
@@ -300,10 +300,10 @@
         Sent stays = attempt(actor);
         assertTrue(gone.request.claim());
         Thread thread = Sockets.start("backend", actor);
-        eventually(() -> gone.attempt.settled() && stays.attempt.settled(), "settled");
+        eventually(() -> gone.attempt.isSettled() && stays.attempt.isSettled(), "settled");
         assertEquals(1, backend.requests.size());
         assertEquals(1, backend.sockets.size(), "no connection was made for whoever had left");
-        actor.end();
+        actor.stop();
         thread.join(4_000);
         assertTrue(stays.request.claim());
         eventually(() -> buffers.available() == 16, "all buffers are back");
@@ -320,12 +320,12 @@
                 taken.add(buffers.take());
             }
             Thread thread = Sockets.start("connection", connection(backend, sent));
-            eventually(() -> stands("BufferPool.take.*BackendConnection.run"), "connected");
+            eventually(() -> anyThreadIn("BufferPool.take.*BackendConnection.run"), "connected");
             if (leaves) {
                 assertTrue(sent.request.claim());
             }
             taken.forEach(buffers::give);
-            eventually(sent.attempt::settled, "settled");
+            eventually(sent.attempt::isSettled, "settled");
             assertEquals(leaves ? 0 : 1, backend.requests.size());
             backend.sockets.forEach(Sockets::close);
             thread.join(4_000);
@@ -341,17 +341,17 @@
         BackendActor actor = actor(backend, 8_000_000_000L);
         Thread thread = Sockets.start("backend", actor);
         Sent first = attempt(actor);
-        eventually(() -> first.attempt.settled() && stands(RESTS), "it rests");
+        eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "it rests");
         Sent next = attempt(actor);
         CountDownLatch looked = new CountDownLatch(1);
-        actor.then(looked::countDown);
-        assertTrue(awaits(looked), "the attempt has been looked at");
+        actor.runAfterPending(looked::countDown);
+        assertTrue(awaitLatch(looked), "the attempt has been looked at");
         assertTrue(next.request.claim());
         send(backend.sockets.get(0), FAILED);
-        eventually(next.attempt::settled, "settled, as nothing settles any more");
+        eventually(next.attempt::isSettled, "settled, as nothing settles any more");
         assertEquals(1, backend.requests.size());
         assertEquals(1, backend.sockets.size(), "no connection was made for whoever had left");
-        actor.end();
+        actor.stop();
         thread.join(4_000);
         assertTrue(first.request.claim());
         eventually(() -> buffers.available() == 16, "all buffers are back");
@@ -365,7 +365,7 @@
             Sent first = attempt(null);
             BackendConnection connection = connection(backend, first);
             Thread thread = Sockets.start("connection", connection);
-            eventually(() -> first.attempt.settled() && stands(RESTS), "it rests");
+            eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "it rests");
             int before = backend.requests.size();
             Sent next = attempt(null);
             assertTrue(next.attempt.attach(connection));
@@ -374,13 +374,13 @@
                 taken.add(buffers.take());
             }
             Thread writer = Sockets.start("writer", () -> connection.send(next.attempt));
-            eventually(() -> stands("BufferPool.take.*HttpWriter.send"), "its write has begun");
+            eventually(() -> anyThreadIn("BufferPool.take.*HttpWriter.send"), "its write has begun");
             if (leaves) {
                 assertTrue(next.request.claim());
             }
             taken.forEach(buffers::give);
             writer.join(4_000);
-            eventually(next.attempt::settled, "settled");
+            eventually(next.attempt::isSettled, "settled");
             assertEquals(before + (leaves ? 0 : 1), backend.requests.size());
             backend.sockets.forEach(Sockets::close);
             thread.join(4_000);
@@ -399,7 +399,7 @@
         Sent first = attempt(null);
         BackendConnection connection = connection(backend, first);
         Thread thread = Sockets.start("connection", connection);
-        eventually(() -> first.attempt.settled() && stands(RESTS), "it rests");
+        eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "it rests");
         Sent next = attempt(null);
         assertTrue(next.attempt.attach(connection));
         Thread writer = Sockets.thread("writer", () -> connection.send(next.attempt));
@@ -411,7 +411,7 @@
             assertTrue(next.request.claim());
         }
         writer.join(4_000);
-        eventually(next.attempt::settled, "settled");
+        eventually(next.attempt::isSettled, "settled");
         assertEquals(1, backend.requests.size());
         backend.sockets.forEach(Sockets::close);
         thread.join(4_000);
@@ -423,23 +423,23 @@
 
     @Example
     void behindAnotherRequestOfItsOwn() throws Exception {
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch proceed = new CountDownLatch(1);
         StandIn backend =
                 new StandIn(
                         request -> {
-                            goOn.await(8, TimeUnit.SECONDS);
+                            proceed.await(8, TimeUnit.SECONDS);
                             return OK;
                         });
-        startPatient(backend);
+        startWithLongTimeouts(backend);
         for (boolean reset : new boolean[] {false, true}) {
             int before = backend.requests.size();
             Socket socket = connect();
-            send(socket, patient("once", "first" + reset) + patient("once", "second" + reset));
+            send(socket, longTimeoutRequest("once", "first" + reset) + longTimeoutRequest("once", "second" + reset));
             eventually(() -> backend.requests.size() == before + 1, "the first is out");
-            leave(socket, reset, 0);
+            disconnect(socket, reset, 0);
         }
-        goOn.countDown();
-        assertEquals(200, status(call(patient("read", "after"))));
+        proceed.countDown();
+        assertEquals(200, status(call(longTimeoutRequest("read", "after"))));
         assertEquals(3, backend.requests.size());
     }
 
@@ -448,27 +448,27 @@
     void behindAnAnswerThatIsPassedOn() throws Exception {
         CountDownLatch left = new CountDownLatch(1);
         StandIn backend = new StandIn(request -> SILENT);
-        backend.play =
+        backend.responder =
                 request -> {
                     Socket socket = backend.sockets.get(0);
                     send(
                             socket,
                             "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"
                                     + "x".repeat(80_000));
-                    awaits(left);
+                    awaitLatch(left);
                     return "x".repeat(20_000);
                 };
-        startPatient(backend);
+        startWithLongTimeouts(backend);
         Socket socket = connect();
-        send(socket, patient("once", "first") + patient("once", "second"));
+        send(socket, longTimeoutRequest("once", "first") + longTimeoutRequest("once", "second"));
         assertEquals('H', socket.getInputStream().read());
         socket.setSoLinger(true, 0);
         socket.close();
         eventually(() -> proxy.listener().clients().isEmpty(), "its leaving is noticed");
         left.countDown();
-        settle();
-        backend.play = request -> OK;
-        assertEquals(200, status(call(patient("read", "after"))));
+        awaitLoadBalancer();
+        backend.responder = request -> OK;
+        assertEquals(200, status(call(longTimeoutRequest("read", "after"))));
         assertEquals(2, backend.requests.size());
     }
 
@@ -477,17 +477,17 @@
     @Example
     void beforeAFurtherAttempt() throws Exception {
         for (String how : List.of("end", "reset", "half")) {
-            CountDownLatch goOn = new CountDownLatch(1);
+            CountDownLatch proceed = new CountDownLatch(1);
             StandIn one =
                     new StandIn(
                             request -> {
-                                goOn.await(8, TimeUnit.SECONDS);
+                                proceed.await(8, TimeUnit.SECONDS);
                                 return NOT_RUN;
                             });
-            StandIn other = new StandIn(one.play);
-            startPatient(one, other);
+            StandIn other = new StandIn(one.responder);
+            startWithLongTimeouts(one, other);
             Socket socket = connect();
-            send(socket, patient("once", how));
+            send(socket, longTimeoutRequest("once", how));
             eventually(() -> one.requests.size() + other.requests.size() == 1, "the first is out");
             if (how.equals("half")) {
                 // From here it can't be told from an end, and there is no answer that it could wait
@@ -495,12 +495,12 @@
                 socket.shutdownOutput();
                 eventually(() -> proxy.listener().clients().isEmpty(), "its leaving is noticed");
             } else {
-                leave(socket, how.equals("reset"), 0);
+                disconnect(socket, how.equals("reset"), 0);
             }
-            goOn.countDown();
-            one.play = request -> OK;
-            other.play = request -> OK;
-            assertEquals(200, status(call(patient("once", "after"))));
+            proceed.countDown();
+            one.responder = request -> OK;
+            other.responder = request -> OK;
+            assertEquals(200, status(call(longTimeoutRequest("once", "after"))));
             assertEquals(2, one.requests.size() + other.requests.size(), how);
             closesCleanly();
         }
@@ -521,29 +521,29 @@
     /** Who sends so much is read no further until its answer, and might leave unseen. */
     @Example
     void behindAFloodThereIsNoFurtherAttempt() throws Exception {
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch proceed = new CountDownLatch(1);
         StandIn one =
                 new StandIn(
                         request -> {
-                            goOn.await(8, TimeUnit.SECONDS);
+                            proceed.await(8, TimeUnit.SECONDS);
                             return NOT_RUN;
                         });
-        StandIn other = new StandIn(one.play);
-        startPatient(one, other);
+        StandIn other = new StandIn(one.responder);
+        startWithLongTimeouts(one, other);
         Socket socket = connect();
-        send(socket, patient("once", "flood"));
+        send(socket, longTimeoutRequest("once", "flood"));
         eventually(() -> one.requests.size() + other.requests.size() == 1, "the first is out");
         ClientConnection client = onlyClient();
         flood(socket);
         eventually(
-                () -> stands("Object.wait.*ClientConnection.awaitAnswer"), "it is read no further");
-        settle();
-        assertTrue(client.owed(), "its first attempt is waited for");
-        goOn.countDown();
-        eventually(() -> !client.owed(), "answered");
-        one.play = request -> OK;
-        other.play = request -> OK;
-        assertEquals(200, status(call(patient("once", "after"))));
+                () -> anyThreadIn("Object.wait.*ClientConnection.awaitResponse"), "it is read no further");
+        awaitLoadBalancer();
+        assertTrue(client.hasOpenRequest(), "its first attempt is waited for");
+        proceed.countDown();
+        eventually(() -> !client.hasOpenRequest(), "answered");
+        one.responder = request -> OK;
+        other.responder = request -> OK;
+        assertEquals(200, status(call(longTimeoutRequest("once", "after"))));
         assertEquals(2, one.requests.size() + other.requests.size());
     }
 
@@ -554,18 +554,18 @@
     void behindAFloodTheFirstAttemptGoesOutSoonOrNotAtAll() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         BackendActor actor = actor(backend, 0);
-        Sent unseen = attempt(actor);
-        module.unseen(unseen.request, false);
-        long soon = unseen.request.seenUntil;
+        Sent unobserved = attempt(actor);
+        loadBalancer.clientUnobserved(unobserved.request, false);
+        long soon = unobserved.request.observedUntilTicks;
         assertTrue(soon <= clock.now() + 1_000, "within 0.1 s of when it was last seen");
         eventually(() -> clock.now() >= soon, "that is over");
         Sent stays = attempt(actor);
         Thread thread = Sockets.start("backend", actor);
-        eventually(() -> unseen.attempt.settled() && stays.attempt.settled(), "settled");
+        eventually(() -> unobserved.attempt.isSettled() && stays.attempt.isSettled(), "settled");
         assertEquals(1, backend.requests.size());
-        actor.end();
+        actor.stop();
         thread.join(4_000);
-        assertTrue(unseen.request.claim() && stays.request.claim());
+        assertTrue(unobserved.request.claim() && stays.request.claim());
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
@@ -574,15 +574,15 @@
     /** Nothing is read from it any more, so nobody would see it leave. */
     @Example
     void whatWasReadJustBeforeItsConnectionWasEndedHasNoFurtherAttempt() throws Exception {
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch proceed = new CountDownLatch(1);
         StandIn one =
                 new StandIn(
                         request -> {
-                            goOn.await(8, TimeUnit.SECONDS);
+                            proceed.await(8, TimeUnit.SECONDS);
                             return NOT_RUN;
                         });
-        StandIn other = new StandIn(one.play);
-        startPatient(one, other);
+        StandIn other = new StandIn(one.responder);
+        startWithLongTimeouts(one, other);
         Socket socket = connect();
         // One that has just come up has time for its first request.
         send(socket, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -590,20 +590,20 @@
         ClientConnection client = onlyClient();
         CountDownLatch read = new CountDownLatch(1);
         CountDownLatch ended = new CountDownLatch(1);
-        client.afterRead =
+        client.afterReadHook =
                 () -> {
                     read.countDown();
-                    awaits(ended);
+                    awaitLatch(ended);
                 };
-        send(socket, patient("once", "read"));
-        assertTrue(awaits(read));
+        send(socket, longTimeoutRequest("once", "read"));
+        assertTrue(awaitLatch(read));
         client.close();
-        assertTrue(client.ends());
+        assertTrue(client.isInputShutDown());
         ended.countDown();
         eventually(() -> one.requests.size() + other.requests.size() == 1, "served all the same");
-        eventually(() -> stands("ClientConnection.unanswered"), "it is not read any more");
-        settle();
-        goOn.countDown();
+        eventually(() -> anyThreadIn("ClientConnection.abandonedRequest"), "it is not read any more");
+        awaitLoadBalancer();
+        proceed.countDown();
         String answer = receive(socket);
         assertEquals(503, status(answer), answer);
         assertEquals(1, one.requests.size() + other.requests.size());
@@ -631,7 +631,7 @@
 
                 @Override
                 public int read(byte[] into, int at, int most) throws IOException {
-                    awaits(ended);
+                    awaitLatch(ended);
                     if (given.getAndSet(true)) {
                         return -1;
                     }
@@ -674,7 +674,7 @@
     @Example
     void whatIsReadAfterItsConnectionWasEndedIsNotSentOn() throws Exception {
         Settings settings = ProxyConfiguration.read(config(settings(256, 1, ""))).settings();
-        RequestValidator admission =
+        RequestValidator validator =
                 new RequestValidator(
                         clock, new RequestRules(null, new LoadBalancerFactory(settings), settings));
         ClientListener listener =
@@ -686,13 +686,13 @@
                                 new ClientConnection(
                                         new LateSocket(socket, request("once", "late", "", "body")),
                                         from,
-                                        module,
-                                        admission,
+                                        loadBalancer,
+                                        validator,
                                         buffers,
                                         null,
                                         new HttpWriter(buffers),
                                         watchdog,
-                                        figures,
+                                        metrics,
                                         log),
                         workers,
                         log);
@@ -701,20 +701,20 @@
             socket.setSoTimeout(8_000);
             eventually(() -> listener.clients().size() == 1, "taken in");
             ClientConnection client = listener.clients().iterator().next();
-            eventually(() -> stands("LateSocket.*ClientConnection.awaitRequest"), "it rests");
+            eventually(() -> anyThreadIn("LateSocket.*ClientConnection.awaitRequest"), "it rests");
             eventually(
                     () -> {
                         client.close();
-                        return client.ends();
+                        return client.isInputShutDown();
                     },
                     "told to end");
             assertEquals("", receive(socket));
-            assertFalse(client.worked(), "taken though its client sends it again");
+            assertFalse(client.hasSubmittedRequest(), "taken though its client sends it again");
         } finally {
             listener.close();
             thread.join(4_000);
         }
-        eventually(() -> listener.empty() && buffers.available() == 16, "all buffers are back");
+        eventually(() -> listener.isEmpty() && buffers.available() == 16, "all buffers are back");
     }
 
     // What an attempt tells of the time that is left
@@ -733,13 +733,13 @@
                             }
                             return OK;
                         });
-        startPatient(backend);
+        startWithLongTimeouts(backend);
         Socket socket = connect();
-        send(socket, patient("once", "first") + patient("once", "second"));
+        send(socket, longTimeoutRequest("once", "first") + longTimeoutRequest("once", "second"));
         assertEquals(200, status(receive(socket)));
         assertEquals(200, status(receive(socket)));
-        long told = Long.parseLong(field(backend.requests.get(1), "X-Timeout-Ms", ""));
-        assertTrue(told <= 20_000 - spent[0], told + " told, and " + spent[0] + " spent");
+        long sentMillis = Long.parseLong(field(backend.requests.get(1), "X-Timeout-Ms", ""));
+        assertTrue(sentMillis <= 20_000 - spent[0], sentMillis + " told, and " + spent[0] + " spent");
     }
 
     @Example
@@ -748,7 +748,7 @@
         Sent first = attempt(null);
         BackendConnection connection = connection(backend, first);
         Thread thread = Sockets.start("connection", connection);
-        eventually(() -> first.attempt.settled() && stands(RESTS), "it rests");
+        eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "it rests");
         Sent next = attempt(null);
         assertTrue(next.attempt.attach(connection));
         List<byte[]> taken = new ArrayList<>();
@@ -756,14 +756,14 @@
             taken.add(buffers.take());
         }
         Thread writer = Sockets.start("writer", () -> connection.send(next.attempt));
-        eventually(() -> stands("BufferPool.take.*HttpWriter.send"), "its write has begun");
+        eventually(() -> anyThreadIn("BufferPool.take.*HttpWriter.send"), "its write has begun");
         long since = clock.now();
         eventually(() -> clock.now() - since >= 1_000, "some time is spent");
-        long left = (next.request.expiry - clock.now()) / 10;
+        long left = (next.request.deadlineTicks - clock.now()) / 10;
         taken.forEach(buffers::give);
         eventually(() -> backend.requests.size() == 2, "written");
-        long told = Long.parseLong(field(backend.requests.get(1), "X-Timeout-Ms", ""));
-        assertTrue(told <= left, told + " told, and " + left + " left");
+        long sentMillis = Long.parseLong(field(backend.requests.get(1), "X-Timeout-Ms", ""));
+        assertTrue(sentMillis <= left, sentMillis + " told, and " + left + " left");
         backend.sockets.forEach(Sockets::close);
         writer.join(4_000);
         thread.join(4_000);
--- a/src/test/java/cottonlock/proxy/DrainWhileAnsweringTest.java
+++ b/src/test/java/cottonlock/proxy/DrainWhileAnsweringTest.java
@@ -46,7 +46,7 @@
         String second = request("once", "second", "", "body");
         send(socket, request("read", "first", "", "") + second.substring(0, 20));
         eventually(() -> socket.getInputStream().available() > 0, "the answer has begun");
-        proxy.listener().leave();
+        proxy.listener().drain();
         Thread drain = Sockets.start("drain", this::endRestingUntilEmpty);
         String first = head(answers);
         assertEquals(200, status(first));
@@ -58,13 +58,13 @@
         assertEquals(200, status(answer));
         assertTrue(answer.contains("Connection: close"), answer);
         drain.join(8_000);
-        assertTrue(proxy.listener().empty(), "nobody is left");
+        assertTrue(proxy.listener().isEmpty(), "nobody is left");
     }
 
     private void endRestingUntilEmpty() {
         try {
-            while (!proxy.listener().empty()) {
-                proxy.listener().endResting();
+            while (!proxy.listener().isEmpty()) {
+                proxy.listener().closeIdle();
                 Thread.sleep(5);
             }
         } catch (InterruptedException e) {
--- a/src/test/java/cottonlock/proxy/ListsTest.java
+++ b/src/test/java/cottonlock/proxy/ListsTest.java
@@ -809,7 +809,7 @@
         }
         CountDownLatch answer = new CountDownLatch(1);
         // An attempt that is out as the list comes, and fails after it: its repeat goes elsewhere.
-        gone.play =
+        gone.responder =
                 request -> {
                     answer.await(60, TimeUnit.SECONDS);
                     return failed;
@@ -841,7 +841,7 @@
                 },
                 "it is told");
         int before = gone.requests.size();
-        gone.play = request -> OK;
+        gone.responder = request -> OK;
         answer.countDown();
         for (int i = 0; i < 100; i++) {
             assertEquals(200, status(call(request("read", "z" + i, patient, ""))));
--- a/src/test/java/cottonlock/proxy/OperatorDaysTest.java
+++ b/src/test/java/cottonlock/proxy/OperatorDaysTest.java
@@ -470,7 +470,7 @@
      */
     private StandIn bulk(int bytes, boolean chunked, int stopAfter) throws IOException {
         StandIn backend = new StandIn(request -> CLOSE);
-        backend.play =
+        backend.responder =
                 request -> {
                     OutputStream out =
                             backend.sockets.get(backend.sockets.size() - 1).getOutputStream();
--- a/src/test/java/cottonlock/proxy/ProxyFixture.java
+++ b/src/test/java/cottonlock/proxy/ProxyFixture.java
@@ -49,8 +49,8 @@
     int buffersAtFirst;
 
     /** What a backend's stand-in does with a request, whose lines it is given. */
-    interface Play {
-        String answer(List<String> request) throws Exception;
+    interface Responder {
+        String respond(List<String> request) throws Exception;
     }
 
     /** A stand-in that answers each request as its play says. */
@@ -58,10 +58,10 @@
         final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         final List<Socket> sockets = new CopyOnWriteArrayList<>();
         final List<List<String>> requests = new CopyOnWriteArrayList<>();
-        volatile Play play;
+        volatile Responder responder;
 
-        StandIn(Play play) throws IOException {
-            this.play = play;
+        StandIn(Responder responder) throws IOException {
+            this.responder = responder;
             open.add(this);
             Sockets.start(
                     "stand-in",
@@ -98,7 +98,7 @@
                     List<String> request = List.copyOf(lines);
                     lines.clear();
                     requests.add(request);
-                    String answer = play.answer(request);
+                    String answer = responder.respond(request);
                     if (answer.equals(CLOSE)) {
                         return;
                     }
--- a/src/test/java/cottonlock/proxy/ProxyTest.java
+++ b/src/test/java/cottonlock/proxy/ProxyTest.java
@@ -81,15 +81,15 @@
         int all = finished;
         eventually(
                 () ->
-                        proxy.watched().values().stream().mapToLong(n -> n).sum()
-                                        - proxy.watched().get(ShadowLoadBalancer.Kind.WOULD_CLOSE)
+                        proxy.shadowCounts().values().stream().mapToLong(n -> n).sum()
+                                        - proxy.shadowCounts().get(ShadowLoadBalancer.Kind.WOULD_CLOSE)
                                 == 60,
                 "each decision is compared once");
         assertTrue(
-                proxy.watched().get(ShadowLoadBalancer.Kind.WOULD_HAND_OFF) > 10,
-                all + " " + proxy.watched());
+                proxy.shadowCounts().get(ShadowLoadBalancer.Kind.WOULD_HAND_OFF) > 10,
+                all + " " + proxy.shadowCounts());
         eventually(
-                () -> proxy.watched().get(ShadowLoadBalancer.Kind.WOULD_CLOSE) > 0,
+                () -> proxy.shadowCounts().get(ShadowLoadBalancer.Kind.WOULD_CLOSE) > 0,
                 "connections that rest are seen");
     }
 
@@ -315,7 +315,7 @@
         StandIn good =
                 new StandIn(request -> "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + large);
         StandIn odd = new StandIn(request -> SILENT);
-        odd.play =
+        odd.responder =
                 request -> {
                     odd.sockets
                             .get(odd.sockets.size() - 1)
@@ -365,7 +365,7 @@
     void connectionsThatBreakWhenUsedAgainAreNotKeptForAWhile() throws Exception {
         Map<Integer, AtomicInteger> uses = new ConcurrentHashMap<>();
         StandIn backend = new StandIn(request -> OK);
-        backend.play =
+        backend.responder =
                 request -> {
                     int on = backend.sockets.size();
                     return uses.computeIfAbsent(on, n -> new AtomicInteger()).incrementAndGet() > 1
@@ -438,8 +438,8 @@
             assertEquals(200, status(call(request("once", "r" + i, "", ""))));
         }
         odd.requests.clear();
-        odd.play = request -> half + THEN_CLOSE;
-        good.play = request -> half + THEN_CLOSE;
+        odd.responder = request -> half + THEN_CLOSE;
+        good.responder = request -> half + THEN_CLOSE;
         Set<Integer> statuses = new java.util.TreeSet<>();
         for (int i = 0; i < 6; i++) {
             statuses.add(status(call(request("once", "o" + i, "", ""))));
@@ -484,7 +484,7 @@
 
     @Example
     void aClientThatLeavesIsNoticedAndOwedNothing() throws Exception {
-        Play late =
+        Responder late =
                 request -> {
                     Thread.sleep(60);
                     return NOT_RUN;
@@ -510,17 +510,17 @@
         ClientRequest req =
                 new ClientRequest(
                         null,
-                        new RequestValidator.Asked(head, "id", null, 0, "once", 0, null, 0),
+                        new RequestValidator.ValidatedHead(head, "id", null, 0, "once", 0, null, 0),
                         body,
                         0,
                         new HashSet<>());
-        assertTrue(req.hold());
+        assertTrue(req.retainBody());
         assertTrue(req.claim());
         assertFalse(req.claim());
         assertEquals(0, buffers.available(), "a write of it is under way");
-        req.release();
+        req.releaseBody();
         assertEquals(1, buffers.available());
-        assertFalse(req.hold());
+        assertFalse(req.retainBody());
     }
 
     @Example
@@ -541,7 +541,7 @@
         StandIn two = new StandIn(request -> OK);
         AtomicInteger watches = new AtomicInteger();
         StandIn discovery = new StandIn(request -> SILENT);
-        discovery.play =
+        discovery.responder =
                 request -> {
                     if (watches.getAndIncrement() == 0) {
                         return "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
@@ -620,7 +620,7 @@
         BufferedReader log = process.inputReader();
         eventually(() -> !discovery[0].requests.isEmpty(), "it follows the list");
         try (Socket held = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            one.play =
+            one.responder =
                     request -> {
                         Thread.sleep(900);
                         return OK;
