--- a/src/test/java/cottonlock/proxy/RacesTest.java
+++ b/src/test/java/cottonlock/proxy/RacesTest.java
@@ -42,20 +42,20 @@
 
     private final RateLimitedLog log = new RateLimitedLog(System.getLogger("test"));
     private final TickClock clock = new TickClock();
-    private final Metrics figures = new Metrics();
+    private final Metrics metrics = new Metrics();
     private final BufferPool buffers = new BufferPool(16, 4);
     private final ConnectionThreads workers = new ConnectionThreads();
     private final WriteTimeoutWatchdog watchdog = new WriteTimeoutWatchdog();
 
     /** Its thread is never started: what it is told stays in its mailbox. */
-    private final LoadBalancerActor module =
-            new LoadBalancerActor(clock, entry -> null, figures, log);
+    private final LoadBalancerActor loadBalancer =
+            new LoadBalancerActor(clock, entry -> null, metrics, log);
 
     private static InetSocketAddress address(StandIn at) {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), at.server.getLocalPort());
     }
 
-    private static boolean anyBlocked() {
+    private static boolean anyConnectionThreadBlocked() {
         return Thread.getAllStackTraces().keySet().stream()
                 .anyMatch(
                         t ->
@@ -63,16 +63,16 @@
                                         && t.getState() == Thread.State.BLOCKED);
     }
 
-    private static boolean blocked(Thread thread) {
+    private static boolean isBlocked(Thread thread) {
         return thread.getState() == Thread.State.BLOCKED;
     }
 
-    private Thread drain(long toldAt) {
+    private Thread drain(long signalledAtNanos) {
         return Sockets.start(
                 "drain",
                 () -> {
                     try {
-                        proxy.drain(toldAt);
+                        proxy.drain(signalledAtNanos);
                     } catch (InterruptedException e) {
                         // The test fails by what has not happened.
                     }
@@ -80,7 +80,7 @@
     }
 
     /** A long wait without a second answer, and nothing left in the way of a longer one. */
-    private void startPatient(StandIn... backends) throws IOException {
+    private void startWithLongTimeouts(StandIn... backends) throws IOException {
         String[] hosts = new String[backends.length];
         for (int i = 0; i < hosts.length; i++) {
             hosts[i] = backends[i].host("b" + i);
@@ -95,10 +95,10 @@
     }
 
     /** Its last answer is done with, and its thread waits for the next byte. */
-    private static ClientConnection resting(ClientConnection client) throws Exception {
+    private static ClientConnection awaitIdle(ClientConnection client) throws Exception {
         eventually(
                 () ->
-                        !client.owed()
+                        !client.hasOpenRequest()
                                 && Thread.getAllStackTraces().values().stream()
                                         .anyMatch(
                                                 trace ->
@@ -121,10 +121,10 @@
         Socket socket = connect();
         send(socket, request("once", "first", "", "body"));
         assertEquals(200, status(receive(socket)));
-        ClientConnection client = resting(onlyClient());
+        ClientConnection client = awaitIdle(onlyClient());
         synchronized (client) {
             send(socket, request("once", "read", "", "body"));
-            eventually(RacesTest::anyBlocked, "read, and not yet told of");
+            eventually(RacesTest::anyConnectionThreadBlocked, "read, and not yet told of");
             client.close();
         }
         String answer = receive(socket);
@@ -141,16 +141,16 @@
         Socket socket = connect();
         send(socket, request("once", "first", "", "body"));
         assertEquals(200, status(receive(socket)));
-        ClientConnection client = resting(onlyClient());
+        ClientConnection client = awaitIdle(onlyClient());
         CountDownLatch read = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
-        client.afterRead =
+        CountDownLatch proceed = new CountDownLatch(1);
+        client.afterReadHook =
                 () -> {
                     read.countDown();
-                    awaits(goOn);
+                    awaitLatch(proceed);
                 };
         send(socket, request("once", "read", "", "body"));
-        assertTrue(awaits(read), "read, and not yet told of");
+        assertTrue(awaitLatch(read), "read, and not yet told of");
         AtomicBoolean empty = new AtomicBoolean();
         Thread draining =
                 Sockets.start(
@@ -164,17 +164,17 @@
                                 // The test fails by what has not happened.
                             }
                         });
-        eventually(client::ends, "it is told to end");
+        eventually(client::isInputShutDown, "it is told to end");
         // Time to leave too early, for one that does.
         draining.join(200);
-        goOn.countDown();
+        proceed.countDown();
         assertEquals(200, status(receive(socket)));
         draining.join(4_000);
         assertFalse(draining.isAlive(), "it leaves once all is answered");
         assertTrue(empty.get(), "and no sooner");
     }
 
-    private static boolean awaits(CountDownLatch latch) {
+    private static boolean awaitLatch(CountDownLatch latch) {
         try {
             return latch.await(8, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
@@ -185,7 +185,7 @@
     @Example
     void whatTheKernelHasQueuedAsTheListenerLeavesIsServed() throws Exception {
         CountDownLatch accepted = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch proceed = new CountDownLatch(1);
         ClientListener listener =
                 new ClientListener(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -193,17 +193,17 @@
                         50,
                         (socket, from) -> {
                             accepted.countDown();
-                            awaits(goOn);
+                            awaitLatch(proceed);
                             return new ClientConnection(
                                     socket,
                                     from,
-                                    module,
+                                    loadBalancer,
                                     null,
                                     buffers,
                                     null,
                                     new HttpWriter(buffers),
                                     watchdog,
-                                    figures,
+                                    metrics,
                                     log);
                         },
                         workers,
@@ -218,10 +218,10 @@
         }
         // One is held between accept and the set of clients, five rest in the kernel's queue.
         assertTrue(accepted.await(8, TimeUnit.SECONDS));
-        listener.leave();
-        listener.endResting();
-        assertFalse(listener.empty());
-        goOn.countDown();
+        listener.drain();
+        listener.closeIdle();
+        assertFalse(listener.isEmpty());
+        proceed.countDown();
         for (Socket socket : sockets) {
             String answer = receive(socket);
             assertEquals(200, status(answer));
@@ -229,8 +229,8 @@
         }
         eventually(
                 () -> {
-                    listener.endResting();
-                    return listener.empty();
+                    listener.closeIdle();
+                    return listener.isEmpty();
                 },
                 "nobody is left");
         thread.join(4_000);
@@ -246,7 +246,7 @@
             Socket socket = connect();
             ClientConnection client = onlyClient();
             client.close();
-            boolean ends = client.ends();
+            boolean ends = client.isInputShutDown();
             if (System.nanoTime() - before < 250_000_000L) {
                 assertFalse(ends, "told to end before it could ask");
                 send(socket, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -263,7 +263,7 @@
     @Example
     void whatWasTakenBeforeTheEndIsAnsweredBeforeTheProgramIsKilled() throws Exception {
         StandIn backend = new StandIn(request -> SILENT);
-        startPatient(backend);
+        startWithLongTimeouts(backend);
         Socket socket = connect();
         send(socket, request("once", "stuck", "X-Timeout-Ms: 20000\r\n", "body"));
         eventually(() -> backend.requests.size() == 1, "sent");
@@ -277,11 +277,11 @@
     @Example
     void signalsBeforeItServesAreCarriedOutOnceItDoes() throws Exception {
         StandIn discovery = new StandIn(request -> SILENT);
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch proceed = new CountDownLatch(1);
         StandIn backend =
                 new StandIn(
                         request -> {
-                            awaits(goOn);
+                            awaitLatch(proceed);
                             return OK;
                         });
         Path fifo = Files.createTempDirectory("races").resolve("config");
@@ -341,7 +341,7 @@
             }
             // Time to leave too early, for one that does.
             assertFalse(process.waitFor(300, TimeUnit.MILLISECONDS));
-            goOn.countDown();
+            proceed.countDown();
             assertEquals(200, status(receive(socket)));
         }
         assertTrue(process.waitFor(8, TimeUnit.SECONDS));
@@ -356,13 +356,13 @@
 
     // Lists
 
-    private EndpointListWatch watch(StandIn at, long silence) throws IOException {
+    private EndpointListWatch watch(StandIn at, long silenceTimeoutMillis) throws IOException {
         EndpointListWatch watch =
                 new EndpointListWatch(
                         address(at),
                         new EndpointListParser(log, List.of("z"), List.of("k")),
-                        new EndpointListWatch.Options(7, true, silence),
-                        module,
+                        new EndpointListWatch.Options(7, true, silenceTimeoutMillis),
+                        loadBalancer,
                         buffers,
                         log,
                         new SplittableRandom(1));
@@ -397,7 +397,7 @@
         for (String before : List.of(head, head + "\r\n" + list(8, true) + "\n{\"seq\":9,")) {
             CountDownLatch ended = new CountDownLatch(1);
             StandIn trickles = new StandIn(request -> SILENT);
-            trickles.play =
+            trickles.responder =
                     request -> {
                         Socket socket = trickles.sockets.get(trickles.sockets.size() - 1);
                         send(socket, before);
@@ -444,18 +444,18 @@
         ClientRequest request =
                 new ClientRequest(
                         null,
-                        new RequestValidator.Asked(head, "id", null, 0, "once", 0, "acme", 0),
+                        new RequestValidator.ValidatedHead(head, "id", null, 0, "once", 0, "acme", 0),
                         body,
                         clock.now() + 100_000,
                         ConcurrentHashMap.newKeySet());
-        ClientRequest.Attempt attempt = new ClientRequest.Attempt(request, 0, sendBy, module);
-        assertTrue(actor == null || actor.attempt(attempt));
+        ClientRequest.Attempt attempt = new ClientRequest.Attempt(request, 0, sendBy, loadBalancer);
+        assertTrue(actor == null || actor.offer(attempt));
         return new Sent(request, attempt);
     }
 
     private record Sent(ClientRequest request, ClientRequest.Attempt attempt) {}
 
-    private BackendActor actor(StandIn backend, long settle) {
+    private BackendActor actor(StandIn backend, long settleNanos) {
         return new BackendActor(
                 address(backend),
                 new ConnectionPermits(4),
@@ -463,12 +463,12 @@
                 workers,
                 1_000,
                 60_000,
-                settle,
+                settleNanos,
                 buffers,
                 new HttpWriter(buffers),
                 watchdog,
                 clock,
-                figures,
+                metrics,
                 log);
     }
 
@@ -481,16 +481,16 @@
             BackendActor actor = actor(backend, BackendActor.SETTLE_NANOS);
             Sent sent = attempt(actor, kind == 1 ? clock.now() : later);
             if (kind == 2) {
-                actor.ready(false);
+                actor.setReady(false);
             }
             if (kind == 3) {
                 // Its client has left.
                 assertTrue(sent.request.claim());
             }
             Thread thread = Sockets.start("backend", actor);
-            eventually(sent.attempt::settled, "settled");
+            eventually(sent.attempt::isSettled, "settled");
             assertEquals(1, backend.requests.size(), "only the first, that nothing speaks against");
-            actor.end();
+            actor.stop();
             thread.join(4_000);
             if (kind != 3) {
                 assertTrue(sent.request.claim());
@@ -507,17 +507,17 @@
         StandIn now = new StandIn(request -> FAILED);
         BackendActor actor = actor(old, BackendActor.SETTLE_NANOS);
         for (int i = 0; i < 5_000; i++) {
-            actor.release();
-            actor.listensAt(address(i % 2 == 0 ? old : now));
+            actor.closeIdleConnections();
+            actor.addressChanged(address(i % 2 == 0 ? old : now));
         }
         Sent sent = attempt(actor, Long.MAX_VALUE);
-        assertTrue(actor.begins(), "it has no thread yet");
-        assertFalse(actor.begins(), "it is being given one");
-        actor.begin();
-        eventually(sent.attempt::settled, "settled");
+        assertTrue(actor.markStarted(), "it has no thread yet");
+        assertFalse(actor.markStarted(), "it is being given one");
+        actor.startThread();
+        eventually(sent.attempt::isSettled, "settled");
         assertEquals(1, now.requests.size());
         assertEquals(0, old.requests.size());
-        actor.end();
+        actor.stop();
         assertTrue(sent.request.claim());
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
@@ -538,14 +538,14 @@
                         new HttpWriter(buffers),
                         watchdog,
                         clock,
-                        figures,
+                        metrics,
                         log,
                         first.attempt);
         Thread thread = Sockets.thread("connection", connection);
         thread.start();
         eventually(
                 () ->
-                        first.attempt.settled()
+                        first.attempt.isSettled()
                                 && List.of(thread.getStackTrace())
                                         .toString()
                                         .matches(
@@ -554,12 +554,12 @@
         Sent next = attempt(null, Long.MAX_VALUE);
         synchronized (connection) {
             send(backend.sockets.get(0), STRAY);
-            eventually(() -> blocked(thread), "read, and not yet judged");
+            eventually(() -> isBlocked(thread), "read, and not yet judged");
             assertTrue(next.attempt.attach(connection));
             assertFalse(connection.send(next.attempt), "something lies there already");
         }
         thread.join(4_000);
-        assertFalse(next.attempt.settled(), "it may go out elsewhere");
+        assertFalse(next.attempt.isSettled(), "it may go out elsewhere");
         assertEquals(1, backend.requests.size());
         assertTrue(first.request.claim() && next.request.claim());
         eventually(() -> buffers.available() == 16, "all buffers are back");
@@ -574,7 +574,7 @@
         Sent first = attempt(actor, Long.MAX_VALUE);
         eventually(
                 () ->
-                        first.attempt.settled()
+                        first.attempt.isSettled()
                                 && Thread.getAllStackTraces().values().stream()
                                         .anyMatch(
                                                 t ->
@@ -587,13 +587,13 @@
                 "it rests");
         Sent next = attempt(actor, Long.MAX_VALUE);
         CountDownLatch looked = new CountDownLatch(1);
-        actor.then(looked::countDown);
-        assertTrue(awaits(looked), "the attempt has been looked at");
+        actor.runAfterPending(looked::countDown);
+        assertTrue(awaitLatch(looked), "the attempt has been looked at");
         send(backend.sockets.get(0), STRAY);
-        eventually(next.attempt::settled, "sent, as nothing settles any more");
+        eventually(next.attempt::isSettled, "sent, as nothing settles any more");
         assertEquals(2, backend.requests.size());
         assertEquals(2, backend.sockets.size(), "each on a connection of its own");
-        actor.end();
+        actor.stop();
         thread.join(4_000);
         assertTrue(first.request.claim() && next.request.claim());
         eventually(() -> buffers.available() == 16, "all buffers are back");
@@ -604,7 +604,7 @@
     @Example
     void aClientThatLeavesIsNoticedAlsoBehindMoreThanItsRequest() throws Exception {
         StandIn backend = new StandIn(request -> SILENT);
-        startPatient(backend);
+        startWithLongTimeouts(backend);
         String more = request("once", "second", "", "body");
         for (String behind : List.of("", more, more.repeat(100), "x")) {
             for (boolean reset : new boolean[] {false, true}) {
@@ -625,18 +625,18 @@
 
     @Example
     void aRequestBehindTheFirstWaitsForItsAnswer() throws Exception {
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch proceed = new CountDownLatch(1);
         StandIn backend =
                 new StandIn(
                         request -> {
-                            goOn.await(8, TimeUnit.SECONDS);
+                            proceed.await(8, TimeUnit.SECONDS);
                             return OK;
                         });
         start(backend);
         Socket socket = connect();
         send(socket, request("once", "first", "", "body") + request("once", "second", "", "body"));
         eventually(() -> backend.requests.size() == 1, "the first is out");
-        goOn.countDown();
+        proceed.countDown();
         assertEquals(200, status(receive(socket)));
         assertEquals(200, status(receive(socket)));
         assertEquals(2, backend.requests.size());
@@ -644,11 +644,11 @@
 
     @Example
     void whatAFloodDroppedIsTakenForNoRequest() throws Exception {
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch proceed = new CountDownLatch(1);
         StandIn backend =
                 new StandIn(
                         request -> {
-                            goOn.await(8, TimeUnit.SECONDS);
+                            proceed.await(8, TimeUnit.SECONDS);
                             return OK;
                         });
         start(backend);
@@ -657,12 +657,12 @@
         eventually(() -> backend.requests.size() == 1, "the first is out");
         send(socket, request("once", "flood", "", "body").repeat(200));
         ClientConnection client = onlyClient();
-        eventually(client::last, "more has come than is kept");
-        goOn.countDown();
+        eventually(client::closesAfterResponse, "more has come than is kept");
+        proceed.countDown();
         String answer = receive(socket);
         assertEquals(200, status(answer));
         assertTrue(answer.contains("Connection: close"), answer);
-        assertEquals(-1, afterwards(socket));
+        assertEquals(-1, readNextByte(socket));
         assertEquals(1, backend.requests.size());
     }
 
@@ -683,7 +683,7 @@
     /**
      * What a backend does to a request named so, on its socket; the answer that is left to give.
      */
-    private static String spoilt(String id, Socket socket) throws Exception {
+    private static String respondBadly(String id, Socket socket) throws Exception {
         String own = "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id;
         switch (id.replaceAll("[0-9]", "")) {
             case "noise" -> send(socket, "\u0001\u0002 no answer\r\n\r\n");
@@ -715,9 +715,9 @@
     @Example
     void badInputLeavesNothingBehindAndTouchesNoOther() throws Exception {
         StandIn backend = new StandIn(request -> CLOSE);
-        backend.play =
+        backend.responder =
                 request ->
-                        spoilt(
+                        respondBadly(
                                 field(request, "X-Request-ID", ""),
                                 backend.sockets.get(backend.sockets.size() - 1));
         start(backend);
@@ -759,7 +759,7 @@
     }
 
     /** What comes next; -1 also for a reset, which bytes left unread lead to. */
-    private static int afterwards(Socket socket) {
+    private static int readNextByte(Socket socket) {
         try {
             InputStream in = socket.getInputStream();
             return in.read();
