--- a/src/main/java/cottonlock/proxy/BackendActor.java
+++ b/src/main/java/cottonlock/proxy/BackendActor.java
@@ -16,21 +16,27 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** A backend's actor: the one owner of the connections to it, kept ones first. */
+/**
+ * A backend's actor: the only owner of the connections to it. It uses idle connections before it
+ * opens new ones.
+ */
 final class BackendActor implements Runnable {
-    /** More than the sockets there are: what the connections tell always fits. */
+    /** Exceeds the number of sockets, so that a message from a connection always fits. */
     private static final int MAILBOX_CAPACITY = 4_096;
 
-    /** Parts of the idle time after which a connection is retired, before the backend does it. */
+    /**
+     * Fraction of the idle timeout after which a connection is closed, before the backend does it.
+     */
     private static final double IDLE_TIMEOUT_FRACTION = 0.8;
 
     /**
-     * Nanoseconds after an answer within which a second one may come, some milliseconds late: used
-     * again at once, the connection would give it to the next attempt.
+     * Nanoseconds after a response within which a duplicate of it may arrive, some milliseconds
+     * late. If the connection were used again at once, the duplicate would be taken for the
+     * response to the next attempt.
      */
     static final long SETTLE_NANOS = 5_000_000;
 
-    /** How often the resting connections are looked through at least, in microseconds. */
+    /** Maximum microseconds between two checks of the idle connections for expired ones. */
     private static final long IDLE_CHECK_MICROS = 500_000;
 
     private final Mailbox mailbox;
@@ -51,35 +57,36 @@
     private final Set<BackendConnection> connections = new HashSet<>();
 
     /**
-     * Attempts that wait for connections to settle: sooner than a new one is up, which also costs
-     * more.
+     * Attempts that wait for a connection to settle: that takes less time than a new connection,
+     * which also costs more.
      */
     private final Deque<ClientRequest.Attempt> waitingAttempts = new ArrayDeque<>();
 
     private boolean closing;
 
     /**
-     * Whether it has a thread, or is just being given one: from its first attempt on, for many a
-     * list names hundreds of which a balancer needs a few. Until then the module's thread owns what
-     * it holds.
+     * Whether the backend has a thread or is being given one, which its first attempt causes: many
+     * lists name hundreds of backends of which a load balancer needs a few. Until then the load
+     * balancer's thread owns the state of this actor.
      */
     private volatile boolean started;
 
-    /** Set by the thread that started it; null before. */
+    /** Set by the thread that started it; null before that. */
     private volatile Thread thread;
 
     /**
-     * Whether no thread could be had: what waits is settled by the one that should have started it.
+     * Set while the thread that failed to start the backend's thread runs the pending messages
+     * itself, so that their attempts fail.
      */
     private boolean threadUnavailable;
 
     /**
-     * What the list and the operators said last; told by the module's thread, looked at where bytes
-     * go out.
+     * Whether the endpoint list and the manual ejections allow new requests; written by the load
+     * balancer's thread, read where bytes are sent.
      */
     private volatile boolean ready = true;
 
-    /** Times in milliseconds; how long a connection settles, in nanoseconds. */
+    /** Times are in milliseconds, except {@code settleNanos}. */
     BackendActor(
             InetSocketAddress address,
             ConnectionPermits permits,
@@ -111,7 +118,8 @@
     }
 
     /**
-     * From the module's thread, behind the attempt: true where the caller has to have it started.
+     * Marks the thread as started, after an attempt was offered; true if the caller must have it
+     * started. Called by the load balancer's thread.
      */
     boolean markStarted() {
         boolean firstCall = !started;
@@ -119,21 +127,27 @@
         return firstCall;
     }
 
-    /** From the module's thread: it was not started after all. */
+    /**
+     * Reverts {@link #markStarted} when the thread was not started after all. Called by the load
+     * balancer's thread.
+     */
     void clearStarted() {
         started = false;
     }
 
-    /** Starts its thread; never on the module's, which would wait for it. */
+    /**
+     * Starts the backend's thread. Not called by the load balancer's thread, which would wait for
+     * it.
+     */
     void startThread() {
         try {
             Thread backendThread = Sockets.thread("backend", this);
             backendThread.start();
             thread = backendThread;
         } catch (OutOfMemoryError e) {
-            // No thread can be had: these attempts fail, the next one tries again, the proxy must
-            // not end.
-            log.warn("no thread", "attempts got no connection");
+            // No thread is available: these attempts fail and the next one tries again; the proxy
+            // must not end.
+            log.warn("no thread", "no thread is available for a backend; its attempts failed");
             started = false;
             threadUnavailable = true;
             mailbox.drain();
@@ -141,12 +155,15 @@
         }
     }
 
-    /** Its thread, once it has been started. */
+    /** The backend's thread, if it has been started. */
     Optional<Thread> thread() {
         return Optional.ofNullable(thread);
     }
 
-    /** From the module's thread, after {@link #leave}: whether no thread runs it any more. */
+    /**
+     * Whether no thread runs this actor any more. Called by the load balancer's thread, after
+     * {@link #removedFromList}.
+     */
     boolean isTerminated() {
         Thread backendThread = thread;
         return !started || (backendThread != null && !backendThread.isAlive());
@@ -171,23 +188,30 @@
         }
     }
 
-    /** From the module's thread: whether what is still on its way to a connection may go out. */
+    /**
+     * Sets whether attempts on their way to a connection may be sent. Called by the load balancer's
+     * thread.
+     */
     void setReady(boolean newReady) {
         ready = newReady;
     }
 
-    /** Whether anything new may be written to it; from any thread. */
+    /** Whether new requests may be sent to the backend; safe for use by any thread. */
     boolean isReady() {
         return ready;
     }
 
-    /** From the module's thread, which never waits here: false when the mailbox is full. */
+    /**
+     * Offers an attempt without waiting; false when the mailbox is full. Called by the load
+     * balancer's thread.
+     */
     boolean offer(ClientRequest.Attempt attempt) {
         return mailbox.offer(() -> send(attempt));
     }
 
     /**
-     * From the module's thread: without a thread it has no connections, and nobody to read this.
+     * Offers a message if there is a thread to run it; without a thread there are no connections
+     * either. Called by the load balancer's thread.
      */
     private void offerIfStarted(Runnable message) {
         if (started) {
@@ -195,7 +219,7 @@
         }
     }
 
-    /** From the module's thread: the list has told where it listens now. */
+    /** Sets the address that the endpoint list gives. Called by the load balancer's thread. */
     void addressChanged(InetSocketAddress newAddress) {
         if (!started) {
             address = newAddress;
@@ -210,7 +234,10 @@
                 });
     }
 
-    /** From the module's thread: it has gone from the list; what is out may still end. */
+    /**
+     * Handles the backend's removal from the list; attempts in flight may still complete. Called by
+     * the load balancer's thread.
+     */
     void removedFromList() {
         ready = false;
         offerIfStarted(
@@ -221,7 +248,10 @@
                 });
     }
 
-    /** From the module's thread: what rests is worth less than it costs. */
+    /**
+     * Closes idle connections because they cost more than they are worth. Called by the load
+     * balancer's thread.
+     */
     void closeIdleConnections() {
         offerIfStarted(
                 () -> {
@@ -230,7 +260,10 @@
                 });
     }
 
-    /** From another backend's actor: sockets have run out, so the longest at rest is closed. */
+    /**
+     * Closes the connection that has been idle longest, because no permit is free. Called by the
+     * actor of a backend that needs one.
+     */
     void closeOldestIdle() {
         mailbox.offer(
                 () -> {
@@ -241,7 +274,7 @@
                 });
     }
 
-    /** The proxy closes: nothing that is out is waited for. */
+    /** Closes all connections without waiting for attempts in flight: the proxy closes. */
     void stop() {
         offerIfStarted(
                 () -> {
@@ -250,12 +283,12 @@
                 });
     }
 
-    /** For tests alone: carried out on its thread, after all that it has been told. */
+    /** For tests only: runs a task on the actor's thread, after all messages sent so far. */
     void runAfterPending(Runnable task) {
         mailbox.put(task);
     }
 
-    /** From a connection: its attempt is over and it may carry the next. */
+    /** Called by a connection whose attempt has ended and which can carry the next one. */
     void onIdle(BackendConnection connection) {
         mailbox.put(
                 () -> {
@@ -271,14 +304,15 @@
     }
 
     /**
-     * From a connection: its attempt, not its first, broke off so many nanoseconds after it was
-     * sent.
+     * Called by a connection that broke during an attempt that was not its first.
+     *
+     * @param nanosAfterSend the time since the attempt was sent
      */
     void reusedConnectionBroke(long nanosAfterSend) {
         keepAlive.reusedConnectionBroke(nanosAfterSend);
     }
 
-    /** From a connection: it has given back all that it held. */
+    /** Called by a connection that has released all its resources. */
     void connectionClosed(BackendConnection connection) {
         permits.release();
         mailbox.put(
@@ -288,14 +322,19 @@
                 });
     }
 
-    /** Nanoseconds until the connection that has rested longest has settled; 0 where none rests. */
+    /**
+     * Nanoseconds until the connection that has been idle longest has settled; 0 if none is idle.
+     */
     private long nanosUntilSettled() {
         return idleConnections.isEmpty()
                 ? 0
                 : settleNanos - (System.nanoTime() - idleConnections.peekFirst().idleSinceNanos);
     }
 
-    /** Takes the connection that was used last, of those that have settled; null if none has. */
+    /**
+     * Takes the most recently used of the idle connections that have settled; null if there is
+     * none.
+     */
     private BackendConnection takeSettledConnection() {
         long now = System.nanoTime();
         for (Iterator<BackendConnection> iterator = idleConnections.descendingIterator(); iterator.hasNext(); ) {
@@ -310,7 +349,8 @@
 
     private void send(ClientRequest.Attempt attempt) {
         if (!attempt.mayStart(clock.now())) {
-            // It waited in the mailbox: for a client that has left no connection is made or used.
+            // It waited in the mailbox: for a client that has left, no connection is opened or
+            // used.
             attempt.settle(AttemptOutcome.NOT_SENT);
             return;
         }
@@ -318,8 +358,8 @@
             attempt.settle(AttemptOutcome.CONNECT_FAILED);
             return;
         }
-        // Looked through now and then only, some had rested too long when they were used, and were
-        // reset.
+        // Checked only at intervals, some connections had exceeded the idle timeout when they were
+        // used, and were reset.
         closeExpiredIdle();
         if (!keepAlive.isReuseAllowed()) {
             idleConnections.forEach(BackendConnection::closeNow);
@@ -345,7 +385,7 @@
             return;
         }
         if (!permits.acquire()) {
-            log.warn("out of sockets", "an attempt got no connection");
+            log.warn("out of sockets", "no permit for a connection is free; an attempt failed");
             attempt.settle(AttemptOutcome.CONNECT_FAILED);
             return;
         }
@@ -365,8 +405,8 @@
         try {
             workers.serve(connection);
         } catch (OutOfMemoryError e) {
-            // No thread can be had: this attempt fails, the proxy must not.
-            log.warn("no thread", "an attempt got no connection");
+            // No thread is available: this attempt fails; the proxy must not end.
+            log.warn("no thread", "no thread is available for a connection; an attempt failed");
             connections.remove(connection);
             permits.release();
             attempt.settle(AttemptOutcome.CONNECT_FAILED);
@@ -374,8 +414,8 @@
     }
 
     /**
-     * A long body is written on another thread: a backend that reads slowly must not stop this
-     * actor.
+     * Writes a long body on another thread, because a backend that reads slowly must not block this
+     * actor; false when no thread is available.
      */
     private boolean sendOnWorkerThread(BackendConnection connection, ClientRequest.Attempt attempt) {
         try {
--- a/src/main/java/cottonlock/proxy/BackendConnection.java
+++ b/src/main/java/cottonlock/proxy/BackendConnection.java
@@ -18,13 +18,14 @@
 import java.net.Socket;
 
 /**
- * One connection to a backend. Its thread connects and reads; the backend's actor writes on it
- * later.
+ * A connection to a backend. Its thread connects, sends the first attempt and reads; later attempts
+ * are sent by the backend's actor.
  */
 final class BackendConnection implements Runnable {
     /**
-     * Milliseconds of a pause in an answer: some backends take seconds to write it, in pieces. One
-     * that stops short would hold its request until nothing else can be tried any more.
+     * Maximum milliseconds of a pause in a response: some backends take seconds to write one in
+     * pieces. A backend that stops midway would hold its request until no other attempt is
+     * possible.
      */
     private static final long RESPONSE_PAUSE_MILLIS = 1_200;
 
@@ -40,7 +41,7 @@
     private final Socket socket = new Socket();
     private final ClientRequest.Attempt firstAttempt;
 
-    /** When it last began to rest, for the actor; 0 before it first does. */
+    /** When the connection last became idle, set by the actor; 0 before the first time. */
     long idleSinceNanos;
 
     private long sentAtNanos;
@@ -88,20 +89,20 @@
                 HttpReader reader = new HttpReader(socket, buffer);
                 if (send(firstAttempt)) {
                     while (reader.awaitSingleByte() && isResponseExpected() && exchange(reader)) {
-                        // One attempt after the other.
+                        // Reads one response after the other.
                     }
                 }
             }
         } catch (MalformedMessageException e) {
             log.warn("bad answer", e.getMessage() + ", from " + address);
         } catch (IOException e) {
-            // What was under way is settled below.
+            // The attempt under way is settled below.
         } finally {
             closeAndSettle(buffer);
         }
     }
 
-    /** The one place where the connection, its buffer and its permit are given back. */
+    /** The only place where the connection, its buffer and its permit are released. */
     private void closeAndSettle(byte[] buffer) {
         Sockets.close(socket);
         if (buffer != null) {
@@ -113,7 +114,7 @@
             closed = true;
             nanosAfterSend = System.nanoTime() - sentAtNanos;
             if (!writing) {
-                // While it is being written the writer knows better how far it got.
+                // While the attempt is being written, its writer knows better how far it got.
                 unfinished = current;
                 current = null;
             }
@@ -129,18 +130,18 @@
     }
 
     /**
-     * Whether an answer is due; what comes unasked would be taken for the answer to the next
-     * attempt.
+     * Whether a response is expected; an unsolicited one would be taken for the response to the
+     * next attempt.
      */
     private synchronized boolean isResponseExpected() {
         if (current == null) {
             closed = true;
-            log.warn("surplus", "an answer that was not asked for, from " + address);
+            log.warn("surplus", "unsolicited response from " + address);
         }
         return current != null;
     }
 
-    /** Writes an attempt; false when nothing more can go out on this connection. */
+    /** Sends an attempt; false when nothing more can be sent on this connection. */
     boolean send(ClientRequest.Attempt attempt) {
         synchronized (this) {
             if (closed || hasUnsolicitedBytes()) {
@@ -167,16 +168,17 @@
             return false;
         }
         if (closedMeanwhile) {
-            // It went out whole, but the other side had ended: it may have been read before that.
+            // It was written completely, but the connection has ended; the backend may have read it
+            // before that.
             attempt.settle(AttemptOutcome.CONNECTION_BROKEN);
         }
         return !closedMeanwhile;
     }
 
     /**
-     * Whether something lies there to be read already, which can't be the answer to what is sent
-     * next. The thread that reads takes one byte only while nothing is out, so that it cannot hide
-     * the others.
+     * Whether unread bytes are available, which can't be the response to what is sent next. While
+     * no attempt is under way the reading thread takes a single byte, so that it can't hide the
+     * others.
      */
     private boolean hasUnsolicitedBytes() {
         try {
@@ -186,7 +188,10 @@
         }
     }
 
-    /** Writes it whole and returns null, or tells why its last byte was never written. */
+    /**
+     * Writes the request completely and returns null, or returns why its last byte was never
+     * written.
+     */
     private AttemptOutcome write(ClientRequest.Attempt attempt) {
         attempt.req.awaitClientCheck();
         if (!attempt.req.retainBody()) {
@@ -194,7 +199,8 @@
         }
         try {
             if (!backend.isReady()) {
-                // It waited in a mailbox or for a connection: meanwhile a drain may have been told.
+                // It waited in a mailbox or for a connection; the backend may have begun to drain
+                // meanwhile.
                 return AttemptOutcome.NOT_SENT;
             }
             String host = address.getHostString() + ":" + address.getPort();
@@ -218,7 +224,9 @@
         }
     }
 
-    /** Fails before it writes anything too late: short of its last byte, a request never runs. */
+    /**
+     * Fails before it writes anything too late: a request without its last byte is never executed.
+     */
     private final class DeadlineOutputStream extends FilterOutputStream {
         private final ClientRequest.Attempt attempt;
         private boolean started;
@@ -232,14 +240,14 @@
         public void write(byte[] bytes, int from, int count) throws IOException {
             long now = clock.now();
             if (now >= attempt.sendByTicks || (!started && !attempt.mayStart(now))) {
-                throw new IOException("too late to be sent, or for nobody");
+                throw new IOException("the deadline for sending has passed, or the client has left");
             }
             started = true;
             out.write(bytes, from, count);
         }
     }
 
-    /** Reads one answer; false when the connection is to end. */
+    /** Reads one response; false when the connection is to end. */
     private boolean exchange(HttpReader reader) throws IOException, MalformedMessageException {
         reader.setTimeout(0);
         MessageHead head = reader.readResponseHead(RESPONSE_PAUSE_MILLIS);
@@ -261,9 +269,9 @@
                 return false;
             }
             if (keepAlive && reader.hasSurplusBytes()) {
-                // A second copy or noise: the next attempt on this connection would be answered
-                // with it.
-                log.warn("surplus", "more than its answer, from " + address);
+                // A duplicate or noise: the next attempt on this connection would be answered with
+                // it.
+                log.warn("surplus", "more bytes than the response from " + address);
                 return false;
             }
             if (keepAlive) {
@@ -275,7 +283,7 @@
         }
     }
 
-    /** Settles the attempt and passes its answer on; false when some of it is left unread. */
+    /** Settles the attempt and forwards its response; false when some of it is left unread. */
     private boolean forwardResponse(
             ClientRequest.Attempt attempt, MessageHead head, MessageBody body, HttpReader reader)
             throws MalformedMessageException {
@@ -288,12 +296,12 @@
                             : AttemptOutcome.ERROR);
             return reader.isBodyComplete();
         }
-        // Claimed first: the module must learn that the request is over, by this attempt.
+        // Claimed first: the load balancer must learn that this attempt ended the request.
         boolean responseOwed = attempt.req.claim();
         attempt.settle(AttemptOutcome.COMPLETED);
         if (!reader.isBodyComplete()) {
-            // Begun, it is the client's: no other attempt could answer it any more, nor would one
-            // be needed.
+            // Once it has begun, the response is the client's: no other attempt could answer the
+            // request, nor would one be needed.
             return responseOwed && attempt.req.client.relay(attempt.req, body, reader);
         }
         if (responseOwed) {
--- a/src/main/java/cottonlock/proxy/ClientConnection.java
+++ b/src/main/java/cottonlock/proxy/ClientConnection.java
@@ -16,54 +16,59 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One connection of a client. Its thread reads all the time, so that a client that leaves is
- * noticed while its request is out; answers are written by the thread that has them.
+ * A connection of a client. Its thread keeps reading while a request is under way, so that a
+ * disconnect is noticed; responses are written by the threads that have them.
  */
 final class ClientConnection implements Runnable {
     /**
-     * Milliseconds between requests: many clients ask once and stay, and may be left after two
-     * seconds.
+     * Idle timeout between requests in milliseconds: many clients send one request and keep the
+     * connection open, and may be disconnected after two seconds.
      */
     private static final long IDLE_TIMEOUT_MILLIS = 2_200;
 
     /**
-     * Milliseconds for a head to come in, from connecting for the first, and for a pause in a body:
-     * slow ones take two seconds, half ones must not pile up.
+     * Milliseconds for a request head, counted from connecting for the first one, and for a pause
+     * in a body: slow clients take two seconds, and incomplete requests must not accumulate.
      */
     private static final long READ_TIMEOUT_MILLIS = 2_600;
 
-    /** Bytes a second of a body at least: a little less than the slowest clients send. */
+    /**
+     * Minimum rate of a request body in bytes per second: slightly below that of the slowest
+     * clients.
+     */
     private static final long MIN_BODY_BYTES_PER_SECOND = 48 << 10;
 
     /**
-     * Nanoseconds of silence after which a request that has not come whole may give way: with a
-     * second, a crowd of half ones held all places, and those who came were closed unread.
+     * Nanoseconds of silence after which a connection with an incomplete request may be evicted.
+     * With one second, many incomplete requests held all slots, and new connections were closed
+     * unread.
      */
     private static final long PARTIAL_REQUEST_NANOS = 250_000_000L;
 
     /**
-     * Milliseconds for what a refused client still sends, so that it sees the answer before the
-     * end.
+     * Milliseconds during which input after a refused request is discarded, so that the client sees
+     * the response before the connection ends.
      */
     private static final long REFUSAL_LINGER_MILLIS = 300;
 
     /**
-     * Nanoseconds after connecting within which the first request begins: a far network's round
-     * trip.
+     * Nanoseconds after connecting within which the first request begins: the round trip of a
+     * distant network.
      */
     private static final long FIRST_REQUEST_NANOS = 300_000_000L;
 
-    /** Milliseconds after which a request that came before the last answer is looked at again. */
+    /** Milliseconds between checks of a pipelined request that waits for the response before it. */
     private static final long READ_AHEAD_CHECK_MILLIS = 20;
 
     /**
-     * Milliseconds that a backend may pause within a long answer: some take seconds to write on.
+     * Maximum milliseconds that a backend may pause within a long response: some take seconds to
+     * continue.
      */
     private static final long RELAY_PAUSE_MILLIS = 5_000;
 
     /**
-     * Bytes that are read and dropped at most: what lies in the buffers of one connection. Reading
-     * on through 60 MB costs the others.
+     * Maximum number of bytes that are read and discarded: what the buffers of one connection hold.
+     * Reading on through 60 MB slows down the other clients.
      */
     private static final int MAX_DISCARDED_BYTES = 256 << 10;
 
@@ -84,21 +89,21 @@
     private HttpReader inputReader;
     private boolean reading;
 
-    /** Whether some of the next request has been read while the answer to the last is owed. */
+    /** Whether part of the next request has been read while the last response is pending. */
     private boolean nextRequestStarted;
 
     private boolean closing;
     private boolean inputShutDown;
 
-    /** When that was, by the monotonic clock. */
+    /** When the input was shut down, by the monotonic clock. */
     private long inputShutDownNanos;
 
     private volatile boolean firstRequestStarted;
     private boolean requestSubmitted;
 
     /**
-     * Whether the connection ends after the next answer; whether an answer has said that it was the
-     * last.
+     * Whether the connection ends after the next response. {@code closeAnnounced}: whether a
+     * response has announced the end.
      */
     private boolean closeAfterResponse;
 
@@ -106,8 +111,8 @@
     private long lastActivityNanos = System.nanoTime();
 
     /**
-     * For tests alone: what its thread does when it has read, and before it says so. Null in
-     * service.
+     * For tests only: run by the connection's thread after it has read input and before it records
+     * that. Null in production.
      */
     volatile Runnable afterReadHook;
 
@@ -145,13 +150,13 @@
                 inputReader = reader;
             }
             while (awaitRequest(reader) && serve(reader)) {
-                // One request after the other.
+                // Serves one request after the other.
             }
         } catch (IOException e) {
-            // The client is gone; what it was owed is settled below.
+            // The client has disconnected; its open request is settled below.
         } finally {
             ClientRequest abandoned = abandonedRequest();
-            // Claimed before all else: it might just be about to be sent on.
+            // Claimed before all else: an attempt may be about to start.
             if (abandoned != null && abandoned.claim()) {
                 metrics.requestEnded();
                 loadBalancer.clientDisconnected(abandoned);
@@ -165,13 +170,14 @@
     }
 
     /**
-     * The request that the client has left behind, if it was the client who ended the connection.
+     * Returns the open request of a client that has disconnected, or null. If this side shut the
+     * input down, waits for the response first.
      */
     private synchronized ClientRequest abandonedRequest() {
-        // Ended from here just as a request had come whole, it looks the same, but the answer is
-        // still owed.
+        // If this side shut the input down just after a request was read completely, the stream
+        // looks the same, but the response is still owed.
         if (req != null && inputShutDown) {
-            // Nothing is read from here any more, so its leaving would not be seen.
+            // The connection is not read any more, so a disconnect would go unnoticed.
             loadBalancer.clientUnobserved(req, true);
         }
         while (req != null && inputShutDown) {
@@ -188,11 +194,9 @@
     private boolean awaitRequest(HttpReader reader) throws IOException {
         for (boolean responseOwed = hasOpenRequest(); responseOwed || !reader.hasBufferedBytes(); responseOwed = hasOpenRequest()) {
             try {
-                // A request that comes before the last answer waits its turn. Its client may leave
-                // all the
-                // same: not read on, it was not noticed, and what it had asked for was sent on
-                // after it had
-                // gone.
+                // A pipelined request waits for the response before it. Its client may disconnect
+                // meanwhile: when the connection was not read on, this went unnoticed, and the
+                // request was sent to a backend after its client had left.
                 reader.setTimeout(
                         responseOwed && reader.hasBufferedBytes()
                                 ? READ_AHEAD_CHECK_MILLIS
@@ -219,10 +223,9 @@
             hook.run();
         }
         synchronized (this) {
-            // What has been read is served, also where the connection was ended from here
-            // meanwhile: its
-            // client sends again only what was left unread. After an answer that said so nothing
-            // more is due.
+            // Input that has been read is served even if this side shut the input down meanwhile:
+            // the client sends again only what was left unread. After a response that announced the
+            // end, nothing more is served.
             nextRequestStarted = false;
             reading = !closeAnnounced && reader.discardedBytes() == 0;
             lastActivityNanos = System.nanoTime();
@@ -241,8 +244,8 @@
     }
 
     /**
-     * Waits for the answer under way: whoever sends without end is read no further meanwhile, so
-     * that nobody sees it leave.
+     * Waits for the response under way. A client that sends without end is not read meanwhile, so
+     * its disconnect would go unnoticed.
      */
     private synchronized void awaitResponse() throws IOException {
         if (req != null) {
@@ -252,12 +255,12 @@
             try {
                 wait();
             } catch (InterruptedException e) {
-                throw new IOException("interrupted while an answer was waited for", e);
+                throw new IOException("interrupted while waiting for a response", e);
             }
         }
     }
 
-    /** Reads one request and brings it on its way; false when the connection is to end. */
+    /** Reads one request and submits it; false when the connection is to end. */
     private boolean serve(HttpReader reader) throws IOException {
         MessageBody body = null;
         MessageHead head;
@@ -286,7 +289,8 @@
             refuse(new MalformedMessageException(408, "half a request"), reader);
             return false;
         } catch (BufferPool.ExhaustedException e) {
-            // Closed without an answer, what has come whole by now would be lost.
+            // If the connection were closed without a response, a request that is complete by now
+            // would be lost.
             refuse(new MalformedMessageException(500, e.getMessage()), reader);
             return false;
         }
@@ -323,24 +327,26 @@
     }
 
     /**
-     * Whether what came last was read after the connection had been ended from here: its client
-     * takes it for unread and sends it again, so sent on it would be lost, or have its effect
-     * twice.
+     * Whether the last input was read after this side shut the input down: the client takes it for
+     * unread and sends it again, so that it would be lost or executed twice if it were served.
      */
     private synchronized boolean isReadAfterShutdown(HttpReader reader) {
         return inputShutDown && reader.lastReadNanos() - inputShutDownNanos > 0;
     }
 
-    /** Ends the connection too: some send the same again at once, or hundreds of it in a row. */
+    /**
+     * Refuses a request and ends the connection, because some clients send the same request again
+     * at once, or hundreds of times in a row.
+     */
     private void refuse(MalformedMessageException e, HttpReader reader) throws IOException {
         log.warn(
                 "bad request",
                 e.getMessage() + ", from " + socket.getInetAddress().getHostAddress());
-        // What it says names the fault of this request alone, never what others have sent or may
+        // The text names the fault of this request only, never what other clients have sent or may
         // send.
         watchdog.write(socket, out -> writer.writeRefusal(out, e.status(), e.getMessage()));
         socket.shutdownOutput();
-        // Closed with bytes unread, the connection would take the answer with it.
+        // Closing the connection with unread input would discard the response.
         reader.setTimeout(REFUSAL_LINGER_MILLIS);
         reader.discard(MAX_DISCARDED_BYTES);
     }
@@ -357,7 +363,7 @@
         }
     }
 
-    /** The final answer to the request under way, by whoever has claimed it. */
+    /** Writes the final response to the open request. Called by the thread that has claimed it. */
     void sendResponse(ClientRequest request, int status, String headerName, String headerValue, MessageBody body) {
         boolean close;
         synchronized (this) {
@@ -369,12 +375,12 @@
             complete = true;
             metrics.responseSent(request.requestClassName, request.tenantName, status, request.rejectionReason);
         } catch (IOException e) {
-            log.info("client gone", "an answer could not be written whole");
+            log.info("client gone", "a response could not be written completely");
         }
         endRequest(close || !complete);
     }
 
-    /** The request under way is over, and with it perhaps the connection. */
+    /** Ends the open request, and the connection if it is to close. */
     private void endRequest(boolean close) {
         metrics.requestEnded();
         synchronized (this) {
@@ -383,17 +389,19 @@
             lastActivityNanos = System.nanoTime();
             notifyAll();
         }
-        // Only after an answer that has said so: a client that was told nothing may be sending its
-        // next request. Who has been told to end meanwhile ends once it rests.
+        // Only after a response that announced the end: otherwise the client may be sending its
+        // next request. A connection that was asked to close meanwhile is closed once it is idle.
         if (close) {
             shutDownInput();
         }
     }
 
     /**
-     * Passes on a long answer as it comes, by whoever has claimed the request; its first part is in
-     * hand, the reader has the rest. False when it could not be passed on whole: the client sees
-     * that it is not.
+     * Relays a long response as it arrives. Called by the thread that has claimed the request.
+     *
+     * @param firstPart the part of the body that has been read
+     * @param remainder reads the rest of the body
+     * @return false if the response could not be relayed completely, which the client can detect
      */
     boolean relay(ClientRequest request, MessageBody firstPart, HttpReader remainder) {
         long length = firstPart.length() > 0 ? -1 : remainder.declaredLength();
@@ -409,8 +417,8 @@
                     socket,
                     out -> {
                         writer.beginRelay(out, length, chunked, firstPart, close);
-                        // The rest may take as long as the client likes; what is in hand would be
-                        // missed by others.
+                        // The rest may take as long as the client likes, and other connections need
+                        // these buffers.
                         firstPart.release();
                         remainder.setPacing(RELAY_PAUSE_MILLIS, HttpReader.ANY_RATE_BYTES_PER_SECOND);
                         remainder.relayBody(
@@ -421,7 +429,7 @@
             complete = true;
             metrics.responseSent(request.requestClassName, request.tenantName, 200, request.rejectionReason);
         } catch (IOException e) {
-            log.info("broken relay", "a long answer was not passed on whole: " + e.getMessage());
+            log.info("broken relay", "a long response was not relayed completely: " + e.getMessage());
             metrics.responseSent(request.requestClassName, request.tenantName, 502, request.rejectionReason);
             reset();
         }
@@ -429,17 +437,17 @@
         return complete;
     }
 
-    /** Ends the connection so that nobody takes what has been sent for all of it. */
+    /** Resets the connection, so that what has been sent is not taken for the complete response. */
     private void reset() {
         try {
             socket.setSoLinger(true, 0);
         } catch (IOException e) {
-            // It has ended already.
+            // It is closed already.
         }
         Sockets.close(socket);
     }
 
-    /** Ends the connection after its next answer, however long that takes to be asked for. */
+    /** Ends the connection after its next response, however late that request comes. */
     synchronized void closeAfterNextResponse() {
         closeAfterResponse = true;
     }
@@ -449,8 +457,9 @@
     }
 
     /**
-     * Ends the connection now if it rests, else after the answer that is under way or just about to
-     * be asked for: closed before its first request, a new one would find that nobody serves.
+     * Ends the connection now if it is idle, else after the response that is under way or about to
+     * be requested. A new connection has time for its first request: closed before that, its client
+     * would find no server.
      */
     void close() {
         synchronized (this) {
@@ -468,7 +477,10 @@
         Sockets.close(socket);
     }
 
-    /** The thread sees the end of the stream and closes the socket, which is its own. */
+    /**
+     * Shuts the input down: the connection's thread sees the end of the stream and closes the
+     * socket, which it owns.
+     */
     private void shutDownInput() {
         synchronized (this) {
             inputShutDownNanos = inputShutDown ? inputShutDownNanos : System.nanoTime();
@@ -481,27 +493,30 @@
         }
     }
 
-    /** Since when it rests, or the last byte of what is being read came, by the monotonic clock. */
+    /**
+     * When the connection became idle or, while a request is being read, when its last byte was
+     * read; by the monotonic clock.
+     */
     synchronized long lastActivityNanos() {
         return reading && inputReader != null ? inputReader.lastReadNanos() : lastActivityNanos;
     }
 
-    /** Whether it has ever brought a request. */
+    /** Whether the connection has ever submitted a request. */
     synchronized boolean hasSubmittedRequest() {
         return requestSubmitted;
     }
 
-    /** Whether it has been told to end while it rested. */
+    /** Whether this side has shut the input down. */
     synchronized boolean isInputShutDown() {
         return inputShutDown;
     }
 
-    /** Whether a request of its is under way. */
+    /** Whether a request of this connection is open. */
     synchronized boolean hasOpenRequest() {
         return req != null;
     }
 
-    /** Ends it, unless a request is under way or may be just about to come in whole. */
+    /** Ends the connection, unless a request is open or may be about to arrive completely. */
     void evictUnlessActive() {
         synchronized (this) {
             if (req != null || (reading && System.nanoTime() - lastActivityNanos() < PARTIAL_REQUEST_NANOS)) {
@@ -512,7 +527,7 @@
         shutDownInput();
     }
 
-    /** Whether a request is being read or is under way. */
+    /** Whether a request is being read or is open. */
     synchronized boolean isBusy() {
         return reading || req != null;
     }
--- a/src/main/java/cottonlock/proxy/ClientListener.java
+++ b/src/main/java/cottonlock/proxy/ClientListener.java
@@ -17,24 +17,29 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
 
-/** Takes in clients' connections, and keeps them within the sockets that are theirs. */
+/** Accepts the connections of clients and limits their number. */
 final class ClientListener implements Runnable {
     /**
-     * As many may wait to be accepted as a burst brings within the time of one garbage collection.
+     * Connections that may wait to be accepted: as many as a burst brings during one garbage
+     * collection.
      */
     private static final int BACKLOG = 512;
 
     private final ServerSocket server;
 
     /**
-     * Milliseconds for a connection to come free; whoever waits longer is better served elsewhere.
+     * Milliseconds to wait for a slot; a client that waits longer is better served by another
+     * proxy.
      */
     private static final long MAX_SLOT_WAIT_MILLIS = 250;
 
-    /** Milliseconds between looks for one that can be closed. */
+    /** Milliseconds between attempts to evict a connection. */
     private static final long SLOT_CHECK_MILLIS = 5;
 
-    /** Milliseconds between looks at whether to leave; and at a queue that may be empty. */
+    /**
+     * Milliseconds between checks whether the listener drains, and then of a queue that may be
+     * empty.
+     */
     private static final int ACCEPT_TIMEOUT_MILLIS = 100;
 
     private static final int LAST_ACCEPT_TIMEOUT_MILLIS = 1;
@@ -47,7 +52,11 @@
     private final Set<ClientConnection> clients = ConcurrentHashMap.newKeySet();
     private final RunCompletion completion = new RunCompletion();
 
-    /** Shares: another process of this proxy may listen there too. */
+    /**
+     * Opens the listening socket.
+     *
+     * @param sharesPort whether another process of this proxy may listen on the address too
+     */
     ClientListener(
             InetSocketAddress address,
             boolean sharesPort,
@@ -94,15 +103,16 @@
                 }
                 register(server.accept());
             } catch (SocketTimeoutException e) {
-                // Closed before it was empty, the kernel would reset what it has queued here
-                // unheard.
+                // If it were closed before the queue is empty, the kernel would reset the
+                // connections in it.
                 if (draining) {
                     Sockets.close(server);
                 }
             } catch (IOException e) {
                 if (!server.isClosed()) {
                     log.warn("accept failed", String.valueOf(e.getMessage()));
-                    // Without free descriptors nobody would come in until somebody leaves.
+                    // Without free descriptors, no connection could be accepted until a client
+                    // leaves.
                     evictOne();
                     pause();
                 }
@@ -126,14 +136,14 @@
         try {
             workers.serve(client);
         } catch (OutOfMemoryError e) {
-            // No thread can be had: one client less is better than no proxy.
-            log.warn("no thread", "closed a new connection unread");
+            // No thread is available: one client less is better than no proxy.
+            log.warn("no thread", "no thread is available; closed a new connection unread");
             Sockets.close(socket);
             connectionClosed(client);
         }
     }
 
-    /** Takes a place, if need be that of the client that will miss it least. */
+    /** Acquires a slot, if necessary by evicting another connection. */
     private boolean acquireSlot() {
         for (long waitedMillis = 0; waitedMillis <= MAX_SLOT_WAIT_MILLIS; waitedMillis += SLOT_CHECK_MILLIS) {
             try {
@@ -150,9 +160,9 @@
     }
 
     /**
-     * Ends the connection that will be missed least. One that sends half a request, and then
-     * nothing, must not keep the others out; and a crowd that asks for nothing but our health must
-     * not push out those who bring work, however long at rest.
+     * Evicts the connection that matters least. A client that sends part of a request and then
+     * nothing must not block others, and many clients that only check the proxy's health must not
+     * displace those that send requests, however long these are idle.
      */
     private void evictOne() {
         clients.stream()
@@ -166,22 +176,22 @@
 
     private static void pause() {
         try {
-            // Out of descriptors, accept fails at once again and again.
+            // Without free descriptors, accept fails at once each time.
             Thread.sleep(20);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** From a client's thread, once: it has given back all that it held. */
+    /** Called once by the thread of a connection that has released all its resources. */
     void connectionClosed(ClientConnection client) {
         clients.remove(client);
         slots.release();
     }
 
     /**
-     * Takes in what has been queued and nothing more, and leaves each connection after the next
-     * answer.
+     * Accepts the connections that are queued and no others, and ends each connection after its
+     * next response.
      */
     void drain() {
         draining = true;
@@ -189,22 +199,22 @@
     }
 
     /**
-     * Ends each connection that rests; again and again while it leaves, as some have just been
-     * taken in.
+     * Ends each idle connection; called repeatedly while the listener drains, as some have just
+     * been accepted.
      */
     void closeIdle() {
         clients.forEach(ClientConnection::close);
     }
 
-    /** Whether no connection is left, and none can come. */
+    /** Whether no connection is left and none can be added. */
     boolean isEmpty() {
         return server.isClosed() && clients.isEmpty();
     }
 
     /**
-     * Takes in no more, at once, and ends each connection after the answer that it waits for. When
-     * this returns, {@link #run} has returned, the address is free, and each connection that was
-     * accepted is among those that have been told to end.
+     * Stops accepting at once and ends each connection after the response that it waits for. When
+     * this returns, {@link #run} has returned, the address is free, and each accepted connection
+     * has been asked to end.
      */
     void close() {
         completion.close();
@@ -218,7 +228,7 @@
         List.copyOf(clients).forEach(ClientConnection::abort);
     }
 
-    /** For tests alone: who is connected now. */
+    /** For tests only: the open connections. */
     Set<ClientConnection> clients() {
         return clients;
     }
--- a/src/main/java/cottonlock/proxy/ClientRequest.java
+++ b/src/main/java/cottonlock/proxy/ClientRequest.java
@@ -13,12 +13,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.locks.LockSupport;
 
-/** A request on its way through the sockets: what came of it, and who still needs its body. */
+/** A client's request on its way through the proxy: its outcome, and who still needs its body. */
 final class ClientRequest {
-    /** Nanoseconds that a look at a client takes: a read that finds its end returns at once. */
+    /**
+     * Nanoseconds that a check of the client takes: a read at the end of the stream returns at
+     * once.
+     */
     private static final long CLIENT_CHECK_NANOS = 100_000;
 
-    /** How often that is waited for the look: whoever reads has had a core by then. */
+    /** How many such times to wait for the check: the reading thread has been scheduled by then. */
     private static final int MAX_CLIENT_CHECKS = 20;
 
     final ClientConnection client;
@@ -34,41 +37,53 @@
     final int tenant;
     final boolean retried;
 
-    /** Whether its client reads chunked answers. */
+    /** Whether the client accepts chunked responses. */
     final boolean acceptsChunked;
 
-    /** By the module's clock: its client waits no longer. Shorter where the proxy leaves before. */
+    /**
+     * In ticks: the client waits no longer than this. Earlier if the proxy shuts down before that.
+     */
     volatile long deadlineTicks;
 
     /**
-     * By the module's clock: nothing of it begins to be sent on after that, for from then on nobody
-     * sees whether its client leaves.
+     * In ticks: no attempt starts after this, because a disconnect of the client would go
+     * unnoticed.
      */
     volatile long observedUntilTicks = Long.MAX_VALUE;
 
-    /** The ids of all requests that wait for their answer, its own among them. */
+    /** The ids of all requests that wait for their response, including this one. */
     private final Set<String> openIds;
 
     private final AtomicBoolean claimed = new AtomicBoolean();
 
-    /** One for the answer that is owed, and one for each write of the body that is under way. */
+    /** One for the response that is owed, and one for each write of the body that is under way. */
     private final AtomicInteger bodyReferences = new AtomicInteger(1);
 
-    /** What it ended by, where no backend's answer ended it; told before its client is answered. */
+    /**
+     * Why the request ended, unless a backend's response ended it; set before the client is
+     * answered.
+     */
     volatile RejectionReason rejectionReason = RejectionReason.RESPONSE_LOST;
 
     /**
-     * The module's number for it, its attempts, and how many are out: the module's thread alone.
+     * The load balancer's number for the request, its attempts, and how many are in flight: used by
+     * the load balancer's thread only.
      */
     long number;
 
     final List<Attempt> attempts = new ArrayList<>(1);
     int attemptsInFlight;
 
-    /** When its client was first looked at behind it, by the monotonic clock; 0: not yet. */
+    /**
+     * When the reading thread first checked the client after this request, by the monotonic clock;
+     * 0 if not yet.
+     */
     private long clientCheckedAtNanos;
 
-    /** Whether its client may leave unseen; the module's thread alone. */
+    /**
+     * Whether a disconnect of the client would go unnoticed; used by the load balancer's thread
+     * only.
+     */
     boolean clientUnobserved;
 
     ClientRequest(
@@ -110,7 +125,8 @@
     }
 
     /**
-     * From the thread that has read it: it reads on, and sees it if its client has gone meanwhile.
+     * Called by the thread that has read the request: it reads on, and notices if the client has
+     * disconnected meanwhile.
      */
     synchronized void markClientChecked() {
         clientCheckedAtNanos = clientCheckedAtNanos == 0 ? System.nanoTime() : clientCheckedAtNanos;
@@ -121,8 +137,9 @@
     }
 
     /**
-     * Waits, 2 ms at most, until that thread has looked. Where a request was read late its client
-     * may have left before; without the wait three to five of a hundred such were sent on.
+     * Waits up to 2 ms until that thread has checked the client. The client of a request that was
+     * read late may have left before; without the wait, three to five in a hundred such requests
+     * were sent to a backend.
      */
     void awaitClientCheck() {
         for (int i = 0; i < MAX_CLIENT_CHECKS && !isClientChecked() && !claimed(); i++) {
@@ -130,7 +147,9 @@
         }
     }
 
-    /** True for the one caller that may give the final answer, or note that nobody waits for it. */
+    /**
+     * True for the one caller that may give the final response, or record that the client has left.
+     */
     boolean claim() {
         if (!claimed.compareAndSet(false, true)) {
             return false;
@@ -144,24 +163,24 @@
         return claimed.get();
     }
 
-    /** Keeps the body for a write; false when the request has been answered. */
+    /** Retains the body for a write; false when the request has been answered. */
     boolean retainBody() {
         return bodyReferences.getAndUpdate(n -> n == 0 ? 0 : n + 1) > 0;
     }
 
-    /** The last one to let go gives the body's buffers back. */
+    /** The last release gives the body's buffers back. */
     void releaseBody() {
         if (bodyReferences.decrementAndGet() == 0) {
             body.release();
         }
     }
 
-    /** One attempt: it is settled once, whatever reaches it first. */
+    /** An attempt: settled once, by whatever happens first. */
     static final class Attempt {
         final ClientRequest req;
         final int number;
 
-        /** By the module's clock: its last byte may be written until then. */
+        /** In ticks: its last byte may be written until then. */
         final long sendByTicks;
 
         private final LoadBalancerActor loadBalancer;
@@ -176,22 +195,25 @@
         }
 
         /**
-         * Whether its first byte may still be written: not after its client has left, or may have
-         * unseen.
+         * Whether the first byte may still be written: not after the client has left, or may have
+         * left unnoticed.
          */
         boolean mayStart(long now) {
             return !req.claimed() && now < req.observedUntilTicks;
         }
 
         /**
-         * Binds it to the connection it will go out on; false if it has been settled before that.
+         * Binds the attempt to the connection it is sent on; false if it has been settled before.
          */
         synchronized boolean attach(BackendConnection target) {
             connection = settled ? null : target;
             return !settled;
         }
 
-        /** The first outcome counts, and reaches the module; true for that one. */
+        /**
+         * Settles the attempt. The first outcome counts and is reported to the load balancer; true
+         * for that one.
+         */
         boolean settle(AttemptOutcome outcome) {
             synchronized (this) {
                 if (settled) {
@@ -209,8 +231,8 @@
         }
 
         /**
-         * Gives it up, from the module's thread: its connection is closed before anything else
-         * happens.
+         * Abandons the attempt: its connection is closed before anything else happens. Called by
+         * the load balancer's thread.
          */
         boolean abandon() {
             BackendConnection toClose;
@@ -222,7 +244,8 @@
                 toClose = connection;
                 connection = null;
             }
-            // A repeat may be sent next: with this copy still out it would be a second one.
+            // A retry may be sent next; if this copy were still in flight, the request could be
+            // executed twice.
             if (toClose != null) {
                 toClose.closeNow();
             }
--- a/src/main/java/cottonlock/proxy/ConnectionPermits.java
+++ b/src/main/java/cottonlock/proxy/ConnectionPermits.java
@@ -5,9 +5,11 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 
-/** The sockets there may be to backends, shared by their actors. */
+/** Limits the number of connections to backends; shared by the backends' actors. */
 final class ConnectionPermits {
-    /** Milliseconds for the others to close a connection that rests: far below any due time. */
+    /**
+     * Milliseconds for other actors to close an idle connection: far below any latency objective.
+     */
     private static final long PERMIT_WAIT_MILLIS = 20;
 
     private final Semaphore free;
@@ -30,7 +32,7 @@
         if (free.tryAcquire()) {
             return true;
         }
-        // Connections that rest at some backends must not shut out work for the others.
+        // Idle connections to some backends must not prevent attempts at the others.
         backends.forEach(BackendActor::closeOldestIdle);
         try {
             return free.tryAcquire(PERMIT_WAIT_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/main/java/cottonlock/proxy/ConnectionThreads.java
+++ b/src/main/java/cottonlock/proxy/ConnectionThreads.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The threads of connections, one for each while it lasts. They wait a little for the next one:
- * where a crowd connects a hundred times a second, starting and ending a thread each time took most
- * of the core.
+ * The threads of connections, one for each open connection. A thread waits a little for the next
+ * connection: when clients connected a hundred times a second, starting and ending a thread for
+ * each took most of the CPU time.
  */
 final class ConnectionThreads {
     /**
-     * Milliseconds that a thread waits: longer than the gaps in a crowd, and no memory is held for
-     * long.
+     * Milliseconds that a thread waits for a connection: longer than the gaps between many clients'
+     * connections, and short enough not to hold memory for long.
      */
     private static final long KEEP_ALIVE_MILLIS = 3_000;
 
@@ -29,7 +29,10 @@
                     new SynchronousQueue<>(),
                     this::newThread);
 
-    /** Those that have been made and have not ended: the pool forgets a thread before its end. */
+    /**
+     * The threads that have been created and have not ended: the pool forgets a thread before its
+     * end.
+     */
     private final Set<Thread> liveThreads = ConcurrentHashMap.newKeySet();
 
     private Thread newThread(Runnable task) {
@@ -39,14 +42,14 @@
         return thread;
     }
 
-    /** Serves a connection; an OutOfMemoryError when no thread can be had. */
+    /** Runs a connection; throws an OutOfMemoryError when no thread is available. */
     void serve(Runnable connection) {
         threads.execute(connection);
     }
 
     /**
-     * Ends all threads and waits for their end, 5 s at most; the sockets of their connections have
-     * been closed before. An interrupt does not end the wait; it is kept for the caller.
+     * Ends all threads and waits for their end, for 5 s at most; the sockets of their connections
+     * have been closed before. An interrupt does not end the wait; it is kept for the caller.
      */
     void close() {
         threads.shutdownNow();
--- a/src/main/java/cottonlock/proxy/KeepAlivePolicy.java
+++ b/src/main/java/cottonlock/proxy/KeepAlivePolicy.java
@@ -1,25 +1,27 @@
 package cottonlock.proxy;
 
 /**
- * Whether connections to backends are kept for the next attempt. Some networks and backends end
- * kept ones without a word, or as soon as they are used: an attempt lost that way may have run, and
- * counts against a sound backend, while a new connection costs little.
+ * Decides whether connections to backends are kept for the next attempt. Some networks and backends
+ * drop kept connections silently, or close them as soon as they are used again. An attempt lost
+ * that way may have been executed and counts against a healthy backend, while a new connection
+ * costs little.
  */
 final class KeepAlivePolicy {
     /**
-     * Nanoseconds: a request that was read and begun is not broken off so soon after it was sent.
+     * Nanoseconds after sending within which a break is blamed on the reuse of the connection: a
+     * request that was read and started does not break off that soon.
      */
     private static final long IMMEDIATE_BREAK_NANOS = 20_000_000;
 
     /**
-     * Nanoseconds for which breaks are remembered, and then none is kept: seldom enough to try
-     * again.
+     * Nanoseconds for which breaks are counted, and then for which no connection is reused: reuse
+     * is tried again rarely enough.
      */
     private static final long WINDOW_NANOS = 10_000_000_000L;
 
     /**
-     * So many within the span are no chance: a backend that dies breaks one or two at the same
-     * moment.
+     * This many breaks within the window are no coincidence: a backend that crashes breaks one or
+     * two connections at the same moment.
      */
     private static final int BREAKS_TO_STOP_REUSE = 3;
 
@@ -28,7 +30,9 @@
     private long reuseBlockedUntilNanos = System.nanoTime();
 
     /**
-     * A connection that had been kept broke so many nanoseconds after its next attempt was sent.
+     * Records that a kept connection broke during its next attempt.
+     *
+     * @param nanosAfterSend the time since the attempt was sent
      */
     synchronized void reusedConnectionBroke(long nanosAfterSend) {
         if (nanosAfterSend > IMMEDIATE_BREAK_NANOS) {
--- a/src/main/java/cottonlock/proxy/LoadBalancerActor.java
+++ b/src/main/java/cottonlock/proxy/LoadBalancerActor.java
@@ -32,36 +32,44 @@
 import java.util.function.Function;
 
 /**
- * The module's actor: its thread alone calls the module, and it waits for nobody but its mailbox.
+ * The actor that owns the load balancer: only its thread calls the load balancer, and it never
+ * waits for anything but its own mailbox.
  */
 final class LoadBalancerActor implements Runnable, LoadBalancerActions, EndpointListListener {
-    /** More than the sockets there are: each has a message or two under way at most. */
+    /** Exceeds the number of sockets, each of which has at most one or two messages pending. */
     private static final int MAILBOX_CAPACITY = 4_096;
 
     /**
-     * Tenths of a millisecond until a wake that failed is tried again: seldom enough to harm
-     * nobody.
+     * Ticks after which a timer call that failed is retried: rarely enough to cause no noticeable
+     * load.
      */
     private static final long TIMER_RETRY_TICKS = 1_000;
 
     /**
-     * Tenths of a millisecond after a client was last seen there in which an attempt may begin:
-     * within 100 ms of its leaving none is a fault, and the write takes some of them.
+     * Ticks after a client was last observed within which an attempt may still start. An attempt
+     * that starts more than 100 ms after the client has left counts as a fault, and the write takes
+     * part of that time.
      */
     private static final long CLIENT_OBSERVED_TICKS = 800;
 
     private final Mailbox mailbox;
 
-    /** Writes the answers that the module gives of itself, for this thread waits for no client. */
+    /**
+     * Runs what may block, so that the load balancer's thread doesn't wait for clients: writing the
+     * responses that the load balancer gives itself, and sending peer messages.
+     */
     private final Mailbox ioMailbox;
 
     /**
-     * Starts backends' threads: whoever starts one waits until it has been given a core for the
-     * first time, and this thread must not wait.
+     * Starts the threads of backends. Starting a thread blocks until the thread has been scheduled
+     * for the first time, and the load balancer's thread must not wait.
      */
     private final Mailbox threadStarter;
 
-    /** What the module's own answers lead to, after the call that made them. */
+    /**
+     * Outcomes of attempts that the load balancer's own actions ended; reported after the call that
+     * made them.
+     */
     private final Deque<Runnable> deferredEvents = new ArrayDeque<>();
 
     private final TickClock clock;
@@ -69,7 +77,10 @@
     private final Metrics metrics;
     private final RateLimitedLog log;
 
-    /** The backends in the list, as discovery has told them, and their ids for others to see. */
+    /**
+     * The backends in the endpoint list as discovery reported them. {@code listedIds} holds their
+     * ids for other threads.
+     */
     private final Map<String, Endpoint> listedEndpoints = new TreeMap<>();
 
     private final Set<String> unlistedIds = new TreeSet<>();
@@ -79,7 +90,7 @@
     private final Map<Long, ClientRequest> requests = new HashMap<>();
     private final Map<String, BackendActor> backends = new TreeMap<>();
 
-    /** Backends that have gone from the list; some still have attempts in flight. */
+    /** Backends removed from the list; some still have attempts in flight. */
     private final List<BackendActor> retiredBackends = new ArrayList<>();
 
     private final PriorityQueue<ClientRequest> requestsByDeadline =
@@ -88,15 +99,17 @@
     private EndpointListWatch watch;
     private PeerMessenger peers;
 
-    /** The module that is only watched, or null. */
+    /** The shadow load balancer, or null. */
     private ShadowLoadBalancer shadow;
 
-    /** When its thread last came round, for whoever watches over it. */
+    /**
+     * When the thread last ran its loop, for the membership service, which watches its progress.
+     */
     private volatile long lastProgressTicks;
 
     private long lastRequestNumber;
 
-    /** By when all is over, once the proxy leaves. */
+    /** Limit of all deadlines once the proxy shuts down. */
     private long shutdownDeadlineTicks = Long.MAX_VALUE;
 
     private long timerAtTicks;
@@ -116,8 +129,8 @@
     }
 
     /**
-     * Before the thread starts: the module, where its asks for the list go, and its messages to
-     * peers.
+     * Sets the load balancer, the watch that it requests the endpoint list from, the sender of its
+     * peer messages and the manual ejections. Called before the thread starts.
      */
     void initialize(
             LoadBalancer loadBalancer,
@@ -130,7 +143,10 @@
         peers = peerMessenger;
     }
 
-    /** Before the thread starts: a module that is told all and whose decisions are only counted. */
+    /**
+     * Sets a load balancer that receives the same events and whose decisions are only counted.
+     * Called before the thread starts.
+     */
     void setShadow(ShadowLoadBalancer shadowLoadBalancer) {
         shadow = shadowLoadBalancer;
     }
@@ -161,7 +177,8 @@
     }
 
     /**
-     * Returns when the threads of all backends have ended; the starter's before, as it adds some.
+     * Returns when the threads of all backends have ended. The starter's thread is joined first, as
+     * it may still start some.
      */
     private void stopBackends(List<Thread> helpers) {
         List<BackendActor> all = new ArrayList<>(retiredBackends);
@@ -189,14 +206,15 @@
                     attemptEnded(attempt, AttemptOutcome.TIMED_OUT);
                 }
             }
-            // The module has given each its answer by now; this is for one that it lost in a fault.
+            // The load balancer has ended each of these requests by now, unless a fault made it
+            // lose one.
             if (requests.containsKey(req.number) && req.attemptsInFlight == 0) {
                 fail(req.number, RejectionReason.RESPONSE_LOST);
             }
         }
         if (now >= timerAtTicks) {
-            // The module sets its next time itself; if it failed on the way, it would never be
-            // woken again.
+            // The load balancer schedules its next timer itself; if it failed on the way, its timer
+            // would never fire again.
             timerAtTicks = now + TIMER_RETRY_TICKS;
             balancer.onTimer(now);
             retireUnlisted();
@@ -207,7 +225,10 @@
         }
     }
 
-    /** The proxy leaves: all that it holds is answered by then, before it is killed. */
+    /**
+     * Limits all deadlines, because the proxy shuts down: every request is answered by then, before
+     * the process is killed.
+     */
     void limitDeadlines(long latestTicks) {
         mailbox.put(
                 () -> {
@@ -220,18 +241,18 @@
                 });
     }
 
-    /** A client's request has been read whole. */
+    /** Handles a client's request that has been read completely. */
     void requestReceived(ClientRequest req) {
         mailbox.put(
                 () -> {
                     if (req.claimed()) {
-                        // Its client left meanwhile: nothing is decided for it, dialled least of
-                        // all.
+                        // The client disconnected meanwhile: decide nothing for its request, and
+                        // above all open no connection.
                         return;
                     }
                     req.number = ++lastRequestNumber;
-                    // It may have been admitted just before the end was told, and come here just
-                    // behind it.
+                    // It may have been validated just before the limit was set, and arrive just
+                    // after it.
                     req.deadlineTicks = Math.min(req.deadlineTicks, shutdownDeadlineTicks);
                     requests.put(req.number, req);
                     requestsByDeadline.add(req);
@@ -250,7 +271,7 @@
                 });
     }
 
-    /** The client of a request has left. */
+    /** Handles that the client of a request has disconnected. */
     void clientDisconnected(ClientRequest req) {
         mailbox.put(
                 () -> {
@@ -263,9 +284,12 @@
     }
 
     /**
-     * Nobody sees any more whether the client of a request leaves. What waits for room is refused,
-     * and no further attempt is made; the first may still go out, soon, or, where it was just about
-     * to, at all.
+     * Handles that a disconnect of a request's client would go unnoticed from now on. A request
+     * that waits for capacity is rejected, and no further attempt is made; the first attempt may
+     * still start for {@link #CLIENT_OBSERVED_TICKS}.
+     *
+     * @param firstAttemptAnyTime whether the first attempt may start at any time, because the
+     *     request was read just before this side shut its connection's input down
      */
     void clientUnobserved(ClientRequest req, boolean firstAttemptAnyTime) {
         req.observedUntilTicks = firstAttemptAnyTime ? Long.MAX_VALUE : clock.now() + CLIENT_OBSERVED_TICKS;
@@ -282,7 +306,7 @@
                 });
     }
 
-    /** An attempt has been settled, by the thread that saw how it ended. */
+    /** Handles an attempt that was settled by the thread that saw how it ended. */
     void attemptSettled(ClientRequest.Attempt attempt, AttemptOutcome outcome) {
         mailbox.put(() -> attemptEnded(attempt, outcome));
     }
@@ -351,7 +375,10 @@
                 });
     }
 
-    /** What is on its way to a connection must not go out after a drain or a ban was told. */
+    /**
+     * Updates whether the backend's connections may send: an attempt on its way to one must not go
+     * out after the backend began to drain or was ejected manually.
+     */
     private void updateReadiness(Endpoint endpoint) {
         BackendActor actor = backends.get(endpoint.id());
         if (actor != null) {
@@ -359,7 +386,11 @@
         }
     }
 
-    /** Where removal from the list binds nobody, the module may use one for some time after it. */
+    /**
+     * Removes backends that have left the list, except those that the load balancer may still use:
+     * where removals from the list are not binding, it may use a backend for some time after its
+     * removal.
+     */
     private void retireUnlisted() {
         unlistedIds.removeIf(
                 id -> {
@@ -386,17 +417,17 @@
                         + (int) balancer.avoidedBackendCount(clock.now()));
     }
 
-    /** When its thread last made progress, by the module's clock; from any thread. */
+    /** When the thread last made progress, in ticks; safe for use by any thread. */
     long lastProgressTicks() {
         return lastProgressTicks;
     }
 
-    /** For tests alone: its thread stands still for as long as this takes. */
+    /** For tests only: the load balancer's thread stalls for as long as the task runs. */
     void stall(Runnable task) {
         mailbox.put(task);
     }
 
-    /** Waits until all is done that it has been told so far, a second at most. */
+    /** Waits until all messages sent so far have been processed, for at most one second. */
     void awaitProcessed() {
         CountDownLatch done = new CountDownLatch(1);
         mailbox.put(done::countDown);
@@ -407,12 +438,12 @@
         }
     }
 
-    /** Whether the list holds a backend of that id; from any thread. */
+    /** Whether the endpoint list contains a backend with this id; safe for use by any thread. */
     boolean isListed(String id) {
         return listedIds.contains(id);
     }
 
-    /** Backends have been taken out or back by hand; from any thread. */
+    /** Handles that backends were ejected or restored manually; safe for use by any thread. */
     void manualEjectionsChanged() {
         mailbox.put(
                 () -> {
@@ -421,8 +452,8 @@
                         endpoints.add(manualEjections.effective(endpoint));
                         updateReadiness(endpoint);
                         if (manualEjections.isEjected(endpoint.id()) && backends.containsKey(endpoint.id())) {
-                            // It will be restarted: what rests there would break as soon as it is
-                            // used again.
+                            // It is about to be restarted: its idle connections would break as soon
+                            // as they are used again.
                             backends.get(endpoint.id()).closeIdleConnections();
                         }
                     }
@@ -431,14 +462,18 @@
                     }
                     balancer.onEndpointList(clock.now(), endpoints, false, false);
                     if (listWatchEnded) {
-                        // This was no news from discovery: it still has to be asked again.
+                        // This was no update from discovery: the list still has to be requested
+                        // again.
                         balancer.onEndpointListFailed(clock.now());
                     }
                     updateBackendCounts();
                 });
     }
 
-    /** Other categories, by number, and most attempts are in force for what comes from now on. */
+    /**
+     * Sets the request classes, by number, and the maximum number of attempts for requests from now
+     * on.
+     */
     void reconfigure(List<RequestClass> requestClasses, int maxAttempts) {
         mailbox.put(
                 () -> {
@@ -458,7 +493,7 @@
                 });
     }
 
-    /** Another balancer of the tier has told something. */
+    /** Handles a message from another load balancer of the tier. */
     void peerMessageReceived(byte[] message) {
         mailbox.put(
                 () -> {
@@ -492,8 +527,8 @@
     }
 
     /**
-     * Has its thread started if it has none; false when so many wait for theirs that it would never
-     * be.
+     * Has the backend's thread started if it has none; false when the starter's mailbox is full, so
+     * that it would never be started.
      */
     private boolean ensureStarted(BackendActor actor) {
         if (actor.markStarted() && !threadStarter.offer(actor::startThread)) {
@@ -531,7 +566,8 @@
         if (req != null && req.claim()) {
             req.rejectionReason = rejectionReason;
             if (!ioMailbox.offer(() -> req.client.sendResponse(req, status, headerName, headerValue, null))) {
-                // So far behind that nobody would still wait: it ends without an answer.
+                // The mailbox is so far behind that the client has given up by now: end without a
+                // response.
                 metrics.requestEnded();
                 req.client.abort();
             }
--- a/src/main/java/cottonlock/proxy/Proxy.java
+++ b/src/main/java/cottonlock/proxy/Proxy.java
@@ -34,56 +34,63 @@
 /** A load balancer on sockets: what an embedding program starts and closes. */
 public final class Proxy {
     /**
-     * Descriptors for the program itself, its jars, discovery, peers and the listener, and for a
-     * moment a connection just accepted, files that processes share, the configuration.
+     * Descriptors reserved for the process itself, its jars, discovery, peers and the listener and,
+     * for a moment, for a connection just accepted, files shared between processes and the
+     * configuration.
      */
     private static final int RESERVED_DESCRIPTORS = 24;
 
-    /** Part of the others that backends have: clients hold a third of all at most for requests. */
+    /**
+     * Share of the other sockets that backends get: clients use at most a third of all for
+     * requests.
+     */
     private static final double BACKEND_SOCKET_SHARE = 0.375;
 
-    /** MB that the program takes by itself, and connections of clients that one more holds. */
+    /** Megabytes that the process takes by itself, and client connections per further megabyte. */
     private static final int RESERVED_MEMORY_MB = 48;
 
     private static final int CLIENTS_PER_MB = 6;
 
-    /** The longest deadline that whoever stops the program waits for, and how much longer. */
+    /**
+     * The longest deadline that the supervisor waits for when it stops the process, and how much
+     * longer it waits before it kills the process.
+     */
     private static final long MAX_DEADLINE_MILLIS = 3_000;
 
     private static final long KILL_DELAY_MILLIS = 700;
 
     /**
-     * Milliseconds before that by which all is answered: time to leave in, also with little of a
-     * core.
+     * Milliseconds before the kill by which all requests are answered: time to exit, even with
+     * little CPU time.
      */
     private static final long EXIT_MARGIN_MILLIS = 300;
 
     /**
-     * Milliseconds for which new connections go on coming after the program was told to stop: 0.4 s
-     * at most.
+     * Minimum milliseconds during which new connections are accepted after the signal to stop: they
+     * keep arriving for up to 0.4 s.
      */
     private static final long MIN_ACCEPT_MILLIS = 450;
 
-    /** Milliseconds that the last requests taken have at least: twice what most of them need. */
+    /** Minimum milliseconds for the requests accepted last: twice what most of them need. */
     private static final long LAST_REQUESTS_MILLIS = 900;
 
     /**
-     * Where the settings give none, in their microseconds: a far network's connect, a common idle
-     * time.
+     * Defaults for settings that are missing, in the microseconds of the settings: connecting over
+     * a distant network, and a common idle timeout.
      */
     private static final double DEFAULT_CONNECT_TIMEOUT_MICROS = 250_000;
 
     private static final double DEFAULT_IDLE_TIMEOUT_MICROS = 15_000_000;
 
-    /** One of so many sockets is left for the file of a long body. */
+    /** One in this many sockets is reserved for the file of a long body. */
     private static final int SOCKETS_PER_BODY_FILE = 12;
 
-    /** Milliseconds between looks at whether all is answered. */
+    /** Milliseconds between checks whether all requests are answered. */
     private static final long DRAIN_CHECK_MILLIS = 5;
 
     private final Path configuration;
 
-    /** What is in force: the file as it was last taken, and what its requests are taken in by. */
+    /** The configuration that was applied last, and the rules that requests are validated by. */
     private ProxyConfiguration currentConfiguration;
 
     private RequestRules rules;
@@ -91,7 +98,7 @@
     private final ManualEjections manualEjections;
     private final ProcessHandover handover;
 
-    /** Null where operators have no address to call. */
+    /** Null if there is no management address. */
     private ManagementServer management;
 
     private volatile boolean serving;
@@ -101,7 +108,7 @@
     private final ClientListener listener;
     private final PeerMessenger peers;
 
-    /** What it knows of the other proxies; null where it knows nothing. */
+    /** The membership of the fleet; null if membership is not configured. */
     private MembershipAdapter membership;
 
     private final LoadBalancerActor loadBalancer;
@@ -109,24 +116,28 @@
     private final ConnectionThreads workers = new ConnectionThreads();
     private final BufferPool buffers;
 
-    /** What learns of changes to the settings; null where nothing does. */
+    /** Receives changes of the settings; null if rollouts are not configured. */
     private RolloutActor rollout;
 
-    /** Whether settings that control has told are in force, not the file's. */
+    /** Whether settings from the control server are in force instead of the file's. */
     private boolean controlSettingsInForce;
 
-    /** The module that is only watched, or null. */
+    /** The shadow load balancer, or null. */
     private ShadowLoadBalancer shadow;
 
-    /** Starts a proxy by its configuration file; it serves when this returns. */
+    /** Starts a proxy by its configuration file; it serves requests when this returns. */
     public Proxy(Path configuration) throws IOException {
         this(configuration, OperatorConfig.NONE, null, null);
     }
 
     /**
-     * The same, with what an operator's file asks for. Operators call at the configuration's
-     * address, else at the given one, if any. What the processes of one proxy share is kept in the
-     * folder; null: nothing is.
+     * Starts a proxy by its configuration file and an operator's file.
+     *
+     * @param operator the content of the operator's file
+     * @param defaultManagementAddress the management address if the configuration has none; null
+     *     for none
+     * @param stateDirectory for what the processes of one proxy share and for spill files; null if
+     *     the processes share nothing
      */
     public Proxy(Path configuration, OperatorConfig operator, String defaultManagementAddress, Path stateDirectory)
             throws IOException {
@@ -139,8 +150,8 @@
         log = new RateLimitedLog(System.getLogger("cottonlock"));
         TickClock clock = new TickClock();
         SplittableRandom random = new SplittableRandom(config.seed());
-        // Operators' calls hold theirs for seconds: taken from what is left for the list, they kept
-        // it away.
+        // Management calls hold their descriptors for seconds; when they used the reserved ones,
+        // none was left for discovery.
         int reservedDescriptors = RESERVED_DESCRIPTORS + (sharesPorts ? ManagementServer.MAX_CONNECTIONS : 0);
         int sockets = Math.max(4, allowedSockets(config) - reservedDescriptors);
         sockets -= sockets / SOCKETS_PER_BODY_FILE;
@@ -150,8 +161,8 @@
                 Math.min(
                         sockets - maxBackendConnections,
                         Math.max(16, (memoryMb - RESERVED_MEMORY_MB) * CLIENTS_PER_MB));
-        // An eighth of the memory, a third of the heap at most: one for each connection, the rest
-        // for bodies.
+        // An eighth of the memory, at most a third of the heap: one buffer for each connection, the
+        // rest for bodies.
         long bufferBytes = Math.min(((long) memoryMb << 20) / 8, Runtime.getRuntime().maxMemory() / 3);
         int connections = maxClientConnections + maxBackendConnections;
         buffers = new BufferPool((int) Math.max(connections, bufferBytes / BufferPool.SIZE), connections);
@@ -274,7 +285,8 @@
         }
         threads.add(Sockets.start("listener", listener));
         if (sharesPorts) {
-            // Called before the module had the list, ids that are there were told to be nobody's.
+            // Before the load balancer had processed the list, ids that it contains were reported
+            // as unknown.
             loadBalancer.awaitProcessed();
             management =
                     new ManagementServer(ProxyConfiguration.address("mgmt", managementAddress), new ManagementCommands());
@@ -291,7 +303,7 @@
         serving = true;
     }
 
-    /** Where the system allows fewer, more would only fail when they are opened. */
+    /** Where the system allows fewer descriptors, further sockets would fail to open. */
     private int allowedSockets(ProxyConfiguration config) {
         int configured = config.limit("sockets", 1024);
         int descriptors = DescriptorLimit.current();
@@ -302,12 +314,12 @@
                             + configured
                             + ", but the system allows "
                             + descriptors
-                            + " descriptors: these are kept to");
+                            + " descriptors; the lower limit is used");
         }
         return Math.min(configured, descriptors);
     }
 
-    /** What operators ask for, carried out on the threads of their calls. */
+    /** The management commands; run by the threads of the calls. */
     private final class ManagementCommands implements ManagementOperations {
         @Override
         public boolean isServing() {
@@ -347,9 +359,9 @@
     }
 
     /**
-     * Reads the configuration again: follows discovery to where it is now, and takes in work by the
-     * settings that it holds now, unless control has told others. What it may not change stays as
-     * it is; a bad file changes nothing at all.
+     * Reads the configuration again: follows discovery to its new address and applies the file's
+     * settings to new requests, unless settings from the control server are in force. What a reload
+     * can't change stays as it is; an invalid file changes nothing at all.
      */
     public synchronized void reload() {
         try {
@@ -357,7 +369,8 @@
             config.requireCompatibleWith(currentConfiguration);
             Settings settings = config.settings();
             InetSocketAddress discovery = config.address("discovery");
-            // A file that could not start a proxy is not trusted with where discovery is either.
+            // A file that could not start a proxy is not trusted with the address of discovery
+            // either.
             LoadBalancerFactory factory = checkedFactory(settings);
             if (!controlSettingsInForce) {
                 applySettings(settings, factory);
@@ -369,9 +382,9 @@
                     "configuration",
                     "read again, discovery is at "
                             + discovery
-                            + (controlSettingsInForce ? "; the settings that control has told stay in force" : ""));
+                            + (controlSettingsInForce ? "; settings from the control server stay in force" : ""));
         } catch (RuntimeException e) {
-            // A slip in a file must not end a proxy that serves.
+            // A mistake in the file must not end a proxy that serves requests.
             metrics.configurationReloaded(false);
             log.warn(
                     "configuration",
@@ -379,18 +392,23 @@
         }
     }
 
-    /** A module by these settings, to the side: whatever can't be built ends here. */
+    /**
+     * Builds a load balancer from the settings without using it, so that settings that can't be
+     * used fail here.
+     */
     private LoadBalancerFactory checkedFactory(Settings settings) {
         LoadBalancerFactory factory = new LoadBalancerFactory(settings);
         factory.create(loadBalancer, 0);
         return factory;
     }
 
-    /** Takes in work by these settings from now on, or by the old ones where they can't be used. */
+    /**
+     * Applies settings to requests from now on; throws if they can't be used, and the old ones stay
+     * in force.
+     */
     private synchronized void applySettings(Settings settings) {
         applySettings(settings, checkedFactory(settings));
-        // Under the same lock: a SIGHUP just behind it would put the file's settings in their
-        // place.
+        // Under the same lock: a SIGHUP just after it would replace these settings by the file's.
         controlSettingsInForce = true;
     }
 
@@ -398,23 +416,24 @@
         int maxAttempts = settings.count("Limits.MaxHandOffs", 1);
         rules = new RequestRules(rules, factory, settings);
         rules.namesInForce().forEach(metrics::registerRequestClass);
-        // The module first: it must know a category before a request of it comes.
+        // The load balancer first: it must know a request class before a request of it arrives.
         loadBalancer.reconfigure(rules.requestClasses, maxAttempts);
         validator.setRules(rules);
     }
 
     /**
-     * Serves on for as long as what comes can still be answered, then answers what it has taken;
-     * returns when all is answered. Clients whose front has nobody else for them would find nobody
-     * until the restart.
+     * Shuts down gracefully: accepts requests as long as they can still be answered, then answers
+     * all that were accepted; returns when that is done. Clients that have no other proxy would
+     * otherwise find none until the restart.
      */
     public void drain() throws InterruptedException {
         drain(System.nanoTime());
     }
 
     /**
-     * The same, for a proxy that was told to at that moment, by the monotonic clock: before it
-     * served.
+     * The same, for a proxy that was signalled to stop before it served requests.
+     *
+     * @param signalledAtNanos when it was signalled, by the monotonic clock
      */
     public void drain(long signalledAtNanos) throws InterruptedException {
         long remainingMillis =
@@ -423,11 +442,11 @@
                         - EXIT_MARGIN_MILLIS;
         remainingMillis -= (System.nanoTime() - signalledAtNanos) / 1_000_000;
         long endNanos = System.nanoTime() + remainingMillis * 1_000_000;
-        // Taken before, some requests might wait for longer than the program is let live.
+        // Without this limit, some accepted requests might wait longer than the process lives.
         loadBalancer.limitDeadlines(validator.limitDeadlines(remainingMillis));
         if (handover.isReplaced()) {
-            // Another process takes what comes from now on: this one answers what it has, and one
-            // more each.
+            // Another process accepts new connections: this one answers the requests it has, and
+            // one more on each connection.
             listener.drain();
             awaitNoClients(endNanos, () -> {});
         } else {
@@ -444,12 +463,12 @@
             }
             listener.drain();
         }
-        // A look at who is busy would not do: a request may have been read and not yet be known to
-        // be.
+        // A check for busy connections would not do: a request may have been read and not be
+        // recorded yet.
         awaitNoClients(endNanos + EXIT_MARGIN_MILLIS / 2 * 1_000_000, listener::closeIdle);
     }
 
-    /** Waits until no connection is left, or the time has come. */
+    /** Waits until no client connection is left or the time is up. */
     private void awaitNoClients(long endNanos, Runnable beforeEachCheck) throws InterruptedException {
         while (!listener.isEmpty() && System.nanoTime() < endNanos) {
             beforeEachCheck.run();
@@ -458,10 +477,10 @@
     }
 
     /**
-     * Ends it at once: connections are closed without the answers that they wait for. When this
-     * returns, its addresses are free, no thread of it is left but those that answer a management
-     * command just now, and every connection that was accepted has been closed. May be called by
-     * any thread, and more than once.
+     * Closes the proxy at once, without the responses that its clients wait for. When this returns,
+     * its addresses are free, none of its threads is left except those that are answering a
+     * management command, and every accepted connection has been closed. May be called by any
+     * thread, and more than once.
      */
     public void close() {
         serving = false;
@@ -491,34 +510,32 @@
         return listener.port();
     }
 
-    /** The port that operators call at; -1 without one. */
+    /** The port of the management listener; -1 if there is none. */
     int managementPort() {
         return management == null ? -1 : management.port();
     }
 
-    /**
-     * What the watched module would have decided otherwise, by kind; null where none is watched.
-     */
+    /** How often the shadow load balancer's decisions differed, by kind; null if there is none. */
     Map<ShadowLoadBalancer.Kind, Long> shadowCounts() {
         return shadow == null ? null : shadow.counts();
     }
 
-    /** For tests alone. */
+    /** For tests only. */
     ClientListener listener() {
         return listener;
     }
 
-    /** For tests alone. */
+    /** For tests only. */
     LoadBalancerActor loadBalancer() {
         return loadBalancer;
     }
 
-    /** How many buffers of the pool are free. */
+    /** The number of free buffers in the pool. */
     int freeBuffers() {
         return buffers.available();
     }
 
-    /** Waits until it is closed. */
+    /** Waits until the proxy is closed. */
     public void join() throws InterruptedException {
         for (Thread thread : threads) {
             thread.join();
--- a/src/main/java/cottonlock/proxy/RequestRules.java
+++ b/src/main/java/cottonlock/proxy/RequestRules.java
@@ -10,31 +10,35 @@
 import java.util.Map;
 
 /**
- * What requests are taken in by: one immutable set, swapped whole when the settings change. A
- * category keeps its number as long as the process lives, and a name that comes again gets its old
- * one.
+ * The rules that requests are validated by: an immutable set that is replaced as a whole when the
+ * settings change. A request class keeps its number as long as the process lives, and a name that
+ * is configured again gets its former number.
  */
 final class RequestRules {
-    /** The patience of categories without an expiry, in tenths of a millisecond: a minute. */
+    /** Maximum timeout of request classes without an expiry, in ticks: a minute. */
     private static final long DEFAULT_MAX_TIMEOUT_TICKS = 600_000;
 
-    /** By number; those that are no longer in force among them. */
+    /** By number, including those that are no longer in force. */
     final List<RequestClass> requestClasses;
 
     private final List<String> names;
 
-    /** The numbers of those in force. */
+    /** The numbers of the request classes in force, by name. */
     private final Map<String, Integer> numbersInForce = new HashMap<>();
 
     final List<String> tenantNames;
 
     /**
-     * A longer patience is taken for this: it would keep what is remembered of a request for as
-     * long.
+     * In ticks, by number: a longer client timeout is reduced to this, since the state of a request
+     * would be kept as long.
      */
     private final long[] maxTimeoutTicks;
 
-    /** The rules of the given settings, after the given ones (null at the start). */
+    /**
+     * The rules of the given settings.
+     *
+     * @param previous the rules so far, which give known names their numbers; null at the start
+     */
     RequestRules(RequestRules previous, LoadBalancerFactory factory, Settings settings) {
         requestClasses = previous == null ? new ArrayList<>() : new ArrayList<>(previous.requestClasses);
         names = previous == null ? new ArrayList<>() : new ArrayList<>(previous.names);
@@ -60,22 +64,22 @@
         }
     }
 
-    /** The number of a category in force, or -1. */
+    /** The number of a request class in force, or -1. */
     int numberOf(String name) {
         return numbersInForce.getOrDefault(name, -1);
     }
 
-    /** The names in force. */
+    /** The names of the request classes in force. */
     Iterable<String> namesInForce() {
         return numbersInForce.keySet();
     }
 
-    /** The longest that a request of a category is waited for, in tenths of a millisecond. */
+    /** The longest that a client may wait for a request of a class, in ticks. */
     long maxTimeoutTicks(int requestClass) {
         return maxTimeoutTicks[requestClass];
     }
 
-    /** The longest that any is waited for, in tenths of a millisecond. */
+    /** The longest that any client may wait, in ticks. */
     long maxTimeoutTicks() {
         return Arrays.stream(maxTimeoutTicks).max().orElse(0);
     }
--- a/src/main/java/cottonlock/proxy/RequestValidator.java
+++ b/src/main/java/cottonlock/proxy/RequestValidator.java
@@ -9,18 +9,15 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Takes in a client's request, or says what is wrong with it. */
+/** Validates clients' requests and assigns their deadlines. */
 final class RequestValidator {
-    /**
-     * What passing the answer on may take, in tenths of a millisecond: a busy core's few
-     * milliseconds.
-     */
+    /** Ticks reserved for passing the response on: a few milliseconds on a busy CPU. */
     private static final long DEADLINE_RESERVE_TICKS = 100;
 
     private final TickClock clock;
     private volatile RequestRules rules;
 
-    /** By the module's clock: all requests are over by then, as the program leaves. */
+    /** The latest deadline of any request, in ticks; limited when the proxy shuts down. */
     private volatile long latestDeadlineTicks = Long.MAX_VALUE;
 
     private final Set<String> openIds = ConcurrentHashMap.newKeySet();
@@ -31,28 +28,30 @@
     }
 
     /**
-     * What comes from now on is taken in by these; what has been taken keeps the category it came
-     * with.
+     * Sets the rules for requests from now on; requests that were accepted before keep their
+     * request class.
      */
     void setRules(RequestRules newRules) {
         rules = newRules;
     }
 
     /**
-     * The proxy leaves in so many milliseconds: what comes from now on is answered before that.
-     * Returns by when, by the module's clock.
+     * Limits the deadlines of requests from now on, because the proxy shuts down in so many
+     * milliseconds.
+     *
+     * @return the latest deadline, in ticks
      */
     long limitDeadlines(long millis) {
         latestDeadlineTicks = clock.now() + millis * 10 - DEADLINE_RESERVE_TICKS;
         return latestDeadlineTicks;
     }
 
-    /** The longest that any request is waited for, in milliseconds. */
+    /** The longest that any client may wait, in milliseconds. */
     long maxTimeoutMillis() {
         return rules.maxTimeoutTicks() / 10;
     }
 
-    /** A request that is taken in as soon as its body is there. */
+    /** The head of a valid request, which is accepted as soon as its body has been read. */
     record ValidatedHead(
             MessageHead head,
             String id,
@@ -63,7 +62,7 @@
             String tenantName,
             long timeoutTicks) {}
 
-    /** Judges a head by itself: a long body behind a bad one need not be read. */
+    /** Validates a head by itself: a long body after an invalid one need not be read. */
     ValidatedHead validate(MessageHead head) throws MalformedMessageException {
         RequestRules current = rules;
         String method = head.method();
@@ -98,7 +97,7 @@
         String idempotencyKey = head.only("Idempotency-Key");
         if (idempotencyKey == null
                 && current.requestClasses.get(requestClass).idempotency() == RequestClass.Idempotency.WITH_KEY) {
-            // Sent on without it, a repeat could not be known, and would have its effect twice.
+            // Without a key, a retry could not be recognised and would be executed twice.
             throw new MalformedMessageException(
                     400, "no Idempotency-Key, which this category needs");
         }
@@ -118,19 +117,20 @@
     }
 
     /**
-     * The request, whose last byte came so many nanoseconds ago: from then on its time counts. It
-     * may have waited behind another one, and would be given, and its backends told, time that its
-     * client has not.
+     * Creates the request. Its timeout counts from its last byte: it may have waited behind another
+     * request, and it and its backends would otherwise be given time that its client does not have.
+     *
+     * @param ageNanos the time since its last byte was read
      */
     ClientRequest createRequest(ClientConnection client, ValidatedHead validated, MessageBody body, long ageNanos)
             throws MalformedMessageException {
         long spentTicks = (ageNanos + 99_999) / 100_000;
-        // Taken but unanswered when the program is killed, it would be lost.
+        // A request that is accepted but not answered when the process is killed would be lost.
         long deadlineTicks = Math.min(clock.now() - spentTicks + validated.timeoutTicks, latestDeadlineTicks);
         ClientRequest request = new ClientRequest(client, validated, body, deadlineTicks, openIds);
         if (!openIds.add(validated.id)) {
-            // Backends know a request by its id: the other one would get this one's answer, or
-            // none.
+            // Backends identify a request by its id: the second one would get the response of the
+            // first, or none.
             throw new MalformedMessageException(409, "the id of a request that is under way");
         }
         return request;
--- a/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
+++ b/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
@@ -13,18 +13,21 @@
 import java.util.TreeMap;
 
 /**
- * A second module with other settings that is told all that the first is told, and whose decisions
- * are only counted: what operators watch before they change a deployment's settings.
+ * A second load balancer with other settings that receives the same events as the first and whose
+ * decisions are only counted: operators watch it before they change a deployment's settings.
  *
- * <p>The module's thread alone calls it. What became of the real attempt stands for what would have
- * become of its own, so it learns of the backends as they are under the real decisions. A fault
- * ends the watch, never the service.
+ * <p>Only the load balancer's thread calls it. The outcome of the real attempt stands for that of
+ * its own, so it sees the backends as they are under the real decisions. A fault ends the shadow,
+ * never the service.
  */
 final class ShadowLoadBalancer implements LoadBalancerActions {
-    /** Tenths of a millisecond between two lines in the log. */
+    /** Ticks between two lines in the log. */
     private static final long LOG_INTERVAL_TICKS = 100_000;
 
-    /** How a first decision can differ, or not. */
+    /**
+     * How its first decision about a request compares with the real one; {@code WOULD_CLOSE} counts
+     * idle connections that it would close.
+     */
     enum Kind {
         ALIKE,
         WOULD_DEFER,
@@ -52,7 +55,10 @@
         this.log = log;
     }
 
-    /** Before the module's thread starts: the module that is watched. */
+    /**
+     * Sets the load balancer that is run as the shadow; called before the load balancer's thread
+     * starts.
+     */
     void setLoadBalancer(LoadBalancer loadBalancer) {
         balancer = loadBalancer;
     }
@@ -63,10 +69,10 @@
                 call.run();
             }
         } catch (RuntimeException e) {
-            // A fault among settings that are only tried out must not touch what is served.
+            // A fault in settings that are only being tried out must not affect the service.
             balancer = null;
             requests.clear();
-            log.warn("watch", "ended by a fault: " + e);
+            log.warn("watch", "the shadow load balancer was stopped by a fault: " + e);
         }
     }
 
@@ -75,7 +81,7 @@
         guard(() -> balancer.start(now));
     }
 
-    /** The categories are what is served, the rest its own settings. */
+    /** The request classes are the real ones; the other settings are its own. */
     void reconfigure(List<RequestClass> requestClasses, int maxAttempts) {
         guard(() -> balancer.reconfigure(requestClasses, maxAttempts));
     }
@@ -117,7 +123,12 @@
         guard(() -> balancer.onClientDisconnected(now, number));
     }
 
-    /** The real module has sent (a backend) or answered (null): its first decision is compared. */
+    /**
+     * Compares the first decisions: the real load balancer has started an attempt, or has answered
+     * the request.
+     *
+     * @param backend the backend of the real attempt; null if the request was answered
+     */
     void compareFirstDecision(long number, String backend) {
         ShadowRequest request = requests.get(number);
         if (request == null || request.compared) {
@@ -134,7 +145,7 @@
         counts.merge(kind, 1L, Long::sum);
     }
 
-    /** A real attempt has ended: so has the one that stands beside it. */
+    /** Handles the end of a real attempt: the shadow's own attempt ends with it. */
     void attemptSettled(long now, long number, AttemptOutcome outcome, boolean requestOver) {
         ShadowRequest request = requests.get(number);
         if (request != null && request.attemptInFlight) {
@@ -143,15 +154,14 @@
         }
     }
 
-    /** The real request is over and nothing of it is out any more. */
+    /** Handles the end of a real request that has no attempt in flight any more. */
     void requestEnded(long now, long number) {
-        // Where only the watched module would have sent, nothing is known of how that would have
-        // ended.
+        // If only the shadow had sent an attempt, its outcome is unknown.
         attemptSettled(now, number, AttemptOutcome.NOT_SENT, true);
         requests.remove(number);
     }
 
-    /** How many decisions differed, by kind. */
+    /** The number of decisions of each kind. */
     Map<Kind, Long> counts() {
         Map<Kind, Long> all = new TreeMap<>();
         for (Kind kind : Kind.values()) {
@@ -172,17 +182,17 @@
 
     @Override
     public void cancelAttempt(long number, int attempt) {
-        // The real attempt runs on, and how it ends is told.
+        // The real attempt continues, and its outcome is reported.
     }
 
     @Override
     public void reject(long number, long retryAfterTicks, RejectionReason rejectionReason) {
-        // Seen from there being no attempt.
+        // Recognised by the absence of an attempt.
     }
 
     @Override
     public void fail(long number, RejectionReason rejectionReason) {
-        // As for a deferral.
+        // Recognised by the absence of an attempt.
     }
 
     @Override
@@ -192,7 +202,7 @@
 
     @Override
     public void subscribeEndpointList() {
-        // The real module asks for both.
+        // The real load balancer subscribes for both.
     }
 
     @Override
@@ -202,12 +212,12 @@
 
     @Override
     public void probe(String backend) {
-        // Nothing is sent for the watched module.
+        // Nothing is sent for the shadow.
     }
 
     @Override
     public void broadcastToPeers(byte[] message) {
-        // Nothing is sent for the watched module.
+        // Nothing is sent for the shadow.
     }
 
     @Override
--- a/src/main/java/cottonlock/proxy/WriteTimeoutWatchdog.java
+++ b/src/main/java/cottonlock/proxy/WriteTimeoutWatchdog.java
@@ -8,25 +8,25 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Closes sockets whose writes take too long: a machine that has gone silent never takes them. */
+/** Closes sockets whose writes take too long: a peer that has gone silent never reads them. */
 final class WriteTimeoutWatchdog implements Runnable {
-    /** How often it looks, in milliseconds: the limits are far longer. */
+    /** Milliseconds between checks: the timeout is far longer. */
     private static final long CHECK_MILLIS = 200;
 
     /**
-     * Nanoseconds without a byte taken: readers pause for two or three seconds; one that never
-     * reads on would hold its connection for good.
+     * Nanoseconds without progress: clients pause for two or three seconds, and one that never
+     * reads again would hold its connection forever.
      */
     private static final long WRITE_TIMEOUT_NANOS = 5_000_000_000L;
 
     private final Map<Socket, Long> lastProgressNanos = new ConcurrentHashMap<>();
 
-    /** What is to be written. */
+    /** A write to a socket's stream. */
     interface Write {
         void to(OutputStream out) throws IOException;
     }
 
-    /** Carries out a write that fails when none of it is taken for too long. */
+    /** Runs a write that fails when none of it is accepted for too long. */
     void write(Socket socket, Write write) throws IOException {
         lastProgressNanos.put(socket, System.nanoTime());
         try {
@@ -35,7 +35,7 @@
                         @Override
                         public void write(byte[] bytes, int from, int count) throws IOException {
                             out.write(bytes, from, count);
-                            // A long body is many writes, and each piece taken is a sign of life.
+                            // A long body takes many writes, and each that succeeds is progress.
                             lastProgressNanos.put(socket, System.nanoTime());
                         }
                     });
