--- a/src/test/java/cottonlock/proxy/BackendThreadsTest.java
+++ b/src/test/java/cottonlock/proxy/BackendThreadsTest.java
@@ -12,19 +12,19 @@
 
 /** When a backend's thread begins, and that the module's thread waits for none. */
 class BackendThreadsTest extends ProxyFixture {
-    private static final int MANY = 60;
+    private static final int BACKENDS = 60;
 
     /**
      * What each thread of the proxy was made by, told by the threads themselves: they inherit this.
      */
-    private static final List<String> MAKERS = new CopyOnWriteArrayList<>();
+    private static final List<String> CREATORS = new CopyOnWriteArrayList<>();
 
-    private static final InheritableThreadLocal<Boolean> MADE =
+    private static final InheritableThreadLocal<Boolean> TRACKED =
             new InheritableThreadLocal<>() {
                 @Override
                 protected Boolean childValue(Boolean parent) {
                     if (parent) {
-                        MAKERS.add(Thread.currentThread().getName());
+                        CREATORS.add(Thread.currentThread().getName());
                     }
                     return parent;
                 }
@@ -34,11 +34,11 @@
 
     /** All of the proxy's threads come from the one that it is built by. */
     private void startInGroup(String... hosts) throws Exception {
-        MAKERS.clear();
+        CREATORS.clear();
         FutureTask<Void> building =
                 new FutureTask<>(
                         () -> {
-                            MADE.set(true);
+                            TRACKED.set(true);
                             start(256, 1, "", hosts);
                             return null;
                         });
@@ -47,33 +47,33 @@
     }
 
     private long threads(String name) {
-        Thread[] all = new Thread[4 * MANY];
+        Thread[] all = new Thread[4 * BACKENDS];
         return Arrays.stream(all, 0, group.enumerate(all))
                 .filter(t -> t.getName().equals(name))
                 .count();
     }
 
-    private static long madeBy(String name) {
-        return Collections.frequency(MAKERS, name);
+    private static long createdBy(String name) {
+        return Collections.frequency(CREATORS, name);
     }
 
     /** The first answer shows that the list has been taken in. */
     @Example
-    void aBackendsThreadBeginsWithItsFirstAttempt() throws Exception {
+    void aBackendsThreadStartsWithItsFirstAttempt() throws Exception {
         StandIn backend = new StandIn(request -> OK);
-        String[] hosts = new String[MANY];
-        for (int i = 0; i < MANY; i++) {
+        String[] hosts = new String[BACKENDS];
+        for (int i = 0; i < BACKENDS; i++) {
             hosts[i] = backend.host("b" + i);
         }
         startInGroup(hosts);
         assertEquals(200, status(call(request("once", "first", "", "body"))));
         assertEquals(1, threads("backend"), "the others have none");
-        for (int i = 0; i < MANY; i++) {
+        for (int i = 0; i < BACKENDS; i++) {
             assertEquals(200, status(call(request("once", "next" + i, "", "body"))));
         }
-        long begun = threads("backend");
-        assertTrue(begun > 1 && begun <= MANY, begun + " of " + MANY + " have been used");
-        assertEquals(begun, madeBy("starter"), "each begun once");
-        assertEquals(2, madeBy("module"), "those that write and start for it, and no other");
+        long started = threads("backend");
+        assertTrue(started > 1 && started <= BACKENDS, started + " of " + BACKENDS + " have been used");
+        assertEquals(started, createdBy("starter"), "each begun once");
+        assertEquals(2, createdBy("module"), "those that write and start for it, and no other");
     }
 }
--- a/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
+++ b/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
@@ -39,7 +39,7 @@
     private static final String FAILED = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n";
 
     /** More than is dropped of a flood before a client is read no further. */
-    private static final int FLOOD = 320 << 10;
+    private static final int FLOOD_BYTES = 320 << 10;
 
     /** Where the thread of a connection to a backend stands between two answers. */
     private static final String IDLE_CONNECTION = "NioSocketImpl.*HttpReader.awaitSingleByte";
@@ -215,7 +215,7 @@
     }
 
     @Example
-    void inTheLineOfTheModule() throws Exception {
+    void whileItWaitsForCapacity() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         StandIn backend = new StandIn(request -> isQuick(request) || awaitLatch(answer) ? OK : CLOSE);
         startWithLongTimeouts(backend);
@@ -239,7 +239,7 @@
 
     /** Who sends so much is read no further until its answer, and might leave unseen. */
     @Example
-    void inTheLineBehindAFlood() throws Exception {
+    void whileItWaitsForCapacityBeforeAFlood() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         StandIn backend = new StandIn(request -> isQuick(request) || awaitLatch(answer) ? OK : CLOSE);
         startWithLongTimeouts(backend);
@@ -250,8 +250,8 @@
                 () -> anyThreadIn("Object.wait.*ClientConnection.awaitResponse"), "it is read no further");
         long since = clock.now();
         eventually(() -> clock.now() - since > 1_000, "it may have left 0.1 s ago");
-        CountDownLatch further = new CountDownLatch(1);
-        proxy.loadBalancer().stall(() -> awaitLatch(further));
+        CountDownLatch released = new CountDownLatch(1);
+        proxy.loadBalancer().stall(() -> awaitLatch(released));
         proceed.countDown();
         eventually(
                 () ->
@@ -259,7 +259,7 @@
                                 == 8,
                 "answered at once, by no attempt's end");
         answer.countDown();
-        further.countDown();
+        released.countDown();
         for (Socket socket : sockets) {
             assertEquals(200, status(receive(socket)));
         }
@@ -272,7 +272,7 @@
     }
 
     @Example
-    void inTheMailboxOfTheModule() throws Exception {
+    void inTheMailboxOfTheLoadBalancer() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         startWithLongTimeouts(backend);
         for (boolean reset : new boolean[] {false, true}) {
@@ -311,7 +311,7 @@
 
     /** It is up, and what it needs to go on is held back until the client has left. */
     @Example
-    void whileItsConnectionComesUp() throws Exception {
+    void whileItsConnectionIsBeingOpened() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         for (boolean leaves : new boolean[] {true, false}) {
             Sent sent = attempt(null);
@@ -343,9 +343,9 @@
         Sent first = attempt(actor);
         eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "it rests");
         Sent next = attempt(actor);
-        CountDownLatch looked = new CountDownLatch(1);
-        actor.runAfterPending(looked::countDown);
-        assertTrue(awaitLatch(looked), "the attempt has been looked at");
+        CountDownLatch queued = new CountDownLatch(1);
+        actor.runAfterPending(queued::countDown);
+        assertTrue(awaitLatch(queued), "the attempt has been looked at");
         assertTrue(next.request.claim());
         send(backend.sockets.get(0), FAILED);
         eventually(next.attempt::isSettled, "settled, as nothing settles any more");
@@ -394,7 +394,7 @@
      * looked.
      */
     @Example
-    void beforeTheFirstLookAtItsClient() throws Exception {
+    void beforeTheFirstCheckOfItsClient() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         Sent first = attempt(null);
         BackendConnection connection = connection(backend, first);
@@ -445,7 +445,7 @@
 
     /** The first answer, a long one, is being passed on when it goes. */
     @Example
-    void behindAnAnswerThatIsPassedOn() throws Exception {
+    void behindAResponseThatIsBeingRelayed() throws Exception {
         CountDownLatch left = new CountDownLatch(1);
         StandIn backend = new StandIn(request -> SILENT);
         backend.responder =
@@ -511,7 +511,7 @@
                 "flood",
                 () -> {
                     try {
-                        send(socket, "x".repeat(FLOOD));
+                        send(socket, "x".repeat(FLOOD_BYTES));
                     } catch (IOException e) {
                         // It is read no further.
                     }
@@ -520,7 +520,7 @@
 
     /** Who sends so much is read no further until its answer, and might leave unseen. */
     @Example
-    void behindAFloodThereIsNoFurtherAttempt() throws Exception {
+    void afterAFloodThereIsNoFurtherAttempt() throws Exception {
         CountDownLatch proceed = new CountDownLatch(1);
         StandIn one =
                 new StandIn(
@@ -551,14 +551,14 @@
      * The same before its first attempt is written, which waits for something else than the module.
      */
     @Example
-    void behindAFloodTheFirstAttemptGoesOutSoonOrNotAtAll() throws Exception {
+    void afterAFloodTheFirstAttemptStartsSoonOrNotAtAll() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         BackendActor actor = actor(backend, 0);
         Sent unobserved = attempt(actor);
         loadBalancer.clientUnobserved(unobserved.request, false);
-        long soon = unobserved.request.observedUntilTicks;
-        assertTrue(soon <= clock.now() + 1_000, "within 0.1 s of when it was last seen");
-        eventually(() -> clock.now() >= soon, "that is over");
+        long startUntilTicks = unobserved.request.observedUntilTicks;
+        assertTrue(startUntilTicks <= clock.now() + 1_000, "within 0.1 s of when it was last seen");
+        eventually(() -> clock.now() >= startUntilTicks, "that is over");
         Sent stays = attempt(actor);
         Thread thread = Sockets.start("backend", actor);
         eventually(() -> unobserved.attempt.isSettled() && stays.attempt.isSettled(), "settled");
@@ -573,7 +573,7 @@
 
     /** Nothing is read from it any more, so nobody would see it leave. */
     @Example
-    void whatWasReadJustBeforeItsConnectionWasEndedHasNoFurtherAttempt() throws Exception {
+    void aRequestReadJustBeforeTheInputWasShutDownHasNoFurtherAttempt() throws Exception {
         CountDownLatch proceed = new CountDownLatch(1);
         StandIn one =
                 new StandIn(
@@ -612,11 +612,11 @@
     /** Reads nothing before it has been ended from here, and a request then. */
     private static final class LateSocket extends Socket {
         private final CountDownLatch ended = new CountDownLatch(1);
-        private final Socket under;
+        private final Socket delegate;
         private final byte[] late;
 
-        LateSocket(Socket under, String late) {
-            this.under = under;
+        LateSocket(Socket delegate, String late) {
+            this.delegate = delegate;
             this.late = late.getBytes(StandardCharsets.ISO_8859_1);
         }
 
@@ -643,7 +643,7 @@
 
         @Override
         public OutputStream getOutputStream() throws IOException {
-            return under.getOutputStream();
+            return delegate.getOutputStream();
         }
 
         @Override
@@ -663,7 +663,7 @@
 
         @Override
         public synchronized void close() throws IOException {
-            under.close();
+            delegate.close();
         }
     }
 
@@ -672,7 +672,7 @@
      * again.
      */
     @Example
-    void whatIsReadAfterItsConnectionWasEndedIsNotSentOn() throws Exception {
+    void aRequestReadAfterTheInputWasShutDownIsNotServed() throws Exception {
         Settings settings = ProxyConfiguration.read(config(settings(256, 1, ""))).settings();
         RequestValidator validator =
                 new RequestValidator(
@@ -720,7 +720,7 @@
     // What an attempt tells of the time that is left
 
     @Example
-    void timeSpentBehindAnotherRequestIsNotTold() throws Exception {
+    void timeSpentBehindAnotherRequestIsDeducted() throws Exception {
         long[] from = new long[2];
         long[] spent = new long[1];
         StandIn backend =
@@ -743,7 +743,7 @@
     }
 
     @Example
-    void timeSpentOnAWaitForABufferIsNotTold() throws Exception {
+    void timeSpentWaitingForABufferIsDeducted() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         Sent first = attempt(null);
         BackendConnection connection = connection(backend, first);
--- a/src/test/java/cottonlock/proxy/DescriptorLimitTest.java
+++ b/src/test/java/cottonlock/proxy/DescriptorLimitTest.java
@@ -18,10 +18,10 @@
 class DescriptorLimitTest extends ProxyFixture {
     private static final int CONFIGURED_SOCKETS = 1_024;
     private static final int ALLOWED_DESCRIPTORS = 90;
-    private static final int CROWD = 100;
+    private static final int IDLE_CLIENTS = 100;
 
     @Example
-    void aCrowdGivesWayWhereTheSystemAllowsFewerDescriptorsThanAreConfigured() throws Exception {
+    void idleClientsAreEvictedAtTheSystemsDescriptorLimit() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -47,7 +47,7 @@
         Process process = builder.redirectErrorStream(true).redirectOutput(output).start();
         open.add(process::destroyForcibly);
         eventually(() -> accepts(port), "it serves");
-        for (int i = 0; i < CROWD; i++) {
+        for (int i = 0; i < IDLE_CLIENTS; i++) {
             Socket idle = new Socket(InetAddress.getLoopbackAddress(), port);
             open.add(idle);
             send(idle, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
--- a/src/test/java/cottonlock/proxy/DrainWhileAnsweringTest.java
+++ b/src/test/java/cottonlock/proxy/DrainWhileAnsweringTest.java
@@ -24,7 +24,7 @@
     private static final int CLIENT_BUFFER_BYTES = 8 << 10;
 
     @Example
-    void aRequestBegunBehindAnAnswerThatDidNotEndTheConnectionIsServed() throws Exception {
+    void aRequestBegunAfterAResponseThatKeepsTheConnectionIsServed() throws Exception {
         String longAnswer =
                 "HTTP/1.1 200 OK\r\nContent-Length: "
                         + LONG_BODY_BYTES
@@ -47,7 +47,7 @@
         send(socket, request("read", "first", "", "") + second.substring(0, 20));
         eventually(() -> socket.getInputStream().available() > 0, "the answer has begun");
         proxy.listener().drain();
-        Thread drain = Sockets.start("drain", this::endRestingUntilEmpty);
+        Thread drain = Sockets.start("drain", this::closeIdleUntilEmpty);
         String first = head(answers);
         assertEquals(200, status(first));
         assertTrue(!first.contains("Connection: close"), first);
@@ -61,7 +61,7 @@
         assertTrue(proxy.listener().isEmpty(), "nobody is left");
     }
 
-    private void endRestingUntilEmpty() {
+    private void closeIdleUntilEmpty() {
         try {
             while (!proxy.listener().isEmpty()) {
                 proxy.listener().closeIdle();
--- a/src/test/java/cottonlock/proxy/ProxyTest.java
+++ b/src/test/java/cottonlock/proxy/ProxyTest.java
@@ -49,7 +49,7 @@
      * counted.
      */
     @Example
-    void watchesOtherSettingsAndDecidesAsBefore() throws Exception {
+    void shadowSettingsAreComparedAndChangeNoDecision() throws Exception {
         StandIn[] backends = {new StandIn(r -> OK), new StandIn(r -> OK)};
         String settings =
                 settings(256, 1, "", backends[0].host("b0"), backends[1].host("b1"))
@@ -94,7 +94,7 @@
     }
 
     @Example
-    void watchedSettingsThatCannotBeUsedAreToldAtTheStart() throws Exception {
+    void invalidShadowSettingsAreReportedAtTheStart() throws Exception {
         Path config = config(settings(256, 1, ""));
         InvalidSettingsException fault =
                 assertThrows(
@@ -116,7 +116,7 @@
     }
 
     @Example
-    void passesARequestOnAndItsAnswerBack() throws Exception {
+    void forwardsARequestAndItsResponse() throws Exception {
         String large = "x".repeat(60_000);
         StandIn backend =
                 new StandIn(
@@ -149,7 +149,7 @@
     }
 
     @Example
-    void badRequestsGetAClearAnswerAndHarmNobody() throws Exception {
+    void badRequestsAreRefusedAndAffectNoOtherClient() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         start(backend);
         String good = request("book", "g", "", "ab");
@@ -217,7 +217,7 @@
     }
 
     @Example
-    void whoSendsNothingWholeOrOnlyBadThingsIsSoonRidOf() throws Exception {
+    void idleIncompleteAndBadConnectionsAreClosedSoon() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         start(backend);
         long before = System.nanoTime();
@@ -256,25 +256,25 @@
     }
 
     @Example
-    void aCrowdThatAsksForOurHealthPushesOutNobodyWhoBringsWork() throws Exception {
+    void healthChecksDoNotEvictClientsThatSendRequests() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         // Ten for clients.
         start(24 + 16, 1, "", backend.host("b"));
-        try (Socket usual = connect()) {
-            send(usual, request("read", "u1", "", ""));
-            assertEquals(200, status(receive(usual)));
+        try (Socket worker = connect()) {
+            send(worker, request("read", "u1", "", ""));
+            assertEquals(200, status(receive(worker)));
             for (int i = 0; i < 30; i++) {
                 Socket one = connect();
                 send(one, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
                 assertEquals(200, status(receive(one)));
             }
-            send(usual, request("read", "u2", "", ""));
-            assertEquals(200, status(receive(usual)), "its connection is still open");
+            send(worker, request("read", "u2", "", ""));
+            assertEquals(200, status(receive(worker)), "its connection is still open");
         }
     }
 
     @Example
-    void connectionsOneAfterTheOtherNeedOneThread() throws Exception {
+    void successiveConnectionsShareAThread() throws Exception {
         ConnectionThreads workers = new ConnectionThreads();
         Set<Thread> threads = ConcurrentHashMap.newKeySet();
         for (int i = 0; i < 20; i++) {
@@ -292,7 +292,7 @@
     }
 
     @Example
-    void anIdThatIsUnderWayIsTakenOnlyOnce() throws Exception {
+    void aRequestIdThatIsInUseIsRefused() throws Exception {
         StandIn backend =
                 new StandIn(
                         request -> {
@@ -310,7 +310,7 @@
     }
 
     @Example
-    void largeAnswersArePassedOnAndThoseThatStopShortAreGivenUpSoon() throws Exception {
+    void largeResponsesAreRelayedAndStalledOnesAreAbandonedSoon() throws Exception {
         String large = "y".repeat(400_000);
         StandIn good =
                 new StandIn(request -> "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + large);
@@ -340,7 +340,7 @@
     }
 
     @Example
-    void aConnectionIsNotUsedOnceItsBackendMayCloseIt() throws Exception {
+    void aConnectionIsNotReusedNearItsIdleTimeout() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         proxy =
                 new Proxy(
@@ -362,7 +362,7 @@
     }
 
     @Example
-    void connectionsThatBreakWhenUsedAgainAreNotKeptForAWhile() throws Exception {
+    void connectionsThatBreakOnReuseAreNotKeptForAWhile() throws Exception {
         Map<Integer, AtomicInteger> uses = new ConcurrentHashMap<>();
         StandIn backend = new StandIn(request -> OK);
         backend.responder =
@@ -383,7 +383,7 @@
     }
 
     @Example
-    void whatComesBehindAnAnswerAnswersNothingElse() throws Exception {
+    void bytesAfterAResponseAnswerNoOtherRequest() throws Exception {
         AtomicInteger count = new AtomicInteger();
         StandIn backend =
                 new StandIn(
@@ -429,7 +429,7 @@
     }
 
     @Example
-    void whatNeverRanIsFinishedElsewhereAndWhatBrokeIsNot() throws Exception {
+    void rejectedAttemptsAreRetriedAndBrokenUnsafeOnesAreNot() throws Exception {
         String half = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nha";
         StandIn odd = new StandIn(request -> NOT_RUN);
         StandIn good = new StandIn(request -> OK);
@@ -458,7 +458,7 @@
     }
 
     @Example
-    void aSilentBackendCostsNoAnswer() throws Exception {
+    void aSilentBackendEndsInAResponseAtTheDeadline() throws Exception {
         StandIn silent = new StandIn(request -> SILENT);
         start(silent);
         long before = System.nanoTime();
@@ -473,7 +473,7 @@
     }
 
     @Example
-    void whatFindsNoBackendIsDeferredAtOnceWithATimeToComeBack() throws Exception {
+    void withoutBackendsARequestIsRejectedAtOnceWithRetryAfter() throws Exception {
         start();
         long before = System.nanoTime();
         String answer = call(request("once", "n", "", "body"));
@@ -483,14 +483,14 @@
     }
 
     @Example
-    void aClientThatLeavesIsNoticedAndOwedNothing() throws Exception {
-        Responder late =
+    void nothingIsSentForAClientThatHasDisconnected() throws Exception {
+        Responder slowRejection =
                 request -> {
                     Thread.sleep(60);
                     return NOT_RUN;
                 };
-        StandIn one = new StandIn(late);
-        StandIn two = new StandIn(late);
+        StandIn one = new StandIn(slowRejection);
+        StandIn two = new StandIn(slowRejection);
         start(one, two);
         Socket socket = connect();
         send(socket, request("read", "l", "", ""));
@@ -502,7 +502,7 @@
     }
 
     @Example
-    void oneAnswerIsClaimedAndThenTheBodyIsGone() throws Exception {
+    void aRequestIsClaimedOnceAndThenReleasesItsBody() throws Exception {
         BufferPool buffers = new BufferPool(1, 0);
         MessageBody body = new MessageBody(buffers, null);
         body.add(new byte[10], 0, 10);
@@ -524,7 +524,7 @@
     }
 
     @Example
-    void aKeptConnectionThatItsBackendClosedIsNotUsed() throws Exception {
+    void anIdleConnectionThatItsBackendClosedIsNotReused() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         start(backend);
         for (int i = 0; i < 5; i++) {
@@ -536,7 +536,7 @@
     }
 
     @Example
-    void theListIsFollowed() throws Exception {
+    void endpointListUpdatesAreApplied() throws Exception {
         StandIn one = new StandIn(request -> OK);
         StandIn two = new StandIn(request -> OK);
         AtomicInteger watches = new AtomicInteger();
@@ -582,7 +582,7 @@
     }
 
     @Example
-    void aSignalMovesDiscoveryAndABadFileChangesNothing() throws Exception {
+    void sighupMovesDiscoveryAndABadFileChangesNothing() throws Exception {
         StandIn one = new StandIn(request -> OK);
         StandIn two = new StandIn(request -> OK);
         StandIn[] discovery = new StandIn[2];
@@ -653,7 +653,7 @@
     }
 
     @Example
-    void aProxyThatIsStoppedAnswersAllThatItHasTaken() throws Exception {
+    void aDrainingProxyAnswersAllAcceptedRequests() throws Exception {
         StandIn backend =
                 new StandIn(
                         request -> {
@@ -698,7 +698,7 @@
     }
 
     @Example
-    void moreClientsAndBackendsThanSocketsAreServedInTurn() throws Exception {
+    void moreClientsAndBackendsThanSocketsAreServed() throws Exception {
         StandIn backend =
                 new StandIn(
                         request -> {
@@ -739,7 +739,7 @@
     }
 
     @Example
-    void whoNeverReadsHurtsNobodyElse() throws Exception {
+    void aClientThatNeverReadsAffectsNoOtherClient() throws Exception {
         StandIn backend =
                 new StandIn(
                         request ->
@@ -768,7 +768,7 @@
     }
 
     @Example
-    void aMachineThatTakesNoConnectionCostsOneConnectLimit() throws Exception {
+    void anUnreachableBackendCostsOneConnectTimeout() throws Exception {
         StandIn good = new StandIn(request -> OK);
         try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             for (int i = 0; i < 3; i++) {
@@ -797,7 +797,7 @@
     }
 
     @Example
-    void aMessageThatFailsEndsNeitherItsActorNorTheLog() throws Exception {
+    void aFailingMessageEndsNeitherItsActorNorTheLog() throws Exception {
         List<String> lines = new CopyOnWriteArrayList<>();
         System.Logger logger =
                 new System.Logger() {
@@ -845,7 +845,7 @@
     }
 
     @Example
-    void oddDatagramsAreDropped() throws Exception {
+    void malformedDatagramsAreDropped() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         try (DatagramSocket peer =
                         new DatagramSocket(
@@ -885,7 +885,7 @@
     }
 
     @Example
-    void aBadConfigurationIsToldInOneLine() throws Exception {
+    void anInvalidConfigurationIsReportedInOneLine() throws Exception {
         for (String text :
                 List.of(
                         "",
@@ -912,7 +912,7 @@
      * over.
      */
     @Property(seed = "20261201", tries = 60)
-    void messagesAreReadAlikeHoweverTheyAreCut(@ForAll long seed, @ForAll boolean spoilt)
+    void messagesAreParsedTheSameHoweverTheyAreSplit(@ForAll long seed, @ForAll boolean corrupted)
             throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         String body = "b".repeat(random.nextInt(20_000));
@@ -928,7 +928,7 @@
             at += n;
         }
         text.append("0\r\nX: y\r\n\r\n");
-        for (int i = 0; spoilt && i < 3; i++) {
+        for (int i = 0; corrupted && i < 3; i++) {
             text.setCharAt(random.nextInt(text.length()), (char) random.nextInt(256));
         }
         BufferPool buffers = new BufferPool(40, 0);
@@ -957,10 +957,10 @@
                 reader.setTimeout(3_000);
                 reader.readRequestHead();
                 MessageBody read = reader.readBody(buffers, null, MessageBody.MAX_BUFFERED_BYTES);
-                assertTrue(spoilt || read.length() == body.length());
+                assertTrue(corrupted || read.length() == body.length());
                 read.release();
             } catch (MalformedMessageException | IOException e) {
-                assertTrue(spoilt, "a good message was refused: " + e);
+                assertTrue(corrupted, "a good message was refused: " + e);
             }
         }
         buffers.give(buffer);
@@ -968,7 +968,7 @@
     }
 
     @Property(seed = "20261201", tries = 300)
-    void jsonIsReadOrRefused(@ForAll long seed) {
+    void malformedJsonIsRefused(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         String good = "{\"a\":[1,-2.5e3,true,null,\"\\u0041\\n\"],\"b\":{\"c\":{}}}";
         assertEquals("A\n", ((List<?>) ((Map<?, ?>) plain(JsonReader.read(good))).get("a")).get(4));
--- a/src/test/java/cottonlock/proxy/RacesTest.java
+++ b/src/test/java/cottonlock/proxy/RacesTest.java
@@ -115,7 +115,7 @@
     // Shutdown
 
     @Example
-    void aRequestReadJustBeforeItsConnectionIsEndedIsServed() throws Exception {
+    void aRequestReadJustBeforeTheInputIsShutDownIsServed() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         start(backend);
         Socket socket = connect();
@@ -135,7 +135,7 @@
     }
 
     @Example
-    void theProgramDoesNotLeaveWhileARequestHasBeenReadAndNobodyKnows() throws Exception {
+    void drainWaitsForARequestThatHasBeenReadButNotRecorded() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         start(backend);
         Socket socket = connect();
@@ -183,7 +183,7 @@
     }
 
     @Example
-    void whatTheKernelHasQueuedAsTheListenerLeavesIsServed() throws Exception {
+    void connectionsQueuedInTheKernelAreServedWhileDraining() throws Exception {
         CountDownLatch accepted = new CountDownLatch(1);
         CountDownLatch proceed = new CountDownLatch(1);
         ClientListener listener =
@@ -239,16 +239,16 @@
     }
 
     @Example
-    void aConnectionThatIsJustUpHasTimeForItsFirstRequest() throws Exception {
+    void aNewConnectionHasTimeForItsFirstRequest() throws Exception {
         start();
         for (int tries = 0; tries < 20; tries++) {
             long before = System.nanoTime();
             Socket socket = connect();
             ClientConnection client = onlyClient();
             client.close();
-            boolean ends = client.isInputShutDown();
+            boolean inputShutDown = client.isInputShutDown();
             if (System.nanoTime() - before < 250_000_000L) {
-                assertFalse(ends, "told to end before it could ask");
+                assertFalse(inputShutDown, "told to end before it could ask");
                 send(socket, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
                 assertEquals(200, status(receive(socket)));
                 return;
@@ -261,7 +261,7 @@
     }
 
     @Example
-    void whatWasTakenBeforeTheEndIsAnsweredBeforeTheProgramIsKilled() throws Exception {
+    void requestsAcceptedBeforeShutdownAreAnsweredBeforeTheKill() throws Exception {
         StandIn backend = new StandIn(request -> SILENT);
         startWithLongTimeouts(backend);
         Socket socket = connect();
@@ -275,7 +275,7 @@
     }
 
     @Example
-    void signalsBeforeItServesAreCarriedOutOnceItDoes() throws Exception {
+    void signalsDuringStartupAreHandledOnceItServes() throws Exception {
         StandIn discovery = new StandIn(request -> SILENT);
         CountDownLatch proceed = new CountDownLatch(1);
         StandIn backend =
@@ -377,7 +377,7 @@
     }
 
     @Example
-    void theNewPlaceIsAskedForTheWholeListAlsoWhereItMovesBetweenTwoWatches() throws Exception {
+    void aMoveBetweenTwoWatchesRequestsTheCompleteList() throws Exception {
         StandIn old = new StandIn(request -> "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
         StandIn now = new StandIn(request -> SILENT);
         EndpointListWatch watch = watch(old, 4_000);
@@ -392,7 +392,7 @@
     }
 
     @Example
-    void aWatchThatTricklesIsSilent() throws Exception {
+    void aWatchThatTricklesTimesOut() throws Exception {
         String head = "HTTP/1.1 200 OK\r\n";
         for (String before : List.of(head, head + "\r\n" + list(8, true) + "\n{\"seq\":9,")) {
             CountDownLatch ended = new CountDownLatch(1);
@@ -474,7 +474,7 @@
 
     /** Held in the mailbox, as long as the actor's thread has not been started. */
     @Example
-    void anAttemptThatWaitedIsWrittenOnlyIfItStillMayBe() throws Exception {
+    void aQueuedAttemptIsWrittenOnlyIfItStillMayBe() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         long later = clock.now() + 100_000;
         for (int kind = 0; kind < 4; kind++) {
@@ -501,7 +501,7 @@
 
     /** Until its first attempt an actor has no thread, and nobody reads what it is told. */
     @Example
-    void whatABackendIsToldBeforeItsFirstAttemptNeitherFillsItsMailboxNorIsForgotten()
+    void updatesBeforeTheFirstAttemptNeitherFillTheMailboxNorAreLost()
             throws Exception {
         StandIn old = new StandIn(request -> CLOSE);
         StandIn now = new StandIn(request -> FAILED);
@@ -525,7 +525,7 @@
     // Connections to backends at rest
 
     @Example
-    void aStrayAnswerReadJustBeforeTheNextAttemptIsNotItsAnswer() throws Exception {
+    void anUnsolicitedResponseIsNotTakenForThatOfTheNextAttempt() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         BackendActor actor = actor(backend, BackendActor.SETTLE_NANOS);
         Sent first = attempt(null, Long.MAX_VALUE);
@@ -567,7 +567,7 @@
 
     /** It comes while the connection settles: for eight seconds here, that no machine is late. */
     @Example
-    void aSecondAnswerThatComesLateIsNotTheNextOnes() throws Exception {
+    void aLateDuplicateResponseIsNotTakenForThatOfTheNextAttempt() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         BackendActor actor = actor(backend, 8_000_000_000L);
         Thread thread = Sockets.start("backend", actor);
@@ -586,9 +586,9 @@
                                                                             + ".awaitSingleByte.*")),
                 "it rests");
         Sent next = attempt(actor, Long.MAX_VALUE);
-        CountDownLatch looked = new CountDownLatch(1);
-        actor.runAfterPending(looked::countDown);
-        assertTrue(awaitLatch(looked), "the attempt has been looked at");
+        CountDownLatch queued = new CountDownLatch(1);
+        actor.runAfterPending(queued::countDown);
+        assertTrue(awaitLatch(queued), "the attempt has been looked at");
         send(backend.sockets.get(0), STRAY);
         eventually(next.attempt::isSettled, "sent, as nothing settles any more");
         assertEquals(2, backend.requests.size());
@@ -602,7 +602,7 @@
     // Clients that leave
 
     @Example
-    void aClientThatLeavesIsNoticedAlsoBehindMoreThanItsRequest() throws Exception {
+    void aDisconnectIsNoticedAlsoAfterFurtherInput() throws Exception {
         StandIn backend = new StandIn(request -> SILENT);
         startWithLongTimeouts(backend);
         String more = request("once", "second", "", "body");
@@ -624,7 +624,7 @@
     }
 
     @Example
-    void aRequestBehindTheFirstWaitsForItsAnswer() throws Exception {
+    void aPipelinedRequestWaitsForTheFirstResponse() throws Exception {
         CountDownLatch proceed = new CountDownLatch(1);
         StandIn backend =
                 new StandIn(
@@ -643,7 +643,7 @@
     }
 
     @Example
-    void whatAFloodDroppedIsTakenForNoRequest() throws Exception {
+    void discardedInputIsNotTakenForARequest() throws Exception {
         CountDownLatch proceed = new CountDownLatch(1);
         StandIn backend =
                 new StandIn(
@@ -713,7 +713,7 @@
     }
 
     @Example
-    void badInputLeavesNothingBehindAndTouchesNoOther() throws Exception {
+    void badInputLeaksNothingAndAffectsNoOtherClient() throws Exception {
         StandIn backend = new StandIn(request -> CLOSE);
         backend.responder =
                 request ->
