--- a/src/test/java/cottonlock/proxy/AddressAfterCloseTest.java
+++ b/src/test/java/cottonlock/proxy/AddressAfterCloseTest.java
@@ -25,8 +25,8 @@
 import net.jqwik.api.Example;
 
 /**
- * Guards against addresses that stay taken after {@code close}: whoever started again at the same
- * address at once was refused with "Address already in use".
+ * Guards against addresses that are still in use after {@code close}: a process that opened the
+ * same address again at once failed with "Address already in use".
  */
 class AddressAfterCloseTest {
     private static final int ROUNDS = 1_000;
@@ -40,7 +40,10 @@
         void openAndClose(InetSocketAddress address) throws Exception;
     }
 
-    /** Many rounds at one address beside busy threads; a round that finds it taken fails. */
+    /**
+     * Runs many rounds at one address beside busy threads; a round that finds the address in use
+     * fails.
+     */
     private void assertFreeAfterEachClose(String ip, Round round) throws Exception {
         InetSocketAddress address;
         try (ServerSocket reserved = new ServerSocket()) {
@@ -72,7 +75,7 @@
         }
     }
 
-    /** Sometimes the thread waits in the kernel by then, sometimes it has not begun. */
+    /** Sometimes the thread waits in the kernel by then, sometimes it has not started. */
     private void startAndPause(Runnable task) {
         Sockets.start("under test", task);
         LockSupport.parkNanos(random.nextLong(400_000));
--- a/src/test/java/cottonlock/proxy/BackendThreadsTest.java
+++ b/src/test/java/cottonlock/proxy/BackendThreadsTest.java
@@ -10,12 +10,12 @@
 import java.util.concurrent.FutureTask;
 import net.jqwik.api.Example;
 
-/** When a backend's thread begins, and that the module's thread waits for none. */
+/** A backend's thread is started with its first attempt, and not by the load balancer's thread. */
 class BackendThreadsTest extends ProxyFixture {
     private static final int BACKENDS = 60;
 
     /**
-     * What each thread of the proxy was made by, told by the threads themselves: they inherit this.
+     * The creator of each thread of the proxy; recorded as the threads inherit the thread-local.
      */
     private static final List<String> CREATORS = new CopyOnWriteArrayList<>();
 
@@ -32,7 +32,7 @@
 
     private final ThreadGroup group = new ThreadGroup("proxy of this test");
 
-    /** All of the proxy's threads come from the one that it is built by. */
+    /** Starts the proxy in a thread from which all its threads descend. */
     private void startInGroup(String... hosts) throws Exception {
         CREATORS.clear();
         FutureTask<Void> building =
@@ -57,7 +57,7 @@
         return Collections.frequency(CREATORS, name);
     }
 
-    /** The first answer shows that the list has been taken in. */
+    /** The first response shows that the list has been processed. */
     @Example
     void aBackendsThreadStartsWithItsFirstAttempt() throws Exception {
         StandIn backend = new StandIn(request -> OK);
@@ -67,13 +67,13 @@
         }
         startInGroup(hosts);
         assertEquals(200, status(call(request("once", "first", "", "body"))));
-        assertEquals(1, threads("backend"), "the others have none");
+        assertEquals(1, threads("backend"), "the other backends have no thread");
         for (int i = 0; i < BACKENDS; i++) {
             assertEquals(200, status(call(request("once", "next" + i, "", "body"))));
         }
         long started = threads("backend");
-        assertTrue(started > 1 && started <= BACKENDS, started + " of " + BACKENDS + " have been used");
-        assertEquals(started, createdBy("starter"), "each begun once");
-        assertEquals(2, createdBy("module"), "those that write and start for it, and no other");
+        assertTrue(started > 1 && started <= BACKENDS, started + " of " + BACKENDS + " backends have a thread");
+        assertEquals(started, createdBy("starter"), "each started once");
+        assertEquals(2, createdBy("module"), "only the threads for I/O and for starting threads");
     }
 }
--- a/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
+++ b/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
@@ -31,17 +31,17 @@
 import net.jqwik.api.Example;
 
 /**
- * Whoever closes its connection has gone, and nothing of its request begins to be sent on from then
- * on, wherever it waits. Each place of docs/races.md, Clients that leave, is held open while the
- * client goes.
+ * Guards against requests that are sent on after their clients have closed the connection. Each
+ * place of docs/races.md, Clients that leave, where a request can wait is held open while its
+ * client disconnects.
  */
 class ClientsThatLeaveTest extends ProxyFixture {
     private static final String FAILED = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n";
 
-    /** More than is dropped of a flood before a client is read no further. */
+    /** More than is discarded before a client's input is not read any more. */
     private static final int FLOOD_BYTES = 320 << 10;
 
-    /** Where the thread of a connection to a backend stands between two answers. */
+    /** The stack of a thread that waits on an idle connection to a backend. */
     private static final String IDLE_CONNECTION = "NioSocketImpl.*HttpReader.awaitSingleByte";
 
     private final RateLimitedLog log = new RateLimitedLog(System.getLogger("test"));
@@ -51,7 +51,7 @@
     private final ConnectionThreads workers = new ConnectionThreads();
     private final WriteTimeoutWatchdog watchdog = new WriteTimeoutWatchdog();
 
-    /** Its thread is never started: what it is told stays in its mailbox. */
+    /** Its thread is never started: messages stay in its mailbox. */
     private final LoadBalancerActor loadBalancer =
             new LoadBalancerActor(clock, entry -> null, metrics, log);
 
@@ -125,8 +125,8 @@
     }
 
     /**
-     * A long wait without a second answer, and much time until it is due; the module's line, that
-     * of the first tier, holds work for long.
+     * Starts the proxy with an expiry of 20 s and a latency objective of 80 s, so that requests may
+     * wait long; as in the first tier, the load balancer's queue holds requests for long.
      */
     private void startWithLongTimeouts(StandIn... backends) throws IOException {
         String[] hosts = new String[backends.length];
@@ -149,11 +149,11 @@
     }
 
     private ClientConnection onlyClient() throws Exception {
-        eventually(() -> proxy.listener().clients().size() == 1, "the client is taken in");
+        eventually(() -> proxy.listener().clients().size() == 1, "the client is accepted");
         return proxy.listener().clients().iterator().next();
     }
 
-    /** All that is known so far has been worked off by the module. */
+    /** Waits until the load balancer has processed all messages sent so far. */
     private void awaitLoadBalancer() {
         proxy.loadBalancer().awaitProcessed();
     }
@@ -161,23 +161,23 @@
     private void disconnect(Socket socket, boolean reset, int remainingClients) throws Exception {
         socket.setSoLinger(reset, 0);
         socket.close();
-        eventually(() -> proxy.listener().clients().size() == remainingClients, "its leaving is noticed");
+        eventually(() -> proxy.listener().clients().size() == remainingClients, "its disconnect is noticed");
         awaitLoadBalancer();
     }
 
     // Before an attempt
 
     /**
-     * Eight requests fill the room of the only backend, which is four, and more; so many others,
-     * the last ones, wait in the line of the module. Its thread stands still by then, until {@code
-     * goOn}.
+     * Sends eight requests, more than the only backend's capacity, which is four, and then {@code
+     * waiting} more, which wait in the load balancer's queue. When this returns, the load
+     * balancer's thread is stalled until {@code proceed}.
      */
     private List<Socket> fillBackend(int waiting, CountDownLatch proceed) throws Exception {
         for (int i = 0; i < 6; i++) {
-            // Without answers before, nothing waits.
+            // Without earlier responses, no request is queued.
             assertEquals(200, status(call(longTimeoutRequest("read", "quick" + i))));
         }
-        eventually(() -> proxy.listener().clients().isEmpty(), "they have gone");
+        eventually(() -> proxy.listener().clients().isEmpty(), "they have disconnected");
         CountDownLatch received = new CountDownLatch(1);
         CountDownLatch decided = new CountDownLatch(1);
         proxy.loadBalancer().stall(() -> awaitLatch(received));
@@ -191,7 +191,7 @@
                             proxy.listener().clients().size() == sockets.size()
                                     && proxy.listener().clients().stream()
                                             .allMatch(ClientConnection::hasOpenRequest),
-                    "taken in");
+                    "accepted");
         }
         proxy.loadBalancer()
                 .stall(
@@ -224,7 +224,7 @@
         while (sockets.size() > 8) {
             sockets.remove(sockets.size() - 1).close();
         }
-        eventually(() -> proxy.listener().clients().size() == 8, "their leaving is noticed");
+        eventually(() -> proxy.listener().clients().size() == 8, "their disconnects are noticed");
         answer.countDown();
         proceed.countDown();
         for (Socket socket : sockets) {
@@ -232,12 +232,12 @@
         }
         for (int i = 0; i < 4; i++) {
             assertEquals(
-                    200, status(call(longTimeoutRequest("read", "quick-after" + i))), "they hold no room");
+                    200, status(call(longTimeoutRequest("read", "quick-after" + i))), "they hold no capacity");
         }
-        assertEquals(18, backend.requests.size(), "sent on though they had left: " + ids(backend));
+        assertEquals(18, backend.requests.size(), "sent though they had left: " + ids(backend));
     }
 
-    /** Who sends so much is read no further until its answer, and might leave unseen. */
+    /** After so much input a client is not read before its response, and might leave unnoticed. */
     @Example
     void whileItWaitsForCapacityBeforeAFlood() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
@@ -247,9 +247,9 @@
         List<Socket> sockets = fillBackend(1, proceed);
         flood(sockets.remove(8));
         eventually(
-                () -> anyThreadIn("Object.wait.*ClientConnection.awaitResponse"), "it is read no further");
+                () -> anyThreadIn("Object.wait.*ClientConnection.awaitResponse"), "its input is not read any more");
         long since = clock.now();
-        eventually(() -> clock.now() - since > 1_000, "it may have left 0.1 s ago");
+        eventually(() -> clock.now() - since > 1_000, "more than 0.1 s have passed");
         CountDownLatch released = new CountDownLatch(1);
         proxy.loadBalancer().stall(() -> awaitLatch(released));
         proceed.countDown();
@@ -257,7 +257,7 @@
                 () ->
                         proxy.listener().clients().stream().filter(ClientConnection::hasOpenRequest).count()
                                 == 8,
-                "answered at once, by no attempt's end");
+                "answered at once, before any attempt ended");
         answer.countDown();
         released.countDown();
         for (Socket socket : sockets) {
@@ -268,7 +268,7 @@
                 "answered");
         assertEquals(200, status(call(longTimeoutRequest("read", "quick-after"))));
         assertEquals(
-                15, backend.requests.size(), "sent on though it might have left: " + ids(backend));
+                15, backend.requests.size(), "sent though it might have left: " + ids(backend));
     }
 
     @Example
@@ -280,16 +280,16 @@
             proxy.loadBalancer().stall(() -> awaitLatch(proceed));
             Socket socket = connect();
             send(socket, longTimeoutRequest("read", "gone"));
-            eventually(() -> onlyClient().hasOpenRequest(), "read whole");
+            eventually(() -> onlyClient().hasOpenRequest(), "read completely");
             socket.setSoLinger(reset, 0);
             socket.close();
-            eventually(() -> proxy.listener().clients().isEmpty(), "its leaving is noticed");
+            eventually(() -> proxy.listener().clients().isEmpty(), "its disconnect is noticed");
             proceed.countDown();
             awaitLoadBalancer();
         }
         assertEquals(200, status(call(longTimeoutRequest("read", "after"))));
         assertEquals(1, backend.requests.size());
-        assertEquals(1, backend.sockets.size(), "no connection was made for those who had left");
+        assertEquals(1, backend.sockets.size(), "no connection was opened for clients that had left");
     }
 
     @Example
@@ -302,14 +302,16 @@
         Thread thread = Sockets.start("backend", actor);
         eventually(() -> gone.attempt.isSettled() && stays.attempt.isSettled(), "settled");
         assertEquals(1, backend.requests.size());
-        assertEquals(1, backend.sockets.size(), "no connection was made for whoever had left");
+        assertEquals(1, backend.sockets.size(), "no connection was opened for a client that had left");
         actor.stop();
         thread.join(4_000);
         assertTrue(stays.request.claim());
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
-    /** It is up, and what it needs to go on is held back until the client has left. */
+    /**
+     * The connection is open, and the buffer that it needs is withheld until the client has left.
+     */
     @Example
     void whileItsConnectionIsBeingOpened() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
@@ -334,30 +336,30 @@
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
-    /** A connection rests, and may yet bring a second answer. */
+    /** A connection is idle, and a duplicate response may still arrive on it. */
     @Example
     void whileAConnectionSettles() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         BackendActor actor = actor(backend, 8_000_000_000L);
         Thread thread = Sockets.start("backend", actor);
         Sent first = attempt(actor);
-        eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "it rests");
+        eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "the connection is idle");
         Sent next = attempt(actor);
         CountDownLatch queued = new CountDownLatch(1);
         actor.runAfterPending(queued::countDown);
-        assertTrue(awaitLatch(queued), "the attempt has been looked at");
+        assertTrue(awaitLatch(queued), "the attempt has been processed");
         assertTrue(next.request.claim());
         send(backend.sockets.get(0), FAILED);
-        eventually(next.attempt::isSettled, "settled, as nothing settles any more");
+        eventually(next.attempt::isSettled, "settled, as no connection is settling any more");
         assertEquals(1, backend.requests.size());
-        assertEquals(1, backend.sockets.size(), "no connection was made for whoever had left");
+        assertEquals(1, backend.sockets.size(), "no connection was opened for a client that had left");
         actor.stop();
         thread.join(4_000);
         assertTrue(first.request.claim());
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
-    /** Held between the decision to write and its first byte. */
+    /** Held between the decision to write and the first byte. */
     @Example
     void whileItsWriteWaitsForABuffer() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
@@ -365,7 +367,7 @@
             Sent first = attempt(null);
             BackendConnection connection = connection(backend, first);
             Thread thread = Sockets.start("connection", connection);
-            eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "it rests");
+            eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "the connection is idle");
             int before = backend.requests.size();
             Sent next = attempt(null);
             assertTrue(next.attempt.attach(connection));
@@ -390,8 +392,8 @@
     }
 
     /**
-     * It was read late, its client had gone before, and the thread that sees that has not yet
-     * looked.
+     * The request was read late, its client had left before, and the thread that notices that has
+     * not checked yet.
      */
     @Example
     void beforeTheFirstCheckOfItsClient() throws Exception {
@@ -399,7 +401,7 @@
         Sent first = attempt(null);
         BackendConnection connection = connection(backend, first);
         Thread thread = Sockets.start("connection", connection);
-        eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "it rests");
+        eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "the connection is idle");
         Sent next = attempt(null);
         assertTrue(next.attempt.attach(connection));
         Thread writer = Sockets.thread("writer", () -> connection.send(next.attempt));
@@ -407,7 +409,7 @@
             writer.start();
             eventually(
                     () -> writer.getState() == Thread.State.BLOCKED,
-                    "its write waits for the look");
+                    "its write waits for the check");
             assertTrue(next.request.claim());
         }
         writer.join(4_000);
@@ -435,7 +437,7 @@
             int before = backend.requests.size();
             Socket socket = connect();
             send(socket, longTimeoutRequest("once", "first" + reset) + longTimeoutRequest("once", "second" + reset));
-            eventually(() -> backend.requests.size() == before + 1, "the first is out");
+            eventually(() -> backend.requests.size() == before + 1, "the first is sent");
             disconnect(socket, reset, 0);
         }
         proceed.countDown();
@@ -443,7 +445,7 @@
         assertEquals(3, backend.requests.size());
     }
 
-    /** The first answer, a long one, is being passed on when it goes. */
+    /** The client disconnects while the first response, a long one, is being relayed. */
     @Example
     void behindAResponseThatIsBeingRelayed() throws Exception {
         CountDownLatch left = new CountDownLatch(1);
@@ -464,7 +466,7 @@
         assertEquals('H', socket.getInputStream().read());
         socket.setSoLinger(true, 0);
         socket.close();
-        eventually(() -> proxy.listener().clients().isEmpty(), "its leaving is noticed");
+        eventually(() -> proxy.listener().clients().isEmpty(), "its disconnect is noticed");
         left.countDown();
         awaitLoadBalancer();
         backend.responder = request -> OK;
@@ -488,12 +490,12 @@
             startWithLongTimeouts(one, other);
             Socket socket = connect();
             send(socket, longTimeoutRequest("once", how));
-            eventually(() -> one.requests.size() + other.requests.size() == 1, "the first is out");
+            eventually(() -> one.requests.size() + other.requests.size() == 1, "the first is sent");
             if (how.equals("half")) {
-                // From here it can't be told from an end, and there is no answer that it could wait
-                // for.
+                // For the proxy this is the same as a full close, and there is no response that the
+                // client could wait for.
                 socket.shutdownOutput();
-                eventually(() -> proxy.listener().clients().isEmpty(), "its leaving is noticed");
+                eventually(() -> proxy.listener().clients().isEmpty(), "its disconnect is noticed");
             } else {
                 disconnect(socket, how.equals("reset"), 0);
             }
@@ -513,12 +515,12 @@
                     try {
                         send(socket, "x".repeat(FLOOD_BYTES));
                     } catch (IOException e) {
-                        // It is read no further.
+                        // Its input is not read any more.
                     }
                 });
     }
 
-    /** Who sends so much is read no further until its answer, and might leave unseen. */
+    /** After so much input a client is not read before its response, and might leave unnoticed. */
     @Example
     void afterAFloodThereIsNoFurtherAttempt() throws Exception {
         CountDownLatch proceed = new CountDownLatch(1);
@@ -532,13 +534,13 @@
         startWithLongTimeouts(one, other);
         Socket socket = connect();
         send(socket, longTimeoutRequest("once", "flood"));
-        eventually(() -> one.requests.size() + other.requests.size() == 1, "the first is out");
+        eventually(() -> one.requests.size() + other.requests.size() == 1, "the first is sent");
         ClientConnection client = onlyClient();
         flood(socket);
         eventually(
-                () -> anyThreadIn("Object.wait.*ClientConnection.awaitResponse"), "it is read no further");
+                () -> anyThreadIn("Object.wait.*ClientConnection.awaitResponse"), "its input is not read any more");
         awaitLoadBalancer();
-        assertTrue(client.hasOpenRequest(), "its first attempt is waited for");
+        assertTrue(client.hasOpenRequest(), "its first attempt is still in flight");
         proceed.countDown();
         eventually(() -> !client.hasOpenRequest(), "answered");
         one.responder = request -> OK;
@@ -548,7 +550,8 @@
     }
 
     /**
-     * The same before its first attempt is written, which waits for something else than the module.
+     * The same before the first attempt is written, while it waits for something other than the
+     * load balancer.
      */
     @Example
     void afterAFloodTheFirstAttemptStartsSoonOrNotAtAll() throws Exception {
@@ -557,8 +560,8 @@
         Sent unobserved = attempt(actor);
         loadBalancer.clientUnobserved(unobserved.request, false);
         long startUntilTicks = unobserved.request.observedUntilTicks;
-        assertTrue(startUntilTicks <= clock.now() + 1_000, "within 0.1 s of when it was last seen");
-        eventually(() -> clock.now() >= startUntilTicks, "that is over");
+        assertTrue(startUntilTicks <= clock.now() + 1_000, "within 0.1 s of when it was last observed");
+        eventually(() -> clock.now() >= startUntilTicks, "that time is over");
         Sent stays = attempt(actor);
         Thread thread = Sockets.start("backend", actor);
         eventually(() -> unobserved.attempt.isSettled() && stays.attempt.isSettled(), "settled");
@@ -569,9 +572,9 @@
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
-    // As the connection is ended from here
+    // When the proxy shuts the connection's input down
 
-    /** Nothing is read from it any more, so nobody would see it leave. */
+    /** The connection is not read any more, so a disconnect would go unnoticed. */
     @Example
     void aRequestReadJustBeforeTheInputWasShutDownHasNoFurtherAttempt() throws Exception {
         CountDownLatch proceed = new CountDownLatch(1);
@@ -584,7 +587,7 @@
         StandIn other = new StandIn(one.responder);
         startWithLongTimeouts(one, other);
         Socket socket = connect();
-        // One that has just come up has time for its first request.
+        // A new connection would have time for its first request.
         send(socket, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
         assertEquals(200, status(receive(socket)));
         ClientConnection client = onlyClient();
@@ -600,8 +603,8 @@
         client.close();
         assertTrue(client.isInputShutDown());
         ended.countDown();
-        eventually(() -> one.requests.size() + other.requests.size() == 1, "served all the same");
-        eventually(() -> anyThreadIn("ClientConnection.abandonedRequest"), "it is not read any more");
+        eventually(() -> one.requests.size() + other.requests.size() == 1, "served nevertheless");
+        eventually(() -> anyThreadIn("ClientConnection.abandonedRequest"), "its input is not read any more");
         awaitLoadBalancer();
         proceed.countDown();
         String answer = receive(socket);
@@ -609,7 +612,7 @@
         assertEquals(1, one.requests.size() + other.requests.size());
     }
 
-    /** Reads nothing before it has been ended from here, and a request then. */
+    /** Reads nothing until its input has been shut down, and a request then. */
     private static final class LateSocket extends Socket {
         private final CountDownLatch ended = new CountDownLatch(1);
         private final Socket delegate;
@@ -653,12 +656,12 @@
 
         @Override
         public void setSoTimeout(int millis) {
-            // It waits for as long as the test wants.
+            // Reads wait for as long as the test wants.
         }
 
         @Override
         public void setTcpNoDelay(boolean on) {
-            // There is nothing to be held back.
+            // Nothing is delayed here.
         }
 
         @Override
@@ -668,7 +671,7 @@
     }
 
     /**
-     * Bytes come in the moment of the shutdown: their client takes them for unread and sends them
+     * Bytes arrive in the moment of the shutdown: their client takes them for unread and sends them
      * again.
      */
     @Example
@@ -699,17 +702,17 @@
         Thread thread = Sockets.start("listener", listener);
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), listener.port())) {
             socket.setSoTimeout(8_000);
-            eventually(() -> listener.clients().size() == 1, "taken in");
+            eventually(() -> listener.clients().size() == 1, "accepted");
             ClientConnection client = listener.clients().iterator().next();
-            eventually(() -> anyThreadIn("LateSocket.*ClientConnection.awaitRequest"), "it rests");
+            eventually(() -> anyThreadIn("LateSocket.*ClientConnection.awaitRequest"), "the connection is idle");
             eventually(
                     () -> {
                         client.close();
                         return client.isInputShutDown();
                     },
-                    "told to end");
+                    "its input is shut down");
             assertEquals("", receive(socket));
-            assertFalse(client.hasSubmittedRequest(), "taken though its client sends it again");
+            assertFalse(client.hasSubmittedRequest(), "submitted though its client sends it again");
         } finally {
             listener.close();
             thread.join(4_000);
@@ -717,7 +720,7 @@
         eventually(() -> listener.isEmpty() && buffers.available() == 16, "all buffers are back");
     }
 
-    // What an attempt tells of the time that is left
+    // The remaining time that an attempt states
 
     @Example
     void timeSpentBehindAnotherRequestIsDeducted() throws Exception {
@@ -739,7 +742,7 @@
         assertEquals(200, status(receive(socket)));
         assertEquals(200, status(receive(socket)));
         long sentMillis = Long.parseLong(field(backend.requests.get(1), "X-Timeout-Ms", ""));
-        assertTrue(sentMillis <= 20_000 - spent[0], sentMillis + " told, and " + spent[0] + " spent");
+        assertTrue(sentMillis <= 20_000 - spent[0], sentMillis + " sent, and " + spent[0] + " spent");
     }
 
     @Example
@@ -748,7 +751,7 @@
         Sent first = attempt(null);
         BackendConnection connection = connection(backend, first);
         Thread thread = Sockets.start("connection", connection);
-        eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "it rests");
+        eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "the connection is idle");
         Sent next = attempt(null);
         assertTrue(next.attempt.attach(connection));
         List<byte[]> taken = new ArrayList<>();
@@ -763,7 +766,7 @@
         taken.forEach(buffers::give);
         eventually(() -> backend.requests.size() == 2, "written");
         long sentMillis = Long.parseLong(field(backend.requests.get(1), "X-Timeout-Ms", ""));
-        assertTrue(sentMillis <= left, sentMillis + " told, and " + left + " left");
+        assertTrue(sentMillis <= left, sentMillis + " sent, and " + left + " left");
         backend.sockets.forEach(Sockets::close);
         writer.join(4_000);
         thread.join(4_000);
--- a/src/test/java/cottonlock/proxy/DescriptorLimitTest.java
+++ b/src/test/java/cottonlock/proxy/DescriptorLimitTest.java
@@ -12,8 +12,8 @@
 import net.jqwik.api.Example;
 
 /**
- * Guards against a crowd that holds all descriptors where the system allows fewer than {@code
- * limits.sockets}: nobody gave way, and those who brought work were not accepted.
+ * Guards against idle clients that hold all descriptors where the system allows fewer than {@code
+ * limits.sockets}: no connection was evicted, and clients that sent requests were not accepted.
  */
 class DescriptorLimitTest extends ProxyFixture {
     private static final int CONFIGURED_SOCKETS = 1_024;
--- a/src/test/java/cottonlock/proxy/DrainWhileAnsweringTest.java
+++ b/src/test/java/cottonlock/proxy/DrainWhileAnsweringTest.java
@@ -14,11 +14,11 @@
 import net.jqwik.api.Example;
 
 /**
- * Guards against a connection that a drain ends behind an answer which did not say so: the request
- * that its client had begun to send was dropped.
+ * Guards against a drain that closes a connection after a response which did not announce that: the
+ * request that its client had begun to send was dropped.
  */
 class DrainWhileAnsweringTest extends ProxyFixture {
-    /** More than the buffers of the sockets hold, so that the answer waits for its reader. */
+    /** More than the sockets' buffers hold, so that the response waits for its reader. */
     private static final int LONG_BODY_BYTES = 16 << 20;
 
     private static final int CLIENT_BUFFER_BYTES = 8 << 10;
@@ -58,7 +58,7 @@
         assertEquals(200, status(answer));
         assertTrue(answer.contains("Connection: close"), answer);
         drain.join(8_000);
-        assertTrue(proxy.listener().isEmpty(), "nobody is left");
+        assertTrue(proxy.listener().isEmpty(), "no connection is left");
     }
 
     private void closeIdleUntilEmpty() {
@@ -72,7 +72,10 @@
         }
     }
 
-    /** The head of the next answer, up to the empty line; what there is of it if it ends. */
+    /**
+     * Reads the head of the next response, up to the empty line; what there is of it if the stream
+     * ends.
+     */
     private static String head(InputStream in) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         String text = "";
--- a/src/test/java/cottonlock/proxy/ProxyFixture.java
+++ b/src/test/java/cottonlock/proxy/ProxyFixture.java
@@ -27,16 +27,16 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import net.jqwik.api.lifecycle.AfterTry;
 
-/** A proxy on loopback sockets, stand-ins of clients, backends and discovery, and how they talk. */
+/** Runs a proxy on loopback sockets, with stand-ins for clients, backends and discovery. */
 abstract class ProxyFixture {
     static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     static final String NOT_RUN =
             "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
 
-    /** Closes the connection in place of an answer. */
+    /** Closes the connection instead of responding. */
     static final String CLOSE = "";
 
-    /** Behind what is to be written before that. */
+    /** At the end of a response: closes the connection after writing what comes before. */
     static final String THEN_CLOSE = "\0";
 
     /** Never answers. */
@@ -48,12 +48,12 @@
     Proxy proxy;
     int buffersAtFirst;
 
-    /** What a backend's stand-in does with a request, whose lines it is given. */
+    /** Responds to a request, given as its lines. */
     interface Responder {
         String respond(List<String> request) throws Exception;
     }
 
-    /** A stand-in that answers each request as its play says. */
+    /** A stand-in for a backend or discovery that answers each request by its responder. */
     final class StandIn implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         final List<Socket> sockets = new CopyOnWriteArrayList<>();
@@ -92,7 +92,7 @@
                     }
                     char[] body = new char[Integer.parseInt(field(lines, "Content-Length", "0"))];
                     for (int n = 0; n < body.length; n += in.read(body, n, body.length - n)) {
-                        // Until all of it has come.
+                        // Until the body is complete.
                     }
                     lines.add(new String(body));
                     List<String> request = List.copyOf(lines);
@@ -103,9 +103,8 @@
                         return;
                     }
                     if (answer.endsWith(THEN_CLOSE)) {
-                        // On the connection that asked: written to another one, half an answer and
-                        // the next
-                        // half would make a whole one there.
+                        // On the connection of the request: written to another one, half a response
+                        // and the next half would look like a complete one there.
                         String before = answer.substring(0, answer.length() - THEN_CLOSE.length());
                         socket.getOutputStream()
                                 .write(before.getBytes(StandardCharsets.ISO_8859_1));
@@ -197,7 +196,7 @@
         start(256, 1, "", hosts);
     }
 
-    /** After each test everything must have been given back. */
+    /** After each test every buffer must have been returned. */
     @AfterTry
     void closesCleanly() throws Exception {
         if (proxy != null) {
@@ -255,8 +254,8 @@
     }
 
     /**
-     * One whole answer: its head, an empty line and its body; what there is of it if the stream
-     * ends.
+     * Reads a complete response: its head, an empty line and its body; what there is of it if the
+     * stream ends.
      */
     static String receive(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
--- a/src/test/java/cottonlock/proxy/ProxyTest.java
+++ b/src/test/java/cottonlock/proxy/ProxyTest.java
@@ -42,12 +42,9 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** A proxy on loopback sockets between stand-ins of clients, backends and discovery. */
+/** The proxy on loopback sockets between stand-ins for clients, backends and discovery. */
 class ProxyTest extends ProxyFixture {
-    /**
-     * What operators watch before they move: the answers stay, and each kind of difference is
-     * counted.
-     */
+    /** Shadow settings change no decision of the proxy, and each kind of difference is counted. */
     @Example
     void shadowSettingsAreComparedAndChangeNoDecision() throws Exception {
         StandIn[] backends = {new StandIn(r -> OK), new StandIn(r -> OK)};
@@ -74,8 +71,8 @@
         for (int i = 0; i < 60; i++) {
             finished += status(call(request("read", "id" + i, "", ""))) == 200 ? 1 : 0;
         }
-        // One of 40 balancers alike may let in few of these; where each carries its own, over half
-        // of them.
+        // One of 40 equal load balancers may accept few of these; with the shadow's settings, it
+        // would accept over half of them.
         assertEquals(finished, backends[0].requests.size() + backends[1].requests.size());
         assertTrue(finished < 30, finished + " finished");
         int all = finished;
@@ -90,7 +87,7 @@
                 all + " " + proxy.shadowCounts());
         eventually(
                 () -> proxy.shadowCounts().get(ShadowLoadBalancer.Kind.WOULD_CLOSE) > 0,
-                "connections that rest are seen");
+                "idle connections are observed");
     }
 
     @Example
@@ -145,7 +142,7 @@
         int left = Integer.parseInt(field(seen, "X-Timeout-Ms", "0"));
         assertTrue(left > 600 && left <= 1200, "time left: " + left);
         assertEquals(large, seen.get(seen.size() - 1));
-        assertEquals(1, backend.sockets.size(), "a kept connection is used again");
+        assertEquals(1, backend.sockets.size(), "an idle connection is reused");
     }
 
     @Example
@@ -206,13 +203,13 @@
             String fault = answer.substring(answer.indexOf("\r\n\r\n") + 4);
             assertTrue(
                     fault.strip().length() > 5 && fault.lines().count() == 1, "one line: " + fault);
-            assertFalse(fault.contains("acme") || fault.contains("read"), "names what others have");
+            assertFalse(fault.contains("acme") || fault.contains("read"), "names configured values");
         }
         try (Socket half = connect()) {
             send(half, good.substring(0, good.length() - 1));
-            assertEquals(0, backend.requests.size(), "nothing bad or half has been passed on");
+            assertEquals(0, backend.requests.size(), "no bad or incomplete request has been forwarded");
             assertEquals(200, status(call(good)));
-            assertEquals(408, status(receive(half)), "half a request ends in time");
+            assertEquals(408, status(receive(half)), "an incomplete request times out");
         }
     }
 
@@ -238,19 +235,19 @@
                             Thread.sleep(50);
                         }
                     } catch (IOException | InterruptedException e) {
-                        // It has been ended.
+                        // The proxy has closed the connection.
                     }
                 });
         try (Socket bad = connect()) {
             send(bad, request("read", "bad", "", "").replace("read", "nothing").repeat(300));
             assertEquals(404, status(receive(bad)));
-            assertEquals("", receive(bad), "one answer, then the end");
+            assertEquals("", receive(bad), "one response, then the connection ends");
         }
         assertEquals(408, status(receive(half)));
         for (Socket silent : slow.subList(1, 30)) {
             assertEquals("", receive(silent));
         }
-        assertEquals("", receive(resting), "who asks once and stays is left too");
+        assertEquals("", receive(resting), "a connection without a further request is closed too");
         assertTrue(System.nanoTime() - before < 3_000_000_000L, "all within three seconds");
         assertEquals(0, backend.requests.size());
     }
@@ -258,7 +255,7 @@
     @Example
     void healthChecksDoNotEvictClientsThatSendRequests() throws Exception {
         StandIn backend = new StandIn(request -> OK);
-        // Ten for clients.
+        // Ten connections for clients.
         start(24 + 16, 1, "", backend.host("b"));
         try (Socket worker = connect()) {
             send(worker, request("read", "u1", "", ""));
@@ -336,7 +333,7 @@
         long before = System.nanoTime();
         assertEquals(502, status(call(request("once", "short", "X-Timeout-Ms: 1500\r\n", "body"))));
         long took = (System.nanoTime() - before) / 1_000_000;
-        assertTrue(took < 1_400, "before its expiry: " + took);
+        assertTrue(took < 1_400, "before its deadline: " + took);
     }
 
     @Example
@@ -355,7 +352,7 @@
         assertEquals(
                 6,
                 backend.sockets.size(),
-                "each has rested for nine tenths of what its backend allows");
+                "each has been idle for nine tenths of its backend's timeout");
         assertEquals(200, status(call(request("once", "quick", "", "body"))));
         assertEquals(200, status(call(request("once", "quicker", "", "body"))));
         assertEquals(7, backend.sockets.size());
@@ -377,9 +374,9 @@
         for (int i = 0; i < 20; i++) {
             broken += status(call(request("once", "k" + i, "", "body"))) == 502 ? 1 : 0;
         }
-        // One that a busy machine tells late does not count; kept all the same, ten of twenty would
-        // break.
-        assertTrue(broken >= 3 && broken <= 6, "after the third none is used again: " + broken);
+        // A break that a busy machine reports late does not count; if connections were kept
+        // nevertheless, ten of twenty requests would break.
+        assertTrue(broken >= 3 && broken <= 6, "after the third break none is reused: " + broken);
     }
 
     @Example
@@ -444,16 +441,17 @@
         for (int i = 0; i < 6; i++) {
             statuses.add(status(call(request("once", "o" + i, "", ""))));
         }
-        // Deferred is only what found no backend trusted any more, and went out to none.
+        // A rejection is allowed only for a request that found no trusted backend and was sent to
+        // none.
         assertTrue(
                 statuses.contains(502) && !statuses.contains(200),
-                "a broken answer never looks whole");
+                "a broken response never looks complete");
         for (StandIn backend : List.of(odd, good)) {
             List<String> ids = new ArrayList<>();
             backend.requests.stream()
                     .filter(lines -> lines.get(0).startsWith("POST /once"))
                     .forEach(lines -> ids.add(field(lines, "X-Request-ID", "")));
-            assertEquals(Set.copyOf(ids).size(), ids.size(), "what is unsafe has been sent once");
+            assertEquals(Set.copyOf(ids).size(), ids.size(), "unsafe requests have been sent once");
         }
     }
 
@@ -464,12 +462,12 @@
         long before = System.nanoTime();
         int status = status(call(request("once", "s", "X-Timeout-Ms: 400\r\n", "body")));
         long took = (System.nanoTime() - before) / 1_000_000;
-        assertEquals(502, status, "it may have run");
-        assertTrue(took >= 350 && took < 700, "answered at its expiry: " + took);
+        assertEquals(502, status, "it may have been executed");
+        assertTrue(took >= 350 && took < 700, "answered at its deadline: " + took);
         eventually(() -> silent.sockets.get(0).isClosed(), "the attempt's connection is closed");
         int endless = status(call(request("once", "e", "X-Timeout-Ms: 99999999\r\n", "body")));
-        assertTrue(Set.of(502, 503).contains(endless), "answered within its category's expiry");
-        assertTrue(silent.requests.size() <= 2, "nothing is sent again");
+        assertTrue(Set.of(502, 503).contains(endless), "answered within its request class's expiry");
+        assertTrue(silent.requests.size() <= 2, "nothing is retried");
     }
 
     @Example
@@ -498,7 +496,7 @@
         socket.close();
         Thread.sleep(200);
         assertEquals(
-                1, one.requests.size() + two.requests.size(), "nothing is sent for who has left");
+                1, one.requests.size() + two.requests.size(), "nothing is sent for a client that has left");
     }
 
     @Example
@@ -517,7 +515,7 @@
         assertTrue(req.retainBody());
         assertTrue(req.claim());
         assertFalse(req.claim());
-        assertEquals(0, buffers.available(), "a write of it is under way");
+        assertEquals(0, buffers.available(), "a write of the body is under way");
         req.releaseBody();
         assertEquals(1, buffers.available());
         assertFalse(req.retainBody());
@@ -569,16 +567,16 @@
                 "the new backend gets work");
         int before = one.requests.size();
         for (int i = 0; i < 10; i++) {
-            // On a busy machine an answer may look slow, and the only backend doubtful.
+            // On a busy machine a response may look slow, and the only backend unreliable.
             assertTrue(Set.of(200, 503).contains(status(call(request("read", "c" + i, "", "")))));
         }
-        assertEquals(before, one.requests.size(), "the one that has left gets none");
+        assertEquals(before, one.requests.size(), "the one that was removed gets none");
         eventually(
                 () -> one.sockets.stream().allMatch(Socket::isClosed),
                 "its connections are closed");
         two.close();
         int last = status(call(request("read", "d", "", "")));
-        assertTrue(Set.of(502, 503).contains(last), "nobody is left: " + last);
+        assertTrue(Set.of(502, 503).contains(last), "no backend is left: " + last);
     }
 
     @Example
@@ -618,7 +616,7 @@
         Process process = builder.redirectErrorStream(true).start();
         open.add(process::destroyForcibly);
         BufferedReader log = process.inputReader();
-        eventually(() -> !discovery[0].requests.isEmpty(), "it follows the list");
+        eventually(() -> !discovery[0].requests.isEmpty(), "it watches the list");
         try (Socket held = new Socket(InetAddress.getLoopbackAddress(), port)) {
             one.responder =
                     request -> {
@@ -640,7 +638,7 @@
                 assertEquals(text.equals(texts[1]), !line.contains("stays in force"), line);
                 Thread.sleep(1_050);
             }
-            assertEquals(200, status(receive(held)), "requests are kept");
+            assertEquals(200, status(receive(held)), "the open request is answered");
             eventually(() -> discovery[0].sockets.get(0).isClosed(), "the old watch is closed");
             assertTrue(discovery[1].requests.get(0).get(0).endsWith("index=0 HTTP/1.1"));
         }
@@ -662,7 +660,7 @@
                         });
         start(backend);
         try (Socket early = connect();
-                Socket late = connect();
+                Socket slowRejection = connect();
                 Socket resting = connect();
                 Socket stuck = connect()) {
             long before = System.nanoTime();
@@ -678,21 +676,21 @@
                                 }
                             });
             Thread.sleep(200);
-            send(late, request("read", "late", "", ""));
-            assertEquals(200, status(call(request("read", "new", "", ""))), "clients still come");
+            send(slowRejection, request("read", "late", "", ""));
+            assertEquals(200, status(call(request("read", "new", "", ""))), "new clients are accepted");
             assertEquals(200, status(receive(early)));
             send(early, request("once", "last", "", "body"));
             send(stuck, request("once", "stuck", "X-Timeout-Ms: 1400\r\n", "body"));
-            assertEquals(200, status(receive(late)));
+            assertEquals(200, status(receive(slowRejection)));
             String last = receive(early);
             assertEquals(200, status(last));
             assertTrue(last.contains("Connection: close"), last);
-            assertEquals("", receive(resting), "one that rests is closed");
+            assertEquals("", receive(resting), "an idle connection is closed");
             assertEquals(502, status(receive(stuck)));
             long took = (System.nanoTime() - before) / 1_000_000;
             assertTrue(took < 2_100, "before the program is killed: " + took);
             draining.join(2_000);
-            assertFalse(draining.isAlive(), "it leaves once all is answered");
+            assertFalse(draining.isAlive(), "it ends once all is answered");
             assertThrows(ConnectException.class, this::connect);
         }
     }
@@ -716,7 +714,8 @@
         for (int i = 0; i < hosts.length; i++) {
             hosts[i] = backends[i].host("b" + i);
         }
-        // Four for clients and two for backends: the connections that rest must give way.
+        // Four connections for clients and two for backends: idle connections must be closed for
+        // others.
         start(24 + 6, 1, "", hosts);
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
@@ -732,7 +731,7 @@
         }
         assertTrue(
                 Set.of(0, 408).contains(status(receive(sockets.get(0)))),
-                "half a request ends too");
+                "an incomplete request ends too");
         for (StandIn each : backends) {
             assertFalse(each.requests.isEmpty(), "every backend has had work");
         }
@@ -777,7 +776,7 @@
                 try {
                     filling.connect(deaf.getLocalSocketAddress(), 50);
                 } catch (IOException e) {
-                    // The queue of new connections is full: the next ones never come up.
+                    // The queue of new connections is full: further ones are never established.
                 }
             }
             start(
@@ -908,8 +907,7 @@
     }
 
     /**
-     * However a message is cut on its way, it is read the same; rubbish is refused, not stumbled
-     * over.
+     * A message is parsed the same however it is split into packets; a corrupted one is refused.
      */
     @Property(seed = "20261201", tries = 60)
     void messagesAreParsedTheSameHoweverTheyAreSplit(@ForAll long seed, @ForAll boolean corrupted)
@@ -948,7 +946,7 @@
                             }
                             sender.shutdownOutput();
                         } catch (IOException e) {
-                            // The reader has refused it.
+                            // The reader has refused the message.
                         }
                     });
             HttpReader reader = new HttpReader(socket, buffer);
--- a/src/test/java/cottonlock/proxy/RacesTest.java
+++ b/src/test/java/cottonlock/proxy/RacesTest.java
@@ -33,8 +33,8 @@
 import net.jqwik.api.Example;
 
 /**
- * Crossings of docs/races.md: what comes between two lines is made to come there, by a lock that
- * the test holds or a peer that acts on what it reads, never by waiting for luck.
+ * The races of docs/races.md: each interleaving is forced by a lock that the test holds, or by a
+ * peer that reacts to what it reads, never left to timing.
  */
 class RacesTest extends ProxyFixture {
     private static final String STRAY = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
@@ -47,7 +47,7 @@
     private final ConnectionThreads workers = new ConnectionThreads();
     private final WriteTimeoutWatchdog watchdog = new WriteTimeoutWatchdog();
 
-    /** Its thread is never started: what it is told stays in its mailbox. */
+    /** Its thread is never started: messages stay in its mailbox. */
     private final LoadBalancerActor loadBalancer =
             new LoadBalancerActor(clock, entry -> null, metrics, log);
 
@@ -74,12 +74,14 @@
                     try {
                         proxy.drain(signalledAtNanos);
                     } catch (InterruptedException e) {
-                        // The test fails by what has not happened.
+                        // The test fails because what it expects does not happen.
                     }
                 });
     }
 
-    /** A long wait without a second answer, and nothing left in the way of a longer one. */
+    /**
+     * Starts the proxy with an expiry of 20 s, so that requests may wait long for their response.
+     */
     private void startWithLongTimeouts(StandIn... backends) throws IOException {
         String[] hosts = new String[backends.length];
         for (int i = 0; i < hosts.length; i++) {
@@ -90,11 +92,14 @@
     }
 
     private ClientConnection onlyClient() throws Exception {
-        eventually(() -> proxy.listener().clients().size() == 1, "the client is taken in");
+        eventually(() -> proxy.listener().clients().size() == 1, "the client is accepted");
         return proxy.listener().clients().iterator().next();
     }
 
-    /** Its last answer is done with, and its thread waits for the next byte. */
+    /**
+     * Waits until the last response is complete and the connection's thread waits for the next
+     * byte.
+     */
     private static ClientConnection awaitIdle(ClientConnection client) throws Exception {
         eventually(
                 () ->
@@ -108,7 +113,7 @@
                                                                         "(?s).*NioSocketImpl."
                                                                             + "*ClientConnection"
                                                                             + ".awaitRequest.*")),
-                "it rests");
+                "the connection is idle");
         return client;
     }
 
@@ -124,7 +129,7 @@
         ClientConnection client = awaitIdle(onlyClient());
         synchronized (client) {
             send(socket, request("once", "read", "", "body"));
-            eventually(RacesTest::anyConnectionThreadBlocked, "read, and not yet told of");
+            eventually(RacesTest::anyConnectionThreadBlocked, "read, and not yet recorded");
             client.close();
         }
         String answer = receive(socket);
@@ -150,28 +155,29 @@
                     awaitLatch(proceed);
                 };
         send(socket, request("once", "read", "", "body"));
-        assertTrue(awaitLatch(read), "read, and not yet told of");
+        assertTrue(awaitLatch(read), "read, and not yet recorded");
         AtomicBoolean empty = new AtomicBoolean();
         Thread draining =
                 Sockets.start(
                         "drain",
                         () -> {
                             try {
-                                // Told a second ago: what it still takes, it has taken by now.
+                                // Signalled a second ago: by now it has accepted all that it will
+                                // accept.
                                 proxy.drain(System.nanoTime() - 1_000_000_000L);
                                 empty.set(proxy.listener().clients().isEmpty());
                             } catch (InterruptedException e) {
-                                // The test fails by what has not happened.
+                                // The test fails because what it expects does not happen.
                             }
                         });
-        eventually(client::isInputShutDown, "it is told to end");
-        // Time to leave too early, for one that does.
+        eventually(client::isInputShutDown, "its input is shut down");
+        // Time enough for a drain that ends too early.
         draining.join(200);
         proceed.countDown();
         assertEquals(200, status(receive(socket)));
         draining.join(4_000);
-        assertFalse(draining.isAlive(), "it leaves once all is answered");
-        assertTrue(empty.get(), "and no sooner");
+        assertFalse(draining.isAlive(), "it ends once all is answered");
+        assertTrue(empty.get(), "it ends no sooner");
     }
 
     private static boolean awaitLatch(CountDownLatch latch) {
@@ -216,7 +222,7 @@
             open.add(sockets[i]);
             send(sockets[i], "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
         }
-        // One is held between accept and the set of clients, five rest in the kernel's queue.
+        // One is held between accept and the set of clients, five wait in the kernel's queue.
         assertTrue(accepted.await(8, TimeUnit.SECONDS));
         listener.drain();
         listener.closeIdle();
@@ -232,7 +238,7 @@
                     listener.closeIdle();
                     return listener.isEmpty();
                 },
-                "nobody is left");
+                "no connection is left");
         thread.join(4_000);
         assertFalse(thread.isAlive());
         eventually(() -> buffers.available() == 16, "all buffers are back");
@@ -248,16 +254,16 @@
             client.close();
             boolean inputShutDown = client.isInputShutDown();
             if (System.nanoTime() - before < 250_000_000L) {
-                assertFalse(inputShutDown, "told to end before it could ask");
+                assertFalse(inputShutDown, "shut down before it could send a request");
                 send(socket, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
                 assertEquals(200, status(receive(socket)));
                 return;
             }
-            // The machine was late: nothing is shown.
+            // The machine was too slow: this try shows nothing.
             socket.close();
             eventually(() -> proxy.listener().clients().isEmpty(), "gone");
         }
-        throw new AssertionError("a machine so late shows nothing");
+        throw new AssertionError("the machine was too slow for each try");
     }
 
     @Example
@@ -267,7 +273,7 @@
         Socket socket = connect();
         send(socket, request("once", "stuck", "X-Timeout-Ms: 20000\r\n", "body"));
         eventually(() -> backend.requests.size() == 1, "sent");
-        // Told 2.4 s ago, it has one second more, and the request has eighteen.
+        // Signalled 2.4 s ago, it has one second left, and the request has eighteen.
         Thread draining = drain(System.nanoTime() - 2_400_000_000L);
         assertEquals(502, status(receive(socket)));
         draining.join(4_000);
@@ -288,7 +294,7 @@
         assertEquals(0, new ProcessBuilder("mkfifo", fifo.toString()).start().waitFor());
         ProcessBuilder builder =
                 new ProcessBuilder(
-                        // Started under nohup, this test would pass on an ignored SIGHUP.
+                        // Under nohup, SIGHUP would be ignored and this test would pass.
                         "env",
                         "--default-signal=HUP",
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -311,14 +317,15 @@
             port = free.getLocalPort();
         }
         text = text.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\"");
-        // Opened for writing once the program reads it: it is in the middle of its start.
+        // Opening it for writing waits until the process reads it, which is in the middle of its
+        // start.
         try (var out = Files.newOutputStream(fifo)) {
             assertEquals(0, signal("HUP", process));
             out.write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
         eventually(() -> discovery.requests.size() > 0, "it serves");
-        // Carried out only now: it reads its configuration again, or nobody would open this other
-        // end.
+        // Handled only now: the process reads its configuration again, else no reader would open
+        // the other end.
         String again = text;
         CountDownLatch read = new CountDownLatch(1);
         Sockets.start(
@@ -331,15 +338,15 @@
                         // The test fails below.
                     }
                 });
-        assertTrue(read.await(8, TimeUnit.SECONDS), "SIGHUP is carried out");
+        assertTrue(read.await(8, TimeUnit.SECONDS), "SIGHUP is handled");
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(8_000);
             send(socket, request("once", "held", "X-Timeout-Ms: 20000\r\n", "body"));
-            eventually(() -> backend.requests.size() == 1, "it is out");
+            eventually(() -> backend.requests.size() == 1, "it is sent");
             for (String name : List.of("TERM", "TERM", "HUP")) {
                 assertEquals(0, signal(name, process));
             }
-            // Time to leave too early, for one that does.
+            // Time enough for a process that ends too early.
             assertFalse(process.waitFor(300, TimeUnit.MILLISECONDS));
             proceed.countDown();
             assertEquals(200, status(receive(socket)));
@@ -382,12 +389,12 @@
         StandIn now = new StandIn(request -> SILENT);
         EndpointListWatch watch = watch(old, 4_000);
         watch.request();
-        eventually(() -> old.requests.size() == 1, "the old place is asked");
+        eventually(() -> old.requests.size() == 1, "the old address is asked");
         assertTrue(old.requests.get(0).get(0).contains("index=7 "));
-        // Refused there, it waits until the module asks again.
+        // Refused there, it waits until the load balancer asks again.
         eventually(watch::awaitsRequest, "between two watches");
         watch.move(address(now));
-        eventually(() -> now.requests.size() == 1, "the new place is asked");
+        eventually(() -> now.requests.size() == 1, "the new address is asked");
         assertTrue(now.requests.get(0).get(0).contains("index=0 "), now.requests.get(0).get(0));
     }
 
@@ -403,7 +410,7 @@
                         send(socket, before);
                         try {
                             while (true) {
-                                // Far more than 16 bytes a second: no pause, but nothing whole
+                                // Far more than 16 bytes a second: no pause, but nothing complete
                                 // either.
                                 send(socket, "x");
                                 Thread.sleep(10);
@@ -432,10 +439,10 @@
         start(256, discovery.server.getLocalPort(), "");
         eventually(
                 () -> status(call(request("read", "i" + System.nanoTime(), "", ""))) == 200,
-                "it is known");
+                "the backend is known");
     }
 
-    // Attempts on their way
+    // Attempts under way
 
     private Sent attempt(BackendActor actor, long sendBy) throws Exception {
         MessageHead head = new MessageHead(new String[] {"POST", "/once", "HTTP/1.1"});
@@ -472,7 +479,7 @@
                 log);
     }
 
-    /** Held in the mailbox, as long as the actor's thread has not been started. */
+    /** The attempt is held in the mailbox until the actor's thread is started. */
     @Example
     void aQueuedAttemptIsWrittenOnlyIfItStillMayBe() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
@@ -489,7 +496,7 @@
             }
             Thread thread = Sockets.start("backend", actor);
             eventually(sent.attempt::isSettled, "settled");
-            assertEquals(1, backend.requests.size(), "only the first, that nothing speaks against");
+            assertEquals(1, backend.requests.size(), "only the first may be sent");
             actor.stop();
             thread.join(4_000);
             if (kind != 3) {
@@ -499,7 +506,7 @@
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
-    /** Until its first attempt an actor has no thread, and nobody reads what it is told. */
+    /** Until its first attempt an actor has no thread that would process its messages. */
     @Example
     void updatesBeforeTheFirstAttemptNeitherFillTheMailboxNorAreLost()
             throws Exception {
@@ -512,7 +519,7 @@
         }
         Sent sent = attempt(actor, Long.MAX_VALUE);
         assertTrue(actor.markStarted(), "it has no thread yet");
-        assertFalse(actor.markStarted(), "it is being given one");
+        assertFalse(actor.markStarted(), "its thread is being started");
         actor.startThread();
         eventually(sent.attempt::isSettled, "settled");
         assertEquals(1, now.requests.size());
@@ -522,7 +529,7 @@
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
-    // Connections to backends at rest
+    // Idle connections to backends
 
     @Example
     void anUnsolicitedResponseIsNotTakenForThatOfTheNextAttempt() throws Exception {
@@ -550,22 +557,25 @@
                                         .toString()
                                         .matches(
                                                 "(?s).*NioSocketImpl.*HttpReader.awaitSingleByte.*"),
-                "it rests");
+                "the connection is idle");
         Sent next = attempt(null, Long.MAX_VALUE);
         synchronized (connection) {
             send(backend.sockets.get(0), STRAY);
-            eventually(() -> isBlocked(thread), "read, and not yet judged");
+            eventually(() -> isBlocked(thread), "read, and not yet checked");
             assertTrue(next.attempt.attach(connection));
             assertFalse(connection.send(next.attempt), "something lies there already");
         }
         thread.join(4_000);
-        assertFalse(next.attempt.isSettled(), "it may go out elsewhere");
+        assertFalse(next.attempt.isSettled(), "it may be sent on another connection");
         assertEquals(1, backend.requests.size());
         assertTrue(first.request.claim() && next.request.claim());
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
-    /** It comes while the connection settles: for eight seconds here, that no machine is late. */
+    /**
+     * It arrives while the connection settles, which takes eight seconds here, so that no machine
+     * is too slow.
+     */
     @Example
     void aLateDuplicateResponseIsNotTakenForThatOfTheNextAttempt() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
@@ -584,13 +594,13 @@
                                                                         "(?s).*NioSocketImpl."
                                                                             + "*HttpReader"
                                                                             + ".awaitSingleByte.*")),
-                "it rests");
+                "the connection is idle");
         Sent next = attempt(actor, Long.MAX_VALUE);
         CountDownLatch queued = new CountDownLatch(1);
         actor.runAfterPending(queued::countDown);
-        assertTrue(awaitLatch(queued), "the attempt has been looked at");
+        assertTrue(awaitLatch(queued), "the attempt has been processed");
         send(backend.sockets.get(0), STRAY);
-        eventually(next.attempt::isSettled, "sent, as nothing settles any more");
+        eventually(next.attempt::isSettled, "sent, as no connection is settling any more");
         assertEquals(2, backend.requests.size());
         assertEquals(2, backend.sockets.size(), "each on a connection of its own");
         actor.stop();
@@ -599,7 +609,7 @@
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
-    // Clients that leave
+    // Clients that disconnect
 
     @Example
     void aDisconnectIsNoticedAlsoAfterFurtherInput() throws Exception {
@@ -611,7 +621,7 @@
                 int before = backend.requests.size();
                 Socket socket = connect();
                 send(socket, request("once", "first" + before, "X-Timeout-Ms: 20000\r\n", "body"));
-                eventually(() -> backend.requests.size() == before + 1, "out where nobody answers");
+                eventually(() -> backend.requests.size() == before + 1, "sent to a backend that doesn't answer");
                 send(socket, behind);
                 socket.setSoLinger(reset, 0);
                 socket.close();
@@ -635,7 +645,7 @@
         start(backend);
         Socket socket = connect();
         send(socket, request("once", "first", "", "body") + request("once", "second", "", "body"));
-        eventually(() -> backend.requests.size() == 1, "the first is out");
+        eventually(() -> backend.requests.size() == 1, "the first is sent");
         proceed.countDown();
         assertEquals(200, status(receive(socket)));
         assertEquals(200, status(receive(socket)));
@@ -654,10 +664,10 @@
         start(backend);
         Socket socket = connect();
         send(socket, request("once", "first", "", "body"));
-        eventually(() -> backend.requests.size() == 1, "the first is out");
+        eventually(() -> backend.requests.size() == 1, "the first is sent");
         send(socket, request("once", "flood", "", "body").repeat(200));
         ClientConnection client = onlyClient();
-        eventually(client::closesAfterResponse, "more has come than is kept");
+        eventually(client::closesAfterResponse, "more input than is kept");
         proceed.countDown();
         String answer = receive(socket);
         assertEquals(200, status(answer));
@@ -681,7 +691,8 @@
     }
 
     /**
-     * What a backend does to a request named so, on its socket; the answer that is left to give.
+     * Does to a backend's socket what the request's id names; returns the response that is left to
+     * send.
      */
     private static String respondBadly(String id, Socket socket) throws Exception {
         String own = "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id;
@@ -738,14 +749,14 @@
             try (Socket flood = connect()) {
                 send(flood, "\u0000".repeat(100_000));
             } catch (IOException e) {
-                // It has been ended before all was sent.
+                // The connection was closed before all was sent.
             }
             try (Socket half = connect()) {
                 send(half, request("once", "h", "", "body").substring(0, 60));
             }
             assertTrue(call(request("read", "fine" + round, "", "")).endsWith("fine" + round));
             if (round == 0) {
-                eventually(() -> proxy.listener().clients().isEmpty(), "all clients have gone");
+                eventually(() -> proxy.listener().clients().isEmpty(), "all clients have disconnected");
                 descriptors = descriptors();
                 threads = threads();
             }
@@ -758,7 +769,7 @@
         eventually(() -> threads() <= mostThreads, "threads are back");
     }
 
-    /** What comes next; -1 also for a reset, which bytes left unread lead to. */
+    /** Reads the next byte; -1 also for a reset, which unread bytes cause. */
     private static int readNextByte(Socket socket) {
         try {
             InputStream in = socket.getInputStream();
--- a/src/test/java/cottonlock/proxy/ThreadsAfterCloseTest.java
+++ b/src/test/java/cottonlock/proxy/ThreadsAfterCloseTest.java
@@ -17,7 +17,7 @@
 import java.util.stream.Collectors;
 import net.jqwik.api.Example;
 
-/** Guards against threads and sockets that are still there when {@code close} has returned. */
+/** Guards against threads and sockets that are left when {@code close} has returned. */
 class ThreadsAfterCloseTest extends ProxyFixture {
     private static final int DISCOVERY_ROUNDS = 500;
     private static final int PROXY_ROUNDS = 40;
@@ -40,10 +40,10 @@
 
     private final SplittableRandom random = new SplittableRandom(1);
 
-    /** Connections' threads of tests before this one may wait for further ones for a while. */
+    /** Threads of connections of earlier tests may wait for further connections for a while. */
     private final Set<Thread> before = Thread.getAllStackTraces().keySet();
 
-    /** The names of the threads of proxies that this test has started and that still run. */
+    /** The names of this test's proxies' threads that still run. */
     private List<String> proxyThreads() {
         return Thread.getAllStackTraces().keySet().stream()
                 .filter(thread -> thread.isAlive() && !before.contains(thread))
@@ -71,7 +71,7 @@
         }
     }
 
-    /** A discovery that answers each watch with an empty list and then says nothing more. */
+    /** A discovery server that answers each watch with an empty list and sends nothing more. */
     private StandIn discovery() throws IOException {
         String list = list(1, true) + "\n";
         return new StandIn(
@@ -83,7 +83,10 @@
                                 + "\r\n");
     }
 
-    /** A watch that was closed just before it opened its stream read on for as long as it lived. */
+    /**
+     * A watch that was closed just before it opened its stream kept reading for as long as its
+     * thread lived.
+     */
     @Example
     void aClosedDiscoveryClientHasNoThread() throws Exception {
         StandIn discovery = discovery();
@@ -117,9 +120,9 @@
     }
 
     /**
-     * The same addresses each time, requests in flight, one of them at a backend that the list has
-     * dropped meanwhile: a second proxy started just behind the first was refused, and threads of
-     * the first were left.
+     * Uses the same addresses each time, with requests in flight, one of them at a backend that the
+     * list has dropped meanwhile: a second proxy started right after the first failed to bind, and
+     * threads of the first were left.
      */
     @Example
     void aClosedProxyHasNoThreadAndFreesItsAddresses() throws Exception {
