--- a/src/test/java/cottonlock/proxy/ListsTest.java
+++ b/src/test/java/cottonlock/proxy/ListsTest.java
@@ -303,12 +303,12 @@
                         new BufferPool(16, 4),
                         log,
                         new SplittableRandom(1));
-        module.join(
+        module.initialize(
                 assembly.create(module, 1),
                 watch,
-                new PeerMessenger(null, List.of(), null, module::heard, log),
+                new PeerMessenger(null, List.of(), null, module::peerMessageReceived, log),
                 new ManualEjections(
-                        new SharedFile(null, "p", "bans", log), clock, module::bansChanged));
+                        new SharedFile(null, "p", "bans", log), clock, module::manualEjectionsChanged));
         module.endpointListReceived(new EndpointList(0, true, List.of()), true);
         Thread list = Sockets.start("list", watch);
         Thread actor = Sockets.start("module", module);
@@ -425,8 +425,8 @@
                                     InetAddress.getLoopbackAddress(), server.getLocalPort()),
                             300,
                             log);
-            sometime(() -> module.lists("b9"), "told behind: " + fault.getKey());
-            assertFalse(module.lists("b1"), fault.getKey());
+            sometime(() -> module.isListed("b9"), "told behind: " + fault.getKey());
+            assertFalse(module.isListed("b1"), fault.getKey());
         }
     }
 
@@ -445,7 +445,7 @@
         refused.settle();
         place.close();
         discovery(port, tells);
-        eventually(() -> refused.lists("b9"), "told once it listens");
+        eventually(() -> refused.isListed("b9"), "told once it listens");
 
         ServerSocket silent = full();
         AtomicInteger ended = new AtomicInteger();
@@ -478,7 +478,7 @@
                         // The test is over.
                     }
                 });
-        sometime(() -> unanswered.lists("b9"), "told once it accepts");
+        sometime(() -> unanswered.isListed("b9"), "told once it accepts");
     }
 
     /** By settings that let it wait half a minute after some failures. */
@@ -546,7 +546,7 @@
                                 InetAddress.getLoopbackAddress(), server.getLocalPort()),
                         4_000,
                         log);
-        eventually(() -> module.lists("b9"), "told by the next call");
+        eventually(() -> module.isListed("b9"), "told by the next call");
         assertTrue(errors.get() >= 1);
     }
 
