--- a/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
+++ b/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
@@ -170,7 +170,7 @@
     /**
      * Sends eight requests, more than the only backend's capacity, which is four, and then {@code
      * waiting} more, which wait in the load balancer's queue. When this returns, the load
-     * balancer's thread is stalled until {@code proceed}.
+     * balancer's thread is stalled until {@code proceed} is counted down.
      */
     private List<Socket> fillBackend(int waiting, CountDownLatch proceed) throws Exception {
         for (int i = 0; i < 6; i++) {
--- a/src/test/java/cottonlock/proxy/ProxyTest.java
+++ b/src/test/java/cottonlock/proxy/ProxyTest.java
@@ -223,9 +223,9 @@
             slow.add(connect());
         }
         Socket half = slow.get(0);
-        Socket resting = connect();
-        send(resting, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
-        assertEquals(200, status(receive(resting)));
+        Socket idle = connect();
+        send(idle, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+        assertEquals(200, status(receive(idle)));
         Sockets.start(
                 "drips",
                 () -> {
@@ -247,7 +247,7 @@
         for (Socket silent : slow.subList(1, 30)) {
             assertEquals("", receive(silent));
         }
-        assertEquals("", receive(resting), "a connection without a further request is closed too");
+        assertEquals("", receive(idle), "a connection without a further request is closed too");
         assertTrue(System.nanoTime() - before < 3_000_000_000L, "all within three seconds");
         assertEquals(0, backend.requests.size());
     }
@@ -661,7 +661,7 @@
         start(backend);
         try (Socket early = connect();
                 Socket slowRejection = connect();
-                Socket resting = connect();
+                Socket idle = connect();
                 Socket stuck = connect()) {
             long before = System.nanoTime();
             send(early, request("read", "early", "", ""));
@@ -685,7 +685,7 @@
             String last = receive(early);
             assertEquals(200, status(last));
             assertTrue(last.contains("Connection: close"), last);
-            assertEquals("", receive(resting), "an idle connection is closed");
+            assertEquals("", receive(idle), "an idle connection is closed");
             assertEquals(502, status(receive(stuck)));
             long took = (System.nanoTime() - before) / 1_000_000;
             assertTrue(took < 2_100, "before the program is killed: " + took);
