--- a/src/main/java/cottonlock/proxy/BackendActor.java
+++ b/src/main/java/cottonlock/proxy/BackendActor.java
@@ -105,7 +105,8 @@
         this.permits = permits;
         this.keepAlive = keepAlive;
         this.workers = workers;
-        this.connectTimeoutMillis = (int) Math.max(1, Math.min(Integer.MAX_VALUE, connectTimeoutMillis));
+        this.connectTimeoutMillis =
+                (int) Math.max(1, Math.min(Integer.MAX_VALUE, connectTimeoutMillis));
         this.idleTimeoutNanos = (long) (idleTimeoutMillis * IDLE_TIMEOUT_FRACTION * 1_000_000);
         this.settleNanos = settleNanos;
         this.buffers = buffers;
@@ -175,7 +176,10 @@
         permits.register(this);
         try {
             while (!closing || !connections.isEmpty() || !waitingAttempts.isEmpty()) {
-                mailbox.next(waitingAttempts.isEmpty() ? IDLE_CHECK_MICROS : nanosUntilSettled() / 1_000);
+                mailbox.next(
+                        waitingAttempts.isEmpty()
+                                ? IDLE_CHECK_MICROS
+                                : nanosUntilSettled() / 1_000);
                 closeExpiredIdle();
                 while (!waitingAttempts.isEmpty() && nanosUntilSettled() <= 0) {
                     send(waitingAttempts.poll());
@@ -337,7 +341,8 @@
      */
     private BackendConnection takeSettledConnection() {
         long now = System.nanoTime();
-        for (Iterator<BackendConnection> iterator = idleConnections.descendingIterator(); iterator.hasNext(); ) {
+        for (Iterator<BackendConnection> iterator = idleConnections.descendingIterator();
+                iterator.hasNext(); ) {
             BackendConnection connection = iterator.next();
             if (now - connection.idleSinceNanos >= settleNanos) {
                 iterator.remove();
@@ -365,7 +370,9 @@
             idleConnections.forEach(BackendConnection::closeNow);
             idleConnections.clear();
         }
-        for (BackendConnection connection = takeSettledConnection(); connection != null; connection = takeSettledConnection()) {
+        for (BackendConnection connection = takeSettledConnection();
+                connection != null;
+                connection = takeSettledConnection()) {
             if (!attempt.attach(connection)) {
                 idleConnections.addLast(connection);
                 return;
@@ -417,7 +424,8 @@
      * Writes a long body on another thread, because a backend that reads slowly must not block this
      * actor; false when no thread is available.
      */
-    private boolean sendOnWorkerThread(BackendConnection connection, ClientRequest.Attempt attempt) {
+    private boolean sendOnWorkerThread(
+            BackendConnection connection, ClientRequest.Attempt attempt) {
         try {
             workers.serve(
                     () -> {
@@ -433,7 +441,8 @@
 
     private void closeExpiredIdle() {
         long now = System.nanoTime();
-        while (!idleConnections.isEmpty() && now - idleConnections.peekFirst().idleSinceNanos > idleTimeoutNanos) {
+        while (!idleConnections.isEmpty()
+                && now - idleConnections.peekFirst().idleSinceNanos > idleTimeoutNanos) {
             idleConnections.pollFirst().closeNow();
         }
     }
--- a/src/main/java/cottonlock/proxy/BackendConnection.java
+++ b/src/main/java/cottonlock/proxy/BackendConnection.java
@@ -211,7 +211,11 @@
                                     new DeadlineOutputStream(out, attempt),
                                     attempt.req.outbound(),
                                     host,
-                                    () -> Math.max(1, (attempt.req.deadlineTicks - clock.now()) / 10)));
+                                    () ->
+                                            Math.max(
+                                                    1,
+                                                    (attempt.req.deadlineTicks - clock.now())
+                                                            / 10)));
             metrics.attemptSent();
             return null;
         } catch (IOException e) {
@@ -240,7 +244,8 @@
         public void write(byte[] bytes, int from, int count) throws IOException {
             long now = clock.now();
             if (now >= attempt.sendByTicks || (!started && !attempt.mayStart(now))) {
-                throw new IOException("the deadline for sending has passed, or the client has left");
+                throw new IOException(
+                        "the deadline for sending has passed, or the client has left");
             }
             started = true;
             out.write(bytes, from, count);
--- a/src/main/java/cottonlock/proxy/ClientConnection.java
+++ b/src/main/java/cottonlock/proxy/ClientConnection.java
@@ -192,7 +192,9 @@
 
     /** Waits for the next request to begin; false when the connection is to end. */
     private boolean awaitRequest(HttpReader reader) throws IOException {
-        for (boolean responseOwed = hasOpenRequest(); responseOwed || !reader.hasBufferedBytes(); responseOwed = hasOpenRequest()) {
+        for (boolean responseOwed = hasOpenRequest();
+                responseOwed || !reader.hasBufferedBytes();
+                responseOwed = hasOpenRequest()) {
             try {
                 // A pipelined request waits for the response before it. Its client may disconnect
                 // meanwhile: when the connection was not read on, this went unnoticed, and the
@@ -351,12 +353,15 @@
         reader.discard(MAX_DISCARDED_BYTES);
     }
 
-    private void writeResponse(int status, String headerName, String headerValue, MessageBody body, boolean close)
+    private void writeResponse(
+            int status, String headerName, String headerValue, MessageBody body, boolean close)
             throws IOException {
         synchronized (this) {
             closeAnnounced |= close;
         }
-        watchdog.write(socket, out -> writer.writeResponse(out, status, headerName, headerValue, body, close));
+        watchdog.write(
+                socket,
+                out -> writer.writeResponse(out, status, headerName, headerValue, body, close));
         synchronized (this) {
             reading = false;
             lastActivityNanos = System.nanoTime();
@@ -364,7 +369,12 @@
     }
 
     /** Writes the final response to the open request. Called by the thread that has claimed it. */
-    void sendResponse(ClientRequest request, int status, String headerName, String headerValue, MessageBody body) {
+    void sendResponse(
+            ClientRequest request,
+            int status,
+            String headerName,
+            String headerValue,
+            MessageBody body) {
         boolean close;
         synchronized (this) {
             close = closing || closeAfterResponse;
@@ -373,7 +383,8 @@
         try {
             writeResponse(status, headerName, headerValue, body, close);
             complete = true;
-            metrics.responseSent(request.requestClassName, request.tenantName, status, request.rejectionReason);
+            metrics.responseSent(
+                    request.requestClassName, request.tenantName, status, request.rejectionReason);
         } catch (IOException e) {
             log.info("client gone", "a response could not be written completely");
         }
@@ -420,17 +431,22 @@
                         // The rest may take as long as the client likes, and other connections need
                         // these buffers.
                         firstPart.release();
-                        remainder.setPacing(RELAY_PAUSE_MILLIS, HttpReader.ANY_RATE_BYTES_PER_SECOND);
+                        remainder.setPacing(
+                                RELAY_PAUSE_MILLIS, HttpReader.ANY_RATE_BYTES_PER_SECOND);
                         remainder.relayBody(
                                 (bytes, offset, count) ->
                                         writer.writeRelayed(out, chunked, bytes, offset, count));
                         writer.endRelay(out, chunked);
                     });
             complete = true;
-            metrics.responseSent(request.requestClassName, request.tenantName, 200, request.rejectionReason);
+            metrics.responseSent(
+                    request.requestClassName, request.tenantName, 200, request.rejectionReason);
         } catch (IOException e) {
-            log.info("broken relay", "a long response was not relayed completely: " + e.getMessage());
-            metrics.responseSent(request.requestClassName, request.tenantName, 502, request.rejectionReason);
+            log.info(
+                    "broken relay",
+                    "a long response was not relayed completely: " + e.getMessage());
+            metrics.responseSent(
+                    request.requestClassName, request.tenantName, 502, request.rejectionReason);
             reset();
         }
         endRequest(close || !complete);
@@ -464,7 +480,9 @@
     void close() {
         synchronized (this) {
             closing = true;
-            boolean awaitsFirstRequest = !firstRequestStarted && System.nanoTime() - lastActivityNanos < FIRST_REQUEST_NANOS;
+            boolean awaitsFirstRequest =
+                    !firstRequestStarted
+                            && System.nanoTime() - lastActivityNanos < FIRST_REQUEST_NANOS;
             if (reading || req != null || inputShutDown || awaitsFirstRequest) {
                 return;
             }
@@ -519,7 +537,9 @@
     /** Ends the connection, unless a request is open or may be about to arrive completely. */
     void evictUnlessActive() {
         synchronized (this) {
-            if (req != null || (reading && System.nanoTime() - lastActivityNanos() < PARTIAL_REQUEST_NANOS)) {
+            if (req != null
+                    || (reading
+                            && System.nanoTime() - lastActivityNanos() < PARTIAL_REQUEST_NANOS)) {
                 return;
             }
             closing = true;
--- a/src/main/java/cottonlock/proxy/ClientListener.java
+++ b/src/main/java/cottonlock/proxy/ClientListener.java
@@ -145,7 +145,9 @@
 
     /** Acquires a slot, if necessary by evicting another connection. */
     private boolean acquireSlot() {
-        for (long waitedMillis = 0; waitedMillis <= MAX_SLOT_WAIT_MILLIS; waitedMillis += SLOT_CHECK_MILLIS) {
+        for (long waitedMillis = 0;
+                waitedMillis <= MAX_SLOT_WAIT_MILLIS;
+                waitedMillis += SLOT_CHECK_MILLIS) {
             try {
                 if (slots.tryAcquire(
                         waitedMillis == 0 ? 0 : SLOT_CHECK_MILLIS, TimeUnit.MILLISECONDS)) {
--- a/src/main/java/cottonlock/proxy/ClientRequest.java
+++ b/src/main/java/cottonlock/proxy/ClientRequest.java
@@ -133,7 +133,8 @@
     }
 
     private synchronized boolean isClientChecked() {
-        return clientCheckedAtNanos != 0 && System.nanoTime() - clientCheckedAtNanos >= CLIENT_CHECK_NANOS;
+        return clientCheckedAtNanos != 0
+                && System.nanoTime() - clientCheckedAtNanos >= CLIENT_CHECK_NANOS;
     }
 
     /**
--- a/src/main/java/cottonlock/proxy/LoadBalancerActor.java
+++ b/src/main/java/cottonlock/proxy/LoadBalancerActor.java
@@ -194,7 +194,8 @@
 
     private long ticksUntilNextEvent() {
         ClientRequest earliest = requestsByDeadline.peek();
-        return Math.min(timerAtTicks, earliest == null ? timerAtTicks : earliest.deadlineTicks) - clock.now();
+        return Math.min(timerAtTicks, earliest == null ? timerAtTicks : earliest.deadlineTicks)
+                - clock.now();
     }
 
     private void runDueTimers() {
@@ -236,7 +237,8 @@
                     balancer.limitDeadlines(latestTicks);
                     List<ClientRequest> openRequests = new ArrayList<>(requestsByDeadline);
                     requestsByDeadline.clear();
-                    openRequests.forEach(req -> req.deadlineTicks = Math.min(req.deadlineTicks, latestTicks));
+                    openRequests.forEach(
+                            req -> req.deadlineTicks = Math.min(req.deadlineTicks, latestTicks));
                     requestsByDeadline.addAll(openRequests);
                 });
     }
@@ -292,7 +294,8 @@
      *     request was read just before this side shut its connection's input down
      */
     void clientUnobserved(ClientRequest req, boolean firstAttemptAnyTime) {
-        req.observedUntilTicks = firstAttemptAnyTime ? Long.MAX_VALUE : clock.now() + CLIENT_OBSERVED_TICKS;
+        req.observedUntilTicks =
+                firstAttemptAnyTime ? Long.MAX_VALUE : clock.now() + CLIENT_OBSERVED_TICKS;
         mailbox.put(
                 () -> {
                     req.clientUnobserved = true;
@@ -364,7 +367,8 @@
                         updateReadiness(endpoint);
                     }
                     if (shadow != null) {
-                        shadow.endpointListReceived(clock.now(), endpoints, list.complete(), cached);
+                        shadow.endpointListReceived(
+                                clock.now(), endpoints, list.complete(), cached);
                     }
                     balancer.onEndpointList(clock.now(), endpoints, list.complete(), cached);
                     unlistedIds.addAll(absent.keySet());
@@ -451,7 +455,8 @@
                     for (Endpoint endpoint : listedEndpoints.values()) {
                         endpoints.add(manualEjections.effective(endpoint));
                         updateReadiness(endpoint);
-                        if (manualEjections.isEjected(endpoint.id()) && backends.containsKey(endpoint.id())) {
+                        if (manualEjections.isEjected(endpoint.id())
+                                && backends.containsKey(endpoint.id())) {
                             // It is about to be restarted: its idle connections would break as soon
                             // as they are used again.
                             backends.get(endpoint.id()).closeIdleConnections();
@@ -542,7 +547,8 @@
     public void cancelAttempt(long number, int attempt) {
         ClientRequest req = requests.get(number);
         if (req != null && req.attempts.get(attempt).abandon()) {
-            deferredEvents.add(() -> attemptEnded(req.attempts.get(attempt), AttemptOutcome.CANCELLED));
+            deferredEvents.add(
+                    () -> attemptEnded(req.attempts.get(attempt), AttemptOutcome.CANCELLED));
         }
     }
 
@@ -553,7 +559,9 @@
                 rejectionReason,
                 503,
                 retryAfterTicks > 0 ? "Retry-After" : null,
-                retryAfterTicks / 10_000 + "." + Long.toString(10_000 + retryAfterTicks % 10_000).substring(1));
+                retryAfterTicks / 10_000
+                        + "."
+                        + Long.toString(10_000 + retryAfterTicks % 10_000).substring(1));
     }
 
     @Override
@@ -561,11 +569,17 @@
         respond(number, rejectionReason, 502, null, null);
     }
 
-    private void respond(long number, RejectionReason rejectionReason, int status, String headerName, String headerValue) {
+    private void respond(
+            long number,
+            RejectionReason rejectionReason,
+            int status,
+            String headerName,
+            String headerValue) {
         ClientRequest req = requests.get(number);
         if (req != null && req.claim()) {
             req.rejectionReason = rejectionReason;
-            if (!ioMailbox.offer(() -> req.client.sendResponse(req, status, headerName, headerValue, null))) {
+            if (!ioMailbox.offer(
+                    () -> req.client.sendResponse(req, status, headerName, headerValue, null))) {
                 // The mailbox is so far behind that the client has given up by now: end without a
                 // response.
                 metrics.requestEnded();
--- a/src/main/java/cottonlock/proxy/Proxy.java
+++ b/src/main/java/cottonlock/proxy/Proxy.java
@@ -139,7 +139,11 @@
      * @param stateDirectory for what the processes of one proxy share and for spill files; null if
      *     the processes share nothing
      */
-    public Proxy(Path configuration, OperatorConfig operator, String defaultManagementAddress, Path stateDirectory)
+    public Proxy(
+            Path configuration,
+            OperatorConfig operator,
+            String defaultManagementAddress,
+            Path stateDirectory)
             throws IOException {
         this.configuration = configuration;
         ProxyConfiguration config = ProxyConfiguration.read(configuration);
@@ -152,7 +156,8 @@
         SplittableRandom random = new SplittableRandom(config.seed());
         // Management calls hold their descriptors for seconds; when they used the reserved ones,
         // none was left for discovery.
-        int reservedDescriptors = RESERVED_DESCRIPTORS + (sharesPorts ? ManagementServer.MAX_CONNECTIONS : 0);
+        int reservedDescriptors =
+                RESERVED_DESCRIPTORS + (sharesPorts ? ManagementServer.MAX_CONNECTIONS : 0);
         int sockets = Math.max(4, allowedSockets(config) - reservedDescriptors);
         sockets -= sockets / SOCKETS_PER_BODY_FILE;
         int maxBackendConnections = Math.max(2, (int) (sockets * BACKEND_SOCKET_SHARE));
@@ -163,10 +168,16 @@
                         Math.max(16, (memoryMb - RESERVED_MEMORY_MB) * CLIENTS_PER_MB));
         // An eighth of the memory, at most a third of the heap: one buffer for each connection, the
         // rest for bodies.
-        long bufferBytes = Math.min(((long) memoryMb << 20) / 8, Runtime.getRuntime().maxMemory() / 3);
+        long bufferBytes =
+                Math.min(((long) memoryMb << 20) / 8, Runtime.getRuntime().maxMemory() / 3);
         int connections = maxClientConnections + maxBackendConnections;
-        buffers = new BufferPool((int) Math.max(connections, bufferBytes / BufferPool.SIZE), connections);
-        Path spillDirectory = stateDirectory == null ? Path.of(System.getProperty("java.io.tmpdir")) : stateDirectory;
+        buffers =
+                new BufferPool(
+                        (int) Math.max(connections, bufferBytes / BufferPool.SIZE), connections);
+        Path spillDirectory =
+                stateDirectory == null
+                        ? Path.of(System.getProperty("java.io.tmpdir"))
+                        : stateDirectory;
         BodySpillFiles spillFiles =
                 new BodySpillFiles(spillDirectory, Math.max(2, sockets / SOCKETS_PER_BODY_FILE));
         HttpWriter writer = new HttpWriter(buffers);
@@ -176,7 +187,8 @@
         long connectTimeoutMillis =
                 settings.ticksRoundedDown("Limits.ConnectTimeout", DEFAULT_CONNECT_TIMEOUT_MICROS)
                         / 10;
-        long idleTimeoutMillis = settings.ticksRoundedDown("Limits.ConnIdle", DEFAULT_IDLE_TIMEOUT_MICROS) / 10;
+        long idleTimeoutMillis =
+                settings.ticksRoundedDown("Limits.ConnIdle", DEFAULT_IDLE_TIMEOUT_MICROS) / 10;
         String name = config.text("name", "proxy") + "-" + config.text("listen", "");
         Path sharedStateDirectory = sharesPorts ? stateDirectory : null;
         handover = new ProcessHandover(new SharedFile(sharedStateDirectory, name, "serving", log));
@@ -202,7 +214,9 @@
                         log);
         manualEjections =
                 new ManualEjections(
-                        new SharedFile(sharedStateDirectory, name, "bans", log), clock, loadBalancer::manualEjectionsChanged);
+                        new SharedFile(sharedStateDirectory, name, "bans", log),
+                        clock,
+                        loadBalancer::manualEjectionsChanged);
         EndpointListParser listParser =
                 new EndpointListParser(log, settings.list("Zones"), settings.list("Flavors"));
         EndpointList cachedList = config.cachedEndpointList(listParser);
@@ -221,14 +235,23 @@
         InetSocketAddress allPeersAddress = config.addressOrNull("peers_all");
         InetSocketAddress peerListen = config.addressOrNull("peer_listen");
         boolean hasPeers = peerListen != null && allPeersAddress != null;
-        DatagramSocket peerSocket = hasPeers ? PeerMessenger.openSocket(peerListen, sharesPorts) : null;
-        peers = new PeerMessenger(peerSocket, config.addresses("peers"), allPeersAddress, loadBalancer::peerMessageReceived, log);
-        loadBalancer.initialize(factory.create(loadBalancer, random.nextLong()), watch, peers, manualEjections);
+        DatagramSocket peerSocket =
+                hasPeers ? PeerMessenger.openSocket(peerListen, sharesPorts) : null;
+        peers =
+                new PeerMessenger(
+                        peerSocket,
+                        config.addresses("peers"),
+                        allPeersAddress,
+                        loadBalancer::peerMessageReceived,
+                        log);
+        loadBalancer.initialize(
+                factory.create(loadBalancer, random.nextLong()), watch, peers, manualEjections);
         if (!operator.shadowSettings().isEmpty()) {
             Settings shadowSettings = config.settings();
             operator.shadowSettings().forEach(shadowSettings::put);
             shadow = new ShadowLoadBalancer(log);
-            shadow.setLoadBalancer(new LoadBalancerFactory(shadowSettings).create(shadow, random.nextLong()));
+            shadow.setLoadBalancer(
+                    new LoadBalancerFactory(shadowSettings).create(shadow, random.nextLong()));
             loadBalancer.setShadow(shadow);
         }
         loadBalancer.endpointListReceived(cachedList, true);
@@ -245,8 +268,16 @@
                         maxClientConnections,
                         (socket, from) ->
                                 new ClientConnection(
-                                        socket, from, loadBalancer, validator, buffers, spillFiles, writer,
-                                        watchdog, metrics, log),
+                                        socket,
+                                        from,
+                                        loadBalancer,
+                                        validator,
+                                        buffers,
+                                        spillFiles,
+                                        writer,
+                                        watchdog,
+                                        metrics,
+                                        log),
                         workers,
                         log);
         if (operator.rollout() != null) {
@@ -289,7 +320,9 @@
             // as unknown.
             loadBalancer.awaitProcessed();
             management =
-                    new ManagementServer(ProxyConfiguration.address("mgmt", managementAddress), new ManagementCommands());
+                    new ManagementServer(
+                            ProxyConfiguration.address("mgmt", managementAddress),
+                            new ManagementCommands());
             threads.add(Sockets.start("management", management));
             threads.add(Sockets.start("bans", manualEjections));
         }
@@ -382,7 +415,9 @@
                     "configuration",
                     "read again, discovery is at "
                             + discovery
-                            + (controlSettingsInForce ? "; settings from the control server stay in force" : ""));
+                            + (controlSettingsInForce
+                                    ? "; settings from the control server stay in force"
+                                    : ""));
         } catch (RuntimeException e) {
             // A mistake in the file must not end a proxy that serves requests.
             metrics.configurationReloaded(false);
@@ -457,7 +492,9 @@
                                     remainingMillis,
                                     Math.max(
                                             MIN_ACCEPT_MILLIS,
-                                            Math.max(remainingMillis / 2, remainingMillis - LAST_REQUESTS_MILLIS)))));
+                                            Math.max(
+                                                    remainingMillis / 2,
+                                                    remainingMillis - LAST_REQUESTS_MILLIS)))));
             if (membership != null) {
                 membership.service().leave();
             }
@@ -469,7 +506,8 @@
     }
 
     /** Waits until no client connection is left or the time is up. */
-    private void awaitNoClients(long endNanos, Runnable beforeEachCheck) throws InterruptedException {
+    private void awaitNoClients(long endNanos, Runnable beforeEachCheck)
+            throws InterruptedException {
         while (!listener.isEmpty() && System.nanoTime() < endNanos) {
             beforeEachCheck.run();
             Thread.sleep(DRAIN_CHECK_MILLIS);
--- a/src/main/java/cottonlock/proxy/RequestRules.java
+++ b/src/main/java/cottonlock/proxy/RequestRules.java
@@ -40,7 +40,8 @@
      * @param previous the rules so far, which give known names their numbers; null at the start
      */
     RequestRules(RequestRules previous, LoadBalancerFactory factory, Settings settings) {
-        requestClasses = previous == null ? new ArrayList<>() : new ArrayList<>(previous.requestClasses);
+        requestClasses =
+                previous == null ? new ArrayList<>() : new ArrayList<>(previous.requestClasses);
         names = previous == null ? new ArrayList<>() : new ArrayList<>(previous.names);
         tenantNames = settings.fieldOfEach("Projects", "Name");
         List<String> configuredNames = settings.fieldOfEach("Categories", "Name");
@@ -60,7 +61,8 @@
                         : Arrays.copyOf(previous.maxTimeoutTicks, names.size());
         for (int i = 0; i < configuredNames.size(); i++) {
             long timeoutTicks = settings.ticksRoundedDown("Categories." + i + ".Expiry");
-            maxTimeoutTicks[numbersInForce.get(configuredNames.get(i))] = timeoutTicks > 0 ? timeoutTicks : DEFAULT_MAX_TIMEOUT_TICKS;
+            maxTimeoutTicks[numbersInForce.get(configuredNames.get(i))] =
+                    timeoutTicks > 0 ? timeoutTicks : DEFAULT_MAX_TIMEOUT_TICKS;
         }
     }
 
--- a/src/main/java/cottonlock/proxy/RequestValidator.java
+++ b/src/main/java/cottonlock/proxy/RequestValidator.java
@@ -96,7 +96,8 @@
         }
         String idempotencyKey = head.only("Idempotency-Key");
         if (idempotencyKey == null
-                && current.requestClasses.get(requestClass).idempotency() == RequestClass.Idempotency.WITH_KEY) {
+                && current.requestClasses.get(requestClass).idempotency()
+                        == RequestClass.Idempotency.WITH_KEY) {
             // Without a key, a retry could not be recognised and would be executed twice.
             throw new MalformedMessageException(
                     400, "no Idempotency-Key, which this category needs");
@@ -110,10 +111,18 @@
                             : "X-Timeout-Ms is not a number of whole milliseconds");
         }
         long timeoutTicks =
-                Math.min(current.maxTimeoutTicks(requestClass) / 10, Long.parseLong(timeoutHeader)) * 10
+                Math.min(current.maxTimeoutTicks(requestClass) / 10, Long.parseLong(timeoutHeader))
+                                * 10
                         - DEADLINE_RESERVE_TICKS;
         return new ValidatedHead(
-                head, requestId, idempotencyKey, requestClass, pathClass, tenant, tenantName, timeoutTicks);
+                head,
+                requestId,
+                idempotencyKey,
+                requestClass,
+                pathClass,
+                tenant,
+                tenantName,
+                timeoutTicks);
     }
 
     /**
@@ -122,11 +131,13 @@
      *
      * @param ageNanos the time since its last byte was read
      */
-    ClientRequest createRequest(ClientConnection client, ValidatedHead validated, MessageBody body, long ageNanos)
+    ClientRequest createRequest(
+            ClientConnection client, ValidatedHead validated, MessageBody body, long ageNanos)
             throws MalformedMessageException {
         long spentTicks = (ageNanos + 99_999) / 100_000;
         // A request that is accepted but not answered when the process is killed would be lost.
-        long deadlineTicks = Math.min(clock.now() - spentTicks + validated.timeoutTicks, latestDeadlineTicks);
+        long deadlineTicks =
+                Math.min(clock.now() - spentTicks + validated.timeoutTicks, latestDeadlineTicks);
         ClientRequest request = new ClientRequest(client, validated, body, deadlineTicks, openIds);
         if (!openIds.add(validated.id)) {
             // Backends identify a request by its id: the second one would get the response of the
--- a/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
+++ b/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
@@ -111,7 +111,8 @@
                                 0));
     }
 
-    void endpointListReceived(long now, List<Endpoint> endpoints, boolean complete, boolean cached) {
+    void endpointListReceived(
+            long now, List<Endpoint> endpoints, boolean complete, boolean cached) {
         guard(() -> balancer.onEndpointList(now, endpoints, complete, cached));
     }
 
@@ -141,7 +142,9 @@
                         ? noAttempt ? Kind.ALIKE : Kind.WOULD_HAND_OFF
                         : noAttempt
                                 ? Kind.WOULD_DEFER
-                                : backend.equals(request.firstBackend) ? Kind.ALIKE : Kind.OTHER_BACKEND;
+                                : backend.equals(request.firstBackend)
+                                        ? Kind.ALIKE
+                                        : Kind.OTHER_BACKEND;
         counts.merge(kind, 1L, Long::sum);
     }
 
@@ -150,7 +153,10 @@
         ShadowRequest request = requests.get(number);
         if (request != null && request.attemptInFlight) {
             request.attemptInFlight = false;
-            guard(() -> balancer.onAttemptCompleted(now, number, request.attempts - 1, outcome, requestOver));
+            guard(
+                    () ->
+                            balancer.onAttemptCompleted(
+                                    now, number, request.attempts - 1, outcome, requestOver));
         }
     }
 
--- a/src/test/java/cottonlock/proxy/BackendThreadsTest.java
+++ b/src/test/java/cottonlock/proxy/BackendThreadsTest.java
@@ -72,7 +72,9 @@
             assertEquals(200, status(call(request("once", "next" + i, "", "body"))));
         }
         long started = threads("backend");
-        assertTrue(started > 1 && started <= BACKENDS, started + " of " + BACKENDS + " backends have a thread");
+        assertTrue(
+                started > 1 && started <= BACKENDS,
+                started + " of " + BACKENDS + " backends have a thread");
         assertEquals(started, createdBy("starter"), "each started once");
         assertEquals(2, createdBy("module"), "only the threads for I/O and for starting threads");
     }
--- a/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
+++ b/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
@@ -64,7 +64,8 @@
         ClientRequest request =
                 new ClientRequest(
                         null,
-                        new RequestValidator.ValidatedHead(head, "id", null, 0, "once", 0, "acme", 0),
+                        new RequestValidator.ValidatedHead(
+                                head, "id", null, 0, "once", 0, "acme", 0),
                         body,
                         clock.now() + 100_000,
                         ConcurrentHashMap.newKeySet());
@@ -161,7 +162,9 @@
     private void disconnect(Socket socket, boolean reset, int remainingClients) throws Exception {
         socket.setSoLinger(reset, 0);
         socket.close();
-        eventually(() -> proxy.listener().clients().size() == remainingClients, "its disconnect is noticed");
+        eventually(
+                () -> proxy.listener().clients().size() == remainingClients,
+                "its disconnect is noticed");
         awaitLoadBalancer();
     }
 
@@ -217,7 +220,8 @@
     @Example
     void whileItWaitsForCapacity() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        StandIn backend = new StandIn(request -> isQuick(request) || awaitLatch(answer) ? OK : CLOSE);
+        StandIn backend =
+                new StandIn(request -> isQuick(request) || awaitLatch(answer) ? OK : CLOSE);
         startWithLongTimeouts(backend);
         CountDownLatch proceed = new CountDownLatch(1);
         List<Socket> sockets = fillBackend(12, proceed);
@@ -232,7 +236,9 @@
         }
         for (int i = 0; i < 4; i++) {
             assertEquals(
-                    200, status(call(longTimeoutRequest("read", "quick-after" + i))), "they hold no capacity");
+                    200,
+                    status(call(longTimeoutRequest("read", "quick-after" + i))),
+                    "they hold no capacity");
         }
         assertEquals(18, backend.requests.size(), "sent though they had left: " + ids(backend));
     }
@@ -241,13 +247,15 @@
     @Example
     void whileItWaitsForCapacityBeforeAFlood() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        StandIn backend = new StandIn(request -> isQuick(request) || awaitLatch(answer) ? OK : CLOSE);
+        StandIn backend =
+                new StandIn(request -> isQuick(request) || awaitLatch(answer) ? OK : CLOSE);
         startWithLongTimeouts(backend);
         CountDownLatch proceed = new CountDownLatch(1);
         List<Socket> sockets = fillBackend(1, proceed);
         flood(sockets.remove(8));
         eventually(
-                () -> anyThreadIn("Object.wait.*ClientConnection.awaitResponse"), "its input is not read any more");
+                () -> anyThreadIn("Object.wait.*ClientConnection.awaitResponse"),
+                "its input is not read any more");
         long since = clock.now();
         eventually(() -> clock.now() - since > 1_000, "more than 0.1 s have passed");
         CountDownLatch released = new CountDownLatch(1);
@@ -255,7 +263,9 @@
         proceed.countDown();
         eventually(
                 () ->
-                        proxy.listener().clients().stream().filter(ClientConnection::hasOpenRequest).count()
+                        proxy.listener().clients().stream()
+                                        .filter(ClientConnection::hasOpenRequest)
+                                        .count()
                                 == 8,
                 "answered at once, before any attempt ended");
         answer.countDown();
@@ -264,7 +274,9 @@
             assertEquals(200, status(receive(socket)));
         }
         eventually(
-                () -> proxy.listener().clients().stream().noneMatch(ClientConnection::hasOpenRequest),
+                () ->
+                        proxy.listener().clients().stream()
+                                .noneMatch(ClientConnection::hasOpenRequest),
                 "answered");
         assertEquals(200, status(call(longTimeoutRequest("read", "quick-after"))));
         assertEquals(
@@ -289,7 +301,8 @@
         }
         assertEquals(200, status(call(longTimeoutRequest("read", "after"))));
         assertEquals(1, backend.requests.size());
-        assertEquals(1, backend.sockets.size(), "no connection was opened for clients that had left");
+        assertEquals(
+                1, backend.sockets.size(), "no connection was opened for clients that had left");
     }
 
     @Example
@@ -302,7 +315,8 @@
         Thread thread = Sockets.start("backend", actor);
         eventually(() -> gone.attempt.isSettled() && stays.attempt.isSettled(), "settled");
         assertEquals(1, backend.requests.size());
-        assertEquals(1, backend.sockets.size(), "no connection was opened for a client that had left");
+        assertEquals(
+                1, backend.sockets.size(), "no connection was opened for a client that had left");
         actor.stop();
         thread.join(4_000);
         assertTrue(stays.request.claim());
@@ -343,7 +357,9 @@
         BackendActor actor = actor(backend, 8_000_000_000L);
         Thread thread = Sockets.start("backend", actor);
         Sent first = attempt(actor);
-        eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "the connection is idle");
+        eventually(
+                () -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION),
+                "the connection is idle");
         Sent next = attempt(actor);
         CountDownLatch queued = new CountDownLatch(1);
         actor.runAfterPending(queued::countDown);
@@ -352,7 +368,8 @@
         send(backend.sockets.get(0), FAILED);
         eventually(next.attempt::isSettled, "settled, as no connection is settling any more");
         assertEquals(1, backend.requests.size());
-        assertEquals(1, backend.sockets.size(), "no connection was opened for a client that had left");
+        assertEquals(
+                1, backend.sockets.size(), "no connection was opened for a client that had left");
         actor.stop();
         thread.join(4_000);
         assertTrue(first.request.claim());
@@ -367,7 +384,9 @@
             Sent first = attempt(null);
             BackendConnection connection = connection(backend, first);
             Thread thread = Sockets.start("connection", connection);
-            eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "the connection is idle");
+            eventually(
+                    () -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION),
+                    "the connection is idle");
             int before = backend.requests.size();
             Sent next = attempt(null);
             assertTrue(next.attempt.attach(connection));
@@ -376,7 +395,8 @@
                 taken.add(buffers.take());
             }
             Thread writer = Sockets.start("writer", () -> connection.send(next.attempt));
-            eventually(() -> anyThreadIn("BufferPool.take.*HttpWriter.send"), "its write has begun");
+            eventually(
+                    () -> anyThreadIn("BufferPool.take.*HttpWriter.send"), "its write has begun");
             if (leaves) {
                 assertTrue(next.request.claim());
             }
@@ -401,7 +421,9 @@
         Sent first = attempt(null);
         BackendConnection connection = connection(backend, first);
         Thread thread = Sockets.start("connection", connection);
-        eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "the connection is idle");
+        eventually(
+                () -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION),
+                "the connection is idle");
         Sent next = attempt(null);
         assertTrue(next.attempt.attach(connection));
         Thread writer = Sockets.thread("writer", () -> connection.send(next.attempt));
@@ -436,7 +458,10 @@
         for (boolean reset : new boolean[] {false, true}) {
             int before = backend.requests.size();
             Socket socket = connect();
-            send(socket, longTimeoutRequest("once", "first" + reset) + longTimeoutRequest("once", "second" + reset));
+            send(
+                    socket,
+                    longTimeoutRequest("once", "first" + reset)
+                            + longTimeoutRequest("once", "second" + reset));
             eventually(() -> backend.requests.size() == before + 1, "the first is sent");
             disconnect(socket, reset, 0);
         }
@@ -538,7 +563,8 @@
         ClientConnection client = onlyClient();
         flood(socket);
         eventually(
-                () -> anyThreadIn("Object.wait.*ClientConnection.awaitResponse"), "its input is not read any more");
+                () -> anyThreadIn("Object.wait.*ClientConnection.awaitResponse"),
+                "its input is not read any more");
         awaitLoadBalancer();
         assertTrue(client.hasOpenRequest(), "its first attempt is still in flight");
         proceed.countDown();
@@ -560,7 +586,9 @@
         Sent unobserved = attempt(actor);
         loadBalancer.clientUnobserved(unobserved.request, false);
         long startUntilTicks = unobserved.request.observedUntilTicks;
-        assertTrue(startUntilTicks <= clock.now() + 1_000, "within 0.1 s of when it was last observed");
+        assertTrue(
+                startUntilTicks <= clock.now() + 1_000,
+                "within 0.1 s of when it was last observed");
         eventually(() -> clock.now() >= startUntilTicks, "that time is over");
         Sent stays = attempt(actor);
         Thread thread = Sockets.start("backend", actor);
@@ -604,7 +632,9 @@
         assertTrue(client.isInputShutDown());
         ended.countDown();
         eventually(() -> one.requests.size() + other.requests.size() == 1, "served nevertheless");
-        eventually(() -> anyThreadIn("ClientConnection.abandonedRequest"), "its input is not read any more");
+        eventually(
+                () -> anyThreadIn("ClientConnection.abandonedRequest"),
+                "its input is not read any more");
         awaitLoadBalancer();
         proceed.countDown();
         String answer = receive(socket);
@@ -704,7 +734,9 @@
             socket.setSoTimeout(8_000);
             eventually(() -> listener.clients().size() == 1, "accepted");
             ClientConnection client = listener.clients().iterator().next();
-            eventually(() -> anyThreadIn("LateSocket.*ClientConnection.awaitRequest"), "the connection is idle");
+            eventually(
+                    () -> anyThreadIn("LateSocket.*ClientConnection.awaitRequest"),
+                    "the connection is idle");
             eventually(
                     () -> {
                         client.close();
@@ -742,7 +774,8 @@
         assertEquals(200, status(receive(socket)));
         assertEquals(200, status(receive(socket)));
         long sentMillis = Long.parseLong(field(backend.requests.get(1), "X-Timeout-Ms", ""));
-        assertTrue(sentMillis <= 20_000 - spent[0], sentMillis + " sent, and " + spent[0] + " spent");
+        assertTrue(
+                sentMillis <= 20_000 - spent[0], sentMillis + " sent, and " + spent[0] + " spent");
     }
 
     @Example
@@ -751,7 +784,9 @@
         Sent first = attempt(null);
         BackendConnection connection = connection(backend, first);
         Thread thread = Sockets.start("connection", connection);
-        eventually(() -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION), "the connection is idle");
+        eventually(
+                () -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION),
+                "the connection is idle");
         Sent next = attempt(null);
         assertTrue(next.attempt.attach(connection));
         List<byte[]> taken = new ArrayList<>();
--- a/src/test/java/cottonlock/proxy/ListsTest.java
+++ b/src/test/java/cottonlock/proxy/ListsTest.java
@@ -308,7 +308,9 @@
                 watch,
                 new PeerMessenger(null, List.of(), null, module::peerMessageReceived, log),
                 new ManualEjections(
-                        new SharedFile(null, "p", "bans", log), clock, module::manualEjectionsChanged));
+                        new SharedFile(null, "p", "bans", log),
+                        clock,
+                        module::manualEjectionsChanged));
         module.endpointListReceived(new EndpointList(0, true, List.of()), true);
         Thread list = Sockets.start("list", watch);
         Thread actor = Sockets.start("module", module);
@@ -442,7 +444,7 @@
         int port = place.getLocalPort();
         LoadBalancerActor refused =
                 chain(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 300, log);
-        refused.settle();
+        refused.awaitProcessed();
         place.close();
         discovery(port, tells);
         eventually(() -> refused.isListed("b9"), "told once it listens");
--- a/src/test/java/cottonlock/proxy/ProxyTest.java
+++ b/src/test/java/cottonlock/proxy/ProxyTest.java
@@ -79,7 +79,8 @@
         eventually(
                 () ->
                         proxy.shadowCounts().values().stream().mapToLong(n -> n).sum()
-                                        - proxy.shadowCounts().get(ShadowLoadBalancer.Kind.WOULD_CLOSE)
+                                        - proxy.shadowCounts()
+                                                .get(ShadowLoadBalancer.Kind.WOULD_CLOSE)
                                 == 60,
                 "each decision is compared once");
         assertTrue(
@@ -203,11 +204,13 @@
             String fault = answer.substring(answer.indexOf("\r\n\r\n") + 4);
             assertTrue(
                     fault.strip().length() > 5 && fault.lines().count() == 1, "one line: " + fault);
-            assertFalse(fault.contains("acme") || fault.contains("read"), "names configured values");
+            assertFalse(
+                    fault.contains("acme") || fault.contains("read"), "names configured values");
         }
         try (Socket half = connect()) {
             send(half, good.substring(0, good.length() - 1));
-            assertEquals(0, backend.requests.size(), "no bad or incomplete request has been forwarded");
+            assertEquals(
+                    0, backend.requests.size(), "no bad or incomplete request has been forwarded");
             assertEquals(200, status(call(good)));
             assertEquals(408, status(receive(half)), "an incomplete request times out");
         }
@@ -466,7 +469,8 @@
         assertTrue(took >= 350 && took < 700, "answered at its deadline: " + took);
         eventually(() -> silent.sockets.get(0).isClosed(), "the attempt's connection is closed");
         int endless = status(call(request("once", "e", "X-Timeout-Ms: 99999999\r\n", "body")));
-        assertTrue(Set.of(502, 503).contains(endless), "answered within its request class's expiry");
+        assertTrue(
+                Set.of(502, 503).contains(endless), "answered within its request class's expiry");
         assertTrue(silent.requests.size() <= 2, "nothing is retried");
     }
 
@@ -496,7 +500,9 @@
         socket.close();
         Thread.sleep(200);
         assertEquals(
-                1, one.requests.size() + two.requests.size(), "nothing is sent for a client that has left");
+                1,
+                one.requests.size() + two.requests.size(),
+                "nothing is sent for a client that has left");
     }
 
     @Example
@@ -677,7 +683,8 @@
                             });
             Thread.sleep(200);
             send(slowRejection, request("read", "late", "", ""));
-            assertEquals(200, status(call(request("read", "new", "", ""))), "new clients are accepted");
+            assertEquals(
+                    200, status(call(request("read", "new", "", ""))), "new clients are accepted");
             assertEquals(200, status(receive(early)));
             send(early, request("once", "last", "", "body"));
             send(stuck, request("once", "stuck", "X-Timeout-Ms: 1400\r\n", "body"));
--- a/src/test/java/cottonlock/proxy/RacesTest.java
+++ b/src/test/java/cottonlock/proxy/RacesTest.java
@@ -451,7 +451,8 @@
         ClientRequest request =
                 new ClientRequest(
                         null,
-                        new RequestValidator.ValidatedHead(head, "id", null, 0, "once", 0, "acme", 0),
+                        new RequestValidator.ValidatedHead(
+                                head, "id", null, 0, "once", 0, "acme", 0),
                         body,
                         clock.now() + 100_000,
                         ConcurrentHashMap.newKeySet());
@@ -508,8 +509,7 @@
 
     /** Until its first attempt an actor has no thread that would process its messages. */
     @Example
-    void updatesBeforeTheFirstAttemptNeitherFillTheMailboxNorAreLost()
-            throws Exception {
+    void updatesBeforeTheFirstAttemptNeitherFillTheMailboxNorAreLost() throws Exception {
         StandIn old = new StandIn(request -> CLOSE);
         StandIn now = new StandIn(request -> FAILED);
         BackendActor actor = actor(old, BackendActor.SETTLE_NANOS);
@@ -621,7 +621,9 @@
                 int before = backend.requests.size();
                 Socket socket = connect();
                 send(socket, request("once", "first" + before, "X-Timeout-Ms: 20000\r\n", "body"));
-                eventually(() -> backend.requests.size() == before + 1, "sent to a backend that doesn't answer");
+                eventually(
+                        () -> backend.requests.size() == before + 1,
+                        "sent to a backend that doesn't answer");
                 send(socket, behind);
                 socket.setSoLinger(reset, 0);
                 socket.close();
@@ -756,7 +758,9 @@
             }
             assertTrue(call(request("read", "fine" + round, "", "")).endsWith("fine" + round));
             if (round == 0) {
-                eventually(() -> proxy.listener().clients().isEmpty(), "all clients have disconnected");
+                eventually(
+                        () -> proxy.listener().clients().isEmpty(),
+                        "all clients have disconnected");
                 descriptors = descriptors();
                 threads = threads();
             }
