--- a/src/main/java/cottonlock/proxy/BackendActor.java
+++ b/src/main/java/cottonlock/proxy/BackendActor.java
@@ -16,292 +16,336 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** A backend's actor: the one owner of the connections to it, kept ones first. */
+/**
+ * A backend's actor: the only owner of the connections to it. It uses idle connections before it
+ * opens new ones.
+ */
 final class BackendActor implements Runnable {
-    /** More than the sockets there are: what the connections tell always fits. */
+    /** Exceeds the number of sockets, so that a message from a connection always fits. */
     private static final int MAILBOX_CAPACITY = 4_096;
 
-    /** Parts of the idle time after which a connection is retired, before the backend does it. */
-    private static final double IDLE_TIMEOUT_PART = 0.8;
+    /**
+     * Fraction of the idle timeout after which a connection is closed, before the backend does it.
+     */
+    private static final double IDLE_TIMEOUT_FRACTION = 0.8;
 
     /**
-     * Nanoseconds after an answer within which a second one may come, some milliseconds late: used
-     * again at once, the connection would give it to the next attempt.
+     * Nanoseconds after a response within which a duplicate of it may arrive, some milliseconds
+     * late. If the connection were used again at once, the duplicate would be taken for the
+     * response to the next attempt.
      */
     static final long SETTLE_NANOS = 5_000_000;
 
-    /** How often the resting connections are looked through at least, in microseconds. */
+    /** Maximum microseconds between two checks of the idle connections for expired ones. */
     private static final long IDLE_CHECK_MICROS = 500_000;
 
     private final Mailbox mailbox;
     private final ConnectionPermits permits;
     private final KeepAlivePolicy keepAlive;
     private final ConnectionThreads workers;
-    private final int connectLimit;
-    private final long retireAfter;
-    private final long settle;
+    private final int connectTimeoutMillis;
+    private final long idleTimeoutNanos;
+    private final long settleNanos;
     private final BufferPool buffers;
     private final HttpWriter writer;
     private final WriteTimeoutWatchdog watchdog;
     private final TickClock clock;
-    private final Metrics figures;
+    private final Metrics metrics;
     private final RateLimitedLog log;
     private InetSocketAddress address;
-    private final Deque<BackendConnection> resting = new ArrayDeque<>();
+    private final Deque<BackendConnection> idleConnections = new ArrayDeque<>();
     private final Set<BackendConnection> connections = new HashSet<>();
 
     /**
-     * Attempts that wait for connections to settle: sooner than a new one is up, which also costs
-     * more.
+     * Attempts that wait for a connection to settle: that takes less time than a new connection,
+     * which also costs more.
      */
-    private final Deque<ClientRequest.Attempt> held = new ArrayDeque<>();
+    private final Deque<ClientRequest.Attempt> waitingAttempts = new ArrayDeque<>();
 
-    private boolean leaving;
+    private boolean closing;
 
     /**
-     * Whether it has a thread, or is just being given one: from its first attempt on, for many a
-     * list names hundreds of which a balancer needs a few. Until then the module's thread owns what
-     * it holds.
+     * Whether the backend has a thread or is being given one, which its first attempt causes: many
+     * lists name hundreds of backends of which a load balancer needs a few. Until then the load
+     * balancer's thread owns the state of this actor.
      */
-    private volatile boolean begun;
+    private volatile boolean started;
 
-    /** Set by the thread that started it; null before. */
+    /** Set by the thread that started it; null before that. */
     private volatile Thread thread;
 
     /**
-     * Whether no thread could be had: what waits is settled by the one that should have started it.
+     * Set while the thread that failed to start the backend's thread runs the pending messages
+     * itself, so that their attempts fail.
      */
-    private boolean threadless;
+    private boolean threadUnavailable;
 
     /**
-     * What the list and the operators said last; told by the module's thread, looked at where bytes
-     * go out.
+     * Whether the endpoint list and the manual ejections allow new requests; written by the load
+     * balancer's thread, read where bytes are sent.
      */
     private volatile boolean ready = true;
 
-    /** Times in milliseconds; how long a connection settles, in nanoseconds. */
+    /** Times are in milliseconds, except {@code settleNanos}. */
     BackendActor(
             InetSocketAddress address,
             ConnectionPermits permits,
             KeepAlivePolicy keepAlive,
             ConnectionThreads workers,
-            long connectLimit,
-            long idle,
-            long settle,
+            long connectTimeoutMillis,
+            long idleTimeoutMillis,
+            long settleNanos,
             BufferPool buffers,
             HttpWriter writer,
             WriteTimeoutWatchdog watchdog,
             TickClock clock,
-            Metrics figures,
+            Metrics metrics,
             RateLimitedLog log) {
         this.address = address;
         this.permits = permits;
         this.keepAlive = keepAlive;
         this.workers = workers;
-        this.connectLimit = (int) Math.max(1, Math.min(Integer.MAX_VALUE, connectLimit));
-        this.retireAfter = (long) (idle * IDLE_TIMEOUT_PART * 1_000_000);
-        this.settle = settle;
+        this.connectTimeoutMillis =
+                (int) Math.max(1, Math.min(Integer.MAX_VALUE, connectTimeoutMillis));
+        this.idleTimeoutNanos = (long) (idleTimeoutMillis * IDLE_TIMEOUT_FRACTION * 1_000_000);
+        this.settleNanos = settleNanos;
         this.buffers = buffers;
         this.writer = writer;
         this.watchdog = watchdog;
         this.clock = clock;
-        this.figures = figures;
+        this.metrics = metrics;
         this.log = log;
         this.mailbox = new Mailbox(MAILBOX_CAPACITY, log);
     }
 
     /**
-     * From the module's thread, behind the attempt: true where the caller has to have it started.
+     * Marks the thread as started, after an attempt was offered; true if the caller must have it
+     * started. Called by the load balancer's thread.
      */
-    boolean begins() {
-        boolean first = !begun;
-        begun = true;
-        return first;
+    boolean markStarted() {
+        boolean firstCall = !started;
+        started = true;
+        return firstCall;
     }
 
-    /** From the module's thread: it was not started after all. */
-    void noThread() {
-        begun = false;
+    /**
+     * Reverts {@link #markStarted} when the thread was not started after all. Called by the load
+     * balancer's thread.
+     */
+    void clearStarted() {
+        started = false;
     }
 
-    /** Starts its thread; never on the module's, which would wait for it. */
-    void begin() {
+    /**
+     * Starts the backend's thread. Not called by the load balancer's thread, which would wait for
+     * it.
+     */
+    void startThread() {
         try {
-            Thread started = Sockets.thread("backend", this);
-            started.start();
-            thread = started;
+            Thread backendThread = Sockets.thread("backend", this);
+            backendThread.start();
+            thread = backendThread;
         } catch (OutOfMemoryError e) {
-            // No thread can be had: these attempts fail, the next one tries again, the proxy must
-            // not end.
-            log.warn("no thread", "attempts got no connection");
-            begun = false;
-            threadless = true;
+            // No thread is available: these attempts fail and the next one tries again; the proxy
+            // must not end.
+            log.warn("no thread", "no thread is available for a backend; its attempts failed");
+            started = false;
+            threadUnavailable = true;
             mailbox.drain();
-            threadless = false;
+            threadUnavailable = false;
         }
     }
 
-    /** Its thread, once it has been started. */
+    /** The backend's thread, if it has been started. */
     Optional<Thread> thread() {
         return Optional.ofNullable(thread);
     }
 
-    /** From the module's thread, after {@link #leave}: whether no thread runs it any more. */
-    boolean isOver() {
-        Thread started = thread;
-        return !begun || (started != null && !started.isAlive());
+    /**
+     * Whether no thread runs this actor any more. Called by the load balancer's thread, after
+     * {@link #removedFromList}.
+     */
+    boolean isTerminated() {
+        Thread backendThread = thread;
+        return !started || (backendThread != null && !backendThread.isAlive());
     }
 
     @Override
     public void run() {
-        begun = true;
-        permits.join(this);
+        started = true;
+        permits.register(this);
         try {
-            while (!leaving || !connections.isEmpty() || !held.isEmpty()) {
-                mailbox.next(held.isEmpty() ? IDLE_CHECK_MICROS : unsettled() / 1_000);
-                retire();
-                while (!held.isEmpty() && unsettled() <= 0) {
-                    send(held.poll());
+            while (!closing || !connections.isEmpty() || !waitingAttempts.isEmpty()) {
+                mailbox.next(
+                        waitingAttempts.isEmpty()
+                                ? IDLE_CHECK_MICROS
+                                : nanosUntilSettled() / 1_000);
+                closeExpiredIdle();
+                while (!waitingAttempts.isEmpty() && nanosUntilSettled() <= 0) {
+                    send(waitingAttempts.poll());
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            permits.leave(this);
+            permits.unregister(this);
         }
     }
 
-    /** From the module's thread: whether what is still on its way to a connection may go out. */
-    void ready(boolean now) {
-        ready = now;
+    /**
+     * Sets whether attempts on their way to a connection may be sent. Called by the load balancer's
+     * thread.
+     */
+    void setReady(boolean newReady) {
+        ready = newReady;
     }
 
-    /** Whether anything new may be written to it; from any thread. */
-    boolean ready() {
+    /** Whether new requests may be sent to the backend; safe for use by any thread. */
+    boolean isReady() {
         return ready;
     }
 
-    /** From the module's thread, which never waits here: false when the mailbox is full. */
-    boolean attempt(ClientRequest.Attempt attempt) {
+    /**
+     * Offers an attempt without waiting; false when the mailbox is full. Called by the load
+     * balancer's thread.
+     */
+    boolean offer(ClientRequest.Attempt attempt) {
         return mailbox.offer(() -> send(attempt));
     }
 
     /**
-     * From the module's thread: without a thread it has no connections, and nobody to read this.
+     * Offers a message if there is a thread to run it; without a thread there are no connections
+     * either. Called by the load balancer's thread.
      */
-    private void tell(Runnable message) {
-        if (begun) {
+    private void offerIfStarted(Runnable message) {
+        if (started) {
             mailbox.offer(message);
         }
     }
 
-    /** From the module's thread: the list has told where it listens now. */
-    void listensAt(InetSocketAddress now) {
-        if (!begun) {
-            address = now;
+    /** Sets the address that the endpoint list gives. Called by the load balancer's thread. */
+    void addressChanged(InetSocketAddress newAddress) {
+        if (!started) {
+            address = newAddress;
         }
-        tell(
+        offerIfStarted(
                 () -> {
-                    if (!now.equals(address)) {
-                        address = now;
-                        resting.forEach(BackendConnection::kill);
-                        resting.clear();
+                    if (!newAddress.equals(address)) {
+                        address = newAddress;
+                        idleConnections.forEach(BackendConnection::closeNow);
+                        idleConnections.clear();
                     }
                 });
     }
 
-    /** From the module's thread: it has gone from the list; what is out may still end. */
-    void leave() {
+    /**
+     * Handles the backend's removal from the list; attempts in flight may still complete. Called by
+     * the load balancer's thread.
+     */
+    void removedFromList() {
         ready = false;
-        tell(
+        offerIfStarted(
                 () -> {
-                    leaving = true;
-                    resting.forEach(BackendConnection::kill);
-                    resting.clear();
+                    closing = true;
+                    idleConnections.forEach(BackendConnection::closeNow);
+                    idleConnections.clear();
                 });
     }
 
-    /** From the module's thread: what rests is worth less than it costs. */
-    void release() {
-        tell(
+    /**
+     * Closes idle connections because they cost more than they are worth. Called by the load
+     * balancer's thread.
+     */
+    void closeIdleConnections() {
+        offerIfStarted(
                 () -> {
-                    resting.forEach(BackendConnection::kill);
-                    resting.clear();
+                    idleConnections.forEach(BackendConnection::closeNow);
+                    idleConnections.clear();
                 });
     }
 
-    /** From another backend's actor: sockets have run out, so the longest at rest is closed. */
-    void spareOne() {
+    /**
+     * Closes the connection that has been idle longest, because no permit is free. Called by the
+     * actor of a backend that needs one.
+     */
+    void closeOldestIdle() {
         mailbox.offer(
                 () -> {
-                    BackendConnection spare = resting.pollFirst();
-                    if (spare != null) {
-                        spare.kill();
+                    BackendConnection oldest = idleConnections.pollFirst();
+                    if (oldest != null) {
+                        oldest.closeNow();
                     }
                 });
     }
 
-    /** The proxy closes: nothing that is out is waited for. */
-    void end() {
-        tell(
+    /** Closes all connections without waiting for attempts in flight: the proxy closes. */
+    void stop() {
+        offerIfStarted(
                 () -> {
-                    leaving = true;
-                    connections.forEach(BackendConnection::kill);
+                    closing = true;
+                    connections.forEach(BackendConnection::closeNow);
                 });
     }
 
-    /** For tests alone: carried out on its thread, after all that it has been told. */
-    void then(Runnable next) {
-        mailbox.put(next);
+    /** For tests only: runs a task on the actor's thread, after all messages sent so far. */
+    void runAfterPending(Runnable task) {
+        mailbox.put(task);
     }
 
-    /** From a connection: its attempt is over and it may carry the next. */
-    void rests(BackendConnection connection) {
+    /** Called by a connection whose attempt has ended and which can carry the next one. */
+    void onIdle(BackendConnection connection) {
         mailbox.put(
                 () -> {
-                    if (leaving
+                    if (closing
                             || !connection.address().equals(address)
-                            || !keepAlive.worthwhile()) {
-                        connection.kill();
+                            || !keepAlive.isReuseAllowed()) {
+                        connection.closeNow();
                     } else {
-                        connection.restingSince = System.nanoTime();
-                        resting.addLast(connection);
+                        connection.idleSinceNanos = System.nanoTime();
+                        idleConnections.addLast(connection);
                     }
                 });
     }
 
     /**
-     * From a connection: its attempt, not its first, broke off so many nanoseconds after it was
-     * sent.
+     * Called by a connection that broke during an attempt that was not its first.
+     *
+     * @param nanosAfterSend the time since the attempt was sent
      */
-    void brokeWhenUsedAgain(long after) {
-        keepAlive.broke(after);
+    void reusedConnectionBroke(long nanosAfterSend) {
+        keepAlive.reusedConnectionBroke(nanosAfterSend);
     }
 
-    /** From a connection: it has given back all that it held. */
-    void ended(BackendConnection connection) {
-        permits.give();
+    /** Called by a connection that has released all its resources. */
+    void connectionClosed(BackendConnection connection) {
+        permits.release();
         mailbox.put(
                 () -> {
                     connections.remove(connection);
-                    resting.remove(connection);
+                    idleConnections.remove(connection);
                 });
     }
 
-    /** Nanoseconds until the connection that has rested longest has settled; 0 where none rests. */
-    private long unsettled() {
-        return resting.isEmpty()
+    /**
+     * Nanoseconds until the connection that has been idle longest has settled; 0 if none is idle.
+     */
+    private long nanosUntilSettled() {
+        return idleConnections.isEmpty()
                 ? 0
-                : settle - (System.nanoTime() - resting.peekFirst().restingSince);
+                : settleNanos - (System.nanoTime() - idleConnections.peekFirst().idleSinceNanos);
     }
 
-    /** Takes the connection that was used last, of those that have settled; null if none has. */
-    private BackendConnection settled() {
+    /**
+     * Takes the most recently used of the idle connections that have settled; null if there is
+     * none.
+     */
+    private BackendConnection takeSettledConnection() {
         long now = System.nanoTime();
-        for (Iterator<BackendConnection> last = resting.descendingIterator(); last.hasNext(); ) {
-            BackendConnection connection = last.next();
-            if (now - connection.restingSince >= settle) {
-                last.remove();
+        for (Iterator<BackendConnection> iterator = idleConnections.descendingIterator();
+                iterator.hasNext(); ) {
+            BackendConnection connection = iterator.next();
+            if (now - connection.idleSinceNanos >= settleNanos) {
+                iterator.remove();
                 return connection;
             }
         }
@@ -309,43 +353,46 @@
     }
 
     private void send(ClientRequest.Attempt attempt) {
-        if (!attempt.mayBegin(clock.now())) {
-            // It waited in the mailbox: for a client that has left no connection is made or used.
+        if (!attempt.mayStart(clock.now())) {
+            // It waited in the mailbox: for a client that has left, no connection is opened or
+            // used.
             attempt.settle(AttemptOutcome.NOT_SENT);
             return;
         }
-        if (threadless) {
+        if (threadUnavailable) {
             attempt.settle(AttemptOutcome.CONNECT_FAILED);
             return;
         }
-        // Looked through now and then only, some had rested too long when they were used, and were
-        // reset.
-        retire();
-        if (!keepAlive.worthwhile()) {
-            resting.forEach(BackendConnection::kill);
-            resting.clear();
+        // Checked only at intervals, some connections had exceeded the idle timeout when they were
+        // used, and were reset.
+        closeExpiredIdle();
+        if (!keepAlive.isReuseAllowed()) {
+            idleConnections.forEach(BackendConnection::closeNow);
+            idleConnections.clear();
         }
-        for (BackendConnection connection = settled(); connection != null; connection = settled()) {
+        for (BackendConnection connection = takeSettledConnection();
+                connection != null;
+                connection = takeSettledConnection()) {
             if (!attempt.attach(connection)) {
-                resting.addLast(connection);
+                idleConnections.addLast(connection);
                 return;
             }
-            if (attempt.req.body.isInFile() && elsewhere(connection, attempt)) {
+            if (attempt.req.body.isInFile() && sendOnWorkerThread(connection, attempt)) {
                 return;
             }
             if (connection.send(attempt)) {
                 return;
             }
-            if (attempt.settled()) {
+            if (attempt.isSettled()) {
                 return;
             }
         }
-        if (resting.size() > held.size()) {
-            held.add(attempt);
+        if (idleConnections.size() > waitingAttempts.size()) {
+            waitingAttempts.add(attempt);
             return;
         }
-        if (!permits.take()) {
-            log.warn("out of sockets", "an attempt got no connection");
+        if (!permits.acquire()) {
+            log.warn("out of sockets", "no permit for a connection is free; an attempt failed");
             attempt.settle(AttemptOutcome.CONNECT_FAILED);
             return;
         }
@@ -353,35 +400,36 @@
                 new BackendConnection(
                         this,
                         address,
-                        connectLimit,
+                        connectTimeoutMillis,
                         buffers,
                         writer,
                         watchdog,
                         clock,
-                        figures,
+                        metrics,
                         log,
                         attempt);
         connections.add(connection);
         try {
             workers.serve(connection);
         } catch (OutOfMemoryError e) {
-            // No thread can be had: this attempt fails, the proxy must not.
-            log.warn("no thread", "an attempt got no connection");
+            // No thread is available: this attempt fails; the proxy must not end.
+            log.warn("no thread", "no thread is available for a connection; an attempt failed");
             connections.remove(connection);
-            permits.give();
+            permits.release();
             attempt.settle(AttemptOutcome.CONNECT_FAILED);
         }
     }
 
     /**
-     * A long body is written on another thread: a backend that reads slowly must not stop this
-     * actor.
+     * Writes a long body on another thread, because a backend that reads slowly must not block this
+     * actor; false when no thread is available.
      */
-    private boolean elsewhere(BackendConnection connection, ClientRequest.Attempt attempt) {
+    private boolean sendOnWorkerThread(
+            BackendConnection connection, ClientRequest.Attempt attempt) {
         try {
             workers.serve(
                     () -> {
-                        if (!connection.send(attempt) && !attempt.settled()) {
+                        if (!connection.send(attempt) && !attempt.isSettled()) {
                             mailbox.put(() -> send(attempt));
                         }
                     });
@@ -391,10 +439,11 @@
         }
     }
 
-    private void retire() {
+    private void closeExpiredIdle() {
         long now = System.nanoTime();
-        while (!resting.isEmpty() && now - resting.peekFirst().restingSince > retireAfter) {
-            resting.pollFirst().kill();
+        while (!idleConnections.isEmpty()
+                && now - idleConnections.peekFirst().idleSinceNanos > idleTimeoutNanos) {
+            idleConnections.pollFirst().closeNow();
         }
     }
 }
--- a/src/main/java/cottonlock/proxy/BackendConnection.java
+++ b/src/main/java/cottonlock/proxy/BackendConnection.java
@@ -18,58 +18,59 @@
 import java.net.Socket;
 
 /**
- * One connection to a backend. Its thread connects and reads; the backend's actor writes on it
- * later.
+ * A connection to a backend. Its thread connects, sends the first attempt and reads; later attempts
+ * are sent by the backend's actor.
  */
 final class BackendConnection implements Runnable {
     /**
-     * Milliseconds of a pause in an answer: some backends take seconds to write it, in pieces. One
-     * that stops short would hold its request until nothing else can be tried any more.
+     * Maximum milliseconds of a pause in a response: some backends take seconds to write one in
+     * pieces. A backend that stops midway would hold its request until no other attempt is
+     * possible.
      */
     private static final long RESPONSE_PAUSE_MILLIS = 1_200;
 
     private final BackendActor backend;
     private final InetSocketAddress address;
-    private final int connectLimit;
+    private final int connectTimeoutMillis;
     private final BufferPool buffers;
     private final HttpWriter writer;
     private final WriteTimeoutWatchdog watchdog;
     private final TickClock clock;
-    private final Metrics figures;
+    private final Metrics metrics;
     private final RateLimitedLog log;
     private final Socket socket = new Socket();
-    private final ClientRequest.Attempt first;
+    private final ClientRequest.Attempt firstAttempt;
 
-    /** When it last began to rest, for the actor; 0 before it first does. */
-    long restingSince;
+    /** When the connection last became idle, set by the actor; 0 before the first time. */
+    long idleSinceNanos;
 
-    private long sentAt;
+    private long sentAtNanos;
     private ClientRequest.Attempt current;
     private boolean writing;
     private boolean written;
-    private boolean ended;
+    private boolean closed;
 
     BackendConnection(
             BackendActor backend,
             InetSocketAddress address,
-            int connectLimit,
+            int connectTimeoutMillis,
             BufferPool buffers,
             HttpWriter writer,
             WriteTimeoutWatchdog watchdog,
             TickClock clock,
-            Metrics figures,
+            Metrics metrics,
             RateLimitedLog log,
-            ClientRequest.Attempt first) {
+            ClientRequest.Attempt firstAttempt) {
         this.backend = backend;
         this.address = address;
-        this.connectLimit = connectLimit;
+        this.connectTimeoutMillis = connectTimeoutMillis;
         this.buffers = buffers;
         this.writer = writer;
         this.watchdog = watchdog;
         this.clock = clock;
-        this.figures = figures;
+        this.metrics = metrics;
         this.log = log;
-        this.first = first;
+        this.firstAttempt = firstAttempt;
     }
 
     InetSocketAddress address() {
@@ -80,105 +81,106 @@
     public void run() {
         byte[] buffer = null;
         try {
-            if (first.attach(this)) {
-                current = first;
+            if (firstAttempt.attach(this)) {
+                current = firstAttempt;
                 socket.setTcpNoDelay(true);
-                socket.connect(address, connectLimit);
+                socket.connect(address, connectTimeoutMillis);
                 buffer = buffers.take();
                 HttpReader reader = new HttpReader(socket, buffer);
-                if (send(first)) {
-                    while (reader.awaitSingleByte() && expects() && exchange(reader)) {
-                        // One attempt after the other.
+                if (send(firstAttempt)) {
+                    while (reader.awaitSingleByte() && isResponseExpected() && exchange(reader)) {
+                        // Reads one response after the other.
                     }
                 }
             }
         } catch (MalformedMessageException e) {
             log.warn("bad answer", e.getMessage() + ", from " + address);
         } catch (IOException e) {
-            // What was under way is settled below.
+            // The attempt under way is settled below.
         } finally {
-            end(buffer);
+            closeAndSettle(buffer);
         }
     }
 
-    /** The one place where the connection, its buffer and its permit are given back. */
-    private void end(byte[] buffer) {
+    /** The only place where the connection, its buffer and its permit are released. */
+    private void closeAndSettle(byte[] buffer) {
         Sockets.close(socket);
         if (buffer != null) {
             buffers.give(buffer);
         }
-        ClientRequest.Attempt broken = null;
-        long after;
+        ClientRequest.Attempt unfinished = null;
+        long nanosAfterSend;
         synchronized (this) {
-            ended = true;
-            after = System.nanoTime() - sentAt;
+            closed = true;
+            nanosAfterSend = System.nanoTime() - sentAtNanos;
             if (!writing) {
-                // While it is being written the writer knows better how far it got.
-                broken = current;
+                // While the attempt is being written, its writer knows better how far it got.
+                unfinished = current;
                 current = null;
             }
         }
-        if (broken != null) {
-            if (broken != first && !broken.settled()) {
-                backend.brokeWhenUsedAgain(after);
+        if (unfinished != null) {
+            if (unfinished != firstAttempt && !unfinished.isSettled()) {
+                backend.reusedConnectionBroke(nanosAfterSend);
             }
-            broken.settle(
+            unfinished.settle(
                     written ? AttemptOutcome.CONNECTION_BROKEN : AttemptOutcome.CONNECT_FAILED);
         }
-        backend.ended(this);
+        backend.connectionClosed(this);
     }
 
     /**
-     * Whether an answer is due; what comes unasked would be taken for the answer to the next
-     * attempt.
+     * Whether a response is expected; an unsolicited one would be taken for the response to the
+     * next attempt.
      */
-    private synchronized boolean expects() {
+    private synchronized boolean isResponseExpected() {
         if (current == null) {
-            ended = true;
-            log.warn("surplus", "an answer that was not asked for, from " + address);
+            closed = true;
+            log.warn("surplus", "unsolicited response from " + address);
         }
         return current != null;
     }
 
-    /** Writes an attempt; false when nothing more can go out on this connection. */
+    /** Sends an attempt; false when nothing more can be sent on this connection. */
     boolean send(ClientRequest.Attempt attempt) {
         synchronized (this) {
-            if (ended || unasked()) {
+            if (closed || hasUnsolicitedBytes()) {
                 return false;
             }
             current = attempt;
-            sentAt = System.nanoTime();
+            sentAtNanos = System.nanoTime();
             writing = true;
             written = false;
         }
-        AttemptOutcome skipped = write(attempt);
-        boolean over;
+        AttemptOutcome failure = write(attempt);
+        boolean closedMeanwhile;
         synchronized (this) {
             writing = false;
-            written = skipped == null;
-            over = ended;
-            if (skipped != null || over) {
+            written = failure == null;
+            closedMeanwhile = closed;
+            if (failure != null || closedMeanwhile) {
                 current = null;
             }
         }
-        if (skipped != null) {
-            attempt.settle(skipped);
+        if (failure != null) {
+            attempt.settle(failure);
             Sockets.close(socket);
             return false;
         }
-        if (over) {
-            // It went out whole, but the other side had ended: it may have been read before that.
+        if (closedMeanwhile) {
+            // It was written completely, but the connection has ended; the backend may have read it
+            // before that.
             attempt.settle(AttemptOutcome.CONNECTION_BROKEN);
         }
-        return !over;
+        return !closedMeanwhile;
     }
 
     /**
-     * Whether something lies there to be read already, which can't be the answer to what is sent
-     * next. The thread that reads takes one byte only while nothing is out, so that it cannot hide
-     * the others.
+     * Whether unread bytes are available, which can't be the response to what is sent next. While
+     * no attempt is under way the reading thread takes a single byte, so that it can't hide the
+     * others.
      */
-    private boolean unasked() {
+    private boolean hasUnsolicitedBytes() {
         try {
             return socket.getInputStream().available() > 0;
         } catch (IOException e) {
@@ -186,15 +188,19 @@
         }
     }
 
-    /** Writes it whole and returns null, or tells why its last byte was never written. */
+    /**
+     * Writes the request completely and returns null, or returns why its last byte was never
+     * written.
+     */
     private AttemptOutcome write(ClientRequest.Attempt attempt) {
-        attempt.req.awaitLook();
-        if (!attempt.req.hold()) {
+        attempt.req.awaitClientCheck();
+        if (!attempt.req.retainBody()) {
             return AttemptOutcome.NOT_SENT;
         }
         try {
-            if (!backend.ready()) {
-                // It waited in a mailbox or for a connection: meanwhile a drain may have been told.
+            if (!backend.isReady()) {
+                // It waited in a mailbox or for a connection; the backend may have begun to drain
+                // meanwhile.
                 return AttemptOutcome.NOT_SENT;
             }
             String host = address.getHostString() + ":" + address.getPort();
@@ -202,28 +208,34 @@
                     socket,
                     out ->
                             writer.writeRequest(
-                                    new Until(out, attempt),
+                                    new DeadlineOutputStream(out, attempt),
                                     attempt.req.outbound(),
                                     host,
-                                    () -> Math.max(1, (attempt.req.expiry - clock.now()) / 10)));
-            figures.attemptSent();
+                                    () ->
+                                            Math.max(
+                                                    1,
+                                                    (attempt.req.deadlineTicks - clock.now())
+                                                            / 10)));
+            metrics.attemptSent();
             return null;
         } catch (IOException e) {
             long now = clock.now();
-            return now >= attempt.sendBy || !attempt.mayBegin(now)
+            return now >= attempt.sendByTicks || !attempt.mayStart(now)
                     ? AttemptOutcome.NOT_SENT
                     : AttemptOutcome.CONNECT_FAILED;
         } finally {
-            attempt.req.release();
+            attempt.req.releaseBody();
         }
     }
 
-    /** Fails before it writes anything too late: short of its last byte, a request never runs. */
-    private final class Until extends FilterOutputStream {
+    /**
+     * Fails before it writes anything too late: a request without its last byte is never executed.
+     */
+    private final class DeadlineOutputStream extends FilterOutputStream {
         private final ClientRequest.Attempt attempt;
-        private boolean begun;
+        private boolean started;
 
-        Until(OutputStream out, ClientRequest.Attempt attempt) {
+        DeadlineOutputStream(OutputStream out, ClientRequest.Attempt attempt) {
             super(out);
             this.attempt = attempt;
         }
@@ -231,79 +243,80 @@
         @Override
         public void write(byte[] bytes, int from, int count) throws IOException {
             long now = clock.now();
-            if (now >= attempt.sendBy || (!begun && !attempt.mayBegin(now))) {
-                throw new IOException("too late to be sent, or for nobody");
+            if (now >= attempt.sendByTicks || (!started && !attempt.mayStart(now))) {
+                throw new IOException(
+                        "the deadline for sending has passed, or the client has left");
             }
-            begun = true;
+            started = true;
             out.write(bytes, from, count);
         }
     }
 
-    /** Reads one answer; false when the connection is to end. */
+    /** Reads one response; false when the connection is to end. */
     private boolean exchange(HttpReader reader) throws IOException, MalformedMessageException {
         reader.setTimeout(0);
         MessageHead head = reader.readResponseHead(RESPONSE_PAUSE_MILLIS);
         MessageBody body = reader.readBodyStart(buffers);
         try {
             ClientRequest.Attempt attempt;
-            boolean keep = head.keepsAlive(head.responseVersion());
+            boolean keepAlive = head.keepsAlive(head.responseVersion());
             synchronized (this) {
                 attempt = current;
                 current = null;
-                keep &= !writing;
+                keepAlive &= !writing;
             }
             if (attempt == null) {
                 return false;
             }
-            boolean passed = pass(attempt, head, body, reader);
+            boolean forwarded = forwardResponse(attempt, head, body, reader);
             reader.setTimeout(0);
-            if (!passed) {
+            if (!forwarded) {
                 return false;
             }
-            if (keep && reader.hasSurplusBytes()) {
-                // A second copy or noise: the next attempt on this connection would be answered
-                // with it.
-                log.warn("surplus", "more than its answer, from " + address);
+            if (keepAlive && reader.hasSurplusBytes()) {
+                // A duplicate or noise: the next attempt on this connection would be answered with
+                // it.
+                log.warn("surplus", "more bytes than the response from " + address);
                 return false;
             }
-            if (keep) {
-                backend.rests(this);
+            if (keepAlive) {
+                backend.onIdle(this);
             }
-            return keep;
+            return keepAlive;
         } finally {
             body.release();
         }
     }
 
-    /** Settles the attempt and passes its answer on; false when some of it is left unread. */
-    private boolean pass(
+    /** Settles the attempt and forwards its response; false when some of it is left unread. */
+    private boolean forwardResponse(
             ClientRequest.Attempt attempt, MessageHead head, MessageBody body, HttpReader reader)
             throws MalformedMessageException {
         int status = Integer.parseInt(head.status());
-        boolean notRun = "1".equals(head.only("X-Not-Processed"));
+        boolean notProcessed = "1".equals(head.only("X-Not-Processed"));
         if (status != 200) {
             attempt.settle(
-                    (status == 503 || status == 504) && notRun
+                    (status == 503 || status == 504) && notProcessed
                             ? AttemptOutcome.REJECTED
                             : AttemptOutcome.ERROR);
             return reader.isBodyComplete();
         }
-        // Claimed first: the module must learn that the request is over, by this attempt.
-        boolean owed = attempt.req.claim();
+        // Claimed first: the load balancer must learn that this attempt ended the request.
+        boolean responseOwed = attempt.req.claim();
         attempt.settle(AttemptOutcome.COMPLETED);
         if (!reader.isBodyComplete()) {
-            // Begun, it is the client's: no other attempt could answer it any more, nor would one
-            // be needed.
-            return owed && attempt.req.client.relay(attempt.req, body, reader);
+            // Once it has begun, the response is the client's: no other attempt could answer the
+            // request, nor would one be needed.
+            return responseOwed && attempt.req.client.relay(attempt.req, body, reader);
         }
-        if (owed) {
-            attempt.req.client.finish(attempt.req, 200, null, null, body);
+        if (responseOwed) {
+            attempt.req.client.sendResponse(attempt.req, 200, null, null, body);
         }
         return true;
     }
 
     /** Ends the connection at once, from any thread. */
-    void kill() {
+    void closeNow() {
         Sockets.close(socket);
     }
 }
--- a/src/main/java/cottonlock/proxy/ClientConnection.java
+++ b/src/main/java/cottonlock/proxy/ClientConnection.java
@@ -16,54 +16,59 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One connection of a client. Its thread reads all the time, so that a client that leaves is
- * noticed while its request is out; answers are written by the thread that has them.
+ * A connection of a client. Its thread keeps reading while a request is under way, so that a
+ * disconnect is noticed; responses are written by the threads that have them.
  */
 final class ClientConnection implements Runnable {
     /**
-     * Milliseconds between requests: many clients ask once and stay, and may be left after two
-     * seconds.
+     * Idle timeout between requests in milliseconds: many clients send one request and keep the
+     * connection open, and may be disconnected after two seconds.
      */
     private static final long IDLE_TIMEOUT_MILLIS = 2_200;
 
     /**
-     * Milliseconds for a head to come in, from connecting for the first, and for a pause in a body:
-     * slow ones take two seconds, half ones must not pile up.
+     * Milliseconds for a request head, counted from connecting for the first one, and for a pause
+     * in a body: slow clients take two seconds, and incomplete requests must not accumulate.
      */
     private static final long READ_TIMEOUT_MILLIS = 2_600;
 
-    /** Bytes a second of a body at least: a little less than the slowest clients send. */
+    /**
+     * Minimum rate of a request body in bytes per second: slightly below that of the slowest
+     * clients.
+     */
     private static final long MIN_BODY_BYTES_PER_SECOND = 48 << 10;
 
     /**
-     * Nanoseconds of silence after which a request that has not come whole may give way: with a
-     * second, a crowd of half ones held all places, and those who came were closed unread.
+     * Nanoseconds of silence after which a connection with an incomplete request may be evicted.
+     * With one second, many incomplete requests held all slots, and new connections were closed
+     * unread.
      */
     private static final long PARTIAL_REQUEST_NANOS = 250_000_000L;
 
     /**
-     * Milliseconds for what a refused client still sends, so that it sees the answer before the
-     * end.
+     * Milliseconds during which input after a refused request is discarded, so that the client sees
+     * the response before the connection ends.
      */
     private static final long REFUSAL_LINGER_MILLIS = 300;
 
     /**
-     * Nanoseconds after connecting within which the first request begins: a far network's round
-     * trip.
+     * Nanoseconds after connecting within which the first request begins: the round trip of a
+     * distant network.
      */
     private static final long FIRST_REQUEST_NANOS = 300_000_000L;
 
-    /** Milliseconds after which a request that came before the last answer is looked at again. */
+    /** Milliseconds between checks of a pipelined request that waits for the response before it. */
     private static final long READ_AHEAD_CHECK_MILLIS = 20;
 
     /**
-     * Milliseconds that a backend may pause within a long answer: some take seconds to write on.
+     * Maximum milliseconds that a backend may pause within a long response: some take seconds to
+     * continue.
      */
     private static final long RELAY_PAUSE_MILLIS = 5_000;
 
     /**
-     * Bytes that are read and dropped at most: what lies in the buffers of one connection. Reading
-     * on through 60 MB costs the others.
+     * Maximum number of bytes that are read and discarded: what the buffers of one connection hold.
+     * Reading on through 60 MB slows down the other clients.
      */
     private static final int MAX_DISCARDED_BYTES = 256 << 10;
 
@@ -72,65 +77,65 @@
 
     private final Socket socket;
     private final ClientListener listener;
-    private final LoadBalancerActor module;
-    private final RequestValidator admission;
+    private final LoadBalancerActor loadBalancer;
+    private final RequestValidator validator;
     private final BufferPool buffers;
-    private final BodySpillFiles spools;
+    private final BodySpillFiles spillFiles;
     private final HttpWriter writer;
     private final WriteTimeoutWatchdog watchdog;
-    private final Metrics figures;
+    private final Metrics metrics;
     private final RateLimitedLog log;
     private ClientRequest req;
-    private HttpReader coming;
+    private HttpReader inputReader;
     private boolean reading;
 
-    /** Whether some of the next request has been read while the answer to the last is owed. */
-    private boolean nextBegun;
+    /** Whether part of the next request has been read while the last response is pending. */
+    private boolean nextRequestStarted;
 
     private boolean closing;
-    private boolean inputEnded;
+    private boolean inputShutDown;
 
-    /** When that was, by the monotonic clock. */
-    private long endedAt;
+    /** When the input was shut down, by the monotonic clock. */
+    private long inputShutDownNanos;
 
-    private volatile boolean asked;
-    private boolean worked;
+    private volatile boolean firstRequestStarted;
+    private boolean requestSubmitted;
 
     /**
-     * Whether the connection ends after the next answer; whether an answer has said that it was the
-     * last.
+     * Whether the connection ends after the next response. {@code closeAnnounced}: whether a
+     * response has announced the end.
      */
-    private boolean last;
+    private boolean closeAfterResponse;
 
-    private boolean told;
-    private long since = System.nanoTime();
+    private boolean closeAnnounced;
+    private long lastActivityNanos = System.nanoTime();
 
     /**
-     * For tests alone: what its thread does when it has read, and before it says so. Null in
-     * service.
+     * For tests only: run by the connection's thread after it has read input and before it records
+     * that. Null in production.
      */
-    volatile Runnable afterRead;
+    volatile Runnable afterReadHook;
 
     ClientConnection(
             Socket socket,
             ClientListener listener,
-            LoadBalancerActor module,
-            RequestValidator admission,
+            LoadBalancerActor loadBalancer,
+            RequestValidator validator,
             BufferPool buffers,
-            BodySpillFiles spools,
+            BodySpillFiles spillFiles,
             HttpWriter writer,
             WriteTimeoutWatchdog watchdog,
-            Metrics figures,
+            Metrics metrics,
             RateLimitedLog log) {
         this.socket = socket;
         this.listener = listener;
-        this.module = module;
-        this.admission = admission;
+        this.loadBalancer = loadBalancer;
+        this.validator = validator;
         this.buffers = buffers;
-        this.spools = spools;
+        this.spillFiles = spillFiles;
         this.writer = writer;
         this.watchdog = watchdog;
-        this.figures = figures;
+        this.metrics = metrics;
         this.log = log;
     }
 
@@ -142,39 +147,40 @@
             buffer = buffers.take();
             HttpReader reader = new HttpReader(socket, buffer);
             synchronized (this) {
-                coming = reader;
+                inputReader = reader;
             }
             while (awaitRequest(reader) && serve(reader)) {
-                // One request after the other.
+                // Serves one request after the other.
             }
         } catch (IOException e) {
-            // The client is gone; what it was owed is settled below.
+            // The client has disconnected; its open request is settled below.
         } finally {
-            ClientRequest unanswered = unanswered();
-            // Claimed before all else: it might just be about to be sent on.
-            if (unanswered != null && unanswered.claim()) {
-                figures.requestEnded();
-                module.left(unanswered);
+            ClientRequest abandoned = abandonedRequest();
+            // Claimed before all else: an attempt may be about to start.
+            if (abandoned != null && abandoned.claim()) {
+                metrics.requestEnded();
+                loadBalancer.clientDisconnected(abandoned);
             }
             Sockets.close(socket);
             if (buffer != null) {
                 buffers.give(buffer);
             }
-            listener.ended(this);
+            listener.connectionClosed(this);
         }
     }
 
     /**
-     * The request that the client has left behind, if it was the client who ended the connection.
+     * Returns the open request of a client that has disconnected, or null. If this side shut the
+     * input down, waits for the response first.
      */
-    private synchronized ClientRequest unanswered() {
-        // Ended from here just as a request had come whole, it looks the same, but the answer is
-        // still owed.
-        if (req != null && inputEnded) {
-            // Nothing is read from here any more, so its leaving would not be seen.
-            module.unseen(req, true);
+    private synchronized ClientRequest abandonedRequest() {
+        // If this side shut the input down just after a request was read completely, the stream
+        // looks the same, but the response is still owed.
+        if (req != null && inputShutDown) {
+            // The connection is not read any more, so a disconnect would go unnoticed.
+            loadBalancer.clientUnobserved(req, true);
         }
-        while (req != null && inputEnded) {
+        while (req != null && inputShutDown) {
             try {
                 wait();
             } catch (InterruptedException e) {
@@ -186,95 +192,94 @@
 
     /** Waits for the next request to begin; false when the connection is to end. */
     private boolean awaitRequest(HttpReader reader) throws IOException {
-        for (boolean owed = owed(); owed || !reader.hasBufferedBytes(); owed = owed()) {
+        for (boolean responseOwed = hasOpenRequest();
+                responseOwed || !reader.hasBufferedBytes();
+                responseOwed = hasOpenRequest()) {
             try {
-                // A request that comes before the last answer waits its turn. Its client may leave
-                // all the
-                // same: not read on, it was not noticed, and what it had asked for was sent on
-                // after it had
-                // gone.
+                // A pipelined request waits for the response before it. Its client may disconnect
+                // meanwhile: when the connection was not read on, this went unnoticed, and the
+                // request was sent to a backend after its client had left.
                 reader.setTimeout(
-                        owed && reader.hasBufferedBytes()
+                        responseOwed && reader.hasBufferedBytes()
                                 ? READ_AHEAD_CHECK_MILLIS
-                                : asked ? IDLE_TIMEOUT_MILLIS : READ_TIMEOUT_MILLIS);
-                looks();
+                                : firstRequestStarted ? IDLE_TIMEOUT_MILLIS : READ_TIMEOUT_MILLIS);
+                markClientChecked();
                 if (!reader.readAhead()) {
                     return false;
                 }
             } catch (SocketTimeoutException e) {
-                if (!owed && !owed() && !reader.hasBufferedBytes()) {
+                if (!responseOwed && !hasOpenRequest() && !reader.hasBufferedBytes()) {
                     return false;
                 }
             }
             if (reader.discardedBytes() > 0) {
-                lastOne();
+                closeAfterNextResponse();
             }
-            nextBegun(owed && reader.hasBufferedBytes());
+            setNextRequestStarted(responseOwed && reader.hasBufferedBytes());
             if (reader.discardedBytes() > MAX_DISCARDED_BYTES) {
-                awaitAnswer();
+                awaitResponse();
             }
         }
-        Runnable held = afterRead;
-        if (held != null) {
-            held.run();
+        Runnable hook = afterReadHook;
+        if (hook != null) {
+            hook.run();
         }
         synchronized (this) {
-            // What has been read is served, also where the connection was ended from here
-            // meanwhile: its
-            // client sends again only what was left unread. After an answer that said so nothing
-            // more is due.
-            nextBegun = false;
-            reading = !told && reader.discardedBytes() == 0;
-            since = System.nanoTime();
+            // Input that has been read is served even if this side shut the input down meanwhile:
+            // the client sends again only what was left unread. After a response that announced the
+            // end, nothing more is served.
+            nextRequestStarted = false;
+            reading = !closeAnnounced && reader.discardedBytes() == 0;
+            lastActivityNanos = System.nanoTime();
             return reading;
         }
     }
 
-    private synchronized void nextBegun(boolean begun) {
-        nextBegun = begun;
+    private synchronized void setNextRequestStarted(boolean started) {
+        nextRequestStarted = started;
     }
 
-    private synchronized void looks() {
+    private synchronized void markClientChecked() {
         if (req != null) {
-            req.looks();
+            req.markClientChecked();
         }
     }
 
     /**
-     * Waits for the answer under way: whoever sends without end is read no further meanwhile, so
-     * that nobody sees it leave.
+     * Waits for the response under way. A client that sends without end is not read meanwhile, so
+     * its disconnect would go unnoticed.
      */
-    private synchronized void awaitAnswer() throws IOException {
+    private synchronized void awaitResponse() throws IOException {
         if (req != null) {
-            module.unseen(req, false);
+            loadBalancer.clientUnobserved(req, false);
         }
         while (req != null) {
             try {
                 wait();
             } catch (InterruptedException e) {
-                throw new IOException("interrupted while an answer was waited for", e);
+                throw new IOException("interrupted while waiting for a response", e);
             }
         }
     }
 
-    /** Reads one request and brings it on its way; false when the connection is to end. */
+    /** Reads one request and submits it; false when the connection is to end. */
     private boolean serve(HttpReader reader) throws IOException {
         MessageBody body = null;
         MessageHead head;
-        RequestValidator.Asked judged = null;
+        RequestValidator.ValidatedHead validated = null;
         try {
-            if (asked) {
+            if (firstRequestStarted) {
                 reader.setTimeout(READ_TIMEOUT_MILLIS);
             }
-            asked = true;
+            firstRequestStarted = true;
             head = reader.readRequestHead();
-            boolean health = head.target().equals("/_health");
-            judged = health ? null : admission.asked(head);
+            boolean isHealthCheck = head.target().equals("/_health");
+            validated = isHealthCheck ? null : validator.validate(head);
             if (head.lists("Expect", "100-continue")) {
                 watchdog.write(socket, out -> out.write(CONTINUE_RESPONSE));
             }
             reader.setPacing(READ_TIMEOUT_MILLIS, MIN_BODY_BYTES_PER_SECOND);
-            body = reader.readBody(buffers, spools, MessageBody.MAX_REQUEST_BYTES);
+            body = reader.readBody(buffers, spillFiles, MessageBody.MAX_REQUEST_BYTES);
             if (reader.hasStrayBytes()) {
                 body.release();
                 throw new MalformedMessageException(400, "more than its length");
@@ -286,181 +291,203 @@
             refuse(new MalformedMessageException(408, "half a request"), reader);
             return false;
         } catch (BufferPool.ExhaustedException e) {
-            // Closed without an answer, what has come whole by now would be lost.
+            // If the connection were closed without a response, a request that is complete by now
+            // would be lost.
             refuse(new MalformedMessageException(500, e.getMessage()), reader);
             return false;
         }
-        boolean keep = head.keepsAlive(head.requestVersion());
-        if (judged == null) {
+        boolean keepAlive = head.keepsAlive(head.requestVersion());
+        if (validated == null) {
             body.release();
-            keep &= !last();
-            answer(200, null, null, null, !keep);
-            return keep;
+            keepAlive &= !closesAfterResponse();
+            writeResponse(200, null, null, null, !keepAlive);
+            return keepAlive;
         }
-        if (late(reader)) {
+        if (isReadAfterShutdown(reader)) {
             body.release();
             return false;
         }
-        ClientRequest next;
+        ClientRequest request;
         try {
-            next =
-                    admission.request(
-                            this, judged, body, System.nanoTime() - reader.lastReadNanos());
+            request =
+                    validator.createRequest(
+                            this, validated, body, System.nanoTime() - reader.lastReadNanos());
         } catch (MalformedMessageException e) {
             body.release();
             refuse(e, reader);
             return false;
         }
         synchronized (this) {
-            req = next;
-            worked = true;
+            req = request;
+            requestSubmitted = true;
             reading = false;
-            closing |= !keep;
+            closing |= !keepAlive;
         }
-        figures.requestStarted();
-        module.arrive(next);
+        metrics.requestStarted();
+        loadBalancer.requestReceived(request);
         return true;
     }
 
     /**
-     * Whether what came last was read after the connection had been ended from here: its client
-     * takes it for unread and sends it again, so sent on it would be lost, or have its effect
-     * twice.
+     * Whether the last input was read after this side shut the input down: the client takes it for
+     * unread and sends it again, so that it would be lost or executed twice if it were served.
      */
-    private synchronized boolean late(HttpReader reader) {
-        return inputEnded && reader.lastReadNanos() - endedAt > 0;
+    private synchronized boolean isReadAfterShutdown(HttpReader reader) {
+        return inputShutDown && reader.lastReadNanos() - inputShutDownNanos > 0;
     }
 
-    /** Ends the connection too: some send the same again at once, or hundreds of it in a row. */
+    /**
+     * Refuses a request and ends the connection, because some clients send the same request again
+     * at once, or hundreds of times in a row.
+     */
     private void refuse(MalformedMessageException e, HttpReader reader) throws IOException {
         log.warn(
                 "bad request",
                 e.getMessage() + ", from " + socket.getInetAddress().getHostAddress());
-        // What it says names the fault of this request alone, never what others have sent or may
+        // The text names the fault of this request only, never what other clients have sent or may
         // send.
         watchdog.write(socket, out -> writer.writeRefusal(out, e.status(), e.getMessage()));
         socket.shutdownOutput();
-        // Closed with bytes unread, the connection would take the answer with it.
+        // Closing the connection with unread input would discard the response.
         reader.setTimeout(REFUSAL_LINGER_MILLIS);
         reader.discard(MAX_DISCARDED_BYTES);
     }
 
-    private void answer(int status, String name, String value, MessageBody body, boolean close)
+    private void writeResponse(
+            int status, String headerName, String headerValue, MessageBody body, boolean close)
             throws IOException {
         synchronized (this) {
-            told |= close;
+            closeAnnounced |= close;
         }
-        watchdog.write(socket, out -> writer.writeResponse(out, status, name, value, body, close));
+        watchdog.write(
+                socket,
+                out -> writer.writeResponse(out, status, headerName, headerValue, body, close));
         synchronized (this) {
             reading = false;
-            since = System.nanoTime();
+            lastActivityNanos = System.nanoTime();
         }
     }
 
-    /** The final answer to the request under way, by whoever has claimed it. */
-    void finish(ClientRequest done, int status, String name, String value, MessageBody body) {
+    /** Writes the final response to the open request. Called by the thread that has claimed it. */
+    void sendResponse(
+            ClientRequest request,
+            int status,
+            String headerName,
+            String headerValue,
+            MessageBody body) {
         boolean close;
         synchronized (this) {
-            close = closing || last;
+            close = closing || closeAfterResponse;
         }
-        boolean whole = false;
+        boolean complete = false;
         try {
-            answer(status, name, value, body, close);
-            whole = true;
-            figures.responseSent(done.categoryName, done.tenantName, status, done.why);
+            writeResponse(status, headerName, headerValue, body, close);
+            complete = true;
+            metrics.responseSent(
+                    request.requestClassName, request.tenantName, status, request.rejectionReason);
         } catch (IOException e) {
-            log.info("client gone", "an answer could not be written whole");
+            log.info("client gone", "a response could not be written completely");
         }
-        over(close || !whole);
+        endRequest(close || !complete);
     }
 
-    /** The request under way is over, and with it perhaps the connection. */
-    private void over(boolean close) {
-        figures.requestEnded();
+    /** Ends the open request, and the connection if it is to close. */
+    private void endRequest(boolean close) {
+        metrics.requestEnded();
         synchronized (this) {
             req = null;
-            reading = nextBegun;
-            since = System.nanoTime();
+            reading = nextRequestStarted;
+            lastActivityNanos = System.nanoTime();
             notifyAll();
         }
-        // Only after an answer that has said so: a client that was told nothing may be sending its
-        // next request. Who has been told to end meanwhile ends once it rests.
+        // Only after a response that announced the end: otherwise the client may be sending its
+        // next request. A connection that was asked to close meanwhile is closed once it is idle.
         if (close) {
-            endReading();
+            shutDownInput();
         }
     }
 
     /**
-     * Passes on a long answer as it comes, by whoever has claimed the request; its first part is in
-     * hand, the reader has the rest. False when it could not be passed on whole: the client sees
-     * that it is not.
+     * Relays a long response as it arrives. Called by the thread that has claimed the request.
+     *
+     * @param firstPart the part of the body that has been read
+     * @param remainder reads the rest of the body
+     * @return false if the response could not be relayed completely, which the client can detect
      */
-    boolean relay(ClientRequest done, MessageBody part, HttpReader rest) {
-        long length = part.length() > 0 ? -1 : rest.declaredLength();
-        boolean chunked = length < 0 && done.knowsChunks;
+    boolean relay(ClientRequest request, MessageBody firstPart, HttpReader remainder) {
+        long length = firstPart.length() > 0 ? -1 : remainder.declaredLength();
+        boolean chunked = length < 0 && request.acceptsChunked;
         boolean close;
         synchronized (this) {
-            close = closing || last || (length < 0 && !chunked);
-            told |= close;
+            close = closing || closeAfterResponse || (length < 0 && !chunked);
+            closeAnnounced |= close;
         }
-        boolean whole = false;
+        boolean complete = false;
         try {
             watchdog.write(
                     socket,
                     out -> {
-                        writer.beginRelay(out, length, chunked, part, close);
-                        // The rest may take as long as the client likes; what is in hand would be
-                        // missed by others.
-                        part.release();
-                        rest.setPacing(RELAY_PAUSE_MILLIS, HttpReader.ANY_RATE_BYTES_PER_SECOND);
-                        rest.relayBody(
-                                (from, at, count) ->
-                                        writer.writeRelayed(out, chunked, from, at, count));
+                        writer.beginRelay(out, length, chunked, firstPart, close);
+                        // The rest may take as long as the client likes, and other connections need
+                        // these buffers.
+                        firstPart.release();
+                        remainder.setPacing(
+                                RELAY_PAUSE_MILLIS, HttpReader.ANY_RATE_BYTES_PER_SECOND);
+                        remainder.relayBody(
+                                (bytes, offset, count) ->
+                                        writer.writeRelayed(out, chunked, bytes, offset, count));
                         writer.endRelay(out, chunked);
                     });
-            whole = true;
-            figures.responseSent(done.categoryName, done.tenantName, 200, done.why);
+            complete = true;
+            metrics.responseSent(
+                    request.requestClassName, request.tenantName, 200, request.rejectionReason);
         } catch (IOException e) {
-            log.info("broken relay", "a long answer was not passed on whole: " + e.getMessage());
-            figures.responseSent(done.categoryName, done.tenantName, 502, done.why);
+            log.info(
+                    "broken relay",
+                    "a long response was not relayed completely: " + e.getMessage());
+            metrics.responseSent(
+                    request.requestClassName, request.tenantName, 502, request.rejectionReason);
             reset();
         }
-        over(close || !whole);
-        return whole;
+        endRequest(close || !complete);
+        return complete;
     }
 
-    /** Ends the connection so that nobody takes what has been sent for all of it. */
+    /** Resets the connection, so that what has been sent is not taken for the complete response. */
     private void reset() {
         try {
             socket.setSoLinger(true, 0);
         } catch (IOException e) {
-            // It has ended already.
+            // It is closed already.
         }
         Sockets.close(socket);
     }
 
-    /** Ends the connection after its next answer, however long that takes to be asked for. */
-    synchronized void lastOne() {
-        last = true;
+    /** Ends the connection after its next response, however late that request comes. */
+    synchronized void closeAfterNextResponse() {
+        closeAfterResponse = true;
     }
 
-    synchronized boolean last() {
-        return last;
+    synchronized boolean closesAfterResponse() {
+        return closeAfterResponse;
     }
 
     /**
-     * Ends the connection now if it rests, else after the answer that is under way or just about to
-     * be asked for: closed before its first request, a new one would find that nobody serves.
+     * Ends the connection now if it is idle, else after the response that is under way or about to
+     * be requested. A new connection has time for its first request: closed before that, its client
+     * would find no server.
      */
     void close() {
         synchronized (this) {
             closing = true;
-            boolean awaitsFirstRequest = !asked && System.nanoTime() - since < FIRST_REQUEST_NANOS;
-            if (reading || req != null || inputEnded || awaitsFirstRequest) {
+            boolean awaitsFirstRequest =
+                    !firstRequestStarted
+                            && System.nanoTime() - lastActivityNanos < FIRST_REQUEST_NANOS;
+            if (reading || req != null || inputShutDown || awaitsFirstRequest) {
                 return;
             }
         }
-        endReading();
+        shutDownInput();
     }
 
     /** Ends the connection at once, from any thread. */
@@ -468,11 +495,14 @@
         Sockets.close(socket);
     }
 
-    /** The thread sees the end of the stream and closes the socket, which is its own. */
-    private void endReading() {
+    /**
+     * Shuts the input down: the connection's thread sees the end of the stream and closes the
+     * socket, which it owns.
+     */
+    private void shutDownInput() {
         synchronized (this) {
-            endedAt = inputEnded ? endedAt : System.nanoTime();
-            inputEnded = true;
+            inputShutDownNanos = inputShutDown ? inputShutDownNanos : System.nanoTime();
+            inputShutDown = true;
         }
         try {
             socket.shutdownInput();
@@ -481,39 +511,44 @@
         }
     }
 
-    /** Since when it rests, or the last byte of what is being read came, by the monotonic clock. */
-    synchronized long since() {
-        return reading && coming != null ? coming.lastReadNanos() : since;
+    /**
+     * When the connection became idle or, while a request is being read, when its last byte was
+     * read; by the monotonic clock.
+     */
+    synchronized long lastActivityNanos() {
+        return reading && inputReader != null ? inputReader.lastReadNanos() : lastActivityNanos;
     }
 
-    /** Whether it has ever brought a request. */
-    synchronized boolean worked() {
-        return worked;
+    /** Whether the connection has ever submitted a request. */
+    synchronized boolean hasSubmittedRequest() {
+        return requestSubmitted;
     }
 
-    /** Whether it has been told to end while it rested. */
-    synchronized boolean ends() {
-        return inputEnded;
+    /** Whether this side has shut the input down. */
+    synchronized boolean isInputShutDown() {
+        return inputShutDown;
     }
 
-    /** Whether a request of its is under way. */
-    synchronized boolean owed() {
+    /** Whether a request of this connection is open. */
+    synchronized boolean hasOpenRequest() {
         return req != null;
     }
 
-    /** Ends it, unless a request is under way or may be just about to come in whole. */
-    void giveWay() {
+    /** Ends the connection, unless a request is open or may be about to arrive completely. */
+    void evictUnlessActive() {
         synchronized (this) {
-            if (req != null || (reading && System.nanoTime() - since() < PARTIAL_REQUEST_NANOS)) {
+            if (req != null
+                    || (reading
+                            && System.nanoTime() - lastActivityNanos() < PARTIAL_REQUEST_NANOS)) {
                 return;
             }
             closing = true;
         }
-        endReading();
+        shutDownInput();
     }
 
-    /** Whether a request is being read or is under way. */
-    synchronized boolean busy() {
+    /** Whether a request is being read or is open. */
+    synchronized boolean isBusy() {
         return reading || req != null;
     }
 }
--- a/src/main/java/cottonlock/proxy/ClientListener.java
+++ b/src/main/java/cottonlock/proxy/ClientListener.java
@@ -17,52 +17,61 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
 
-/** Takes in clients' connections, and keeps them within the sockets that are theirs. */
+/** Accepts the connections of clients and limits their number. */
 final class ClientListener implements Runnable {
     /**
-     * As many may wait to be accepted as a burst brings within the time of one garbage collection.
+     * Connections that may wait to be accepted: as many as a burst brings during one garbage
+     * collection.
      */
     private static final int BACKLOG = 512;
 
     private final ServerSocket server;
 
     /**
-     * Milliseconds for a connection to come free; whoever waits longer is better served elsewhere.
+     * Milliseconds to wait for a slot; a client that waits longer is better served by another
+     * proxy.
      */
-    private static final long MAX_PLACE_WAIT_MILLIS = 250;
+    private static final long MAX_SLOT_WAIT_MILLIS = 250;
 
-    /** Milliseconds between looks for one that can be closed. */
-    private static final long PLACE_CHECK_MILLIS = 5;
+    /** Milliseconds between attempts to evict a connection. */
+    private static final long SLOT_CHECK_MILLIS = 5;
 
-    /** Milliseconds between looks at whether to leave; and at a queue that may be empty. */
+    /**
+     * Milliseconds between checks whether the listener drains, and then of a queue that may be
+     * empty.
+     */
     private static final int ACCEPT_TIMEOUT_MILLIS = 100;
 
     private static final int LAST_ACCEPT_TIMEOUT_MILLIS = 1;
 
-    private final Semaphore places;
-    private final BiFunction<Socket, ClientListener, ClientConnection> clientOf;
+    private final Semaphore slots;
+    private final BiFunction<Socket, ClientListener, ClientConnection> connectionFactory;
     private final ConnectionThreads workers;
     private final RateLimitedLog log;
-    private volatile boolean leaving;
+    private volatile boolean draining;
     private final Set<ClientConnection> clients = ConcurrentHashMap.newKeySet();
     private final RunCompletion completion = new RunCompletion();
 
-    /** Shares: another process of this proxy may listen there too. */
+    /**
+     * Opens the listening socket.
+     *
+     * @param sharesPort whether another process of this proxy may listen on the address too
+     */
     ClientListener(
             InetSocketAddress address,
-            boolean shares,
-            int most,
-            BiFunction<Socket, ClientListener, ClientConnection> clientOf,
+            boolean sharesPort,
+            int maxClients,
+            BiFunction<Socket, ClientListener, ClientConnection> connectionFactory,
             ConnectionThreads workers,
             RateLimitedLog log)
             throws IOException {
-        this.places = new Semaphore(most);
-        this.clientOf = clientOf;
+        this.slots = new Semaphore(maxClients);
+        this.connectionFactory = connectionFactory;
         this.workers = workers;
         this.log = log;
         this.server = new ServerSocket();
         server.setReuseAddress(true);
-        if (shares) {
+        if (sharesPort) {
             server.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         }
         server.setSoTimeout(ACCEPT_TIMEOUT_MILLIS);
@@ -89,128 +98,131 @@
     private void acceptAll() {
         while (!server.isClosed()) {
             try {
-                if (leaving) {
+                if (draining) {
                     server.setSoTimeout(LAST_ACCEPT_TIMEOUT_MILLIS);
                 }
-                take(server.accept());
+                register(server.accept());
             } catch (SocketTimeoutException e) {
-                // Closed before it was empty, the kernel would reset what it has queued here
-                // unheard.
-                if (leaving) {
+                // If it were closed before the queue is empty, the kernel would reset the
+                // connections in it.
+                if (draining) {
                     Sockets.close(server);
                 }
             } catch (IOException e) {
                 if (!server.isClosed()) {
                     log.warn("accept failed", String.valueOf(e.getMessage()));
-                    // Without free descriptors nobody would come in until somebody leaves.
-                    oneGivesWay();
+                    // Without free descriptors, no connection could be accepted until a client
+                    // leaves.
+                    evictOne();
                     pause();
                 }
             }
         }
     }
 
-    private void take(Socket socket) {
-        if (!placeFound()) {
+    private void register(Socket socket) {
+        if (!acquireSlot()) {
             log.warn(
                     "too many clients",
                     "closed a new connection unread; " + clients.size() + " are open");
             Sockets.close(socket);
             return;
         }
-        ClientConnection client = clientOf.apply(socket, this);
+        ClientConnection client = connectionFactory.apply(socket, this);
         clients.add(client);
-        if (leaving) {
-            client.lastOne();
+        if (draining) {
+            client.closeAfterNextResponse();
         }
         try {
             workers.serve(client);
         } catch (OutOfMemoryError e) {
-            // No thread can be had: one client less is better than no proxy.
-            log.warn("no thread", "closed a new connection unread");
+            // No thread is available: one client less is better than no proxy.
+            log.warn("no thread", "no thread is available; closed a new connection unread");
             Sockets.close(socket);
-            ended(client);
+            connectionClosed(client);
         }
     }
 
-    /** Takes a place, if need be that of the client that will miss it least. */
-    private boolean placeFound() {
-        for (long waited = 0; waited <= MAX_PLACE_WAIT_MILLIS; waited += PLACE_CHECK_MILLIS) {
+    /** Acquires a slot, if necessary by evicting another connection. */
+    private boolean acquireSlot() {
+        for (long waitedMillis = 0;
+                waitedMillis <= MAX_SLOT_WAIT_MILLIS;
+                waitedMillis += SLOT_CHECK_MILLIS) {
             try {
-                if (places.tryAcquire(
-                        waited == 0 ? 0 : PLACE_CHECK_MILLIS, TimeUnit.MILLISECONDS)) {
+                if (slots.tryAcquire(
+                        waitedMillis == 0 ? 0 : SLOT_CHECK_MILLIS, TimeUnit.MILLISECONDS)) {
                     return true;
                 }
             } catch (InterruptedException e) {
                 return false;
             }
-            oneGivesWay();
+            evictOne();
         }
         return false;
     }
 
     /**
-     * Ends the connection that will be missed least. One that sends half a request, and then
-     * nothing, must not keep the others out; and a crowd that asks for nothing but our health must
-     * not push out those who bring work, however long at rest.
+     * Evicts the connection that matters least. A client that sends part of a request and then
+     * nothing must not block others, and many clients that only check the proxy's health must not
+     * displace those that send requests, however long these are idle.
      */
-    private void oneGivesWay() {
+    private void evictOne() {
         clients.stream()
-                .filter(client -> !client.owed())
+                .filter(client -> !client.hasOpenRequest())
                 .min(
-                        Comparator.comparing(ClientConnection::busy)
-                                .thenComparing(ClientConnection::worked)
-                                .thenComparingLong(ClientConnection::since))
-                .ifPresent(ClientConnection::giveWay);
+                        Comparator.comparing(ClientConnection::isBusy)
+                                .thenComparing(ClientConnection::hasSubmittedRequest)
+                                .thenComparingLong(ClientConnection::lastActivityNanos))
+                .ifPresent(ClientConnection::evictUnlessActive);
     }
 
     private static void pause() {
         try {
-            // Out of descriptors, accept fails at once again and again.
+            // Without free descriptors, accept fails at once each time.
             Thread.sleep(20);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** From a client's thread, once: it has given back all that it held. */
-    void ended(ClientConnection client) {
+    /** Called once by the thread of a connection that has released all its resources. */
+    void connectionClosed(ClientConnection client) {
         clients.remove(client);
-        places.release();
+        slots.release();
     }
 
     /**
-     * Takes in what has been queued and nothing more, and leaves each connection after the next
-     * answer.
+     * Accepts the connections that are queued and no others, and ends each connection after its
+     * next response.
      */
-    void leave() {
-        leaving = true;
-        List.copyOf(clients).forEach(ClientConnection::lastOne);
+    void drain() {
+        draining = true;
+        List.copyOf(clients).forEach(ClientConnection::closeAfterNextResponse);
     }
 
     /**
-     * Ends each connection that rests; again and again while it leaves, as some have just been
-     * taken in.
+     * Ends each idle connection; called repeatedly while the listener drains, as some have just
+     * been accepted.
      */
-    void endResting() {
+    void closeIdle() {
         clients.forEach(ClientConnection::close);
     }
 
-    /** Whether no connection is left, and none can come. */
-    boolean empty() {
+    /** Whether no connection is left and none can be added. */
+    boolean isEmpty() {
         return server.isClosed() && clients.isEmpty();
     }
 
     /**
-     * Takes in no more, at once, and ends each connection after the answer that it waits for. When
-     * this returns, {@link #run} has returned, the address is free, and each connection that was
-     * accepted is among those that have been told to end.
+     * Stops accepting at once and ends each connection after the response that it waits for. When
+     * this returns, {@link #run} has returned, the address is free, and each accepted connection
+     * has been asked to end.
      */
     void close() {
         completion.close();
         Sockets.close(server);
         completion.awaitEnd();
-        endResting();
+        closeIdle();
     }
 
     /** Ends all connections at once. */
@@ -218,7 +230,7 @@
         List.copyOf(clients).forEach(ClientConnection::abort);
     }
 
-    /** For tests alone: who is connected now. */
+    /** For tests only: the open connections. */
     Set<ClientConnection> clients() {
         return clients;
     }
--- a/src/main/java/cottonlock/proxy/ClientRequest.java
+++ b/src/main/java/cottonlock/proxy/ClientRequest.java
@@ -13,87 +13,102 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.locks.LockSupport;
 
-/** A request on its way through the sockets: what came of it, and who still needs its body. */
+/** A client's request on its way through the proxy: its outcome, and who still needs its body. */
 final class ClientRequest {
-    /** Nanoseconds that a look at a client takes: a read that finds its end returns at once. */
+    /**
+     * Nanoseconds that a check of the client takes: a read at the end of the stream returns at
+     * once.
+     */
     private static final long CLIENT_CHECK_NANOS = 100_000;
 
-    /** How often that is waited for the look: whoever reads has had a core by then. */
+    /** How many such times to wait for the check: the reading thread has been scheduled by then. */
     private static final int MAX_CLIENT_CHECKS = 20;
 
     final ClientConnection client;
     final String method;
     final String target;
     final String requestId;
-    final String categoryName;
+    final String requestClassName;
     final String tenantName;
     final String idempotencyKey;
     final String contentType;
     final MessageBody body;
-    final int category;
+    final int requestClass;
     final int tenant;
-    final boolean repeated;
+    final boolean retried;
 
-    /** Whether its client reads chunked answers. */
-    final boolean knowsChunks;
+    /** Whether the client accepts chunked responses. */
+    final boolean acceptsChunked;
 
-    /** By the module's clock: its client waits no longer. Shorter where the proxy leaves before. */
-    volatile long expiry;
+    /**
+     * In ticks: the client waits no longer than this. Earlier if the proxy shuts down before that.
+     */
+    volatile long deadlineTicks;
 
     /**
-     * By the module's clock: nothing of it begins to be sent on after that, for from then on nobody
-     * sees whether its client leaves.
+     * In ticks: no attempt starts after this, because a disconnect of the client would go
+     * unnoticed.
      */
-    volatile long seenUntil = Long.MAX_VALUE;
+    volatile long observedUntilTicks = Long.MAX_VALUE;
 
-    /** The ids of all requests that wait for their answer, its own among them. */
+    /** The ids of all requests that wait for their response, including this one. */
     private final Set<String> openIds;
 
     private final AtomicBoolean claimed = new AtomicBoolean();
 
-    /** One for the answer that is owed, and one for each write of the body that is under way. */
-    private final AtomicInteger holds = new AtomicInteger(1);
+    /** One for the response that is owed, and one for each write of the body that is under way. */
+    private final AtomicInteger bodyReferences = new AtomicInteger(1);
 
-    /** What it ended by, where no backend's answer ended it; told before its client is answered. */
-    volatile RejectionReason why = RejectionReason.RESPONSE_LOST;
+    /**
+     * Why the request ended, unless a backend's response ended it; set before the client is
+     * answered.
+     */
+    volatile RejectionReason rejectionReason = RejectionReason.RESPONSE_LOST;
 
     /**
-     * The module's number for it, its attempts, and how many are out: the module's thread alone.
+     * The load balancer's number for the request, its attempts, and how many are in flight: used by
+     * the load balancer's thread only.
      */
     long number;
 
     final List<Attempt> attempts = new ArrayList<>(1);
-    int out;
+    int attemptsInFlight;
 
-    /** When its client was first looked at behind it, by the monotonic clock; 0: not yet. */
-    private long lookedAt;
+    /**
+     * When the reading thread first checked the client after this request, by the monotonic clock;
+     * 0 if not yet.
+     */
+    private long clientCheckedAtNanos;
 
-    /** Whether its client may leave unseen; the module's thread alone. */
-    boolean unseen;
+    /**
+     * Whether a disconnect of the client would go unnoticed; used by the load balancer's thread
+     * only.
+     */
+    boolean clientUnobserved;
 
     ClientRequest(
             ClientConnection client,
-            RequestValidator.Asked asked,
+            RequestValidator.ValidatedHead validated,
             MessageBody body,
-            long expiry,
+            long deadlineTicks,
             Set<String> openIds)
             throws MalformedMessageException {
-        MessageHead head = asked.head();
+        MessageHead head = validated.head();
         this.openIds = openIds;
         this.client = client;
         this.method = head.method();
         this.target = head.target();
         this.contentType = head.only("Content-Type");
-        this.requestId = asked.id();
-        this.idempotencyKey = asked.idempotencyKey();
+        this.requestId = validated.id();
+        this.idempotencyKey = validated.idempotencyKey();
         this.body = body;
-        this.category = asked.category();
-        this.categoryName = asked.name();
-        this.tenant = asked.tenant();
-        this.tenantName = asked.tenantName();
-        this.repeated = "1".equals(head.only("X-Retried"));
-        this.knowsChunks = head.requestVersion().equals("HTTP/1.1");
-        this.expiry = expiry;
+        this.requestClass = validated.requestClass();
+        this.requestClassName = validated.requestClassName();
+        this.tenant = validated.tenant();
+        this.tenantName = validated.tenantName();
+        this.retried = "1".equals(head.only("X-Retried"));
+        this.acceptsChunked = head.requestVersion().equals("HTTP/1.1");
+        this.deadlineTicks = deadlineTicks;
     }
 
     /** The request as it is written to a backend. */
@@ -102,7 +117,7 @@
                 method,
                 target,
                 requestId,
-                categoryName,
+                requestClassName,
                 tenantName,
                 idempotencyKey,
                 contentType,
@@ -110,33 +125,38 @@
     }
 
     /**
-     * From the thread that has read it: it reads on, and sees it if its client has gone meanwhile.
+     * Called by the thread that has read the request: it reads on, and notices if the client has
+     * disconnected meanwhile.
      */
-    synchronized void looks() {
-        lookedAt = lookedAt == 0 ? System.nanoTime() : lookedAt;
+    synchronized void markClientChecked() {
+        clientCheckedAtNanos = clientCheckedAtNanos == 0 ? System.nanoTime() : clientCheckedAtNanos;
     }
 
-    private synchronized boolean looked() {
-        return lookedAt != 0 && System.nanoTime() - lookedAt >= CLIENT_CHECK_NANOS;
+    private synchronized boolean isClientChecked() {
+        return clientCheckedAtNanos != 0
+                && System.nanoTime() - clientCheckedAtNanos >= CLIENT_CHECK_NANOS;
     }
 
     /**
-     * Waits, 2 ms at most, until that thread has looked. Where a request was read late its client
-     * may have left before; without the wait three to five of a hundred such were sent on.
+     * Waits up to 2 ms until that thread has checked the client. The client of a request that was
+     * read late may have left before; without the wait, three to five in a hundred such requests
+     * were sent to a backend.
      */
-    void awaitLook() {
-        for (int i = 0; i < MAX_CLIENT_CHECKS && !looked() && !claimed(); i++) {
+    void awaitClientCheck() {
+        for (int i = 0; i < MAX_CLIENT_CHECKS && !isClientChecked() && !claimed(); i++) {
             LockSupport.parkNanos(CLIENT_CHECK_NANOS);
         }
     }
 
-    /** True for the one caller that may give the final answer, or note that nobody waits for it. */
+    /**
+     * True for the one caller that may give the final response, or record that the client has left.
+     */
     boolean claim() {
         if (!claimed.compareAndSet(false, true)) {
             return false;
         }
         openIds.remove(requestId);
-        release();
+        releaseBody();
         return true;
     }
 
@@ -144,54 +164,57 @@
         return claimed.get();
     }
 
-    /** Keeps the body for a write; false when the request has been answered. */
-    boolean hold() {
-        return holds.getAndUpdate(n -> n == 0 ? 0 : n + 1) > 0;
+    /** Retains the body for a write; false when the request has been answered. */
+    boolean retainBody() {
+        return bodyReferences.getAndUpdate(n -> n == 0 ? 0 : n + 1) > 0;
     }
 
-    /** The last one to let go gives the body's buffers back. */
-    void release() {
-        if (holds.decrementAndGet() == 0) {
+    /** The last release gives the body's buffers back. */
+    void releaseBody() {
+        if (bodyReferences.decrementAndGet() == 0) {
             body.release();
         }
     }
 
-    /** One attempt: it is settled once, whatever reaches it first. */
+    /** An attempt: settled once, by whatever happens first. */
     static final class Attempt {
         final ClientRequest req;
         final int number;
 
-        /** By the module's clock: its last byte may be written until then. */
-        final long sendBy;
+        /** In ticks: its last byte may be written until then. */
+        final long sendByTicks;
 
-        private final LoadBalancerActor module;
+        private final LoadBalancerActor loadBalancer;
         private BackendConnection connection;
         private boolean settled;
 
-        Attempt(ClientRequest req, int number, long sendBy, LoadBalancerActor module) {
+        Attempt(ClientRequest req, int number, long sendByTicks, LoadBalancerActor loadBalancer) {
             this.req = req;
             this.number = number;
-            this.sendBy = sendBy;
-            this.module = module;
+            this.sendByTicks = sendByTicks;
+            this.loadBalancer = loadBalancer;
         }
 
         /**
-         * Whether its first byte may still be written: not after its client has left, or may have
-         * unseen.
+         * Whether the first byte may still be written: not after the client has left, or may have
+         * left unnoticed.
          */
-        boolean mayBegin(long now) {
-            return !req.claimed() && now < req.seenUntil;
+        boolean mayStart(long now) {
+            return !req.claimed() && now < req.observedUntilTicks;
         }
 
         /**
-         * Binds it to the connection it will go out on; false if it has been settled before that.
+         * Binds the attempt to the connection it is sent on; false if it has been settled before.
          */
-        synchronized boolean attach(BackendConnection to) {
-            connection = settled ? null : to;
+        synchronized boolean attach(BackendConnection target) {
+            connection = settled ? null : target;
             return !settled;
         }
 
-        /** The first outcome counts, and reaches the module; true for that one. */
+        /**
+         * Settles the attempt. The first outcome counts and is reported to the load balancer; true
+         * for that one.
+         */
         boolean settle(AttemptOutcome outcome) {
             synchronized (this) {
                 if (settled) {
@@ -200,31 +223,32 @@
                 settled = true;
                 connection = null;
             }
-            module.settled(this, outcome);
+            loadBalancer.attemptSettled(this, outcome);
             return true;
         }
 
-        synchronized boolean settled() {
+        synchronized boolean isSettled() {
             return settled;
         }
 
         /**
-         * Gives it up, from the module's thread: its connection is closed before anything else
-         * happens.
+         * Abandons the attempt: its connection is closed before anything else happens. Called by
+         * the load balancer's thread.
          */
         boolean abandon() {
-            BackendConnection closing;
+            BackendConnection toClose;
             synchronized (this) {
                 if (settled) {
                     return false;
                 }
                 settled = true;
-                closing = connection;
+                toClose = connection;
                 connection = null;
             }
-            // A repeat may be sent next: with this copy still out it would be a second one.
-            if (closing != null) {
-                closing.kill();
+            // A retry may be sent next; if this copy were still in flight, the request could be
+            // executed twice.
+            if (toClose != null) {
+                toClose.closeNow();
             }
             return true;
         }
--- a/src/main/java/cottonlock/proxy/KeepAlivePolicy.java
+++ b/src/main/java/cottonlock/proxy/KeepAlivePolicy.java
@@ -1,50 +1,54 @@
 package cottonlock.proxy;
 
 /**
- * Whether connections to backends are kept for the next attempt. Some networks and backends end
- * kept ones without a word, or as soon as they are used: an attempt lost that way may have run, and
- * counts against a sound backend, while a new connection costs little.
+ * Decides whether connections to backends are kept for the next attempt. Some networks and backends
+ * drop kept connections silently, or close them as soon as they are used again. An attempt lost
+ * that way may have been executed and counts against a healthy backend, while a new connection
+ * costs little.
  */
 final class KeepAlivePolicy {
     /**
-     * Nanoseconds: a request that was read and begun is not broken off so soon after it was sent.
+     * Nanoseconds after sending within which a break is blamed on the reuse of the connection: a
+     * request that was read and started does not break off that soon.
      */
-    private static final long BROKEN_AT_ONCE_NANOS = 20_000_000;
+    private static final long IMMEDIATE_BREAK_NANOS = 20_000_000;
 
     /**
-     * Nanoseconds for which breaks are remembered, and then none is kept: seldom enough to try
-     * again.
+     * Nanoseconds for which breaks are counted, and then for which no connection is reused: reuse
+     * is tried again rarely enough.
      */
     private static final long WINDOW_NANOS = 10_000_000_000L;
 
     /**
-     * So many within the span are no chance: a backend that dies breaks one or two at the same
-     * moment.
+     * This many breaks within the window are no coincidence: a backend that crashes breaks one or
+     * two connections at the same moment.
      */
-    private static final int MAX_BROKEN = 3;
+    private static final int BREAKS_TO_STOP_REUSE = 3;
 
-    private long first = System.nanoTime() - WINDOW_NANOS;
-    private int breaks;
-    private long notUntil = System.nanoTime();
+    private long windowStartNanos = System.nanoTime() - WINDOW_NANOS;
+    private int breaksInWindow;
+    private long reuseBlockedUntilNanos = System.nanoTime();
 
     /**
-     * A connection that had been kept broke so many nanoseconds after its next attempt was sent.
+     * Records that a kept connection broke during its next attempt.
+     *
+     * @param nanosAfterSend the time since the attempt was sent
      */
-    synchronized void broke(long after) {
-        if (after > BROKEN_AT_ONCE_NANOS) {
+    synchronized void reusedConnectionBroke(long nanosAfterSend) {
+        if (nanosAfterSend > IMMEDIATE_BREAK_NANOS) {
             return;
         }
         long now = System.nanoTime();
-        if (now - first > WINDOW_NANOS) {
-            first = now;
-            breaks = 0;
+        if (now - windowStartNanos > WINDOW_NANOS) {
+            windowStartNanos = now;
+            breaksInWindow = 0;
         }
-        if (++breaks >= MAX_BROKEN) {
-            notUntil = now + WINDOW_NANOS;
+        if (++breaksInWindow >= BREAKS_TO_STOP_REUSE) {
+            reuseBlockedUntilNanos = now + WINDOW_NANOS;
         }
     }
 
-    synchronized boolean worthwhile() {
-        return System.nanoTime() - notUntil >= 0;
+    synchronized boolean isReuseAllowed() {
+        return System.nanoTime() - reuseBlockedUntilNanos >= 0;
     }
 }
--- a/src/main/java/cottonlock/proxy/Proxy.java
+++ b/src/main/java/cottonlock/proxy/Proxy.java
@@ -34,142 +34,165 @@
 /** A load balancer on sockets: what an embedding program starts and closes. */
 public final class Proxy {
     /**
-     * Descriptors for the program itself, its jars, discovery, peers and the listener, and for a
-     * moment a connection just accepted, files that processes share, the configuration.
+     * Descriptors reserved for the process itself, its jars, discovery, peers and the listener and,
+     * for a moment, for a connection just accepted, files shared between processes and the
+     * configuration.
      */
-    private static final int OWN_SOCKETS = 24;
+    private static final int RESERVED_DESCRIPTORS = 24;
 
-    /** Part of the others that backends have: clients hold a third of all at most for requests. */
+    /**
+     * Share of the other sockets that backends get: clients use at most a third of all for
+     * requests.
+     */
     private static final double BACKEND_SOCKET_SHARE = 0.375;
 
-    /** MB that the program takes by itself, and connections of clients that one more holds. */
-    private static final int OWN_MEMORY_MB = 48;
+    /** Megabytes that the process takes by itself, and client connections per further megabyte. */
+    private static final int RESERVED_MEMORY_MB = 48;
 
     private static final int CLIENTS_PER_MB = 6;
 
-    /** The longest deadline that whoever stops the program waits for, and how much longer. */
+    /**
+     * The longest deadline that the supervisor waits for when it stops the process, and how much
+     * longer it waits before it kills the process.
+     */
     private static final long MAX_DEADLINE_MILLIS = 3_000;
 
     private static final long KILL_DELAY_MILLIS = 700;
 
     /**
-     * Milliseconds before that by which all is answered: time to leave in, also with little of a
-     * core.
+     * Milliseconds before the kill by which all requests are answered: time to exit, even with
+     * little CPU time.
      */
     private static final long EXIT_MARGIN_MILLIS = 300;
 
     /**
-     * Milliseconds for which new connections go on coming after the program was told to stop: 0.4 s
-     * at most.
+     * Minimum milliseconds during which new connections are accepted after the signal to stop: they
+     * keep arriving for up to 0.4 s.
      */
     private static final long MIN_ACCEPT_MILLIS = 450;
 
-    /** Milliseconds that the last requests taken have at least: twice what most of them need. */
-    private static final long LAST_REQUEST_MILLIS = 900;
+    /** Minimum milliseconds for the requests accepted last: twice what most of them need. */
+    private static final long LAST_REQUESTS_MILLIS = 900;
 
     /**
-     * Where the settings give none, in their microseconds: a far network's connect, a common idle
-     * time.
+     * Defaults for settings that are missing, in the microseconds of the settings: connecting over
+     * a distant network, and a common idle timeout.
      */
     private static final double DEFAULT_CONNECT_TIMEOUT_MICROS = 250_000;
 
     private static final double DEFAULT_IDLE_TIMEOUT_MICROS = 15_000_000;
 
-    /** One of so many sockets is left for the file of a long body. */
+    /** One in this many sockets is reserved for the file of a long body. */
     private static final int SOCKETS_PER_BODY_FILE = 12;
 
-    /** Milliseconds between looks at whether all is answered. */
+    /** Milliseconds between checks whether all requests are answered. */
     private static final long DRAIN_CHECK_MILLIS = 5;
 
     private final Path configuration;
 
-    /** What is in force: the file as it was last taken, and what its requests are taken in by. */
-    private ProxyConfiguration inForce;
+    /** The configuration that was applied last, and the rules that requests are validated by. */
+    private ProxyConfiguration currentConfiguration;
 
     private RequestRules rules;
-    private final Metrics figures = new Metrics();
-    private final ManualEjections bans;
-    private final ProcessHandover succession;
+    private final Metrics metrics = new Metrics();
+    private final ManualEjections manualEjections;
+    private final ProcessHandover handover;
 
-    /** Null where operators have no address to call. */
+    /** Null if there is no management address. */
     private ManagementServer management;
 
-    private volatile boolean serves;
+    private volatile boolean serving;
     private final RateLimitedLog log;
     private final List<Thread> threads = new ArrayList<>();
-    private final RequestValidator admission;
+    private final RequestValidator validator;
     private final ClientListener listener;
     private final PeerMessenger peers;
 
-    /** What it knows of the other proxies; null where it knows nothing. */
-    private MembershipAdapter members;
+    /** The membership of the fleet; null if membership is not configured. */
+    private MembershipAdapter membership;
 
-    private final LoadBalancerActor module;
+    private final LoadBalancerActor loadBalancer;
     private final EndpointListWatch watch;
     private final ConnectionThreads workers = new ConnectionThreads();
     private final BufferPool buffers;
 
-    /** What learns of changes to the settings; null where nothing does. */
+    /** Receives changes of the settings; null if rollouts are not configured. */
     private RolloutActor rollout;
 
-    /** Whether settings that control has told are in force, not the file's. */
-    private boolean told;
+    /** Whether settings from the control server are in force instead of the file's. */
+    private boolean controlSettingsInForce;
 
-    /** The module that is only watched, or null. */
+    /** The shadow load balancer, or null. */
     private ShadowLoadBalancer shadow;
 
-    /** Starts a proxy by its configuration file; it serves when this returns. */
+    /** Starts a proxy by its configuration file; it serves requests when this returns. */
     public Proxy(Path configuration) throws IOException {
         this(configuration, OperatorConfig.NONE, null, null);
     }
 
     /**
-     * The same, with what an operator's file asks for. Operators call at the configuration's
-     * address, else at the given one, if any. What the processes of one proxy share is kept in the
-     * folder; null: nothing is.
+     * Starts a proxy by its configuration file and an operator's file.
+     *
+     * @param operator the content of the operator's file
+     * @param defaultManagementAddress the management address if the configuration has none; null
+     *     for none
+     * @param stateDirectory for what the processes of one proxy share and for spill files; null if
+     *     the processes share nothing
      */
-    public Proxy(Path configuration, OperatorConfig operator, String calledAt, Path folder)
+    public Proxy(
+            Path configuration,
+            OperatorConfig operator,
+            String defaultManagementAddress,
+            Path stateDirectory)
             throws IOException {
         this.configuration = configuration;
         ProxyConfiguration config = ProxyConfiguration.read(configuration);
-        String operators = config.text("mgmt", calledAt);
-        boolean shares = operators != null;
+        String managementAddress = config.text("mgmt", defaultManagementAddress);
+        boolean sharesPorts = managementAddress != null;
         Settings settings = config.settings();
-        LoadBalancerFactory assembly = new LoadBalancerFactory(settings);
+        LoadBalancerFactory factory = new LoadBalancerFactory(settings);
         log = new RateLimitedLog(System.getLogger("cottonlock"));
         TickClock clock = new TickClock();
         SplittableRandom random = new SplittableRandom(config.seed());
-        // Operators' calls hold theirs for seconds: taken from what is left for the list, they kept
-        // it away.
-        int own = OWN_SOCKETS + (shares ? ManagementServer.MAX_CONNECTIONS : 0);
-        int sockets = Math.max(4, allowedSockets(config) - own);
+        // Management calls hold their descriptors for seconds; when they used the reserved ones,
+        // none was left for discovery.
+        int reservedDescriptors =
+                RESERVED_DESCRIPTORS + (sharesPorts ? ManagementServer.MAX_CONNECTIONS : 0);
+        int sockets = Math.max(4, allowedSockets(config) - reservedDescriptors);
         sockets -= sockets / SOCKETS_PER_BODY_FILE;
-        int toBackends = Math.max(2, (int) (sockets * BACKEND_SOCKET_SHARE));
+        int maxBackendConnections = Math.max(2, (int) (sockets * BACKEND_SOCKET_SHARE));
         int memoryMb = config.limit("memory_mb", 192);
-        int fromClients =
+        int maxClientConnections =
                 Math.min(
-                        sockets - toBackends,
-                        Math.max(16, (memoryMb - OWN_MEMORY_MB) * CLIENTS_PER_MB));
-        // An eighth of the memory, a third of the heap at most: one for each connection, the rest
-        // for bodies.
-        long bytes = Math.min(((long) memoryMb << 20) / 8, Runtime.getRuntime().maxMemory() / 3);
-        int connections = fromClients + toBackends;
-        buffers = new BufferPool((int) Math.max(connections, bytes / BufferPool.SIZE), connections);
-        Path spooled = folder == null ? Path.of(System.getProperty("java.io.tmpdir")) : folder;
-        BodySpillFiles spools =
-                new BodySpillFiles(spooled, Math.max(2, sockets / SOCKETS_PER_BODY_FILE));
+                        sockets - maxBackendConnections,
+                        Math.max(16, (memoryMb - RESERVED_MEMORY_MB) * CLIENTS_PER_MB));
+        // An eighth of the memory, at most a third of the heap: one buffer for each connection, the
+        // rest for bodies.
+        long bufferBytes =
+                Math.min(((long) memoryMb << 20) / 8, Runtime.getRuntime().maxMemory() / 3);
+        int connections = maxClientConnections + maxBackendConnections;
+        buffers =
+                new BufferPool(
+                        (int) Math.max(connections, bufferBytes / BufferPool.SIZE), connections);
+        Path spillDirectory =
+                stateDirectory == null
+                        ? Path.of(System.getProperty("java.io.tmpdir"))
+                        : stateDirectory;
+        BodySpillFiles spillFiles =
+                new BodySpillFiles(spillDirectory, Math.max(2, sockets / SOCKETS_PER_BODY_FILE));
         HttpWriter writer = new HttpWriter(buffers);
         WriteTimeoutWatchdog watchdog = new WriteTimeoutWatchdog();
-        ConnectionPermits permits = new ConnectionPermits(toBackends);
+        ConnectionPermits permits = new ConnectionPermits(maxBackendConnections);
         KeepAlivePolicy keepAlive = new KeepAlivePolicy();
-        long connect =
+        long connectTimeoutMillis =
                 settings.ticksRoundedDown("Limits.ConnectTimeout", DEFAULT_CONNECT_TIMEOUT_MICROS)
                         / 10;
-        long idle = settings.ticksRoundedDown("Limits.ConnIdle", DEFAULT_IDLE_TIMEOUT_MICROS) / 10;
+        long idleTimeoutMillis =
+                settings.ticksRoundedDown("Limits.ConnIdle", DEFAULT_IDLE_TIMEOUT_MICROS) / 10;
         String name = config.text("name", "proxy") + "-" + config.text("listen", "");
-        Path kept = shares ? folder : null;
-        succession = new ProcessHandover(new SharedFile(kept, name, "serving", log));
-        module =
+        Path sharedStateDirectory = sharesPorts ? stateDirectory : null;
+        handover = new ProcessHandover(new SharedFile(sharedStateDirectory, name, "serving", log));
+        loadBalancer =
                 new LoadBalancerActor(
                         clock,
                         entry ->
@@ -178,64 +201,83 @@
                                         permits,
                                         keepAlive,
                                         workers,
-                                        connect,
-                                        idle,
+                                        connectTimeoutMillis,
+                                        idleTimeoutMillis,
                                         BackendActor.SETTLE_NANOS,
                                         buffers,
                                         writer,
                                         watchdog,
                                         clock,
-                                        figures,
+                                        metrics,
                                         log),
-                        figures,
+                        metrics,
                         log);
-        bans =
+        manualEjections =
                 new ManualEjections(
-                        new SharedFile(kept, name, "bans", log), clock, module::bansChanged);
-        EndpointListParser directory =
+                        new SharedFile(sharedStateDirectory, name, "bans", log),
+                        clock,
+                        loadBalancer::manualEjectionsChanged);
+        EndpointListParser listParser =
                 new EndpointListParser(log, settings.list("Zones"), settings.list("Flavors"));
-        EndpointList known = config.cachedEndpointList(directory);
+        EndpointList cachedList = config.cachedEndpointList(listParser);
         watch =
                 new EndpointListWatch(
                         config.address("discovery"),
-                        directory,
+                        listParser,
                         new EndpointListWatch.Options(
-                                known.version(),
-                                assembly.isEndpointListPolled(),
+                                cachedList.version(),
+                                factory.isEndpointListPolled(),
                                 EndpointListWatch.SILENCE_TIMEOUT_MILLIS),
-                        module,
+                        loadBalancer,
                         buffers,
                         log,
                         random.split());
-        InetSocketAddress all = config.addressOrNull("peers_all");
+        InetSocketAddress allPeersAddress = config.addressOrNull("peers_all");
         InetSocketAddress peerListen = config.addressOrNull("peer_listen");
-        boolean talks = peerListen != null && all != null;
-        DatagramSocket peerSocket = talks ? PeerMessenger.openSocket(peerListen, shares) : null;
-        peers = new PeerMessenger(peerSocket, config.addresses("peers"), all, module::heard, log);
-        module.join(assembly.create(module, random.nextLong()), watch, peers, bans);
+        boolean hasPeers = peerListen != null && allPeersAddress != null;
+        DatagramSocket peerSocket =
+                hasPeers ? PeerMessenger.openSocket(peerListen, sharesPorts) : null;
+        peers =
+                new PeerMessenger(
+                        peerSocket,
+                        config.addresses("peers"),
+                        allPeersAddress,
+                        loadBalancer::peerMessageReceived,
+                        log);
+        loadBalancer.initialize(
+                factory.create(loadBalancer, random.nextLong()), watch, peers, manualEjections);
         if (!operator.shadowSettings().isEmpty()) {
-            Settings others = config.settings();
-            operator.shadowSettings().forEach(others::put);
+            Settings shadowSettings = config.settings();
+            operator.shadowSettings().forEach(shadowSettings::put);
             shadow = new ShadowLoadBalancer(log);
-            shadow.join(new LoadBalancerFactory(others).create(shadow, random.nextLong()));
-            module.watch(shadow);
+            shadow.setLoadBalancer(
+                    new LoadBalancerFactory(shadowSettings).create(shadow, random.nextLong()));
+            loadBalancer.setShadow(shadow);
         }
-        module.endpointListReceived(known, true);
-        inForce = config;
-        rules = new RequestRules(null, assembly, settings);
-        rules.names().forEach(figures::registerRequestClass);
-        rules.tenantNames.forEach(figures::registerTenant);
-        admission = new RequestValidator(clock, rules);
+        loadBalancer.endpointListReceived(cachedList, true);
+        currentConfiguration = config;
+        rules = new RequestRules(null, factory, settings);
+        rules.namesInForce().forEach(metrics::registerRequestClass);
+        rules.tenantNames.forEach(metrics::registerTenant);
+        validator = new RequestValidator(clock, rules);
         InetSocketAddress listen = config.address("listen");
         listener =
                 new ClientListener(
                         listen,
-                        shares,
-                        fromClients,
+                        sharesPorts,
+                        maxClientConnections,
                         (socket, from) ->
                                 new ClientConnection(
-                                        socket, from, module, admission, buffers, spools, writer,
-                                        watchdog, figures, log),
+                                        socket,
+                                        from,
+                                        loadBalancer,
+                                        validator,
+                                        buffers,
+                                        spillFiles,
+                                        writer,
+                                        watchdog,
+                                        metrics,
+                                        log),
                         workers,
                         log);
         if (operator.rollout() != null) {
@@ -243,19 +285,19 @@
                     new RolloutActor(
                             operator.rollout(),
                             settings,
-                            this::takeIn,
-                            new SharedFile(folder, name, "configuration", log),
+                            this::applySettings,
+                            new SharedFile(stateDirectory, name, "configuration", log),
                             clock,
                             random.split(),
                             log);
-            figures.addSource(rollout::metrics);
+            metrics.addSource(rollout::metrics);
             rollout.begin();
         }
-        threads.add(Sockets.start("module", module));
+        threads.add(Sockets.start("module", loadBalancer));
         threads.add(Sockets.start("watchdog", watchdog));
         threads.add(Sockets.start("list", watch));
         if (operator.membership() != null) {
-            members =
+            membership =
                     new MembershipAdapter(
                             operator.membership(),
                             config,
@@ -263,35 +305,38 @@
                             new MembershipAdapter.Collaborators(
                                     peerSocket,
                                     peers,
-                                    module,
+                                    loadBalancer,
                                     clock,
-                                    kept == null ? null : succession,
+                                    sharedStateDirectory == null ? null : handover,
                                     log));
-            figures.addSource(members.service()::metricsJson);
+            metrics.addSource(membership.service()::metricsJson);
         }
-        if (members == null || !members.sharesPeerSocket()) {
+        if (membership == null || !membership.sharesPeerSocket()) {
             threads.add(Sockets.start("peers", peers));
         }
         threads.add(Sockets.start("listener", listener));
-        if (shares) {
-            // Called before the module had the list, ids that are there were told to be nobody's.
-            module.settle();
+        if (sharesPorts) {
+            // Before the load balancer had processed the list, ids that it contains were reported
+            // as unknown.
+            loadBalancer.awaitProcessed();
             management =
-                    new ManagementServer(ProxyConfiguration.address("mgmt", operators), new Desk());
+                    new ManagementServer(
+                            ProxyConfiguration.address("mgmt", managementAddress),
+                            new ManagementCommands());
             threads.add(Sockets.start("management", management));
-            threads.add(Sockets.start("bans", bans));
+            threads.add(Sockets.start("bans", manualEjections));
         }
-        succession.announceServing();
-        if (members != null) {
-            threads.add(Sockets.start("members", members.service()));
+        handover.announceServing();
+        if (membership != null) {
+            threads.add(Sockets.start("members", membership.service()));
         }
         if (rollout != null) {
             threads.add(Sockets.start("rollout", rollout));
         }
-        serves = true;
+        serving = true;
     }
 
-    /** Where the system allows fewer, more would only fail when they are opened. */
+    /** Where the system allows fewer descriptors, further sockets would fail to open. */
     private int allowedSockets(ProxyConfiguration config) {
         int configured = config.limit("sockets", 1024);
         int descriptors = DescriptorLimit.current();
@@ -302,186 +347,198 @@
                             + configured
                             + ", but the system allows "
                             + descriptors
-                            + " descriptors: these are kept to");
+                            + " descriptors; the lower limit is used");
         }
         return Math.min(configured, descriptors);
     }
 
-    /** What operators ask for, carried out on the threads of their calls. */
-    private final class Desk implements ManagementOperations {
+    /** The management commands; run by the threads of the calls. */
+    private final class ManagementCommands implements ManagementOperations {
         @Override
         public boolean isServing() {
-            return serves;
+            return serving;
         }
 
         @Override
         public String metricsJson() {
-            return figures.toJson();
+            return metrics.toJson();
         }
 
         @Override
         public String membersReport() {
-            return members == null ? null : members.service().statusLines();
+            return membership == null ? null : membership.service().statusLines();
         }
 
         @Override
         public String ejectBackend(String id) {
-            return change(id, true);
+            return setEjected(id, true);
         }
 
         @Override
         public String restoreBackend(String id) {
-            return change(id, false);
+            return setEjected(id, false);
         }
 
-        private String change(String id, boolean out) {
-            if (!module.lists(id) && !bans.isEjected(id)) {
+        private String setEjected(String id, boolean ejected) {
+            if (!loadBalancer.isListed(id) && !manualEjections.isEjected(id)) {
                 return "no backend has that id";
             }
-            if (!bans.setEjected(id, out)) {
+            if (!manualEjections.setEjected(id, ejected)) {
                 return "too many backends are out";
             }
-            bans.awaitPropagation();
+            manualEjections.awaitPropagation();
             return null;
         }
     }
 
     /**
-     * Reads the configuration again: follows discovery to where it is now, and takes in work by the
-     * settings that it holds now, unless control has told others. What it may not change stays as
-     * it is; a bad file changes nothing at all.
+     * Reads the configuration again: follows discovery to its new address and applies the file's
+     * settings to new requests, unless settings from the control server are in force. What a reload
+     * can't change stays as it is; an invalid file changes nothing at all.
      */
     public synchronized void reload() {
         try {
             ProxyConfiguration config = ProxyConfiguration.read(configuration);
-            config.requireCompatibleWith(inForce);
+            config.requireCompatibleWith(currentConfiguration);
             Settings settings = config.settings();
             InetSocketAddress discovery = config.address("discovery");
-            // A file that could not start a proxy is not trusted with where discovery is either.
-            LoadBalancerFactory assembly = tried(settings);
-            if (!told) {
-                takeIn(settings, assembly);
+            // A file that could not start a proxy is not trusted with the address of discovery
+            // either.
+            LoadBalancerFactory factory = checkedFactory(settings);
+            if (!controlSettingsInForce) {
+                applySettings(settings, factory);
             }
-            inForce = config;
+            currentConfiguration = config;
             watch.move(discovery);
-            figures.configurationReloaded(true);
+            metrics.configurationReloaded(true);
             log.info(
                     "configuration",
                     "read again, discovery is at "
                             + discovery
-                            + (told ? "; the settings that control has told stay in force" : ""));
+                            + (controlSettingsInForce
+                                    ? "; settings from the control server stay in force"
+                                    : ""));
         } catch (RuntimeException e) {
-            // A slip in a file must not end a proxy that serves.
-            figures.configurationReloaded(false);
+            // A mistake in the file must not end a proxy that serves requests.
+            metrics.configurationReloaded(false);
             log.warn(
                     "configuration",
                     configuration + ": the old one stays in force: " + e.getMessage());
         }
     }
 
-    /** A module by these settings, to the side: whatever can't be built ends here. */
-    private LoadBalancerFactory tried(Settings settings) {
-        LoadBalancerFactory assembly = new LoadBalancerFactory(settings);
-        assembly.create(module, 0);
-        return assembly;
+    /**
+     * Builds a load balancer from the settings without using it, so that settings that can't be
+     * used fail here.
+     */
+    private LoadBalancerFactory checkedFactory(Settings settings) {
+        LoadBalancerFactory factory = new LoadBalancerFactory(settings);
+        factory.create(loadBalancer, 0);
+        return factory;
     }
 
-    /** Takes in work by these settings from now on, or by the old ones where they can't be used. */
-    private synchronized void takeIn(Settings settings) {
-        takeIn(settings, tried(settings));
-        // Under the same lock: a SIGHUP just behind it would put the file's settings in their
-        // place.
-        told = true;
+    /**
+     * Applies settings to requests from now on; throws if they can't be used, and the old ones stay
+     * in force.
+     */
+    private synchronized void applySettings(Settings settings) {
+        applySettings(settings, checkedFactory(settings));
+        // Under the same lock: a SIGHUP just after it would replace these settings by the file's.
+        controlSettingsInForce = true;
     }
 
-    private void takeIn(Settings settings, LoadBalancerFactory assembly) {
-        int most = settings.count("Limits.MaxHandOffs", 1);
-        rules = new RequestRules(rules, assembly, settings);
-        rules.names().forEach(figures::registerRequestClass);
-        // The module first: it must know a category before a request of it comes.
-        module.retune(rules.categories, most);
-        admission.follow(rules);
+    private void applySettings(Settings settings, LoadBalancerFactory factory) {
+        int maxAttempts = settings.count("Limits.MaxHandOffs", 1);
+        rules = new RequestRules(rules, factory, settings);
+        rules.namesInForce().forEach(metrics::registerRequestClass);
+        // The load balancer first: it must know a request class before a request of it arrives.
+        loadBalancer.reconfigure(rules.requestClasses, maxAttempts);
+        validator.setRules(rules);
     }
 
     /**
-     * Serves on for as long as what comes can still be answered, then answers what it has taken;
-     * returns when all is answered. Clients whose front has nobody else for them would find nobody
-     * until the restart.
+     * Shuts down gracefully: accepts requests as long as they can still be answered, then answers
+     * all that were accepted; returns when that is done. Clients that have no other proxy would
+     * otherwise find none until the restart.
      */
     public void drain() throws InterruptedException {
         drain(System.nanoTime());
     }
 
     /**
-     * The same, for a proxy that was told to at that moment, by the monotonic clock: before it
-     * served.
+     * The same, for a proxy that was signalled to stop before it served requests.
+     *
+     * @param signalledAtNanos when it was signalled, by the monotonic clock
      */
-    public void drain(long toldAt) throws InterruptedException {
-        long left =
-                Math.min(MAX_DEADLINE_MILLIS, admission.longest())
+    public void drain(long signalledAtNanos) throws InterruptedException {
+        long remainingMillis =
+                Math.min(MAX_DEADLINE_MILLIS, validator.maxTimeoutMillis())
                         + KILL_DELAY_MILLIS
                         - EXIT_MARGIN_MILLIS;
-        left -= (System.nanoTime() - toldAt) / 1_000_000;
-        long end = System.nanoTime() + left * 1_000_000;
-        // Taken before, some requests might wait for longer than the program is let live.
-        module.endBy(admission.endWithin(left));
-        if (succession.isReplaced()) {
-            // Another process takes what comes from now on: this one answers what it has, and one
-            // more each.
-            listener.leave();
-            emptied(end, () -> {});
+        remainingMillis -= (System.nanoTime() - signalledAtNanos) / 1_000_000;
+        long endNanos = System.nanoTime() + remainingMillis * 1_000_000;
+        // Without this limit, some accepted requests might wait longer than the process lives.
+        loadBalancer.limitDeadlines(validator.limitDeadlines(remainingMillis));
+        if (handover.isReplaced()) {
+            // Another process accepts new connections: this one answers the requests it has, and
+            // one more on each connection.
+            listener.drain();
+            awaitNoClients(endNanos, () -> {});
         } else {
             Thread.sleep(
                     Math.max(
                             0,
                             Math.min(
-                                    left,
+                                    remainingMillis,
                                     Math.max(
                                             MIN_ACCEPT_MILLIS,
-                                            Math.max(left / 2, left - LAST_REQUEST_MILLIS)))));
-            if (members != null) {
-                members.service().leave();
+                                            Math.max(
+                                                    remainingMillis / 2,
+                                                    remainingMillis - LAST_REQUESTS_MILLIS)))));
+            if (membership != null) {
+                membership.service().leave();
             }
-            listener.leave();
+            listener.drain();
         }
-        // A look at who is busy would not do: a request may have been read and not yet be known to
-        // be.
-        emptied(end + EXIT_MARGIN_MILLIS / 2 * 1_000_000, listener::endResting);
+        // A check for busy connections would not do: a request may have been read and not be
+        // recorded yet.
+        awaitNoClients(endNanos + EXIT_MARGIN_MILLIS / 2 * 1_000_000, listener::closeIdle);
     }
 
-    /** Waits until no connection is left, or the time has come. */
-    private void emptied(long until, Runnable each) throws InterruptedException {
-        while (!listener.empty() && System.nanoTime() < until) {
-            each.run();
+    /** Waits until no client connection is left or the time is up. */
+    private void awaitNoClients(long endNanos, Runnable beforeEachCheck)
+            throws InterruptedException {
+        while (!listener.isEmpty() && System.nanoTime() < endNanos) {
+            beforeEachCheck.run();
             Thread.sleep(DRAIN_CHECK_MILLIS);
         }
     }
 
     /**
-     * Ends it at once: connections are closed without the answers that they wait for. When this
-     * returns, its addresses are free, no thread of it is left but those that answer a management
-     * command just now, and every connection that was accepted has been closed. May be called by
-     * any thread, and more than once.
+     * Closes the proxy at once, without the responses that its clients wait for. When this returns,
+     * its addresses are free, none of its threads is left except those that are answering a
+     * management command, and every accepted connection has been closed. May be called by any
+     * thread, and more than once.
      */
     public void close() {
-        serves = false;
+        serving = false;
         if (management != null) {
             management.close();
         }
         listener.close();
         listener.abort();
         peers.close();
-        if (members != null) {
-            members.close();
+        if (membership != null) {
+            membership.close();
         }
         threads.forEach(Thread::interrupt);
         watch.close();
         if (rollout != null) {
             rollout.close();
         }
-        List<Thread> left = Sockets.join(threads);
+        List<Thread> unfinished = Sockets.join(threads);
         workers.close();
-        for (Thread thread : left) {
+        for (Thread thread : unfinished) {
             log.warn("close", "the thread " + thread.getName() + " has not ended");
         }
     }
@@ -491,34 +548,32 @@
         return listener.port();
     }
 
-    /** The port that operators call at; -1 without one. */
+    /** The port of the management listener; -1 if there is none. */
     int managementPort() {
         return management == null ? -1 : management.port();
     }
 
-    /**
-     * What the watched module would have decided otherwise, by kind; null where none is watched.
-     */
-    Map<ShadowLoadBalancer.Kind, Long> watched() {
+    /** How often the shadow load balancer's decisions differed, by kind; null if there is none. */
+    Map<ShadowLoadBalancer.Kind, Long> shadowCounts() {
         return shadow == null ? null : shadow.counts();
     }
 
-    /** For tests alone. */
+    /** For tests only. */
     ClientListener listener() {
         return listener;
     }
 
-    /** For tests alone. */
-    LoadBalancerActor module() {
-        return module;
+    /** For tests only. */
+    LoadBalancerActor loadBalancer() {
+        return loadBalancer;
     }
 
-    /** How many buffers of the pool are free. */
+    /** The number of free buffers in the pool. */
     int freeBuffers() {
         return buffers.available();
     }
 
-    /** Waits until it is closed. */
+    /** Waits until the proxy is closed. */
     public void join() throws InterruptedException {
         for (Thread thread : threads) {
             thread.join();
--- a/src/main/java/cottonlock/proxy/RequestRules.java
+++ b/src/main/java/cottonlock/proxy/RequestRules.java
@@ -10,73 +10,79 @@
 import java.util.Map;
 
 /**
- * What requests are taken in by: one immutable set, swapped whole when the settings change. A
- * category keeps its number as long as the process lives, and a name that comes again gets its old
- * one.
+ * The rules that requests are validated by: an immutable set that is replaced as a whole when the
+ * settings change. A request class keeps its number as long as the process lives, and a name that
+ * is configured again gets its former number.
  */
 final class RequestRules {
-    /** The patience of categories without an expiry, in tenths of a millisecond: a minute. */
-    private static final long LONGEST = 600_000;
+    /** Maximum timeout of request classes without an expiry, in ticks: a minute. */
+    private static final long DEFAULT_MAX_TIMEOUT_TICKS = 600_000;
 
-    /** By number; those that are no longer in force among them. */
-    final List<RequestClass> categories;
+    /** By number, including those that are no longer in force. */
+    final List<RequestClass> requestClasses;
 
     private final List<String> names;
 
-    /** The numbers of those in force. */
-    private final Map<String, Integer> inForce = new HashMap<>();
+    /** The numbers of the request classes in force, by name. */
+    private final Map<String, Integer> numbersInForce = new HashMap<>();
 
     final List<String> tenantNames;
 
     /**
-     * A longer patience is taken for this: it would keep what is remembered of a request for as
-     * long.
+     * In ticks, by number: a longer client timeout is reduced to this, since the state of a request
+     * would be kept as long.
      */
-    private final long[] longest;
+    private final long[] maxTimeoutTicks;
 
-    /** The rules of the given settings, after the given ones (null at the start). */
-    RequestRules(RequestRules before, LoadBalancerFactory assembly, Settings settings) {
-        categories = before == null ? new ArrayList<>() : new ArrayList<>(before.categories);
-        names = before == null ? new ArrayList<>() : new ArrayList<>(before.names);
+    /**
+     * The rules of the given settings.
+     *
+     * @param previous the rules so far, which give known names their numbers; null at the start
+     */
+    RequestRules(RequestRules previous, LoadBalancerFactory factory, Settings settings) {
+        requestClasses =
+                previous == null ? new ArrayList<>() : new ArrayList<>(previous.requestClasses);
+        names = previous == null ? new ArrayList<>() : new ArrayList<>(previous.names);
         tenantNames = settings.fieldOfEach("Projects", "Name");
-        List<String> told = settings.fieldOfEach("Categories", "Name");
-        for (int i = 0; i < told.size(); i++) {
-            int number = names.indexOf(told.get(i));
+        List<String> configuredNames = settings.fieldOfEach("Categories", "Name");
+        for (int i = 0; i < configuredNames.size(); i++) {
+            int number = names.indexOf(configuredNames.get(i));
             if (number < 0) {
                 number = names.size();
-                names.add(told.get(i));
-                categories.add(null);
+                names.add(configuredNames.get(i));
+                requestClasses.add(null);
             }
-            categories.set(number, assembly.requestClasses().get(i).withNumber(number));
-            inForce.put(told.get(i), number);
+            requestClasses.set(number, factory.requestClasses().get(i).withNumber(number));
+            numbersInForce.put(configuredNames.get(i), number);
         }
-        longest =
-                before == null
+        maxTimeoutTicks =
+                previous == null
                         ? new long[names.size()]
-                        : Arrays.copyOf(before.longest, names.size());
-        for (int i = 0; i < told.size(); i++) {
-            long expiry = settings.ticksRoundedDown("Categories." + i + ".Expiry");
-            longest[inForce.get(told.get(i))] = expiry > 0 ? expiry : LONGEST;
+                        : Arrays.copyOf(previous.maxTimeoutTicks, names.size());
+        for (int i = 0; i < configuredNames.size(); i++) {
+            long timeoutTicks = settings.ticksRoundedDown("Categories." + i + ".Expiry");
+            maxTimeoutTicks[numbersInForce.get(configuredNames.get(i))] =
+                    timeoutTicks > 0 ? timeoutTicks : DEFAULT_MAX_TIMEOUT_TICKS;
         }
     }
 
-    /** The number of a category in force, or -1. */
-    int number(String name) {
-        return inForce.getOrDefault(name, -1);
+    /** The number of a request class in force, or -1. */
+    int numberOf(String name) {
+        return numbersInForce.getOrDefault(name, -1);
     }
 
-    /** The names in force. */
-    Iterable<String> names() {
-        return inForce.keySet();
+    /** The names of the request classes in force. */
+    Iterable<String> namesInForce() {
+        return numbersInForce.keySet();
     }
 
-    /** The longest that a request of a category is waited for, in tenths of a millisecond. */
-    long longest(int category) {
-        return longest[category];
+    /** The longest that a client may wait for a request of a class, in ticks. */
+    long maxTimeoutTicks(int requestClass) {
+        return maxTimeoutTicks[requestClass];
     }
 
-    /** The longest that any is waited for, in tenths of a millisecond. */
-    long longest() {
-        return Arrays.stream(longest).max().orElse(0);
+    /** The longest that any client may wait, in ticks. */
+    long maxTimeoutTicks() {
+        return Arrays.stream(maxTimeoutTicks).max().orElse(0);
     }
 }
--- a/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
+++ b/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
@@ -13,18 +13,21 @@
 import java.util.TreeMap;
 
 /**
- * A second module with other settings that is told all that the first is told, and whose decisions
- * are only counted: what operators watch before they change a deployment's settings.
+ * A second load balancer with other settings that receives the same events as the first and whose
+ * decisions are only counted: operators watch it before they change a deployment's settings.
  *
- * <p>The module's thread alone calls it. What became of the real attempt stands for what would have
- * become of its own, so it learns of the backends as they are under the real decisions. A fault
- * ends the watch, never the service.
+ * <p>Only the load balancer's thread calls it. The outcome of the real attempt stands for that of
+ * its own, so it sees the backends as they are under the real decisions. A fault ends the shadow,
+ * never the service.
  */
 final class ShadowLoadBalancer implements LoadBalancerActions {
-    /** Tenths of a millisecond between two lines in the log. */
-    private static final long TELL = 100_000;
+    /** Ticks between two lines in the log. */
+    private static final long LOG_INTERVAL_TICKS = 100_000;
 
-    /** How a first decision can differ, or not. */
+    /**
+     * How its first decision about a request compares with the real one; {@code WOULD_CLOSE} counts
+     * idle connections that it would close.
+     */
     enum Kind {
         ALIKE,
         WOULD_DEFER,
@@ -34,27 +37,30 @@
     }
 
     /** What it decided about one request. */
-    private static final class Deed {
-        String first;
-        int sent;
-        boolean out;
+    private static final class ShadowRequest {
+        String firstBackend;
+        int attempts;
+        boolean attemptInFlight;
         boolean compared;
     }
 
     private final RateLimitedLog log;
     private final Map<Kind, Long> counts = new TreeMap<>();
-    private final Map<Long, Deed> deeds = new HashMap<>();
+    private final Map<Long, ShadowRequest> requests = new HashMap<>();
     private LoadBalancer balancer;
-    private long wakeAt = Long.MAX_VALUE;
-    private long tellAt;
+    private long timerAtTicks = Long.MAX_VALUE;
+    private long nextLogAtTicks;
 
     ShadowLoadBalancer(RateLimitedLog log) {
         this.log = log;
     }
 
-    /** Before the module's thread starts: the module that is watched. */
-    void join(LoadBalancer module) {
-        balancer = module;
+    /**
+     * Sets the load balancer that is run as the shadow; called before the load balancer's thread
+     * starts.
+     */
+    void setLoadBalancer(LoadBalancer loadBalancer) {
+        balancer = loadBalancer;
     }
 
     private void guard(Runnable call) {
@@ -63,95 +69,105 @@
                 call.run();
             }
         } catch (RuntimeException e) {
-            // A fault among settings that are only tried out must not touch what is served.
+            // A fault in settings that are only being tried out must not affect the service.
             balancer = null;
-            deeds.clear();
-            log.warn("watch", "ended by a fault: " + e);
+            requests.clear();
+            log.warn("watch", "the shadow load balancer was stopped by a fault: " + e);
         }
     }
 
     void start(long now) {
-        tellAt = now + TELL;
+        nextLogAtTicks = now + LOG_INTERVAL_TICKS;
         guard(() -> balancer.start(now));
     }
 
-    /** The categories are what is served, the rest its own settings. */
-    void retune(List<RequestClass> categories, int most) {
-        guard(() -> balancer.reconfigure(categories, most));
+    /** The request classes are the real ones; the other settings are its own. */
+    void reconfigure(List<RequestClass> requestClasses, int maxAttempts) {
+        guard(() -> balancer.reconfigure(requestClasses, maxAttempts));
     }
 
-    void due(long now) {
-        if (now >= wakeAt) {
-            wakeAt = Long.MAX_VALUE;
+    void runDueTimers(long now) {
+        if (now >= timerAtTicks) {
+            timerAtTicks = Long.MAX_VALUE;
             guard(() -> balancer.onTimer(now));
         }
-        if (now >= tellAt) {
-            tellAt = now + TELL;
+        if (now >= nextLogAtTicks) {
+            nextLogAtTicks = now + LOG_INTERVAL_TICKS;
             log.info("watch", "decisions so far " + counts());
         }
     }
 
-    void arrive(ClientRequest req, long now) {
-        deeds.put(req.number, new Deed());
+    void requestReceived(ClientRequest req, long now) {
+        requests.put(req.number, new ShadowRequest());
         guard(
                 () ->
                         balancer.onRequest(
                                 now,
                                 req.number,
-                                req.category,
+                                req.requestClass,
                                 req.tenant,
-                                req.expiry - now,
-                                req.repeated,
+                                req.deadlineTicks - now,
+                                req.retried,
                                 0));
     }
 
-    void list(long now, List<Endpoint> members, boolean whole, boolean cached) {
-        guard(() -> balancer.onEndpointList(now, members, whole, cached));
+    void endpointListReceived(
+            long now, List<Endpoint> endpoints, boolean complete, boolean cached) {
+        guard(() -> balancer.onEndpointList(now, endpoints, complete, cached));
     }
 
-    void heard(long now, byte[] message) {
+    void peerMessageReceived(long now, byte[] message) {
         guard(() -> balancer.onPeerMessage(now, message));
     }
 
-    void left(long now, long number) {
+    void clientDisconnected(long now, long number) {
         guard(() -> balancer.onClientDisconnected(now, number));
     }
 
-    /** The real module has sent (a backend) or answered (null): its first decision is compared. */
-    void decided(long number, String backend) {
-        Deed deed = deeds.get(number);
-        if (deed == null || deed.compared) {
+    /**
+     * Compares the first decisions: the real load balancer has started an attempt, or has answered
+     * the request.
+     *
+     * @param backend the backend of the real attempt; null if the request was answered
+     */
+    void compareFirstDecision(long number, String backend) {
+        ShadowRequest request = requests.get(number);
+        if (request == null || request.compared) {
             return;
         }
-        deed.compared = true;
-        boolean deferred = deed.first == null;
+        request.compared = true;
+        boolean noAttempt = request.firstBackend == null;
         Kind kind =
                 backend == null
-                        ? deferred ? Kind.ALIKE : Kind.WOULD_HAND_OFF
-                        : deferred
+                        ? noAttempt ? Kind.ALIKE : Kind.WOULD_HAND_OFF
+                        : noAttempt
                                 ? Kind.WOULD_DEFER
-                                : backend.equals(deed.first) ? Kind.ALIKE : Kind.OTHER_BACKEND;
+                                : backend.equals(request.firstBackend)
+                                        ? Kind.ALIKE
+                                        : Kind.OTHER_BACKEND;
         counts.merge(kind, 1L, Long::sum);
     }
 
-    /** A real attempt has ended: so has the one that stands beside it. */
-    void settled(long now, long number, AttemptOutcome outcome, boolean over) {
-        Deed deed = deeds.get(number);
-        if (deed != null && deed.out) {
-            deed.out = false;
-            guard(() -> balancer.onAttemptCompleted(now, number, deed.sent - 1, outcome, over));
+    /** Handles the end of a real attempt: the shadow's own attempt ends with it. */
+    void attemptSettled(long now, long number, AttemptOutcome outcome, boolean requestOver) {
+        ShadowRequest request = requests.get(number);
+        if (request != null && request.attemptInFlight) {
+            request.attemptInFlight = false;
+            guard(
+                    () ->
+                            balancer.onAttemptCompleted(
+                                    now, number, request.attempts - 1, outcome, requestOver));
         }
     }
 
-    /** The real request is over and nothing of it is out any more. */
-    void forget(long now, long number) {
-        // Where only the watched module would have sent, nothing is known of how that would have
-        // ended.
-        settled(now, number, AttemptOutcome.NOT_SENT, true);
-        deeds.remove(number);
+    /** Handles the end of a real request that has no attempt in flight any more. */
+    void requestEnded(long now, long number) {
+        // If only the shadow had sent an attempt, its outcome is unknown.
+        attemptSettled(now, number, AttemptOutcome.NOT_SENT, true);
+        requests.remove(number);
     }
 
-    /** How many decisions differed, by kind. */
+    /** The number of decisions of each kind. */
     Map<Kind, Long> counts() {
         Map<Kind, Long> all = new TreeMap<>();
         for (Kind kind : Kind.values()) {
@@ -161,38 +177,38 @@
     }
 
     @Override
-    public void startAttempt(long number, String backend, long sendBy) {
-        Deed deed = deeds.get(number);
-        if (deed != null) {
-            deed.first = deed.first == null ? backend : deed.first;
-            deed.sent++;
-            deed.out = true;
+    public void startAttempt(long number, String backend, long sendByTicks) {
+        ShadowRequest request = requests.get(number);
+        if (request != null) {
+            request.firstBackend = request.firstBackend == null ? backend : request.firstBackend;
+            request.attempts++;
+            request.attemptInFlight = true;
         }
     }
 
     @Override
     public void cancelAttempt(long number, int attempt) {
-        // The real attempt runs on, and how it ends is told.
+        // The real attempt continues, and its outcome is reported.
     }
 
     @Override
-    public void reject(long number, long comeBack, RejectionReason why) {
-        // Seen from there being no attempt.
+    public void reject(long number, long retryAfterTicks, RejectionReason rejectionReason) {
+        // Recognised by the absence of an attempt.
     }
 
     @Override
-    public void fail(long number, RejectionReason why) {
-        // As for a deferral.
+    public void fail(long number, RejectionReason rejectionReason) {
+        // Recognised by the absence of an attempt.
     }
 
     @Override
-    public void scheduleTimer(long at) {
-        wakeAt = at;
+    public void scheduleTimer(long atTicks) {
+        timerAtTicks = atTicks;
     }
 
     @Override
     public void subscribeEndpointList() {
-        // The real module asks for both.
+        // The real load balancer subscribes for both.
     }
 
     @Override
@@ -202,12 +218,12 @@
 
     @Override
     public void probe(String backend) {
-        // Nothing is sent for the watched module.
+        // Nothing is sent for the shadow.
     }
 
     @Override
     public void broadcastToPeers(byte[] message) {
-        // Nothing is sent for the watched module.
+        // Nothing is sent for the shadow.
     }
 
     @Override
--- a/src/main/java/cottonlock/proxy/WriteTimeoutWatchdog.java
+++ b/src/main/java/cottonlock/proxy/WriteTimeoutWatchdog.java
@@ -8,39 +8,39 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Closes sockets whose writes take too long: a machine that has gone silent never takes them. */
+/** Closes sockets whose writes take too long: a peer that has gone silent never reads them. */
 final class WriteTimeoutWatchdog implements Runnable {
-    /** How often it looks, in milliseconds: the limits are far longer. */
+    /** Milliseconds between checks: the timeout is far longer. */
     private static final long CHECK_MILLIS = 200;
 
     /**
-     * Nanoseconds without a byte taken: readers pause for two or three seconds; one that never
-     * reads on would hold its connection for good.
+     * Nanoseconds without progress: clients pause for two or three seconds, and one that never
+     * reads again would hold its connection forever.
      */
     private static final long WRITE_TIMEOUT_NANOS = 5_000_000_000L;
 
-    private final Map<Socket, Long> writing = new ConcurrentHashMap<>();
+    private final Map<Socket, Long> lastProgressNanos = new ConcurrentHashMap<>();
 
-    /** What is to be written. */
+    /** A write to a socket's stream. */
     interface Write {
         void to(OutputStream out) throws IOException;
     }
 
-    /** Carries out a write that fails when none of it is taken for too long. */
+    /** Runs a write that fails when none of it is accepted for too long. */
     void write(Socket socket, Write write) throws IOException {
-        writing.put(socket, System.nanoTime());
+        lastProgressNanos.put(socket, System.nanoTime());
         try {
             write.to(
                     new FilterOutputStream(socket.getOutputStream()) {
                         @Override
                         public void write(byte[] bytes, int from, int count) throws IOException {
                             out.write(bytes, from, count);
-                            // A long body is many writes, and each piece taken is a sign of life.
-                            writing.put(socket, System.nanoTime());
+                            // A long body takes many writes, and each that succeeds is progress.
+                            lastProgressNanos.put(socket, System.nanoTime());
                         }
                     });
         } finally {
-            writing.remove(socket);
+            lastProgressNanos.remove(socket);
         }
     }
 
@@ -50,7 +50,7 @@
             while (true) {
                 Thread.sleep(CHECK_MILLIS);
                 long now = System.nanoTime();
-                writing.forEach(
+                lastProgressNanos.forEach(
                         (socket, since) -> {
                             if (now - since > WRITE_TIMEOUT_NANOS) {
                                 Sockets.close(socket);
--- a/src/test/java/cottonlock/proxy/BackendThreadsTest.java
+++ b/src/test/java/cottonlock/proxy/BackendThreadsTest.java
@@ -10,21 +10,21 @@
 import java.util.concurrent.FutureTask;
 import net.jqwik.api.Example;
 
-/** When a backend's thread begins, and that the module's thread waits for none. */
+/** A backend's thread is started with its first attempt, and not by the load balancer's thread. */
 class BackendThreadsTest extends ProxyFixture {
-    private static final int MANY = 60;
+    private static final int BACKENDS = 60;
 
     /**
-     * What each thread of the proxy was made by, told by the threads themselves: they inherit this.
+     * The creator of each thread of the proxy; recorded as the threads inherit the thread-local.
      */
-    private static final List<String> MAKERS = new CopyOnWriteArrayList<>();
+    private static final List<String> CREATORS = new CopyOnWriteArrayList<>();
 
-    private static final InheritableThreadLocal<Boolean> MADE =
+    private static final InheritableThreadLocal<Boolean> TRACKED =
             new InheritableThreadLocal<>() {
                 @Override
                 protected Boolean childValue(Boolean parent) {
                     if (parent) {
-                        MAKERS.add(Thread.currentThread().getName());
+                        CREATORS.add(Thread.currentThread().getName());
                     }
                     return parent;
                 }
@@ -32,13 +32,13 @@
 
     private final ThreadGroup group = new ThreadGroup("proxy of this test");
 
-    /** All of the proxy's threads come from the one that it is built by. */
+    /** Starts the proxy in a thread from which all its threads descend. */
     private void startInGroup(String... hosts) throws Exception {
-        MAKERS.clear();
+        CREATORS.clear();
         FutureTask<Void> building =
                 new FutureTask<>(
                         () -> {
-                            MADE.set(true);
+                            TRACKED.set(true);
                             start(256, 1, "", hosts);
                             return null;
                         });
@@ -47,33 +47,35 @@
     }
 
     private long threads(String name) {
-        Thread[] all = new Thread[4 * MANY];
+        Thread[] all = new Thread[4 * BACKENDS];
         return Arrays.stream(all, 0, group.enumerate(all))
                 .filter(t -> t.getName().equals(name))
                 .count();
     }
 
-    private static long madeBy(String name) {
-        return Collections.frequency(MAKERS, name);
+    private static long createdBy(String name) {
+        return Collections.frequency(CREATORS, name);
     }
 
-    /** The first answer shows that the list has been taken in. */
+    /** The first response shows that the list has been processed. */
     @Example
-    void aBackendsThreadBeginsWithItsFirstAttempt() throws Exception {
+    void aBackendsThreadStartsWithItsFirstAttempt() throws Exception {
         StandIn backend = new StandIn(request -> OK);
-        String[] hosts = new String[MANY];
-        for (int i = 0; i < MANY; i++) {
+        String[] hosts = new String[BACKENDS];
+        for (int i = 0; i < BACKENDS; i++) {
             hosts[i] = backend.host("b" + i);
         }
         startInGroup(hosts);
         assertEquals(200, status(call(request("once", "first", "", "body"))));
-        assertEquals(1, threads("backend"), "the others have none");
-        for (int i = 0; i < MANY; i++) {
+        assertEquals(1, threads("backend"), "the other backends have no thread");
+        for (int i = 0; i < BACKENDS; i++) {
             assertEquals(200, status(call(request("once", "next" + i, "", "body"))));
         }
-        long begun = threads("backend");
-        assertTrue(begun > 1 && begun <= MANY, begun + " of " + MANY + " have been used");
-        assertEquals(begun, madeBy("starter"), "each begun once");
-        assertEquals(2, madeBy("module"), "those that write and start for it, and no other");
+        long started = threads("backend");
+        assertTrue(
+                started > 1 && started <= BACKENDS,
+                started + " of " + BACKENDS + " backends have a thread");
+        assertEquals(started, createdBy("starter"), "each started once");
+        assertEquals(2, createdBy("module"), "only the threads for I/O and for starting threads");
     }
 }
