--- a/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
+++ b/src/test/java/cottonlock/proxy/ClientsThatLeaveTest.java
@@ -31,29 +31,29 @@
 import net.jqwik.api.Example;
 
 /**
- * Whoever closes its connection has gone, and nothing of its request begins to be sent on from then
- * on, wherever it waits. Each place of docs/races.md, Clients that leave, is held open while the
- * client goes.
+ * Guards against requests that are sent on after their clients have closed the connection. Each
+ * place of docs/races.md, Clients that leave, where a request can wait is held open while its
+ * client disconnects.
  */
 class ClientsThatLeaveTest extends ProxyFixture {
     private static final String FAILED = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n";
 
-    /** More than is dropped of a flood before a client is read no further. */
-    private static final int FLOOD = 320 << 10;
+    /** More than is discarded before a client's input is not read any more. */
+    private static final int FLOOD_BYTES = 320 << 10;
 
-    /** Where the thread of a connection to a backend stands between two answers. */
-    private static final String RESTS = "NioSocketImpl.*HttpReader.awaitSingleByte";
+    /** The stack of a thread that waits on an idle connection to a backend. */
+    private static final String IDLE_CONNECTION = "NioSocketImpl.*HttpReader.awaitSingleByte";
 
     private final RateLimitedLog log = new RateLimitedLog(System.getLogger("test"));
     private final TickClock clock = new TickClock();
-    private final Metrics figures = new Metrics();
+    private final Metrics metrics = new Metrics();
     private final BufferPool buffers = new BufferPool(16, 4);
     private final ConnectionThreads workers = new ConnectionThreads();
     private final WriteTimeoutWatchdog watchdog = new WriteTimeoutWatchdog();
 
-    /** Its thread is never started: what it is told stays in its mailbox. */
-    private final LoadBalancerActor module =
-            new LoadBalancerActor(clock, entry -> null, figures, log);
+    /** Its thread is never started: messages stay in its mailbox. */
+    private final LoadBalancerActor loadBalancer =
+            new LoadBalancerActor(clock, entry -> null, metrics, log);
 
     private record Sent(ClientRequest request, ClientRequest.Attempt attempt) {}
 
@@ -64,13 +64,14 @@
         ClientRequest request =
                 new ClientRequest(
                         null,
-                        new RequestValidator.Asked(head, "id", null, 0, "once", 0, "acme", 0),
+                        new RequestValidator.ValidatedHead(
+                                head, "id", null, 0, "once", 0, "acme", 0),
                         body,
                         clock.now() + 100_000,
                         ConcurrentHashMap.newKeySet());
         ClientRequest.Attempt attempt =
-                new ClientRequest.Attempt(request, 0, Long.MAX_VALUE, module);
-        assertTrue(actor == null || actor.attempt(attempt));
+                new ClientRequest.Attempt(request, 0, Long.MAX_VALUE, loadBalancer);
+        assertTrue(actor == null || actor.offer(attempt));
         return new Sent(request, attempt);
     }
 
@@ -78,7 +79,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), at.server.getLocalPort());
     }
 
-    private BackendActor actor(StandIn backend, long settle) {
+    private BackendActor actor(StandIn backend, long settleNanos) {
         return new BackendActor(
                 address(backend),
                 new ConnectionPermits(4),
@@ -86,12 +87,12 @@
                 workers,
                 8_000,
                 60_000,
-                settle,
+                settleNanos,
                 buffers,
                 new HttpWriter(buffers),
                 watchdog,
                 clock,
-                figures,
+                metrics,
                 log);
     }
 
@@ -104,17 +105,17 @@
                 new HttpWriter(buffers),
                 watchdog,
                 clock,
-                figures,
+                metrics,
                 log,
                 first.attempt);
     }
 
-    private static boolean stands(String where) {
+    private static boolean anyThreadIn(String where) {
         return Thread.getAllStackTraces().values().stream()
                 .anyMatch(trace -> List.of(trace).toString().matches("(?s).*" + where + ".*"));
     }
 
-    private static boolean awaits(CountDownLatch latch) {
+    private static boolean awaitLatch(CountDownLatch latch) {
         try {
             return latch.await(8, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
@@ -125,10 +126,10 @@
     }
 
     /**
-     * A long wait without a second answer, and much time until it is due; the module's line, that
-     * of the first tier, holds work for long.
+     * Starts the proxy with an expiry of 20 s and a latency objective of 80 s, so that requests may
+     * wait long; as in the first tier, the load balancer's queue holds requests for long.
      */
-    private void startPatient(StandIn... backends) throws IOException {
+    private void startWithLongTimeouts(StandIn... backends) throws IOException {
         String[] hosts = new String[backends.length];
         for (int i = 0; i < hosts.length; i++) {
             hosts[i] = backends[i].host("b" + i);
@@ -143,64 +144,66 @@
         buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
     }
 
-    private static String patient(String category, String id) {
+    private static String longTimeoutRequest(String category, String id) {
         return request(
                 category, id, "X-Timeout-Ms: 20000\r\n", category.equals("read") ? "" : "body");
     }
 
     private ClientConnection onlyClient() throws Exception {
-        eventually(() -> proxy.listener().clients().size() == 1, "the client is taken in");
+        eventually(() -> proxy.listener().clients().size() == 1, "the client is accepted");
         return proxy.listener().clients().iterator().next();
     }
 
-    /** All that is known so far has been worked off by the module. */
-    private void settle() {
-        proxy.module().settle();
+    /** Waits until the load balancer has processed all messages sent so far. */
+    private void awaitLoadBalancer() {
+        proxy.loadBalancer().awaitProcessed();
     }
 
-    private void leave(Socket socket, boolean reset, int others) throws Exception {
+    private void disconnect(Socket socket, boolean reset, int remainingClients) throws Exception {
         socket.setSoLinger(reset, 0);
         socket.close();
-        eventually(() -> proxy.listener().clients().size() == others, "its leaving is noticed");
-        settle();
+        eventually(
+                () -> proxy.listener().clients().size() == remainingClients,
+                "its disconnect is noticed");
+        awaitLoadBalancer();
     }
 
     // Before an attempt
 
     /**
-     * Eight requests fill the room of the only backend, which is four, and more; so many others,
-     * the last ones, wait in the line of the module. Its thread stands still by then, until {@code
-     * goOn}.
+     * Sends eight requests, more than the only backend's capacity, which is four, and then {@code
+     * waiting} more, which wait in the load balancer's queue. When this returns, the load
+     * balancer's thread is stalled until {@code proceed} is counted down.
      */
-    private List<Socket> fill(int waiting, CountDownLatch goOn) throws Exception {
+    private List<Socket> fillBackend(int waiting, CountDownLatch proceed) throws Exception {
         for (int i = 0; i < 6; i++) {
-            // Without answers before, nothing waits.
-            assertEquals(200, status(call(patient("read", "quick" + i))));
+            // Without earlier responses, no request is queued.
+            assertEquals(200, status(call(longTimeoutRequest("read", "quick" + i))));
         }
-        eventually(() -> proxy.listener().clients().isEmpty(), "they have gone");
-        CountDownLatch come = new CountDownLatch(1);
+        eventually(() -> proxy.listener().clients().isEmpty(), "they have disconnected");
+        CountDownLatch received = new CountDownLatch(1);
         CountDownLatch decided = new CountDownLatch(1);
-        proxy.module().hang(() -> awaits(come));
+        proxy.loadBalancer().stall(() -> awaitLatch(received));
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < 8 + waiting; i++) {
             Socket socket = connect();
-            send(socket, patient("read", "held" + i));
+            send(socket, longTimeoutRequest("read", "held" + i));
             sockets.add(socket);
             eventually(
                     () ->
                             proxy.listener().clients().size() == sockets.size()
                                     && proxy.listener().clients().stream()
-                                            .allMatch(ClientConnection::owed),
-                    "taken in");
+                                            .allMatch(ClientConnection::hasOpenRequest),
+                    "accepted");
         }
-        proxy.module()
-                .hang(
+        proxy.loadBalancer()
+                .stall(
                         () -> {
                             decided.countDown();
-                            awaits(goOn);
+                            awaitLatch(proceed);
                         });
-        come.countDown();
-        assertTrue(awaits(decided), "decided");
+        received.countDown();
+        assertTrue(awaitLatch(decided), "decided");
         return sockets;
     }
 
@@ -210,86 +213,96 @@
                 .toList();
     }
 
-    private static boolean quick(List<String> request) {
+    private static boolean isQuick(List<String> request) {
         return field(request, "X-Request-ID", "").startsWith("quick");
     }
 
     @Example
-    void inTheLineOfTheModule() throws Exception {
+    void whileItWaitsForCapacity() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        StandIn backend = new StandIn(request -> quick(request) || awaits(answer) ? OK : CLOSE);
-        startPatient(backend);
-        CountDownLatch goOn = new CountDownLatch(1);
-        List<Socket> sockets = fill(12, goOn);
+        StandIn backend =
+                new StandIn(request -> isQuick(request) || awaitLatch(answer) ? OK : CLOSE);
+        startWithLongTimeouts(backend);
+        CountDownLatch proceed = new CountDownLatch(1);
+        List<Socket> sockets = fillBackend(12, proceed);
         while (sockets.size() > 8) {
             sockets.remove(sockets.size() - 1).close();
         }
-        eventually(() -> proxy.listener().clients().size() == 8, "their leaving is noticed");
+        eventually(() -> proxy.listener().clients().size() == 8, "their disconnects are noticed");
         answer.countDown();
-        goOn.countDown();
+        proceed.countDown();
         for (Socket socket : sockets) {
             assertEquals(200, status(receive(socket)));
         }
         for (int i = 0; i < 4; i++) {
             assertEquals(
-                    200, status(call(patient("read", "quick-after" + i))), "they hold no room");
+                    200,
+                    status(call(longTimeoutRequest("read", "quick-after" + i))),
+                    "they hold no capacity");
         }
-        assertEquals(18, backend.requests.size(), "sent on though they had left: " + ids(backend));
+        assertEquals(18, backend.requests.size(), "sent though they had left: " + ids(backend));
     }
 
-    /** Who sends so much is read no further until its answer, and might leave unseen. */
+    /** After so much input a client is not read before its response, and might leave unnoticed. */
     @Example
-    void inTheLineBehindAFlood() throws Exception {
+    void whileItWaitsForCapacityBeforeAFlood() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        StandIn backend = new StandIn(request -> quick(request) || awaits(answer) ? OK : CLOSE);
-        startPatient(backend);
-        CountDownLatch goOn = new CountDownLatch(1);
-        List<Socket> sockets = fill(1, goOn);
+        StandIn backend =
+                new StandIn(request -> isQuick(request) || awaitLatch(answer) ? OK : CLOSE);
+        startWithLongTimeouts(backend);
+        CountDownLatch proceed = new CountDownLatch(1);
+        List<Socket> sockets = fillBackend(1, proceed);
         flood(sockets.remove(8));
         eventually(
-                () -> stands("Object.wait.*ClientConnection.awaitAnswer"), "it is read no further");
+                () -> anyThreadIn("Object.wait.*ClientConnection.awaitResponse"),
+                "its input is not read any more");
         long since = clock.now();
-        eventually(() -> clock.now() - since > 1_000, "it may have left 0.1 s ago");
-        CountDownLatch further = new CountDownLatch(1);
-        proxy.module().hang(() -> awaits(further));
-        goOn.countDown();
+        eventually(() -> clock.now() - since > 1_000, "more than 0.1 s have passed");
+        CountDownLatch released = new CountDownLatch(1);
+        proxy.loadBalancer().stall(() -> awaitLatch(released));
+        proceed.countDown();
         eventually(
                 () ->
-                        proxy.listener().clients().stream().filter(ClientConnection::owed).count()
+                        proxy.listener().clients().stream()
+                                        .filter(ClientConnection::hasOpenRequest)
+                                        .count()
                                 == 8,
-                "answered at once, by no attempt's end");
+                "answered at once, before any attempt ended");
         answer.countDown();
-        further.countDown();
+        released.countDown();
         for (Socket socket : sockets) {
             assertEquals(200, status(receive(socket)));
         }
         eventually(
-                () -> proxy.listener().clients().stream().noneMatch(ClientConnection::owed),
+                () ->
+                        proxy.listener().clients().stream()
+                                .noneMatch(ClientConnection::hasOpenRequest),
                 "answered");
-        assertEquals(200, status(call(patient("read", "quick-after"))));
+        assertEquals(200, status(call(longTimeoutRequest("read", "quick-after"))));
         assertEquals(
-                15, backend.requests.size(), "sent on though it might have left: " + ids(backend));
+                15, backend.requests.size(), "sent though it might have left: " + ids(backend));
     }
 
     @Example
-    void inTheMailboxOfTheModule() throws Exception {
+    void inTheMailboxOfTheLoadBalancer() throws Exception {
         StandIn backend = new StandIn(request -> OK);
-        startPatient(backend);
+        startWithLongTimeouts(backend);
         for (boolean reset : new boolean[] {false, true}) {
-            CountDownLatch goOn = new CountDownLatch(1);
-            proxy.module().hang(() -> awaits(goOn));
+            CountDownLatch proceed = new CountDownLatch(1);
+            proxy.loadBalancer().stall(() -> awaitLatch(proceed));
             Socket socket = connect();
-            send(socket, patient("read", "gone"));
-            eventually(() -> onlyClient().owed(), "read whole");
+            send(socket, longTimeoutRequest("read", "gone"));
+            eventually(() -> onlyClient().hasOpenRequest(), "read completely");
             socket.setSoLinger(reset, 0);
             socket.close();
-            eventually(() -> proxy.listener().clients().isEmpty(), "its leaving is noticed");
-            goOn.countDown();
-            settle();
+            eventually(() -> proxy.listener().clients().isEmpty(), "its disconnect is noticed");
+            proceed.countDown();
+            awaitLoadBalancer();
         }
-        assertEquals(200, status(call(patient("read", "after"))));
+        assertEquals(200, status(call(longTimeoutRequest("read", "after"))));
         assertEquals(1, backend.requests.size());
-        assertEquals(1, backend.sockets.size(), "no connection was made for those who had left");
+        assertEquals(
+                1, backend.sockets.size(), "no connection was opened for clients that had left");
     }
 
     @Example
@@ -300,18 +313,21 @@
         Sent stays = attempt(actor);
         assertTrue(gone.request.claim());
         Thread thread = Sockets.start("backend", actor);
-        eventually(() -> gone.attempt.settled() && stays.attempt.settled(), "settled");
+        eventually(() -> gone.attempt.isSettled() && stays.attempt.isSettled(), "settled");
         assertEquals(1, backend.requests.size());
-        assertEquals(1, backend.sockets.size(), "no connection was made for whoever had left");
-        actor.end();
+        assertEquals(
+                1, backend.sockets.size(), "no connection was opened for a client that had left");
+        actor.stop();
         thread.join(4_000);
         assertTrue(stays.request.claim());
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
-    /** It is up, and what it needs to go on is held back until the client has left. */
+    /**
+     * The connection is open, and the buffer that it needs is withheld until the client has left.
+     */
     @Example
-    void whileItsConnectionComesUp() throws Exception {
+    void whileItsConnectionIsBeingOpened() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         for (boolean leaves : new boolean[] {true, false}) {
             Sent sent = attempt(null);
@@ -320,12 +336,12 @@
                 taken.add(buffers.take());
             }
             Thread thread = Sockets.start("connection", connection(backend, sent));
-            eventually(() -> stands("BufferPool.take.*BackendConnection.run"), "connected");
+            eventually(() -> anyThreadIn("BufferPool.take.*BackendConnection.run"), "connected");
             if (leaves) {
                 assertTrue(sent.request.claim());
             }
             taken.forEach(buffers::give);
-            eventually(sent.attempt::settled, "settled");
+            eventually(sent.attempt::isSettled, "settled");
             assertEquals(leaves ? 0 : 1, backend.requests.size());
             backend.sockets.forEach(Sockets::close);
             thread.join(4_000);
@@ -334,30 +350,33 @@
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
-    /** A connection rests, and may yet bring a second answer. */
+    /** A connection is idle, and a duplicate response may still arrive on it. */
     @Example
     void whileAConnectionSettles() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         BackendActor actor = actor(backend, 8_000_000_000L);
         Thread thread = Sockets.start("backend", actor);
         Sent first = attempt(actor);
-        eventually(() -> first.attempt.settled() && stands(RESTS), "it rests");
+        eventually(
+                () -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION),
+                "the connection is idle");
         Sent next = attempt(actor);
-        CountDownLatch looked = new CountDownLatch(1);
-        actor.then(looked::countDown);
-        assertTrue(awaits(looked), "the attempt has been looked at");
+        CountDownLatch queued = new CountDownLatch(1);
+        actor.runAfterPending(queued::countDown);
+        assertTrue(awaitLatch(queued), "the attempt has been processed");
         assertTrue(next.request.claim());
         send(backend.sockets.get(0), FAILED);
-        eventually(next.attempt::settled, "settled, as nothing settles any more");
+        eventually(next.attempt::isSettled, "settled, as no connection is settling any more");
         assertEquals(1, backend.requests.size());
-        assertEquals(1, backend.sockets.size(), "no connection was made for whoever had left");
-        actor.end();
+        assertEquals(
+                1, backend.sockets.size(), "no connection was opened for a client that had left");
+        actor.stop();
         thread.join(4_000);
         assertTrue(first.request.claim());
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
-    /** Held between the decision to write and its first byte. */
+    /** Held between the decision to write and the first byte. */
     @Example
     void whileItsWriteWaitsForABuffer() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
@@ -365,7 +384,9 @@
             Sent first = attempt(null);
             BackendConnection connection = connection(backend, first);
             Thread thread = Sockets.start("connection", connection);
-            eventually(() -> first.attempt.settled() && stands(RESTS), "it rests");
+            eventually(
+                    () -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION),
+                    "the connection is idle");
             int before = backend.requests.size();
             Sent next = attempt(null);
             assertTrue(next.attempt.attach(connection));
@@ -374,13 +395,14 @@
                 taken.add(buffers.take());
             }
             Thread writer = Sockets.start("writer", () -> connection.send(next.attempt));
-            eventually(() -> stands("BufferPool.take.*HttpWriter.send"), "its write has begun");
+            eventually(
+                    () -> anyThreadIn("BufferPool.take.*HttpWriter.send"), "its write has begun");
             if (leaves) {
                 assertTrue(next.request.claim());
             }
             taken.forEach(buffers::give);
             writer.join(4_000);
-            eventually(next.attempt::settled, "settled");
+            eventually(next.attempt::isSettled, "settled");
             assertEquals(before + (leaves ? 0 : 1), backend.requests.size());
             backend.sockets.forEach(Sockets::close);
             thread.join(4_000);
@@ -390,16 +412,18 @@
     }
 
     /**
-     * It was read late, its client had gone before, and the thread that sees that has not yet
-     * looked.
+     * The request was read late, its client had left before, and the thread that notices that has
+     * not checked yet.
      */
     @Example
-    void beforeTheFirstLookAtItsClient() throws Exception {
+    void beforeTheFirstCheckOfItsClient() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         Sent first = attempt(null);
         BackendConnection connection = connection(backend, first);
         Thread thread = Sockets.start("connection", connection);
-        eventually(() -> first.attempt.settled() && stands(RESTS), "it rests");
+        eventually(
+                () -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION),
+                "the connection is idle");
         Sent next = attempt(null);
         assertTrue(next.attempt.attach(connection));
         Thread writer = Sockets.thread("writer", () -> connection.send(next.attempt));
@@ -407,11 +431,11 @@
             writer.start();
             eventually(
                     () -> writer.getState() == Thread.State.BLOCKED,
-                    "its write waits for the look");
+                    "its write waits for the check");
             assertTrue(next.request.claim());
         }
         writer.join(4_000);
-        eventually(next.attempt::settled, "settled");
+        eventually(next.attempt::isSettled, "settled");
         assertEquals(1, backend.requests.size());
         backend.sockets.forEach(Sockets::close);
         thread.join(4_000);
@@ -423,52 +447,55 @@
 
     @Example
     void behindAnotherRequestOfItsOwn() throws Exception {
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch proceed = new CountDownLatch(1);
         StandIn backend =
                 new StandIn(
                         request -> {
-                            goOn.await(8, TimeUnit.SECONDS);
+                            proceed.await(8, TimeUnit.SECONDS);
                             return OK;
                         });
-        startPatient(backend);
+        startWithLongTimeouts(backend);
         for (boolean reset : new boolean[] {false, true}) {
             int before = backend.requests.size();
             Socket socket = connect();
-            send(socket, patient("once", "first" + reset) + patient("once", "second" + reset));
-            eventually(() -> backend.requests.size() == before + 1, "the first is out");
-            leave(socket, reset, 0);
+            send(
+                    socket,
+                    longTimeoutRequest("once", "first" + reset)
+                            + longTimeoutRequest("once", "second" + reset));
+            eventually(() -> backend.requests.size() == before + 1, "the first is sent");
+            disconnect(socket, reset, 0);
         }
-        goOn.countDown();
-        assertEquals(200, status(call(patient("read", "after"))));
+        proceed.countDown();
+        assertEquals(200, status(call(longTimeoutRequest("read", "after"))));
         assertEquals(3, backend.requests.size());
     }
 
-    /** The first answer, a long one, is being passed on when it goes. */
+    /** The client disconnects while the first response, a long one, is being relayed. */
     @Example
-    void behindAnAnswerThatIsPassedOn() throws Exception {
+    void behindAResponseThatIsBeingRelayed() throws Exception {
         CountDownLatch left = new CountDownLatch(1);
         StandIn backend = new StandIn(request -> SILENT);
-        backend.play =
+        backend.responder =
                 request -> {
                     Socket socket = backend.sockets.get(0);
                     send(
                             socket,
                             "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"
                                     + "x".repeat(80_000));
-                    awaits(left);
+                    awaitLatch(left);
                     return "x".repeat(20_000);
                 };
-        startPatient(backend);
+        startWithLongTimeouts(backend);
         Socket socket = connect();
-        send(socket, patient("once", "first") + patient("once", "second"));
+        send(socket, longTimeoutRequest("once", "first") + longTimeoutRequest("once", "second"));
         assertEquals('H', socket.getInputStream().read());
         socket.setSoLinger(true, 0);
         socket.close();
-        eventually(() -> proxy.listener().clients().isEmpty(), "its leaving is noticed");
+        eventually(() -> proxy.listener().clients().isEmpty(), "its disconnect is noticed");
         left.countDown();
-        settle();
-        backend.play = request -> OK;
-        assertEquals(200, status(call(patient("read", "after"))));
+        awaitLoadBalancer();
+        backend.responder = request -> OK;
+        assertEquals(200, status(call(longTimeoutRequest("read", "after"))));
         assertEquals(2, backend.requests.size());
     }
 
@@ -477,30 +504,30 @@
     @Example
     void beforeAFurtherAttempt() throws Exception {
         for (String how : List.of("end", "reset", "half")) {
-            CountDownLatch goOn = new CountDownLatch(1);
+            CountDownLatch proceed = new CountDownLatch(1);
             StandIn one =
                     new StandIn(
                             request -> {
-                                goOn.await(8, TimeUnit.SECONDS);
+                                proceed.await(8, TimeUnit.SECONDS);
                                 return NOT_RUN;
                             });
-            StandIn other = new StandIn(one.play);
-            startPatient(one, other);
+            StandIn other = new StandIn(one.responder);
+            startWithLongTimeouts(one, other);
             Socket socket = connect();
-            send(socket, patient("once", how));
-            eventually(() -> one.requests.size() + other.requests.size() == 1, "the first is out");
+            send(socket, longTimeoutRequest("once", how));
+            eventually(() -> one.requests.size() + other.requests.size() == 1, "the first is sent");
             if (how.equals("half")) {
-                // From here it can't be told from an end, and there is no answer that it could wait
-                // for.
+                // For the proxy this is the same as a full close, and there is no response that the
+                // client could wait for.
                 socket.shutdownOutput();
-                eventually(() -> proxy.listener().clients().isEmpty(), "its leaving is noticed");
+                eventually(() -> proxy.listener().clients().isEmpty(), "its disconnect is noticed");
             } else {
-                leave(socket, how.equals("reset"), 0);
+                disconnect(socket, how.equals("reset"), 0);
             }
-            goOn.countDown();
-            one.play = request -> OK;
-            other.play = request -> OK;
-            assertEquals(200, status(call(patient("once", "after"))));
+            proceed.countDown();
+            one.responder = request -> OK;
+            other.responder = request -> OK;
+            assertEquals(200, status(call(longTimeoutRequest("once", "after"))));
             assertEquals(2, one.requests.size() + other.requests.size(), how);
             closesCleanly();
         }
@@ -511,112 +538,118 @@
                 "flood",
                 () -> {
                     try {
-                        send(socket, "x".repeat(FLOOD));
+                        send(socket, "x".repeat(FLOOD_BYTES));
                     } catch (IOException e) {
-                        // It is read no further.
+                        // Its input is not read any more.
                     }
                 });
     }
 
-    /** Who sends so much is read no further until its answer, and might leave unseen. */
+    /** After so much input a client is not read before its response, and might leave unnoticed. */
     @Example
-    void behindAFloodThereIsNoFurtherAttempt() throws Exception {
-        CountDownLatch goOn = new CountDownLatch(1);
+    void afterAFloodThereIsNoFurtherAttempt() throws Exception {
+        CountDownLatch proceed = new CountDownLatch(1);
         StandIn one =
                 new StandIn(
                         request -> {
-                            goOn.await(8, TimeUnit.SECONDS);
+                            proceed.await(8, TimeUnit.SECONDS);
                             return NOT_RUN;
                         });
-        StandIn other = new StandIn(one.play);
-        startPatient(one, other);
+        StandIn other = new StandIn(one.responder);
+        startWithLongTimeouts(one, other);
         Socket socket = connect();
-        send(socket, patient("once", "flood"));
-        eventually(() -> one.requests.size() + other.requests.size() == 1, "the first is out");
+        send(socket, longTimeoutRequest("once", "flood"));
+        eventually(() -> one.requests.size() + other.requests.size() == 1, "the first is sent");
         ClientConnection client = onlyClient();
         flood(socket);
         eventually(
-                () -> stands("Object.wait.*ClientConnection.awaitAnswer"), "it is read no further");
-        settle();
-        assertTrue(client.owed(), "its first attempt is waited for");
-        goOn.countDown();
-        eventually(() -> !client.owed(), "answered");
-        one.play = request -> OK;
-        other.play = request -> OK;
-        assertEquals(200, status(call(patient("once", "after"))));
+                () -> anyThreadIn("Object.wait.*ClientConnection.awaitResponse"),
+                "its input is not read any more");
+        awaitLoadBalancer();
+        assertTrue(client.hasOpenRequest(), "its first attempt is still in flight");
+        proceed.countDown();
+        eventually(() -> !client.hasOpenRequest(), "answered");
+        one.responder = request -> OK;
+        other.responder = request -> OK;
+        assertEquals(200, status(call(longTimeoutRequest("once", "after"))));
         assertEquals(2, one.requests.size() + other.requests.size());
     }
 
     /**
-     * The same before its first attempt is written, which waits for something else than the module.
+     * The same before the first attempt is written, while it waits for something other than the
+     * load balancer.
      */
     @Example
-    void behindAFloodTheFirstAttemptGoesOutSoonOrNotAtAll() throws Exception {
+    void afterAFloodTheFirstAttemptStartsSoonOrNotAtAll() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         BackendActor actor = actor(backend, 0);
-        Sent unseen = attempt(actor);
-        module.unseen(unseen.request, false);
-        long soon = unseen.request.seenUntil;
-        assertTrue(soon <= clock.now() + 1_000, "within 0.1 s of when it was last seen");
-        eventually(() -> clock.now() >= soon, "that is over");
+        Sent unobserved = attempt(actor);
+        loadBalancer.clientUnobserved(unobserved.request, false);
+        long startUntilTicks = unobserved.request.observedUntilTicks;
+        assertTrue(
+                startUntilTicks <= clock.now() + 1_000,
+                "within 0.1 s of when it was last observed");
+        eventually(() -> clock.now() >= startUntilTicks, "that time is over");
         Sent stays = attempt(actor);
         Thread thread = Sockets.start("backend", actor);
-        eventually(() -> unseen.attempt.settled() && stays.attempt.settled(), "settled");
+        eventually(() -> unobserved.attempt.isSettled() && stays.attempt.isSettled(), "settled");
         assertEquals(1, backend.requests.size());
-        actor.end();
+        actor.stop();
         thread.join(4_000);
-        assertTrue(unseen.request.claim() && stays.request.claim());
+        assertTrue(unobserved.request.claim() && stays.request.claim());
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
-    // As the connection is ended from here
+    // When the proxy shuts the connection's input down
 
-    /** Nothing is read from it any more, so nobody would see it leave. */
+    /** The connection is not read any more, so a disconnect would go unnoticed. */
     @Example
-    void whatWasReadJustBeforeItsConnectionWasEndedHasNoFurtherAttempt() throws Exception {
-        CountDownLatch goOn = new CountDownLatch(1);
+    void aRequestReadJustBeforeTheInputWasShutDownHasNoFurtherAttempt() throws Exception {
+        CountDownLatch proceed = new CountDownLatch(1);
         StandIn one =
                 new StandIn(
                         request -> {
-                            goOn.await(8, TimeUnit.SECONDS);
+                            proceed.await(8, TimeUnit.SECONDS);
                             return NOT_RUN;
                         });
-        StandIn other = new StandIn(one.play);
-        startPatient(one, other);
+        StandIn other = new StandIn(one.responder);
+        startWithLongTimeouts(one, other);
         Socket socket = connect();
-        // One that has just come up has time for its first request.
+        // A new connection would have time for its first request.
         send(socket, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
         assertEquals(200, status(receive(socket)));
         ClientConnection client = onlyClient();
         CountDownLatch read = new CountDownLatch(1);
         CountDownLatch ended = new CountDownLatch(1);
-        client.afterRead =
+        client.afterReadHook =
                 () -> {
                     read.countDown();
-                    awaits(ended);
+                    awaitLatch(ended);
                 };
-        send(socket, patient("once", "read"));
-        assertTrue(awaits(read));
+        send(socket, longTimeoutRequest("once", "read"));
+        assertTrue(awaitLatch(read));
         client.close();
-        assertTrue(client.ends());
+        assertTrue(client.isInputShutDown());
         ended.countDown();
-        eventually(() -> one.requests.size() + other.requests.size() == 1, "served all the same");
-        eventually(() -> stands("ClientConnection.unanswered"), "it is not read any more");
-        settle();
-        goOn.countDown();
+        eventually(() -> one.requests.size() + other.requests.size() == 1, "served nevertheless");
+        eventually(
+                () -> anyThreadIn("ClientConnection.abandonedRequest"),
+                "its input is not read any more");
+        awaitLoadBalancer();
+        proceed.countDown();
         String answer = receive(socket);
         assertEquals(503, status(answer), answer);
         assertEquals(1, one.requests.size() + other.requests.size());
     }
 
-    /** Reads nothing before it has been ended from here, and a request then. */
+    /** Reads nothing until its input has been shut down, and a request then. */
     private static final class LateSocket extends Socket {
         private final CountDownLatch ended = new CountDownLatch(1);
-        private final Socket under;
+        private final Socket delegate;
         private final byte[] late;
 
-        LateSocket(Socket under, String late) {
-            this.under = under;
+        LateSocket(Socket delegate, String late) {
+            this.delegate = delegate;
             this.late = late.getBytes(StandardCharsets.ISO_8859_1);
         }
 
@@ -631,7 +664,7 @@
 
                 @Override
                 public int read(byte[] into, int at, int most) throws IOException {
-                    awaits(ended);
+                    awaitLatch(ended);
                     if (given.getAndSet(true)) {
                         return -1;
                     }
@@ -643,7 +676,7 @@
 
         @Override
         public OutputStream getOutputStream() throws IOException {
-            return under.getOutputStream();
+            return delegate.getOutputStream();
         }
 
         @Override
@@ -653,28 +686,28 @@
 
         @Override
         public void setSoTimeout(int millis) {
-            // It waits for as long as the test wants.
+            // Reads wait for as long as the test wants.
         }
 
         @Override
         public void setTcpNoDelay(boolean on) {
-            // There is nothing to be held back.
+            // Nothing is delayed here.
         }
 
         @Override
         public synchronized void close() throws IOException {
-            under.close();
+            delegate.close();
         }
     }
 
     /**
-     * Bytes come in the moment of the shutdown: their client takes them for unread and sends them
+     * Bytes arrive in the moment of the shutdown: their client takes them for unread and sends them
      * again.
      */
     @Example
-    void whatIsReadAfterItsConnectionWasEndedIsNotSentOn() throws Exception {
+    void aRequestReadAfterTheInputWasShutDownIsNotServed() throws Exception {
         Settings settings = ProxyConfiguration.read(config(settings(256, 1, ""))).settings();
-        RequestValidator admission =
+        RequestValidator validator =
                 new RequestValidator(
                         clock, new RequestRules(null, new LoadBalancerFactory(settings), settings));
         ClientListener listener =
@@ -686,41 +719,43 @@
                                 new ClientConnection(
                                         new LateSocket(socket, request("once", "late", "", "body")),
                                         from,
-                                        module,
-                                        admission,
+                                        loadBalancer,
+                                        validator,
                                         buffers,
                                         null,
                                         new HttpWriter(buffers),
                                         watchdog,
-                                        figures,
+                                        metrics,
                                         log),
                         workers,
                         log);
         Thread thread = Sockets.start("listener", listener);
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), listener.port())) {
             socket.setSoTimeout(8_000);
-            eventually(() -> listener.clients().size() == 1, "taken in");
+            eventually(() -> listener.clients().size() == 1, "accepted");
             ClientConnection client = listener.clients().iterator().next();
-            eventually(() -> stands("LateSocket.*ClientConnection.awaitRequest"), "it rests");
+            eventually(
+                    () -> anyThreadIn("LateSocket.*ClientConnection.awaitRequest"),
+                    "the connection is idle");
             eventually(
                     () -> {
                         client.close();
-                        return client.ends();
+                        return client.isInputShutDown();
                     },
-                    "told to end");
+                    "its input is shut down");
             assertEquals("", receive(socket));
-            assertFalse(client.worked(), "taken though its client sends it again");
+            assertFalse(client.hasSubmittedRequest(), "submitted though its client sends it again");
         } finally {
             listener.close();
             thread.join(4_000);
         }
-        eventually(() -> listener.empty() && buffers.available() == 16, "all buffers are back");
+        eventually(() -> listener.isEmpty() && buffers.available() == 16, "all buffers are back");
     }
 
-    // What an attempt tells of the time that is left
+    // The remaining time that an attempt states
 
     @Example
-    void timeSpentBehindAnotherRequestIsNotTold() throws Exception {
+    void timeSpentBehindAnotherRequestIsDeducted() throws Exception {
         long[] from = new long[2];
         long[] spent = new long[1];
         StandIn backend =
@@ -733,22 +768,25 @@
                             }
                             return OK;
                         });
-        startPatient(backend);
+        startWithLongTimeouts(backend);
         Socket socket = connect();
-        send(socket, patient("once", "first") + patient("once", "second"));
+        send(socket, longTimeoutRequest("once", "first") + longTimeoutRequest("once", "second"));
         assertEquals(200, status(receive(socket)));
         assertEquals(200, status(receive(socket)));
-        long told = Long.parseLong(field(backend.requests.get(1), "X-Timeout-Ms", ""));
-        assertTrue(told <= 20_000 - spent[0], told + " told, and " + spent[0] + " spent");
+        long sentMillis = Long.parseLong(field(backend.requests.get(1), "X-Timeout-Ms", ""));
+        assertTrue(
+                sentMillis <= 20_000 - spent[0], sentMillis + " sent, and " + spent[0] + " spent");
     }
 
     @Example
-    void timeSpentOnAWaitForABufferIsNotTold() throws Exception {
+    void timeSpentWaitingForABufferIsDeducted() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         Sent first = attempt(null);
         BackendConnection connection = connection(backend, first);
         Thread thread = Sockets.start("connection", connection);
-        eventually(() -> first.attempt.settled() && stands(RESTS), "it rests");
+        eventually(
+                () -> first.attempt.isSettled() && anyThreadIn(IDLE_CONNECTION),
+                "the connection is idle");
         Sent next = attempt(null);
         assertTrue(next.attempt.attach(connection));
         List<byte[]> taken = new ArrayList<>();
@@ -756,14 +794,14 @@
             taken.add(buffers.take());
         }
         Thread writer = Sockets.start("writer", () -> connection.send(next.attempt));
-        eventually(() -> stands("BufferPool.take.*HttpWriter.send"), "its write has begun");
+        eventually(() -> anyThreadIn("BufferPool.take.*HttpWriter.send"), "its write has begun");
         long since = clock.now();
         eventually(() -> clock.now() - since >= 1_000, "some time is spent");
-        long left = (next.request.expiry - clock.now()) / 10;
+        long left = (next.request.deadlineTicks - clock.now()) / 10;
         taken.forEach(buffers::give);
         eventually(() -> backend.requests.size() == 2, "written");
-        long told = Long.parseLong(field(backend.requests.get(1), "X-Timeout-Ms", ""));
-        assertTrue(told <= left, told + " told, and " + left + " left");
+        long sentMillis = Long.parseLong(field(backend.requests.get(1), "X-Timeout-Ms", ""));
+        assertTrue(sentMillis <= left, sentMillis + " sent, and " + left + " left");
         backend.sockets.forEach(Sockets::close);
         writer.join(4_000);
         thread.join(4_000);
--- a/src/test/java/cottonlock/proxy/DrainWhileAnsweringTest.java
+++ b/src/test/java/cottonlock/proxy/DrainWhileAnsweringTest.java
@@ -14,17 +14,17 @@
 import net.jqwik.api.Example;
 
 /**
- * Guards against a connection that a drain ends behind an answer which did not say so: the request
- * that its client had begun to send was dropped.
+ * Guards against a drain that closes a connection after a response which did not announce that: the
+ * request that its client had begun to send was dropped.
  */
 class DrainWhileAnsweringTest extends ProxyFixture {
-    /** More than the buffers of the sockets hold, so that the answer waits for its reader. */
+    /** More than the sockets' buffers hold, so that the response waits for its reader. */
     private static final int LONG_BODY_BYTES = 16 << 20;
 
     private static final int CLIENT_BUFFER_BYTES = 8 << 10;
 
     @Example
-    void aRequestBegunBehindAnAnswerThatDidNotEndTheConnectionIsServed() throws Exception {
+    void aRequestBegunAfterAResponseThatKeepsTheConnectionIsServed() throws Exception {
         String longAnswer =
                 "HTTP/1.1 200 OK\r\nContent-Length: "
                         + LONG_BODY_BYTES
@@ -46,8 +46,8 @@
         String second = request("once", "second", "", "body");
         send(socket, request("read", "first", "", "") + second.substring(0, 20));
         eventually(() -> socket.getInputStream().available() > 0, "the answer has begun");
-        proxy.listener().leave();
-        Thread drain = Sockets.start("drain", this::endRestingUntilEmpty);
+        proxy.listener().drain();
+        Thread drain = Sockets.start("drain", this::closeIdleUntilEmpty);
         String first = head(answers);
         assertEquals(200, status(first));
         assertTrue(!first.contains("Connection: close"), first);
@@ -58,13 +58,13 @@
         assertEquals(200, status(answer));
         assertTrue(answer.contains("Connection: close"), answer);
         drain.join(8_000);
-        assertTrue(proxy.listener().empty(), "nobody is left");
+        assertTrue(proxy.listener().isEmpty(), "no connection is left");
     }
 
-    private void endRestingUntilEmpty() {
+    private void closeIdleUntilEmpty() {
         try {
-            while (!proxy.listener().empty()) {
-                proxy.listener().endResting();
+            while (!proxy.listener().isEmpty()) {
+                proxy.listener().closeIdle();
                 Thread.sleep(5);
             }
         } catch (InterruptedException e) {
@@ -72,7 +72,10 @@
         }
     }
 
-    /** The head of the next answer, up to the empty line; what there is of it if it ends. */
+    /**
+     * Reads the head of the next response, up to the empty line; what there is of it if the stream
+     * ends.
+     */
     private static String head(InputStream in) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         String text = "";
--- a/src/test/java/cottonlock/proxy/ProxyTest.java
+++ b/src/test/java/cottonlock/proxy/ProxyTest.java
@@ -42,14 +42,11 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** A proxy on loopback sockets between stand-ins of clients, backends and discovery. */
+/** The proxy on loopback sockets between stand-ins for clients, backends and discovery. */
 class ProxyTest extends ProxyFixture {
-    /**
-     * What operators watch before they move: the answers stay, and each kind of difference is
-     * counted.
-     */
+    /** Shadow settings change no decision of the proxy, and each kind of difference is counted. */
     @Example
-    void watchesOtherSettingsAndDecidesAsBefore() throws Exception {
+    void shadowSettingsAreComparedAndChangeNoDecision() throws Exception {
         StandIn[] backends = {new StandIn(r -> OK), new StandIn(r -> OK)};
         String settings =
                 settings(256, 1, "", backends[0].host("b0"), backends[1].host("b1"))
@@ -74,27 +71,28 @@
         for (int i = 0; i < 60; i++) {
             finished += status(call(request("read", "id" + i, "", ""))) == 200 ? 1 : 0;
         }
-        // One of 40 balancers alike may let in few of these; where each carries its own, over half
-        // of them.
+        // One of 40 equal load balancers may accept few of these; with the shadow's settings, it
+        // would accept over half of them.
         assertEquals(finished, backends[0].requests.size() + backends[1].requests.size());
         assertTrue(finished < 30, finished + " finished");
         int all = finished;
         eventually(
                 () ->
-                        proxy.watched().values().stream().mapToLong(n -> n).sum()
-                                        - proxy.watched().get(ShadowLoadBalancer.Kind.WOULD_CLOSE)
+                        proxy.shadowCounts().values().stream().mapToLong(n -> n).sum()
+                                        - proxy.shadowCounts()
+                                                .get(ShadowLoadBalancer.Kind.WOULD_CLOSE)
                                 == 60,
                 "each decision is compared once");
         assertTrue(
-                proxy.watched().get(ShadowLoadBalancer.Kind.WOULD_HAND_OFF) > 10,
-                all + " " + proxy.watched());
+                proxy.shadowCounts().get(ShadowLoadBalancer.Kind.WOULD_HAND_OFF) > 10,
+                all + " " + proxy.shadowCounts());
         eventually(
-                () -> proxy.watched().get(ShadowLoadBalancer.Kind.WOULD_CLOSE) > 0,
-                "connections that rest are seen");
+                () -> proxy.shadowCounts().get(ShadowLoadBalancer.Kind.WOULD_CLOSE) > 0,
+                "idle connections are observed");
     }
 
     @Example
-    void watchedSettingsThatCannotBeUsedAreToldAtTheStart() throws Exception {
+    void invalidShadowSettingsAreReportedAtTheStart() throws Exception {
         Path config = config(settings(256, 1, ""));
         InvalidSettingsException fault =
                 assertThrows(
@@ -116,7 +114,7 @@
     }
 
     @Example
-    void passesARequestOnAndItsAnswerBack() throws Exception {
+    void forwardsARequestAndItsResponse() throws Exception {
         String large = "x".repeat(60_000);
         StandIn backend =
                 new StandIn(
@@ -145,11 +143,11 @@
         int left = Integer.parseInt(field(seen, "X-Timeout-Ms", "0"));
         assertTrue(left > 600 && left <= 1200, "time left: " + left);
         assertEquals(large, seen.get(seen.size() - 1));
-        assertEquals(1, backend.sockets.size(), "a kept connection is used again");
+        assertEquals(1, backend.sockets.size(), "an idle connection is reused");
     }
 
     @Example
-    void badRequestsGetAClearAnswerAndHarmNobody() throws Exception {
+    void badRequestsAreRefusedAndAffectNoOtherClient() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         start(backend);
         String good = request("book", "g", "", "ab");
@@ -206,18 +204,20 @@
             String fault = answer.substring(answer.indexOf("\r\n\r\n") + 4);
             assertTrue(
                     fault.strip().length() > 5 && fault.lines().count() == 1, "one line: " + fault);
-            assertFalse(fault.contains("acme") || fault.contains("read"), "names what others have");
+            assertFalse(
+                    fault.contains("acme") || fault.contains("read"), "names configured values");
         }
         try (Socket half = connect()) {
             send(half, good.substring(0, good.length() - 1));
-            assertEquals(0, backend.requests.size(), "nothing bad or half has been passed on");
+            assertEquals(
+                    0, backend.requests.size(), "no bad or incomplete request has been forwarded");
             assertEquals(200, status(call(good)));
-            assertEquals(408, status(receive(half)), "half a request ends in time");
+            assertEquals(408, status(receive(half)), "an incomplete request times out");
         }
     }
 
     @Example
-    void whoSendsNothingWholeOrOnlyBadThingsIsSoonRidOf() throws Exception {
+    void idleIncompleteAndBadConnectionsAreClosedSoon() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         start(backend);
         long before = System.nanoTime();
@@ -226,9 +226,9 @@
             slow.add(connect());
         }
         Socket half = slow.get(0);
-        Socket resting = connect();
-        send(resting, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
-        assertEquals(200, status(receive(resting)));
+        Socket idle = connect();
+        send(idle, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+        assertEquals(200, status(receive(idle)));
         Sockets.start(
                 "drips",
                 () -> {
@@ -238,43 +238,43 @@
                             Thread.sleep(50);
                         }
                     } catch (IOException | InterruptedException e) {
-                        // It has been ended.
+                        // The proxy has closed the connection.
                     }
                 });
         try (Socket bad = connect()) {
             send(bad, request("read", "bad", "", "").replace("read", "nothing").repeat(300));
             assertEquals(404, status(receive(bad)));
-            assertEquals("", receive(bad), "one answer, then the end");
+            assertEquals("", receive(bad), "one response, then the connection ends");
         }
         assertEquals(408, status(receive(half)));
         for (Socket silent : slow.subList(1, 30)) {
             assertEquals("", receive(silent));
         }
-        assertEquals("", receive(resting), "who asks once and stays is left too");
+        assertEquals("", receive(idle), "a connection without a further request is closed too");
         assertTrue(System.nanoTime() - before < 3_000_000_000L, "all within three seconds");
         assertEquals(0, backend.requests.size());
     }
 
     @Example
-    void aCrowdThatAsksForOurHealthPushesOutNobodyWhoBringsWork() throws Exception {
+    void healthChecksDoNotEvictClientsThatSendRequests() throws Exception {
         StandIn backend = new StandIn(request -> OK);
-        // Ten for clients.
+        // Ten connections for clients.
         start(24 + 16, 1, "", backend.host("b"));
-        try (Socket usual = connect()) {
-            send(usual, request("read", "u1", "", ""));
-            assertEquals(200, status(receive(usual)));
+        try (Socket worker = connect()) {
+            send(worker, request("read", "u1", "", ""));
+            assertEquals(200, status(receive(worker)));
             for (int i = 0; i < 30; i++) {
                 Socket one = connect();
                 send(one, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
                 assertEquals(200, status(receive(one)));
             }
-            send(usual, request("read", "u2", "", ""));
-            assertEquals(200, status(receive(usual)), "its connection is still open");
+            send(worker, request("read", "u2", "", ""));
+            assertEquals(200, status(receive(worker)), "its connection is still open");
         }
     }
 
     @Example
-    void connectionsOneAfterTheOtherNeedOneThread() throws Exception {
+    void successiveConnectionsShareAThread() throws Exception {
         ConnectionThreads workers = new ConnectionThreads();
         Set<Thread> threads = ConcurrentHashMap.newKeySet();
         for (int i = 0; i < 20; i++) {
@@ -292,7 +292,7 @@
     }
 
     @Example
-    void anIdThatIsUnderWayIsTakenOnlyOnce() throws Exception {
+    void aRequestIdThatIsInUseIsRefused() throws Exception {
         StandIn backend =
                 new StandIn(
                         request -> {
@@ -310,12 +310,12 @@
     }
 
     @Example
-    void largeAnswersArePassedOnAndThoseThatStopShortAreGivenUpSoon() throws Exception {
+    void largeResponsesAreRelayedAndStalledOnesAreAbandonedSoon() throws Exception {
         String large = "y".repeat(400_000);
         StandIn good =
                 new StandIn(request -> "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + large);
         StandIn odd = new StandIn(request -> SILENT);
-        odd.play =
+        odd.responder =
                 request -> {
                     odd.sockets
                             .get(odd.sockets.size() - 1)
@@ -336,11 +336,11 @@
         long before = System.nanoTime();
         assertEquals(502, status(call(request("once", "short", "X-Timeout-Ms: 1500\r\n", "body"))));
         long took = (System.nanoTime() - before) / 1_000_000;
-        assertTrue(took < 1_400, "before its expiry: " + took);
+        assertTrue(took < 1_400, "before its deadline: " + took);
     }
 
     @Example
-    void aConnectionIsNotUsedOnceItsBackendMayCloseIt() throws Exception {
+    void aConnectionIsNotReusedNearItsIdleTimeout() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         proxy =
                 new Proxy(
@@ -355,17 +355,17 @@
         assertEquals(
                 6,
                 backend.sockets.size(),
-                "each has rested for nine tenths of what its backend allows");
+                "each has been idle for nine tenths of its backend's timeout");
         assertEquals(200, status(call(request("once", "quick", "", "body"))));
         assertEquals(200, status(call(request("once", "quicker", "", "body"))));
         assertEquals(7, backend.sockets.size());
     }
 
     @Example
-    void connectionsThatBreakWhenUsedAgainAreNotKeptForAWhile() throws Exception {
+    void connectionsThatBreakOnReuseAreNotKeptForAWhile() throws Exception {
         Map<Integer, AtomicInteger> uses = new ConcurrentHashMap<>();
         StandIn backend = new StandIn(request -> OK);
-        backend.play =
+        backend.responder =
                 request -> {
                     int on = backend.sockets.size();
                     return uses.computeIfAbsent(on, n -> new AtomicInteger()).incrementAndGet() > 1
@@ -377,13 +377,13 @@
         for (int i = 0; i < 20; i++) {
             broken += status(call(request("once", "k" + i, "", "body"))) == 502 ? 1 : 0;
         }
-        // One that a busy machine tells late does not count; kept all the same, ten of twenty would
-        // break.
-        assertTrue(broken >= 3 && broken <= 6, "after the third none is used again: " + broken);
+        // A break that a busy machine reports late does not count; if connections were kept
+        // nevertheless, ten of twenty requests would break.
+        assertTrue(broken >= 3 && broken <= 6, "after the third break none is reused: " + broken);
     }
 
     @Example
-    void whatComesBehindAnAnswerAnswersNothingElse() throws Exception {
+    void bytesAfterAResponseAnswerNoOtherRequest() throws Exception {
         AtomicInteger count = new AtomicInteger();
         StandIn backend =
                 new StandIn(
@@ -429,7 +429,7 @@
     }
 
     @Example
-    void whatNeverRanIsFinishedElsewhereAndWhatBrokeIsNot() throws Exception {
+    void rejectedAttemptsAreRetriedAndBrokenUnsafeOnesAreNot() throws Exception {
         String half = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nha";
         StandIn odd = new StandIn(request -> NOT_RUN);
         StandIn good = new StandIn(request -> OK);
@@ -438,42 +438,44 @@
             assertEquals(200, status(call(request("once", "r" + i, "", ""))));
         }
         odd.requests.clear();
-        odd.play = request -> half + THEN_CLOSE;
-        good.play = request -> half + THEN_CLOSE;
+        odd.responder = request -> half + THEN_CLOSE;
+        good.responder = request -> half + THEN_CLOSE;
         Set<Integer> statuses = new java.util.TreeSet<>();
         for (int i = 0; i < 6; i++) {
             statuses.add(status(call(request("once", "o" + i, "", ""))));
         }
-        // Deferred is only what found no backend trusted any more, and went out to none.
+        // A rejection is allowed only for a request that found no trusted backend and was sent to
+        // none.
         assertTrue(
                 statuses.contains(502) && !statuses.contains(200),
-                "a broken answer never looks whole");
+                "a broken response never looks complete");
         for (StandIn backend : List.of(odd, good)) {
             List<String> ids = new ArrayList<>();
             backend.requests.stream()
                     .filter(lines -> lines.get(0).startsWith("POST /once"))
                     .forEach(lines -> ids.add(field(lines, "X-Request-ID", "")));
-            assertEquals(Set.copyOf(ids).size(), ids.size(), "what is unsafe has been sent once");
+            assertEquals(Set.copyOf(ids).size(), ids.size(), "unsafe requests have been sent once");
         }
     }
 
     @Example
-    void aSilentBackendCostsNoAnswer() throws Exception {
+    void aSilentBackendEndsInAResponseAtTheDeadline() throws Exception {
         StandIn silent = new StandIn(request -> SILENT);
         start(silent);
         long before = System.nanoTime();
         int status = status(call(request("once", "s", "X-Timeout-Ms: 400\r\n", "body")));
         long took = (System.nanoTime() - before) / 1_000_000;
-        assertEquals(502, status, "it may have run");
-        assertTrue(took >= 350 && took < 700, "answered at its expiry: " + took);
+        assertEquals(502, status, "it may have been executed");
+        assertTrue(took >= 350 && took < 700, "answered at its deadline: " + took);
         eventually(() -> silent.sockets.get(0).isClosed(), "the attempt's connection is closed");
         int endless = status(call(request("once", "e", "X-Timeout-Ms: 99999999\r\n", "body")));
-        assertTrue(Set.of(502, 503).contains(endless), "answered within its category's expiry");
-        assertTrue(silent.requests.size() <= 2, "nothing is sent again");
+        assertTrue(
+                Set.of(502, 503).contains(endless), "answered within its request class's expiry");
+        assertTrue(silent.requests.size() <= 2, "nothing is retried");
     }
 
     @Example
-    void whatFindsNoBackendIsDeferredAtOnceWithATimeToComeBack() throws Exception {
+    void withoutBackendsARequestIsRejectedAtOnceWithRetryAfter() throws Exception {
         start();
         long before = System.nanoTime();
         String answer = call(request("once", "n", "", "body"));
@@ -483,14 +485,14 @@
     }
 
     @Example
-    void aClientThatLeavesIsNoticedAndOwedNothing() throws Exception {
-        Play late =
+    void nothingIsSentForAClientThatHasDisconnected() throws Exception {
+        Responder slowRejection =
                 request -> {
                     Thread.sleep(60);
                     return NOT_RUN;
                 };
-        StandIn one = new StandIn(late);
-        StandIn two = new StandIn(late);
+        StandIn one = new StandIn(slowRejection);
+        StandIn two = new StandIn(slowRejection);
         start(one, two);
         Socket socket = connect();
         send(socket, request("read", "l", "", ""));
@@ -498,11 +500,13 @@
         socket.close();
         Thread.sleep(200);
         assertEquals(
-                1, one.requests.size() + two.requests.size(), "nothing is sent for who has left");
+                1,
+                one.requests.size() + two.requests.size(),
+                "nothing is sent for a client that has left");
     }
 
     @Example
-    void oneAnswerIsClaimedAndThenTheBodyIsGone() throws Exception {
+    void aRequestIsClaimedOnceAndThenReleasesItsBody() throws Exception {
         BufferPool buffers = new BufferPool(1, 0);
         MessageBody body = new MessageBody(buffers, null);
         body.add(new byte[10], 0, 10);
@@ -510,21 +514,21 @@
         ClientRequest req =
                 new ClientRequest(
                         null,
-                        new RequestValidator.Asked(head, "id", null, 0, "once", 0, null, 0),
+                        new RequestValidator.ValidatedHead(head, "id", null, 0, "once", 0, null, 0),
                         body,
                         0,
                         new HashSet<>());
-        assertTrue(req.hold());
+        assertTrue(req.retainBody());
         assertTrue(req.claim());
         assertFalse(req.claim());
-        assertEquals(0, buffers.available(), "a write of it is under way");
-        req.release();
+        assertEquals(0, buffers.available(), "a write of the body is under way");
+        req.releaseBody();
         assertEquals(1, buffers.available());
-        assertFalse(req.hold());
+        assertFalse(req.retainBody());
     }
 
     @Example
-    void aKeptConnectionThatItsBackendClosedIsNotUsed() throws Exception {
+    void anIdleConnectionThatItsBackendClosedIsNotReused() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         start(backend);
         for (int i = 0; i < 5; i++) {
@@ -536,12 +540,12 @@
     }
 
     @Example
-    void theListIsFollowed() throws Exception {
+    void endpointListUpdatesAreApplied() throws Exception {
         StandIn one = new StandIn(request -> OK);
         StandIn two = new StandIn(request -> OK);
         AtomicInteger watches = new AtomicInteger();
         StandIn discovery = new StandIn(request -> SILENT);
-        discovery.play =
+        discovery.responder =
                 request -> {
                     if (watches.getAndIncrement() == 0) {
                         return "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
@@ -569,20 +573,20 @@
                 "the new backend gets work");
         int before = one.requests.size();
         for (int i = 0; i < 10; i++) {
-            // On a busy machine an answer may look slow, and the only backend doubtful.
+            // On a busy machine a response may look slow, and the only backend unreliable.
             assertTrue(Set.of(200, 503).contains(status(call(request("read", "c" + i, "", "")))));
         }
-        assertEquals(before, one.requests.size(), "the one that has left gets none");
+        assertEquals(before, one.requests.size(), "the one that was removed gets none");
         eventually(
                 () -> one.sockets.stream().allMatch(Socket::isClosed),
                 "its connections are closed");
         two.close();
         int last = status(call(request("read", "d", "", "")));
-        assertTrue(Set.of(502, 503).contains(last), "nobody is left: " + last);
+        assertTrue(Set.of(502, 503).contains(last), "no backend is left: " + last);
     }
 
     @Example
-    void aSignalMovesDiscoveryAndABadFileChangesNothing() throws Exception {
+    void sighupMovesDiscoveryAndABadFileChangesNothing() throws Exception {
         StandIn one = new StandIn(request -> OK);
         StandIn two = new StandIn(request -> OK);
         StandIn[] discovery = new StandIn[2];
@@ -618,9 +622,9 @@
         Process process = builder.redirectErrorStream(true).start();
         open.add(process::destroyForcibly);
         BufferedReader log = process.inputReader();
-        eventually(() -> !discovery[0].requests.isEmpty(), "it follows the list");
+        eventually(() -> !discovery[0].requests.isEmpty(), "it watches the list");
         try (Socket held = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            one.play =
+            one.responder =
                     request -> {
                         Thread.sleep(900);
                         return OK;
@@ -640,7 +644,7 @@
                 assertEquals(text.equals(texts[1]), !line.contains("stays in force"), line);
                 Thread.sleep(1_050);
             }
-            assertEquals(200, status(receive(held)), "requests are kept");
+            assertEquals(200, status(receive(held)), "the open request is answered");
             eventually(() -> discovery[0].sockets.get(0).isClosed(), "the old watch is closed");
             assertTrue(discovery[1].requests.get(0).get(0).endsWith("index=0 HTTP/1.1"));
         }
@@ -653,7 +657,7 @@
     }
 
     @Example
-    void aProxyThatIsStoppedAnswersAllThatItHasTaken() throws Exception {
+    void aDrainingProxyAnswersAllAcceptedRequests() throws Exception {
         StandIn backend =
                 new StandIn(
                         request -> {
@@ -662,8 +666,8 @@
                         });
         start(backend);
         try (Socket early = connect();
-                Socket late = connect();
-                Socket resting = connect();
+                Socket slowRejection = connect();
+                Socket idle = connect();
                 Socket stuck = connect()) {
             long before = System.nanoTime();
             send(early, request("read", "early", "", ""));
@@ -678,27 +682,28 @@
                                 }
                             });
             Thread.sleep(200);
-            send(late, request("read", "late", "", ""));
-            assertEquals(200, status(call(request("read", "new", "", ""))), "clients still come");
+            send(slowRejection, request("read", "late", "", ""));
+            assertEquals(
+                    200, status(call(request("read", "new", "", ""))), "new clients are accepted");
             assertEquals(200, status(receive(early)));
             send(early, request("once", "last", "", "body"));
             send(stuck, request("once", "stuck", "X-Timeout-Ms: 1400\r\n", "body"));
-            assertEquals(200, status(receive(late)));
+            assertEquals(200, status(receive(slowRejection)));
             String last = receive(early);
             assertEquals(200, status(last));
             assertTrue(last.contains("Connection: close"), last);
-            assertEquals("", receive(resting), "one that rests is closed");
+            assertEquals("", receive(idle), "an idle connection is closed");
             assertEquals(502, status(receive(stuck)));
             long took = (System.nanoTime() - before) / 1_000_000;
             assertTrue(took < 2_100, "before the program is killed: " + took);
             draining.join(2_000);
-            assertFalse(draining.isAlive(), "it leaves once all is answered");
+            assertFalse(draining.isAlive(), "it ends once all is answered");
             assertThrows(ConnectException.class, this::connect);
         }
     }
 
     @Example
-    void moreClientsAndBackendsThanSocketsAreServedInTurn() throws Exception {
+    void moreClientsAndBackendsThanSocketsAreServed() throws Exception {
         StandIn backend =
                 new StandIn(
                         request -> {
@@ -716,7 +721,8 @@
         for (int i = 0; i < hosts.length; i++) {
             hosts[i] = backends[i].host("b" + i);
         }
-        // Four for clients and two for backends: the connections that rest must give way.
+        // Four connections for clients and two for backends: idle connections must be closed for
+        // others.
         start(24 + 6, 1, "", hosts);
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
@@ -732,14 +738,14 @@
         }
         assertTrue(
                 Set.of(0, 408).contains(status(receive(sockets.get(0)))),
-                "half a request ends too");
+                "an incomplete request ends too");
         for (StandIn each : backends) {
             assertFalse(each.requests.isEmpty(), "every backend has had work");
         }
     }
 
     @Example
-    void whoNeverReadsHurtsNobodyElse() throws Exception {
+    void aClientThatNeverReadsAffectsNoOtherClient() throws Exception {
         StandIn backend =
                 new StandIn(
                         request ->
@@ -768,7 +774,7 @@
     }
 
     @Example
-    void aMachineThatTakesNoConnectionCostsOneConnectLimit() throws Exception {
+    void anUnreachableBackendCostsOneConnectTimeout() throws Exception {
         StandIn good = new StandIn(request -> OK);
         try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             for (int i = 0; i < 3; i++) {
@@ -777,7 +783,7 @@
                 try {
                     filling.connect(deaf.getLocalSocketAddress(), 50);
                 } catch (IOException e) {
-                    // The queue of new connections is full: the next ones never come up.
+                    // The queue of new connections is full: further ones are never established.
                 }
             }
             start(
@@ -797,7 +803,7 @@
     }
 
     @Example
-    void aMessageThatFailsEndsNeitherItsActorNorTheLog() throws Exception {
+    void aFailingMessageEndsNeitherItsActorNorTheLog() throws Exception {
         List<String> lines = new CopyOnWriteArrayList<>();
         System.Logger logger =
                 new System.Logger() {
@@ -845,7 +851,7 @@
     }
 
     @Example
-    void oddDatagramsAreDropped() throws Exception {
+    void malformedDatagramsAreDropped() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         try (DatagramSocket peer =
                         new DatagramSocket(
@@ -885,7 +891,7 @@
     }
 
     @Example
-    void aBadConfigurationIsToldInOneLine() throws Exception {
+    void anInvalidConfigurationIsReportedInOneLine() throws Exception {
         for (String text :
                 List.of(
                         "",
@@ -908,11 +914,10 @@
     }
 
     /**
-     * However a message is cut on its way, it is read the same; rubbish is refused, not stumbled
-     * over.
+     * A message is parsed the same however it is split into packets; a corrupted one is refused.
      */
     @Property(seed = "20261201", tries = 60)
-    void messagesAreReadAlikeHoweverTheyAreCut(@ForAll long seed, @ForAll boolean spoilt)
+    void messagesAreParsedTheSameHoweverTheyAreSplit(@ForAll long seed, @ForAll boolean corrupted)
             throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         String body = "b".repeat(random.nextInt(20_000));
@@ -928,7 +933,7 @@
             at += n;
         }
         text.append("0\r\nX: y\r\n\r\n");
-        for (int i = 0; spoilt && i < 3; i++) {
+        for (int i = 0; corrupted && i < 3; i++) {
             text.setCharAt(random.nextInt(text.length()), (char) random.nextInt(256));
         }
         BufferPool buffers = new BufferPool(40, 0);
@@ -948,7 +953,7 @@
                             }
                             sender.shutdownOutput();
                         } catch (IOException e) {
-                            // The reader has refused it.
+                            // The reader has refused the message.
                         }
                     });
             HttpReader reader = new HttpReader(socket, buffer);
@@ -957,10 +962,10 @@
                 reader.setTimeout(3_000);
                 reader.readRequestHead();
                 MessageBody read = reader.readBody(buffers, null, MessageBody.MAX_BUFFERED_BYTES);
-                assertTrue(spoilt || read.length() == body.length());
+                assertTrue(corrupted || read.length() == body.length());
                 read.release();
             } catch (MalformedMessageException | IOException e) {
-                assertTrue(spoilt, "a good message was refused: " + e);
+                assertTrue(corrupted, "a good message was refused: " + e);
             }
         }
         buffers.give(buffer);
@@ -968,7 +973,7 @@
     }
 
     @Property(seed = "20261201", tries = 300)
-    void jsonIsReadOrRefused(@ForAll long seed) {
+    void malformedJsonIsRefused(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         String good = "{\"a\":[1,-2.5e3,true,null,\"\\u0041\\n\"],\"b\":{\"c\":{}}}";
         assertEquals("A\n", ((List<?>) ((Map<?, ?>) plain(JsonReader.read(good))).get("a")).get(4));
--- a/src/test/java/cottonlock/proxy/RacesTest.java
+++ b/src/test/java/cottonlock/proxy/RacesTest.java
@@ -33,8 +33,8 @@
 import net.jqwik.api.Example;
 
 /**
- * Crossings of docs/races.md: what comes between two lines is made to come there, by a lock that
- * the test holds or a peer that acts on what it reads, never by waiting for luck.
+ * The races of docs/races.md: each interleaving is forced by a lock that the test holds, or by a
+ * peer that reacts to what it reads, never left to timing.
  */
 class RacesTest extends ProxyFixture {
     private static final String STRAY = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
@@ -42,20 +42,20 @@
 
     private final RateLimitedLog log = new RateLimitedLog(System.getLogger("test"));
     private final TickClock clock = new TickClock();
-    private final Metrics figures = new Metrics();
+    private final Metrics metrics = new Metrics();
     private final BufferPool buffers = new BufferPool(16, 4);
     private final ConnectionThreads workers = new ConnectionThreads();
     private final WriteTimeoutWatchdog watchdog = new WriteTimeoutWatchdog();
 
-    /** Its thread is never started: what it is told stays in its mailbox. */
-    private final LoadBalancerActor module =
-            new LoadBalancerActor(clock, entry -> null, figures, log);
+    /** Its thread is never started: messages stay in its mailbox. */
+    private final LoadBalancerActor loadBalancer =
+            new LoadBalancerActor(clock, entry -> null, metrics, log);
 
     private static InetSocketAddress address(StandIn at) {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), at.server.getLocalPort());
     }
 
-    private static boolean anyBlocked() {
+    private static boolean anyConnectionThreadBlocked() {
         return Thread.getAllStackTraces().keySet().stream()
                 .anyMatch(
                         t ->
@@ -63,24 +63,26 @@
                                         && t.getState() == Thread.State.BLOCKED);
     }
 
-    private static boolean blocked(Thread thread) {
+    private static boolean isBlocked(Thread thread) {
         return thread.getState() == Thread.State.BLOCKED;
     }
 
-    private Thread drain(long toldAt) {
+    private Thread drain(long signalledAtNanos) {
         return Sockets.start(
                 "drain",
                 () -> {
                     try {
-                        proxy.drain(toldAt);
+                        proxy.drain(signalledAtNanos);
                     } catch (InterruptedException e) {
-                        // The test fails by what has not happened.
+                        // The test fails because what it expects does not happen.
                     }
                 });
     }
 
-    /** A long wait without a second answer, and nothing left in the way of a longer one. */
-    private void startPatient(StandIn... backends) throws IOException {
+    /**
+     * Starts the proxy with an expiry of 20 s, so that requests may wait long for their response.
+     */
+    private void startWithLongTimeouts(StandIn... backends) throws IOException {
         String[] hosts = new String[backends.length];
         for (int i = 0; i < hosts.length; i++) {
             hosts[i] = backends[i].host("b" + i);
@@ -90,15 +92,18 @@
     }
 
     private ClientConnection onlyClient() throws Exception {
-        eventually(() -> proxy.listener().clients().size() == 1, "the client is taken in");
+        eventually(() -> proxy.listener().clients().size() == 1, "the client is accepted");
         return proxy.listener().clients().iterator().next();
     }
 
-    /** Its last answer is done with, and its thread waits for the next byte. */
-    private static ClientConnection resting(ClientConnection client) throws Exception {
+    /**
+     * Waits until the last response is complete and the connection's thread waits for the next
+     * byte.
+     */
+    private static ClientConnection awaitIdle(ClientConnection client) throws Exception {
         eventually(
                 () ->
-                        !client.owed()
+                        !client.hasOpenRequest()
                                 && Thread.getAllStackTraces().values().stream()
                                         .anyMatch(
                                                 trace ->
@@ -108,23 +113,23 @@
                                                                         "(?s).*NioSocketImpl."
                                                                             + "*ClientConnection"
                                                                             + ".awaitRequest.*")),
-                "it rests");
+                "the connection is idle");
         return client;
     }
 
     // Shutdown
 
     @Example
-    void aRequestReadJustBeforeItsConnectionIsEndedIsServed() throws Exception {
+    void aRequestReadJustBeforeTheInputIsShutDownIsServed() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         start(backend);
         Socket socket = connect();
         send(socket, request("once", "first", "", "body"));
         assertEquals(200, status(receive(socket)));
-        ClientConnection client = resting(onlyClient());
+        ClientConnection client = awaitIdle(onlyClient());
         synchronized (client) {
             send(socket, request("once", "read", "", "body"));
-            eventually(RacesTest::anyBlocked, "read, and not yet told of");
+            eventually(RacesTest::anyConnectionThreadBlocked, "read, and not yet recorded");
             client.close();
         }
         String answer = receive(socket);
@@ -135,46 +140,47 @@
     }
 
     @Example
-    void theProgramDoesNotLeaveWhileARequestHasBeenReadAndNobodyKnows() throws Exception {
+    void drainWaitsForARequestThatHasBeenReadButNotRecorded() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         start(backend);
         Socket socket = connect();
         send(socket, request("once", "first", "", "body"));
         assertEquals(200, status(receive(socket)));
-        ClientConnection client = resting(onlyClient());
+        ClientConnection client = awaitIdle(onlyClient());
         CountDownLatch read = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
-        client.afterRead =
+        CountDownLatch proceed = new CountDownLatch(1);
+        client.afterReadHook =
                 () -> {
                     read.countDown();
-                    awaits(goOn);
+                    awaitLatch(proceed);
                 };
         send(socket, request("once", "read", "", "body"));
-        assertTrue(awaits(read), "read, and not yet told of");
+        assertTrue(awaitLatch(read), "read, and not yet recorded");
         AtomicBoolean empty = new AtomicBoolean();
         Thread draining =
                 Sockets.start(
                         "drain",
                         () -> {
                             try {
-                                // Told a second ago: what it still takes, it has taken by now.
+                                // Signalled a second ago: by now it has accepted all that it will
+                                // accept.
                                 proxy.drain(System.nanoTime() - 1_000_000_000L);
                                 empty.set(proxy.listener().clients().isEmpty());
                             } catch (InterruptedException e) {
-                                // The test fails by what has not happened.
+                                // The test fails because what it expects does not happen.
                             }
                         });
-        eventually(client::ends, "it is told to end");
-        // Time to leave too early, for one that does.
+        eventually(client::isInputShutDown, "its input is shut down");
+        // Time enough for a drain that ends too early.
         draining.join(200);
-        goOn.countDown();
+        proceed.countDown();
         assertEquals(200, status(receive(socket)));
         draining.join(4_000);
-        assertFalse(draining.isAlive(), "it leaves once all is answered");
-        assertTrue(empty.get(), "and no sooner");
+        assertFalse(draining.isAlive(), "it ends once all is answered");
+        assertTrue(empty.get(), "it ends no sooner");
     }
 
-    private static boolean awaits(CountDownLatch latch) {
+    private static boolean awaitLatch(CountDownLatch latch) {
         try {
             return latch.await(8, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
@@ -183,9 +189,9 @@
     }
 
     @Example
-    void whatTheKernelHasQueuedAsTheListenerLeavesIsServed() throws Exception {
+    void connectionsQueuedInTheKernelAreServedWhileDraining() throws Exception {
         CountDownLatch accepted = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch proceed = new CountDownLatch(1);
         ClientListener listener =
                 new ClientListener(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -193,17 +199,17 @@
                         50,
                         (socket, from) -> {
                             accepted.countDown();
-                            awaits(goOn);
+                            awaitLatch(proceed);
                             return new ClientConnection(
                                     socket,
                                     from,
-                                    module,
+                                    loadBalancer,
                                     null,
                                     buffers,
                                     null,
                                     new HttpWriter(buffers),
                                     watchdog,
-                                    figures,
+                                    metrics,
                                     log);
                         },
                         workers,
@@ -216,12 +222,12 @@
             open.add(sockets[i]);
             send(sockets[i], "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
         }
-        // One is held between accept and the set of clients, five rest in the kernel's queue.
+        // One is held between accept and the set of clients, five wait in the kernel's queue.
         assertTrue(accepted.await(8, TimeUnit.SECONDS));
-        listener.leave();
-        listener.endResting();
-        assertFalse(listener.empty());
-        goOn.countDown();
+        listener.drain();
+        listener.closeIdle();
+        assertFalse(listener.isEmpty());
+        proceed.countDown();
         for (Socket socket : sockets) {
             String answer = receive(socket);
             assertEquals(200, status(answer));
@@ -229,45 +235,45 @@
         }
         eventually(
                 () -> {
-                    listener.endResting();
-                    return listener.empty();
+                    listener.closeIdle();
+                    return listener.isEmpty();
                 },
-                "nobody is left");
+                "no connection is left");
         thread.join(4_000);
         assertFalse(thread.isAlive());
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
     @Example
-    void aConnectionThatIsJustUpHasTimeForItsFirstRequest() throws Exception {
+    void aNewConnectionHasTimeForItsFirstRequest() throws Exception {
         start();
         for (int tries = 0; tries < 20; tries++) {
             long before = System.nanoTime();
             Socket socket = connect();
             ClientConnection client = onlyClient();
             client.close();
-            boolean ends = client.ends();
+            boolean inputShutDown = client.isInputShutDown();
             if (System.nanoTime() - before < 250_000_000L) {
-                assertFalse(ends, "told to end before it could ask");
+                assertFalse(inputShutDown, "shut down before it could send a request");
                 send(socket, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
                 assertEquals(200, status(receive(socket)));
                 return;
             }
-            // The machine was late: nothing is shown.
+            // The machine was too slow: this try shows nothing.
             socket.close();
             eventually(() -> proxy.listener().clients().isEmpty(), "gone");
         }
-        throw new AssertionError("a machine so late shows nothing");
+        throw new AssertionError("the machine was too slow for each try");
     }
 
     @Example
-    void whatWasTakenBeforeTheEndIsAnsweredBeforeTheProgramIsKilled() throws Exception {
+    void requestsAcceptedBeforeShutdownAreAnsweredBeforeTheKill() throws Exception {
         StandIn backend = new StandIn(request -> SILENT);
-        startPatient(backend);
+        startWithLongTimeouts(backend);
         Socket socket = connect();
         send(socket, request("once", "stuck", "X-Timeout-Ms: 20000\r\n", "body"));
         eventually(() -> backend.requests.size() == 1, "sent");
-        // Told 2.4 s ago, it has one second more, and the request has eighteen.
+        // Signalled 2.4 s ago, it has one second left, and the request has eighteen.
         Thread draining = drain(System.nanoTime() - 2_400_000_000L);
         assertEquals(502, status(receive(socket)));
         draining.join(4_000);
@@ -275,20 +281,20 @@
     }
 
     @Example
-    void signalsBeforeItServesAreCarriedOutOnceItDoes() throws Exception {
+    void signalsDuringStartupAreHandledOnceItServes() throws Exception {
         StandIn discovery = new StandIn(request -> SILENT);
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch proceed = new CountDownLatch(1);
         StandIn backend =
                 new StandIn(
                         request -> {
-                            awaits(goOn);
+                            awaitLatch(proceed);
                             return OK;
                         });
         Path fifo = Files.createTempDirectory("races").resolve("config");
         assertEquals(0, new ProcessBuilder("mkfifo", fifo.toString()).start().waitFor());
         ProcessBuilder builder =
                 new ProcessBuilder(
-                        // Started under nohup, this test would pass on an ignored SIGHUP.
+                        // Under nohup, SIGHUP would be ignored and this test would pass.
                         "env",
                         "--default-signal=HUP",
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -311,14 +317,15 @@
             port = free.getLocalPort();
         }
         text = text.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\"");
-        // Opened for writing once the program reads it: it is in the middle of its start.
+        // Opening it for writing waits until the process reads it, which is in the middle of its
+        // start.
         try (var out = Files.newOutputStream(fifo)) {
             assertEquals(0, signal("HUP", process));
             out.write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
         eventually(() -> discovery.requests.size() > 0, "it serves");
-        // Carried out only now: it reads its configuration again, or nobody would open this other
-        // end.
+        // Handled only now: the process reads its configuration again, else no reader would open
+        // the other end.
         String again = text;
         CountDownLatch read = new CountDownLatch(1);
         Sockets.start(
@@ -331,17 +338,17 @@
                         // The test fails below.
                     }
                 });
-        assertTrue(read.await(8, TimeUnit.SECONDS), "SIGHUP is carried out");
+        assertTrue(read.await(8, TimeUnit.SECONDS), "SIGHUP is handled");
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(8_000);
             send(socket, request("once", "held", "X-Timeout-Ms: 20000\r\n", "body"));
-            eventually(() -> backend.requests.size() == 1, "it is out");
+            eventually(() -> backend.requests.size() == 1, "it is sent");
             for (String name : List.of("TERM", "TERM", "HUP")) {
                 assertEquals(0, signal(name, process));
             }
-            // Time to leave too early, for one that does.
+            // Time enough for a process that ends too early.
             assertFalse(process.waitFor(300, TimeUnit.MILLISECONDS));
-            goOn.countDown();
+            proceed.countDown();
             assertEquals(200, status(receive(socket)));
         }
         assertTrue(process.waitFor(8, TimeUnit.SECONDS));
@@ -356,13 +363,13 @@
 
     // Lists
 
-    private EndpointListWatch watch(StandIn at, long silence) throws IOException {
+    private EndpointListWatch watch(StandIn at, long silenceTimeoutMillis) throws IOException {
         EndpointListWatch watch =
                 new EndpointListWatch(
                         address(at),
                         new EndpointListParser(log, List.of("z"), List.of("k")),
-                        new EndpointListWatch.Options(7, true, silence),
-                        module,
+                        new EndpointListWatch.Options(7, true, silenceTimeoutMillis),
+                        loadBalancer,
                         buffers,
                         log,
                         new SplittableRandom(1));
@@ -377,33 +384,33 @@
     }
 
     @Example
-    void theNewPlaceIsAskedForTheWholeListAlsoWhereItMovesBetweenTwoWatches() throws Exception {
+    void aMoveBetweenTwoWatchesRequestsTheCompleteList() throws Exception {
         StandIn old = new StandIn(request -> "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
         StandIn now = new StandIn(request -> SILENT);
         EndpointListWatch watch = watch(old, 4_000);
         watch.request();
-        eventually(() -> old.requests.size() == 1, "the old place is asked");
+        eventually(() -> old.requests.size() == 1, "the old address is asked");
         assertTrue(old.requests.get(0).get(0).contains("index=7 "));
-        // Refused there, it waits until the module asks again.
+        // Refused there, it waits until the load balancer asks again.
         eventually(watch::awaitsRequest, "between two watches");
         watch.move(address(now));
-        eventually(() -> now.requests.size() == 1, "the new place is asked");
+        eventually(() -> now.requests.size() == 1, "the new address is asked");
         assertTrue(now.requests.get(0).get(0).contains("index=0 "), now.requests.get(0).get(0));
     }
 
     @Example
-    void aWatchThatTricklesIsSilent() throws Exception {
+    void aWatchThatTricklesTimesOut() throws Exception {
         String head = "HTTP/1.1 200 OK\r\n";
         for (String before : List.of(head, head + "\r\n" + list(8, true) + "\n{\"seq\":9,")) {
             CountDownLatch ended = new CountDownLatch(1);
             StandIn trickles = new StandIn(request -> SILENT);
-            trickles.play =
+            trickles.responder =
                     request -> {
                         Socket socket = trickles.sockets.get(trickles.sockets.size() - 1);
                         send(socket, before);
                         try {
                             while (true) {
-                                // Far more than 16 bytes a second: no pause, but nothing whole
+                                // Far more than 16 bytes a second: no pause, but nothing complete
                                 // either.
                                 send(socket, "x");
                                 Thread.sleep(10);
@@ -432,10 +439,10 @@
         start(256, discovery.server.getLocalPort(), "");
         eventually(
                 () -> status(call(request("read", "i" + System.nanoTime(), "", ""))) == 200,
-                "it is known");
+                "the backend is known");
     }
 
-    // Attempts on their way
+    // Attempts under way
 
     private Sent attempt(BackendActor actor, long sendBy) throws Exception {
         MessageHead head = new MessageHead(new String[] {"POST", "/once", "HTTP/1.1"});
@@ -444,18 +451,19 @@
         ClientRequest request =
                 new ClientRequest(
                         null,
-                        new RequestValidator.Asked(head, "id", null, 0, "once", 0, "acme", 0),
+                        new RequestValidator.ValidatedHead(
+                                head, "id", null, 0, "once", 0, "acme", 0),
                         body,
                         clock.now() + 100_000,
                         ConcurrentHashMap.newKeySet());
-        ClientRequest.Attempt attempt = new ClientRequest.Attempt(request, 0, sendBy, module);
-        assertTrue(actor == null || actor.attempt(attempt));
+        ClientRequest.Attempt attempt = new ClientRequest.Attempt(request, 0, sendBy, loadBalancer);
+        assertTrue(actor == null || actor.offer(attempt));
         return new Sent(request, attempt);
     }
 
     private record Sent(ClientRequest request, ClientRequest.Attempt attempt) {}
 
-    private BackendActor actor(StandIn backend, long settle) {
+    private BackendActor actor(StandIn backend, long settleNanos) {
         return new BackendActor(
                 address(backend),
                 new ConnectionPermits(4),
@@ -463,34 +471,34 @@
                 workers,
                 1_000,
                 60_000,
-                settle,
+                settleNanos,
                 buffers,
                 new HttpWriter(buffers),
                 watchdog,
                 clock,
-                figures,
+                metrics,
                 log);
     }
 
-    /** Held in the mailbox, as long as the actor's thread has not been started. */
+    /** The attempt is held in the mailbox until the actor's thread is started. */
     @Example
-    void anAttemptThatWaitedIsWrittenOnlyIfItStillMayBe() throws Exception {
+    void aQueuedAttemptIsWrittenOnlyIfItStillMayBe() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         long later = clock.now() + 100_000;
         for (int kind = 0; kind < 4; kind++) {
             BackendActor actor = actor(backend, BackendActor.SETTLE_NANOS);
             Sent sent = attempt(actor, kind == 1 ? clock.now() : later);
             if (kind == 2) {
-                actor.ready(false);
+                actor.setReady(false);
             }
             if (kind == 3) {
                 // Its client has left.
                 assertTrue(sent.request.claim());
             }
             Thread thread = Sockets.start("backend", actor);
-            eventually(sent.attempt::settled, "settled");
-            assertEquals(1, backend.requests.size(), "only the first, that nothing speaks against");
-            actor.end();
+            eventually(sent.attempt::isSettled, "settled");
+            assertEquals(1, backend.requests.size(), "only the first may be sent");
+            actor.stop();
             thread.join(4_000);
             if (kind != 3) {
                 assertTrue(sent.request.claim());
@@ -499,33 +507,32 @@
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
-    /** Until its first attempt an actor has no thread, and nobody reads what it is told. */
+    /** Until its first attempt an actor has no thread that would process its messages. */
     @Example
-    void whatABackendIsToldBeforeItsFirstAttemptNeitherFillsItsMailboxNorIsForgotten()
-            throws Exception {
+    void updatesBeforeTheFirstAttemptNeitherFillTheMailboxNorAreLost() throws Exception {
         StandIn old = new StandIn(request -> CLOSE);
         StandIn now = new StandIn(request -> FAILED);
         BackendActor actor = actor(old, BackendActor.SETTLE_NANOS);
         for (int i = 0; i < 5_000; i++) {
-            actor.release();
-            actor.listensAt(address(i % 2 == 0 ? old : now));
+            actor.closeIdleConnections();
+            actor.addressChanged(address(i % 2 == 0 ? old : now));
         }
         Sent sent = attempt(actor, Long.MAX_VALUE);
-        assertTrue(actor.begins(), "it has no thread yet");
-        assertFalse(actor.begins(), "it is being given one");
-        actor.begin();
-        eventually(sent.attempt::settled, "settled");
+        assertTrue(actor.markStarted(), "it has no thread yet");
+        assertFalse(actor.markStarted(), "its thread is being started");
+        actor.startThread();
+        eventually(sent.attempt::isSettled, "settled");
         assertEquals(1, now.requests.size());
         assertEquals(0, old.requests.size());
-        actor.end();
+        actor.stop();
         assertTrue(sent.request.claim());
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
-    // Connections to backends at rest
+    // Idle connections to backends
 
     @Example
-    void aStrayAnswerReadJustBeforeTheNextAttemptIsNotItsAnswer() throws Exception {
+    void anUnsolicitedResponseIsNotTakenForThatOfTheNextAttempt() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         BackendActor actor = actor(backend, BackendActor.SETTLE_NANOS);
         Sent first = attempt(null, Long.MAX_VALUE);
@@ -538,43 +545,46 @@
                         new HttpWriter(buffers),
                         watchdog,
                         clock,
-                        figures,
+                        metrics,
                         log,
                         first.attempt);
         Thread thread = Sockets.thread("connection", connection);
         thread.start();
         eventually(
                 () ->
-                        first.attempt.settled()
+                        first.attempt.isSettled()
                                 && List.of(thread.getStackTrace())
                                         .toString()
                                         .matches(
                                                 "(?s).*NioSocketImpl.*HttpReader.awaitSingleByte.*"),
-                "it rests");
+                "the connection is idle");
         Sent next = attempt(null, Long.MAX_VALUE);
         synchronized (connection) {
             send(backend.sockets.get(0), STRAY);
-            eventually(() -> blocked(thread), "read, and not yet judged");
+            eventually(() -> isBlocked(thread), "read, and not yet checked");
             assertTrue(next.attempt.attach(connection));
             assertFalse(connection.send(next.attempt), "something lies there already");
         }
         thread.join(4_000);
-        assertFalse(next.attempt.settled(), "it may go out elsewhere");
+        assertFalse(next.attempt.isSettled(), "it may be sent on another connection");
         assertEquals(1, backend.requests.size());
         assertTrue(first.request.claim() && next.request.claim());
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
-    /** It comes while the connection settles: for eight seconds here, that no machine is late. */
+    /**
+     * It arrives while the connection settles, which takes eight seconds here, so that no machine
+     * is too slow.
+     */
     @Example
-    void aSecondAnswerThatComesLateIsNotTheNextOnes() throws Exception {
+    void aLateDuplicateResponseIsNotTakenForThatOfTheNextAttempt() throws Exception {
         StandIn backend = new StandIn(request -> FAILED);
         BackendActor actor = actor(backend, 8_000_000_000L);
         Thread thread = Sockets.start("backend", actor);
         Sent first = attempt(actor, Long.MAX_VALUE);
         eventually(
                 () ->
-                        first.attempt.settled()
+                        first.attempt.isSettled()
                                 && Thread.getAllStackTraces().values().stream()
                                         .anyMatch(
                                                 t ->
@@ -584,34 +594,36 @@
                                                                         "(?s).*NioSocketImpl."
                                                                             + "*HttpReader"
                                                                             + ".awaitSingleByte.*")),
-                "it rests");
+                "the connection is idle");
         Sent next = attempt(actor, Long.MAX_VALUE);
-        CountDownLatch looked = new CountDownLatch(1);
-        actor.then(looked::countDown);
-        assertTrue(awaits(looked), "the attempt has been looked at");
+        CountDownLatch queued = new CountDownLatch(1);
+        actor.runAfterPending(queued::countDown);
+        assertTrue(awaitLatch(queued), "the attempt has been processed");
         send(backend.sockets.get(0), STRAY);
-        eventually(next.attempt::settled, "sent, as nothing settles any more");
+        eventually(next.attempt::isSettled, "sent, as no connection is settling any more");
         assertEquals(2, backend.requests.size());
         assertEquals(2, backend.sockets.size(), "each on a connection of its own");
-        actor.end();
+        actor.stop();
         thread.join(4_000);
         assertTrue(first.request.claim() && next.request.claim());
         eventually(() -> buffers.available() == 16, "all buffers are back");
     }
 
-    // Clients that leave
+    // Clients that disconnect
 
     @Example
-    void aClientThatLeavesIsNoticedAlsoBehindMoreThanItsRequest() throws Exception {
+    void aDisconnectIsNoticedAlsoAfterFurtherInput() throws Exception {
         StandIn backend = new StandIn(request -> SILENT);
-        startPatient(backend);
+        startWithLongTimeouts(backend);
         String more = request("once", "second", "", "body");
         for (String behind : List.of("", more, more.repeat(100), "x")) {
             for (boolean reset : new boolean[] {false, true}) {
                 int before = backend.requests.size();
                 Socket socket = connect();
                 send(socket, request("once", "first" + before, "X-Timeout-Ms: 20000\r\n", "body"));
-                eventually(() -> backend.requests.size() == before + 1, "out where nobody answers");
+                eventually(
+                        () -> backend.requests.size() == before + 1,
+                        "sent to a backend that doesn't answer");
                 send(socket, behind);
                 socket.setSoLinger(reset, 0);
                 socket.close();
@@ -624,45 +636,45 @@
     }
 
     @Example
-    void aRequestBehindTheFirstWaitsForItsAnswer() throws Exception {
-        CountDownLatch goOn = new CountDownLatch(1);
+    void aPipelinedRequestWaitsForTheFirstResponse() throws Exception {
+        CountDownLatch proceed = new CountDownLatch(1);
         StandIn backend =
                 new StandIn(
                         request -> {
-                            goOn.await(8, TimeUnit.SECONDS);
+                            proceed.await(8, TimeUnit.SECONDS);
                             return OK;
                         });
         start(backend);
         Socket socket = connect();
         send(socket, request("once", "first", "", "body") + request("once", "second", "", "body"));
-        eventually(() -> backend.requests.size() == 1, "the first is out");
-        goOn.countDown();
+        eventually(() -> backend.requests.size() == 1, "the first is sent");
+        proceed.countDown();
         assertEquals(200, status(receive(socket)));
         assertEquals(200, status(receive(socket)));
         assertEquals(2, backend.requests.size());
     }
 
     @Example
-    void whatAFloodDroppedIsTakenForNoRequest() throws Exception {
-        CountDownLatch goOn = new CountDownLatch(1);
+    void discardedInputIsNotTakenForARequest() throws Exception {
+        CountDownLatch proceed = new CountDownLatch(1);
         StandIn backend =
                 new StandIn(
                         request -> {
-                            goOn.await(8, TimeUnit.SECONDS);
+                            proceed.await(8, TimeUnit.SECONDS);
                             return OK;
                         });
         start(backend);
         Socket socket = connect();
         send(socket, request("once", "first", "", "body"));
-        eventually(() -> backend.requests.size() == 1, "the first is out");
+        eventually(() -> backend.requests.size() == 1, "the first is sent");
         send(socket, request("once", "flood", "", "body").repeat(200));
         ClientConnection client = onlyClient();
-        eventually(client::last, "more has come than is kept");
-        goOn.countDown();
+        eventually(client::closesAfterResponse, "more input than is kept");
+        proceed.countDown();
         String answer = receive(socket);
         assertEquals(200, status(answer));
         assertTrue(answer.contains("Connection: close"), answer);
-        assertEquals(-1, afterwards(socket));
+        assertEquals(-1, readNextByte(socket));
         assertEquals(1, backend.requests.size());
     }
 
@@ -681,9 +693,10 @@
     }
 
     /**
-     * What a backend does to a request named so, on its socket; the answer that is left to give.
+     * Does to a backend's socket what the request's id names; returns the response that is left to
+     * send.
      */
-    private static String spoilt(String id, Socket socket) throws Exception {
+    private static String respondBadly(String id, Socket socket) throws Exception {
         String own = "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id;
         switch (id.replaceAll("[0-9]", "")) {
             case "noise" -> send(socket, "\u0001\u0002 no answer\r\n\r\n");
@@ -713,11 +726,11 @@
     }
 
     @Example
-    void badInputLeavesNothingBehindAndTouchesNoOther() throws Exception {
+    void badInputLeaksNothingAndAffectsNoOtherClient() throws Exception {
         StandIn backend = new StandIn(request -> CLOSE);
-        backend.play =
+        backend.responder =
                 request ->
-                        spoilt(
+                        respondBadly(
                                 field(request, "X-Request-ID", ""),
                                 backend.sockets.get(backend.sockets.size() - 1));
         start(backend);
@@ -738,14 +751,16 @@
             try (Socket flood = connect()) {
                 send(flood, "\u0000".repeat(100_000));
             } catch (IOException e) {
-                // It has been ended before all was sent.
+                // The connection was closed before all was sent.
             }
             try (Socket half = connect()) {
                 send(half, request("once", "h", "", "body").substring(0, 60));
             }
             assertTrue(call(request("read", "fine" + round, "", "")).endsWith("fine" + round));
             if (round == 0) {
-                eventually(() -> proxy.listener().clients().isEmpty(), "all clients have gone");
+                eventually(
+                        () -> proxy.listener().clients().isEmpty(),
+                        "all clients have disconnected");
                 descriptors = descriptors();
                 threads = threads();
             }
@@ -758,8 +773,8 @@
         eventually(() -> threads() <= mostThreads, "threads are back");
     }
 
-    /** What comes next; -1 also for a reset, which bytes left unread lead to. */
-    private static int afterwards(Socket socket) {
+    /** Reads the next byte; -1 also for a reset, which unread bytes cause. */
+    private static int readNextByte(Socket socket) {
         try {
             InputStream in = socket.getInputStream();
             return in.read();
