--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionDigest.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionDigest.java
@@ -11,9 +11,9 @@
 /** Digests of settings: of a version's content, and of the base that it is built on. */
 public final class ConfigurationVersionDigest {
     /** What a running process can change: all other settings are its base. */
-    private static final String REQUEST_CLASSES = "Categories.";
+    private static final String REQUEST_CLASSES_PREFIX = "Categories.";
 
-    private static final String MAX_ATTEMPTS = "Limits.MaxHandOffs";
+    private static final String MAX_ATTEMPTS_PATH = "Limits.MaxHandOffs";
 
     /** Settings in which the processes of one service differ: no part of the base. */
     static final List<String> PER_PROCESS_SETTINGS = List.of("Me", "FleetSize");
@@ -39,8 +39,8 @@
     }
 
     private static boolean isPartOfBase(String path) {
-        return !path.startsWith(REQUEST_CLASSES)
-                && !path.equals(MAX_ATTEMPTS)
+        return !path.startsWith(REQUEST_CLASSES_PREFIX)
+                && !path.equals(MAX_ATTEMPTS_PATH)
                 && !PER_PROCESS_SETTINGS.contains(path);
     }
 
--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionParser.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionParser.java
@@ -25,10 +25,10 @@
      *     sender, not of the version
      */
     static ConfigurationVersionMessage parse(String message) {
-        JsonObject fields = object(message);
+        JsonObject fields = parseObject(message);
         ConfigurationVersion version =
                 new ConfigurationVersion(
-                        number(fields), Long.parseUnsignedLong(digest(fields, "digest"), 16));
+                        parseNumber(fields), Long.parseUnsignedLong(parseDigest(fields, "digest"), 16));
         if (!fields.has("settings")) {
             return ConfigurationVersionMessage.announcement(version);
         }
@@ -40,10 +40,10 @@
                     "version " + version + " came damaged: what was told has another digest");
         }
         return ConfigurationVersionMessage.complete(
-                version, digest(fields, "base"), settings.text());
+                version, parseDigest(fields, "base"), settings.text());
     }
 
-    private static JsonObject object(String message) {
+    private static JsonObject parseObject(String message) {
         JsonValue value;
         try {
             value = JsonReader.read(message);
@@ -57,7 +57,7 @@
         throw new InvalidSettingsException("no version was told, but no object");
     }
 
-    private static long number(JsonObject fields) {
+    private static long parseNumber(JsonObject fields) {
         String seq = fields.get("seq").toString();
         if (!Decimals.isUnsigned(seq) || Long.parseLong(seq) > ConfigurationVersion.HIGHEST) {
             throw new InvalidSettingsException(
@@ -66,7 +66,7 @@
         return Long.parseLong(seq);
     }
 
-    private static String digest(JsonObject fields, String name) {
+    private static String parseDigest(JsonObject fields, String name) {
         String digest = fields.get(name).toString();
         if (!DIGEST.matcher(digest).matches()) {
             throw new InvalidSettingsException(
--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionStore.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionStore.java
@@ -18,10 +18,10 @@
     static final int MAX_FATAL_ATTEMPTS = 3;
 
     private static final String SEPARATOR = " ";
-    private static final String VERSION = "version";
-    private static final int VERSION_WORDS = 5;
-    private static final String ATTEMPTS = "tries";
-    private static final int HEX = 16;
+    private static final String VERSION_KEYWORD = "version";
+    private static final int VERSION_WORD_COUNT = 5;
+    private static final String ATTEMPTS_KEYWORD = "tries";
+    private static final int HEX_RADIX = 16;
 
     private final SharedFile file;
     private final String base;
@@ -39,8 +39,8 @@
         for (String line : file.read()) {
             List<String> words = List.of(line.split(SEPARATOR, 0));
             boolean isVersion =
-                    words.size() == VERSION_WORDS
-                            && words.get(0).equals(VERSION)
+                    words.size() == VERSION_WORD_COUNT
+                            && words.get(0).equals(VERSION_KEYWORD)
                             && Decimals.isUnsigned(words.get(1));
             if (isVersion) {
                 ConfigurationVersionMessage stored = parseIfIntact(words);
@@ -63,7 +63,7 @@
             ConfigurationVersion version =
                     new ConfigurationVersion(
                             Long.parseLong(words.get(1)),
-                            Long.parseUnsignedLong(words.get(2), HEX));
+                            Long.parseUnsignedLong(words.get(2), HEX_RADIX));
             return ConfigurationVersionDigest.of(settings) == version.digest()
                     ? ConfigurationVersionMessage.complete(version, words.get(3), settings)
                     : null;
@@ -77,7 +77,7 @@
      * stored a higher version of the same base.
      */
     void save(ConfigurationVersion version, ConfigurationVersionMessage.Content content) {
-        file.change(lines -> holdsHigherThan(version) ? lines : List.of(line(version, content)));
+        file.change(lines -> holdsHigherThan(version) ? lines : List.of(versionLine(version, content)));
     }
 
     private boolean holdsHigherThan(ConfigurationVersion version) {
@@ -87,12 +87,12 @@
                 && stored.version().compareTo(version) > 0;
     }
 
-    private static String line(
+    private static String versionLine(
             ConfigurationVersion version, ConfigurationVersionMessage.Content content) {
         byte[] settings = content.settings().getBytes(StandardCharsets.UTF_8);
         return String.join(
                 SEPARATOR,
-                VERSION,
+                VERSION_KEYWORD,
                 Long.toString(version.number()),
                 version.digestHex(),
                 content.base(),
@@ -110,7 +110,7 @@
                         before -> {
                             List<String> after = new ArrayList<>(before);
                             after.removeIf(line -> isAttempt(line, version));
-                            after.add(attemptPrefix(version) + (attempts(before, version) + 1));
+                            after.add(attemptPrefix(version) + (attemptCount(before, version) + 1));
                             return after;
                         });
         return (int) recordedCount(lines.get(lines.size() - 1), version);
@@ -122,7 +122,7 @@
     }
 
     /** Each record counts up to the limit: more does not matter. */
-    private static long attempts(List<String> lines, ConfigurationVersion version) {
+    private static long attemptCount(List<String> lines, ConfigurationVersion version) {
         return lines.stream()
                 .filter(line -> isAttempt(line, version))
                 .mapToLong(line -> Math.min(MAX_FATAL_ATTEMPTS, recordedCount(line, version)))
@@ -139,6 +139,6 @@
     }
 
     private static String attemptPrefix(ConfigurationVersion version) {
-        return ATTEMPTS + SEPARATOR + version + SEPARATOR;
+        return ATTEMPTS_KEYWORD + SEPARATOR + version + SEPARATOR;
     }
 }
--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionValidator.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionValidator.java
@@ -12,7 +12,7 @@
  * processes of a service share, so that all of them come to the same one.
  */
 final class ConfigurationVersionValidator {
-    private static final String REQUEST_CLASSES = "Categories.";
+    private static final String REQUEST_CLASSES_PREFIX = "Categories.";
 
     private ConfigurationVersionValidator() {}
 
@@ -24,7 +24,7 @@
      *     can use
      */
     static Settings validate(ConfigurationVersionMessage.Content content, String processBase) {
-        JsonObject fields = object(content.settings());
+        JsonObject fields = parseObject(content.settings());
         for (String name : ConfigurationVersionDigest.PER_PROCESS_SETTINGS) {
             if (fields.has(name)) {
                 throw new InvalidSettingsException("settings." + name + " is each process's own");
@@ -37,7 +37,7 @@
         return settings;
     }
 
-    private static JsonObject object(String settings) {
+    private static JsonObject parseObject(String settings) {
         JsonValue value;
         try {
             value = JsonReader.read(settings);
@@ -54,37 +54,37 @@
      * The default of a missing key is "safe": requests that are not idempotent would be retried.
      */
     private static void requireRetryRules(Settings settings) {
-        int requestClasses = settings.count(REQUEST_CLASSES + "count", 0);
+        int requestClasses = settings.count(REQUEST_CLASSES_PREFIX + "count", 0);
         for (int i = 0; i < requestClasses; i++) {
-            String path = REQUEST_CLASSES + i;
-            require(settings, path + ".Repeat");
+            String path = REQUEST_CLASSES_PREFIX + i;
+            requirePresent(settings, path + ".Repeat");
             if (settings.text(path + ".Repeat", "").equals("keyed")) {
-                require(settings, path + ".KeyScope");
-                require(settings, path + ".RepeatWindow");
+                requirePresent(settings, path + ".KeyScope");
+                requirePresent(settings, path + ".RepeatWindow");
             }
         }
     }
 
-    private static void require(Settings settings, String path) {
+    private static void requirePresent(Settings settings, String path) {
         if (settings.text(path, "").isEmpty()) {
             throw new InvalidSettingsException("the key settings." + path + " is missing");
         }
     }
 
-    private static void requireBase(Settings settings, String named, String processBase) {
-        String actual = ConfigurationVersionDigest.ofBase(settings);
-        if (!actual.equals(named)) {
+    private static void requireBase(Settings settings, String declaredBase, String processBase) {
+        String actualBase = ConfigurationVersionDigest.ofBase(settings);
+        if (!actualBase.equals(declaredBase)) {
             throw new InvalidSettingsException(
                     "its settings are built on "
-                            + actual
+                            + actualBase
                             + ", but it names "
-                            + named
+                            + declaredBase
                             + " as its base");
         }
-        if (!named.equals(processBase)) {
+        if (!declaredBase.equals(processBase)) {
             throw new InvalidSettingsException(
                     "it is built on other settings than this process ("
-                            + named
+                            + declaredBase
                             + ", here "
                             + processBase
                             + "), for which a new process is needed");
--- a/src/main/java/cottonlock/proxy/control/EjectionState.java
+++ b/src/main/java/cottonlock/proxy/control/EjectionState.java
@@ -16,10 +16,10 @@
  */
 record EjectionState(Set<String> ejected, Map<String, Long> returnedAtTicks) {
     /** A return counts for longer than any backend's slow start lasts. */
-    private static final long RETURN_MEMORY_TICKS = 3_000_000;
+    private static final long RETURN_RETENTION_TICKS = 3_000_000;
 
-    private static final String EJECTED = "out";
-    private static final String RETURNED = "back";
+    private static final String EJECTED_KEYWORD = "out";
+    private static final String RETURNED_KEYWORD = "back";
     private static final String SEPARATOR = " ";
 
     EjectionState {
@@ -33,11 +33,11 @@
         Map<String, Long> returnedAtTicks = new HashMap<>();
         for (String line : lines) {
             List<String> words = List.of(line.split(SEPARATOR, 0));
-            if (words.size() == 2 && words.get(0).equals(EJECTED)) {
+            if (words.size() == 2 && words.get(0).equals(EJECTED_KEYWORD)) {
                 ejected.add(words.get(1));
             } else if (isRecentReturn(words, nowTicks)) {
-                long atTicks = Math.min(nowTicks, Long.parseLong(words.get(2)));
-                returnedAtTicks.put(words.get(1), atTicks);
+                long returnTicks = Math.min(nowTicks, Long.parseLong(words.get(2)));
+                returnedAtTicks.put(words.get(1), returnTicks);
             }
         }
         return new EjectionState(ejected, returnedAtTicks);
@@ -45,16 +45,16 @@
 
     private static boolean isRecentReturn(List<String> words, long nowTicks) {
         return words.size() == 3
-                && words.get(0).equals(RETURNED)
+                && words.get(0).equals(RETURNED_KEYWORD)
                 && Decimals.isUnsigned(words.get(2))
-                && nowTicks - Long.parseLong(words.get(2)) < RETURN_MEMORY_TICKS;
+                && nowTicks - Long.parseLong(words.get(2)) < RETURN_RETENTION_TICKS;
     }
 
     /** The lines to store. */
     List<String> toLines() {
         List<String> lines = new ArrayList<>();
         ejected.forEach(id -> lines.add(ejectedLine(id)));
-        returnedAtTicks.forEach((id, atTicks) -> lines.add(returnedLine(id, atTicks)));
+        returnedAtTicks.forEach((id, returnTicks) -> lines.add(returnedLine(id, returnTicks)));
         return lines;
     }
 
@@ -74,16 +74,16 @@
 
     private static List<String> withoutBackend(List<String> lines, String id) {
         List<String> others = new ArrayList<>(lines);
-        String returned = RETURNED + SEPARATOR + id + SEPARATOR;
+        String returned = RETURNED_KEYWORD + SEPARATOR + id + SEPARATOR;
         others.removeIf(line -> line.equals(ejectedLine(id)) || line.startsWith(returned));
         return others;
     }
 
     private static String ejectedLine(String id) {
-        return EJECTED + SEPARATOR + id;
+        return EJECTED_KEYWORD + SEPARATOR + id;
     }
 
-    private static String returnedLine(String id, long atTicks) {
-        return RETURNED + SEPARATOR + id + SEPARATOR + atTicks;
+    private static String returnedLine(String id, long returnTicks) {
+        return RETURNED_KEYWORD + SEPARATOR + id + SEPARATOR + returnTicks;
     }
 }
--- a/src/main/java/cottonlock/proxy/control/ManualEjections.java
+++ b/src/main/java/cottonlock/proxy/control/ManualEjections.java
@@ -62,13 +62,13 @@
             return listed;
         }
         if (ejected) {
-            return with(listed, Endpoint.State.DRAINING, listed.startedAtTicks());
+            return copyWith(listed, Endpoint.State.DRAINING, listed.startedAtTicks());
         }
         long returnedAtTicks = current.returnedAtTicks().getOrDefault(listed.id(), 0L);
-        return with(listed, listed.state(), Math.max(listed.startedAtTicks(), returnedAtTicks));
+        return copyWith(listed, listed.state(), Math.max(listed.startedAtTicks(), returnedAtTicks));
     }
 
-    private static Endpoint with(Endpoint listed, Endpoint.State state, long startedAtTicks) {
+    private static Endpoint copyWith(Endpoint listed, Endpoint.State state, long startedAtTicks) {
         return new Endpoint(
                 listed.id(),
                 listed.zone(),
@@ -89,14 +89,14 @@
             return false;
         }
         if (isEjected(id) != ejected) {
-            List<String> stored = file.change(lines -> changed(lines, id, ejected));
+            List<String> stored = file.change(lines -> changedLines(lines, id, ejected));
             state = EjectionState.parse(stored, clock.now());
             onChange.run();
         }
         return true;
     }
 
-    private List<String> changed(List<String> stored, String id, boolean ejected) {
+    private List<String> changedLines(List<String> stored, String id, boolean ejected) {
         // Without a file this process's state is all there is.
         List<String> lines = file.revision() == null ? state.toLines() : stored;
         return ejected
--- a/src/main/java/cottonlock/proxy/control/ProxyConfiguration.java
+++ b/src/main/java/cottonlock/proxy/control/ProxyConfiguration.java
@@ -25,9 +25,9 @@
  * wrong with the file is an {@link InvalidSettingsException} that names the key.
  */
 public final class ProxyConfiguration {
-    private static final String SETTINGS = "settings";
-    private static final String CACHED_LIST = "known";
-    private static final String PEER_KEYS = "peer";
+    private static final String SETTINGS_KEY = "settings";
+    private static final String CACHED_LIST_KEY = "known";
+    private static final String PEER_KEY_PREFIX = "peer";
     private static final int SEED_RADIX = 16;
 
     private final JsonObject root;
@@ -62,12 +62,12 @@
      */
     public void requireCompatibleWith(ProxyConfiguration previous) {
         for (String key : previous.root.fields().keySet()) {
-            boolean optional = key.startsWith(PEER_KEYS) || key.equals(CACHED_LIST);
+            boolean optional = key.startsWith(PEER_KEY_PREFIX) || key.equals(CACHED_LIST_KEY);
             if (!root.has(key) && !optional) {
                 throw new InvalidSettingsException("the key " + key + " is missing");
             }
         }
-        requireKeysOf(SETTINGS, previous.root.get(SETTINGS), root.get(SETTINGS));
+        requireKeysOf(SETTINGS_KEY, previous.root.get(SETTINGS_KEY), root.get(SETTINGS_KEY));
         seed();
         Settings settings = settings();
         requireServable(settings);
@@ -171,7 +171,7 @@
      * @throws InvalidSettingsException where there are none
      */
     public Settings settings() {
-        if (!(root.get(SETTINGS) instanceof JsonObject object)) {
+        if (!(root.get(SETTINGS_KEY) instanceof JsonObject object)) {
             throw new InvalidSettingsException("no settings");
         }
         return settings(object);
@@ -252,7 +252,7 @@
      */
     public static InetSocketAddress address(String name, String text) {
         try {
-            return Sockets.address(text);
+            return Sockets.parseAddress(text);
         } catch (IllegalArgumentException e) {
             throw new InvalidSettingsException(name + " is not an address: " + text);
         }
@@ -291,7 +291,7 @@
 
     /** The list of backends that this proxy had before its start; empty where it had none. */
     public EndpointList cachedEndpointList(EndpointListParser parser) {
-        JsonValue cached = root.get(CACHED_LIST);
+        JsonValue cached = root.get(CACHED_LIST_KEY);
         return cached instanceof JsonNull
                 ? new EndpointList(0, true, List.of())
                 : parser.parse(cached);
--- a/src/main/java/cottonlock/proxy/control/RolloutActor.java
+++ b/src/main/java/cottonlock/proxy/control/RolloutActor.java
@@ -73,7 +73,7 @@
      */
     public RolloutActor(
             RolloutConfig config,
-            Settings built,
+            Settings processSettings,
             Consumer<Settings> settingsConsumer,
             SharedFile file,
             TickClock clock,
@@ -86,7 +86,7 @@
         for (String address : config.farControlAddresses()) {
             servers.add(ProxyConfiguration.address("rollout.far", address));
         }
-        this.base = ConfigurationVersionDigest.ofBase(built);
+        this.base = ConfigurationVersionDigest.ofBase(processSettings);
         this.applier =
                 new RolloutVersionApplier(
                         settingsConsumer,
@@ -198,7 +198,7 @@
                 String message = assembler.add(line);
                 if (message != null) {
                     if (!message.isBlank()) {
-                        receive(server, ConfigurationVersionParser.parse(utf8(message)));
+                        handleAnnouncement(server, ConfigurationVersionParser.parse(utf8(message)));
                     }
                     deadlineTicks = clock.now() + ConfigurationRollout.SILENCE_TIMEOUT_TICKS;
                 }
@@ -283,9 +283,9 @@
         }
     }
 
-    private void receive(InetSocketAddress server, ConfigurationVersionMessage message)
+    private void handleAnnouncement(InetSocketAddress server, ConfigurationVersionMessage message)
             throws IOException {
-        ConfigurationVersion before = rollout.status().inForce();
+        ConfigurationVersion inForce = rollout.status().inForce();
         ConfigurationVersion version = message.version();
         if (!rollout.versionAnnounced(clock.now(), version)) {
             return;
@@ -293,7 +293,7 @@
         if (message.content().isEmpty()) {
             throw new IOException("version " + version + " was told without its settings");
         }
-        if (applier.applyAnnounced(version, message.content().get(), before, server.toString())) {
+        if (applier.applyAnnounced(version, message.content().get(), inForce, server.toString())) {
             rollout.applied(version);
         } else {
             rollout.rejected(version);
--- a/src/main/java/cottonlock/proxy/control/RolloutVersionApplier.java
+++ b/src/main/java/cottonlock/proxy/control/RolloutVersionApplier.java
@@ -70,14 +70,14 @@
     /**
      * Brings an announced version into force and stores it.
      *
-     * @param before the version in force
+     * @param current the version in force
      * @param server names the server that announced it, for the log
      * @return whether it is in force; else nothing of it is
      */
     boolean applyAnnounced(
             ConfigurationVersion version,
             ConfigurationVersionMessage.Content content,
-            ConfigurationVersion before,
+            ConfigurationVersion current,
             String server) {
         Optional<String> fault = apply(version, content);
         if (fault.isEmpty()) {
@@ -85,11 +85,11 @@
             log.each("version", version + " is in force, told by " + server);
             return true;
         }
-        String stays =
-                before.equals(ConfigurationVersion.NONE)
+        String kept =
+                current.equals(ConfigurationVersion.NONE)
                         ? "the file's settings stay"
-                        : before + " stays";
-        warn(version + " is refused, " + stays + " in force: " + fault.get());
+                        : current + " stays";
+        warn(version + " is refused, " + kept + " in force: " + fault.get());
         return false;
     }
 
--- a/src/main/java/cottonlock/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/cottonlock/proxy/discovery/EndpointListParser.java
@@ -116,7 +116,7 @@
             return null;
         }
         try {
-            return Sockets.address(dial);
+            return Sockets.parseAddress(dial);
         } catch (IllegalArgumentException e) {
             throw new InvalidSettingsException("the dial of " + id + " is not an address: " + dial);
         }
--- a/src/main/java/cottonlock/proxy/io/Sockets.java
+++ b/src/main/java/cottonlock/proxy/io/Sockets.java
@@ -84,7 +84,7 @@
      *
      * @throws IllegalArgumentException where the host is not numeric or the port is no port
      */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0 || !NUMERIC_HOST.matcher(text.substring(0, colon)).matches()) {
             throw new IllegalArgumentException("not an address: " + text);
