--- a/src/main/java/cottonlock/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/cottonlock/proxy/discovery/EndpointListParser.java
@@ -20,7 +20,7 @@
 
     private final RateLimitedLog log;
 
-    /** Names by number; names that the settings lack are appended. Guarded by this. */
+    /** Names by index; names that the settings lack are appended. Guarded by this. */
     private final List<String> zones;
 
     private final List<String> kinds;
@@ -54,13 +54,13 @@
             }
         }
         boolean complete = object.text("whole", "").equals("true");
-        return new EndpointList(integer(object, "seq"), complete, entries);
+        return new EndpointList(parseInteger(object, "seq"), complete, entries);
     }
 
     /** That a backend drains or is gone is taken even where its other fields are invalid. */
     private EndpointList.Entry parseHost(JsonObject fields) {
         String id = requiredText(fields, "host");
-        Endpoint.State state = state(id, requiredText(fields, "health"));
+        Endpoint.State state = parseState(id, requiredText(fields, "health"));
         try {
             return parseHost(fields, id, state);
         } catch (InvalidSettingsException e) {
@@ -68,13 +68,13 @@
                 throw e;
             }
             log.warn("list", "only the health of a host is taken: " + e.getMessage());
-            int zone = numberOf(zones, "");
-            int kind = numberOf(kinds, "");
+            int zone = indexOrAppend(zones, "");
+            int kind = indexOrAppend(kinds, "");
             return new EndpointList.Entry(new Endpoint(id, zone, kind, 0, state, 0, 0), null);
         }
     }
 
-    private static Endpoint.State state(String id, String health) {
+    private static Endpoint.State parseState(String id, String health) {
         return switch (health) {
             case "active" -> Endpoint.State.READY;
             case "leaving" -> Endpoint.State.DRAINING;
@@ -84,20 +84,20 @@
     }
 
     private EndpointList.Entry parseHost(JsonObject fields, String id, Endpoint.State state) {
-        double share = share(fields, id);
+        double share = parseShare(fields, id);
         Endpoint endpoint =
                 new Endpoint(
                         id,
-                        numberOf(zones, fields.text("site", "")),
-                        numberOf(kinds, fields.text("class", "")),
-                        (int) integer(fields, "block"),
+                        indexOrAppend(zones, fields.text("site", "")),
+                        indexOrAppend(kinds, fields.text("class", "")),
+                        (int) parseInteger(fields, "block"),
                         state,
                         share,
-                        integer(fields, "born_ms") * TICKS_PER_MILLI);
-        return new EndpointList.Entry(endpoint, address(fields, id, state));
+                        parseInteger(fields, "born_ms") * TICKS_PER_MILLI);
+        return new EndpointList.Entry(endpoint, parseAddress(fields, id, state));
     }
 
-    private static double share(JsonObject fields, String id) {
+    private static double parseShare(JsonObject fields, String id) {
         double share;
         try {
             share = Double.parseDouble(fields.text("share", "1"));
@@ -110,7 +110,7 @@
         return share;
     }
 
-    private static InetSocketAddress address(JsonObject fields, String id, Endpoint.State state) {
+    private static InetSocketAddress parseAddress(JsonObject fields, String id, Endpoint.State state) {
         String dial = fields.text("dial", "");
         if (dial.isEmpty() && state != Endpoint.State.READY) {
             return null;
@@ -131,7 +131,7 @@
     }
 
     /** An integer field; 0 where it is absent. */
-    private static long integer(JsonObject fields, String name) {
+    private static long parseInteger(JsonObject fields, String name) {
         try {
             return Long.parseLong(fields.text(name, "0"));
         } catch (NumberFormatException e) {
@@ -139,12 +139,12 @@
         }
     }
 
-    private synchronized int numberOf(List<String> names, String name) {
-        int number = names.indexOf(name);
-        if (number < 0) {
-            number = names.size();
+    private synchronized int indexOrAppend(List<String> names, String name) {
+        int index = names.indexOf(name);
+        if (index < 0) {
+            index = names.size();
             names.add(name);
         }
-        return number;
+        return index;
     }
 }
