--- a/src/main/java/cottonlock/proxy/BackendConnection.java
+++ b/src/main/java/cottonlock/proxy/BackendConnection.java
@@ -280,7 +280,7 @@
             ClientRequest.Attempt attempt, MessageHead head, MessageBody body, HttpReader reader)
             throws MalformedMessageException {
         int status = Integer.parseInt(head.status());
-        boolean notRun = "1".equals(head.only("X-Not-Processed"));
+        boolean notRun = "1".equals(head.singleValue("X-Not-Processed"));
         if (status != 200) {
             attempt.settle(
                     (status == 503 || status == 504) && notRun
--- a/src/main/java/cottonlock/proxy/ClientConnection.java
+++ b/src/main/java/cottonlock/proxy/ClientConnection.java
@@ -270,7 +270,7 @@
             head = reader.readRequestHead();
             boolean health = head.target().equals("/_health");
             judged = health ? null : admission.asked(head);
-            if (head.lists("Expect", "100-continue")) {
+            if (head.hasListElement("Expect", "100-continue")) {
                 watchdog.write(socket, out -> out.write(CONTINUE_RESPONSE));
             }
             reader.setPacing(READ_TIMEOUT_MILLIS, MIN_BODY_BYTES_PER_SECOND);
@@ -338,7 +338,7 @@
                 e.getMessage() + ", from " + socket.getInetAddress().getHostAddress());
         // What it says names the fault of this request alone, never what others have sent or may
         // send.
-        watchdog.write(socket, out -> writer.writeRefusal(out, e.status(), e.getMessage()));
+        watchdog.write(socket, out -> writer.writeErrorResponse(out, e.status(), e.getMessage()));
         socket.shutdownOutput();
         // Closed with bytes unread, the connection would take the answer with it.
         reader.setTimeout(REFUSAL_LINGER_MILLIS);
@@ -412,7 +412,7 @@
                         // The rest may take as long as the client likes; what is in hand would be
                         // missed by others.
                         part.release();
-                        rest.setPacing(RELAY_PAUSE_MILLIS, HttpReader.ANY_RATE_BYTES_PER_SECOND);
+                        rest.setPacing(RELAY_PAUSE_MILLIS, HttpReader.NEGLIGIBLE_RATE_BYTES_PER_SECOND);
                         rest.relayBody(
                                 (from, at, count) ->
                                         writer.writeRelayed(out, chunked, from, at, count));
--- a/src/main/java/cottonlock/proxy/ClientRequest.java
+++ b/src/main/java/cottonlock/proxy/ClientRequest.java
@@ -83,7 +83,7 @@
         this.client = client;
         this.method = head.method();
         this.target = head.target();
-        this.contentType = head.only("Content-Type");
+        this.contentType = head.singleValue("Content-Type");
         this.requestId = asked.id();
         this.idempotencyKey = asked.idempotencyKey();
         this.body = body;
@@ -91,7 +91,7 @@
         this.categoryName = asked.name();
         this.tenant = asked.tenant();
         this.tenantName = asked.tenantName();
-        this.repeated = "1".equals(head.only("X-Retried"));
+        this.repeated = "1".equals(head.singleValue("X-Retried"));
         this.knowsChunks = head.requestVersion().equals("HTTP/1.1");
         this.expiry = expiry;
     }
--- a/src/main/java/cottonlock/proxy/RequestValidator.java
+++ b/src/main/java/cottonlock/proxy/RequestValidator.java
@@ -70,11 +70,11 @@
         if (!method.equals("GET") && !method.equals("POST")) {
             throw new MalformedMessageException(405, "neither GET nor POST");
         }
-        String requestId = head.only("X-Request-ID");
+        String requestId = head.singleValue("X-Request-ID");
         if (requestId == null || requestId.isEmpty()) {
             throw new MalformedMessageException(400, "no X-Request-ID");
         }
-        String name = head.only("X-Priority-Class");
+        String name = head.singleValue("X-Priority-Class");
         String target = head.target();
         int end = 1;
         while (end < target.length() && "/?#".indexOf(target.charAt(end)) < 0) {
@@ -89,20 +89,20 @@
         if (name != null && !first.equals(name)) {
             throw new MalformedMessageException(400, "the path and X-Priority-Class differ");
         }
-        String tenantName = head.only("X-Tenant-Id");
+        String tenantName = head.singleValue("X-Tenant-Id");
         int tenant = in.tenantNames.isEmpty() ? 0 : in.tenantNames.indexOf(tenantName);
         if (tenant < 0) {
             throw new MalformedMessageException(
                     400, tenantName == null ? "no X-Tenant-Id" : "unknown tenant in X-Tenant-Id");
         }
-        String idempotencyKey = head.only("Idempotency-Key");
+        String idempotencyKey = head.singleValue("Idempotency-Key");
         if (idempotencyKey == null
                 && in.categories.get(category).idempotency() == RequestClass.Idempotency.WITH_KEY) {
             // Sent on without it, a repeat could not be known, and would have its effect twice.
             throw new MalformedMessageException(
                     400, "no Idempotency-Key, which this category needs");
         }
-        String patience = head.only("X-Timeout-Ms");
+        String patience = head.singleValue("X-Timeout-Ms");
         if (patience == null || !MessageHeadParser.isDecimal(patience)) {
             throw new MalformedMessageException(
                     400,
--- a/src/main/java/cottonlock/proxy/http/HttpReader.java
+++ b/src/main/java/cottonlock/proxy/http/HttpReader.java
@@ -13,7 +13,7 @@
  */
 public final class HttpReader {
     /** A rate in bytes a second that any sender reaches: only its pauses count. */
-    public static final long ANY_RATE_BYTES_PER_SECOND = 16;
+    public static final long NEGLIGIBLE_RATE_BYTES_PER_SECOND = 16;
 
     private static final int MAX_CHUNK_LINE_CHARS = 256;
 
@@ -60,7 +60,7 @@
 
     /** Whether bytes have been read that are not parsed yet. */
     public boolean hasBufferedBytes() {
-        return input.buffered() > 0;
+        return input.bufferedBytes() > 0;
     }
 
     /**
@@ -129,7 +129,7 @@
                 throw new IOException("the answer ends early");
             }
             if (maxPauseMillis > 0) {
-                setPacing(maxPauseMillis, ANY_RATE_BYTES_PER_SECOND);
+                setPacing(maxPauseMillis, NEGLIGIBLE_RATE_BYTES_PER_SECOND);
             }
             MessageHead head = readHead();
             head.checkStatusLine();
@@ -147,17 +147,17 @@
 
     private MessageHead readHead() throws IOException, MalformedMessageException {
         skipLeadingLineEnds();
-        int seen = 0;
+        int scanned = 0;
         while (true) {
-            for (; seen < input.buffered(); seen++) {
-                if (endsHead(seen)) {
+            for (; scanned < input.bufferedBytes(); scanned++) {
+                if (endsHead(scanned)) {
                     String text =
                             new String(
                                     input.buffer(),
                                     input.position(),
-                                    seen - 3,
+                                    scanned - 3,
                                     StandardCharsets.ISO_8859_1);
-                    input.skip(seen + 1);
+                    input.skip(scanned + 1);
                     return MessageHeadParser.parse(text);
                 }
             }
@@ -172,7 +172,7 @@
 
     /** Some senders end a body with a line end too many. */
     private void skipLeadingLineEnds() {
-        while (input.buffered() > 1 && input.peek(0) == '\r' && input.peek(1) == '\n') {
+        while (input.bufferedBytes() > 1 && input.peek(0) == '\r' && input.peek(1) == '\n') {
             input.skip(2);
         }
     }
@@ -189,8 +189,8 @@
 
     private void beginBody(MessageHead head, long lengthIfUnknown)
             throws MalformedMessageException {
-        String coding = head.only("Transfer-Encoding");
-        String length = head.only("Content-Length");
+        String coding = head.singleValue("Transfer-Encoding");
+        String length = head.singleValue("Content-Length");
         chunked = coding != null;
         if (chunked) {
             checkChunked(head, coding, length);
@@ -251,17 +251,17 @@
         return readBody(new MessageBody(buffers, null), MessageBody.MAX_BUFFERED_BYTES, false);
     }
 
-    private MessageBody readBody(MessageBody body, long maxBytes, boolean whole)
+    private MessageBody readBody(MessageBody body, long maxBytes, boolean requireWhole)
             throws IOException, MalformedMessageException {
         boolean done = false;
         try {
             while (declaredLength() <= maxBytes && bodyContinues() && body.length() < maxBytes) {
                 long space = maxBytes - body.length();
-                int count = (int) Math.min(Math.min(remainingBytes, input.buffered()), space);
+                int count = (int) Math.min(Math.min(remainingBytes, input.bufferedBytes()), space);
                 body.add(input.buffer(), input.position(), count);
                 consume(count);
             }
-            if (whole && (declaredLength() > maxBytes || bodyContinues())) {
+            if (requireWhole && (declaredLength() > maxBytes || bodyContinues())) {
                 throw new MalformedMessageException(413, "the body is too large");
             }
             done = true;
@@ -285,7 +285,7 @@
     public void relayBody(BodyConsumer consumer) throws IOException {
         try {
             while (bodyContinues()) {
-                int count = (int) Math.min(remainingBytes, input.buffered());
+                int count = (int) Math.min(remainingBytes, input.bufferedBytes());
                 consumer.accept(input.buffer(), input.position(), count);
                 consume(count);
             }
@@ -367,7 +367,7 @@
     private String readChunkLine() throws IOException, MalformedMessageException {
         StringBuilder line = new StringBuilder();
         while (true) {
-            char character = (char) (input.next() & 0xff);
+            char character = (char) (input.nextByte() & 0xff);
             int length = line.length();
             if (character == '\n' && length > 0 && line.charAt(length - 1) == '\r') {
                 line.setLength(length - 1);
--- a/src/main/java/cottonlock/proxy/http/HttpWriter.java
+++ b/src/main/java/cottonlock/proxy/http/HttpWriter.java
@@ -119,7 +119,7 @@
     }
 
     /** Writes the response to a malformed request, with one plain line that names the fault. */
-    public void writeRefusal(OutputStream out, int status, String fault) throws IOException {
+    public void writeErrorResponse(OutputStream out, int status, String fault) throws IOException {
         byte[] line = (fault + "\n").getBytes(StandardCharsets.UTF_8);
         StringBuilder head = new StringBuilder(160);
         head.append("HTTP/1.1 ").append(status).append(' ').append(reason(status)).append("\r\n");
--- a/src/main/java/cottonlock/proxy/http/MessageBody.java
+++ b/src/main/java/cottonlock/proxy/http/MessageBody.java
@@ -92,19 +92,19 @@
 
     /** Writes it; several threads may do so at a time. */
     public void writeTo(OutputStream out) throws IOException {
-        int left = bufferedBytes;
+        int remaining = bufferedBytes;
         for (byte[] part : parts) {
-            out.write(part, 0, Math.min(left, BufferPool.SIZE));
-            left -= BufferPool.SIZE;
+            out.write(part, 0, Math.min(remaining, BufferPool.SIZE));
+            remaining -= BufferPool.SIZE;
         }
         if (file != null) {
             byte[] buffer = buffers.take();
             try {
                 // Read by place: two attempts of one request may be written at once.
                 ByteBuffer bytes = ByteBuffer.wrap(buffer);
-                for (long at = 0; at < fileBytes; at += bytes.position()) {
+                for (long fileOffset = 0; fileOffset < fileBytes; fileOffset += bytes.position()) {
                     bytes.clear();
-                    if (file.read(bytes, at) < 0) {
+                    if (file.read(bytes, fileOffset) < 0) {
                         throw new IOException("the file of a body is cut off");
                     }
                     out.write(buffer, 0, bytes.position());
--- a/src/main/java/cottonlock/proxy/http/MessageHead.java
+++ b/src/main/java/cottonlock/proxy/http/MessageHead.java
@@ -83,7 +83,7 @@
         if (!isSupportedVersion(requestVersion())) {
             throw new MalformedMessageException(505, "neither HTTP/1.1 nor HTTP/1.0");
         }
-        if (requestVersion().equals(HTTP_1_1) && only("Host") == null) {
+        if (requestVersion().equals(HTTP_1_1) && singleValue("Host") == null) {
             throw new MalformedMessageException(400, "no Host");
         }
     }
@@ -117,7 +117,7 @@
      *
      * @throws MalformedMessageException if it stands more than once
      */
-    public String only(String name) throws MalformedMessageException {
+    public String singleValue(String name) throws MalformedMessageException {
         String found = null;
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
@@ -131,18 +131,18 @@
     }
 
     /** Whether a field that lists words holds the given one. */
-    public boolean lists(String name, String word) {
+    public boolean hasListElement(String name, String element) {
         for (int i = 0; i < names.size(); i++) {
-            if (names.get(i).equalsIgnoreCase(name) && containsWord(values.get(i), word)) {
+            if (names.get(i).equalsIgnoreCase(name) && containsElement(values.get(i), element)) {
                 return true;
             }
         }
         return false;
     }
 
-    private static boolean containsWord(String value, String word) {
+    private static boolean containsElement(String value, String element) {
         for (String part : value.split(",", -1)) {
-            if (part.trim().equalsIgnoreCase(word)) {
+            if (part.trim().equalsIgnoreCase(element)) {
                 return true;
             }
         }
@@ -151,6 +151,6 @@
 
     /** Whether the sender keeps the connection, given the version that it speaks. */
     public boolean keepsAlive(String version) {
-        return version.equals(HTTP_1_1) && !lists("Connection", "close");
+        return version.equals(HTTP_1_1) && !hasListElement("Connection", "close");
     }
 }
--- a/src/main/java/cottonlock/proxy/http/TimedSocketInput.java
+++ b/src/main/java/cottonlock/proxy/http/TimedSocketInput.java
@@ -63,7 +63,7 @@
     }
 
     /** How many bytes lie in the buffer and are not consumed. */
-    int buffered() {
+    int bufferedBytes() {
         return end - position;
     }
 
@@ -78,8 +78,8 @@
     }
 
     /** The next byte. */
-    byte next() throws IOException {
-        if (buffered() == 0 && !fill()) {
+    byte nextByte() throws IOException {
+        if (bufferedBytes() == 0 && !fill()) {
             throw new IOException("the message ends early");
         }
         return buffer[position++];
@@ -94,12 +94,12 @@
     }
 
     boolean isFull() {
-        return buffered() == buffer.length;
+        return bufferedBytes() == buffer.length;
     }
 
     /** Whether bytes lie in the buffer or in the socket. */
     boolean hasUnconsumedBytes() throws IOException {
-        return buffered() > 0 || input.available() > 0;
+        return bufferedBytes() > 0 || input.available() > 0;
     }
 
     /** Reads on; if the buffer is full, what it holds is discarded and counted first. */
@@ -117,10 +117,10 @@
 
     /** Reads and discards what still comes, so many bytes at most, until the other side ends. */
     void discard(int maxBytes) throws IOException {
-        int count = buffered();
+        int count = bufferedBytes();
         position = end;
         while (count < maxBytes && fill()) {
-            count += buffered();
+            count += bufferedBytes();
             position = end;
         }
     }
