--- a/src/main/java/cottonlock/proxy/BackendActor.java
+++ b/src/main/java/cottonlock/proxy/BackendActor.java
@@ -158,7 +158,7 @@
         permits.join(this);
         try {
             while (!leaving || !connections.isEmpty() || !held.isEmpty()) {
-                mailbox.next(held.isEmpty() ? IDLE_CHECK_MICROS : unsettled() / 1_000);
+                mailbox.runNext(held.isEmpty() ? IDLE_CHECK_MICROS : unsettled() / 1_000);
                 retire();
                 while (!held.isEmpty() && unsettled() <= 0) {
                     send(held.poll());
--- a/src/main/java/cottonlock/proxy/LoadBalancerActor.java
+++ b/src/main/java/cottonlock/proxy/LoadBalancerActor.java
@@ -147,7 +147,7 @@
             while (true) {
                 progressAt = clock.now();
                 if (next.isEmpty()) {
-                    mailbox.next(untilDue() * 100);
+                    mailbox.runNext(untilDue() * 100);
                 } else {
                     mailbox.guard(next.poll());
                 }
--- a/src/main/java/cottonlock/proxy/MembershipAdapter.java
+++ b/src/main/java/cottonlock/proxy/MembershipAdapter.java
@@ -102,7 +102,7 @@
                 collaborators.loadBalancer()::progressAt,
                 handover == null ? null : handover::isReplaced,
                 collaborators.peers()::receive,
-                line -> log.each("members", line));
+                line -> log.logEach("members", line));
     }
 
     private static InetSocketAddress listenAddress(
--- a/src/main/java/cottonlock/proxy/concurrent/Mailbox.java
+++ b/src/main/java/cottonlock/proxy/concurrent/Mailbox.java
@@ -34,7 +34,7 @@
     }
 
     /** Runs the next message, if one comes within that time. Called by the actor's thread. */
-    public void next(long timeoutMicros) throws InterruptedException {
+    public void runNext(long timeoutMicros) throws InterruptedException {
         Runnable message = messages.poll(Math.max(0, timeoutMicros), TimeUnit.MICROSECONDS);
         if (message != null) {
             guard(message);
--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionStore.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionStore.java
@@ -47,7 +47,7 @@
                 if (stored != null) {
                     return stored;
                 }
-                log.each(
+                log.logEach(
                         System.Logger.Level.WARNING,
                         "version",
                         "the one kept by an earlier process is damaged, and passed over");
--- a/src/main/java/cottonlock/proxy/control/RolloutVersionApplier.java
+++ b/src/main/java/cottonlock/proxy/control/RolloutVersionApplier.java
@@ -47,7 +47,7 @@
         ConfigurationVersion version = stored.version();
         ConfigurationVersionMessage.Content content = stored.content().orElseThrow();
         if (!content.base().equals(base)) {
-            log.each(
+            log.logEach(
                     "version",
                     version
                             + " of an earlier process is built on other settings than the "
@@ -63,7 +63,7 @@
                             + fault.get());
             return ConfigurationVersion.NONE;
         }
-        log.each("version", version + " of an earlier process is in force");
+        log.logEach("version", version + " of an earlier process is in force");
         return version;
     }
 
@@ -82,7 +82,7 @@
         Optional<String> fault = apply(version, content);
         if (fault.isEmpty()) {
             store.save(version, content);
-            log.each("version", version + " is in force, told by " + server);
+            log.logEach("version", version + " is in force, told by " + server);
             return true;
         }
         String kept =
@@ -115,6 +115,6 @@
     }
 
     private void warn(String text) {
-        log.each(System.Logger.Level.WARNING, "version", text);
+        log.logEach(System.Logger.Level.WARNING, "version", text);
     }
 }
--- a/src/main/java/cottonlock/proxy/io/JsonLineAssembler.java
+++ b/src/main/java/cottonlock/proxy/io/JsonLineAssembler.java
@@ -8,7 +8,7 @@
  */
 public final class JsonLineAssembler {
     private final int maxChars;
-    private final String tooLong;
+    private final String tooLongMessage;
     private final StringBuilder message = new StringBuilder();
 
     /** Brackets that are open behind the last line, and whether it ended inside a string. */
@@ -20,11 +20,11 @@
      * Starts with an empty message.
      *
      * @param maxChars the longest message, line ends included
-     * @param tooLong what the exception says of a longer one
+     * @param tooLongMessage what the exception says of a longer one
      */
-    public JsonLineAssembler(int maxChars, String tooLong) {
+    public JsonLineAssembler(int maxChars, String tooLongMessage) {
         this.maxChars = maxChars;
-        this.tooLong = tooLong;
+        this.tooLongMessage = tooLongMessage;
     }
 
     /**
@@ -38,7 +38,7 @@
         message.append(line).append('\n');
         scan(line);
         if (message.length() > maxChars) {
-            throw new IOException(tooLong);
+            throw new IOException(tooLongMessage);
         }
         if (depth > 0 || inString) {
             return null;
--- a/src/main/java/cottonlock/proxy/io/JsonReader.java
+++ b/src/main/java/cottonlock/proxy/io/JsonReader.java
@@ -34,7 +34,7 @@
      */
     public static JsonValue read(String text) {
         JsonReader json = new JsonReader(text);
-        JsonValue value = json.value(0);
+        JsonValue value = json.parseValue(0);
         json.skipSpace();
         if (json.position < text.length()) {
             throw json.malformed("more than one value");
@@ -74,19 +74,19 @@
         }
     }
 
-    private JsonValue value(int depth) {
+    private JsonValue parseValue(int depth) {
         if (depth > MAX_DEPTH) {
             throw malformed("nested too deeply");
         }
         return switch (peek()) {
-            case '{' -> object(depth);
-            case '[' -> array(depth);
-            case '"' -> new JsonScalar(string());
-            default -> literal();
+            case '{' -> parseObject(depth);
+            case '[' -> parseArray(depth);
+            case '"' -> new JsonScalar(parseString());
+            default -> parseLiteral();
         };
     }
 
-    private JsonObject object(int depth) {
+    private JsonObject parseObject(int depth) {
         Map<String, JsonValue> fields = new LinkedHashMap<>();
         require('{');
         if (skip('}')) {
@@ -96,28 +96,28 @@
             if (peek() != '"') {
                 throw malformed("no name");
             }
-            String name = string();
+            String name = parseString();
             require(':');
-            fields.put(name, value(depth + 1));
+            fields.put(name, parseValue(depth + 1));
         } while (skip(','));
         require('}');
         return new JsonObject(fields);
     }
 
-    private JsonArray array(int depth) {
+    private JsonArray parseArray(int depth) {
         List<JsonValue> elements = new ArrayList<>();
         require('[');
         if (skip(']')) {
             return new JsonArray(elements);
         }
         do {
-            elements.add(value(depth + 1));
+            elements.add(parseValue(depth + 1));
         } while (skip(','));
         require(']');
         return new JsonArray(elements);
     }
 
-    private String string() {
+    private String parseString() {
         require('"');
         StringBuilder content = new StringBuilder();
         while (position < text.length()) {
@@ -128,12 +128,12 @@
             if (character < ' ') {
                 throw malformed("a control character in a string");
             }
-            content.append(character == '\\' ? escaped() : character);
+            content.append(character == '\\' ? parseEscape() : character);
         }
         throw malformed("a string without end");
     }
 
-    private char escaped() {
+    private char parseEscape() {
         char character = position < text.length() ? text.charAt(position++) : ' ';
         switch (character) {
             case '"', '\\', '/':
@@ -149,13 +149,13 @@
             case 't':
                 return '\t';
             case 'u':
-                return unicodeEscape();
+                return parseUnicodeEscape();
             default:
                 throw malformed("not an escape");
         }
     }
 
-    private char unicodeEscape() {
+    private char parseUnicodeEscape() {
         int end = position + UNICODE_ESCAPE_DIGITS;
         if (end > text.length()) {
             throw malformed("not an escape");
@@ -169,7 +169,7 @@
     }
 
     /** A number, true, false or null. */
-    private JsonValue literal() {
+    private JsonValue parseLiteral() {
         int start = position;
         while (position < text.length() && ",]} \t\r\n".indexOf(text.charAt(position)) < 0) {
             position++;
--- a/src/main/java/cottonlock/proxy/io/RateLimitedLog.java
+++ b/src/main/java/cottonlock/proxy/io/RateLimitedLog.java
@@ -35,9 +35,9 @@
     private final System.Logger logger;
 
     /** Windows by kind, each map guarded by itself. */
-    private final Map<String, Window> singles = new HashMap<>();
+    private final Map<String, Window> singleLineWindows = new HashMap<>();
 
-    private final Map<String, Window> bursts = new HashMap<>();
+    private final Map<String, Window> burstWindows = new HashMap<>();
 
     /** A log that writes to a logger. */
     public RateLimitedLog(System.Logger logger) {
@@ -55,16 +55,16 @@
     }
 
     /** Logs a line whose kind is of interest line by line: up to 40 a second. */
-    public void each(String kind, String text) {
-        each(System.Logger.Level.INFO, kind, text);
+    public void logEach(String kind, String text) {
+        logEach(System.Logger.Level.INFO, kind, text);
     }
 
     /** The same at a level. */
-    public void each(System.Logger.Level level, String kind, String text) {
+    public void logEach(System.Logger.Level level, String kind, String text) {
         long dropped;
-        synchronized (bursts) {
+        synchronized (burstWindows) {
             long interval = System.nanoTime() / INTERVAL_NANOS;
-            Window window = bursts.computeIfAbsent(kind, unused -> new Window(interval));
+            Window window = burstWindows.computeIfAbsent(kind, unused -> new Window(interval));
             if (window.start != interval) {
                 window.start = interval;
                 window.logged = 0;
@@ -81,10 +81,10 @@
 
     private void logOnce(System.Logger.Level level, String kind, String text) {
         long dropped;
-        synchronized (singles) {
+        synchronized (singleLineWindows) {
             long nowNanos = System.nanoTime();
             Window window =
-                    singles.computeIfAbsent(kind, unused -> new Window(nowNanos - INTERVAL_NANOS));
+                    singleLineWindows.computeIfAbsent(kind, unused -> new Window(nowNanos - INTERVAL_NANOS));
             if (nowNanos - window.start < INTERVAL_NANOS) {
                 window.dropped++;
                 return;
--- a/src/main/java/cottonlock/proxy/io/Sockets.java
+++ b/src/main/java/cottonlock/proxy/io/Sockets.java
@@ -42,30 +42,30 @@
      */
     public static List<Thread> join(List<Thread> threads) {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_JOIN_MILLIS);
-        List<Thread> left = new ArrayList<>(threads);
-        left.remove(Thread.currentThread());
+        List<Thread> running = new ArrayList<>(threads);
+        running.remove(Thread.currentThread());
         boolean interrupted = Thread.interrupted();
-        for (Thread thread : left) {
+        for (Thread thread : running) {
             interrupted |= joinUntil(thread, deadlineNanos);
         }
         if (interrupted) {
             Thread.currentThread().interrupt();
         }
-        left.removeIf(thread -> !thread.isAlive());
-        return left;
+        running.removeIf(thread -> !thread.isAlive());
+        return running;
     }
 
     /** Returns whether this thread has been interrupted meanwhile. */
     private static boolean joinUntil(Thread thread, long deadlineNanos) {
         boolean interrupted = false;
-        long leftNanos = deadlineNanos - System.nanoTime();
-        while (thread.isAlive() && leftNanos > 0) {
+        long remainingNanos = deadlineNanos - System.nanoTime();
+        while (thread.isAlive() && remainingNanos > 0) {
             try {
-                TimeUnit.NANOSECONDS.timedJoin(thread, leftNanos);
+                TimeUnit.NANOSECONDS.timedJoin(thread, remainingNanos);
             } catch (InterruptedException e) {
                 interrupted = true;
             }
-            leftNanos = deadlineNanos - System.nanoTime();
+            remainingNanos = deadlineNanos - System.nanoTime();
         }
         return interrupted;
     }
--- a/src/test/java/cottonlock/proxy/concurrent/MailboxTest.java
+++ b/src/test/java/cottonlock/proxy/concurrent/MailboxTest.java
@@ -49,7 +49,7 @@
             assertTrue(mailbox.offer(() -> seen.add(number)));
         }
         assertFalse(mailbox.offer(() -> seen.add(99)));
-        mailbox.next(0);
+        mailbox.runNext(0);
         assertEquals(List.of(0), seen);
         assertTrue(mailbox.offer(() -> seen.add(3)));
         mailbox.drain();
