--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionDigest.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionDigest.java
@@ -8,21 +8,21 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.List;
 
-/** Digests of settings: of a version's content, and of the base that it is built on. */
+/** Digests of a version's content, and of the base settings that it requires. */
 public final class ConfigurationVersionDigest {
-    /** What a running process can change: all other settings are its base. */
+    /** Prefix of settings that a running process can change; see {@link #ofBase} for the others. */
     private static final String REQUEST_CLASSES_PREFIX = "Categories.";
 
     private static final String MAX_ATTEMPTS_PATH = "Limits.MaxHandOffs";
 
-    /** Settings in which the processes of one service differ: no part of the base. */
+    /** Settings that differ between the processes of one service; not part of the base. */
     static final List<String> PER_PROCESS_SETTINGS = List.of("Me", "FleetSize");
 
     private ConfigurationVersionDigest() {}
 
     /**
-     * The digest of the settings that a process cannot change without a restart: a version fits
-     * where this digest is the one that it names.
+     * The digest of the base: of the settings that a process cannot change without a restart. A
+     * version is usable by a process whose base has the digest that the version names.
      *
      * @return 16 hex digits
      */
--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionMessage.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionMessage.java
@@ -7,13 +7,13 @@
  * A configuration version as a control server announces it and as it is stored.
  *
  * @param version its number and digest
- * @param content what comes with it; empty where only number and digest were announced
+ * @param content its content; empty if only number and digest were announced
  */
 record ConfigurationVersionMessage(ConfigurationVersion version, Optional<Content> content) {
     /**
-     * What a version holds.
+     * The content of a version.
      *
-     * @param base the digest of the settings that it is built on, see {@link
+     * @param base the digest of the base settings that it requires, see {@link
      *     ConfigurationVersionDigest#ofBase}; 16 hex digits
      * @param settings the settings, as JSON
      */
@@ -25,7 +25,7 @@
         return new ConfigurationVersionMessage(version, Optional.of(new Content(base, settings)));
     }
 
-    /** Number and digest alone. */
+    /** A version without its content. */
     static ConfigurationVersionMessage announcement(ConfigurationVersion version) {
         return new ConfigurationVersionMessage(version, Optional.empty());
     }
--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionParser.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionParser.java
@@ -11,7 +11,7 @@
 
 /**
  * Parses a control server's messages, {@code {"seq":43,"digest":"..","base":"..","settings":".."}},
- * or the number and digest alone; the one place that knows their field names.
+ * or number and digest alone. No other class knows their field names.
  */
 final class ConfigurationVersionParser {
     private static final Pattern DIGEST = Pattern.compile("[0-9a-f]{16}");
@@ -21,7 +21,7 @@
     /**
      * Parses one message.
      *
-     * @throws InvalidSettingsException for anything but an undamaged version: the fault of its
+     * @throws InvalidSettingsException if the message is not an undamaged version: a fault of the
      *     sender, not of the version
      */
     static ConfigurationVersionMessage parse(String message) {
@@ -37,7 +37,7 @@
         }
         if (ConfigurationVersionDigest.of(settings.text()) != version.digest()) {
             throw new InvalidSettingsException(
-                    "version " + version + " came damaged: what was told has another digest");
+                    "version " + version + " is damaged: the digest of its settings differs");
         }
         return ConfigurationVersionMessage.complete(
                 version, parseDigest(fields, "base"), settings.text());
@@ -49,19 +49,19 @@
             value = JsonReader.read(message);
         } catch (MalformedJsonException e) {
             throw new InvalidSettingsException(
-                    "no version was told, but no JSON: " + e.getMessage());
+                    "the version message is not JSON: " + e.getMessage());
         }
         if (value instanceof JsonObject object) {
             return object;
         }
-        throw new InvalidSettingsException("no version was told, but no object");
+        throw new InvalidSettingsException("the version message is not a JSON object");
     }
 
     private static long parseNumber(JsonObject fields) {
         String seq = fields.get("seq").toString();
         if (!Decimals.isUnsigned(seq) || Long.parseLong(seq) > ConfigurationVersion.HIGHEST) {
             throw new InvalidSettingsException(
-                    "the version's seq is no whole number of 2^53 at most: " + seq);
+                    "the version's seq is not an integer from 0 to 2^53: " + seq);
         }
         return Long.parseLong(seq);
     }
--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionStore.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionStore.java
@@ -8,13 +8,13 @@
 import java.util.List;
 
 /**
- * Stores the version in force for the proxy's next process, and attempts to apply versions: an
- * attempt whose process ended meanwhile stays recorded. Stored as lines, {@code version NUMBER
- * DIGEST BASE CONTENT}, with the content in Base64, and {@code tries VERSION COUNT}. Not
- * thread-safe, but other processes of the proxy may share the file.
+ * Stores the version in force for the proxy's next process, and the number of attempts to apply
+ * each version; an attempt during which the process ended stays recorded. Stored as lines, {@code
+ * version NUMBER DIGEST BASE CONTENT}, with the content in Base64, and {@code tries VERSION COUNT}.
+ * Not thread-safe, but other processes of the proxy may share the file.
  */
 final class ConfigurationVersionStore {
-    /** Attempts that ended their process, after which a version is rejected. */
+    /** A version is rejected after this many attempts during which the process ended. */
     static final int MAX_FATAL_ATTEMPTS = 3;
 
     private static final String SEPARATOR = " ";
@@ -27,14 +27,14 @@
     private final String base;
     private final RateLimitedLog log;
 
-    /** A store in that file, for a process of that base. */
+    /** A store in the given file, for a process with the given base. */
     ConfigurationVersionStore(SharedFile file, String base, RateLimitedLog log) {
         this.file = file;
         this.base = base;
         this.log = log;
     }
 
-    /** The stored version, of whatever base; null without one that is intact. */
+    /** The stored version, whose base may differ from this process's; null if none is intact. */
     ConfigurationVersionMessage load() {
         for (String line : file.read()) {
             List<String> words = List.of(line.split(SEPARATOR, 0));
@@ -50,7 +50,7 @@
                 log.logEach(
                         System.Logger.Level.WARNING,
                         "version",
-                        "the one kept by an earlier process is damaged, and passed over");
+                        "ignored the one stored by an earlier process, which is damaged");
             }
         }
         return null;
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Stores a version and drops all recorded attempts, unless another process of this proxy has
-     * stored a higher version of the same base.
+     * Stores a version and deletes all recorded attempts, unless another process of this proxy has
+     * stored a higher version with the same base.
      */
     void save(ConfigurationVersion version, ConfigurationVersionMessage.Content content) {
         file.change(lines -> holdsHigherThan(version) ? lines : List.of(versionLine(version, content)));
@@ -102,7 +102,7 @@
     /**
      * Records that a version is about to be applied.
      *
-     * @return how many attempts are recorded now, this one included
+     * @return the number of recorded attempts, including this one
      */
     int recordAttempt(ConfigurationVersion version) {
         List<String> lines =
@@ -116,12 +116,12 @@
         return (int) recordedCount(lines.get(lines.size() - 1), version);
     }
 
-    /** Drops the recorded attempts at a version: it was applied, or rejected with its fault. */
+    /** Deletes the recorded attempts of a version that has been applied, or rejected as faulty. */
     void clearAttempts(ConfigurationVersion version) {
         file.change(lines -> lines.stream().filter(line -> !isAttempt(line, version)).toList());
     }
 
-    /** Each record counts up to the limit: more does not matter. */
+    /** Each record counts up to the limit; a higher count makes no difference. */
     private static long attemptCount(List<String> lines, ConfigurationVersion version) {
         return lines.stream()
                 .filter(line -> isAttempt(line, version))
--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionValidator.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionValidator.java
@@ -8,8 +8,8 @@
 import cottonlock.setup.Settings;
 
 /**
- * Validates a version's content. The verdict depends on the content and the base alone, which all
- * processes of a service share, so that all of them come to the same one.
+ * Validates a version's content. The verdict depends only on the content and the base, which all
+ * processes of a service share, so they all reach the same verdict.
  */
 final class ConfigurationVersionValidator {
     private static final String REQUEST_CLASSES_PREFIX = "Categories.";
@@ -17,17 +17,17 @@
     private ConfigurationVersionValidator() {}
 
     /**
-     * The settings of a version.
+     * Returns the settings of a valid version.
      *
      * @param processBase the base of this process, see {@link ConfigurationVersionDigest#ofBase}
-     * @throws InvalidSettingsException with the fault, for a version that no process of that base
-     *     can use
+     * @throws InvalidSettingsException with the fault, if no process of that base can use the
+     *     version
      */
     static Settings validate(ConfigurationVersionMessage.Content content, String processBase) {
         JsonObject fields = parseObject(content.settings());
         for (String name : ConfigurationVersionDigest.PER_PROCESS_SETTINGS) {
             if (fields.has(name)) {
-                throw new InvalidSettingsException("settings." + name + " is each process's own");
+                throw new InvalidSettingsException("settings." + name + " is set for each process on its own");
             }
         }
         Settings settings = ProxyConfiguration.settings(fields);
@@ -47,11 +47,12 @@
         if (value instanceof JsonObject object) {
             return object;
         }
-        throw new InvalidSettingsException("its settings are no object");
+        throw new InvalidSettingsException("its settings are not a JSON object");
     }
 
     /**
-     * The default of a missing key is "safe": requests that are not idempotent would be retried.
+     * Requires the retry rules to be explicit. A missing key defaults to "safe", by which requests
+     * that are not idempotent would be retried.
      */
     private static void requireRetryRules(Settings settings) {
         int requestClasses = settings.count(REQUEST_CLASSES_PREFIX + "count", 0);
--- a/src/main/java/cottonlock/proxy/control/EjectionState.java
+++ b/src/main/java/cottonlock/proxy/control/EjectionState.java
@@ -8,14 +8,14 @@
 import java.util.Set;
 
 /**
- * Which backends operators have taken out of service, and when others came back. Stored as lines:
+ * Which backends operators have ejected, and when others were returned to service. Stored as lines:
  * {@code out ID} and {@code back ID TICKS}. Immutable.
  *
- * @param ejected ids of those that are out
- * @param returnedAtTicks when others returned, by id; only what is recent
+ * @param ejected ids of the ejected backends
+ * @param returnedAtTicks when other backends were returned to service, by id; recent returns only
  */
 record EjectionState(Set<String> ejected, Map<String, Long> returnedAtTicks) {
-    /** A return counts for longer than any backend's slow start lasts. */
+    /** How long a return to service is kept: longer than any backend's slow start. */
     private static final long RETURN_RETENTION_TICKS = 3_000_000;
 
     private static final String EJECTED_KEYWORD = "out";
@@ -27,7 +27,7 @@
         returnedAtTicks = Map.copyOf(returnedAtTicks);
     }
 
-    /** Reads stored lines; any that are malformed or old are left out. */
+    /** Parses stored lines; malformed lines and old returns are ignored. */
     static EjectionState parse(List<String> lines, long nowTicks) {
         Set<String> ejected = new HashSet<>();
         Map<String, Long> returnedAtTicks = new HashMap<>();
@@ -50,7 +50,7 @@
                 && nowTicks - Long.parseLong(words.get(2)) < RETURN_RETENTION_TICKS;
     }
 
-    /** The lines to store. */
+    /** The state as lines to store. */
     List<String> toLines() {
         List<String> lines = new ArrayList<>();
         ejected.forEach(id -> lines.add(ejectedLine(id)));
@@ -58,14 +58,14 @@
         return lines;
     }
 
-    /** Stored lines after one backend has been taken out; lines of others stay as they are. */
+    /** Stored lines with one backend ejected; lines of other backends are unchanged. */
     static List<String> withEjected(List<String> lines, String id) {
         List<String> changed = withoutBackend(lines, id);
         changed.add(ejectedLine(id));
         return changed;
     }
 
-    /** Stored lines after one backend has returned; lines of others stay as they are. */
+    /** Stored lines with one backend returned; lines of other backends are unchanged. */
     static List<String> withReturned(List<String> lines, String id, long nowTicks) {
         List<String> changed = withoutBackend(lines, id);
         changed.add(returnedLine(id, nowTicks));
--- a/src/main/java/cottonlock/proxy/control/ManualEjections.java
+++ b/src/main/java/cottonlock/proxy/control/ManualEjections.java
@@ -5,36 +5,36 @@
 import java.util.List;
 
 /**
- * The backends that operators have taken out of service: the load balancer sees them as draining,
- * whatever discovery says. They are stored for the proxy's next process and shared with another one
- * that serves beside this one.
+ * The backends that operators have ejected manually. To the load balancer they are draining, even if
+ * discovery lists them as ready. The ejections are stored for the proxy's next process, and shared
+ * with another process that serves at the same time.
  *
- * <p>Safe for use by any thread; its own thread polls for what another process has changed.
+ * <p>Safe for use by any thread; its own thread polls for changes by another process.
  */
 public final class ManualEjections implements Runnable {
-    /** Well below the time that a draining backend is given. */
+    /** Well below the time that a draining backend has for its requests. */
     private static final long POLL_MILLIS = 100;
 
-    /** How long the other process needs at most to poll a change and act on it. */
+    /** The longest time that another process needs to notice a change and act on it. */
     private static final long PROPAGATION_MILLIS = POLL_MILLIS * 3 / 2;
 
-    /** Bounds the file's size. */
+    /** Limits the size of the file. */
     private static final int MAX_EJECTED = 2_000;
 
     private final SharedFile file;
     private final TickClock clock;
     private final Runnable onChange;
 
-    /** Set under the lock of this, read by any thread. */
+    /** Written while holding the lock of this; read by any thread. */
     private volatile EjectionState state;
 
-    /** The revision of the file that was read last. Guarded by this. */
+    /** The revision of the file when it was last read. Guarded by this. */
     private SharedFile.Revision readRevision;
 
     /**
-     * Reads what is stored.
+     * Reads the stored ejections.
      *
-     * @param onChange is run after each change, by the thread that made or found it
+     * @param onChange run after each change, by the thread that made or noticed it
      */
     public ManualEjections(SharedFile file, TickClock clock, Runnable onChange) {
         this.file = file;
@@ -44,14 +44,14 @@
         this.state = EjectionState.parse(file.read(), clock.now());
     }
 
-    /** Whether a backend is out: no new request may go to it. */
+    /** Whether a backend is ejected: no new request may be sent to it. */
     public boolean isEjected(String id) {
         return state.ejected().contains(id);
     }
 
     /**
-     * A backend as the load balancer is to see it: draining while it is out, started anew when it
-     * has returned.
+     * The state of a backend that the load balancer is to use: draining while it is ejected, and
+     * newly started when it has returned to service.
      *
      * @param listed the backend as discovery lists it
      */
@@ -80,9 +80,9 @@
     }
 
     /**
-     * Takes a backend out of service, or back into it; in force in this process on return.
+     * Ejects a backend or returns it to service; in effect in this process when this returns.
      *
-     * @return false when too many are out already
+     * @return false if too many backends are ejected already
      */
     public synchronized boolean setEjected(String id, boolean ejected) {
         if (ejected && state.ejected().size() >= MAX_EJECTED) {
@@ -97,14 +97,14 @@
     }
 
     private List<String> changedLines(List<String> stored, String id, boolean ejected) {
-        // Without a file this process's state is all there is.
+        // Without a file only this process knows the state.
         List<String> lines = file.revision() == null ? state.toLines() : stored;
         return ejected
                 ? EjectionState.withEjected(lines, id)
                 : EjectionState.withReturned(lines, id, clock.now());
     }
 
-    /** Waits until another process of this proxy, if there is one, acts on the last change too. */
+    /** Waits until another process of this proxy, if any, has acted on the last change too. */
     public void awaitPropagation() {
         try {
             Thread.sleep(file.revision() == null ? 0 : PROPAGATION_MILLIS);
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Takes over what another process of this proxy has changed since the last call. */
+    /** Applies changes that another process of this proxy has made since the last call. */
     public void poll() {
         synchronized (this) {
             SharedFile.Revision revision = file.revision();
--- a/src/main/java/cottonlock/proxy/control/PeerMessenger.java
+++ b/src/main/java/cottonlock/proxy/control/PeerMessenger.java
@@ -14,8 +14,8 @@
 import java.util.function.Consumer;
 
 /**
- * Sends and receives the datagrams between the load balancers of a tier. Without an address for
- * them it does nothing. Datagrams may be lost. Its thread receives; any thread may send.
+ * Sends and receives the datagrams between the load balancers of a tier. Does nothing if no address
+ * is configured for them. Datagrams may be lost. Its own thread receives; any thread may send.
  */
 public final class PeerMessenger implements Runnable {
     /** The protocol's limit for one datagram. */
@@ -33,10 +33,10 @@
     /**
      * A messenger on an open socket.
      *
-     * @param socket null where the settings name no address to listen at
-     * @param peers whose datagrams are accepted
-     * @param broadcastAddress reaches all peers; null where the settings name none
-     * @param receiver takes each peer's message, on the thread that received it
+     * @param socket null if no listen address is configured
+     * @param peers the addresses from which datagrams are accepted
+     * @param broadcastAddress the address that reaches all peers; null if none is configured
+     * @param receiver called with each peer's message, on the thread that received it
      */
     public PeerMessenger(
             DatagramSocket socket,
@@ -54,7 +54,7 @@
     /**
      * Opens a socket.
      *
-     * @param sharesPort whether another process of this proxy may listen at the address too
+     * @param sharesPort whether another process of this proxy may bind the same address
      * @throws IOException with the address in its message
      */
     public static DatagramSocket openSocket(InetSocketAddress address, boolean sharesPort)
@@ -96,7 +96,7 @@
     }
 
     private void receiveAll() {
-        // One byte more than the limit shows that a datagram is too long.
+        // One byte more than the limit, to detect datagrams that are too long.
         int capacity = MAX_DATAGRAM_BYTES + 1;
         DatagramPacket packet = new DatagramPacket(new byte[capacity], capacity);
         while (!socket.isClosed()) {
@@ -112,10 +112,10 @@
         }
     }
 
-    /** Handles a datagram that was received at the socket, by this thread or another one. */
+    /** Handles a datagram that this thread or another one has received. */
     public void receive(SocketAddress from, byte[] bytes, int length) {
         if (length > MAX_DATAGRAM_BYTES || !peers.contains(from)) {
-            log.warn("peers", "dropped an odd datagram from " + from);
+            log.warn("peers", "dropped a datagram that is too long or not from a peer: " + from);
         } else {
             receiver.accept(Arrays.copyOf(bytes, length));
         }
@@ -123,7 +123,7 @@
 
     /**
      * Closes the socket. When this returns, {@link #run} has returned, the address is free, and the
-     * receiver is called no more.
+     * receiver is not called any more.
      */
     public void close() {
         completion.close();
--- a/src/main/java/cottonlock/proxy/control/ProxyConfiguration.java
+++ b/src/main/java/cottonlock/proxy/control/ProxyConfiguration.java
@@ -21,8 +21,8 @@
 import java.util.stream.Collectors;
 
 /**
- * The configuration file of one proxy: addresses, limits and the settings. Immutable. Whatever is
- * wrong with the file is an {@link InvalidSettingsException} that names the key.
+ * The configuration file of one proxy: addresses, limits and the settings. Immutable. Any fault in
+ * the file is reported as an {@link InvalidSettingsException} that names the key.
  */
 public final class ProxyConfiguration {
     private static final String SETTINGS_KEY = "settings";
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Reads a file.
+     * Reads a configuration file.
      *
-     * @throws InvalidSettingsException where it cannot be read or is no JSON object
+     * @throws InvalidSettingsException if it cannot be read or is not a JSON object
      */
     public static ProxyConfiguration read(Path file) {
         try {
@@ -55,10 +55,11 @@
     }
 
     /**
-     * Checks that this file may come into force after another one. A file that lacks a key of the
-     * other one, or whose settings could serve no request, was cut off or mistyped.
+     * Checks that this configuration may replace another one in a running process. A file that lacks
+     * a key of the previous one, or whose settings could serve no request, is taken for truncated or
+     * mistyped.
      *
-     * @throws InvalidSettingsException where it may not
+     * @throws InvalidSettingsException if it may not
      */
     public void requireCompatibleWith(ProxyConfiguration previous) {
         for (String key : previous.root.fields().keySet()) {
@@ -80,15 +81,16 @@
     }
 
     /**
-     * Checks that settings can serve requests at all.
+     * Checks that a proxy with these settings could serve requests: there are request classes, their
+     * names are unique, and their times and the limit of attempts are positive.
      *
-     * @throws InvalidSettingsException where they cannot
+     * @throws InvalidSettingsException if it could not
      */
     public static void requireServable(Settings settings) {
         List<String> names = settings.fieldOfEach("Categories", "Name");
         if (names.isEmpty() || names.contains("") || Set.copyOf(names).size() < names.size()) {
             throw new InvalidSettingsException(
-                    "settings.Categories has no category, or one without a name of its own");
+                    "settings.Categories is empty or has a category without a unique name");
         }
         for (int i = 0; i < names.size(); i++) {
             requirePositive(settings, "Categories." + i + ".DueTime");
@@ -97,7 +99,7 @@
         requirePositive(settings, "Limits.MaxHandOffs");
     }
 
-    /** All keys of the previous value, to any depth. */
+    /** Requires all keys of the previous value, at any depth. */
     private static void requireKeysOf(String path, JsonValue previous, JsonValue value) {
         if (previous instanceof JsonObject object) {
             requireObjectKeysOf(path, object, value);
@@ -110,7 +112,7 @@
 
     private static void requireObjectKeysOf(String path, JsonObject previous, JsonValue value) {
         if (!(value instanceof JsonObject object)) {
-            throw new InvalidSettingsException(path + " is no object");
+            throw new InvalidSettingsException(path + " is not an object");
         }
         previous.fields()
                 .forEach(
@@ -121,10 +123,10 @@
                         });
     }
 
-    /** Keys that all previous elements have are required of each element. */
+    /** Requires in each element the keys that all previous elements have. */
     private static void requireElementKeysOf(String path, JsonArray previous, JsonValue value) {
         if (!(value instanceof JsonArray array)) {
-            throw new InvalidSettingsException(path + " is no list");
+            throw new InvalidSettingsException(path + " is not a list");
         }
         for (String key : ((JsonObject) previous.elements().get(0)).fields().keySet()) {
             if (!previous.elements().stream().allMatch(element -> hasKey(element, key))) {
@@ -155,20 +157,20 @@
             throw new InvalidSettingsException(
                     "settings."
                             + path
-                            + " must be over 0, found "
-                            + settings.text(path, "nothing"));
+                            + " must be greater than 0, found "
+                            + settings.text(path, "none"));
         }
     }
 
-    /** The text of a key; the fallback, which may be null, where it has none. */
+    /** The text of a key; the fallback, which may be null, if the key has no text. */
     public String text(String name, String fallback) {
         return root.text(name, fallback);
     }
 
     /**
-     * The settings as paths and values, as the load balancer is built from them.
+     * The settings as paths and values, from which the load balancer is built.
      *
-     * @throws InvalidSettingsException where there are none
+     * @throws InvalidSettingsException if the file has no settings
      */
     public Settings settings() {
         if (!(root.get(SETTINGS_KEY) instanceof JsonObject object)) {
@@ -177,7 +179,7 @@
         return settings(object);
     }
 
-    /** The settings of a JSON object. */
+    /** Flattens a JSON object into settings, one path for each value. */
     public static Settings settings(JsonObject object) {
         Settings settings = new Settings();
         object.fields().forEach((name, value) -> put(settings, name, value));
@@ -194,7 +196,7 @@
         }
     }
 
-    /** A list of objects has one path for each; a list of words is one value. */
+    /** Each object of a list gets a path of its own; a list of words becomes one value. */
     private static void putElements(Settings settings, String path, List<JsonValue> elements) {
         if (elements.stream().anyMatch(JsonObject.class::isInstance)) {
             settings.put(path + ".count", Integer.toString(elements.size()));
@@ -209,9 +211,9 @@
     }
 
     /**
-     * An address that must be there.
+     * A required address.
      *
-     * @throws InvalidSettingsException where it is not, or is malformed
+     * @throws InvalidSettingsException if it is absent or malformed
      */
     public InetSocketAddress address(String name) {
         InetSocketAddress address = addressOrNull(name);
@@ -222,9 +224,9 @@
     }
 
     /**
-     * An address that may be absent; null then.
+     * An optional address; null if it is absent.
      *
-     * @throws InvalidSettingsException where it is malformed
+     * @throws InvalidSettingsException if it is malformed
      */
     public InetSocketAddress addressOrNull(String name) {
         JsonValue value = root.get(name);
@@ -232,9 +234,9 @@
     }
 
     /**
-     * A list of addresses; empty where the key is absent or no list.
+     * A list of addresses; empty if the key is absent or not a list.
      *
-     * @throws InvalidSettingsException where one is malformed
+     * @throws InvalidSettingsException if an address is malformed
      */
     public List<InetSocketAddress> addresses(String name) {
         List<InetSocketAddress> addresses = new ArrayList<>();
@@ -247,8 +249,8 @@
     /**
      * Parses an address.
      *
-     * @param name the key that holds it
-     * @throws InvalidSettingsException where it is malformed
+     * @param name the key that holds it, for the exception's message
+     * @throws InvalidSettingsException if it is malformed
      */
     public static InetSocketAddress address(String name, String text) {
         try {
@@ -261,7 +263,7 @@
     /**
      * The seed for random numbers, 16 hex digits in the file.
      *
-     * @throws InvalidSettingsException where it is absent or no number
+     * @throws InvalidSettingsException if it is absent or not a number
      */
     public long seed() {
         String seed = root.get("seed").toString();
@@ -273,9 +275,9 @@
     }
 
     /**
-     * A limit on resources; the fallback where none is given.
+     * A limit on resources; the fallback if none is configured.
      *
-     * @throws InvalidSettingsException where it is no number
+     * @throws InvalidSettingsException if it is not a number
      */
     public int limit(String name, int fallback) {
         JsonValue value =
@@ -289,7 +291,7 @@
         }
     }
 
-    /** The list of backends that this proxy had before its start; empty where it had none. */
+    /** The endpoint list that the file holds from before this start; empty if it holds none. */
     public EndpointList cachedEndpointList(EndpointListParser parser) {
         JsonValue cached = root.get(CACHED_LIST_KEY);
         return cached instanceof JsonNull
--- a/src/main/java/cottonlock/proxy/control/RolloutActor.java
+++ b/src/main/java/cottonlock/proxy/control/RolloutActor.java
@@ -24,13 +24,13 @@
 /**
  * Drives a {@link ConfigurationRollout} on sockets: one thread with one watch on a control server,
  * and a second connection while it compares that server with another one. The class is loaded only
- * where the operator's file asks for it.
+ * if the operator's file configures a rollout.
  */
 public final class RolloutActor implements Runnable {
-    /** Settings of some hundred request classes. */
+    /** Enough for the settings of several hundred request classes. */
     private static final int MAX_MESSAGE_CHARS = 128 << 10;
 
-    /** A number and a digest. */
+    /** Enough for a number and a digest. */
     private static final int MAX_COMPARISON_CHARS = 1 << 10;
 
     private static final int TICKS_PER_MILLI = 10;
@@ -42,10 +42,10 @@
     private final SplittableRandom random;
     private final RateLimitedLog log;
 
-    /** Near servers, then far ones. */
+    /** The near servers, followed by the far ones. */
     private final List<InetSocketAddress> servers = new ArrayList<>();
 
-    /** Buffers outside the pool: requests must not wait for control's messages. */
+    /** Not from the buffer pool: requests must not wait for buffers that control messages use. */
     private final byte[] watchBuffer = new byte[BufferPool.SIZE];
 
     private final byte[] comparisonBuffer = new byte[BufferPool.SIZE];
@@ -53,23 +53,24 @@
     /** Set by {@link #begin}, then owned by this actor's thread. */
     private ConfigurationRollout rollout;
 
-    /** Set by the thread that owns the rollout, read by any. */
+    /** Written by the thread that owns the rollout, read by any thread. */
     private volatile RolloutStatus status;
 
-    /** The open watch, if any: set by the actor's thread, closed by any. */
+    /** The open watch, if any: set by the actor's thread, closed by any thread. */
     private volatile HttpLineStream watch;
 
-    /** The open comparison, if any: set by the actor's thread, closed by any. */
+    /** The open comparison, if any: set by the actor's thread, closed by any thread. */
     private volatile HttpLineStream comparison;
 
     private volatile boolean closed;
 
     /**
-     * An actor of a process that was built by these settings.
+     * Creates the rollout actor of a process.
      *
-     * @param settingsConsumer brings other settings into force, all of them or, by an exception,
-     *     none; called by {@link #begin} and by the actor's thread
-     * @param file where the version in force is stored for the next process
+     * @param processSettings the settings with which the process was started
+     * @param settingsConsumer applies other settings: all of them or, if it throws, none; called by
+     *     {@link #begin} and by the actor's thread
+     * @param file stores the version in force for the next process
      */
     public RolloutActor(
             RolloutConfig config,
@@ -98,14 +99,14 @@
         this.log = log;
     }
 
-    /** Brings a stored version into force; called once, before the thread is started. */
+    /** Applies the stored version, if any; called once, before the thread is started. */
     public void begin() {
         ConfigurationVersion stored = applier.applyStored();
         rollout = new ConfigurationRollout(clock.now(), config, stored, random);
         status = rollout.status();
     }
 
-    /** Metrics as fields of a JSON object, a comma before each. Callable from any thread. */
+    /** Metrics as JSON object fields, each preceded by a comma. Callable from any thread. */
     public String metrics() {
         RolloutStatus current = status;
         return ",\"configuration_version\":"
@@ -132,8 +133,8 @@
     }
 
     /**
-     * Milliseconds since that time, 0 at least; -1 where the condition does not hold (a negative
-     * argument).
+     * Milliseconds since the given time, at least 0; -1 for a negative argument, which means that
+     * the condition does not hold.
      */
     private long millisSince(long sinceTicks) {
         return sinceTicks < 0 ? -1 : Math.max(0, clock.now() - sinceTicks) / TICKS_PER_MILLI;
@@ -177,7 +178,7 @@
         try (HttpLineStream lines = new HttpLineStream(watchBuffer)) {
             watch = lines;
             if (closed) {
-                throw new IOException("closed before it was open");
+                throw new IOException("the actor was closed before the watch was open");
             }
             String target =
                     "/catalog/configuration?stream=1&service="
@@ -193,7 +194,7 @@
                 lines.readWithin(millisUntil(deadlineTicks));
                 String line = lines.readLine(MAX_MESSAGE_CHARS);
                 if (line == null) {
-                    throw new IOException("control ended it");
+                    throw new IOException("the control server ended the stream");
                 }
                 String message = assembler.add(line);
                 if (message != null) {
@@ -206,12 +207,12 @@
         }
     }
 
-    /** The stream has each byte as one character. */
+    /** Decodes a message of the stream, which returns each byte as one character. */
     private static String utf8(String bytes) {
         return new String(bytes.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8);
     }
 
-    /** At least one millisecond: 0 would stand for no limit. */
+    /** Milliseconds until the deadline, at least 1: a timeout of 0 would mean no limit. */
     private long millisUntil(long deadlineTicks) {
         return Math.max(1, (deadlineTicks - clock.now()) / TICKS_PER_MILLI);
     }
@@ -224,9 +225,9 @@
     }
 
     /**
-     * Waits until there is something to read, and compares servers meanwhile where that is due.
+     * Waits until there are bytes to read; meanwhile performs the comparisons that become due.
      *
-     * @return false when the watch is to migrate
+     * @return false if the watch is to migrate to another server
      */
     private boolean awaitLine(HttpLineStream lines, long deadlineTicks) throws IOException {
         while (true) {
@@ -244,17 +245,17 @@
                 continue;
             }
             if (nowTicks >= deadlineTicks) {
-                throw new SocketTimeoutException("no line for too long");
+                throw new SocketTimeoutException("no line arrived before the deadline");
             }
             long checkAtTicks = Math.min(deadlineTicks, rollout.nextCheckAtTicks());
             lines.readWithin(Math.max(1, (checkAtTicks - nowTicks) / TICKS_PER_MILLI));
             try {
                 if (!lines.awaitBytes()) {
-                    throw new IOException("control ended it");
+                    throw new IOException("the control server ended the stream");
                 }
                 return true;
             } catch (SocketTimeoutException e) {
-                // Nothing has been read: check again.
+                // Nothing has been read; check for due actions again.
             }
         }
     }
@@ -264,7 +265,7 @@
         try (HttpLineStream lines = new HttpLineStream(comparisonBuffer)) {
             comparison = lines;
             if (closed) {
-                throw new IOException("closed before it was open");
+                throw new IOException("the actor was closed before the comparison");
             }
             open(
                     lines,
@@ -278,7 +279,7 @@
         } catch (IOException | MalformedMessageException | RuntimeException e) {
             rollout.comparisonFailed();
             if (!closed) {
-                log.info("control", server + " could not be compared with: " + e.getMessage());
+                log.info("control", "the comparison with " + server + " failed: " + e.getMessage());
             }
         }
     }
@@ -291,7 +292,7 @@
             return;
         }
         if (message.content().isEmpty()) {
-            throw new IOException("version " + version + " was told without its settings");
+            throw new IOException("version " + version + " was announced without its settings");
         }
         if (applier.applyAnnounced(version, message.content().get(), inForce, server.toString())) {
             rollout.applied(version);
@@ -301,8 +302,8 @@
     }
 
     /**
-     * Ends the actor, and a read that the thread may be in; the caller has interrupted the thread
-     * before. {@link #run} returns soon.
+     * Ends the actor, including a blocking read of its thread, which the caller must have
+     * interrupted before. {@link #run} returns shortly afterwards.
      */
     public void close() {
         closed = true;
--- a/src/main/java/cottonlock/proxy/control/RolloutVersionApplier.java
+++ b/src/main/java/cottonlock/proxy/control/RolloutVersionApplier.java
@@ -8,9 +8,9 @@
 import java.util.function.Consumer;
 
 /**
- * Validates configuration versions, brings them into force, and stores them for the next process.
- * An attempt is recorded before it is made: a version that ends several processes is rejected. Not
- * thread-safe.
+ * Validates configuration versions, applies them, and stores them for the next process. Each
+ * attempt to apply a version is recorded beforehand, so that a version that has terminated several
+ * processes is rejected. Not thread-safe.
  */
 final class RolloutVersionApplier {
     private final Consumer<Settings> settingsConsumer;
@@ -19,9 +19,9 @@
     private final RateLimitedLog log;
 
     /**
-     * An applier for a process of that base.
+     * An applier for a process with the given base.
      *
-     * @param settingsConsumer brings settings into force, all of them or, by an exception, none
+     * @param settingsConsumer applies settings: all of them or, if it throws, none
      */
     RolloutVersionApplier(
             Consumer<Settings> settingsConsumer,
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Brings the version into force that an earlier process stored.
+     * Applies the version that an earlier process stored.
      *
-     * @return it, or {@link ConfigurationVersion#NONE} where there is none that can be used
+     * @return that version, or {@link ConfigurationVersion#NONE} if there is no usable one
      */
     ConfigurationVersion applyStored() {
         ConfigurationVersionMessage stored = store.load();
@@ -50,29 +50,29 @@
             log.logEach(
                     "version",
                     version
-                            + " of an earlier process is built on other settings than the "
-                            + "file's, which are in force");
+                            + ", stored by an earlier process, has another base than the "
+                            + "configuration file; the file's settings are in force");
             return ConfigurationVersion.NONE;
         }
         Optional<String> fault = apply(version, content);
         if (fault.isPresent()) {
             warn(
                     version
-                            + " of an earlier process can't be used, the file's settings "
-                            + "are in force: "
+                            + ", stored by an earlier process, cannot be used; the configuration "
+                            + "file's settings are in force: "
                             + fault.get());
             return ConfigurationVersion.NONE;
         }
-        log.logEach("version", version + " of an earlier process is in force");
+        log.logEach("version", version + ", stored by an earlier process, is in force");
         return version;
     }
 
     /**
-     * Brings an announced version into force and stores it.
+     * Applies an announced version and stores it.
      *
-     * @param current the version in force
-     * @param server names the server that announced it, for the log
-     * @return whether it is in force; else nothing of it is
+     * @param current the version in force so far
+     * @param server the server that announced the version, for the log
+     * @return whether the version is in force now; if not, no part of it is
      */
     boolean applyAnnounced(
             ConfigurationVersion version,
@@ -82,7 +82,7 @@
         Optional<String> fault = apply(version, content);
         if (fault.isEmpty()) {
             store.save(version, content);
-            log.logEach("version", version + " is in force, told by " + server);
+            log.logEach("version", version + " is in force, announced by " + server);
             return true;
         }
         String kept =
@@ -93,14 +93,14 @@
         return false;
     }
 
-    /** Empty when the version is in force, else why it cannot be. */
+    /** Empty if the version is in force now, else the reason why it cannot be used. */
     private Optional<String> apply(
             ConfigurationVersion version, ConfigurationVersionMessage.Content content) {
         try {
             Settings settings = ConfigurationVersionValidator.validate(content, base);
             int limit = ConfigurationVersionStore.MAX_FATAL_ATTEMPTS;
             if (store.recordAttempt(version) > limit) {
-                return Optional.of(limit + " processes ended while they took it in");
+                return Optional.of(limit + " processes ended while applying it");
             }
             settingsConsumer.accept(settings);
             store.clearAttempts(version);
--- a/src/main/java/cottonlock/proxy/control/SharedFile.java
+++ b/src/main/java/cottonlock/proxy/control/SharedFile.java
@@ -16,9 +16,9 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A small file of lines that the processes of one proxy share, behind a header with the format's
- * version. It is always replaced atomically. A file with another header, or one that cannot be
- * read, counts as empty and is replaced by the next change. Safe for use by any thread.
+ * A small file that the processes of one proxy share: a header line with the format's version, then
+ * data lines. It is always replaced atomically. A file that has another header or cannot be read
+ * counts as empty and is replaced by the next change. Safe for use by any thread.
  */
 public final class SharedFile {
     private static final Charset CHARSET = StandardCharsets.ISO_8859_1;
@@ -26,15 +26,15 @@
     /** A longer file was not written by this class. */
     private static final long MAX_BYTES = 256 << 10;
 
-    /** A change is made without the lock after this time: another process may hang with it. */
+    /** After this time a change is made without the lock: the process that holds it may hang. */
     private static final long LOCK_TIMEOUT_MILLIS = 300;
 
     private static final long LOCK_RETRY_MILLIS = 5;
 
-    /** Identifies one state of the file: each replacement has another one. */
+    /** Identifies one state of the file: each replacement changes it. */
     public record Revision(FileTime modifiedAt, String inode) {}
 
-    /** Null: nothing is kept or shared. */
+    /** Null: nothing is stored or shared. */
     private final Path file;
 
     private final String header;
@@ -43,8 +43,8 @@
     /**
      * The file of one proxy for one purpose.
      *
-     * @param folder where it is; null: nothing is kept or shared
-     * @param proxy the proxy's name, which all of its processes have in common
+     * @param folder the file's directory; null: nothing is stored or shared
+     * @param proxy the proxy's name, which all of its processes share
      * @param purpose the file's extension and part of its header
      */
     public SharedFile(Path folder, String proxy, String purpose, RateLimitedLog log) {
@@ -54,7 +54,7 @@
         this.log = log;
     }
 
-    /** The file's present state; null where there is no file. */
+    /** The file's current revision; null if there is no file. */
     public Revision revision() {
         try {
             if (file == null || !Files.exists(file)) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** The lines behind the header. */
+    /** The lines after the header. */
     public List<String> read() {
         try {
             if (file != null && Files.isRegularFile(file) && Files.size(file) <= MAX_BYTES) {
@@ -75,7 +75,7 @@
                 if (!lines.isEmpty() && lines.get(0).equals(header)) {
                     return lines.subList(1, lines.size());
                 }
-                log.warn("shared file", "not ours, passed over: " + file);
+                log.warn("shared file", "ignored for its missing or unknown header: " + file);
             }
         } catch (IOException e) {
             log.warn("shared file", "cannot be read: " + e);
@@ -84,10 +84,10 @@
     }
 
     /**
-     * Replaces the lines, under a lock against other processes.
+     * Replaces the lines while holding a lock that excludes other processes.
      *
-     * @param change new lines by the present ones; may be called without the lock where it cannot
-     *     be had
+     * @param change computes the new lines from the current ones; called without the lock if it
+     *     cannot be acquired
      * @return the new lines
      */
     public synchronized List<String> change(UnaryOperator<List<String>> change) {
@@ -108,7 +108,7 @@
         }
     }
 
-    /** The lock is released when the channel is closed. */
+    /** Tries to acquire the lock, which is released when the channel is closed. */
     private static void lockIfPossible(FileChannel channel)
             throws IOException, InterruptedException {
         FileLock lock = channel.tryLock();
@@ -124,7 +124,8 @@
         try {
             List<String> content = new ArrayList<>(lines);
             content.add(0, header);
-            // A process that dies in the middle of writing must not leave half a file.
+            // Written to a temporary file first: a process killed while writing must not leave a
+            // truncated file.
             Path temporary =
                     file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
             Files.write(temporary, content, CHARSET);
--- a/src/main/java/cottonlock/proxy/control/package-info.java
+++ b/src/main/java/cottonlock/proxy/control/package-info.java
@@ -3,7 +3,7 @@
  * manual ejection of backends by operators, hand-over between processes, and messages to peers.
  *
  * <p>{@link cottonlock.proxy.control.RolloutActor} and the other classes of the rollout are loaded
- * only where the operator's file asks for it. {@link cottonlock.proxy.control.SharedFile} is the
- * one place that writes stored files.
+ * only if the operator's file configures a rollout. Stored files are written by {@link
+ * cottonlock.proxy.control.SharedFile} alone.
  */
 package cottonlock.proxy.control;
--- a/src/test/java/cottonlock/proxy/control/ConfigurationVersionParserTest.java
+++ b/src/test/java/cottonlock/proxy/control/ConfigurationVersionParserTest.java
@@ -87,16 +87,16 @@
     void aVersionThatCannotBeUsedIsRefusedWithItsFault() {
         String[][] bad = {
             {"{\"Categories\":[", "its settings are not JSON"},
-            {"[]", "its settings are no object"},
+            {"[]", "its settings are not a JSON object"},
             {
                 SETTINGS.replace("\"Limits\"", "\"Me\":3,\"Limits\""),
-                "settings.Me is each process's own"
+                "settings.Me is set for each process on its own"
             },
             {
                 SETTINGS.replace("800000", "0"),
-                "settings.Categories.0.DueTime must be over 0, found 0"
+                "settings.Categories.0.DueTime must be greater than 0, found 0"
             },
-            {SETTINGS.replace("\"Expiry\":1500000,", ""), "Expiry must be over 0, found nothing"},
+            {SETTINGS.replace("\"Expiry\":1500000,", ""), "Expiry must be greater than 0, found none"},
             {
                 SETTINGS.replace(",\"Repeat\":\"safe\"", ""),
                 "settings.Categories.0.Repeat is missing"
@@ -107,7 +107,7 @@
             },
             {
                 SETTINGS.replace("\"MaxHandOffs\":3", ""),
-                "settings.Limits.MaxHandOffs must be over 0"
+                "settings.Limits.MaxHandOffs must be greater than 0"
             },
             {
                 SETTINGS.replace("\"z\"", "\"z\",\"y\""),
