--- a/src/main/java/cottonlock/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cottonlock/proxy/discovery/DiscoveryClient.java
@@ -11,24 +11,24 @@
 import java.util.TreeMap;
 
 /**
- * Follows the list of backends as a proxy does, by the same classes, but without a data path.
- * Experiments run hundreds of them in one process; {@code serve} uses none.
+ * Follows the list of backends with the same classes as a proxy, but without a data path.
+ * Experiments run hundreds of these clients in one process; {@code serve} uses none.
  */
 public final class DiscoveryClient implements EndpointListListener, AutoCloseable {
-    /** A watch holds one buffer at a time. */
+    /** Sufficient, as a watch holds one buffer at a time. */
     private static final int BUFFER_COUNT = 2;
 
-    /** Is notified on the watch's thread. */
+    /** Receives the client's events, on the watch's thread. */
     public interface Listener {
         /**
-         * A list is in force.
+         * A list or a change to it has been applied.
          *
-         * @param complete whether the whole list came, not only a change
-         * @param size how many backends the list holds now
+         * @param complete whether a complete list was received, not only a change
+         * @param size the number of backends that the list holds now
          */
         void listApplied(long version, boolean complete, int size);
 
-        /** The watch has ended, and none is open. */
+        /** The watch has ended, and no other one is open. */
         void watchLost();
     }
 
@@ -40,7 +40,7 @@
     private final EndpointListWatch watch;
     private Thread thread;
 
-    /** A client of the discovery at that address; zones are the settings' names of zones. */
+    /** A client of the discovery at that address; {@code zones} are the names in the settings. */
     public DiscoveryClient(
             InetSocketAddress discovery,
             List<String> zones,
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Ends as a killed process does: the socket is closed, and nothing more is sent. When this
-     * returns, the thread has ended, and the listener is called no more.
+     * Ends like a killed process: the socket is closed, and nothing more is sent. When this returns,
+     * the thread has ended, and the listener is not called any more.
      */
     @Override
     public void close() {
--- a/src/main/java/cottonlock/proxy/discovery/EndpointListListener.java
+++ b/src/main/java/cottonlock/proxy/discovery/EndpointListListener.java
@@ -1,14 +1,14 @@
 package cottonlock.proxy.discovery;
 
-/** Receives what a watch brings, on the watch's thread. */
+/** Receives the events of a watch, on the watch's thread. */
 public interface EndpointListListener {
     /**
-     * A list or a change to it has come.
+     * An endpoint list or a change to it has been received.
      *
-     * @param cached whether it is the list that this proxy had before its start
+     * @param cached whether it is the list that the configuration file held at the start
      */
     void endpointListReceived(EndpointList list, boolean cached);
 
-    /** The watch has ended, and none is open. */
+    /** The watch has ended, and no other one is open. */
     void endpointListWatchEnded();
 }
--- a/src/main/java/cottonlock/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/cottonlock/proxy/discovery/EndpointListParser.java
@@ -12,8 +12,8 @@
 import java.util.List;
 
 /**
- * Parses discovery's messages; the one place that knows their field names. Zones and kinds become
- * numbers: their positions in the settings' lists. Safe for use by any thread.
+ * Parses discovery's messages; no other class knows their field names. Zones and machine kinds are
+ * mapped to their indexes in the settings' lists. Safe for use by any thread.
  */
 public final class EndpointListParser {
     private static final int TICKS_PER_MILLI = 10;
@@ -25,7 +25,7 @@
 
     private final List<String> kinds;
 
-    /** A parser for the zones and kinds of the settings. */
+    /** A parser for the zones and machine kinds of the settings. */
     public EndpointListParser(RateLimitedLog log, List<String> zones, List<String> kinds) {
         this.log = log;
         this.zones = new ArrayList<>(zones);
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Parses a message. A host that is invalid is left out and logged, the others are taken.
+     * Parses a message. Invalid hosts are logged and left out of the result.
      *
-     * @throws InvalidSettingsException for a message without a list of hosts
+     * @throws InvalidSettingsException if the message has no list of hosts
      */
     public EndpointList parse(JsonValue message) {
         if (!(message instanceof JsonObject object)
@@ -46,7 +46,7 @@
         for (JsonValue host : hosts.elements()) {
             try {
                 if (!(host instanceof JsonObject fields)) {
-                    throw new InvalidSettingsException("a host that is no object");
+                    throw new InvalidSettingsException("a host is not a JSON object");
                 }
                 entries.add(parseHost(fields));
             } catch (InvalidSettingsException e) {
@@ -57,7 +57,7 @@
         return new EndpointList(parseInteger(object, "seq"), complete, entries);
     }
 
-    /** That a backend drains or is gone is taken even where its other fields are invalid. */
+    /** Accepts that a backend drains or is gone even if its other fields are invalid. */
     private EndpointList.Entry parseHost(JsonObject fields) {
         String id = requiredText(fields, "host");
         Endpoint.State state = parseState(id, requiredText(fields, "health"));
@@ -67,7 +67,7 @@
             if (state == Endpoint.State.READY) {
                 throw e;
             }
-            log.warn("list", "only the health of a host is taken: " + e.getMessage());
+            log.warn("list", "used only the health of a host with an invalid field: " + e.getMessage());
             int zone = indexOrAppend(zones, "");
             int kind = indexOrAppend(kinds, "");
             return new EndpointList.Entry(new Endpoint(id, zone, kind, 0, state, 0, 0), null);
--- a/src/main/java/cottonlock/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/cottonlock/proxy/discovery/EndpointListWatch.java
@@ -12,41 +12,41 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * Watches discovery's list of backends: one thread with one streaming request at a time, opened
- * again when it ends. It never gives up, whatever goes wrong.
+ * Watches discovery's list of backends: one thread with one streaming request at a time, which is
+ * opened again after any failure, without a limit on the number of retries.
  *
- * <p>A change has to be in force within 6 s of the moment that discovery has it and can be reached.
- * The silence timeout, the delay before the next watch and the connect timeout add up to less; the
- * sum is worked out in docs/races.md.
+ * <p>A change must be in force within 6 s after discovery has it and is reachable. The sum of the
+ * silence timeout, the delay before the next watch and the connect timeout is less than that; see
+ * docs/races.md for the calculation.
  */
 public final class EndpointListWatch implements Runnable {
-    /** Milliseconds to connect: discovery is in the same network. */
+    /** Short, as discovery is in the same network. */
     public static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
-    /** A watch without a line for this long is closed. An empty line comes every 2 s. */
+    /** A watch is closed after this time without a line. Discovery sends an empty line every 2 s. */
     public static final long SILENCE_TIMEOUT_MILLIS = 4_000;
 
-    /** The shortest delay before the next watch; doubled with each failure in a row. */
+    /** The shortest delay before the next watch; doubled with each consecutive failure. */
     public static final long MIN_RETRY_DELAY_MILLIS = 50;
 
     /** The longest delay before the next watch. */
     public static final long MAX_RETRY_DELAY_MILLIS = 200;
 
-    /** Some thousand backends. */
+    /** Enough for several thousand backends. */
     private static final int MAX_MESSAGE_CHARS = 1 << 20;
 
     /**
-     * How a watch starts.
+     * Options of a watch.
      *
      * @param cachedVersion the version that the proxy already has from that address; 0: none
-     * @param onlyWhenRequested whether each watch waits for {@link #request}: the caller decides on
-     *     the delays then
+     * @param onlyWhenRequested whether each watch waits for {@link #request}, so that the caller
+     *     determines the delays
      * @param silenceTimeoutMillis see {@link #SILENCE_TIMEOUT_MILLIS}
      */
     public record Options(
             long cachedVersion, boolean onlyWhenRequested, long silenceTimeoutMillis) {}
 
-    /** Where discovery is; set by any thread. */
+    /** The address of discovery; set by any thread. */
     private volatile InetSocketAddress address;
 
     private final EndpointListParser parser;
@@ -57,7 +57,7 @@
     private final SplittableRandom random;
     private final Semaphore requests = new Semaphore(0);
 
-    /** The last version and the address that it came from. Owned by the watch's thread. */
+    /** The last version received, from {@code versionSource}. Owned by the watch's thread. */
     private long version;
 
     private InetSocketAddress versionSource;
@@ -65,13 +65,13 @@
     /** Messages received so far. Owned by the watch's thread. */
     private long receivedCount;
 
-    /** The open watch, if any: set by the watch's thread, closed by any. */
+    /** The open watch, if any: set by the watch's thread, closed by any thread. */
     private volatile HttpLineStream stream;
 
     /** Set by any thread. */
     private volatile boolean closed;
 
-    /** A watch that begins when its thread is started. */
+    /** A watch that starts when its thread is started. */
     public EndpointListWatch(
             InetSocketAddress address,
             EndpointListParser parser,
@@ -91,7 +91,7 @@
         this.random = random;
     }
 
-    /** Asks for a watch; without effect on one that is open. Callable from any thread. */
+    /** Requests a watch; no effect while one is open. Callable from any thread. */
     public void request() {
         requests.release();
     }
@@ -117,7 +117,7 @@
                 }
                 requests.drainPermits();
                 if (hasMovedFrom(watched)) {
-                    // Closed on purpose: no failure, and no delay before the new address.
+                    // Closed by move(): not a failure, and no delay before the new address is used.
                     requests.release();
                     continue;
                 }
@@ -127,7 +127,7 @@
                             receivedCount > receivedBefore
                                     ? MIN_RETRY_DELAY_MILLIS
                                     : Math.min(MAX_RETRY_DELAY_MILLIS, 2 * retryDelayMillis);
-                    // Jitter: all proxies lose their watches together when discovery restarts.
+                    // Jitter, as all proxies lose their watches at once when discovery restarts.
                     Thread.sleep(retryDelayMillis / 2 + random.nextLong(retryDelayMillis / 2));
                 }
             }
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Also survives errors such as a passing lack of memory: nothing else restarts the watch. */
+    /** Also catches errors such as a temporary lack of memory: nothing else restarts the watch. */
     private void watchUntilFailure(InetSocketAddress server) {
         try {
             watch(server);
@@ -145,9 +145,9 @@
         }
     }
 
-    /** By identity: a move away and back must still start anew. */
+    /** Compares by identity: a move to another address and back must open a new watch too. */
     @SuppressWarnings(
-            "ReferenceEquality") // Each move sets a new object, be it equal to an old one.
+            "ReferenceEquality") // Each move sets a new object, which may equal an earlier one.
     private boolean hasMovedFrom(InetSocketAddress watched) {
         return watched != address;
     }
@@ -157,12 +157,12 @@
         try (HttpLineStream lines = new HttpLineStream(buffer)) {
             stream = lines;
             if (closed || hasMovedFrom(server)) {
-                // The close or the move came too early to close this stream.
+                // The close or the move happened before this stream was set, and did not close it.
                 return;
             }
             lines.connect(server, CONNECT_TIMEOUT_MILLIS);
-            // A version means nothing at another source: it would leave out what it takes for
-            // known.
+            // A version of another source is meaningless here: by it, this source would leave out
+            // entries that the proxy does not have.
             long knownVersion = server.equals(versionSource) ? version : 0;
             lines.get(
                     "/catalog/members?stream=1&index=" + knownVersion,
@@ -194,10 +194,13 @@
             // Only complete messages and keep-alive lines extend the deadline.
             lines.readWithin(options.silenceTimeoutMillis());
         }
-        throw new IOException("discovery ended it");
+        throw new IOException("discovery ended the stream");
     }
 
-    /** Moves to another address at once, and asks for the whole list. Callable from any thread. */
+    /**
+     * Moves to another address at once, and requests the complete list there. Callable from any
+     * thread.
+     */
     public void move(InetSocketAddress newAddress) {
         if (!newAddress.equals(address)) {
             address = newAddress;
@@ -207,8 +210,8 @@
     }
 
     /**
-     * Ends the watch for good, and a read that the thread may be in; the caller has interrupted the
-     * thread before. No other one is opened; {@link #run} returns soon.
+     * Ends the watch permanently, including a blocking read of its thread, which the caller must
+     * have interrupted before. {@link #run} returns shortly afterwards.
      */
     public void close() {
         closed = true;
