--- a/src/main/java/cottonlock/proxy/http/BodySpillFiles.java
+++ b/src/main/java/cottonlock/proxy/http/BodySpillFiles.java
@@ -11,26 +11,27 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The files that hold what of long bodies does not fit into buffers. Each is deleted as it is
- * opened, so it is gone with its descriptor. Thread-safe.
+ * The spill files, which hold the parts of long bodies that do not fit into buffers. Each file is
+ * deleted as soon as it is opened, so the system frees it when its descriptor is closed.
+ * Thread-safe.
  */
 public final class BodySpillFiles {
     private static final long MAX_WAIT_MILLIS = 1_000;
 
-    /** Bytes in all files together. */
+    /** Total bytes in all files. */
     private static final long MAX_BYTES = 1L << 30;
 
     private final Path folder;
     private final Semaphore permits;
     private final AtomicLong bytes = new AtomicLong();
 
-    /** Files in that folder, so many at a time. */
+    /** Files in that folder, at most {@code maxFiles} at a time. */
     public BodySpillFiles(Path folder, int maxFiles) {
         this.folder = folder;
         this.permits = new Semaphore(maxFiles);
     }
 
-    /** Opens a file, for which it may wait; the caller gives it to {@link #close}. */
+    /** Opens a file, waiting for a permit if necessary; the caller passes it to {@link #close}. */
     FileChannel open() throws IOException {
         try {
             if (!permits.tryAcquire(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS)) {
@@ -52,9 +53,9 @@
     }
 
     /**
-     * Counts bytes that are about to be written.
+     * Reserves space for bytes that are about to be written.
      *
-     * @throws BufferPool.ExhaustedException if all files together would become too large
+     * @throws BufferPool.ExhaustedException if the total size of all files would be too large
      */
     void reserve(int count) throws IOException {
         if (bytes.addAndGet(count) > MAX_BYTES) {
@@ -62,7 +63,7 @@
         }
     }
 
-    /** Closes a file for which so many bytes were reserved. */
+    /** Closes a file and releases the bytes that were reserved for it. */
     void close(FileChannel file, long reservedBytes) {
         Sockets.close(file);
         bytes.addAndGet(-reservedBytes);
--- a/src/main/java/cottonlock/proxy/http/BufferPool.java
+++ b/src/main/java/cottonlock/proxy/http/BufferPool.java
@@ -6,10 +6,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A bounded pool of buffers of one size. Thread-safe; each buffer taken is given back exactly once.
+ * A bounded pool of buffers of one size. Thread-safe; each buffer taken must be given back exactly
+ * once.
  */
 public final class BufferPool {
-    /** The head of a message must fit into one; most bodies do. */
+    /** Bytes of one buffer. The head of a message must fit into one buffer; most bodies do. */
     public static final int SIZE = 8 << 10;
 
     private static final long MAX_WAIT_MILLIS = 500;
@@ -28,7 +29,7 @@
         this.reservedForConnections = reservedForConnections;
     }
 
-    /** No buffer, or no place in a file, became free within the time that a caller may wait. */
+    /** No buffer, or no space in spill files, was available within the time limit. */
     public static final class ExhaustedException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -38,9 +39,9 @@
     }
 
     /**
-     * Takes a buffer, for which it may wait.
+     * Takes a buffer, waiting for a limited time if none is free.
      *
-     * @throws ExhaustedException if none became free in time
+     * @throws ExhaustedException if no buffer was available in time
      */
     public byte[] take() throws IOException {
         try {
@@ -55,8 +56,8 @@
     }
 
     /**
-     * Takes a buffer beyond those that connections need to read requests; null if there is none
-     * now.
+     * Takes a buffer that is not reserved for connections to read requests; null if there is none
+     * at present.
      */
     byte[] takeSpare() throws IOException {
         return permits.availablePermits() > reservedForConnections ? take() : null;
@@ -68,7 +69,7 @@
         permits.release();
     }
 
-    /** How many buffers may be taken now. */
+    /** The number of buffers that can be taken at present. */
     public int available() {
         return permits.availablePermits();
     }
--- a/src/main/java/cottonlock/proxy/http/HttpReader.java
+++ b/src/main/java/cottonlock/proxy/http/HttpReader.java
@@ -6,65 +6,65 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Parses HTTP/1.1 messages from one socket, strictly: what could be read in two ways is refused.
- * One thread reads; {@link #lastReadNanos} may be asked for from any thread. Reads end with a
- * {@link SocketTimeoutException} at the deadline that {@link #setTimeout} or {@link #setPacing} has
- * set.
+ * Parses HTTP/1.1 messages from one socket, strictly: ambiguous messages are rejected. One thread
+ * reads; {@link #lastReadNanos} may be called from any thread. Reads end with a {@link
+ * SocketTimeoutException} at the deadline that {@link #setTimeout} or {@link #setPacing} has set.
  */
 public final class HttpReader {
-    /** A rate in bytes a second that any sender reaches: only its pauses count. */
+    /** A rate that any sender reaches, so that {@link #setPacing} limits only its pauses. */
     public static final long NEGLIGIBLE_RATE_BYTES_PER_SECOND = 16;
 
     private static final int MAX_CHUNK_LINE_CHARS = 256;
 
-    /** The remaining length of a body that ends with the connection. */
+    /** The value of {@code remainingBytes} for a body that ends with the connection. */
     private static final long UNTIL_END_OF_STREAM = Long.MAX_VALUE;
 
     private final TimedSocketInput input;
     private boolean chunked;
 
-    /** Bytes that are left of the body, or of its present chunk. */
+    /** Bytes that remain of the body, or of its current chunk. */
     private long remainingBytes;
 
     private boolean bodyComplete = true;
 
-    /** Reads through the given buffer, which stays the caller's. */
+    /** Reads through the given buffer, which remains owned by the caller. */
     public HttpReader(Socket socket, byte[] buffer) throws IOException {
         this.input = new TimedSocketInput(socket, buffer);
     }
 
-    /** All reads from now on must be done within so many milliseconds; 0: no deadline. */
+    /** Sets a deadline for all reads from now on; a timeout of 0 means no deadline. */
     public void setTimeout(long timeoutMillis) {
         input.setTimeout(timeoutMillis);
     }
 
     /**
-     * From now on no pause may last longer than so many milliseconds, nor may less than so many
-     * bytes a second arrive for longer than that.
+     * From now on, reads fail if a pause exceeds {@code maxPauseMillis}, or if the rate stays below
+     * {@code minBytesPerSecond} for longer than that.
      */
     public void setPacing(long maxPauseMillis, long minBytesPerSecond) {
         input.setPacing(maxPauseMillis, minBytesPerSecond);
     }
 
-    /** Waits for the first byte of a message; false when the other side has ended its sending. */
+    /** Waits for the first byte of a message; false at the end of the stream. */
     public boolean awaitFirstByte() throws IOException {
         return hasBufferedBytes() || input.fill();
     }
 
     /**
-     * The same, but reads that one byte alone: what comes with it can still be seen in the socket.
+     * Like {@link #awaitFirstByte}, but reads only that byte: further bytes remain visible at the
+     * socket.
      */
     public boolean awaitSingleByte() throws IOException {
         return hasBufferedBytes() || input.fill(1);
     }
 
-    /** Whether bytes have been read that are not parsed yet. */
+    /** Whether there are bytes that have been read but not parsed. */
     public boolean hasBufferedBytes() {
         return input.bufferedBytes() > 0;
     }
 
     /**
-     * Reads on behind what is buffered; false when the other side has ended its sending. If the
+     * Reads more bytes into the buffer without parsing them; false at the end of the stream. If the
      * buffer is full, its bytes are discarded, and counted by {@link #discardedBytes}.
      */
     public boolean readAhead() throws IOException {
@@ -72,13 +72,17 @@
     }
 
     /**
-     * How many bytes were discarded; with any, the start of the next message is not known any more.
+     * The number of bytes that {@link #readAhead} discarded; if any, the start of the next message
+     * is no longer known.
      */
     public long discardedBytes() {
         return input.discardedBytes();
     }
 
-    /** Whether the buffered bytes can't begin a message: the length of the last one was wrong. */
+    /**
+     * Whether the buffered bytes cannot begin a message, because the declared length of the last one
+     * was wrong.
+     */
     public boolean hasStrayBytes() {
         if (!hasBufferedBytes()) {
             return false;
@@ -87,18 +91,18 @@
         return first != '\r' && (first < 'A' || first > 'Z');
     }
 
-    /** When bytes were read last, by the monotonic clock; from any thread. */
+    /** When bytes were last read, by the monotonic clock. Callable from any thread. */
     public long lastReadNanos() {
         return input.lastReadNanos();
     }
 
-    /** Whether bytes have come beyond the last message. */
+    /** Whether bytes have been received beyond the last message. */
     public boolean hasSurplusBytes() throws IOException {
         return input.hasUnconsumedBytes();
     }
 
     /**
-     * Reads and discards what still comes, so many bytes at most, until the end or the deadline.
+     * Reads and discards bytes until about {@code maxBytes}, the end of the stream or the deadline.
      */
     public void discard(int maxBytes) throws IOException {
         input.discard(maxBytes);
@@ -107,7 +111,7 @@
     /**
      * Reads the head of a request.
      *
-     * @throws MalformedMessageException with the status of the response that the request earns
+     * @throws MalformedMessageException with the status of the response to the request
      */
     public MessageHead readRequestHead() throws IOException, MalformedMessageException {
         MessageHead head = readHead();
@@ -119,14 +123,14 @@
     /**
      * Reads the head of the final response.
      *
-     * @param maxPauseMillis for any pause once a response has begun; 0: the deadline that is set
-     *     stays
+     * @param maxPauseMillis the limit for pauses once a response has begun; 0: the deadline that is
+     *     already set applies
      */
     public MessageHead readResponseHead(long maxPauseMillis)
             throws IOException, MalformedMessageException {
         while (true) {
             if (!awaitFirstByte()) {
-                throw new IOException("the answer ends early");
+                throw new IOException("the connection ended before the response");
             }
             if (maxPauseMillis > 0) {
                 setPacing(maxPauseMillis, NEGLIGIBLE_RATE_BYTES_PER_SECOND);
@@ -165,19 +169,19 @@
                 throw new MalformedMessageException(431, "the head is too large");
             }
             if (!input.fill()) {
-                throw new IOException("the head ends early");
+                throw new IOException("the connection ended within the head of a message");
             }
         }
     }
 
-    /** Some senders end a body with a line end too many. */
+    /** Skips line ends before a message: some senders end a body with an extra one. */
     private void skipLeadingLineEnds() {
         while (input.bufferedBytes() > 1 && input.peek(0) == '\r' && input.peek(1) == '\n') {
             input.skip(2);
         }
     }
 
-    /** Checks one byte of a head; true if it ends the empty line that closes the head. */
+    /** Checks one byte of a head; true if it is the last byte of the empty line after the head. */
     private boolean endsHead(int offset) throws MalformedMessageException {
         byte octet = input.peek(offset);
         boolean afterReturn = offset > 0 && input.peek(offset - 1) == '\r';
@@ -218,7 +222,7 @@
         }
     }
 
-    /** The length of the body in bytes as its head declares it; -1 if it does not. */
+    /** The length of the body in bytes as its head declares it; -1 if the head declares none. */
     public long declaredLength() {
         if (bodyComplete) {
             return 0;
@@ -232,10 +236,10 @@
     }
 
     /**
-     * Reads the whole body of the message whose head came last; on failure its buffers are
+     * Reads the whole body of the message whose head was read last; on failure its buffers are
      * released.
      *
-     * @throws MalformedMessageException for one of more than {@code maxBytes}
+     * @throws MalformedMessageException also if the body is longer than {@code maxBytes}
      */
     public MessageBody readBody(BufferPool buffers, BodySpillFiles files, long maxBytes)
             throws IOException, MalformedMessageException {
@@ -243,7 +247,7 @@
     }
 
     /**
-     * Reads the body if it fits into buffers, else none or only its first part; see {@link
+     * Reads the body if it fits into buffers, else nothing or only its first part; see {@link
      * #isBodyComplete}.
      */
     public MessageBody readBodyStart(BufferPool buffers)
@@ -273,15 +277,16 @@
         }
     }
 
-    /** Takes the pieces of a body that is relayed. */
+    /** Receives the parts of a body that is relayed. */
     public interface BodyConsumer {
         /**
-         * Takes {@code count} bytes of the array from an offset on; they are valid during the call.
+         * Accepts {@code count} bytes of the array from an offset on, which are valid only during
+         * the call.
          */
         void accept(byte[] bytes, int offset, int count) throws IOException;
     }
 
-    /** Passes on what is left of the body, piece by piece as it comes. */
+    /** Passes the rest of the body to a consumer, in parts as they are received. */
     public void relayBody(BodyConsumer consumer) throws IOException {
         try {
             while (bodyContinues()) {
@@ -294,7 +299,7 @@
         }
     }
 
-    /** The next line of a body of lines, without its end; null at the end of the body. */
+    /** The next line of a body that consists of lines, without its line end; null at the end. */
     public String readLine(int maxChars) throws IOException, MalformedMessageException {
         StringBuilder line = new StringBuilder();
         while (bodyContinues()) {
@@ -311,7 +316,7 @@
         return null;
     }
 
-    /** Whether the body goes on; there is a byte of it in the buffer then. */
+    /** Whether the body continues, in which case at least one byte of it is in the buffer. */
     private boolean bodyContinues() throws IOException, MalformedMessageException {
         if (!bodyComplete && chunked && remainingBytes == 0) {
             beginChunk();
@@ -323,7 +328,7 @@
             return true;
         }
         if (remainingBytes != UNTIL_END_OF_STREAM) {
-            throw new IOException("the body ends early");
+            throw new IOException("the connection ended within the body of a message");
         }
         bodyComplete = true;
         return false;
@@ -333,7 +338,7 @@
         remainingBytes = readChunkSize();
         if (remainingBytes == 0) {
             while (!readChunkLine().isEmpty()) {
-                // Trailer fields are not needed.
+                // Trailer fields are ignored.
             }
             bodyComplete = true;
         }
@@ -357,7 +362,7 @@
 
     private long readChunkSize() throws IOException, MalformedMessageException {
         String size = readChunkLine().split(";", 2)[0].trim();
-        // Some senders pad it with zeros.
+        // Some senders pad the size with zeros.
         if (!size.matches("0{0,16}[0-9a-fA-F]{1,8}")) {
             throw new MalformedMessageException(400, "not the size of a chunk");
         }
--- a/src/main/java/cottonlock/proxy/http/HttpWriter.java
+++ b/src/main/java/cottonlock/proxy/http/HttpWriter.java
@@ -8,7 +8,7 @@
 import java.util.function.Supplier;
 
 /**
- * Writes HTTP/1.1 messages, in one call where they fit into one buffer. Thread-safe; each call
+ * Writes HTTP/1.1 messages, with a single write if they fit into one buffer. Thread-safe; each call
  * writes to the stream that it is given.
  */
 public final class HttpWriter {
@@ -17,7 +17,7 @@
 
     private final BufferPool buffers;
 
-    /** A writer that gathers short messages in buffers of the pool. */
+    /** A writer that assembles short messages in buffers of the pool. */
     public HttpWriter(BufferPool buffers) {
         this.buffers = buffers;
     }
@@ -25,8 +25,8 @@
     /**
      * Writes a request to a backend.
      *
-     * @param timeoutMillis how long this proxy will wait for the response; asked for at the last
-     *     moment, as a buffer may have to be waited for before it
+     * @param timeoutMillis how long this proxy will wait for the response; evaluated only when the
+     *     head is written, as taking a buffer may have taken time
      */
     public void writeRequest(
             OutputStream out, OutboundRequest request, String host, LongSupplier timeoutMillis)
@@ -54,10 +54,10 @@
     /**
      * Writes a response to a client.
      *
-     * @param fieldName of one more field, or null
-     * @param fieldValue of that field
-     * @param body null for an empty one
-     * @param close whether the connection ends after it
+     * @param fieldName the name of an additional header field
+     * @param fieldValue the value of that field; null: there is none
+     * @param body the body; null: it is empty
+     * @param close whether the connection is closed after the response
      */
     public void writeResponse(
             OutputStream out,
@@ -76,11 +76,11 @@
     }
 
     /**
-     * Writes the head of a long response that is relayed as it comes, and the first part of its
-     * body.
+     * Writes the head of a long response that is relayed while it is received, and the first part of
+     * its body.
      *
-     * @param length of the whole body in bytes; -1 if it is not known
-     * @param chunked whether the body goes out in chunks
+     * @param length the length of the whole body in bytes; -1 if it is unknown
+     * @param chunked whether the body is sent in chunks
      */
     public void beginRelay(
             OutputStream out, long length, boolean chunked, MessageBody part, boolean close)
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Writes the next piece of a relayed body. */
+    /** Writes the next part of a relayed body. */
     public void writeRelayed(OutputStream out, boolean chunked, byte[] bytes, int offset, int count)
             throws IOException {
         if (chunked) {
@@ -111,14 +111,14 @@
         }
     }
 
-    /** Ends a relayed body, so that the client knows it to be complete. */
+    /** Ends a relayed body, so that the client can tell that it is complete. */
     public void endRelay(OutputStream out, boolean chunked) throws IOException {
         if (chunked) {
             out.write(LAST_CHUNK);
         }
     }
 
-    /** Writes the response to a malformed request, with one plain line that names the fault. */
+    /** Writes the response to a malformed request, with one line of text that names the fault. */
     public void writeErrorResponse(OutputStream out, int status, String fault) throws IOException {
         byte[] line = (fault + "\n").getBytes(StandardCharsets.UTF_8);
         StringBuilder head = new StringBuilder(160);
--- a/src/main/java/cottonlock/proxy/http/MalformedMessageException.java
+++ b/src/main/java/cottonlock/proxy/http/MalformedMessageException.java
@@ -1,23 +1,23 @@
 package cottonlock.proxy.http;
 
-/** A message that violates the protocol, with the status of the response that it earns. */
+/** A message that violates the protocol, with the status of the response to it. */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final int status;
 
     /**
-     * A violation.
+     * A protocol violation.
      *
-     * @param status of the response
-     * @param fault in words, for the response and the log
+     * @param status the status of the response
+     * @param fault a description of the fault, for the body of the response and the log
      */
     public MalformedMessageException(int status, String fault) {
         super(fault);
         this.status = status;
     }
 
-    /** The status of the response. */
+    /** The status of the response to the message. */
     public int status() {
         return status;
     }
--- a/src/main/java/cottonlock/proxy/http/MessageBody.java
+++ b/src/main/java/cottonlock/proxy/http/MessageBody.java
@@ -8,15 +8,15 @@
 import java.util.List;
 
 /**
- * The body of one message: in buffers of the pool, and what does not fit into {@link
- * #MAX_BUFFERED_BYTES} in a file. Written by one thread, then read by any; {@link #release} gives
- * all back.
+ * The body of one message: held in buffers of the pool, and in a spill file from the point where
+ * {@link #MAX_BUFFERED_BYTES} are exceeded or no spare buffer is available. Written by one thread,
+ * then read by any; {@link #release} gives buffers and file back.
  */
 public final class MessageBody {
-    /** Bytes of one body in buffers. */
+    /** The most bytes of one body that are held in buffers. */
     public static final int MAX_BUFFERED_BYTES = 64 << 10;
 
-    /** Bytes of the longest body that a client may send: 32 MB and some reserve. */
+    /** The longest body that a client may send: 32 MB and some reserve. */
     public static final long MAX_REQUEST_BYTES = 34L << 20;
 
     private final BufferPool buffers;
@@ -26,18 +26,18 @@
     private FileChannel file;
     private long fileBytes;
 
-    /** An empty body; without files (null) it must fit into buffers. */
+    /** An empty body; if {@code files} is null, the body must fit into buffers. */
     public MessageBody(BufferPool buffers, BodySpillFiles files) {
         this.buffers = buffers;
         this.files = files;
     }
 
-    /** Its length in bytes. */
+    /** The length of the body in bytes. */
     public long length() {
         return bufferedBytes + fileBytes;
     }
 
-    /** Whether part of it is in a file, so that writing it can take a while. */
+    /** Whether part of the body is in a file, so that writing it can take longer. */
     public boolean isInFile() {
         return file != null;
     }
@@ -50,14 +50,13 @@
         }
     }
 
-    /** Appends as many bytes as buffers take; how many they were. */
+    /** Appends as many bytes as fit into buffers, and returns their number. */
     private int addToBuffers(byte[] bytes, int offset, int count) throws IOException {
         int added = 0;
         while (added < count && bufferedBytes < MAX_BUFFERED_BYTES) {
             int used = bufferedBytes % BufferPool.SIZE;
             if (used == 0) {
-                // The first buffer may be waited for; further ones are taken if there are spare
-                // ones.
+                // Waits for the first buffer; takes further ones only if there are spare buffers.
                 boolean mayWait = parts.isEmpty() || files == null;
                 byte[] part = mayWait ? buffers.take() : buffers.takeSpare();
                 if (part == null) {
@@ -85,12 +84,12 @@
         }
     }
 
-    /** Copies a body of one buffer into the target from an offset on. */
+    /** Copies a body that fits into one buffer to the target, from an offset on. */
     void copyTo(byte[] target, int offset) {
         System.arraycopy(parts.get(0), 0, target, offset, bufferedBytes);
     }
 
-    /** Writes it; several threads may do so at a time. */
+    /** Writes the body; several threads may do so at the same time. */
     public void writeTo(OutputStream out) throws IOException {
         int remaining = bufferedBytes;
         for (byte[] part : parts) {
@@ -100,12 +99,12 @@
         if (file != null) {
             byte[] buffer = buffers.take();
             try {
-                // Read by place: two attempts of one request may be written at once.
+                // Reads at explicit offsets: two attempts of one request may be written at once.
                 ByteBuffer bytes = ByteBuffer.wrap(buffer);
                 for (long fileOffset = 0; fileOffset < fileBytes; fileOffset += bytes.position()) {
                     bytes.clear();
                     if (file.read(bytes, fileOffset) < 0) {
-                        throw new IOException("the file of a body is cut off");
+                        throw new IOException("the spill file of a message body is truncated");
                     }
                     out.write(buffer, 0, bytes.position());
                 }
@@ -115,7 +114,7 @@
         }
     }
 
-    /** Gives buffers and file back; the body is empty from then on. */
+    /** Gives buffers and file back; the body is empty afterwards. */
     public void release() {
         parts.forEach(buffers::give);
         parts.clear();
--- a/src/main/java/cottonlock/proxy/http/MessageHead.java
+++ b/src/main/java/cottonlock/proxy/http/MessageHead.java
@@ -4,9 +4,8 @@
 import java.util.List;
 
 /**
- * The start line and the header fields of one message. Of a request, {@link #method}, {@link
- * #target} and {@link #requestVersion} may be asked for; of a response, {@link #responseVersion}
- * and {@link #status}.
+ * The start line and the header fields of one message. {@link #method}, {@link #target} and {@link
+ * #requestVersion} apply to requests, {@link #responseVersion} and {@link #status} to responses.
  */
 public final class MessageHead {
     private static final String HTTP_1_0 = "HTTP/1.0";
@@ -14,7 +13,7 @@
     private static final String ABSOLUTE_FORM = "http://";
     private static final int STATUS_DIGITS = 3;
 
-    /** The words of the start line: three at most, the last one may hold spaces. */
+    /** The words of the start line: at most three, of which the last may contain spaces. */
     private final String[] startLine;
 
     private final List<String> names = new ArrayList<>();
@@ -23,7 +22,8 @@
     /**
      * A head without fields.
      *
-     * @param startLine the words of the start line: three at most, the last one may hold spaces
+     * @param startLine the words of the start line: at most three, of which the last may contain
+     *     spaces
      */
     public MessageHead(String[] startLine) {
         this.startLine = startLine.clone();
@@ -40,7 +40,7 @@
         return startLine[0];
     }
 
-    /** A request's target in the origin form. */
+    /** A request's target in origin form. */
     public String target() {
         return startLine[1];
     }
@@ -60,13 +60,13 @@
         return startLine[1];
     }
 
-    /** Whether either side speaks HTTP/1.0. */
+    /** Whether the message is an HTTP/1.0 message. */
     boolean isHttp10() {
         return List.of(startLine).contains(HTTP_1_0);
     }
 
     /**
-     * Checks a request's start line, and brings a target in the absolute form into the origin form.
+     * Checks a request's start line, and converts a target in absolute form to origin form.
      */
     void checkRequestLine() throws MalformedMessageException {
         boolean complete = startLine.length == 3;
@@ -102,20 +102,20 @@
         return version.equals(HTTP_1_1) || version.equals(HTTP_1_0);
     }
 
-    /** Whether a response is an interim one, which the final one follows. */
+    /** Whether a response is an interim one, to be followed by the final response. */
     boolean isInterim() {
         return status().startsWith("1");
     }
 
-    /** Whether a response has no body, whatever its fields say. */
+    /** Whether a response has no body by its status, regardless of its header fields. */
     boolean hasNoBody() {
         return isInterim() || status().equals("204") || status().equals("304");
     }
 
     /**
-     * The value of a field that may stand only once, or null.
+     * The value of a field that may occur only once; null if it is absent.
      *
-     * @throws MalformedMessageException if it stands more than once
+     * @throws MalformedMessageException if it occurs more than once
      */
     public String singleValue(String name) throws MalformedMessageException {
         String found = null;
@@ -130,7 +130,7 @@
         return found;
     }
 
-    /** Whether a field that lists words holds the given one. */
+    /** Whether a comma-separated list field contains the given element, ignoring case. */
     public boolean hasListElement(String name, String element) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name) && containsElement(values.get(i), element)) {
@@ -149,7 +149,7 @@
         return false;
     }
 
-    /** Whether the sender keeps the connection, given the version that it speaks. */
+    /** Whether the sender keeps the connection open, given its protocol version. */
     public boolean keepsAlive(String version) {
         return version.equals(HTTP_1_1) && !hasListElement("Connection", "close");
     }
--- a/src/main/java/cottonlock/proxy/http/MessageHeadParser.java
+++ b/src/main/java/cottonlock/proxy/http/MessageHeadParser.java
@@ -2,18 +2,18 @@
 
 /** Parses start lines and header fields strictly, without regular expressions. */
 public final class MessageHeadParser {
-    /** What a token may hold besides letters and digits (RFC 9110, section 5.6.2). */
+    /** Characters that a token may contain besides letters and digits (RFC 9110, section 5.6.2). */
     private static final String TOKEN_PUNCTUATION = "!#$%&'*+-.^_`|~";
 
     private static final byte DELETE = 127;
     private static final int LINE_END_LENGTH = 2;
 
-    /** A number of so many digits fits into a long. */
+    /** The most digits of which every number fits into a long. */
     private static final int MAX_DECIMAL_DIGITS = 18;
 
     private MessageHeadParser() {}
 
-    /** Parses a head without its closing line ends. */
+    /** Parses a head without the line ends that close it. */
     static MessageHead parse(String text) throws MalformedMessageException {
         int end = lineEnd(text, 0);
         MessageHead head = new MessageHead(text.substring(0, end).split(" ", 3));
@@ -34,13 +34,13 @@
         return end < 0 ? text.length() : end;
     }
 
-    /** Whether the octet is a control character that no head may hold. */
+    /** Whether the octet is a control character that is not permitted in a head. */
     static boolean isForbiddenControl(byte octet) {
         boolean permitted = octet == '\t' || octet == '\r' || octet == '\n';
         return octet == DELETE || (octet >= 0 && octet < ' ' && !permitted);
     }
 
-    /** Whether the text can be a request's target in the origin form. */
+    /** Whether the text can be a request's target in origin form. */
     static boolean isTarget(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) <= ' ' || text.charAt(i) >= DELETE) {
@@ -50,7 +50,7 @@
         return text.startsWith("/");
     }
 
-    /** Whether the text is a whole number without a sign, short enough for a long. */
+    /** Whether the text is an integer without a sign that is short enough for a long. */
     public static boolean isDecimal(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (!isDigit(text.charAt(i))) {
--- a/src/main/java/cottonlock/proxy/http/OutboundRequest.java
+++ b/src/main/java/cottonlock/proxy/http/OutboundRequest.java
@@ -3,14 +3,14 @@
 /**
  * A request as it is written to a backend. Fields that are null are left out.
  *
- * @param method as the client sent it
- * @param target in the origin form
+ * @param method the method as the client sent it
+ * @param target the target in origin form
  * @param requestId the client's id of the request
  * @param requestClass the name of its class
  * @param tenant the tenant's name
- * @param idempotencyKey by which backends recognise a second execution
- * @param contentType of the body
- * @param body stays the caller's
+ * @param idempotencyKey the key by which backends detect a repeated execution
+ * @param contentType the media type of the body
+ * @param body the body, which remains owned by the caller
  */
 public record OutboundRequest(
         String method,
--- a/src/main/java/cottonlock/proxy/http/TimedSocketInput.java
+++ b/src/main/java/cottonlock/proxy/http/TimedSocketInput.java
@@ -6,8 +6,8 @@
 import java.net.SocketTimeoutException;
 
 /**
- * Reads from one socket through a buffer of the caller's, within a deadline. One thread reads;
- * {@link #lastReadNanos} may be asked for from any thread.
+ * Reads from one socket through a buffer supplied by the caller, within a deadline. One thread
+ * reads; {@link #lastReadNanos} may be called from any thread.
  */
 final class TimedSocketInput {
     private static final long NANOS_PER_MILLISECOND = 1_000_000;
@@ -22,13 +22,13 @@
 
     private int end;
 
-    /** By the monotonic clock; 0: there is none. */
+    /** By the monotonic clock; 0: no deadline. */
     private long deadlineNanos;
 
-    /** With pacing, the longest time without a byte; 0: the deadline is not extended by reads. */
+    /** The longest time without a byte, if pacing is on; 0: reads do not extend the deadline. */
     private long maxPauseNanos;
 
-    /** With pacing, by how much each byte extends the deadline. */
+    /** By how much each byte extends the deadline, if pacing is on. */
     private long nanosPerByte;
 
     private long discardedBytes;
@@ -40,7 +40,7 @@
         this.buffer = buffer;
     }
 
-    /** All reads from now on must be done within so many milliseconds; 0: no deadline. */
+    /** Sets a deadline for all reads from now on; a timeout of 0 means no deadline. */
     void setTimeout(long timeoutMillis) {
         deadlineNanos =
                 timeoutMillis == 0 ? 0 : System.nanoTime() + timeoutMillis * NANOS_PER_MILLISECOND;
@@ -48,8 +48,8 @@
     }
 
     /**
-     * From now on no pause may last longer than so many milliseconds, nor may less than so many
-     * bytes a second arrive for longer than that.
+     * From now on, reads fail if a pause exceeds {@code maxPauseMillis}, or if the rate stays below
+     * {@code minBytesPerSecond} for longer than that.
      */
     void setPacing(long maxPauseMillis, long minBytesPerSecond) {
         setTimeout(maxPauseMillis);
@@ -57,30 +57,30 @@
         nanosPerByte = NANOS_PER_SECOND / minBytesPerSecond;
     }
 
-    /** When bytes were read last, by the monotonic clock. */
+    /** When bytes were last read, by the monotonic clock. */
     long lastReadNanos() {
         return lastReadNanos;
     }
 
-    /** How many bytes lie in the buffer and are not consumed. */
+    /** The number of bytes in the buffer that are not consumed. */
     int bufferedBytes() {
         return end - position;
     }
 
-    /** The byte so many places behind the next one; it must be in the buffer. */
+    /** The byte at an offset from the next one; it must be in the buffer. */
     byte peek(int offset) {
         return buffer[position + offset];
     }
 
-    /** Consumes so many bytes, which must be in the buffer. */
+    /** Consumes {@code count} bytes, which must be in the buffer. */
     void skip(int count) {
         position += count;
     }
 
-    /** The next byte. */
+    /** Consumes and returns the next byte, reading if the buffer is empty. */
     byte nextByte() throws IOException {
         if (bufferedBytes() == 0 && !fill()) {
-            throw new IOException("the message ends early");
+            throw new IOException("the connection ended within a message");
         }
         return buffer[position++];
     }
@@ -97,12 +97,12 @@
         return bufferedBytes() == buffer.length;
     }
 
-    /** Whether bytes lie in the buffer or in the socket. */
+    /** Whether there are bytes in the buffer or available at the socket. */
     boolean hasUnconsumedBytes() throws IOException {
         return bufferedBytes() > 0 || input.available() > 0;
     }
 
-    /** Reads on; if the buffer is full, what it holds is discarded and counted first. */
+    /** Reads more bytes; if the buffer is full, its bytes are first discarded and counted. */
     boolean fillDiscardingIfFull() throws IOException {
         if (isFull()) {
             discardedBytes += buffer.length;
@@ -115,7 +115,7 @@
         return discardedBytes;
     }
 
-    /** Reads and discards what still comes, so many bytes at most, until the other side ends. */
+    /** Reads and discards bytes until about {@code maxBytes} or the end of the stream. */
     void discard(int maxBytes) throws IOException {
         int count = bufferedBytes();
         position = end;
@@ -125,12 +125,12 @@
         }
     }
 
-    /** Reads what has come; false when the other side has ended its sending. */
+    /** Reads available bytes, waiting for the first; false at the end of the stream. */
     boolean fill() throws IOException {
         return fill(buffer.length);
     }
 
-    /** The same, so many bytes at most. */
+    /** Like {@link #fill()}, but reads at most {@code maxBytes}. */
     boolean fill(int maxBytes) throws IOException {
         makeSpace();
         socket.setSoTimeout(remainingMillis());
@@ -161,8 +161,8 @@
     }
 
     /**
-     * The socket's timeout for the next read: a sender of one byte a second must not hold the
-     * thread beyond the deadline.
+     * The socket's timeout for the next read, so that a sender of one byte a second cannot occupy
+     * the thread beyond the deadline.
      */
     private int remainingMillis() throws SocketTimeoutException {
         if (deadlineNanos == 0) {
@@ -170,7 +170,7 @@
         }
         long millis = (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLISECOND;
         if (millis <= 0) {
-            throw new SocketTimeoutException("too slow");
+            throw new SocketTimeoutException("the deadline for reading has passed");
         }
         return (int) Math.min(Integer.MAX_VALUE, millis);
     }
