--- a/src/main/java/cottonlock/proxy/concurrent/Mailbox.java
+++ b/src/main/java/cottonlock/proxy/concurrent/Mailbox.java
@@ -6,25 +6,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An actor's mailbox: a bounded queue of messages that any thread may send and the actor's thread
- * alone runs, one after the other. A message that throws is logged and does not end the actor.
+ * An actor's mailbox: a bounded queue of messages that any thread may send and only the actor's
+ * thread runs, one after the other. If a message throws, that is logged and does not end the actor.
  */
 public final class Mailbox implements Runnable {
     private final BlockingQueue<Runnable> messages;
     private final RateLimitedLog log;
 
-    /** A mailbox that holds up to so many messages; an empty one takes no memory for them. */
+    /**
+     * A mailbox that holds up to {@code capacity} messages; memory is not allocated for them in
+     * advance.
+     */
     public Mailbox(int capacity, RateLimitedLog log) {
         this.messages = new LinkedBlockingQueue<>(capacity);
         this.log = log;
     }
 
-    /** Sends a message without waiting; false when the mailbox is full. */
+    /** Sends a message without waiting; false if the mailbox is full. */
     public boolean offer(Runnable message) {
         return messages.offer(message);
     }
 
-    /** Sends a message, and waits while the mailbox is full. Dropped when interrupted. */
+    /** Sends a message, waiting while the mailbox is full. Dropped if interrupted. */
     public void put(Runnable message) {
         try {
             messages.put(message);
@@ -33,7 +36,7 @@
         }
     }
 
-    /** Runs the next message, if one comes within that time. Called by the actor's thread. */
+    /** Runs the next message, if one arrives within the time. Called by the actor's thread. */
     public void runNext(long timeoutMicros) throws InterruptedException {
         Runnable message = messages.poll(Math.max(0, timeoutMicros), TimeUnit.MICROSECONDS);
         if (message != null) {
@@ -41,14 +44,14 @@
         }
     }
 
-    /** Runs all messages that have come so far. Called by the actor's thread. */
+    /** Runs all messages that are in the mailbox. Called by the actor's thread. */
     public void drain() {
         for (Runnable message = messages.poll(); message != null; message = messages.poll()) {
             guard(message);
         }
     }
 
-    /** Runs a message and logs what it throws, errors included. */
+    /** Runs a message and logs any exception or error that it throws. */
     public void guard(Runnable message) {
         try {
             message.run();
@@ -58,7 +61,7 @@
         }
     }
 
-    /** The loop of an actor that does nothing but run its messages; ends when interrupted. */
+    /** The loop of an actor that only runs its messages; ends when interrupted. */
     @Override
     public void run() {
         try {
--- a/src/main/java/cottonlock/proxy/concurrent/TickClock.java
+++ b/src/main/java/cottonlock/proxy/concurrent/TickClock.java
@@ -19,12 +19,12 @@
         this.ticks = () -> startTicks + (System.nanoTime() - startNanos) / NANOS_PER_TICK;
     }
 
-    /** A clock that reads ticks from a source; for tests. */
+    /** A clock that reads ticks from the given source; for tests. */
     public TickClock(LongSupplier ticks) {
         this.ticks = ticks;
     }
 
-    /** The current time in ticks; never goes back. */
+    /** The current time in ticks; monotonic. */
     public long now() {
         return ticks.getAsLong();
     }
--- a/src/main/java/cottonlock/proxy/concurrent/package-info.java
+++ b/src/main/java/cottonlock/proxy/concurrent/package-info.java
@@ -1,2 +1,2 @@
-/** What the proxy's actors share: the mailbox that serialises their messages, and the clock. */
+/** Shared by the proxy's actors: the mailbox that serialises their messages, and the clock. */
 package cottonlock.proxy.concurrent;
--- a/src/main/java/cottonlock/proxy/io/DescriptorLimit.java
+++ b/src/main/java/cottonlock/proxy/io/DescriptorLimit.java
@@ -5,24 +5,24 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** How many file descriptors the system lets this process have open at once. */
+/** The system's limit on the number of open file descriptors of this process. */
 public final class DescriptorLimit {
     private static final Path LIMITS = Path.of("/proc/self/limits");
     private static final String OPEN_FILES = "Max open files";
 
     private DescriptorLimit() {}
 
-    /** The limit in force; {@link Integer#MAX_VALUE} where there is none or it is unknown. */
+    /** The current soft limit; {@link Integer#MAX_VALUE} if there is none or it is unknown. */
     public static int current() {
         try {
             return parse(Files.readAllLines(LIMITS));
         } catch (IOException e) {
-            // Not Linux: what the configuration says has to do.
+            // Not Linux: only the configured limits apply.
             return Integer.MAX_VALUE;
         }
     }
 
-    /** Reads the lines of {@code /proc/self/limits}: name, soft limit, hard limit, unit. */
+    /** Parses the lines of {@code /proc/self/limits}: name, soft limit, hard limit, unit. */
     static int parse(List<String> lines) {
         for (String line : lines) {
             if (line.startsWith(OPEN_FILES)) {
--- a/src/main/java/cottonlock/proxy/io/HttpLineStream.java
+++ b/src/main/java/cottonlock/proxy/io/HttpLineStream.java
@@ -11,7 +11,7 @@
 
 /**
  * One HTTP GET whose response body is a stream of lines. One thread connects and reads; {@link
- * #close} may be called by any thread and ends a read.
+ * #close} may be called by any thread and ends a blocking read.
  */
 public final class HttpLineStream implements AutoCloseable {
     private static final String STATUS_OK = "200";
@@ -21,7 +21,7 @@
     private InetSocketAddress server;
     private HttpReader reader;
 
-    /** A stream that is not connected yet; the buffer is its own until it is closed. */
+    /** A stream that is not connected yet; it owns the buffer until it is closed. */
     public HttpLineStream(byte[] buffer) {
         this.buffer = buffer;
     }
@@ -35,8 +35,9 @@
     /**
      * Sends the request and reads the head of its response.
      *
-     * @param timeoutMillis the time for the head, and for what is read until {@link #readWithin}
-     * @throws IOException also for a status other than 200
+     * @param timeoutMillis the time limit for the head, and for all reads until {@link #readWithin}
+     *     is called
+     * @throws IOException also if the status is not 200
      */
     public void get(String target, long timeoutMillis)
             throws IOException, MalformedMessageException {
@@ -44,7 +45,7 @@
         String request = "GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n";
         socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
         reader = new HttpReader(socket, buffer);
-        // A deadline for the whole head: one that trickles in does not extend it.
+        // A deadline for the whole head, which bytes that arrive slowly do not extend.
         reader.setTimeout(timeoutMillis);
         MessageHead head = reader.readResponseHead(0);
         if (!head.status().equals(STATUS_OK)) {
@@ -52,31 +53,31 @@
         }
     }
 
-    /** All reads from now on must be done within that time; 0: no limit. */
+    /** Sets a deadline for all reads from now on; a timeout of 0 means no deadline. */
     public void readWithin(long timeoutMillis) {
         reader.setTimeout(timeoutMillis);
     }
 
-    /** Whether bytes have been received that are not read yet. */
+    /** Whether bytes have been received that are not returned yet. */
     public boolean hasBufferedBytes() {
         return reader.hasBufferedBytes();
     }
 
     /**
-     * Waits until there is something to read.
+     * Waits until there are bytes to read.
      *
      * @return false at the end of the stream
-     * @throws SocketTimeoutException when the time is over; nothing has been read then
+     * @throws SocketTimeoutException at the deadline, if nothing has been read
      */
     public boolean awaitBytes() throws IOException {
         return reader.awaitFirstByte();
     }
 
     /**
-     * The next line without its end, each byte as one character.
+     * The next line without its line end, with each byte as one character.
      *
      * @return null at the end of the stream
-     * @throws MalformedMessageException for a line that is too long, or no proper body
+     * @throws MalformedMessageException if the line is too long or the body is malformed
      */
     public String readLine(int maxChars) throws IOException, MalformedMessageException {
         return reader.readLine(maxChars);
--- a/src/main/java/cottonlock/proxy/io/JsonLineAssembler.java
+++ b/src/main/java/cottonlock/proxy/io/JsonLineAssembler.java
@@ -4,23 +4,24 @@
 
 /**
  * Assembles the JSON messages of a stream of lines. Usually each line is a message, but an object
- * may also be indented over many lines. Not thread-safe.
+ * may also span several lines. Not thread-safe.
  */
 public final class JsonLineAssembler {
     private final int maxChars;
     private final String tooLongMessage;
     private final StringBuilder message = new StringBuilder();
 
-    /** Brackets that are open behind the last line, and whether it ended inside a string. */
+    /** The number of brackets that are open after the last line. */
     private int depth;
 
+    /** Whether the last line ended inside a string. */
     private boolean inString;
 
     /**
      * Starts with an empty message.
      *
-     * @param maxChars the longest message, line ends included
-     * @param tooLongMessage what the exception says of a longer one
+     * @param maxChars the length of the longest message, including line ends
+     * @param tooLongMessage the exception's message for a longer one
      */
     public JsonLineAssembler(int maxChars, String tooLongMessage) {
         this.maxChars = maxChars;
@@ -28,11 +29,11 @@
     }
 
     /**
-     * Adds a line, without its end.
+     * Adds a line, without its line end.
      *
-     * @return the message that it completes, blank for a keep-alive line; null while the message
-     *     goes on
-     * @throws IOException for a message that is too long
+     * @return the message that the line completes, blank for a keep-alive line; null if the message
+     *     is not complete yet
+     * @throws IOException if the message is too long
      */
     public String add(String line) throws IOException {
         message.append(line).append('\n');
--- a/src/main/java/cottonlock/proxy/io/JsonReader.java
+++ b/src/main/java/cottonlock/proxy/io/JsonReader.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Parses JSON texts (RFC 8259). Of several fields of one name the last one counts. */
+/** Parses JSON texts (RFC 8259). If an object repeats a field name, the last field is used. */
 public final class JsonReader {
-    /** Bounds the recursion: threads of the proxy have small stacks. */
+    /** Limits the recursion, as threads of the proxy have small stacks. */
     private static final int MAX_DEPTH = 32;
 
     private static final int UNICODE_ESCAPE_DIGITS = 4;
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Parses a text that holds one value.
+     * Parses a text that consists of one value.
      *
-     * @throws MalformedJsonException for anything else
+     * @throws MalformedJsonException if the text is anything else
      */
     public static JsonValue read(String text) {
         JsonReader json = new JsonReader(text);
@@ -168,7 +168,7 @@
         return (char) Integer.parseInt(digits, 16);
     }
 
-    /** A number, true, false or null. */
+    /** Parses a number, true, false or null. */
     private JsonValue parseLiteral() {
         int start = position;
         while (position < text.length() && ",]} \t\r\n".indexOf(text.charAt(position)) < 0) {
--- a/src/main/java/cottonlock/proxy/io/JsonValue.java
+++ b/src/main/java/cottonlock/proxy/io/JsonValue.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 
 /**
- * A JSON value, immutable. Strings, numbers and booleans are all scalars with their text: the
- * messages that the proxy reads allow a number to be quoted. The values' {@code toString} is for
- * messages to people.
+ * An immutable JSON value. Strings, numbers and booleans are all scalars that hold their text, as
+ * the messages that the proxy reads allow numbers to be quoted. The result of {@code toString} is
+ * the text of a scalar; that of an object or array is meant for messages, and is not JSON.
  */
 public sealed interface JsonValue {
     /**
      * An object.
      *
-     * @param fields its fields in the order of the text
+     * @param fields its fields, in the order of the text
      */
     record JsonObject(Map<String, JsonValue> fields) implements JsonValue {
         /** Copies the fields. */
@@ -22,12 +22,12 @@
             fields = Collections.unmodifiableMap(new LinkedHashMap<>(fields));
         }
 
-        /** Whether the object has a field of that name, be it null. */
+        /** Whether the object has a field of that name, which may be null. */
         public boolean has(String name) {
             return fields.containsKey(name);
         }
 
-        /** The field's value; {@link JsonNull} where there is none. */
+        /** The field's value; {@link JsonNull#NULL} if there is none. */
         public JsonValue get(String name) {
             return fields.getOrDefault(name, JsonNull.NULL);
         }
@@ -46,7 +46,7 @@
     /**
      * An array.
      *
-     * @param elements in the order of the text
+     * @param elements its elements, in the order of the text
      */
     record JsonArray(List<JsonValue> elements) implements JsonValue {
         /** Copies the elements. */
@@ -63,7 +63,7 @@
     /**
      * A string, number or boolean.
      *
-     * @param text a string's content, anything else as written
+     * @param text the content of a string; a number or boolean as written
      */
     record JsonScalar(String text) implements JsonValue {
         @Override
@@ -72,9 +72,9 @@
         }
     }
 
-    /** Null, and what stands for a field that is absent. */
+    /** Null; also represents an absent field. */
     enum JsonNull implements JsonValue {
-        /** The only one. */
+        /** The only instance. */
         NULL;
 
         @Override
--- a/src/main/java/cottonlock/proxy/io/RateLimitedLog.java
+++ b/src/main/java/cottonlock/proxy/io/RateLimitedLog.java
@@ -5,17 +5,17 @@
 
 /**
  * The proxy's log. Each line has a kind; lines of one kind beyond a limit are dropped, and the next
- * one that is logged says how many were. Safe for use by any thread.
+ * line of that kind states how many were dropped. Safe for use by any thread.
  */
 public final class RateLimitedLog {
     private static final long INTERVAL_NANOS = 1_000_000_000L;
 
-    /** The limit for lines that are each of interest. */
+    /** The limit of {@link #logEach} for one kind. */
     private static final int MAX_EACH_LINES_PER_INTERVAL = 40;
 
-    /** What was logged of one kind; guarded by the map that holds it. */
+    /** The lines of one kind in the current interval; guarded by the map that holds it. */
     private static final class Window {
-        /** When the last line was logged, or for each-lines the number of its interval. */
+        /** When the last line was logged, in nanoseconds; for logEach, the interval's number. */
         private long start;
 
         private int logged;
@@ -34,9 +34,10 @@
 
     private final System.Logger logger;
 
-    /** Windows by kind, each map guarded by itself. */
+    /** For {@link #warn} and {@link #info}, by kind; guarded by itself. */
     private final Map<String, Window> singleLineWindows = new HashMap<>();
 
+    /** For {@link #logEach}, by kind; guarded by itself. */
     private final Map<String, Window> burstWindows = new HashMap<>();
 
     /** A log that writes to a logger. */
@@ -44,22 +45,22 @@
         this.logger = logger;
     }
 
-    /** Logs a warning: of each kind one line a second at most. */
+    /** Logs a warning; at most one line a second of each kind. */
     public void warn(String kind, String text) {
         logOnce(System.Logger.Level.WARNING, kind, text);
     }
 
-    /** Logs an information: of each kind one line a second at most. */
+    /** Logs an informational line; at most one line a second of each kind. */
     public void info(String kind, String text) {
         logOnce(System.Logger.Level.INFO, kind, text);
     }
 
-    /** Logs a line whose kind is of interest line by line: up to 40 a second. */
+    /** Logs a line of a kind of which every line matters; at most 40 lines a second. */
     public void logEach(String kind, String text) {
         logEach(System.Logger.Level.INFO, kind, text);
     }
 
-    /** The same at a level. */
+    /** Like {@link #logEach(String, String)}, at the given level. */
     public void logEach(System.Logger.Level level, String kind, String text) {
         long dropped;
         synchronized (burstWindows) {
--- a/src/main/java/cottonlock/proxy/io/Sockets.java
+++ b/src/main/java/cottonlock/proxy/io/Sockets.java
@@ -10,24 +10,24 @@
 
 /** Helpers for sockets and for the threads that serve them. */
 public final class Sockets {
-    /** Stack size in bytes; pages that are not touched take no memory. */
+    /** Thread stack size in bytes; pages that are never touched use no memory. */
     private static final long STACK_BYTES = 192 << 10;
 
-    /** Far longer than threads need to return from their sockets, also on a busy machine. */
+    /** Far longer than threads need to return from socket calls, even on a busy machine. */
     private static final long MAX_JOIN_MILLIS = 5_000;
 
     private static final Pattern NUMERIC_HOST = Pattern.compile("[0-9.]+|\\[[0-9a-fA-F:.]+\\]");
 
     private Sockets() {}
 
-    /** Starts a daemon thread of that name. */
+    /** Starts a daemon thread with the given name. */
     public static Thread start(String name, Runnable task) {
         Thread thread = thread(name, task);
         thread.start();
         return thread;
     }
 
-    /** A daemon thread of that name, not started. */
+    /** A daemon thread with the given name, not started. */
     public static Thread thread(String name, Runnable task) {
         Thread thread = new Thread(null, task, name, STACK_BYTES);
         thread.setDaemon(true);
@@ -35,10 +35,11 @@
     }
 
     /**
-     * Waits until these threads have ended, 5 s at most for all; the calling thread is passed over.
-     * An interrupt does not end the wait; it is kept for the caller.
+     * Waits at most 5 s in total until the threads have ended, ignoring the calling thread if it is
+     * among them. An interrupt does not end the wait; the calling thread's interrupt status is set on
+     * return.
      *
-     * @return those that have not ended
+     * @return the threads that have not ended
      */
     public static List<Thread> join(List<Thread> threads) {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_JOIN_MILLIS);
@@ -55,7 +56,7 @@
         return running;
     }
 
-    /** Returns whether this thread has been interrupted meanwhile. */
+    /** Returns whether the calling thread was interrupted during the wait. */
     private static boolean joinUntil(Thread thread, long deadlineNanos) {
         boolean interrupted = false;
         long remainingNanos = deadlineNanos - System.nanoTime();
@@ -70,19 +71,19 @@
         return interrupted;
     }
 
-    /** Closes quietly: a failure to close leaves nothing to be done. */
+    /** Closes and ignores a failure, for which there is no remedy. */
     public static void close(Closeable closeable) {
         try {
             closeable.close();
         } catch (IOException e) {
-            // The descriptor is released all the same.
+            // The descriptor is released nevertheless.
         }
     }
 
     /**
-     * Parses an address of the form host:port, without a look-up of names.
+     * Parses an address of the form host:port without resolving names.
      *
-     * @throws IllegalArgumentException where the host is not numeric or the port is no port
+     * @throws IllegalArgumentException if the host is not numeric or the port is invalid
      */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
--- a/src/main/java/cottonlock/proxy/io/package-info.java
+++ b/src/main/java/cottonlock/proxy/io/package-info.java
@@ -1,2 +1,2 @@
-/** Sockets, streams of lines over HTTP, JSON and the log; without state of the proxy. */
+/** Sockets, line streams over HTTP, JSON and the log; independent of the proxy's state. */
 package cottonlock.proxy.io;
