--- a/src/test/java/cottonlock/proxy/ListsTest.java
+++ b/src/test/java/cottonlock/proxy/ListsTest.java
@@ -48,23 +48,26 @@
 import java.util.stream.Stream;
 import net.jqwik.api.Example;
 
-/** The list of backends: when it has come, what it does, and what must not keep it away. */
+/**
+ * The endpoint list of discovery: in what time changes take effect, failures that must not prevent
+ * updates, and the handling of removed and draining backends.
+ */
 class ListsTest extends ProxyFixture {
     private static final String HEAD = "HTTP/1.1 200 OK\r\n\r\n";
 
-    /** In tenths of a millisecond: by then, what discovery has counts as told. */
-    private static final long TOLD = 60_000;
+    /** In ticks (6 s): after this time discovery counts a change as delivered. */
+    private static final long PROPAGATION_LIMIT_TICKS = 60_000;
 
-    /** What the sum of all phases leaves for the answer. */
-    private static final long ANSWER = 1_500;
+    /** In ticks: what the sum of the other phases must leave for the response of discovery. */
+    private static final long RESPONSE_RESERVE_TICKS = 1_500;
 
-    /** What discovery does on a connection behind the call that it has read. */
-    private interface Call {
-        void on(Socket socket) throws Exception;
+    /** What discovery does on a connection after it has read the head of the request. */
+    private interface ConnectionHandler {
+        void handle(Socket socket) throws Exception;
     }
 
-    /** Discovery, which comes up at a port; each connection brings one call. */
-    private ServerSocket discovery(int port, Call call) throws IOException {
+    /** Starts a discovery server at a port (0: any); each connection carries one request. */
+    private ServerSocket startDiscovery(int port, ConnectionHandler handler) throws IOException {
         ServerSocket server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         open.add(server);
         Sockets.start(
@@ -86,31 +89,31 @@
                                             for (String line = in.readLine();
                                                     !line.isEmpty();
                                                     line = in.readLine()) {
-                                                // The call's head.
+                                                // Skips the head of the request.
                                             }
-                                            call.on(socket);
+                                            handler.handle(socket);
                                         } catch (Exception e) {
-                                            // The call has ended.
+                                            // The connection has ended.
                                         }
                                     });
                         }
                     } catch (IOException e) {
-                        // The test is over, or discovery is down.
+                        // The test has closed the server.
                     }
                 });
         return server;
     }
 
-    /** A port at which connections are refused, as long as this is open. */
-    private Socket refusing() throws IOException {
+    /** Binds a port without listening: while the socket is open, connections are refused. */
+    private Socket reserveRefusingPort() throws IOException {
         Socket socket = new Socket();
         socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         open.add(socket);
         return socket;
     }
 
-    /** A listener whose kernel takes no more: what dials it gets no answer until it accepts. */
-    private ServerSocket full() throws IOException {
+    /** A server whose backlog is full: connection attempts stay pending until it accepts. */
+    private ServerSocket listenWithFullBacklog() throws IOException {
         ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         open.add(server);
         for (int i = 0; i < 50; i++) {
@@ -122,47 +125,48 @@
                 return server;
             }
         }
-        throw new AssertionError("it takes whatever comes");
+        throw new AssertionError("the backlog does not fill up");
     }
 
-    private static void hold() throws InterruptedException {
+    private static void keepOpen() throws InterruptedException {
         Thread.sleep(60_000);
     }
 
-    // Told after 6 s
+    // Propagation within 6 s
 
-    /** Counts calls for the list, and keeps the time to wake. */
-    private static final class Asks implements LoadBalancerActions {
-        private int asked;
-        private long wakeAt;
+    /** Counts subscriptions to the endpoint list, and records the time of the timer. */
+    private static final class SubscriptionCounter implements LoadBalancerActions {
+        private int subscribeCount;
+        private long timerAtTicks;
 
         @Override
-        public void startAttempt(long req, String backend, long sendBy) {}
+        public void startAttempt(long requestId, String backendId, long sendByTicks) {}
 
         @Override
-        public void cancelAttempt(long req, int attempt) {}
+        public void cancelAttempt(long requestId, int attemptNumber) {}
 
         @Override
-        public void reject(long req, long comeBack, RejectionReason why) {}
+        public void reject(
+                long requestId, long retryAfterTicks, RejectionReason rejectionReason) {}
 
         @Override
-        public void fail(long req, RejectionReason why) {}
+        public void fail(long requestId, RejectionReason rejectionReason) {}
 
         @Override
-        public void scheduleTimer(long at) {
-            wakeAt = at;
+        public void scheduleTimer(long atTicks) {
+            timerAtTicks = atTicks;
         }
 
         @Override
         public void subscribeEndpointList() {
-            asked++;
+            subscribeCount++;
         }
 
         @Override
-        public void closeIdleConnections(String backend) {}
+        public void closeIdleConnections(String backendId) {}
 
         @Override
-        public void probe(String backend) {}
+        public void probe(String backendId) {}
 
         @Override
         public void broadcastToPeers(byte[] message) {}
@@ -172,23 +176,25 @@
     }
 
     /**
-     * Tenths of a millisecond from a failure until the next call; the module is woken when it asks.
+     * Reports a failure to the load balancer and runs its timers until it subscribes again.
+     *
+     * @return the ticks from the failure until that subscription
      */
-    private static long pause(LoadBalancer module, Asks asks, long now) {
-        int before = asks.asked;
-        module.onEndpointListFailed(now);
+    private static long ticksUntilResubscription(LoadBalancer loadBalancer, SubscriptionCounter actions, long now) {
+        int before = actions.subscribeCount;
+        loadBalancer.onEndpointListFailed(now);
         long at = now;
-        while (asks.asked == before) {
-            at = asks.wakeAt;
-            module.onTimer(at);
+        while (actions.subscribeCount == before) {
+            at = actions.timerAtTicks;
+            loadBalancer.onTimer(at);
         }
         return at - now;
     }
 
     @Example
-    void allPhasesOfAFailedCallAddUpToLessThanSixSecondsByAnySettings() throws Exception {
-        for (String within : List.of("2000000", "10000000", "120000000", "3600000000")) {
-            long longest = 0;
+    void failedWatchIsReplacedWithinSixSecondsForAnySettings() throws Exception {
+        for (String askWithinTicks : List.of("2000000", "10000000", "120000000", "3600000000")) {
+            long longestTicks = 0;
             for (int seed = 0; seed < 200; seed++) {
                 Settings settings =
                         ProxyConfiguration.read(
@@ -196,45 +202,45 @@
                                                 settings(256, 1, "")
                                                         .replace(
                                                                 "\"AskWithin\":1000000",
-                                                                "\"AskWithin\":" + within)))
+                                                                "\"AskWithin\":" + askWithinTicks)))
                                 .settings();
-                Asks asks = new Asks();
-                LoadBalancer module = new LoadBalancerFactory(settings).create(asks, seed);
-                module.start(0);
-                module.onEndpointList(
+                SubscriptionCounter actions = new SubscriptionCounter();
+                LoadBalancer loadBalancer = new LoadBalancerFactory(settings).create(actions, seed);
+                loadBalancer.start(0);
+                loadBalancer.onEndpointList(
                         0,
                         List.of(new Endpoint("b", 0, 0, 0, Endpoint.State.READY, 1, 0)),
                         true,
                         true);
-                assertEquals(1, asks.asked, "a new process asks at once");
+                assertEquals(1, actions.subscribeCount, "a new process subscribes at once");
                 long now = 0;
                 for (int failed = 0; failed < 12; failed++) {
-                    long pause = pause(module, asks, now);
-                    longest = Math.max(longest, pause);
-                    now += pause;
+                    long delayTicks = ticksUntilResubscription(loadBalancer, actions, now);
+                    longestTicks = Math.max(longestTicks, delayTicks);
+                    now += delayTicks;
                 }
             }
-            long sum =
+            long sumTicks =
                     EndpointListWatch.SILENCE_TIMEOUT_MILLIS * 10
-                            + longest
+                            + longestTicks
                             + EndpointListWatch.CONNECT_TIMEOUT_MILLIS * 10;
-            assertTrue(sum + ANSWER <= TOLD, "of " + within + ": " + sum);
+            assertTrue(sumTicks + RESPONSE_RESERVE_TICKS <= PROPAGATION_LIMIT_TICKS, "ticks for AskWithin " + askWithinTicks + ": " + sumTicks);
         }
-        // Where nobody decides when to ask: what is pushed counts at once, and drains bind after
-        // that.
+        // In automatic mode the watch itself delays its retries: a pushed change counts at once, and
+        // a drain is binding after the limit.
         assertTrue(
                 EndpointListWatch.SILENCE_TIMEOUT_MILLIS
                                 + EndpointListWatch.MAX_RETRY_DELAY_MILLIS
                                 + EndpointListWatch.CONNECT_TIMEOUT_MILLIS
-                                + ANSWER / 10
-                        <= TOLD / 10);
+                                + RESPONSE_RESERVE_TICKS / 10
+                        <= PROPAGATION_LIMIT_TICKS / 10);
     }
 
-    /** All ask at once when discovery goes; they must not come back together. */
+    /** All watches end at once when discovery fails; the retries must be spread over time. */
     @Example
-    void callersThatFailTogetherComeBackApart() throws Exception {
-        int most = 0;
-        List<List<Long>> times = new ArrayList<>();
+    void retriesAfterACommonFailureAreSpreadOverTime() throws Exception {
+        int mostRetries = 0;
+        List<List<Long>> retryTimesTicks = new ArrayList<>();
         for (int seed = 0; seed < 400; seed++) {
             Settings settings =
                     ProxyConfiguration.read(
@@ -244,34 +250,34 @@
                                                             "\"AskWithin\":1000000",
                                                             "\"AskWithin\":10000000")))
                             .settings();
-            Asks asks = new Asks();
-            LoadBalancer module = new LoadBalancerFactory(settings).create(asks, seed);
-            module.start(0);
-            List<Long> own = new ArrayList<>();
-            for (long now = 0; own.size() < 8; own.add(now)) {
-                now += pause(module, asks, now);
+            SubscriptionCounter actions = new SubscriptionCounter();
+            LoadBalancer loadBalancer = new LoadBalancerFactory(settings).create(actions, seed);
+            loadBalancer.start(0);
+            List<Long> processTimesTicks = new ArrayList<>();
+            for (long now = 0; processTimesTicks.size() < 8; processTimesTicks.add(now)) {
+                now += ticksUntilResubscription(loadBalancer, actions, now);
             }
-            times.add(own);
+            retryTimesTicks.add(processTimesTicks);
         }
         for (long from = 20_000; from < 24_000; from += 500) {
-            int calls = 0;
-            for (List<Long> own : times) {
-                for (long at : own) {
-                    calls += at >= from && at < from + 500 ? 1 : 0;
+            int retries = 0;
+            for (List<Long> processTimesTicks : retryTimesTicks) {
+                for (long at : processTimesTicks) {
+                    retries += at >= from && at < from + 500 ? 1 : 0;
                 }
             }
-            most = Math.max(most, calls);
+            mostRetries = Math.max(mostRetries, retries);
         }
-        assertTrue(most <= 80, "of 400, in 50 ms: " + most);
+        assertTrue(mostRetries <= 80, "retries of 400 processes within 50 ms: " + mostRetries);
     }
 
     /**
-     * The module, the watch and what lies between, with a short silence in place of four seconds.
+     * Starts a load balancer's actor and its watch, with the given silence timeout in place of 4 s.
      */
-    private LoadBalancerActor chain(InetSocketAddress at, long silence, RateLimitedLog log)
+    private LoadBalancerActor startLoadBalancer(InetSocketAddress discovery, long silenceTimeoutMillis, RateLimitedLog log)
             throws IOException {
         TickClock clock = new TickClock();
-        LoadBalancerActor module =
+        LoadBalancerActor loadBalancer =
                 new LoadBalancerActor(
                         clock,
                         entry ->
@@ -291,27 +297,27 @@
                                         log),
                         new Metrics(),
                         log);
-        LoadBalancerFactory assembly =
+        LoadBalancerFactory factory =
                 new LoadBalancerFactory(
                         ProxyConfiguration.read(config(settings(256, 1, ""))).settings());
         EndpointListWatch watch =
                 new EndpointListWatch(
-                        at,
+                        discovery,
                         new EndpointListParser(log, List.of("z"), List.of("k")),
-                        new EndpointListWatch.Options(0, true, silence),
-                        module,
+                        new EndpointListWatch.Options(0, true, silenceTimeoutMillis),
+                        loadBalancer,
                         new BufferPool(16, 4),
                         log,
                         new SplittableRandom(1));
-        module.join(
-                assembly.create(module, 1),
+        loadBalancer.join(
+                factory.create(loadBalancer, 1),
                 watch,
-                new PeerMessenger(null, List.of(), null, module::heard, log),
+                new PeerMessenger(null, List.of(), null, loadBalancer::heard, log),
                 new ManualEjections(
-                        new SharedFile(null, "p", "bans", log), clock, module::bansChanged));
-        module.endpointListReceived(new EndpointList(0, true, List.of()), true);
+                        new SharedFile(null, "p", "bans", log), clock, loadBalancer::bansChanged));
+        loadBalancer.endpointListReceived(new EndpointList(0, true, List.of()), true);
         Thread list = Sockets.start("list", watch);
-        Thread actor = Sockets.start("module", module);
+        Thread actor = Sockets.start("module", loadBalancer);
         open.add(
                 () -> {
                     list.interrupt();
@@ -320,10 +326,10 @@
                     list.join(4_000);
                     actor.join(4_000);
                 });
-        return module;
+        return loadBalancer;
     }
 
-    /** A log whose lines go there. */
+    /** A log that passes its lines to a consumer. */
     private static RateLimitedLog log(Consumer<String> lines) {
         return new RateLimitedLog(
                 new System.Logger() {
@@ -361,15 +367,15 @@
     }
 
     @Example
-    void whateverACallComesToItIsFollowedByAnother() throws Exception {
+    void watchIsOpenedAgainAfterAnyFailure() throws Exception {
         RateLimitedLog log = new RateLimitedLog(System.getLogger("test"));
-        Map<String, Call> faults =
+        Map<String, ConnectionHandler> faults =
                 Map.of(
-                        "no head", socket -> hold(),
+                        "no head", socket -> keepOpen(),
                         "half a head",
                                 socket -> {
                                     send(socket, HEAD.substring(0, 8));
-                                    hold();
+                                    keepOpen();
                                 },
                         "503",
                                 socket ->
@@ -379,7 +385,7 @@
                         "head, then silence",
                                 socket -> {
                                     send(socket, HEAD);
-                                    hold();
+                                    keepOpen();
                                 },
                         "trickle",
                                 socket -> {
@@ -400,75 +406,75 @@
                                     send(
                                             socket,
                                             HEAD + list(2, true, entry("b1", "active")) + "\n");
-                                    hold();
+                                    keepOpen();
                                 },
-                        "an end in place of telling",
+                        "a list, then the end of the stream",
                                 socket -> send(socket, HEAD + list(2, true) + "\n"));
-        for (Map.Entry<String, Call> fault : faults.entrySet()) {
-            AtomicInteger calls = new AtomicInteger();
+        for (Map.Entry<String, ConnectionHandler> fault : faults.entrySet()) {
+            AtomicInteger connections = new AtomicInteger();
             ServerSocket server =
-                    discovery(
+                    startDiscovery(
                             0,
                             socket -> {
-                                if (calls.incrementAndGet() <= 3) {
-                                    fault.getValue().on(socket);
+                                if (connections.incrementAndGet() <= 3) {
+                                    fault.getValue().handle(socket);
                                 } else {
                                     send(
                                             socket,
                                             HEAD + list(9, true, entry("b9", "active")) + "\n");
-                                    hold();
+                                    keepOpen();
                                 }
                             });
-            LoadBalancerActor module =
-                    chain(
+            LoadBalancerActor loadBalancer =
+                    startLoadBalancer(
                             new InetSocketAddress(
                                     InetAddress.getLoopbackAddress(), server.getLocalPort()),
                             300,
                             log);
-            sometime(() -> module.lists("b9"), "told behind: " + fault.getKey());
-            assertFalse(module.lists("b1"), fault.getKey());
+            eventuallyWithin30Seconds(() -> loadBalancer.lists("b9"), "b9 is listed after: " + fault.getKey());
+            assertFalse(loadBalancer.lists("b1"), fault.getKey());
         }
     }
 
     @Example
-    void aDialThatIsRefusedOrNeverComesUpIsFollowedByAnother() throws Exception {
+    void watchIsOpenedAgainAfterARefusedOrPendingConnect() throws Exception {
         RateLimitedLog log = new RateLimitedLog(System.getLogger("test"));
-        Call tells =
+        ConnectionHandler sendsList =
                 socket -> {
                     send(socket, HEAD + list(9, true, entry("b9", "active")) + "\n");
-                    hold();
+                    keepOpen();
                 };
-        Socket place = refusing();
-        int port = place.getLocalPort();
+        Socket reservation = reserveRefusingPort();
+        int port = reservation.getLocalPort();
         LoadBalancerActor refused =
-                chain(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 300, log);
+                startLoadBalancer(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 300, log);
         refused.settle();
-        place.close();
-        discovery(port, tells);
-        eventually(() -> refused.lists("b9"), "told once it listens");
-
-        ServerSocket silent = full();
-        AtomicInteger ended = new AtomicInteger();
-        LoadBalancerActor unanswered =
-                chain(
+        reservation.close();
+        startDiscovery(port, sendsList);
+        eventually(() -> refused.lists("b9"), "listed once discovery listens");
+
+        ServerSocket unresponsive = listenWithFullBacklog();
+        AtomicInteger connectTimeouts = new AtomicInteger();
+        LoadBalancerActor stuck =
+                startLoadBalancer(
                         new InetSocketAddress(
-                                InetAddress.getLoopbackAddress(), silent.getLocalPort()),
+                                InetAddress.getLoopbackAddress(), unresponsive.getLocalPort()),
                         300,
-                        log(line -> ended.addAndGet(line.contains("timed out") ? 1 : 0)));
-        // The kernel would try for two minutes.
-        sometime(() -> ended.get() > 0, "given up");
+                        log(line -> connectTimeouts.addAndGet(line.contains("timed out") ? 1 : 0)));
+        // Without a connect timeout the kernel would try for two minutes.
+        eventuallyWithin30Seconds(() -> connectTimeouts.get() > 0, "the connect timed out");
         Sockets.start(
                 "discovery",
                 () -> {
                     try {
                         while (true) {
-                            Socket socket = silent.accept();
+                            Socket socket = unresponsive.accept();
                             open.add(socket);
                             Sockets.start(
                                     "discovery call",
                                     () -> {
                                         try {
-                                            tells.on(socket);
+                                            sendsList.handle(socket);
                                         } catch (Exception e) {
                                             // The test is over.
                                         }
@@ -478,14 +484,14 @@
                         // The test is over.
                     }
                 });
-        sometime(() -> unanswered.lists("b9"), "told once it accepts");
+        eventuallyWithin30Seconds(() -> stuck.lists("b9"), "listed once discovery accepts");
     }
 
-    /** By settings that let it wait half a minute after some failures. */
+    /** The settings alone would permit a delay of half a minute after several failures. */
     @Example
-    void afterManyFailedCallsTheNextIsNoLaterThanAfterAFew() throws Exception {
-        CountDownLatch calls = new CountDownLatch(9);
-        ServerSocket server = discovery(0, socket -> calls.countDown());
+    void delayOfRetriesIsBoundedAfterManyFailures() throws Exception {
+        CountDownLatch connections = new CountDownLatch(9);
+        ServerSocket server = startDiscovery(0, socket -> connections.countDown());
         proxy =
                 new Proxy(
                         config(
@@ -494,19 +500,19 @@
                                                 "\"AskWithin\":1000000",
                                                 "\"AskWithin\":120000000")));
         buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
-        // At 0.8 s at most each, 5.4 s; doubled without end, 25 s at least.
-        assertTrue(calls.await(20, TimeUnit.SECONDS), "calls left: " + calls.getCount());
+        // With delays of at most 0.8 s this takes 5.4 s; doubled without a bound, at least 25 s.
+        assertTrue(connections.await(20, TimeUnit.SECONDS), "connections missing: " + connections.getCount());
     }
 
-    /** Where lists are pushed, what the watch would have told counts whether or not it is open. */
+    /** In automatic mode pushed changes count as delivered even while the watch is closed. */
     @Example
-    void aPushedWatchThatEndsIsOpenedAgainWithinTheGraceOnDrains() throws Exception {
-        CountDownLatch calls = new CountDownLatch(20);
+    void automaticWatchIsOpenedAgainWithinTheGracePeriodOfDrains() throws Exception {
+        CountDownLatch connections = new CountDownLatch(20);
         ServerSocket server =
-                discovery(
+                startDiscovery(
                         0,
                         socket -> {
-                            calls.countDown();
+                            connections.countDown();
                             send(socket, HEAD + list(2, true, entry("b", "active")) + "\n");
                         });
         proxy =
@@ -515,46 +521,49 @@
                                 settings(256, server.getLocalPort(), "")
                                         .replace("subscribe", "automatic")));
         buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
-        // At 50 ms at most each, 1 s; with half a second or more, 9.5 s at least.
-        assertTrue(calls.await(8, TimeUnit.SECONDS), "calls left: " + calls.getCount());
+        // With delays of at most 50 ms this takes 1 s; with 0.5 s or more, at least 9.5 s.
+        assertTrue(connections.await(8, TimeUnit.SECONDS), "connections missing: " + connections.getCount());
     }
 
     /**
-     * Memory that is short for a moment, say: the list's thread is the only one that can ever be
-     * told.
+     * An error such as a temporary lack of memory must not end the watch's thread, as no other thread
+     * receives the endpoint list.
      */
     @Example
-    void anErrorDoesNotEndTheListForGood() throws Exception {
+    void watchSurvivesAnError() throws Exception {
         AtomicInteger errors = new AtomicInteger();
         RateLimitedLog log =
                 log(
                         line -> {
                             if (line.contains("left out a host") && errors.incrementAndGet() == 1) {
-                                throw new OutOfMemoryError("for a moment");
+                                throw new OutOfMemoryError("temporary");
                             }
                         });
         ServerSocket server =
-                discovery(
+                startDiscovery(
                         0,
                         socket -> {
                             send(socket, HEAD + list(9, true, "{}", entry("b9", "active")) + "\n");
-                            hold();
+                            keepOpen();
                         });
-        LoadBalancerActor module =
-                chain(
+        LoadBalancerActor loadBalancer =
+                startLoadBalancer(
                         new InetSocketAddress(
                                 InetAddress.getLoopbackAddress(), server.getLocalPort()),
                         4_000,
                         log);
-        eventually(() -> module.lists("b9"), "told by the next call");
+        eventually(() -> loadBalancer.lists("b9"), "listed by the next watch");
         assertTrue(errors.get() >= 1);
     }
 
     /**
-     * A process of serve by this configuration, behind that command of the shell; and what it
-     * writes.
+     * Starts {@code serve} in a process of its own.
+     *
+     * @param before shell commands to run first
+     * @param text the configuration
+     * @param output the file to which the process writes its output
      */
-    private Process serve(String before, String text, Path output) throws IOException {
+    private Process startServe(String before, String text, Path output) throws IOException {
         ProcessBuilder builder =
                 new ProcessBuilder(
                         "/bin/sh",
@@ -581,8 +590,8 @@
         }
     }
 
-    /** Waits for longer than for what takes no time of its own. */
-    private static void sometime(Check check, String what) throws Exception {
+    /** Like {@link #eventually}, for conditions that need timeouts or other processes. */
+    private static void eventuallyWithin30Seconds(Check check, String what) throws Exception {
         long until = System.nanoTime() + 30_000_000_000L;
         while (!check.holds()) {
             assertTrue(System.nanoTime() < until, "in time: " + what);
@@ -590,21 +599,21 @@
         }
     }
 
-    // Starts
+    // Startup
 
     @Example
-    void thatSighupWasIgnoredBeforeTheStartIsSaidOnce() throws Exception {
+    void ignoredSighupIsLoggedOnceAtStartup() throws Exception {
         for (boolean ignored : new boolean[] {true, false}) {
-            Socket place = refusing();
-            int port = place.getLocalPort();
+            Socket reservation = reserveRefusingPort();
+            int port = reservation.getLocalPort();
             Path output = Files.createTempFile("serve", ".log");
             output.toFile().deleteOnExit();
             String text = settings(256, 1, "").replace("127.0.0.1:0", "127.0.0.1:" + port);
-            place.close();
-            Process process = serve(ignored ? "trap '' HUP; " : "", text, output);
-            sometime(() -> healthy(port), "it has started");
+            reservation.close();
+            Process process = startServe(ignored ? "trap '' HUP; " : "", text, output);
+            eventuallyWithin30Seconds(() -> healthy(port), "the proxy is healthy");
             if (ignored) {
-                sometime(() -> Files.readString(output).contains("SIGHUP"), "it is said");
+                eventuallyWithin30Seconds(() -> Files.readString(output).contains("SIGHUP"), "the warning is logged");
             }
             process.destroy();
             assertTrue(process.waitFor(8, TimeUnit.SECONDS));
@@ -621,19 +630,16 @@
         }
     }
 
-    /**
-     * Nothing that a start could wait for is there: no discovery, no backend, a list of the
-     * longest.
-     */
+    /** Starts with neither discovery nor backends reachable, and a cached list of 1,024 backends. */
     @Example
-    void aStartWaitsNeitherForDiscoveryNorForALongList() throws Exception {
-        ServerSocket nobody = full();
+    void startupWaitsNeitherForDiscoveryNorForALongList() throws Exception {
+        ServerSocket unresponsiveDiscovery = listenWithFullBacklog();
         String[] hosts = new String[1_024];
         for (int i = 0; i < hosts.length; i++) {
             hosts[i] = entry("b" + i, "active");
         }
         CountDownLatch ready = new CountDownLatch(1);
-        proxy = new Proxy(config(settings(256, nobody.getLocalPort(), "", hosts)));
+        proxy = new Proxy(config(settings(256, unresponsiveDiscovery.getLocalPort(), "", hosts)));
         buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
         Sockets.start(
                 "client",
@@ -645,9 +651,9 @@
         assertTrue(ready.await(8, TimeUnit.SECONDS));
     }
 
-    // Descriptors
+    // File descriptors
 
-    private static int descriptors(Process process) throws IOException {
+    private static int openDescriptors(Process process) throws IOException {
         try (Stream<Path> open =
                 Files.list(Path.of("/proc", String.valueOf(process.pid()), "fd"))) {
             return (int) open.count();
@@ -655,65 +661,65 @@
     }
 
     /**
-     * All that may hold descriptors does: idle clients that come again and again, attempts that are
-     * out, long bodies, operators' calls, and as many as a deployment's jars take. No other than
-     * the list's is spare.
+     * Everything that may hold file descriptors does so: a steady stream of idle clients, attempts in
+     * progress, spill files of long bodies, management connections, and as many open files as a
+     * deployment's jars. No descriptor is spare but that of the watch.
      */
     @Example
-    void whoeverFillsTheDescriptorsKeepsNeitherTheWatchNorAnAttemptFromItsSocket()
+    void watchAndAttemptsGetSocketsWhileAllDescriptorsAreInUse()
             throws Exception {
-        int most = 128;
+        int maxDescriptors = 128;
         CountDownLatch answer = new CountDownLatch(1);
-        StandIn hangs =
+        StandIn hanging =
                 new StandIn(
                         request -> {
                             answer.await(60, TimeUnit.SECONDS);
                             return OK;
                         });
-        StandIn fresh = new StandIn(request -> OK);
-        Socket[] places = {refusing(), refusing(), refusing()};
-        int port = places[0].getLocalPort();
-        int operators = places[1].getLocalPort();
-        int discovery = places[2].getLocalPort();
+        StandIn responsive = new StandIn(request -> OK);
+        Socket[] reservations = {reserveRefusingPort(), reserveRefusingPort(), reserveRefusingPort()};
+        int port = reservations[0].getLocalPort();
+        int managementPort = reservations[1].getLocalPort();
+        int discoveryPort = reservations[2].getLocalPort();
         String text =
                 settings(
-                                most,
-                                discovery,
-                                "\"mgmt\":\"127.0.0.1:" + operators + "\",",
-                                hangs.host("b0"))
+                                maxDescriptors,
+                                discoveryPort,
+                                "\"mgmt\":\"127.0.0.1:" + managementPort + "\",",
+                                hanging.host("b0"))
                         .replace("127.0.0.1:0", "127.0.0.1:" + port)
                         .replace("\"memory_mb\":64", "\"memory_mb\":192")
                         .replace("800000", "50000000")
                         .replace("1500000", "50000000");
-        places[0].close();
-        places[1].close();
+        reservations[0].close();
+        reservations[1].close();
         Path output = Files.createTempFile("serve", ".log");
         output.toFile().deleteOnExit();
-        StringBuilder jars = new StringBuilder("ulimit -n " + most + "; exec");
+        StringBuilder jars = new StringBuilder("ulimit -n " + maxDescriptors + "; exec");
         for (int jar = 3; jar < 9; jar++) {
             jars.append(' ').append(jar).append("</dev/null");
         }
-        Process process = serve(jars + "; ", text, output);
-        sometime(() -> healthy(port), "it has started");
-        while (open.stream().filter(o -> o instanceof Socket s && s.getPort() == operators).count()
+        Process process = startServe(jars + "; ", text, output);
+        eventuallyWithin30Seconds(() -> healthy(port), "the proxy is healthy");
+        while (open.stream().filter(o -> o instanceof Socket s && s.getPort() == managementPort).count()
                 < ManagementServer.MAX_CONNECTIONS) {
-            sometime(
+            eventuallyWithin30Seconds(
                     () -> {
                         try {
                             return open.add(
-                                    new Socket(InetAddress.getLoopbackAddress(), operators));
+                                    new Socket(InetAddress.getLoopbackAddress(), managementPort));
                         } catch (IOException e) {
-                            // They are heard a little later than clients.
+                            // The management server listens a little later than the client listener.
                             return false;
                         }
                     },
-                    "operators are heard");
+                    "the management server accepts");
         }
         String body = "x".repeat(100_000);
-        for (int i = 0; i < most; i++) {
+        for (int i = 0; i < maxDescriptors; i++) {
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
             open.add(socket);
-            // Some have a long body, each of which needs a file, for as long as there are any.
+            // Every fourth has a long body, which needs a spill file while permits are available.
             send(
                     socket,
                     request(
@@ -722,73 +728,73 @@
                             "X-Timeout-Ms: 50000\r\n",
                             i % 4 == 0 ? body : "body"));
         }
-        CountDownLatch crowd = new CountDownLatch(2 * most);
+        CountDownLatch idleClients = new CountDownLatch(2 * maxDescriptors);
         List<Socket> idle = new CopyOnWriteArrayList<>();
         open.add(() -> idle.forEach(Sockets::close));
         Sockets.start(
-                "crowd",
+                "idle clients",
                 () -> {
                     try {
                         while (true) {
                             idle.add(new Socket(InetAddress.getLoopbackAddress(), port));
-                            crowd.countDown();
+                            idleClients.countDown();
                             Thread.sleep(10);
                         }
                     } catch (IOException | InterruptedException e) {
                         // The test is over.
                     }
                 });
-        assertTrue(crowd.await(60, TimeUnit.SECONDS), "so many have come while discovery was down");
-        int filled = descriptors(process);
-        places[2].close();
-        CountDownLatch told = new CountDownLatch(1);
-        discovery(
-                discovery,
+        assertTrue(idleClients.await(60, TimeUnit.SECONDS), "the idle clients connected while discovery was down");
+        int descriptorsInUse = openDescriptors(process);
+        reservations[2].close();
+        CountDownLatch listSent = new CountDownLatch(1);
+        startDiscovery(
+                discoveryPort,
                 socket -> {
-                    send(socket, HEAD + list(2, true, hangs.host("b0"), fresh.host("b1")) + "\n");
-                    told.countDown();
-                    hold();
+                    send(socket, HEAD + list(2, true, hanging.host("b0"), responsive.host("b1")) + "\n");
+                    listSent.countDown();
+                    keepOpen();
                 });
-        assertTrue(told.await(20, TimeUnit.SECONDS), "the watch has its socket, beside " + filled);
+        assertTrue(listSent.await(20, TimeUnit.SECONDS), "the watch got a socket; open descriptors: " + descriptorsInUse);
         answer.countDown();
-        sometime(
+        eventuallyWithin30Seconds(
                 () -> {
                     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                         socket.setSoTimeout(8_000);
                         send(socket, request("read", "r" + System.nanoTime(), "", ""));
                         return status(receive(socket)) == 200;
                     } catch (IOException e) {
-                        // Closed unread, as may be while all places are taken.
+                        // May be closed unread while all connections are in use.
                         return false;
                     }
                 },
-                "an attempt has its socket");
-        assertTrue(filled > most / 2, "filled: " + filled);
+                "an attempt got a socket");
+        assertTrue(descriptorsInUse > maxDescriptors / 2, "open descriptors: " + descriptorsInUse);
         assertFalse(
                 Files.readString(output).contains("Too many open files"),
-                "within what it may hold");
+                "the proxy stays within its descriptor limit");
     }
 
-    // Gone
+    // Removed and draining backends
 
     @Example
-    void whatAWholeListDoesNotNameGetsNothingMoreAlsoWhereItStillAnswers() throws Exception {
+    void backendMissingFromACompleteListGetsNoMoreRequests() throws Exception {
         String failed = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n";
-        StandIn gone = new StandIn(request -> OK);
-        StandIn stays = new StandIn(request -> OK);
-        CountDownLatch tell = new CountDownLatch(1);
+        StandIn removed = new StandIn(request -> OK);
+        StandIn remaining = new StandIn(request -> OK);
+        CountDownLatch sendNewList = new CountDownLatch(1);
         ServerSocket server =
-                discovery(
+                startDiscovery(
                         0,
                         socket -> {
                             send(
                                     socket,
                                     HEAD
-                                            + list(2, true, gone.host("gone"), stays.host("stays"))
+                                            + list(2, true, removed.host("gone"), remaining.host("stays"))
                                             + "\n");
-                            tell.await();
-                            send(socket, list(3, true, stays.host("stays")) + "\n");
-                            hold();
+                            sendNewList.await();
+                            send(socket, list(3, true, remaining.host("stays")) + "\n");
+                            keepOpen();
                         });
         proxy =
                 new Proxy(
@@ -797,61 +803,62 @@
                                                 256,
                                                 server.getLocalPort(),
                                                 "",
-                                                gone.host("gone"),
-                                                stays.host("stays"))
+                                                removed.host("gone"),
+                                                remaining.host("stays"))
                                         .replace("800000", "20000000")
                                         .replace("1500000", "20000000")));
         buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
-        String patient = "X-Timeout-Ms: 20000\r\n";
-        for (int i = 0; i < 20 || gone.requests.isEmpty(); i++) {
-            assertEquals(200, status(call(request("read", "a" + i, patient, ""))));
-            assertTrue(i < 1_000, "both are used at first");
+        String longTimeout = "X-Timeout-Ms: 20000\r\n";
+        for (int i = 0; i < 20 || removed.requests.isEmpty(); i++) {
+            assertEquals(200, status(call(request("read", "a" + i, longTimeout, ""))));
+            assertTrue(i < 1_000, "both backends are used at first");
         }
         CountDownLatch answer = new CountDownLatch(1);
-        // An attempt that is out as the list comes, and fails after it: its repeat goes elsewhere.
-        gone.play =
+        // An attempt that is in progress when the list arrives and fails later: its retry goes to the
+        // remaining backend.
+        removed.play =
                 request -> {
                     answer.await(60, TimeUnit.SECONDS);
                     return failed;
                 };
-        for (int i = 1; gone.requests.stream().noneMatch(r -> r.get(0).contains("/once")); i++) {
-            assertTrue(i < 100, "one is out there");
-            send(connect(), request("once", "w" + i, patient, "body"));
+        for (int i = 1; removed.requests.stream().noneMatch(r -> r.get(0).contains("/once")); i++) {
+            assertTrue(i < 100, "an attempt is in progress at the removed backend");
+            send(connect(), request("once", "w" + i, longTimeout, "body"));
             int sent = i;
             eventually(
                     () ->
-                            Stream.of(gone, stays)
+                            Stream.of(removed, remaining)
                                             .flatMap(b -> b.requests.stream())
                                             .filter(r -> r.get(0).contains("/once"))
                                             .count()
                                     == sent,
                     "sent");
         }
-        tell.countDown();
-        sometime(
+        sendNewList.countDown();
+        eventuallyWithin30Seconds(
                 () -> {
-                    // As long as the list is on its way, some may still go there and get no answer.
-                    int before = gone.requests.size();
+                    // Until the list is applied, requests may still go to the removed backend and time out.
+                    int before = removed.requests.size();
                     boolean all = true;
                     for (int i = 0; i < 20 && all; i++) {
                         String id = "p" + System.nanoTime();
                         all = status(call(request("read", id, "X-Timeout-Ms: 300\r\n", ""))) == 200;
                     }
-                    return all && gone.requests.size() == before;
+                    return all && removed.requests.size() == before;
                 },
-                "it is told");
-        int before = gone.requests.size();
-        gone.play = request -> OK;
+                "the new list is applied");
+        int before = removed.requests.size();
+        removed.play = request -> OK;
         answer.countDown();
         for (int i = 0; i < 100; i++) {
-            assertEquals(200, status(call(request("read", "z" + i, patient, ""))));
+            assertEquals(200, status(call(request("read", "z" + i, longTimeout, ""))));
         }
-        assertEquals(before, gone.requests.size());
+        assertEquals(before, removed.requests.size());
     }
 
     @Example
-    void thatABackendDrainsIsTakenAlsoFromAnOddEntry() throws Exception {
-        Map<String, String> odd =
+    void drainingIsAcceptedFromAnEntryWithAnInvalidField() throws Exception {
+        Map<String, String> invalidValues =
                 Map.of(
                         "\"share\":1.0",
                         "\"share\":\"much\"",
@@ -861,14 +868,14 @@
                         "\"born_ms\":0.5",
                         "\"block\":0",
                         "\"block\":0.5");
-        EndpointListParser directory =
+        EndpointListParser parser =
                 new EndpointListParser(
                         new RateLimitedLog(System.getLogger("test")), List.of("z"), List.of("k"));
-        for (Map.Entry<String, String> field : odd.entrySet()) {
+        for (Map.Entry<String, String> field : invalidValues.entrySet()) {
             for (String health : List.of("leaving", "left", "active")) {
                 String text = entry("b", health).replace(field.getKey(), field.getValue());
                 List<EndpointList.Entry> entries =
-                        directory.parse(JsonReader.read(list(2, false, text))).entries();
+                        parser.parse(JsonReader.read(list(2, false, text))).entries();
                 assertEquals(health.equals("active") ? 0 : 1, entries.size(), text);
                 assertTrue(
                         entries.stream()
@@ -883,23 +890,26 @@
         }
     }
 
-    /** Its connection comes up only after the list: a dial that was on its way carries nothing. */
+    /**
+     * The connection to the removed backend is established only after the list has arrived: nothing may
+     * be sent on it.
+     */
     @Example
-    void whatWaitsInADialAsTheListLeavesItsBackendOutIsSentElsewhere() throws Exception {
-        ServerSocket gone = full();
-        StandIn stays = new StandIn(request -> OK);
-        CountDownLatch tell = new CountDownLatch(1);
+    void requestWaitingForAConnectIsSentElsewhereWhenItsBackendIsRemoved() throws Exception {
+        ServerSocket removed = listenWithFullBacklog();
+        StandIn remaining = new StandIn(request -> OK);
+        CountDownLatch sendNewList = new CountDownLatch(1);
         ServerSocket server =
-                discovery(
+                startDiscovery(
                         0,
                         socket -> {
-                            tell.await();
-                            send(socket, HEAD + list(3, true, stays.host("stays")) + "\n");
-                            hold();
+                            sendNewList.await();
+                            send(socket, HEAD + list(3, true, remaining.host("stays")) + "\n");
+                            keepOpen();
                         });
         String host =
-                stays.host("gone")
-                        .replace(":" + stays.server.getLocalPort(), ":" + gone.getLocalPort());
+                remaining.host("gone")
+                        .replace(":" + remaining.server.getLocalPort(), ":" + removed.getLocalPort());
         proxy =
                 new Proxy(
                         config(
@@ -920,29 +930,29 @@
                                                         .matches(
                                                                 "(?s).*NioSocketImpl."
                                                                     + "connect.*BackendConnection.run.*")),
-                "it dials");
-        tell.countDown();
+                "a connect is pending");
+        sendNewList.countDown();
         eventually(
                 () -> status(call(request("read", "p" + System.nanoTime(), "", ""))) == 200,
-                "it is told");
-        // Now the dial comes up.
+                "the new list is applied");
+        // Now the pending connect succeeds.
         AtomicInteger bytes = new AtomicInteger();
         Sockets.start(
-                "gone",
+                "removed backend",
                 () -> {
                     try {
                         while (true) {
-                            Socket up = gone.accept();
-                            open.add(up);
+                            Socket accepted = removed.accept();
+                            open.add(accepted);
                             Sockets.start(
-                                    "gone connection",
+                                    "removed backend connection",
                                     () -> {
                                         try {
-                                            while (up.getInputStream().read() >= 0) {
+                                            while (accepted.getInputStream().read() >= 0) {
                                                 bytes.incrementAndGet();
                                             }
                                         } catch (IOException e) {
-                                            // It has ended.
+                                            // The connection has ended.
                                         }
                                     });
                         }
@@ -951,7 +961,7 @@
                     }
                 });
         assertEquals(200, status(receive(socket)));
-        assertEquals(0, bytes.get(), "bytes that one has read that was gone");
-        assertEquals(1, stays.requests.stream().filter(r -> r.get(0).contains("/once")).count());
+        assertEquals(0, bytes.get(), "bytes received by the removed backend");
+        assertEquals(1, remaining.requests.stream().filter(r -> r.get(0).contains("/once")).count());
     }
 }
--- a/src/test/java/cottonlock/proxy/concurrent/MailboxTest.java
+++ b/src/test/java/cottonlock/proxy/concurrent/MailboxTest.java
@@ -11,48 +11,48 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Mailboxes: there is one for each listed backend, of which most never hold a message. */
+/** The proxy has a mailbox for each listed backend, most of which never receive a message. */
 class MailboxTest {
-    private static final int MOST = 4_096;
+    private static final int CAPACITY = 4_096;
 
     /**
-     * Bytes: a queue, its locks and conditions; a place for each of its messages alone would be
-     * 16,384.
+     * Enough for a queue with its locks and conditions; preallocated slots for the messages would
+     * take 16,384 bytes alone.
      */
-    private static final long FEW = 2_048;
+    private static final long MAX_EMPTY_BYTES = 2_048;
 
     private final RateLimitedLog log = new RateLimitedLog(System.getLogger("cottonlock.test"));
 
     @Example
-    void anEmptyOneTakesNoMemoryForWhatItMayHold() {
+    void emptyMailboxAllocatesNoMemoryForMessages() {
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-        long me = Thread.currentThread().getId();
-        List<Mailbox> kept = new ArrayList<>(1_100);
+        long threadId = Thread.currentThread().getId();
+        List<Mailbox> mailboxes = new ArrayList<>(1_100);
         for (int i = 0; i < 100; i++) {
-            kept.add(new Mailbox(MOST, log));
+            mailboxes.add(new Mailbox(CAPACITY, log));
         }
-        long before = threads.getThreadAllocatedBytes(me);
+        long bytesBefore = threads.getThreadAllocatedBytes(threadId);
         for (int i = 0; i < 1_000; i++) {
-            kept.add(new Mailbox(MOST, log));
+            mailboxes.add(new Mailbox(CAPACITY, log));
         }
-        long each = (threads.getThreadAllocatedBytes(me) - before) / 1_000;
-        assertTrue(each < FEW, "a mailbox takes " + each + " bytes");
-        assertEquals(1_100, kept.size());
+        long bytesEach = (threads.getThreadAllocatedBytes(threadId) - bytesBefore) / 1_000;
+        assertTrue(bytesEach < MAX_EMPTY_BYTES, "a mailbox takes " + bytesEach + " bytes");
+        assertEquals(1_100, mailboxes.size());
     }
 
     @Example
-    void itHoldsSoManyInOrderAndNoMore() throws InterruptedException {
+    void mailboxHoldsMessagesInOrderUpToItsCapacity() throws InterruptedException {
         Mailbox mailbox = new Mailbox(3, log);
-        List<Integer> seen = new ArrayList<>();
+        List<Integer> numbers = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             int number = i;
-            assertTrue(mailbox.offer(() -> seen.add(number)));
+            assertTrue(mailbox.offer(() -> numbers.add(number)));
         }
-        assertFalse(mailbox.offer(() -> seen.add(99)));
+        assertFalse(mailbox.offer(() -> numbers.add(99)));
         mailbox.runNext(0);
-        assertEquals(List.of(0), seen);
-        assertTrue(mailbox.offer(() -> seen.add(3)));
+        assertEquals(List.of(0), numbers);
+        assertTrue(mailbox.offer(() -> numbers.add(3)));
         mailbox.drain();
-        assertEquals(List.of(0, 1, 2, 3), seen);
+        assertEquals(List.of(0, 1, 2, 3), numbers);
     }
 }
--- a/src/test/java/cottonlock/proxy/control/ConfigurationVersionParserTest.java
+++ b/src/test/java/cottonlock/proxy/control/ConfigurationVersionParserTest.java
@@ -11,7 +11,7 @@
 import cottonlock.setup.Settings;
 import net.jqwik.api.Example;
 
-/** What is a version, and which can be used: told apart by its bytes and the base alone. */
+/** Parsing and validation of versions, which depend only on the message and the base. */
 class ConfigurationVersionParserTest {
     static final String SETTINGS =
             "{\"Categories\":[{\"Name\":\"read\",\"DueTime\":800000,"
@@ -47,45 +47,45 @@
     }
 
     @Example
-    void aWholeVersionIsRead() {
-        ConfigurationVersionMessage line = ConfigurationVersionParser.parse(line(SETTINGS));
-        assertEquals("43." + ControlMachine.digest(SETTINGS), line.version().toString());
-        assertEquals(3, validated(line, base(SETTINGS)).count("Limits.MaxHandOffs", 0));
-        ConfigurationVersionMessage number =
+    void completeVersionIsParsed() {
+        ConfigurationVersionMessage complete = ConfigurationVersionParser.parse(line(SETTINGS));
+        assertEquals("43." + ControlMachine.digest(SETTINGS), complete.version().toString());
+        assertEquals(3, validated(complete, base(SETTINGS)).count("Limits.MaxHandOffs", 0));
+        ConfigurationVersionMessage announcement =
                 ConfigurationVersionParser.parse("{\"seq\":43,\"digest\":\"00000000000000ff\"}");
-        assertTrue(number.content().isEmpty());
-        assertEquals(255, number.version().digest());
+        assertTrue(announcement.content().isEmpty());
+        assertEquals(255, announcement.version().digest());
         assertEquals(
-                0x2cf24dba5fb0a30eL, ConfigurationVersionDigest.of("hello"), "as sha256sum has it");
+                0x2cf24dba5fb0a30eL, ConfigurationVersionDigest.of("hello"), "the first 8 bytes that sha256sum prints");
     }
 
     @Example
-    void whatIsNoWholeVersionIsTheFaultOfWhoTellsIt() {
-        String whole = line(SETTINGS);
-        for (String bad :
+    void malformedOrDamagedMessagesAreRejected() {
+        String complete = line(SETTINGS);
+        for (String malformed :
                 new String[] {
                     "",
                     "[]",
                     "{}",
-                    whole.substring(0, whole.length() / 2),
-                    whole.replace("1500000", "2500000"),
-                    whole.replace("\"seq\":43", "\"seq\":-1"),
-                    whole.replace("\"seq\":43", "\"seq\":9007199254740993"),
-                    whole.replace("\"base\"", "\"bas\""),
-                    whole.replace("\"digest\":\"", "\"digest\":\"x"),
+                    complete.substring(0, complete.length() / 2),
+                    complete.replace("1500000", "2500000"),
+                    complete.replace("\"seq\":43", "\"seq\":-1"),
+                    complete.replace("\"seq\":43", "\"seq\":9007199254740993"),
+                    complete.replace("\"base\"", "\"bas\""),
+                    complete.replace("\"digest\":\"", "\"digest\":\"x"),
                     line(43, "0123456789abcdef", "x", SETTINGS),
                     "{\"seq\":43,\"digest\":\"0123456789abcdef\",\"settings\":{}}"
                 }) {
             assertThrows(
                     InvalidSettingsException.class,
-                    () -> ConfigurationVersionParser.parse(bad),
-                    bad);
+                    () -> ConfigurationVersionParser.parse(malformed),
+                    malformed);
         }
     }
 
     @Example
-    void aVersionThatCannotBeUsedIsRefusedWithItsFault() {
-        String[][] bad = {
+    void unusableVersionIsRejectedWithItsFault() {
+        String[][] settingsAndFaults = {
             {"{\"Categories\":[", "its settings are not JSON"},
             {"[]", "its settings are not a JSON object"},
             {
@@ -114,38 +114,38 @@
                 "but it names " + base(SETTINGS) + " as its base"
             },
         };
-        for (String[] one : bad) {
+        for (String[] settingsAndFault : settingsAndFaults) {
             InvalidSettingsException fault =
                     assertThrows(
                             InvalidSettingsException.class,
                             () ->
                                     validated(
-                                            ConfigurationVersionParser.parse(line(one[0])),
+                                            ConfigurationVersionParser.parse(line(settingsAndFault[0])),
                                             base(SETTINGS)),
-                            one[0]);
-            assertTrue(fault.getMessage().contains(one[1]), fault.getMessage());
+                            settingsAndFault[0]);
+            assertTrue(fault.getMessage().contains(settingsAndFault[1]), fault.getMessage());
         }
-        String others = SETTINGS.replace("\"z\"", "\"z\",\"y\"");
-        ConfigurationVersionMessage onOthers =
+        String otherSettings = SETTINGS.replace("\"z\"", "\"z\",\"y\"");
+        ConfigurationVersionMessage onOtherBase =
                 ConfigurationVersionParser.parse(
-                        line(43, ControlMachine.digest(others), base(others), others));
+                        line(43, ControlMachine.digest(otherSettings), base(otherSettings), otherSettings));
         InvalidSettingsException fault =
                 assertThrows(
-                        InvalidSettingsException.class, () -> validated(onOthers, base(SETTINGS)));
+                        InvalidSettingsException.class, () -> validated(onOtherBase, base(SETTINGS)));
         assertTrue(
                 fault.getMessage().contains("for which a new process is needed"),
                 fault.getMessage());
-        assertEquals(1, validated(onOthers, base(others)).count("Categories.count", 0));
+        assertEquals(1, validated(onOtherBase, base(otherSettings)).count("Categories.count", 0));
     }
 
     @Example
-    void theBaseIsAllThatAProcessCannotFollow() {
+    void baseIsTheSettingsThatARunningProcessCannotChange() {
         assertEquals(
                 base(SETTINGS), base(SETTINGS.replace("\"read\"", "\"look\"").replace(":3", ":5")));
         assertEquals(
                 base(SETTINGS),
                 base(SETTINGS.replace("\"Limits\"", "\"Me\":3,\"FleetSize\":9,\"Limits\"")),
-                "a process's own are none of it");
+                "settings of a single process are not part of the base");
         assertTrue(!base(SETTINGS).equals(base(SETTINGS.replace("MaxHandOffs", "MaxHandOff"))));
     }
 }
--- a/src/test/java/cottonlock/proxy/control/StoredFilesTest.java
+++ b/src/test/java/cottonlock/proxy/control/StoredFilesTest.java
@@ -25,22 +25,22 @@
 import net.jqwik.api.Example;
 
 /**
- * The stored files as commit 7f2d4cc wrote them, in src/test/resources/stored: they are read with
- * the same result, and the same changes write the same bytes.
+ * Guards the formats of stored files. The files in src/test/resources/stored were written by commit
+ * 7f2d4cc: they must be read with the same result, and the same changes must write the same bytes.
  */
 class StoredFilesTest {
-    /** When backend "two" came back in the recorded file of bans. */
+    /** When backend "two" returned to service, according to the recorded file of ejections. */
     private static final long RECORDED_RETURN_TICKS = 17_962_910_391_478L;
 
-    /** How long a return counts, in ticks. */
-    private static final long RETURN_COUNTS_TICKS = 3_000_000;
+    /** How long a return to service is kept. */
+    private static final long RETURN_RETENTION_TICKS = 3_000_000;
 
     private static final String SETTINGS =
             "{\"Categories\":[{\"Name\":\"read\",\"DueTime\":800000,"
                     + "\"Expiry\":1500000,\"Repeat\":\"safe\"}],"
                     + "\"Zones\":[\"z\"],\"Limits\":{\"MaxHandOffs\":3}}";
 
-    /** What the recorded version 43 holds; 44 holds SETTINGS again. */
+    /** The content of the recorded version 43; that of version 44 is SETTINGS. */
     private static final String CHANGED_SETTINGS =
             SETTINGS.replace("\"read\"", "\"read\u00e9\"").replace(":3", ":5");
 
@@ -58,7 +58,7 @@
         return Files.createTempDirectory("stored");
     }
 
-    /** A folder in which the file of that name holds what was recorded. */
+    /** A folder with a file of that name, which is a copy of a recorded file. */
     private static Path folder(String name, String recordedAs) throws IOException {
         Path folder = folder();
         write(folder.resolve(name), recorded(recordedAs));
@@ -83,39 +83,39 @@
     }
 
     @Example
-    void recordedBansAreInForce() throws Exception {
-        ManualEjections read =
+    void recordedEjectionsAreInForce() throws Exception {
+        ManualEjections ejections =
                 ejections(
                         folder("cottonlock-p.bans", "cottonlock-p.bans"),
                         RECORDED_RETURN_TICKS + 1);
         for (String id : List.of("one", "three", "four-5.6")) {
-            assertTrue(read.isEjected(id), id);
-            assertEquals(Endpoint.State.DRAINING, read.effective(listed(id)).state(), id);
+            assertTrue(ejections.isEjected(id), id);
+            assertEquals(Endpoint.State.DRAINING, ejections.effective(listed(id)).state(), id);
         }
-        assertFalse(read.isEjected("two"));
-        assertEquals(RECORDED_RETURN_TICKS, read.effective(listed("two")).startedAtTicks());
-        assertEquals(listed("other"), read.effective(listed("other")));
+        assertFalse(ejections.isEjected("two"));
+        assertEquals(RECORDED_RETURN_TICKS, ejections.effective(listed("two")).startedAtTicks());
+        assertEquals(listed("other"), ejections.effective(listed("other")));
     }
 
     @Example
-    void aRecordedReturnIsForgottenWhenItIsOld() throws Exception {
-        ManualEjections read =
+    void oldRecordedReturnIsIgnored() throws Exception {
+        ManualEjections ejections =
                 ejections(
                         folder("cottonlock-p.bans", "cottonlock-p.bans"),
-                        RECORDED_RETURN_TICKS + RETURN_COUNTS_TICKS);
-        assertEquals(listed("two"), read.effective(listed("two")));
-        assertTrue(read.isEjected("one"), "bans do not age");
+                        RECORDED_RETURN_TICKS + RETURN_RETENTION_TICKS);
+        assertEquals(listed("two"), ejections.effective(listed("two")));
+        assertTrue(ejections.isEjected("one"), "ejections do not expire");
     }
 
     @Example
-    void bansAreWrittenAsRecorded() throws Exception {
+    void ejectionsAreWrittenAsRecorded() throws Exception {
         Path folder = folder();
-        ManualEjections written = ejections(folder, RECORDED_RETURN_TICKS);
-        written.setEjected("one", true);
-        written.setEjected("two", true);
-        written.setEjected("three", true);
-        written.setEjected("two", false);
-        written.setEjected("four-5.6", true);
+        ManualEjections ejections = ejections(folder, RECORDED_RETURN_TICKS);
+        ejections.setEjected("one", true);
+        ejections.setEjected("two", true);
+        ejections.setEjected("three", true);
+        ejections.setEjected("two", false);
+        ejections.setEjected("four-5.6", true);
         assertEquals(recorded("cottonlock-p.bans"), text(folder.resolve("cottonlock-p.bans")));
     }
 
@@ -123,12 +123,12 @@
         return ProxyConfiguration.settings((JsonObject) JsonReader.read(json));
     }
 
-    private RolloutActor actor(Path folder, List<String> control, Consumer<Settings> takeIn) {
-        RolloutConfig plan = new RolloutConfig("s", control, List.of(), 4_000, 40_000, 10_000);
+    private RolloutActor actor(Path folder, List<String> control, Consumer<Settings> settingsConsumer) {
+        RolloutConfig config = new RolloutConfig("s", control, List.of(), 4_000, 40_000, 10_000);
         return new RolloutActor(
-                plan,
+                config,
                 settings(SETTINGS),
-                takeIn,
+                settingsConsumer,
                 new SharedFile(folder, "p", "configuration", log),
                 new TickClock(),
                 new SplittableRandom(1),
@@ -136,30 +136,30 @@
     }
 
     @Example
-    void aRecordedVersionIsTakenInBeforeTheProxyServes() throws Exception {
+    void recordedVersionIsAppliedBeforeTheProxyServes() throws Exception {
         Path folder = folder("cottonlock-p.configuration", "cottonlock-p.configuration-43");
-        List<Settings> taken = new ArrayList<>();
-        RolloutActor actor = actor(folder, List.of("127.0.0.1:1"), taken::add);
+        List<Settings> applied = new ArrayList<>();
+        RolloutActor actor = actor(folder, List.of("127.0.0.1:1"), applied::add);
         actor.begin();
-        assertEquals(1, taken.size());
-        assertEquals(settings(CHANGED_SETTINGS).sortedByPath(), taken.get(0).sortedByPath());
-        String figures = actor.metrics();
-        assertTrue(figures.contains("\"configuration_version\":43,"), figures);
-        assertTrue(figures.contains("\"configuration_digest\":\"4337fe8a26bf922b\""), figures);
-        assertTrue(figures.contains("\"configuration_base\":\"" + BASE + '"'), figures);
+        assertEquals(1, applied.size());
+        assertEquals(settings(CHANGED_SETTINGS).sortedByPath(), applied.get(0).sortedByPath());
+        String metrics = actor.metrics();
+        assertTrue(metrics.contains("\"configuration_version\":43,"), metrics);
+        assertTrue(metrics.contains("\"configuration_digest\":\"4337fe8a26bf922b\""), metrics);
+        assertTrue(metrics.contains("\"configuration_base\":\"" + BASE + '"'), metrics);
         assertEquals(
                 recorded("cottonlock-p.configuration-43"),
                 text(folder.resolve("cottonlock-p.configuration")));
     }
 
-    /** Follows one control machine until that version is in force. */
-    private static void follow(RolloutActor actor, long version) throws Exception {
+    /** Runs the actor until that version is in force. */
+    private static void runUntilInForce(RolloutActor actor, long version) throws Exception {
         Thread thread = new Thread(actor);
         thread.setDaemon(true);
         thread.start();
-        long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         while (!actor.metrics().contains("\"configuration_version\":" + version + ",")) {
-            assertTrue(System.nanoTime() < untilNanos, actor.metrics());
+            assertTrue(System.nanoTime() < deadlineNanos, actor.metrics());
             Thread.sleep(5);
         }
         actor.close();
@@ -171,38 +171,38 @@
     void versionsAndAttemptsAreWrittenAsRecorded() throws Exception {
         Path folder = folder();
         Path file = folder.resolve("cottonlock-p.configuration");
-        List<String> whileTaken = new ArrayList<>();
-        Consumer<Settings> takeIn =
+        List<String> contentsWhileApplying = new ArrayList<>();
+        Consumer<Settings> settingsConsumer =
                 settings -> {
                     try {
-                        whileTaken.add(text(file));
+                        contentsWhileApplying.add(text(file));
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
                 };
         try (ControlMachine control = new ControlMachine(200)) {
             control.publish("s", 43, BASE, CHANGED_SETTINGS);
-            RolloutActor first = actor(folder, List.of(control.address()), takeIn);
+            RolloutActor first = actor(folder, List.of(control.address()), settingsConsumer);
             first.begin();
-            follow(first, 43);
+            runUntilInForce(first, 43);
             assertEquals(recorded("cottonlock-p.configuration-43"), text(file));
             control.publish("s", 44, BASE, SETTINGS);
-            RolloutActor second = actor(folder, List.of(control.address()), takeIn);
+            RolloutActor second = actor(folder, List.of(control.address()), settingsConsumer);
             second.begin();
-            follow(second, 44);
+            runUntilInForce(second, 44);
         }
         assertEquals(recorded("cottonlock-p.configuration-44"), text(file));
-        assertEquals(recorded("cottonlock-p.configuration-attempt-at-43"), whileTaken.get(0));
-        assertEquals(3, whileTaken.size(), "43, the kept 43 and 44");
-        assertEquals(recorded("cottonlock-p.configuration-attempt-at-44"), whileTaken.get(2));
+        assertEquals(recorded("cottonlock-p.configuration-attempt-at-43"), contentsWhileApplying.get(0));
+        assertEquals(3, contentsWhileApplying.size(), "43, the stored 43 and 44");
+        assertEquals(recorded("cottonlock-p.configuration-attempt-at-44"), contentsWhileApplying.get(2));
     }
 
     @Example
-    void aRecordedAttemptIsCounted() throws Exception {
+    void recordedAttemptIsCounted() throws Exception {
         Path folder =
                 folder("cottonlock-p.configuration", "cottonlock-p.configuration-attempt-at-44");
         Path file = folder.resolve("cottonlock-p.configuration");
-        List<String> whileTaken = new ArrayList<>();
+        List<String> contentsWhileApplying = new ArrayList<>();
         try (ControlMachine control = new ControlMachine(200)) {
             control.publish("s", 44, BASE, SETTINGS);
             RolloutActor actor =
@@ -211,25 +211,25 @@
                             List.of(control.address()),
                             settings -> {
                                 try {
-                                    whileTaken.add(text(file));
+                                    contentsWhileApplying.add(text(file));
                                 } catch (IOException e) {
                                     throw new IllegalStateException(e);
                                 }
                             });
             actor.begin();
-            follow(actor, 44);
+            runUntilInForce(actor, 44);
         }
-        assertTrue(whileTaken.get(1).endsWith("tries 44.6ec5d9e9794c3bf6 2\n"), whileTaken.get(1));
+        assertTrue(contentsWhileApplying.get(1).endsWith("tries 44.6ec5d9e9794c3bf6 2\n"), contentsWhileApplying.get(1));
     }
 
     @Example
-    void aRecordedHandOverOfAProcessThatIsGoneReplacesNobody() throws Exception {
+    void recordedHandoverOfADeadProcessIsIgnored() throws Exception {
         Path folder = folder("cottonlock-p.serving", "cottonlock-p.serving");
         assertFalse(new ProcessHandover(new SharedFile(folder, "p", "serving", log)).isReplaced());
     }
 
     @Example
-    void aHandOverIsReadAndWrittenAsRecorded() throws Exception {
+    void handoverIsReadAndWrittenAsRecorded() throws Exception {
         String recorded = recorded("cottonlock-p.serving");
         assertEquals("cottonlock serving 1\n31682 2026-12-03T09:43:58.410Z\n", recorded);
         Path folder = folder();
@@ -241,14 +241,14 @@
         Process other = new ProcessBuilder("sleep", "60").start();
         try {
             write(file, asRecorded(recorded, other.toHandle()));
-            assertTrue(handover.isReplaced(), "by a living one");
+            assertTrue(handover.isReplaced(), "replaced by a running process");
         } finally {
             other.destroyForcibly().waitFor();
         }
-        assertFalse(handover.isReplaced(), "by a dead one");
+        assertFalse(handover.isReplaced(), "not replaced by a dead process");
     }
 
-    /** The recorded text with another process's number and start. */
+    /** The recorded text with the ID and start time of another process. */
     private static String asRecorded(String recorded, ProcessHandle process) {
         return recorded.replace("31682", Long.toString(process.pid()))
                 .replace(
