--- a/src/main/java/cottonlock/proxy/http/MessageBody.java
+++ b/src/main/java/cottonlock/proxy/http/MessageBody.java
@@ -56,7 +56,8 @@
         while (added < count && bufferedBytes < MAX_BUFFERED_BYTES) {
             int used = bufferedBytes % BufferPool.SIZE;
             if (used == 0) {
-                // Waits for the first buffer; takes further ones only if there are spare buffers.
+                // Waits for the first buffer, and for each if there are no spill files; otherwise
+                // takes only spare buffers.
                 boolean mayWait = parts.isEmpty() || files == null;
                 byte[] part = mayWait ? buffers.take() : buffers.takeSpare();
                 if (part == null) {
