--- a/src/main/java/cottonlock/proxy/BackendActor.java
+++ b/src/main/java/cottonlock/proxy/BackendActor.java
@@ -176,7 +176,7 @@
         permits.register(this);
         try {
             while (!closing || !connections.isEmpty() || !waitingAttempts.isEmpty()) {
-                mailbox.next(
+                mailbox.runNext(
                         waitingAttempts.isEmpty()
                                 ? IDLE_CHECK_MICROS
                                 : nanosUntilSettled() / 1_000);
--- a/src/main/java/cottonlock/proxy/ClientConnection.java
+++ b/src/main/java/cottonlock/proxy/ClientConnection.java
@@ -275,7 +275,7 @@
             head = reader.readRequestHead();
             boolean isHealthCheck = head.target().equals("/_health");
             validated = isHealthCheck ? null : validator.validate(head);
-            if (head.lists("Expect", "100-continue")) {
+            if (head.hasListElement("Expect", "100-continue")) {
                 watchdog.write(socket, out -> out.write(CONTINUE_RESPONSE));
             }
             reader.setPacing(READ_TIMEOUT_MILLIS, MIN_BODY_BYTES_PER_SECOND);
@@ -346,7 +346,7 @@
                 e.getMessage() + ", from " + socket.getInetAddress().getHostAddress());
         // The text names the fault of this request only, never what other clients have sent or may
         // send.
-        watchdog.write(socket, out -> writer.writeRefusal(out, e.status(), e.getMessage()));
+        watchdog.write(socket, out -> writer.writeErrorResponse(out, e.status(), e.getMessage()));
         socket.shutdownOutput();
         // Closing the connection with unread input would discard the response.
         reader.setTimeout(REFUSAL_LINGER_MILLIS);
@@ -432,7 +432,7 @@
                         // these buffers.
                         firstPart.release();
                         remainder.setPacing(
-                                RELAY_PAUSE_MILLIS, HttpReader.ANY_RATE_BYTES_PER_SECOND);
+                                RELAY_PAUSE_MILLIS, HttpReader.NEGLIGIBLE_RATE_BYTES_PER_SECOND);
                         remainder.relayBody(
                                 (bytes, offset, count) ->
                                         writer.writeRelayed(out, chunked, bytes, offset, count));
--- a/src/main/java/cottonlock/proxy/ClientRequest.java
+++ b/src/main/java/cottonlock/proxy/ClientRequest.java
@@ -98,7 +98,7 @@
         this.client = client;
         this.method = head.method();
         this.target = head.target();
-        this.contentType = head.only("Content-Type");
+        this.contentType = head.singleValue("Content-Type");
         this.requestId = validated.id();
         this.idempotencyKey = validated.idempotencyKey();
         this.body = body;
@@ -106,7 +106,7 @@
         this.requestClassName = validated.requestClassName();
         this.tenant = validated.tenant();
         this.tenantName = validated.tenantName();
-        this.retried = "1".equals(head.only("X-Retried"));
+        this.retried = "1".equals(head.singleValue("X-Retried"));
         this.acceptsChunked = head.requestVersion().equals("HTTP/1.1");
         this.deadlineTicks = deadlineTicks;
     }
--- a/src/main/java/cottonlock/proxy/LoadBalancerActor.java
+++ b/src/main/java/cottonlock/proxy/LoadBalancerActor.java
@@ -163,7 +163,7 @@
             while (true) {
                 lastProgressTicks = clock.now();
                 if (deferredEvents.isEmpty()) {
-                    mailbox.next(ticksUntilNextEvent() * 100);
+                    mailbox.runNext(ticksUntilNextEvent() * 100);
                 } else {
                     mailbox.guard(deferredEvents.poll());
                 }
--- a/src/main/java/cottonlock/proxy/RequestValidator.java
+++ b/src/main/java/cottonlock/proxy/RequestValidator.java
@@ -69,11 +69,11 @@
         if (!method.equals("GET") && !method.equals("POST")) {
             throw new MalformedMessageException(405, "neither GET nor POST");
         }
-        String requestId = head.only("X-Request-ID");
+        String requestId = head.singleValue("X-Request-ID");
         if (requestId == null || requestId.isEmpty()) {
             throw new MalformedMessageException(400, "no X-Request-ID");
         }
-        String classHeader = head.only("X-Priority-Class");
+        String classHeader = head.singleValue("X-Priority-Class");
         String target = head.target();
         int segmentEnd = 1;
         while (segmentEnd < target.length() && "/?#".indexOf(target.charAt(segmentEnd)) < 0) {
@@ -88,13 +88,13 @@
         if (classHeader != null && !pathClass.equals(classHeader)) {
             throw new MalformedMessageException(400, "the path and X-Priority-Class differ");
         }
-        String tenantName = head.only("X-Tenant-Id");
+        String tenantName = head.singleValue("X-Tenant-Id");
         int tenant = current.tenantNames.isEmpty() ? 0 : current.tenantNames.indexOf(tenantName);
         if (tenant < 0) {
             throw new MalformedMessageException(
                     400, tenantName == null ? "no X-Tenant-Id" : "unknown tenant in X-Tenant-Id");
         }
-        String idempotencyKey = head.only("Idempotency-Key");
+        String idempotencyKey = head.singleValue("Idempotency-Key");
         if (idempotencyKey == null
                 && current.requestClasses.get(requestClass).idempotency()
                         == RequestClass.Idempotency.WITH_KEY) {
@@ -102,7 +102,7 @@
             throw new MalformedMessageException(
                     400, "no Idempotency-Key, which this category needs");
         }
-        String timeoutHeader = head.only("X-Timeout-Ms");
+        String timeoutHeader = head.singleValue("X-Timeout-Ms");
         if (timeoutHeader == null || !MessageHeadParser.isDecimal(timeoutHeader)) {
             throw new MalformedMessageException(
                     400,
--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionStore.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionStore.java
@@ -8,49 +8,49 @@
 import java.util.List;
 
 /**
- * Stores the version in force for the proxy's next process, and attempts to apply versions: an
- * attempt whose process ended meanwhile stays recorded. Stored as lines, {@code version NUMBER
- * DIGEST BASE CONTENT}, with the content in Base64, and {@code tries VERSION COUNT}. Not
- * thread-safe, but other processes of the proxy may share the file.
+ * Stores the version in force for the proxy's next process, and the number of attempts to apply
+ * each version; an attempt during which the process ended stays recorded. Stored as lines, {@code
+ * version NUMBER DIGEST BASE CONTENT}, with the content in Base64, and {@code tries VERSION COUNT}.
+ * Not thread-safe, but other processes of the proxy may share the file.
  */
 final class ConfigurationVersionStore {
-    /** Attempts that ended their process, after which a version is rejected. */
+    /** A version is rejected after this many attempts during which the process ended. */
     static final int MAX_FATAL_ATTEMPTS = 3;
 
     private static final String SEPARATOR = " ";
-    private static final String VERSION = "version";
-    private static final int VERSION_WORDS = 5;
-    private static final String ATTEMPTS = "tries";
-    private static final int HEX = 16;
+    private static final String VERSION_KEYWORD = "version";
+    private static final int VERSION_WORD_COUNT = 5;
+    private static final String ATTEMPTS_KEYWORD = "tries";
+    private static final int HEX_RADIX = 16;
 
     private final SharedFile file;
     private final String base;
     private final RateLimitedLog log;
 
-    /** A store in that file, for a process of that base. */
+    /** A store in the given file, for a process with the given base. */
     ConfigurationVersionStore(SharedFile file, String base, RateLimitedLog log) {
         this.file = file;
         this.base = base;
         this.log = log;
     }
 
-    /** The stored version, of whatever base; null without one that is intact. */
+    /** The stored version, whose base may differ from this process's; null if none is intact. */
     ConfigurationVersionMessage load() {
         for (String line : file.read()) {
             List<String> words = List.of(line.split(SEPARATOR, 0));
             boolean isVersion =
-                    words.size() == VERSION_WORDS
-                            && words.get(0).equals(VERSION)
+                    words.size() == VERSION_WORD_COUNT
+                            && words.get(0).equals(VERSION_KEYWORD)
                             && Decimals.isUnsigned(words.get(1));
             if (isVersion) {
                 ConfigurationVersionMessage stored = parseIfIntact(words);
                 if (stored != null) {
                     return stored;
                 }
-                log.each(
+                log.logEach(
                         System.Logger.Level.WARNING,
                         "version",
-                        "the one kept by an earlier process is damaged, and passed over");
+                        "ignored the one stored by an earlier process, which is damaged");
             }
         }
         return null;
@@ -63,7 +63,7 @@
             ConfigurationVersion version =
                     new ConfigurationVersion(
                             Long.parseLong(words.get(1)),
-                            Long.parseUnsignedLong(words.get(2), HEX));
+                            Long.parseUnsignedLong(words.get(2), HEX_RADIX));
             return ConfigurationVersionDigest.of(settings) == version.digest()
                     ? ConfigurationVersionMessage.complete(version, words.get(3), settings)
                     : null;
@@ -73,11 +73,11 @@
     }
 
     /**
-     * Stores a version and drops all recorded attempts, unless another process of this proxy has
-     * stored a higher version of the same base.
+     * Stores a version and deletes all recorded attempts, unless another process of this proxy has
+     * stored a higher version with the same base.
      */
     void save(ConfigurationVersion version, ConfigurationVersionMessage.Content content) {
-        file.change(lines -> holdsHigherThan(version) ? lines : List.of(line(version, content)));
+        file.change(lines -> holdsHigherThan(version) ? lines : List.of(versionLine(version, content)));
     }
 
     private boolean holdsHigherThan(ConfigurationVersion version) {
@@ -87,12 +87,12 @@
                 && stored.version().compareTo(version) > 0;
     }
 
-    private static String line(
+    private static String versionLine(
             ConfigurationVersion version, ConfigurationVersionMessage.Content content) {
         byte[] settings = content.settings().getBytes(StandardCharsets.UTF_8);
         return String.join(
                 SEPARATOR,
-                VERSION,
+                VERSION_KEYWORD,
                 Long.toString(version.number()),
                 version.digestHex(),
                 content.base(),
@@ -102,7 +102,7 @@
     /**
      * Records that a version is about to be applied.
      *
-     * @return how many attempts are recorded now, this one included
+     * @return the number of recorded attempts, including this one
      */
     int recordAttempt(ConfigurationVersion version) {
         List<String> lines =
@@ -110,19 +110,19 @@
                         before -> {
                             List<String> after = new ArrayList<>(before);
                             after.removeIf(line -> isAttempt(line, version));
-                            after.add(attemptPrefix(version) + (attempts(before, version) + 1));
+                            after.add(attemptPrefix(version) + (attemptCount(before, version) + 1));
                             return after;
                         });
         return (int) recordedCount(lines.get(lines.size() - 1), version);
     }
 
-    /** Drops the recorded attempts at a version: it was applied, or rejected with its fault. */
+    /** Deletes the recorded attempts of a version that has been applied, or rejected as faulty. */
     void clearAttempts(ConfigurationVersion version) {
         file.change(lines -> lines.stream().filter(line -> !isAttempt(line, version)).toList());
     }
 
-    /** Each record counts up to the limit: more does not matter. */
-    private static long attempts(List<String> lines, ConfigurationVersion version) {
+    /** Each record counts up to the limit; a higher count makes no difference. */
+    private static long attemptCount(List<String> lines, ConfigurationVersion version) {
         return lines.stream()
                 .filter(line -> isAttempt(line, version))
                 .mapToLong(line -> Math.min(MAX_FATAL_ATTEMPTS, recordedCount(line, version)))
@@ -139,6 +139,6 @@
     }
 
     private static String attemptPrefix(ConfigurationVersion version) {
-        return ATTEMPTS + SEPARATOR + version + SEPARATOR;
+        return ATTEMPTS_KEYWORD + SEPARATOR + version + SEPARATOR;
     }
 }
--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionValidator.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionValidator.java
@@ -8,26 +8,26 @@
 import cottonlock.setup.Settings;
 
 /**
- * Validates a version's content. The verdict depends on the content and the base alone, which all
- * processes of a service share, so that all of them come to the same one.
+ * Validates a version's content. The verdict depends only on the content and the base, which all
+ * processes of a service share, so they all reach the same verdict.
  */
 final class ConfigurationVersionValidator {
-    private static final String REQUEST_CLASSES = "Categories.";
+    private static final String REQUEST_CLASSES_PREFIX = "Categories.";
 
     private ConfigurationVersionValidator() {}
 
     /**
-     * The settings of a version.
+     * Returns the settings of a valid version.
      *
      * @param processBase the base of this process, see {@link ConfigurationVersionDigest#ofBase}
-     * @throws InvalidSettingsException with the fault, for a version that no process of that base
-     *     can use
+     * @throws InvalidSettingsException with the fault, if no process of that base can use the
+     *     version
      */
     static Settings validate(ConfigurationVersionMessage.Content content, String processBase) {
-        JsonObject fields = object(content.settings());
+        JsonObject fields = parseObject(content.settings());
         for (String name : ConfigurationVersionDigest.PER_PROCESS_SETTINGS) {
             if (fields.has(name)) {
-                throw new InvalidSettingsException("settings." + name + " is each process's own");
+                throw new InvalidSettingsException("settings." + name + " is set for each process on its own");
             }
         }
         Settings settings = ProxyConfiguration.settings(fields);
@@ -37,7 +37,7 @@
         return settings;
     }
 
-    private static JsonObject object(String settings) {
+    private static JsonObject parseObject(String settings) {
         JsonValue value;
         try {
             value = JsonReader.read(settings);
@@ -47,44 +47,45 @@
         if (value instanceof JsonObject object) {
             return object;
         }
-        throw new InvalidSettingsException("its settings are no object");
+        throw new InvalidSettingsException("its settings are not a JSON object");
     }
 
     /**
-     * The default of a missing key is "safe": requests that are not idempotent would be retried.
+     * Requires the retry rules to be explicit. A missing key defaults to "safe", by which requests
+     * that are not idempotent would be retried.
      */
     private static void requireRetryRules(Settings settings) {
-        int requestClasses = settings.count(REQUEST_CLASSES + "count", 0);
+        int requestClasses = settings.count(REQUEST_CLASSES_PREFIX + "count", 0);
         for (int i = 0; i < requestClasses; i++) {
-            String path = REQUEST_CLASSES + i;
-            require(settings, path + ".Repeat");
+            String path = REQUEST_CLASSES_PREFIX + i;
+            requirePresent(settings, path + ".Repeat");
             if (settings.text(path + ".Repeat", "").equals("keyed")) {
-                require(settings, path + ".KeyScope");
-                require(settings, path + ".RepeatWindow");
+                requirePresent(settings, path + ".KeyScope");
+                requirePresent(settings, path + ".RepeatWindow");
             }
         }
     }
 
-    private static void require(Settings settings, String path) {
+    private static void requirePresent(Settings settings, String path) {
         if (settings.text(path, "").isEmpty()) {
             throw new InvalidSettingsException("the key settings." + path + " is missing");
         }
     }
 
-    private static void requireBase(Settings settings, String named, String processBase) {
-        String actual = ConfigurationVersionDigest.ofBase(settings);
-        if (!actual.equals(named)) {
+    private static void requireBase(Settings settings, String declaredBase, String processBase) {
+        String actualBase = ConfigurationVersionDigest.ofBase(settings);
+        if (!actualBase.equals(declaredBase)) {
             throw new InvalidSettingsException(
                     "its settings are built on "
-                            + actual
+                            + actualBase
                             + ", but it names "
-                            + named
+                            + declaredBase
                             + " as its base");
         }
-        if (!named.equals(processBase)) {
+        if (!declaredBase.equals(processBase)) {
             throw new InvalidSettingsException(
                     "it is built on other settings than this process ("
-                            + named
+                            + declaredBase
                             + ", here "
                             + processBase
                             + "), for which a new process is needed");
--- a/src/main/java/cottonlock/proxy/control/EjectionState.java
+++ b/src/main/java/cottonlock/proxy/control/EjectionState.java
@@ -8,18 +8,18 @@
 import java.util.Set;
 
 /**
- * Which backends operators have taken out of service, and when others came back. Stored as lines:
+ * Which backends operators have ejected, and when others were returned to service. Stored as lines:
  * {@code out ID} and {@code back ID TICKS}. Immutable.
  *
- * @param ejected ids of those that are out
- * @param returnedAtTicks when others returned, by id; only what is recent
+ * @param ejected ids of the ejected backends
+ * @param returnedAtTicks when other backends were returned to service, by id; recent returns only
  */
 record EjectionState(Set<String> ejected, Map<String, Long> returnedAtTicks) {
-    /** A return counts for longer than any backend's slow start lasts. */
-    private static final long RETURN_MEMORY_TICKS = 3_000_000;
+    /** How long a return to service is kept: longer than any backend's slow start. */
+    private static final long RETURN_RETENTION_TICKS = 3_000_000;
 
-    private static final String EJECTED = "out";
-    private static final String RETURNED = "back";
+    private static final String EJECTED_KEYWORD = "out";
+    private static final String RETURNED_KEYWORD = "back";
     private static final String SEPARATOR = " ";
 
     EjectionState {
@@ -27,17 +27,17 @@
         returnedAtTicks = Map.copyOf(returnedAtTicks);
     }
 
-    /** Reads stored lines; any that are malformed or old are left out. */
+    /** Parses stored lines; malformed lines and old returns are ignored. */
     static EjectionState parse(List<String> lines, long nowTicks) {
         Set<String> ejected = new HashSet<>();
         Map<String, Long> returnedAtTicks = new HashMap<>();
         for (String line : lines) {
             List<String> words = List.of(line.split(SEPARATOR, 0));
-            if (words.size() == 2 && words.get(0).equals(EJECTED)) {
+            if (words.size() == 2 && words.get(0).equals(EJECTED_KEYWORD)) {
                 ejected.add(words.get(1));
             } else if (isRecentReturn(words, nowTicks)) {
-                long atTicks = Math.min(nowTicks, Long.parseLong(words.get(2)));
-                returnedAtTicks.put(words.get(1), atTicks);
+                long returnTicks = Math.min(nowTicks, Long.parseLong(words.get(2)));
+                returnedAtTicks.put(words.get(1), returnTicks);
             }
         }
         return new EjectionState(ejected, returnedAtTicks);
@@ -45,27 +45,27 @@
 
     private static boolean isRecentReturn(List<String> words, long nowTicks) {
         return words.size() == 3
-                && words.get(0).equals(RETURNED)
+                && words.get(0).equals(RETURNED_KEYWORD)
                 && Decimals.isUnsigned(words.get(2))
-                && nowTicks - Long.parseLong(words.get(2)) < RETURN_MEMORY_TICKS;
+                && nowTicks - Long.parseLong(words.get(2)) < RETURN_RETENTION_TICKS;
     }
 
-    /** The lines to store. */
+    /** The state as lines to store. */
     List<String> toLines() {
         List<String> lines = new ArrayList<>();
         ejected.forEach(id -> lines.add(ejectedLine(id)));
-        returnedAtTicks.forEach((id, atTicks) -> lines.add(returnedLine(id, atTicks)));
+        returnedAtTicks.forEach((id, returnTicks) -> lines.add(returnedLine(id, returnTicks)));
         return lines;
     }
 
-    /** Stored lines after one backend has been taken out; lines of others stay as they are. */
+    /** Stored lines with one backend ejected; lines of other backends are unchanged. */
     static List<String> withEjected(List<String> lines, String id) {
         List<String> changed = withoutBackend(lines, id);
         changed.add(ejectedLine(id));
         return changed;
     }
 
-    /** Stored lines after one backend has returned; lines of others stay as they are. */
+    /** Stored lines with one backend returned; lines of other backends are unchanged. */
     static List<String> withReturned(List<String> lines, String id, long nowTicks) {
         List<String> changed = withoutBackend(lines, id);
         changed.add(returnedLine(id, nowTicks));
@@ -74,16 +74,16 @@
 
     private static List<String> withoutBackend(List<String> lines, String id) {
         List<String> others = new ArrayList<>(lines);
-        String returned = RETURNED + SEPARATOR + id + SEPARATOR;
+        String returned = RETURNED_KEYWORD + SEPARATOR + id + SEPARATOR;
         others.removeIf(line -> line.equals(ejectedLine(id)) || line.startsWith(returned));
         return others;
     }
 
     private static String ejectedLine(String id) {
-        return EJECTED + SEPARATOR + id;
+        return EJECTED_KEYWORD + SEPARATOR + id;
     }
 
-    private static String returnedLine(String id, long atTicks) {
-        return RETURNED + SEPARATOR + id + SEPARATOR + atTicks;
+    private static String returnedLine(String id, long returnTicks) {
+        return RETURNED_KEYWORD + SEPARATOR + id + SEPARATOR + returnTicks;
     }
 }
--- a/src/main/java/cottonlock/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/cottonlock/proxy/discovery/EndpointListParser.java
@@ -12,20 +12,20 @@
 import java.util.List;
 
 /**
- * Parses discovery's messages; the one place that knows their field names. Zones and kinds become
- * numbers: their positions in the settings' lists. Safe for use by any thread.
+ * Parses discovery's messages; no other class knows their field names. Zones and machine kinds are
+ * mapped to their indexes in the settings' lists. Safe for use by any thread.
  */
 public final class EndpointListParser {
     private static final int TICKS_PER_MILLI = 10;
 
     private final RateLimitedLog log;
 
-    /** Names by number; names that the settings lack are appended. Guarded by this. */
+    /** Names by index; names that the settings lack are appended. Guarded by this. */
     private final List<String> zones;
 
     private final List<String> kinds;
 
-    /** A parser for the zones and kinds of the settings. */
+    /** A parser for the zones and machine kinds of the settings. */
     public EndpointListParser(RateLimitedLog log, List<String> zones, List<String> kinds) {
         this.log = log;
         this.zones = new ArrayList<>(zones);
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Parses a message. A host that is invalid is left out and logged, the others are taken.
+     * Parses a message. Invalid hosts are logged and left out of the result.
      *
-     * @throws InvalidSettingsException for a message without a list of hosts
+     * @throws InvalidSettingsException if the message has no list of hosts
      */
     public EndpointList parse(JsonValue message) {
         if (!(message instanceof JsonObject object)
@@ -46,7 +46,7 @@
         for (JsonValue host : hosts.elements()) {
             try {
                 if (!(host instanceof JsonObject fields)) {
-                    throw new InvalidSettingsException("a host that is no object");
+                    throw new InvalidSettingsException("a host is not a JSON object");
                 }
                 entries.add(parseHost(fields));
             } catch (InvalidSettingsException e) {
@@ -54,27 +54,27 @@
             }
         }
         boolean complete = object.text("whole", "").equals("true");
-        return new EndpointList(integer(object, "seq"), complete, entries);
+        return new EndpointList(parseInteger(object, "seq"), complete, entries);
     }
 
-    /** That a backend drains or is gone is taken even where its other fields are invalid. */
+    /** Accepts that a backend drains or is gone even if its other fields are invalid. */
     private EndpointList.Entry parseHost(JsonObject fields) {
         String id = requiredText(fields, "host");
-        Endpoint.State state = state(id, requiredText(fields, "health"));
+        Endpoint.State state = parseState(id, requiredText(fields, "health"));
         try {
             return parseHost(fields, id, state);
         } catch (InvalidSettingsException e) {
             if (state == Endpoint.State.READY) {
                 throw e;
             }
-            log.warn("list", "only the health of a host is taken: " + e.getMessage());
-            int zone = numberOf(zones, "");
-            int kind = numberOf(kinds, "");
+            log.warn("list", "used only the health of a host with an invalid field: " + e.getMessage());
+            int zone = indexOrAppend(zones, "");
+            int kind = indexOrAppend(kinds, "");
             return new EndpointList.Entry(new Endpoint(id, zone, kind, 0, state, 0, 0), null);
         }
     }
 
-    private static Endpoint.State state(String id, String health) {
+    private static Endpoint.State parseState(String id, String health) {
         return switch (health) {
             case "active" -> Endpoint.State.READY;
             case "leaving" -> Endpoint.State.DRAINING;
@@ -84,20 +84,20 @@
     }
 
     private EndpointList.Entry parseHost(JsonObject fields, String id, Endpoint.State state) {
-        double share = share(fields, id);
+        double share = parseShare(fields, id);
         Endpoint endpoint =
                 new Endpoint(
                         id,
-                        numberOf(zones, fields.text("site", "")),
-                        numberOf(kinds, fields.text("class", "")),
-                        (int) integer(fields, "block"),
+                        indexOrAppend(zones, fields.text("site", "")),
+                        indexOrAppend(kinds, fields.text("class", "")),
+                        (int) parseInteger(fields, "block"),
                         state,
                         share,
-                        integer(fields, "born_ms") * TICKS_PER_MILLI);
-        return new EndpointList.Entry(endpoint, address(fields, id, state));
+                        parseInteger(fields, "born_ms") * TICKS_PER_MILLI);
+        return new EndpointList.Entry(endpoint, parseAddress(fields, id, state));
     }
 
-    private static double share(JsonObject fields, String id) {
+    private static double parseShare(JsonObject fields, String id) {
         double share;
         try {
             share = Double.parseDouble(fields.text("share", "1"));
@@ -110,13 +110,13 @@
         return share;
     }
 
-    private static InetSocketAddress address(JsonObject fields, String id, Endpoint.State state) {
+    private static InetSocketAddress parseAddress(JsonObject fields, String id, Endpoint.State state) {
         String dial = fields.text("dial", "");
         if (dial.isEmpty() && state != Endpoint.State.READY) {
             return null;
         }
         try {
-            return Sockets.address(dial);
+            return Sockets.parseAddress(dial);
         } catch (IllegalArgumentException e) {
             throw new InvalidSettingsException("the dial of " + id + " is not an address: " + dial);
         }
@@ -131,7 +131,7 @@
     }
 
     /** An integer field; 0 where it is absent. */
-    private static long integer(JsonObject fields, String name) {
+    private static long parseInteger(JsonObject fields, String name) {
         try {
             return Long.parseLong(fields.text(name, "0"));
         } catch (NumberFormatException e) {
@@ -139,12 +139,12 @@
         }
     }
 
-    private synchronized int numberOf(List<String> names, String name) {
-        int number = names.indexOf(name);
-        if (number < 0) {
-            number = names.size();
+    private synchronized int indexOrAppend(List<String> names, String name) {
+        int index = names.indexOf(name);
+        if (index < 0) {
+            index = names.size();
             names.add(name);
         }
-        return number;
+        return index;
     }
 }
--- a/src/main/java/cottonlock/proxy/io/JsonReader.java
+++ b/src/main/java/cottonlock/proxy/io/JsonReader.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Parses JSON texts (RFC 8259). Of several fields of one name the last one counts. */
+/** Parses JSON texts (RFC 8259). If an object repeats a field name, the last field is used. */
 public final class JsonReader {
-    /** Bounds the recursion: threads of the proxy have small stacks. */
+    /** Limits the recursion, as threads of the proxy have small stacks. */
     private static final int MAX_DEPTH = 32;
 
     private static final int UNICODE_ESCAPE_DIGITS = 4;
@@ -28,13 +28,13 @@
     }
 
     /**
-     * Parses a text that holds one value.
+     * Parses a text that consists of one value.
      *
-     * @throws MalformedJsonException for anything else
+     * @throws MalformedJsonException if the text is anything else
      */
     public static JsonValue read(String text) {
         JsonReader json = new JsonReader(text);
-        JsonValue value = json.value(0);
+        JsonValue value = json.parseValue(0);
         json.skipSpace();
         if (json.position < text.length()) {
             throw json.malformed("more than one value");
@@ -74,19 +74,19 @@
         }
     }
 
-    private JsonValue value(int depth) {
+    private JsonValue parseValue(int depth) {
         if (depth > MAX_DEPTH) {
             throw malformed("nested too deeply");
         }
         return switch (peek()) {
-            case '{' -> object(depth);
-            case '[' -> array(depth);
-            case '"' -> new JsonScalar(string());
-            default -> literal();
+            case '{' -> parseObject(depth);
+            case '[' -> parseArray(depth);
+            case '"' -> new JsonScalar(parseString());
+            default -> parseLiteral();
         };
     }
 
-    private JsonObject object(int depth) {
+    private JsonObject parseObject(int depth) {
         Map<String, JsonValue> fields = new LinkedHashMap<>();
         require('{');
         if (skip('}')) {
@@ -96,28 +96,28 @@
             if (peek() != '"') {
                 throw malformed("no name");
             }
-            String name = string();
+            String name = parseString();
             require(':');
-            fields.put(name, value(depth + 1));
+            fields.put(name, parseValue(depth + 1));
         } while (skip(','));
         require('}');
         return new JsonObject(fields);
     }
 
-    private JsonArray array(int depth) {
+    private JsonArray parseArray(int depth) {
         List<JsonValue> elements = new ArrayList<>();
         require('[');
         if (skip(']')) {
             return new JsonArray(elements);
         }
         do {
-            elements.add(value(depth + 1));
+            elements.add(parseValue(depth + 1));
         } while (skip(','));
         require(']');
         return new JsonArray(elements);
     }
 
-    private String string() {
+    private String parseString() {
         require('"');
         StringBuilder content = new StringBuilder();
         while (position < text.length()) {
@@ -128,12 +128,12 @@
             if (character < ' ') {
                 throw malformed("a control character in a string");
             }
-            content.append(character == '\\' ? escaped() : character);
+            content.append(character == '\\' ? parseEscape() : character);
         }
         throw malformed("a string without end");
     }
 
-    private char escaped() {
+    private char parseEscape() {
         char character = position < text.length() ? text.charAt(position++) : ' ';
         switch (character) {
             case '"', '\\', '/':
@@ -149,13 +149,13 @@
             case 't':
                 return '\t';
             case 'u':
-                return unicodeEscape();
+                return parseUnicodeEscape();
             default:
                 throw malformed("not an escape");
         }
     }
 
-    private char unicodeEscape() {
+    private char parseUnicodeEscape() {
         int end = position + UNICODE_ESCAPE_DIGITS;
         if (end > text.length()) {
             throw malformed("not an escape");
@@ -168,8 +168,8 @@
         return (char) Integer.parseInt(digits, 16);
     }
 
-    /** A number, true, false or null. */
-    private JsonValue literal() {
+    /** Parses a number, true, false or null. */
+    private JsonValue parseLiteral() {
         int start = position;
         while (position < text.length() && ",]} \t\r\n".indexOf(text.charAt(position)) < 0) {
             position++;
