--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionParser.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionParser.java
@@ -59,7 +59,7 @@
 
     private static long number(JsonObject fields) {
         String seq = fields.get("seq").toString();
-        if (!Decimals.isUnsigned(seq) || Long.parseLong(seq) > ConfigurationVersion.HIGHEST) {
+        if (!Decimals.isUnsigned(seq) || Long.parseLong(seq) > ConfigurationVersion.MAX_NUMBER) {
             throw new InvalidSettingsException(
                     "the version's seq is no whole number of 2^53 at most: " + seq);
         }
--- a/src/main/java/cottonlock/rollout/ConfigurationRollout.java
+++ b/src/main/java/cottonlock/rollout/ConfigurationRollout.java
@@ -40,7 +40,7 @@
 
     private final RolloutConfig config;
     private final RolloutVariants variants;
-    private final ControlServerSelector servers;
+    private final ControlServerSelector serverSelector;
     private final Jitter jitter;
 
     private ConfigurationVersion inForce;
@@ -92,7 +92,7 @@
             RolloutVariants variants) {
         this.config = config;
         this.variants = variants;
-        this.servers = new ControlServerSelector(nowTicks, config, random, variants);
+        this.serverSelector = new ControlServerSelector(nowTicks, config, random, variants);
         this.jitter = new Jitter(random, variants.jitters());
         this.inForce = stored;
         this.highestKnown = stored;
@@ -106,7 +106,7 @@
         announcedByWatched = null;
         serverStaleSinceTicks = NOT_SET;
         migration = null;
-        return servers.next(nowTicks);
+        return serverSelector.nextAttempt(nowTicks);
     }
 
     /** The version that a call names: control sends the content of higher versions alone. */
@@ -130,15 +130,15 @@
         if (migration != null && !variants.supersedes(migration.version(), version)) {
             migration = null;
         }
-        learn(nowTicks, version);
+        recordAnnouncement(nowTicks, version);
         return variants.supersedes(version, inForce) && !rejectedVersions.contains(version);
     }
 
     /** A server named by {@link #nextComparison} has answered with the version that it holds. */
     public void comparisonAnswered(long nowTicks, int server, ConfigurationVersion version) {
-        learn(nowTicks, version);
+        recordAnnouncement(nowTicks, version);
         boolean watchedIsBehind =
-                server != servers.current()
+                server != serverSelector.current()
                         && announcedByWatched != null
                         && variants.supersedes(version, announcedByWatched);
         if (watchedIsBehind && !variants.supersedes(inForce, version)) {
@@ -147,7 +147,7 @@
         }
     }
 
-    private void learn(long nowTicks, ConfigurationVersion version) {
+    private void recordAnnouncement(long nowTicks, ConfigurationVersion version) {
         if (variants.supersedes(version, highestKnown)) {
             highestKnown = version;
             behindSinceTicks = behindSinceTicks == NOT_SET ? nowTicks : behindSinceTicks;
@@ -186,7 +186,7 @@
 
     /** The watch was closed as {@link #shouldMigrate} asked. */
     public void watchMigrated(long nowTicks) {
-        servers.migrate(nowTicks, migration.server());
+        serverSelector.migrate(nowTicks, migration.server());
         establishedAtTicks = NOT_SET;
         disconnectedSinceTicks = nowTicks;
     }
@@ -200,7 +200,7 @@
         if (disconnectedSinceTicks == NOT_SET) {
             disconnectedSinceTicks = nowTicks;
         }
-        servers.failed(nowTicks, wasStable);
+        serverSelector.recordFailure(nowTicks, wasStable);
         establishedAtTicks = NOT_SET;
     }
 
@@ -210,12 +210,12 @@
      */
     public int nextComparison(long nowTicks) {
         boolean due = establishedAtTicks != NOT_SET && nowTicks >= compareAtTicks;
-        if (!due || !servers.hasOthers() || !variants.comparesServers()) {
+        if (!due || !serverSelector.hasOthers() || !variants.comparesServers()) {
             return ControlServerSelector.NO_SERVER;
         }
         callCount++;
         compareAtTicks = nowTicks + jitter.around(config.comparisonIntervalTicks());
-        return servers.randomOther();
+        return serverSelector.randomOther();
     }
 
     /** The server that was to be compared with has not answered. */
--- a/src/main/java/cottonlock/rollout/ConfigurationVersion.java
+++ b/src/main/java/cottonlock/rollout/ConfigurationVersion.java
@@ -17,7 +17,7 @@
     public static final ConfigurationVersion NONE = new ConfigurationVersion(0, 0);
 
     /** The highest valid number: 2 to the 53rd, which every JSON reader represents exactly. */
-    public static final long HIGHEST = 1L << 53;
+    public static final long MAX_NUMBER = 1L << 53;
 
     private static final int HEX_DIGITS = 16;
 
--- a/src/main/java/cottonlock/rollout/ControlServerSelector.java
+++ b/src/main/java/cottonlock/rollout/ControlServerSelector.java
@@ -20,8 +20,8 @@
     private static final long STARTUP_SPREAD_TICKS = 20_000;
 
     private final RolloutConfig config;
-    private final int nearServers;
-    private final int servers;
+    private final int nearServerCount;
+    private final int serverCount;
     private final SplittableRandom random;
     private final RolloutVariants variants;
     private final Jitter jitter;
@@ -47,8 +47,8 @@
             SplittableRandom random,
             RolloutVariants variants) {
         this.config = config;
-        this.nearServers = config.nearControlAddresses().size();
-        this.servers = nearServers + config.farControlAddresses().size();
+        this.nearServerCount = config.nearControlAddresses().size();
+        this.serverCount = nearServerCount + config.farControlAddresses().size();
         this.random = random;
         this.variants = variants;
         this.jitter = new Jitter(random, variants.jitters());
@@ -64,17 +64,17 @@
 
     /** Whether there is a server besides the current one. */
     boolean hasOthers() {
-        return servers > 1;
+        return serverCount > 1;
     }
 
     /** Another server than the current one, at random; there must be one. */
     int randomOther() {
-        int other = random.nextInt(servers - 1);
+        int other = random.nextInt(serverCount - 1);
         return other >= current ? other + 1 : other;
     }
 
     /** The next call; its server is the current one from now on. */
-    WatchAttempt next(long nowTicks) {
+    WatchAttempt nextAttempt(long nowTicks) {
         current = order[position];
         lastCallAtTicks = Math.max(nowTicks, nextCallAtTicks);
         return new WatchAttempt(current, lastCallAtTicks, timeoutTicks());
@@ -90,11 +90,11 @@
     /** The watch on the current server moves to another one without any delay. */
     void migrate(long nowTicks, int server) {
         startFirstRound(0);
-        int at = 0;
-        while (order[at] != server) {
-            at++;
+        int index = 0;
+        while (order[index] != server) {
+            index++;
         }
-        order[at] = order[0];
+        order[index] = order[0];
         order[0] = server;
         current = NO_SERVER;
         nextCallAtTicks = nowTicks;
@@ -106,14 +106,14 @@
      * @param wasStable whether the watch had been established for long: earlier failures count no
      *     more then
      */
-    void failed(long nowTicks, boolean wasStable) {
+    void recordFailure(long nowTicks, boolean wasStable) {
         consecutiveFailures++;
         if (wasStable) {
             startFirstRound(1);
         } else if (variants.failsOver()) {
             position++;
         }
-        if (position == servers) {
+        if (position == serverCount) {
             position = 0;
             firstRound = false;
             order = shuffledOrder(NO_SERVER);
@@ -152,14 +152,14 @@
      * all.
      */
     private int[] shuffledOrder(int last) {
-        int[] shuffled = new int[servers];
-        for (int i = 0; i < servers; i++) {
+        int[] shuffled = new int[serverCount];
+        for (int i = 0; i < serverCount; i++) {
             shuffled[i] = i;
         }
-        int firstGroup = variants.prefersNearServers() ? nearServers : servers;
-        shuffle(shuffled, 0, firstGroup);
-        shuffle(shuffled, firstGroup, servers);
-        for (int i = 0; i < servers - 1; i++) {
+        int firstGroupEnd = variants.prefersNearServers() ? nearServerCount : serverCount;
+        shuffle(shuffled, 0, firstGroupEnd);
+        shuffle(shuffled, firstGroupEnd, serverCount);
+        for (int i = 0; i < serverCount - 1; i++) {
             if (shuffled[i] == last) {
                 shuffled[i] = shuffled[i + 1];
                 shuffled[i + 1] = last;
