--- a/src/main/java/cottonlock/admin/ManagementServer.java
+++ b/src/main/java/cottonlock/admin/ManagementServer.java
@@ -32,14 +32,14 @@
 
     private static final int READ_TIMEOUT_MILLIS = 5_000;
 
-    private static final int ACCEPT_RETRY_MILLIS = 20;
+    private static final int ACCEPT_RETRY_DELAY_MILLIS = 20;
 
     /**
      * How long a new connection waits, at most, while all others have sent what is not yet read.
      */
-    private static final long MAX_PLACE_WAIT_MILLIS = 100;
+    private static final long MAX_SLOT_WAIT_MILLIS = 100;
 
-    private static final long PLACE_CHECK_MILLIS = 2;
+    private static final long SLOT_CHECK_INTERVAL_MILLIS = 2;
 
     /** Stack of a connection's thread: the calls here are shallow. */
     private static final long THREAD_STACK_BYTES = 192 << 10;
@@ -102,7 +102,7 @@
 
     private void startConnection(Socket socket) {
         synchronized (awaitingCommand) {
-            awaitPlace();
+            awaitConnectionSlot();
             openConnections++;
             awaitingCommand.add(socket);
         }
@@ -120,14 +120,14 @@
      * that has arrived must not be dropped for a newer one. Called with {@link #awaitingCommand}
      * locked.
      */
-    private void awaitPlace() {
+    private void awaitConnectionSlot() {
         long deadlineNanos =
-                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_PLACE_WAIT_MILLIS);
+                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_SLOT_WAIT_MILLIS);
         while (openConnections >= MAX_CONNECTIONS
-                && !endOldestIdle()
+                && !evictOldestIdle()
                 && System.nanoTime() - deadlineNanos < 0) {
             try {
-                awaitingCommand.wait(PLACE_CHECK_MILLIS);
+                awaitingCommand.wait(SLOT_CHECK_INTERVAL_MILLIS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
@@ -136,12 +136,12 @@
     }
 
     /** Returns whether there was a connection of which all that has arrived has been read. */
-    private boolean endOldestIdle() {
+    private boolean evictOldestIdle() {
         for (Iterator<Socket> oldestFirst = awaitingCommand.iterator(); oldestFirst.hasNext(); ) {
             Socket socket = oldestFirst.next();
             if (!hasUnreadBytes(socket)) {
                 oldestFirst.remove();
-                endInput(socket);
+                shutDownInput(socket);
                 return true;
             }
         }
@@ -158,7 +158,7 @@
     }
 
     /** Its thread sees the end and closes it; a command that it has just read is still answered. */
-    private static void endInput(Socket socket) {
+    private static void shutDownInput(Socket socket) {
         try {
             socket.shutdownInput();
         } catch (IOException e) {
@@ -218,7 +218,7 @@
         try {
             return words.length == 2 ? execute(words[0], words[1]) : execute(words);
         } catch (RuntimeException e) {
-            return negative("fault: " + e);
+            return nak("fault: " + e);
         }
     }
 
@@ -226,33 +226,33 @@
         String name = words.length == 1 ? words[0] : "";
         return switch (name) {
             case "DUMP" -> operations.metricsJson() + "\n--\n";
-            case "MEMBERS" -> members(operations.membersReport());
-            case "HEALTH" -> result(operations.isServing() ? null : "not serving yet");
+            case "MEMBERS" -> membersResponse(operations.membersReport());
+            case "HEALTH" -> ackOrNak(operations.isServing() ? null : "not serving yet");
             default -> unknownCommand();
         };
     }
 
-    private static String members(String report) {
-        return report == null ? negative("membership is off") : report + "--\n";
+    private static String membersResponse(String report) {
+        return report == null ? nak("membership is off") : report + "--\n";
     }
 
     private String execute(String name, String backendId) {
         return switch (name) {
-            case "OFFLINE" -> result(operations.ejectBackend(backendId));
-            case "ONLINE" -> result(operations.restoreBackend(backendId));
+            case "OFFLINE" -> ackOrNak(operations.ejectBackend(backendId));
+            case "ONLINE" -> ackOrNak(operations.restoreBackend(backendId));
             default -> unknownCommand();
         };
     }
 
     private static String unknownCommand() {
-        return negative("expected HEALTH, DUMP, MEMBERS, OFFLINE ID or ONLINE ID");
+        return nak("expected HEALTH, DUMP, MEMBERS, OFFLINE ID or ONLINE ID");
     }
 
-    private static String result(String refusal) {
-        return refusal == null ? "ACK\n" : negative(refusal);
+    private static String ackOrNak(String refusal) {
+        return refusal == null ? "ACK\n" : nak(refusal);
     }
 
-    private static String negative(String reason) {
+    private static String nak(String reason) {
         return "NAK " + reason + "\n";
     }
 
@@ -267,7 +267,7 @@
     /** Without free descriptors, accept fails at once and repeatedly. */
     private static void pauseAccepting() {
         try {
-            Thread.sleep(ACCEPT_RETRY_MILLIS);
+            Thread.sleep(ACCEPT_RETRY_DELAY_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/cottonlock/admin/Metrics.java
+++ b/src/main/java/cottonlock/admin/Metrics.java
@@ -58,7 +58,7 @@
     private volatile int backendsAvoided;
 
     /** Further JSON fields, each after a comma; null if there are none. */
-    private volatile Supplier<String> source;
+    private volatile Supplier<String> additionalFields;
 
     /** Makes a request class appear in the metrics, with counts of zero. */
     public void registerRequestClass(String name) {
@@ -145,8 +145,8 @@
      * @param fields supplies JSON fields, each after a comma
      */
     public void addSource(Supplier<String> fields) {
-        Supplier<String> before = source;
-        source = before == null ? fields : () -> before.get() + fields.get();
+        Supplier<String> previous = additionalFields;
+        additionalFields = previous == null ? fields : () -> previous.get() + fields.get();
     }
 
     /** Returns all metrics as one line of JSON. */
@@ -167,28 +167,28 @@
                 .append(reloadsAccepted.sum())
                 .append(",\"reconfig_failed\":")
                 .append(reloadsRefused.sum())
-                .append(reasons("why_by_category", reasonsByClass))
-                .append(reasons("why_by_tenant", reasonsByTenant))
-                .append(source == null ? "" : source.get())
+                .append(reasonsJson("why_by_category", reasonsByClass))
+                .append(reasonsJson("why_by_tenant", reasonsByTenant))
+                .append(additionalFields == null ? "" : additionalFields.get())
                 .append('}')
                 .toString();
     }
 
-    private static String reasons(
+    private static String reasonsJson(
             String field, Map<String, Map<RejectionReason, LongAdder>> countsByName) {
         return countsByName.entrySet().stream()
-                .map(named -> '"' + escaped(named.getKey()) + "\":" + reasons(named.getValue()))
+                .map(entry -> '"' + escaped(entry.getKey()) + "\":" + reasonsJson(entry.getValue()))
                 .collect(Collectors.joining(",", ",\"" + field + "\":{", "}"));
     }
 
-    private static String reasons(Map<RejectionReason, LongAdder> counts) {
+    private static String reasonsJson(Map<RejectionReason, LongAdder> counts) {
         return counts.entrySet().stream()
-                .map(count -> '"' + jsonName(count.getKey()) + "\":" + count.getValue().sum())
+                .map(count -> '"' + metricName(count.getKey()) + "\":" + count.getValue().sum())
                 .collect(Collectors.joining(",", "{", "}"));
     }
 
     /** Returns a reason's name in the management interface. */
-    private static String jsonName(RejectionReason reason) {
+    private static String metricName(RejectionReason reason) {
         return switch (reason) {
             case OVER_QUOTA -> "over_quota";
             case NO_CAPACITY -> "no_room";
