--- a/src/main/java/cottonlock/config/Fields.java
+++ b/src/main/java/cottonlock/config/Fields.java
@@ -118,11 +118,11 @@
         addFault(key, document.entries().getOrDefault(key, document), expected);
     }
 
-    private void addFault(String key, ConfigurationDocument at, String text) {
+    private void addFault(String key, ConfigurationDocument location, String text) {
         faults.add(
                 new Fault(
-                        at.line,
-                        InvalidConfigurationException.line(at.file, at.line, path + key, text)));
+                        location.line,
+                        InvalidConfigurationException.formatFault(location.file, location.line, path + key, text)));
     }
 
     /** Returns whether the table has the key. */
@@ -197,7 +197,7 @@
         System.getLogger("cottonlock")
                 .log(
                         System.Logger.Level.WARNING,
-                        InvalidConfigurationException.line(
+                        InvalidConfigurationException.formatFault(
                                 value.file, value.line, path + key, warning));
         return newName;
     }
--- a/src/main/java/cottonlock/config/InvalidConfigurationException.java
+++ b/src/main/java/cottonlock/config/InvalidConfigurationException.java
@@ -19,11 +19,11 @@
     }
 
     static InvalidConfigurationException of(String file, int line, String key, String fault) {
-        return new InvalidConfigurationException(List.of(line(file, line, key, fault)));
+        return new InvalidConfigurationException(List.of(formatFault(file, line, key, fault)));
     }
 
     /** Returns a fault's line; the line number 0 and an empty key are left out. */
-    static String line(String file, int line, String key, String fault) {
+    static String formatFault(String file, int line, String key, String fault) {
         return file
                 + (line > 0 ? ":" + line : "")
                 + ": "
--- a/src/main/java/cottonlock/config/MembershipTable.java
+++ b/src/main/java/cottonlock/config/MembershipTable.java
@@ -21,15 +21,15 @@
         String listen = table.address("listen", "");
         String advertise = table.address("advertise", "");
         List<String> seeds = Addresses.read(table, "seeds");
-        String key = keyFile(table, "key_file", file);
-        String nextKey = keyFile(table, "next_key_file", file);
-        if (key.isEmpty() && !nextKey.isEmpty()) {
+        String keyFile = keyFile(table, "key_file", file);
+        String nextKeyFile = keyFile(table, "next_key_file", file);
+        if (keyFile.isEmpty() && !nextKeyFile.isEmpty()) {
             table.addFault(
                     "next_key_file", "expected key_file beside it: tags are made with that one");
         }
         MembershipProtocolConfig protocol = protocol(table);
         return enabled
-                ? new MembershipConfig(listen, advertise, seeds, key, nextKey, protocol)
+                ? new MembershipConfig(listen, advertise, seeds, keyFile, nextKeyFile, protocol)
                 : null;
     }
 
@@ -52,21 +52,21 @@
 
     private static MembershipProtocolConfig protocol(Fields table) {
         MembershipProtocolConfig defaults = MembershipProtocolConfig.DEFAULTS;
-        long period =
+        long periodTicks =
                 Durations.millisAsTicks(table, "period_ms", defaults.periodTicks(), 50, 60_000);
-        long defaultAnswer = Math.min(defaults.answerTimeoutTicks(), period * 3 / 10);
-        long answer = Durations.millisAsTicks(table, "answer_ms", defaultAnswer, 10, 60_000);
-        if (answer >= period) {
+        long defaultAnswerTimeoutTicks = Math.min(defaults.answerTimeoutTicks(), periodTicks * 3 / 10);
+        long answerTimeoutTicks = Durations.millisAsTicks(table, "answer_ms", defaultAnswerTimeoutTicks, 10, 60_000);
+        if (answerTimeoutTicks >= periodTicks) {
             table.addFault(
                     table.has("answer_ms") ? "answer_ms" : "period_ms",
                     "expected answer_ms to be less than period_ms, found "
-                            + answer / 10
+                            + answerTimeoutTicks / 10
                             + " and "
-                            + period / 10);
+                            + periodTicks / 10);
         }
         return new MembershipProtocolConfig(
-                period,
-                answer,
+                periodTicks,
+                answerTimeoutTicks,
                 table.integer("helpers", defaults.indirectProbeCount(), 0, 16),
                 table.number("suspicion_periods", defaults.suspicionMultiplier(), 0.5, 1_000),
                 table.number("suspicion_longest", defaults.maxSuspicionMultiplier(), 1, 100),
--- a/src/main/java/cottonlock/config/OperatorFile.java
+++ b/src/main/java/cottonlock/config/OperatorFile.java
@@ -12,7 +12,7 @@
  *
  * @param logFormat {@code text}: a line with level and text; {@code json}: one JSON object a line
  * @param logLevel the lowest level that is written: {@code info}, {@code warning} or {@code off}
- * @param watched settings, by path, of a shadow load balancer whose decisions are only counted;
+ * @param shadowSettings settings, by path, of a shadow load balancer whose decisions are only counted;
  *     empty if there is none
  * @param membership how the proxies detect one another's failures; null if they don't
  * @param rollout where configuration versions come from; null if only from the platform's file
@@ -20,7 +20,7 @@
 public record OperatorFile(
         String logFormat,
         String logLevel,
-        Map<String, String> watched,
+        Map<String, String> shadowSettings,
         MembershipConfig membership,
         RolloutConfig rollout) {
     /** The settings that a shadow load balancer may change, by the file's keys. */
@@ -35,9 +35,9 @@
     public OperatorFile(
             String logFormat,
             String logLevel,
-            Map<String, String> watched,
+            Map<String, String> shadowSettings,
             MembershipConfig membership) {
-        this(logFormat, logLevel, watched, membership, null);
+        this(logFormat, logLevel, shadowSettings, membership, null);
     }
 
     /**
@@ -52,14 +52,14 @@
                 new OperatorFile(
                         log.oneOf("format", "text", "text", "json"),
                         log.oneOf("level", "info", "info", "warning", "off"),
-                        shadowSettings(top.table("watch")),
+                        readShadowSettings(top.table("watch")),
                         MembershipTable.read(top.table("membership"), file),
                         RolloutTable.read(top.table("rollout")));
         top.throwIfInvalid();
         return read;
     }
 
-    private static Map<String, String> shadowSettings(Fields table) {
+    private static Map<String, String> readShadowSettings(Fields table) {
         Map<String, String> settings = new TreeMap<>();
         if (table.bool("on", false)) {
             settings.put("Workload", table.oneOf("workload", "mesh", WORKLOADS));
--- a/src/test/java/cottonlock/config/ConfigTest.java
+++ b/src/test/java/cottonlock/config/ConfigTest.java
@@ -48,7 +48,7 @@
                         "[watch]\non = true\nconnection_fee = 0.05\nhandshake_fee = 0.01\n");
         assertEquals(
                 Map.of("Workload", "mesh", "Fees.Connection", "0.05", "Fees.Handshake", "0.01"),
-                OperatorFile.read(watch).watched());
+                OperatorFile.read(watch).shadowSettings());
         assertEquals(
                 List.of("F:2: watch.connection_fee: expected a number from 0 to 1000000, found -1"),
                 faults(".toml", "[watch]\nconnection_fee = -1\n", OperatorFile::read));
