--- a/src/main/java/cottonlock/cli/Cli.java
+++ b/src/main/java/cottonlock/cli/Cli.java
@@ -14,7 +14,7 @@
  * The root command: parses the arguments, runs the command that they name and returns its exit
  * status.
  *
- * <p>Exit statuses: 0 done, {@link #UNUSABLE} for an argument or a file that can't be used; a
+ * <p>Exit statuses: 0 done, {@link #EXIT_UNUSABLE_INPUT} for an argument or a file that can't be used; a
  * command's help lists its others.
  */
 @Command(
@@ -35,7 +35,7 @@
         })
 public final class Cli implements Callable<Integer> {
     /** Exit status for an argument or a file that can't be used; picocli's own has this value. */
-    static final int UNUSABLE = 2;
+    static final int EXIT_UNUSABLE_INPUT = 2;
 
     @Spec private CommandSpec spec;
     private final ToIntFunction<OperatorConfig> serve;
@@ -62,7 +62,7 @@
     @Override
     public Integer call() {
         spec.commandLine().getErr().println("cottonlock: expected a command; --help lists them");
-        return UNUSABLE;
+        return EXIT_UNUSABLE_INPUT;
     }
 
     /** Serves requests until the process is stopped, and returns the exit status. */
@@ -78,7 +78,7 @@
     /** Prints each fault of a file on the command's error stream; returns the exit status. */
     static int reportFaults(CommandSpec spec, InvalidConfigurationException invalid) {
         invalid.faults().forEach(spec.commandLine().getErr()::println);
-        return UNUSABLE;
+        return EXIT_UNUSABLE_INPUT;
     }
 
     /** Prints the version in the jar's manifest. */
--- a/src/main/java/cottonlock/cli/JsonLogFormatter.java
+++ b/src/main/java/cottonlock/cli/JsonLogFormatter.java
@@ -42,16 +42,16 @@
      * Returns a record as an object with {@code time}, {@code level}, {@code kind}, {@code text}.
      */
     @Override
-    public String format(LogRecord line) {
-        String message = formatMessage(line);
+    public String format(LogRecord logRecord) {
+        String message = formatMessage(logRecord);
         int separator = message.indexOf(KIND_SEPARATOR);
         String kind = separator < 0 ? "" : message.substring(0, separator);
         String text =
                 separator < 0 ? message : message.substring(separator + KIND_SEPARATOR.length());
         return "{\"time\":\""
-                + line.getInstant()
+                + logRecord.getInstant()
                 + "\",\"level\":\""
-                + line.getLevel()
+                + logRecord.getLevel()
                 + "\",\"kind\":\""
                 + quoted(kind)
                 + "\",\"text\":\""
--- a/src/main/java/cottonlock/cli/LabCommand.java
+++ b/src/main/java/cottonlock/cli/LabCommand.java
@@ -32,7 +32,7 @@
                 .println(
                         "cottonlock lab: expected run, compare, members, scale, soak or "
                                 + "sweep; --help tells more");
-        return Cli.UNUSABLE;
+        return Cli.EXIT_UNUSABLE_INPUT;
     }
 
     /** A lab that writes to the process's own output. */
--- a/src/main/java/cottonlock/cli/LabCompareCommand.java
+++ b/src/main/java/cottonlock/cli/LabCompareCommand.java
@@ -12,13 +12,13 @@
         description = "Puts two reports side by side.")
 final class LabCompareCommand implements Callable<Integer> {
     @Parameters(paramLabel = "A", description = "A report.json, or its folder.")
-    private Path one;
+    private Path first;
 
     @Parameters(paramLabel = "B")
-    private Path other;
+    private Path second;
 
     @Override
     public Integer call() {
-        return LabCommand.lab().compare(one, other);
+        return LabCommand.lab().compare(first, second);
     }
 }
--- a/src/main/java/cottonlock/cli/LabMembersCommand.java
+++ b/src/main/java/cottonlock/cli/LabMembersCommand.java
@@ -37,7 +37,7 @@
             defaultValue = "0,0.1,0.3",
             description = "Parts of datagrams that are lost.",
             paramLabel = "<arg1>")
-    private List<Double> losses;
+    private List<Double> lossRates;
 
     @Option(names = "--seed", defaultValue = "1", paramLabel = "<arg2>")
     private long seed;
@@ -47,20 +47,20 @@
             defaultValue = "9",
             description = "Members killed, one after the other.",
             paramLabel = "<arg3>")
-    private int deaths;
+    private int killCount;
 
     @Option(
             names = "--quiet",
             defaultValue = "600",
             paramLabel = "SECONDS",
             description = "Without a fault, for false failures and bytes.")
-    private int quiet;
+    private int quietSeconds;
 
     @Option(
             names = "--operator",
             paramLabel = "FILE",
             description = "An operator's file whose [membership] is played.")
-    private Path operator;
+    private Path operatorFile;
 
     @Option(
             names = "--out",
@@ -91,7 +91,7 @@
             defaultValue = "3600",
             paramLabel = "SECONDS",
             description = "For which regions are cut off; a zone a tenth of it.")
-    private int apart;
+    private int partitionSeconds;
 
     @Option(
             names = "--seeds",
@@ -105,7 +105,7 @@
             defaultValue = "0",
             paramLabel = "N",
             description = "With zones: addresses that each member is told; 0: all.")
-    private int known;
+    private int knownAddressCount;
 
     @Override
     public Integer call() {
@@ -124,10 +124,10 @@
                         zones,
                         sizes,
                         seeds == null ? List.of(seed) : seeds,
-                        quiet,
-                        apart,
-                        known,
-                        operator,
+                        quietSeconds,
+                        partitionSeconds,
+                        knownAddressCount,
+                        operatorFile,
                         out);
     }
 
@@ -136,9 +136,9 @@
                 && zones >= 2
                 && regions <= zones
                 && zones <= MAX_ZONES
-                && quiet >= 1
-                && apart >= 1
-                && known >= 0
+                && quietSeconds >= 1
+                && partitionSeconds >= 1
+                && knownAddressCount >= 0
                 && sizes.stream().allMatch(size -> size >= zones && size <= MAX_MEMBERS);
     }
 
@@ -148,18 +148,18 @@
                     "expected sizes of 2 to 4096, losses of 0 to 0.9, and one death and one second"
                             + " or more");
         }
-        return LabCommand.lab().members(sizes, losses, seed, deaths, quiet, operator, out);
+        return LabCommand.lab().members(sizes, lossRates, seed, killCount, quietSeconds, operatorFile, out);
     }
 
     private boolean areFleetArgumentsUsable() {
         return sizes.stream().allMatch(size -> size >= 2 && size <= MAX_MEMBERS)
-                && deaths >= 1
-                && quiet >= 1
-                && losses.stream().noneMatch(loss -> loss < 0 || loss > MAX_LOSS);
+                && killCount >= 1
+                && quietSeconds >= 1
+                && lossRates.stream().noneMatch(loss -> loss < 0 || loss > MAX_LOSS);
     }
 
     private int reject(String expected) {
         spec.commandLine().getErr().println("cottonlock lab members: " + expected);
-        return Cli.UNUSABLE;
+        return Cli.EXIT_UNUSABLE_INPUT;
     }
 }
--- a/src/main/java/cottonlock/cli/LabRolloutCommand.java
+++ b/src/main/java/cottonlock/cli/LabRolloutCommand.java
@@ -54,7 +54,7 @@
             spec.commandLine()
                     .getErr()
                     .println("cottonlock lab rollout: expected sizes of 7 to 10000");
-            return Cli.UNUSABLE;
+            return Cli.EXIT_UNUSABLE_INPUT;
         }
         return LabCommand.lab().rollout(sizes, seeds, commit, out);
     }
--- a/src/main/java/cottonlock/cli/LabRunCommand.java
+++ b/src/main/java/cottonlock/cli/LabRunCommand.java
@@ -31,7 +31,7 @@
             description =
                     "Sets a value of the scenario: --set proxy.count=4, --set"
                             + " fault.0.at=2. May be given again.")
-    private List<String> sets;
+    private List<String> overrides;
 
     @Option(
             names = "--out",
@@ -40,10 +40,10 @@
     private Path out;
 
     @Option(names = "--processes", description = "Each proxy in a process of its own.")
-    private boolean processes;
+    private boolean separateProcesses;
 
     @Override
     public Integer call() throws InterruptedException {
-        return LabCommand.lab().run(file, seed, sets == null ? List.of() : sets, out, processes);
+        return LabCommand.lab().run(file, seed, overrides == null ? List.of() : overrides, out, separateProcesses);
     }
 }
--- a/src/main/java/cottonlock/cli/LabScaleCommand.java
+++ b/src/main/java/cottonlock/cli/LabScaleCommand.java
@@ -31,7 +31,7 @@
             paramLabel = "PATH=VALUE",
             description =
                     "Sets a value of the " + "file: --set fleet.size=300. May be given again.")
-    private List<String> sets;
+    private List<String> overrides;
 
     @Option(
             names = "--out",
@@ -42,6 +42,6 @@
     @Override
     public Integer call() {
         return new ScaleLab(System.out, System.err)
-                .run(file, seed, sets == null ? List.of() : sets, out);
+                .run(file, seed, overrides == null ? List.of() : overrides, out);
     }
 }
--- a/src/main/java/cottonlock/cli/LabSoakCommand.java
+++ b/src/main/java/cottonlock/cli/LabSoakCommand.java
@@ -74,6 +74,6 @@
 
     private int refuse(String fault) {
         spec.commandLine().getErr().println(fault);
-        return Cli.UNUSABLE;
+        return Cli.EXIT_UNUSABLE_INPUT;
     }
 }
--- a/src/main/java/cottonlock/cli/LabSweepCommand.java
+++ b/src/main/java/cottonlock/cli/LabSweepCommand.java
@@ -28,7 +28,7 @@
             description =
                     "The one with commas is swept; others, with one value each,"
                             + " are set in all runs.")
-    private List<String> sets;
+    private List<String> overrides;
 
     @Option(
             names = "--seeds",
@@ -45,7 +45,7 @@
     public Integer call() throws InterruptedException {
         List<String> fixed = new ArrayList<>();
         String swept = null;
-        for (String set : sets) {
+        for (String set : overrides) {
             if (swept == null && set.contains(",") && !set.contains("[")) {
                 swept = set;
             } else {
@@ -56,7 +56,7 @@
             spec.commandLine()
                     .getErr()
                     .println("cottonlock lab sweep: expected one --set PATH=V1,V2,...");
-            return Cli.UNUSABLE;
+            return Cli.EXIT_UNUSABLE_INPUT;
         }
         int equals = swept.indexOf('=');
         return LabCommand.lab()
