--- a/src/main/java/cottonlock/Main.java
+++ b/src/main/java/cottonlock/Main.java
@@ -15,7 +15,7 @@
     private static final int EXIT_UNUSABLE_CONFIGURATION = 2;
 
     /** A name, as the class itself, once loaded, would have Java create its own manager. */
-    private static final String LOG_MANAGER = "cottonlock.ServiceLogManager";
+    private static final String LOG_MANAGER_CLASS = "cottonlock.ServiceLogManager";
 
     private Main() {}
 
@@ -31,7 +31,7 @@
         // Before anything else is loaded: until then a signal ends the process.
         ProcessSignals signals =
                 args.length > 0 && args[0].equals("serve") ? new ProcessSignals() : null;
-        System.setProperty("java.util.logging.manager", LOG_MANAGER);
+        System.setProperty("java.util.logging.manager", LOG_MANAGER_CLASS);
         String command = args.length == 1 ? args[0] : "";
         if (command.equals("serve") && System.getenv("COTTONLOCK_OPERATOR") == null) {
             System.exit(serve(OperatorConfig.NONE, signals));
@@ -85,7 +85,7 @@
                             System.getenv("EDGE_MGMT"),
                             folder == null || folder.isEmpty() ? null : Path.of(folder));
         } finally {
-            signals.started(proxy);
+            signals.startCompleted(proxy);
         }
         return proxy;
     }
--- a/src/main/java/cottonlock/ProcessSignals.java
+++ b/src/main/java/cottonlock/ProcessSignals.java
@@ -10,7 +10,7 @@
  * configuration.
  *
  * <p>Created before any other class of the program is loaded, since Java's own reaction to either
- * signal ends the process. A signal that arrives during the start waits for {@link #started(Proxy)}
+ * signal ends the process. A signal that arrives during the start waits for {@link #startCompleted(Proxy)}
  * on the signal's or the shutdown hook's thread. Signals that come before the JVM has started the
  * program can't be held: docs/operators.md says what to wait for.
  *
@@ -20,11 +20,11 @@
     /** A process manager kills a process that has not stopped after little more. */
     private static final long MAX_DRAIN_DELAY_SECONDS = 3;
 
-    private final CountDownLatch started = new CountDownLatch(1);
+    private final CountDownLatch startLatch = new CountDownLatch(1);
     private final AtomicBoolean reloadPending = new AtomicBoolean();
     private final boolean hangUpIgnored;
 
-    /** Written once, by the starting thread, before {@link #started} opens; null if none serves. */
+    /** Written once, by the starting thread, before {@link #startLatch} opens; null if none serves. */
     private Proxy proxy;
 
     /** Installs the handler of SIGHUP, then the shutdown hook. */
@@ -49,13 +49,13 @@
     /**
      * Carries out the signals that arrived during the start, and those that follow.
      *
-     * @param served the proxy that serves, or null if the start failed
+     * @param startedProxy the proxy that serves, or null if the start failed
      */
-    void started(Proxy served) {
-        proxy = served;
+    void startCompleted(Proxy startedProxy) {
+        proxy = startedProxy;
         ServiceLogManager.keepOpen();
-        started.countDown();
-        if (hangUpIgnored && served != null) {
+        startLatch.countDown();
+        if (hangUpIgnored && startedProxy != null) {
             warnOfIgnoredHangUp();
         }
     }
@@ -69,7 +69,7 @@
             return;
         }
         try {
-            started.await();
+            startLatch.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return;
@@ -84,7 +84,7 @@
     private void drain() {
         long signalledAtNanos = System.nanoTime();
         try {
-            if (started.await(MAX_DRAIN_DELAY_SECONDS, TimeUnit.SECONDS) && proxy != null) {
+            if (startLatch.await(MAX_DRAIN_DELAY_SECONDS, TimeUnit.SECONDS) && proxy != null) {
                 proxy.drain(signalledAtNanos);
             }
         } catch (InterruptedException e) {
