--- a/src/main/java/cottonlock/rollout/ConfigurationRollout.java
+++ b/src/main/java/cottonlock/rollout/ConfigurationRollout.java
@@ -10,29 +10,29 @@
  * The state machine of one proxy's configuration: which version is in force, which control server
  * is watched, and when the watch moves to another server.
  *
- * <p>Its driver keeps one watch, on the server that {@link #nextWatch} names, and reports what
- * comes of it: {@link #versionAnnounced}, {@link #watchFailed}. Between lines, and at {@link
- * #nextCheckAtTicks}, it asks {@link #shouldMigrate} and {@link #nextComparison}. A version that is
- * to be validated ends as {@link #applied} or {@link #rejected}.
+ * <p>Its driver keeps one watch open, on the server that {@link #nextWatch} returns, and reports its
+ * events with {@link #versionAnnounced} and {@link #watchFailed}. Between lines, and at {@link
+ * #nextCheckAtTicks}, it calls {@link #shouldMigrate} and {@link #nextComparison}. The validation of
+ * a version ends with a call of {@link #applied} or {@link #rejected}.
  *
- * <p>Invariants: the version in force only ever rises; a rejected version is not validated again
- * while it is remembered. Times are ticks of 0.1 ms and never go back. Not thread-safe.
+ * <p>Invariants: the version in force never decreases; a rejected version is not validated again
+ * while it is remembered. Times are ticks of 0.1 ms and never decrease. Not thread-safe.
  */
 @Deterministic
 public final class ConfigurationRollout {
     /**
-     * A watch without a line for this long is lost. Control servers send an empty line every two
-     * seconds.
+     * A watch on which no line has arrived for this long counts as lost. Control servers send an
+     * empty line every two seconds.
      */
     public static final long SILENCE_TIMEOUT_TICKS = 40_000;
 
-    /** Control servers learn of each other's versions within this time. */
+    /** Time within which a version published on one control server reaches the others. */
     private static final long SERVER_PROPAGATION_TICKS = 5_000;
 
-    /** How many rejected versions are remembered. */
+    /** Number of rejected versions that are remembered; the oldest is forgotten first. */
     private static final int MAX_REMEMBERED_REJECTIONS = 16;
 
-    /** In fields with a time: the condition does not hold. */
+    /** Value of a time field while its condition does not hold. */
     private static final long NOT_SET = -1;
 
     /** A planned move of the watch to a server that has announced a higher version. */
@@ -46,7 +46,7 @@
     private ConfigurationVersion inForce;
     private ConfigurationVersion highestKnown;
 
-    /** The oldest first. */
+    /** Remembered rejected versions, the oldest first. */
     private final Set<ConfigurationVersion> rejectedVersions = new LinkedHashSet<>();
 
     private ConfigurationVersion highestRejected = ConfigurationVersion.NONE;
@@ -58,19 +58,19 @@
     private long callCount;
     private long failureCount;
 
-    /** Since when the current watch is established. */
+    /** When the current watch announced its first version. */
     private long establishedAtTicks = NOT_SET;
 
-    /** What the watched server announced last; null before its first line. */
+    /** The version that the watched server announced last; null before the first. */
     private ConfigurationVersion announcedByWatched;
 
     private long compareAtTicks;
 
-    /** Null while the watch stays where it is. */
+    /** Null if no move of the watch is planned. */
     private Migration migration;
 
     /**
-     * Starts with the safeguards of production.
+     * Creates a rollout with all safeguards on.
      *
      * @param stored the version that an earlier process stored, or {@link
      *     ConfigurationVersion#NONE}
@@ -83,7 +83,7 @@
         this(nowTicks, config, stored, random, RolloutVariants.DEFAULT);
     }
 
-    /** The same with other safeguards, for tests. */
+    /** Creates a rollout with the given safeguards, for tests. */
     public ConfigurationRollout(
             long nowTicks,
             RolloutConfig config,
@@ -99,7 +99,7 @@
         this.disconnectedSinceTicks = nowTicks;
     }
 
-    /** The watch to open next; the driver must make that call. */
+    /** Returns the watch to open next. The driver must open it: it is counted as a call. */
     public WatchAttempt nextWatch(long nowTicks) {
         callCount++;
         establishedAtTicks = NOT_SET;
@@ -109,16 +109,19 @@
         return serverSelector.nextAttempt(nowTicks);
     }
 
-    /** The version that a call names: control sends the content of higher versions alone. */
+    /**
+     * Returns the version to name in a watch request: the control server sends content only for
+     * higher versions. It may be a rejected one, so that its content is not sent again.
+     */
     public ConfigurationVersion requestedFrom() {
         return variants.supersedes(highestRejected, inForce) ? highestRejected : inForce;
     }
 
     /**
-     * The watched server has announced a version, with or without its content.
+     * Called when the watched server has announced a version, with or without its content.
      *
-     * @return whether the content is to be validated, and {@link #applied} or {@link #rejected}
-     *     called with the result
+     * @return whether the driver must validate the content and report the result with {@link
+     *     #applied} or {@link #rejected}
      */
     public boolean versionAnnounced(long nowTicks, ConfigurationVersion version) {
         if (establishedAtTicks == NOT_SET) {
@@ -134,7 +137,7 @@
         return variants.supersedes(version, inForce) && !rejectedVersions.contains(version);
     }
 
-    /** A server named by {@link #nextComparison} has answered with the version that it holds. */
+    /** Called when a server returned by {@link #nextComparison} has answered with its version. */
     public void comparisonAnswered(long nowTicks, int server, ConfigurationVersion version) {
         recordAnnouncement(nowTicks, version);
         boolean watchedIsBehind =
@@ -142,11 +145,12 @@
                         && announcedByWatched != null
                         && variants.supersedes(version, announcedByWatched);
         if (watchedIsBehind && !variants.supersedes(inForce, version)) {
-            // Not at once: the watched server may just not have learned of the version yet.
+            // Delayed, since the version may still be propagating to the watched server.
             migration = new Migration(server, version, nowTicks + SERVER_PROPAGATION_TICKS);
         }
     }
 
+    /** Updates the highest known version, and since when the proxy and its server are behind. */
     private void recordAnnouncement(long nowTicks, ConfigurationVersion version) {
         if (variants.supersedes(version, highestKnown)) {
             highestKnown = version;
@@ -159,7 +163,7 @@
         }
     }
 
-    /** The version is valid, and all of it is in force. */
+    /** Called when a valid version has been put into force completely. */
     public void applied(ConfigurationVersion version) {
         inForce = version;
         if (!variants.supersedes(highestKnown, inForce)) {
@@ -167,7 +171,7 @@
         }
     }
 
-    /** The version is invalid: what was in force stays so. */
+    /** Called when a version has proved invalid; the version in force stays. */
     public void rejected(ConfigurationVersion version) {
         rejectedCount++;
         rejectedVersions.add(version);
@@ -179,19 +183,19 @@
         }
     }
 
-    /** Whether the watch is to be closed in favour of a server that holds a higher version. */
+    /** Returns whether to close the watch and move to a server that holds a higher version. */
     public boolean shouldMigrate(long nowTicks) {
         return migration != null && nowTicks >= migration.dueAtTicks();
     }
 
-    /** The watch was closed as {@link #shouldMigrate} asked. */
+    /** Called when the watch has been closed because {@link #shouldMigrate} returned true. */
     public void watchMigrated(long nowTicks) {
         serverSelector.migrate(nowTicks, migration.server());
         establishedAtTicks = NOT_SET;
         disconnectedSinceTicks = nowTicks;
     }
 
-    /** The watch has failed or could not be opened. */
+    /** Called when the watch has failed or could not be opened. */
     public void watchFailed(long nowTicks) {
         failureCount++;
         boolean wasStable =
@@ -205,8 +209,8 @@
     }
 
     /**
-     * The server that is to be asked now which version it holds, or -1 for none. The answer is
-     * reported by {@link #comparisonAnswered}, its lack by {@link #comparisonFailed}.
+     * Returns the server to ask now which version it holds, or -1 for none. The driver reports its
+     * answer with {@link #comparisonAnswered}, and a failure with {@link #comparisonFailed}.
      */
     public int nextComparison(long nowTicks) {
         boolean due = establishedAtTicks != NOT_SET && nowTicks >= compareAtTicks;
@@ -218,14 +222,14 @@
         return serverSelector.randomOther();
     }
 
-    /** The server that was to be compared with has not answered. */
+    /** Called when a server returned by {@link #nextComparison} has not answered. */
     public void comparisonFailed() {
         failureCount++;
     }
 
     /**
-     * When {@link #shouldMigrate} and {@link #nextComparison} are to be asked next though no line
-     * has come; {@link Long#MAX_VALUE} without an established watch.
+     * Returns when to call {@link #shouldMigrate} and {@link #nextComparison} next if no line
+     * arrives before; {@link Long#MAX_VALUE} without an established watch.
      */
     public long nextCheckAtTicks() {
         if (establishedAtTicks == NOT_SET) {
@@ -236,7 +240,7 @@
                 : Math.min(compareAtTicks, migration.dueAtTicks());
     }
 
-    /** The present state, for metrics. */
+    /** Returns the current state, for metrics. */
     public RolloutStatus status() {
         return new RolloutStatus(
                 inForce,
--- a/src/main/java/cottonlock/rollout/ControlServerSelector.java
+++ b/src/main/java/cottonlock/rollout/ControlServerSelector.java
@@ -5,18 +5,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Failover between control servers: which one is called next, when, and with which timeout.
+ * Failover between control servers: selects which one is called next, when, and with which timeout.
  *
- * <p>Servers are tried round by round, each round in a random order of the near servers and then of
- * the far ones. Calls of the first round follow one another quickly; once a whole round has failed,
- * each call is preceded by a backoff. Not thread-safe.
+ * <p>Servers are tried in rounds. Each round tries the near servers in a random order and then the
+ * far ones in a random order. Calls of the first round follow one another quickly; once a whole
+ * round has failed, a backoff precedes each call. Not thread-safe.
  */
 @Deterministic
 final class ControlServerSelector {
-    /** The index that stands for no server. */
+    /** Index that means no server. */
     static final int NO_SERVER = -1;
 
-    /** Start-up calls of a fleet that starts at once are spread over this time. */
+    /** The first call is delayed by up to this time, so that a fleet started at once spreads its calls. */
     private static final long STARTUP_SPREAD_TICKS = 20_000;
 
     private final RolloutConfig config;
@@ -26,19 +26,21 @@
     private final RolloutVariants variants;
     private final Jitter jitter;
 
-    /** The servers' indices in the order of this round, and the position of the next one in it. */
+    /** The servers' indices in the order of the current round. */
     private int[] order;
 
+    /** Position in {@link #order} of the server to call next. */
     private int position;
     private boolean firstRound = true;
     private int consecutiveFailures;
 
-    /** When the next call may start, and when the last one did. */
+    /** Earliest start of the next call. */
     private long nextCallAtTicks;
 
+    /** Start of the last call. */
     private long lastCallAtTicks;
 
-    /** The server that is called or watched, or {@link #NO_SERVER}. */
+    /** The server that is being called or watched, or {@link #NO_SERVER}. */
     private int current = NO_SERVER;
 
     ControlServerSelector(
@@ -57,37 +59,37 @@
         this.lastCallAtTicks = nowTicks;
     }
 
-    /** The server that is called or watched, or {@link #NO_SERVER}. */
+    /** Returns the server that is being called or watched, or {@link #NO_SERVER}. */
     int current() {
         return current;
     }
 
-    /** Whether there is a server besides the current one. */
+    /** Returns whether there is more than one server. */
     boolean hasOthers() {
         return serverCount > 1;
     }
 
-    /** Another server than the current one, at random; there must be one. */
+    /** Returns a random server other than the current one; there must be one. */
     int randomOther() {
         int other = random.nextInt(serverCount - 1);
         return other >= current ? other + 1 : other;
     }
 
-    /** The next call; its server is the current one from now on. */
+    /** Returns the next call and makes its server the current one. */
     WatchAttempt nextAttempt(long nowTicks) {
         current = order[position];
         lastCallAtTicks = Math.max(nowTicks, nextCallAtTicks);
         return new WatchAttempt(current, lastCallAtTicks, timeoutTicks());
     }
 
-    /** Later rounds wait longer: an overloaded server may need more than the usual timeout. */
+    /** Returns a longer timeout after the first round: an overloaded server may need more time. */
     private long timeoutTicks() {
         return firstRound
                 ? config.callTimeoutTicks()
                 : Math.max(config.callTimeoutTicks(), config.maxRetryDelayTicks() / 2);
     }
 
-    /** The watch on the current server moves to another one without any delay. */
+    /** Ends the watch on the current server; the next call goes to the given one without delay. */
     void migrate(long nowTicks, int server) {
         startFirstRound(0);
         int index = 0;
@@ -101,10 +103,10 @@
     }
 
     /**
-     * The call or watch has failed.
+     * Records that the call or watch has failed, and schedules the next call.
      *
-     * @param wasStable whether the watch had been established for long: earlier failures count no
-     *     more then
+     * @param wasStable whether the watch had been established long enough for earlier failures to
+     *     no longer count
      */
     void recordFailure(long nowTicks, boolean wasStable) {
         consecutiveFailures++;
@@ -134,7 +136,8 @@
             return nowTicks;
         }
         if (firstRound && variants.failsOver()) {
-            // Counted from the start of the last call: a refused connection must not speed it up.
+            // Measured from the start of the last call, so that a connection refused at once does
+            // not make the next call earlier.
             long callEndTicks =
                     wasStable
                             ? nowTicks
@@ -148,8 +151,9 @@
     }
 
     /**
-     * Near servers, then far ones, each group in a random order; the given one, if any, last of
-     * all.
+     * Returns the near servers and then the far ones, each group in a random order.
+     *
+     * @param last the server to move to the end, or {@link #NO_SERVER}
      */
     private int[] shuffledOrder(int last) {
         int[] shuffled = new int[serverCount];
--- a/src/main/java/cottonlock/rollout/RolloutVariants.java
+++ b/src/main/java/cottonlock/rollout/RolloutVariants.java
@@ -11,17 +11,17 @@
     /** All safeguards are on. */
     public static final RolloutVariants DEFAULT = new RolloutVariants();
 
-    /** Whether a version takes the place of another. */
+    /** Whether the candidate version replaces the current one. */
     public boolean supersedes(ConfigurationVersion candidate, ConfigurationVersion current) {
         return candidate.compareTo(current) > 0;
     }
 
-    /** Whether a second control server is asked periodically which version it holds. */
+    /** Whether another control server is asked periodically which version it holds. */
     public boolean comparesServers() {
         return true;
     }
 
-    /** Whether far control servers are called only where no near one answers. */
+    /** Whether far control servers are called only after all near ones have failed. */
     public boolean prefersNearServers() {
         return true;
     }
@@ -39,7 +39,7 @@
     /**
      * The longest delay before the next call, in ticks.
      *
-     * @param retryTicks the configured limit
+     * @param retryTicks the configured maximum delay
      * @param consecutiveFailures calls that failed in a row; at least 1
      */
     public long maxBackoffTicks(long retryTicks, int consecutiveFailures) {
@@ -60,7 +60,7 @@
         return defaultTicks;
     }
 
-    /** Whether a version is validated, and rejected where that fails, before it is in force. */
+    /** Whether a version is validated before it is put into force, and rejected if it is invalid. */
     public boolean validates() {
         return true;
     }
--- a/src/main/java/cottonlock/rollout/package-info.java
+++ b/src/main/java/cottonlock/rollout/package-info.java
@@ -1,6 +1,6 @@
 /**
- * How a change of the settings reaches each proxy: which configuration version is in force, which
- * control server is watched, and how a proxy fails over, backs off and rejects invalid versions.
+ * Rollout of changed settings to each proxy: which configuration version is in force, which control
+ * server is watched, and how a proxy fails over, backs off and rejects invalid versions.
  *
  * <p>The classes here are free of I/O, clocks and threads: {@link
  * cottonlock.rollout.ConfigurationRollout} is the state machine, {@link
