--- a/src/main/java/cottonlock/admin/ManagementOperations.java
+++ b/src/main/java/cottonlock/admin/ManagementOperations.java
@@ -1,17 +1,17 @@
 package cottonlock.admin;
 
 /**
- * The operations behind the management commands. Called by the threads of {@link ManagementServer},
- * several at once.
+ * The operations behind the management commands. The threads of {@link ManagementServer} call them
+ * concurrently.
  */
 public interface ManagementOperations {
     /** Returns whether this process serves requests. */
     boolean isServing();
 
-    /** Returns all metrics as one line of JSON, without its end. */
+    /** Returns all metrics as one line of JSON, without a line terminator. */
     String metricsJson();
 
-    /** Returns this process's view of the fleet, one member a line; null if membership is off. */
+    /** Returns this process's view of the fleet, one line per member; null if membership is off. */
     String membersReport();
 
     /**
--- a/src/main/java/cottonlock/admin/ManagementServer.java
+++ b/src/main/java/cottonlock/admin/ManagementServer.java
@@ -13,18 +13,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Answers management commands, one command line a connection.
+ * Answers management commands, one command line per connection.
  *
- * <p>It has a thread for each connection and file descriptors reserved for it, so that it answers
+ * <p>Each connection has its own thread and a reserved file descriptor, so that commands are answered
  * within a second while the request path is overloaded.
  */
 public final class ManagementServer implements Runnable, AutoCloseable {
-    /** Connections that may be open at once; each takes a file descriptor and a thread. */
+    /** Maximum number of open connections; each takes a file descriptor and a thread. */
     public static final int MAX_CONNECTIONS = 12;
 
     /**
-     * Connections that may wait to be accepted. The system drops the connection request of one more
-     * caller, who sends it again after a second.
+     * Maximum number of connections that wait to be accepted. Beyond it, the operating system drops
+     * connection requests, and the client's system retries them after a second.
      */
     private static final int BACKLOG = 1_024;
 
@@ -34,14 +34,12 @@
 
     private static final int ACCEPT_RETRY_DELAY_MILLIS = 20;
 
-    /**
-     * How long a new connection waits, at most, while all others have sent what is not yet read.
-     */
+    /** Maximum wait of a new connection for a slot while no other connection is idle. */
     private static final long MAX_SLOT_WAIT_MILLIS = 100;
 
     private static final long SLOT_CHECK_INTERVAL_MILLIS = 2;
 
-    /** Stack of a connection's thread: the calls here are shallow. */
+    /** Stack size of a connection's thread. A small one suffices: its call chains are short. */
     private static final long THREAD_STACK_BYTES = 192 << 10;
 
     private final ManagementOperations operations;
@@ -116,9 +114,8 @@
     }
 
     /**
-     * Waits until a connection may be added: an idle one must not keep a new caller out, and a call
-     * that has arrived must not be dropped for a newer one. Called with {@link #awaitingCommand}
-     * locked.
+     * Waits until a connection may be added. An idle connection is evicted for a new one, but a
+     * command that has arrived is not dropped for it. Called with {@link #awaitingCommand} locked.
      */
     private void awaitConnectionSlot() {
         long deadlineNanos =
@@ -135,7 +132,11 @@
         }
     }
 
-    /** Returns whether there was a connection of which all that has arrived has been read. */
+    /**
+     * Ends the input of the oldest connection without unread bytes.
+     *
+     * @return whether there was one
+     */
     private boolean evictOldestIdle() {
         for (Iterator<Socket> oldestFirst = awaitingCommand.iterator(); oldestFirst.hasNext(); ) {
             Socket socket = oldestFirst.next();
@@ -152,17 +153,20 @@
         try {
             return socket.getInputStream().available() > 0;
         } catch (IOException e) {
-            // It has been closed.
+            // The connection has been closed.
             return false;
         }
     }
 
-    /** Its thread sees the end and closes it; a command that it has just read is still answered. */
+    /**
+     * Ends a connection's input: its thread reads the end of the stream and closes the connection. A
+     * command that the thread has just read is still answered.
+     */
     private static void shutDownInput(Socket socket) {
         try {
             socket.shutdownInput();
         } catch (IOException e) {
-            // It has been closed.
+            // The connection has been closed.
         }
     }
 
@@ -177,7 +181,7 @@
             socket.getOutputStream().write(respond(command).getBytes(StandardCharsets.UTF_8));
             socket.shutdownOutput();
         } catch (IOException e) {
-            // The caller has closed the connection, or it was closed for a newer one.
+            // The client has closed the connection, or it was evicted for a newer one.
         } finally {
             endConnection(socket);
         }
@@ -192,13 +196,13 @@
         }
     }
 
-    /** Returns one line without its end, or null if it is too long. */
+    /** Returns one line without its terminator, or null if it is too long. */
     private static String readCommand(InputStream in) throws IOException {
         byte[] bytes = new byte[MAX_COMMAND_BYTES];
         int length = 0;
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
-                throw new IOException("the call ends early");
+                throw new IOException("connection ended before the end of the command line");
             }
             if (length == MAX_COMMAND_BYTES) {
                 return null;
@@ -209,7 +213,7 @@
         return new String(bytes, 0, length, StandardCharsets.UTF_8);
     }
 
-    /** Carries out a command; returns the response with its line ends. */
+    /** Executes a command; returns the response with its line terminators. */
     private String respond(String command) {
         if (command == null) {
             return "NAK the call is longer than " + MAX_COMMAND_BYTES + " bytes\n";
@@ -260,11 +264,11 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // Its descriptor is released all the same.
+            // The descriptor is released nevertheless.
         }
     }
 
-    /** Without free descriptors, accept fails at once and repeatedly. */
+    /** Without free file descriptors, accept fails at once and repeatedly; the pause limits the rate. */
     private static void pauseAccepting() {
         try {
             Thread.sleep(ACCEPT_RETRY_DELAY_MILLIS);
@@ -275,7 +279,8 @@
 
     /**
      * Closes the listener, and the connections whose command has not arrived completely; commands
-     * under way are answered. When this returns, {@link #run} has returned and the address is free.
+     * in execution are answered. When this returns, {@link #run} has returned and the address is
+     * free.
      */
     @Override
     public void close() {
@@ -283,7 +288,7 @@
         try {
             server.close();
         } catch (IOException e) {
-            // Its descriptor is released all the same.
+            // The descriptor is released nevertheless.
         }
         completion.awaitEnd();
         synchronized (awaitingCommand) {
@@ -291,7 +296,7 @@
         }
     }
 
-    /** Returns the port that it listens on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return server.getLocalPort();
     }
--- a/src/main/java/cottonlock/admin/Metrics.java
+++ b/src/main/java/cottonlock/admin/Metrics.java
@@ -11,10 +11,10 @@
 
 /**
  * Counters of this process since its start, and their JSON form. All methods may be called from any
- * thread; {@link #addSource} belongs to the start, before the counters are read.
+ * thread; {@link #addSource} must be called at the start, before the counters are read.
  */
 public final class Metrics {
-    /** How a request ended, as its client saw it. */
+    /** The result of a request as its client saw it. */
     private enum RequestResult {
         SUCCESS("success"),
         REJECTED("busy"),
@@ -44,7 +44,10 @@
                     RequestResult.FAILED,
                     new ConcurrentSkipListMap<>());
 
-    /** Requests without success by class; adds up to the same total as {@link #reasonsByTenant}. */
+    /**
+     * Unsuccessful requests by request class and reason. Adds up to the same total as {@link
+     * #reasonsByTenant} if the tenant of each request is registered.
+     */
     private final Map<String, Map<RejectionReason, LongAdder>> reasonsByClass =
             new ConcurrentSkipListMap<>();
 
@@ -57,10 +60,10 @@
     private volatile int backendsListed;
     private volatile int backendsAvoided;
 
-    /** Further JSON fields, each after a comma; null if there are none. */
+    /** Supplies additional JSON fields, each preceded by a comma; null if there are none. */
     private volatile Supplier<String> additionalFields;
 
-    /** Makes a request class appear in the metrics, with counts of zero. */
+    /** Adds a request class to the metrics, with counts of zero. */
     public void registerRequestClass(String name) {
         requestsByResult
                 .values()
@@ -68,7 +71,7 @@
         reasonsByClass.computeIfAbsent(name, n -> zeroForEachReason());
     }
 
-    /** Makes a tenant appear in the metrics, with counts of zero. */
+    /** Adds a tenant to the metrics, with counts of zero. */
     public void registerTenant(String name) {
         reasonsByTenant.computeIfAbsent(name, n -> zeroForEachReason());
     }
@@ -126,8 +129,8 @@
      * Sets the backend counts.
      *
      * @param listed backends in the endpoint list
-     * @param avoided those of them that get few or no requests now: ejected manually, draining, or
-     *     suspected outliers
+     * @param avoided listed backends that currently get few or no requests: ejected manually,
+     *     draining, or suspected outliers
      */
     public void setBackendCounts(int listed, int avoided) {
         backendsListed = listed;
@@ -140,9 +143,9 @@
     }
 
     /**
-     * Adds metrics that another part of the process keeps.
+     * Adds metrics that another component of the process maintains.
      *
-     * @param fields supplies JSON fields, each after a comma
+     * @param fields supplies JSON fields, each preceded by a comma
      */
     public void addSource(Supplier<String> fields) {
         Supplier<String> previous = additionalFields;
