--- a/src/main/java/cottonlock/config/Addresses.java
+++ b/src/main/java/cottonlock/config/Addresses.java
@@ -6,7 +6,10 @@
 final class Addresses {
     private Addresses() {}
 
-    /** Returns a list of numeric addresses with ports; empty if the key is missing. */
+    /**
+     * Returns a list of numeric addresses with ports; empty if the key is missing. Other texts are
+     * added to the table's faults.
+     */
     static List<String> read(Fields table, String key) {
         List<String> addresses = table.texts(key, List.of());
         for (String address : addresses) {
--- a/src/main/java/cottonlock/config/ConfigurationDocument.java
+++ b/src/main/java/cottonlock/config/ConfigurationDocument.java
@@ -13,16 +13,16 @@
 import java.util.stream.Collectors;
 
 /**
- * A value of a configuration file with the place where it stands; the root is the file's top table.
- * Not for several threads.
+ * A value of a configuration file with its location; the root is the file's top-level table. Not
+ * thread-safe.
  */
 public final class ConfigurationDocument {
     private static final String INDEX_FORM = "[0-9]{1,6}";
 
-    /** The file's name, or the command line's option that set this value. */
+    /** The file's name, or the command-line option that set this value. */
     final String file;
 
-    /** The line in the file, from 1; 0 for a value set by the command line. */
+    /** The line in the file, starting at 1; 0 for a value set on the command line. */
     final int line;
 
     private final ConfigurationValue value;
@@ -53,12 +53,12 @@
 
     /**
      * Sets the value at a path, as {@code --set path=value} on the command line does. The path
-     * joins keys and list indexes by dots; missing tables are created. A value that is not TOML is
-     * taken as a text.
+     * consists of keys and list indexes separated by dots; missing tables are created. A value that
+     * is not TOML is read as a string.
      *
-     * @param pair the path and the value, joined by an equals sign
-     * @throws InvalidConfigurationException if the path leads through a plain value or beyond a
-     *     list
+     * @param pair the path and the value, separated by an equals sign
+     * @throws InvalidConfigurationException if a parent in the path is neither a table nor a list, or
+     *     an index is not in its list
      */
     public void set(String pair) throws InvalidConfigurationException {
         int equals = pair.indexOf('=');
@@ -102,7 +102,7 @@
     private int index(String name, String origin) throws InvalidConfigurationException {
         if (!isList()) {
             throw InvalidConfigurationException.of(
-                    origin, 0, name, "leads nowhere: what it is looked for in is no table");
+                    origin, 0, name, "leads nowhere: its parent is neither a table nor a list");
         }
         int size = items().size();
         if (!name.matches(INDEX_FORM) || Integer.parseInt(name) >= size) {
@@ -117,7 +117,7 @@
         return value instanceof Table table && table.entries().containsKey(key);
     }
 
-    /** Returns an empty table at this value's place. */
+    /** Returns an empty table with this value's location. */
     ConfigurationDocument emptyTable() {
         return new ConfigurationDocument(file, line, new Table(new LinkedHashMap<>()));
     }
@@ -130,12 +130,12 @@
         return value instanceof Array;
     }
 
-    /** Returns a table's entries; none if this is no table. */
+    /** Returns a table's entries; empty if this is not a table. */
     Map<String, ConfigurationDocument> entries() {
         return value instanceof Table table ? table.entries() : Map.of();
     }
 
-    /** Returns a list's items; none if this is no list. */
+    /** Returns a list's items; empty if this is not a list. */
     List<ConfigurationDocument> items() {
         return value instanceof Array array ? array.items() : List.of();
     }
@@ -158,17 +158,17 @@
         return OptionalDouble.empty();
     }
 
-    /** Returns the value as error messages name it. */
+    /** Returns the value as shown in error messages. */
     String describe() {
         return value.describe();
     }
 
-    /** Returns the value as reports show it. */
+    /** Returns the value as shown in reports. */
     String plainText() {
         return value.plainText();
     }
 
-    /** Returns a plain value, or a list of such, as TOML. */
+    /** Returns a scalar, or a list of scalars, as TOML. */
     String toToml() {
         if (isList()) {
             return items().stream()
--- a/src/main/java/cottonlock/config/ConfigurationFiles.java
+++ b/src/main/java/cottonlock/config/ConfigurationFiles.java
@@ -6,9 +6,9 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 
-/** Reads the text of configuration files, within bounds that protect the process. */
+/** Reads the text of configuration files, within limits that protect the process. */
 final class ConfigurationFiles {
-    /** Nesting of values: less than a thread's stack can hold. */
+    /** Maximum nesting of values; low enough that recursion does not overflow a thread's stack. */
     static final int MAX_DEPTH = 64;
 
     private static final int MAX_MEBIBYTES = 16;
@@ -40,6 +40,6 @@
 
     static InvalidConfigurationException tooDeep(String file, int line) {
         return InvalidConfigurationException.of(
-                file, line, "", "values lie too deep in each other");
+                file, line, "", "values are nested too deeply");
     }
 }
--- a/src/main/java/cottonlock/config/ConfigurationValue.java
+++ b/src/main/java/cottonlock/config/ConfigurationValue.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A value of a configuration file, of one of the kinds that TOML and JSON share. */
+/** A value of a configuration file, of one of the types that TOML and JSON share. */
 sealed interface ConfigurationValue {
     /** Named values in the order of the file; {@link ConfigurationDocument#set} may change them. */
     record Table(Map<String, ConfigurationDocument> entries) implements ConfigurationValue {
@@ -21,7 +21,7 @@
         }
     }
 
-    /** A text, which also stands for JSON's null (empty) and TOML's dates and times. */
+    /** A string; also represents JSON's null (as an empty string) and TOML's dates and times. */
     record Text(String text) implements ConfigurationValue {
         @Override
         public String describe() {
@@ -42,7 +42,7 @@
         }
     }
 
-    /** An integer within 64 bits. */
+    /** An integer of up to 64 bits. */
     record WholeNumber(long value) implements ConfigurationValue {
         @Override
         public String describe() {
@@ -58,10 +58,10 @@
         }
     }
 
-    /** Returns the value as an error message names it; a text is quoted. */
+    /** Returns the value as shown in error messages; a string is quoted. */
     String describe();
 
-    /** Returns the value as reports show it; a text is not quoted. */
+    /** Returns the value as shown in reports; a string is not quoted. */
     default String plainText() {
         return describe();
     }
--- a/src/main/java/cottonlock/config/EditDistance.java
+++ b/src/main/java/cottonlock/config/EditDistance.java
@@ -4,14 +4,14 @@
 import java.util.Comparator;
 import java.util.Optional;
 
-/** Finds the known key that a misspelt one probably stands for. */
+/** Finds the known key that a misspelt one probably means. */
 final class EditDistance {
-    /** Edits beyond which two keys count as different words. */
+    /** Maximum edit distance at which a known key is suggested. */
     private static final int MAX_EDITS = 3;
 
     private EditDistance() {}
 
-    /** Returns the nearest of the known keys, if one is near. */
+    /** Returns the known key with the least edit distance, if it is similar enough. */
     static Optional<String> nearest(String key, Collection<String> known) {
         return known.stream()
                 .filter(candidate -> isSimilar(key, candidate))
@@ -22,7 +22,7 @@
         return between(key, candidate) <= Math.min(MAX_EDITS, candidate.length() - 1);
     }
 
-    /** Returns the least number of letters to add, drop or change (Levenshtein distance). */
+    /** Returns the least number of letters to insert, delete or replace (Levenshtein distance). */
     static int between(String first, String second) {
         int[] row = new int[second.length() + 1];
         for (int j = 0; j < row.length; j++) {
--- a/src/main/java/cottonlock/config/Fields.java
+++ b/src/main/java/cottonlock/config/Fields.java
@@ -12,32 +12,31 @@
 /**
  * Reads the fields of one table of a configuration file.
  *
- * <p>A fault doesn't end the reading: the field reads as its default, and {@link #throwIfInvalid}
- * reports the faults of all tables of the file together, unknown keys among them. Not for several
- * threads.
+ * <p>A fault doesn't stop the reading: the field gets its default, and {@link #throwIfInvalid}
+ * reports the faults of all tables of the file together, including unknown keys. Not thread-safe.
  */
 public final class Fields {
-    /** The form of an address, for error messages. */
+    /** The format of an address, for error messages. */
     public static final String ADDRESS_FORM =
-            "an address of digits with a port, such as 127.0.0.1:5000";
+            "a numeric address with a port, such as 127.0.0.1:5000";
 
     private static final String BYTE = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])";
     private static final String ADDRESS =
             "(" + BYTE + "(\\." + BYTE + "){3}|\\[[0-9a-fA-F:.]+\\]):[0-9]{1,5}";
     private static final int MAX_PORT = 0xffff;
 
-    /** Whole numbers below this are written without a decimal point. */
+    /** Whole numbers below this limit are written without a decimal point. */
     private static final double MAX_EXACT_WHOLE = 1e15;
 
-    /** A fault and the line that it sorts by. */
+    /** A fault and its line, by which faults are sorted. */
     private record Fault(int line, String text) {}
 
     private final ConfigurationDocument document;
 
-    /** The keys that lead to this table, each with a dot; empty for the top table. */
+    /** The path of this table, with a dot after each key; empty for the top-level table. */
     private final String path;
 
-    /** Shared by all tables of the file. */
+    /** The faults of the file, shared by all its tables. */
     private final List<Fault> faults;
 
     /** All tables of the file that have been read. */
@@ -56,9 +55,9 @@
     }
 
     /**
-     * Returns the fields of a file's top table.
+     * Returns the fields of a file's top-level table.
      *
-     * @throws InvalidConfigurationException if the document is no table
+     * @throws InvalidConfigurationException if the document is not a table
      */
     public static Fields of(ConfigurationDocument document) throws InvalidConfigurationException {
         if (!document.isTable()) {
@@ -72,7 +71,7 @@
     }
 
     /**
-     * Ends the reading of a file.
+     * Ends the reading of a file and reports its faults.
      *
      * @throws InvalidConfigurationException if any of its tables has a fault or an unknown key
      */
@@ -100,18 +99,18 @@
     private String hint(String key) {
         return EditDistance.nearest(key, requestedKeys)
                 .map(known -> "; did you mean " + known + "?")
-                .orElse("; known here: " + String.join(", ", requestedKeys));
+                .orElse("; known keys: " + String.join(", ", requestedKeys));
     }
 
-    /** Accepts keys in this table that are never read. */
+    /** Accepts unknown keys in this table. */
     public void allowOtherKeys() {
         allowsOtherKeys = true;
     }
 
     /**
-     * Adds a fault that a single field's check can't find.
+     * Adds a fault that the check of a single field can't find.
      *
-     * @param key the key it is reported at; where it is missing, the table's line counts
+     * @param key the key at which the fault is reported; if it is missing, the table's line is used
      * @param expected what was expected and what was found
      */
     public void addFault(String key, String expected) {
@@ -138,7 +137,7 @@
     }
 
     /**
-     * Returns a text.
+     * Returns a string.
      *
      * @param defaultValue null if the key is required
      */
@@ -179,11 +178,11 @@
     }
 
     /**
-     * Returns one of several words; one that was renamed is read as its new name, with a warning in
-     * the log.
+     * Returns one of several words. A word that was renamed is read as its new name, and a warning is
+     * logged.
      *
      * @param defaultValue null if the key is required
-     * @param renamed new names by old ones
+     * @param renamed the new names by old names
      */
     public String oneOf(
             String key, String defaultValue, Map<String, String> renamed, String... words) {
@@ -193,7 +192,7 @@
             return oneOf(key, defaultValue, words);
         }
         requestedKeys.add(key);
-        String warning = "\"" + value.plainText() + "\" is called \"" + newName + "\" now";
+        String warning = "\"" + value.plainText() + "\" has been renamed to \"" + newName + "\"";
         System.getLogger("cottonlock")
                 .log(
                         System.Logger.Level.WARNING,
@@ -203,7 +202,7 @@
     }
 
     /**
-     * Returns a text that matches a pattern.
+     * Returns a string that matches a pattern.
      *
      * @param defaultValue null if the key is required
      * @param description the pattern in words, for the error message
@@ -221,7 +220,7 @@
         return value != null && value.text().isPresent();
     }
 
-    /** Returns whether a text is a numeric IPv4 or bracketed IPv6 address with a port. */
+    /** Returns whether a string is a numeric IPv4 or bracketed IPv6 address with a port. */
     public static boolean isAddress(String text) {
         return text.matches(ADDRESS)
                 && Integer.parseInt(text.substring(text.lastIndexOf(':') + 1)) <= MAX_PORT;
@@ -230,7 +229,7 @@
     /**
      * Returns a numeric address with a port.
      *
-     * @param defaultValue null if the key is required; otherwise the text may also be empty
+     * @param defaultValue null if the key is required; otherwise the value may also be empty
      */
     public String address(String key, String defaultValue) {
         String text = text(key, defaultValue);
@@ -258,8 +257,8 @@
      * Returns a number.
      *
      * @param defaultValue NaN if the key is required
-     * @param min the least number allowed
-     * @param max the greatest number allowed
+     * @param min the minimum
+     * @param max the maximum
      */
     public double number(String key, double defaultValue, double min, double max) {
         boolean required = Double.isNaN(defaultValue);
@@ -286,8 +285,8 @@
     /**
      * Returns a whole number.
      *
-     * @param min the least number allowed
-     * @param max the greatest number allowed
+     * @param min the minimum
+     * @param max the maximum
      */
     public int integer(String key, int defaultValue, int min, int max) {
         double value = number(key, defaultValue, min, max);
@@ -310,7 +309,7 @@
                 : Double.toString(value);
     }
 
-    /** Returns a list of texts. */
+    /** Returns a list of strings. */
     public List<String> texts(String key, List<String> defaultValue) {
         ConfigurationDocument value = get(key);
         if (value == null) {
@@ -376,9 +375,9 @@
     }
 
     /**
-     * Returns the table's plain values as lines of TOML.
+     * Returns the table's entries as lines of TOML.
      *
-     * @param excludedKeys keys that are left out
+     * @param excludedKeys keys that are left out; must include those of tables
      */
     public String toToml(Set<String> excludedKeys) {
         StringBuilder lines = new StringBuilder();
@@ -392,7 +391,7 @@
         return lines.toString();
     }
 
-    /** Returns a plain value as reports show it; empty if the key is missing. */
+    /** Returns a value as shown in reports; empty if the key is missing. */
     public String plainText(String key) {
         ConfigurationDocument value = document.entries().get(key);
         return value == null ? "" : value.plainText();
--- a/src/main/java/cottonlock/config/InvalidConfigurationException.java
+++ b/src/main/java/cottonlock/config/InvalidConfigurationException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Reports everything that is wrong with a configuration file. */
+/** Reports all faults of a configuration file. */
 public final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -11,7 +11,7 @@
     /**
      * Creates an exception for a file's faults.
      *
-     * @param faults one line a fault, each beginning with the place of the fault
+     * @param faults one line per fault, each starting with the location of the fault
      */
     public InvalidConfigurationException(List<String> faults) {
         super(String.join("\n", faults));
@@ -22,7 +22,7 @@
         return new InvalidConfigurationException(List.of(formatFault(file, line, key, fault)));
     }
 
-    /** Returns a fault's line; the line number 0 and an empty key are left out. */
+    /** Formats a fault as one line; the line number 0 and an empty key are left out. */
     static String formatFault(String file, int line, String key, String fault) {
         return file
                 + (line > 0 ? ":" + line : "")
@@ -31,7 +31,7 @@
                 + fault;
     }
 
-    /** Returns one line a fault: file, line, key, and what was expected. */
+    /** Returns one line per fault: file, line, key, and what was expected. */
     public List<String> faults() {
         return faults;
     }
--- a/src/main/java/cottonlock/config/JsonDocumentReader.java
+++ b/src/main/java/cottonlock/config/JsonDocumentReader.java
@@ -53,7 +53,7 @@
         return parser.currentTokenLocation().getLineNr();
     }
 
-    /** Reads the value that begins at the current token. */
+    /** Reads the value that starts at the current token. */
     private ConfigurationDocument value(int depth)
             throws IOException, InvalidConfigurationException {
         int line = line();
--- a/src/main/java/cottonlock/config/MembershipTable.java
+++ b/src/main/java/cottonlock/config/MembershipTable.java
@@ -25,7 +25,7 @@
         String nextKeyFile = keyFile(table, "next_key_file", file);
         if (keyFile.isEmpty() && !nextKeyFile.isEmpty()) {
             table.addFault(
-                    "next_key_file", "expected key_file beside it: tags are made with that one");
+                    "next_key_file", "expected key_file as well, which is the key that signs datagrams");
         }
         MembershipProtocolConfig protocol = protocol(table);
         return enabled
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Reads the protocol's parameters from an operator's file, also if membership is off there.
-     * Other tables of the file are not checked.
+     * Reads the protocol's parameters from an operator's file, even if membership is off in it. Other
+     * tables of the file are not checked.
      *
      * @throws InvalidConfigurationException with all faults of the parameters
      */
@@ -83,7 +83,7 @@
                 table.integer("contact_periods", defaults.contactIntervalPeriods(), 1, 100));
     }
 
-    /** Returns the path of a key file, as this process can open it; empty if none is named. */
+    /** Returns the absolute path of a key file; empty if the table names none. */
     private static String keyFile(Fields table, String key, Path file) {
         String name = table.text(key, "");
         if (name.isEmpty()) {
--- a/src/main/java/cottonlock/config/OperatorFile.java
+++ b/src/main/java/cottonlock/config/OperatorFile.java
@@ -7,15 +7,15 @@
 import java.util.TreeMap;
 
 /**
- * The operator's file: settings that the platform's configuration has no place for. {@code
+ * The operator's file: settings that are not part of the platform's configuration. {@code
  * deploy/operator.example.toml} lists every key with its default, unit and range.
  *
- * @param logFormat {@code text}: a line with level and text; {@code json}: one JSON object a line
+ * @param logFormat {@code text}: lines with level and text; {@code json}: one JSON object per line
  * @param logLevel the lowest level that is written: {@code info}, {@code warning} or {@code off}
- * @param shadowSettings settings, by path, of a shadow load balancer whose decisions are only counted;
- *     empty if there is none
- * @param membership how the proxies detect one another's failures; null if they don't
- * @param rollout where configuration versions come from; null if only from the platform's file
+ * @param shadowSettings settings, by path, of a shadow load balancer whose decisions are counted but
+ *     not applied; empty if there is none
+ * @param membership the configuration of failure detection among the proxies; null if it is off
+ * @param rollout the configuration of the rollout of settings; null if it is off
  */
 public record OperatorFile(
         String logFormat,
@@ -23,7 +23,7 @@
         Map<String, String> shadowSettings,
         MembershipConfig membership,
         RolloutConfig rollout) {
-    /** The settings that a shadow load balancer may change, by the file's keys. */
+    /** Paths of the fees that may differ for a shadow load balancer, by the file's keys. */
     private static final Map<String, String> FEE_PATHS =
             Map.of("connection_fee", "Fees.Connection", "handshake_fee", "Fees.Handshake");
 
@@ -31,7 +31,7 @@
 
     private static final double MAX_FEE = 1e6;
 
-    /** Creates a file without rollout. */
+    /** Creates the content of a file without rollout. */
     public OperatorFile(
             String logFormat,
             String logLevel,
--- a/src/main/java/cottonlock/config/PlatformFile.java
+++ b/src/main/java/cottonlock/config/PlatformFile.java
@@ -6,17 +6,17 @@
 import java.util.Set;
 
 /**
- * Checks the platform's JSON ({@code EDGE_CONFIG}) for the command {@code check}. It is stricter
- * than {@code serve}, which replaces some unusable values by defaults. The settings may hold keys
- * that a proxy doesn't read.
+ * Checks the platform's JSON file ({@code EDGE_CONFIG}) for the command {@code check}. The check is
+ * stricter than {@code serve}, which replaces some invalid values by defaults. The settings may
+ * contain keys that a proxy doesn't read.
  */
 public final class PlatformFile {
-    /** A time beyond a day is probably given in the wrong unit. */
+    /** A time of more than a day is probably given in the wrong unit. */
     private static final double MAX_TIME_MICROS = 86_400e6;
 
     private static final double DEFAULT_EXPIRY_MICROS = 60e6;
 
-    /** Rounded shares may add up to a little more than 1. */
+    /** Rounding may make the shares add up to slightly more than 1. */
     private static final double MAX_SUM_OF_SHARES = 1.001;
 
     private static final double MAX_RATE = 1e9;
@@ -59,7 +59,7 @@
         Set<String> hosts = new HashSet<>();
         for (Fields host : list.tables("hosts")) {
             if (!hosts.add(host.text("host", null))) {
-                host.addFault("host", "stands twice in the list");
+                host.addFault("host", "occurs twice in the list");
             }
             host.address("dial", null);
             host.oneOf("health", null, "active", "leaving", "left");
@@ -96,7 +96,7 @@
         Set<String> names = new HashSet<>();
         for (Fields requestClass : requestClasses) {
             if (!names.add(requestClass.text("Name", null))) {
-                requestClass.addFault("Name", "stands twice in the list");
+                requestClass.addFault("Name", "occurs twice in the list");
             }
             double latencyObjective =
                     requestClass.number("DueTime", Double.NaN, 1, MAX_TIME_MICROS);
@@ -119,7 +119,7 @@
         Set<String> names = new HashSet<>();
         for (Fields tenant : settings.tables("Projects")) {
             if (!names.add(tenant.text("Name", null))) {
-                tenant.addFault("Name", "stands twice in the list");
+                tenant.addFault("Name", "occurs twice in the list");
             }
             sumOfShares += tenant.number("Share", 0, 0, 1);
             tenant.number("QuotaRps", 0, 0, MAX_RATE);
@@ -127,7 +127,7 @@
         }
         if (sumOfShares > MAX_SUM_OF_SHARES) {
             settings.addFault(
-                    "Projects", "expected shares of 1 at most together, found " + sumOfShares);
+                    "Projects", "expected shares that add up to at most 1, found " + sumOfShares);
         }
     }
 
--- a/src/main/java/cottonlock/config/RolloutTable.java
+++ b/src/main/java/cottonlock/config/RolloutTable.java
@@ -9,17 +9,17 @@
 
     private RolloutTable() {}
 
-    /** Reads the table; faults are added to the file's. Returns null if rollout is off. */
+    /** Reads the table and adds faults to those of the file. Returns null if rollout is off. */
     static RolloutConfig read(Fields table) {
         boolean enabled = table.bool("enabled", false);
         String service = service(table);
         List<String> control = Addresses.read(table, "control");
         List<String> far = Addresses.read(table, "far");
         if (enabled && service.isEmpty()) {
-            table.addFault("service", "expected a service whose settings these are");
+            table.addFault("service", "expected the service whose settings are rolled out");
         }
         if (enabled && control.isEmpty()) {
-            table.addFault("control", "expected a control machine or more");
+            table.addFault("control", "expected at least one control server");
         }
         RolloutConfig config =
                 new RolloutConfig(
--- a/src/main/java/cottonlock/config/TomlDocumentReader.java
+++ b/src/main/java/cottonlock/config/TomlDocumentReader.java
@@ -29,7 +29,7 @@
         return file + ":" + error.position().line() + ": " + error.getMessage();
     }
 
-    /** Reads one value; what is not TOML becomes a text. */
+    /** Reads one value; text that is not TOML becomes a string. */
     static ConfigurationDocument readValue(String origin, String text)
             throws InvalidConfigurationException {
         TomlParseResult result = Toml.parse("v = " + text);
@@ -53,7 +53,7 @@
         return new ConfigurationDocument(file, line, new ConfigurationValue.Table(entries));
     }
 
-    /** Converts a value of the TOML library, whose values have no common type. */
+    /** Converts a value of the TOML library, in which values have no common type. */
     private static ConfigurationDocument value(String file, int line, Object value, int depth)
             throws InvalidConfigurationException {
         if (value instanceof TomlTable table) {
