--- a/src/main/java/cottonlock/cli/CheckCommand.java
+++ b/src/main/java/cottonlock/cli/CheckCommand.java
@@ -22,13 +22,13 @@
                         + "(.toml).",
         footer = {
             "",
-            "Every fault is told at once: file, line, key, what was expected.",
-            "Exit status: 0 all can be used; 2 some can't."
+            "All faults are reported: file, line, key, what was expected.",
+            "Exit status: 0 all files are valid; 2 some are not."
         })
 final class CheckCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
-    @Parameters(arity = "1..*", paramLabel = "FILE", description = "What to check.")
+    @Parameters(arity = "1..*", paramLabel = "FILE", description = "The files to check.")
     private List<Path> files;
 
     @Override
--- a/src/main/java/cottonlock/cli/Cli.java
+++ b/src/main/java/cottonlock/cli/Cli.java
@@ -11,11 +11,10 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The root command: parses the arguments, runs the command that they name and returns its exit
- * status.
+ * The root command: parses the arguments, runs the given command and returns its exit status.
  *
- * <p>Exit statuses: 0 done, {@link #EXIT_UNUSABLE_INPUT} for an argument or a file that can't be used; a
- * command's help lists its others.
+ * <p>Exit statuses: 0 for success, {@link #EXIT_UNUSABLE_INPUT} for an invalid argument or file; the
+ * help of each command lists its others.
  */
 @Command(
         name = "cottonlock",
@@ -31,10 +30,10 @@
         },
         footer = {
             "",
-            "Exit status: 0 done; 2 an argument or a file can't be used, told in one line each."
+            "Exit status: 0 success; 2 invalid arguments or files, reported in one line each."
         })
 public final class Cli implements Callable<Integer> {
-    /** Exit status for an argument or a file that can't be used; picocli's own has this value. */
+    /** Exit status for an invalid argument or file; picocli uses the same value. */
     static final int EXIT_UNUSABLE_INPUT = 2;
 
     @Spec private CommandSpec spec;
@@ -47,10 +46,10 @@
     }
 
     /**
-     * Runs the command that the arguments name.
+     * Runs the command given by the arguments.
      *
      * @param serve serves requests with the operator's configuration and returns the exit status
-     * @param wireHost serves the simulator's wire and returns the exit status
+     * @param wireHost serves the simulator's wire protocol and returns the exit status
      * @return the exit status of the process
      */
     public static int run(
@@ -58,7 +57,7 @@
         return new CommandLine(new Cli(serve, wireHost)).setUsageHelpAutoWidth(true).execute(args);
     }
 
-    /** Reports that a command is missing: the root command does nothing by itself. */
+    /** Reports that a command is missing. */
     @Override
     public Integer call() {
         spec.commandLine().getErr().println("cottonlock: expected a command; --help lists them");
@@ -70,7 +69,7 @@
         return serve.applyAsInt(config);
     }
 
-    /** Serves the simulator's wire until its input ends, and returns the exit status. */
+    /** Serves the simulator's wire protocol until its input ends, and returns the exit status. */
     int serveWire() {
         return wireHost.getAsInt();
     }
@@ -81,7 +80,7 @@
         return EXIT_UNUSABLE_INPUT;
     }
 
-    /** Prints the version in the jar's manifest. */
+    /** Provides the version from the jar's manifest. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/src/main/java/cottonlock/cli/CompletionCommand.java
+++ b/src/main/java/cottonlock/cli/CompletionCommand.java
@@ -7,11 +7,11 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Prints a completion script for the shell. */
+/** Prints a shell completion script. */
 @Command(
         name = "completion",
         mixinStandardHelpOptions = true,
-        description = "Prints a script for bash and zsh that completes commands and options.",
+        description = "Prints a completion script for bash and zsh.",
         footer = {"", "source <(java -jar target/cottonlock.jar completion)"})
 final class CompletionCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
--- a/src/main/java/cottonlock/cli/JsonLogFormatter.java
+++ b/src/main/java/cottonlock/cli/JsonLogFormatter.java
@@ -8,20 +8,20 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Formats log records as one JSON object a line. */
+/** Formats each log record as one line with a JSON object. */
 final class JsonLogFormatter extends Formatter {
-    /** Referenced for the process's life: a logger without a reference loses its level. */
+    /** Keeps the logger reachable: one that is garbage-collected loses its level. */
     private static final Logger LOGGER = Logger.getLogger("cottonlock");
 
-    /** Separates a message's kind from its text. */
+    /** Separates the kind of a message from its text. */
     private static final String KIND_SEPARATOR = ": ";
 
     private JsonLogFormatter() {}
 
     /**
-     * Configures the log of this process as the operator's file says.
+     * Configures logging in this process with the values of the operator's file.
      *
-     * @param format {@code json} for this formatter; any other keeps Java's
+     * @param format {@code json} for this formatter; with any other value Java's formatter stays
      * @param level {@code info}, {@code warning} or {@code off}
      */
     static void configureLogging(String format, String level) {
--- a/src/main/java/cottonlock/cli/LabCapacityCommand.java
+++ b/src/main/java/cottonlock/cli/LabCapacityCommand.java
@@ -7,31 +7,31 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Makes docs/CAPACITY.md of recorded results, or records one of them. */
+/** Generates docs/CAPACITY.md from recorded results, or measures and records one result. */
 @Command(
         name = "capacity",
         mixinStandardHelpOptions = true,
-        description = "Works out docs/CAPACITY.md from the results in a folder.",
+        description = "Generates docs/CAPACITY.md from the results in a folder.",
         footer = {
             "",
-            "Exit status: 0 done; 1 a measured run broke a rule; 2 a file can't be used; 3"
-                    + " the machine ran late, so a measured run shows nothing."
+            "Exit status: 0 success; 1 a measured run broke a rule; 2 a file is invalid; 3 tasks"
+                    + " ran late on this machine, so a measured run has no result."
         })
 final class LabCapacityCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "DIR", description = "docs/capacity.")
+    @Parameters(paramLabel = "DIR", description = "The folder with the results: docs/capacity.")
     private Path folder;
 
     @Option(
             names = "--write",
             paramLabel = "PAGE",
-            description = "Writes the page there; else it is printed.")
+            description = "File for the page; by default it is printed.")
     private Path page;
 
     @Option(
             names = "--measure",
             paramLabel = "WHAT",
             description =
-                    "Measures instead, into DIR/WHAT.json: proxy-ENTRIES-SEED, "
+                    "Measures one result into DIR/WHAT.json instead: proxy-ENTRIES-SEED or "
                             + "latency-TIERS-SEED.")
     private String measure;
 
--- a/src/main/java/cottonlock/cli/LabCommand.java
+++ b/src/main/java/cottonlock/cli/LabCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Groups the commands of the lab. */
+/** Parent of the lab's commands. */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
@@ -21,7 +21,7 @@
             LabSoakCommand.class,
             LabSweepCommand.class
         },
-        description = "Plays scenarios with real proxies on loopback (docs/lab.md).")
+        description = "Runs scenarios with real proxies on the loopback interface (docs/lab.md).")
 final class LabCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
@@ -31,11 +31,11 @@
                 .getErr()
                 .println(
                         "cottonlock lab: expected run, compare, members, scale, soak or "
-                                + "sweep; --help tells more");
+                                + "sweep; see --help");
         return Cli.EXIT_UNUSABLE_INPUT;
     }
 
-    /** A lab that writes to the process's own output. */
+    /** Returns a lab that writes to the standard output and error of this process. */
     static Lab lab() {
         @SuppressWarnings("SystemConsoleNull") // The program runs on Java 17.
         boolean interactive = System.console() != null;
--- a/src/main/java/cottonlock/cli/LabCompareCommand.java
+++ b/src/main/java/cottonlock/cli/LabCompareCommand.java
@@ -9,9 +9,9 @@
 @Command(
         name = "compare",
         mixinStandardHelpOptions = true,
-        description = "Puts two reports side by side.")
+        description = "Compares two reports.")
 final class LabCompareCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "A", description = "A report.json, or its folder.")
+    @Parameters(paramLabel = "A", description = "A report.json or its folder.")
     private Path first;
 
     @Parameters(paramLabel = "B")
--- a/src/main/java/cottonlock/cli/LabMembersCommand.java
+++ b/src/main/java/cottonlock/cli/LabMembersCommand.java
@@ -8,14 +8,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Simulates member lists of whole fleets in virtual time. */
+/** Simulates the membership of whole fleets in virtual time. */
 @Command(
         name = "members",
         mixinStandardHelpOptions = true,
         description =
-                "Plays fleets that know one another in virtual time: what it costs and"
-                        + " brings.",
-        footer = {"", "One seed gives the same figures on any machine."})
+                "Simulates the membership of whole fleets in virtual time: its cost and its"
+                        + " detection of failures.",
+        footer = {"", "The same seed gives the same results on any machine."})
 final class LabMembersCommand implements Callable<Integer> {
     private static final int MAX_ZONES = 64;
     private static final int MAX_MEMBERS = 4_096;
@@ -27,7 +27,7 @@
             names = "--sizes",
             split = ",",
             defaultValue = "10,50,200",
-            description = "Members; default ${DEFAULT-VALUE}.",
+            description = "Numbers of members; default: ${DEFAULT-VALUE}.",
             paramLabel = "<arg0>")
     private List<Integer> sizes;
 
@@ -35,7 +35,7 @@
             names = "--losses",
             split = ",",
             defaultValue = "0,0.1,0.3",
-            description = "Parts of datagrams that are lost.",
+            description = "Fractions of datagrams that are lost.",
             paramLabel = "<arg1>")
     private List<Double> lossRates;
 
@@ -45,7 +45,7 @@
     @Option(
             names = "--deaths",
             defaultValue = "9",
-            description = "Members killed, one after the other.",
+            description = "Number of members that are killed one after another.",
             paramLabel = "<arg3>")
     private int killCount;
 
@@ -53,20 +53,20 @@
             names = "--quiet",
             defaultValue = "600",
             paramLabel = "SECONDS",
-            description = "Without a fault, for false failures and bytes.")
+            description = "Time without faults, in which false failures and bytes are counted.")
     private int quietSeconds;
 
     @Option(
             names = "--operator",
             paramLabel = "FILE",
-            description = "An operator's file whose [membership] is played.")
+            description = "An operator's file with the [membership] table to simulate.")
     private Path operatorFile;
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
             description =
-                    "Where members.html goes; with --regions or --zones "
+                    "Folder for members.html; with --regions or --zones, for "
                             + "members-SIZE-SEED.json.")
     private Path out;
 
@@ -74,15 +74,15 @@
             names = "--regions",
             defaultValue = "1",
             description =
-                    "Regions with zones: racks, zones and regions fail in place"
-                            + " of single members.",
+                    "Number of regions. With more than one region or zone, racks, zones and"
+                            + " regions fail instead of single members.",
             paramLabel = "<arg7>")
     private int regions;
 
     @Option(
             names = "--zones",
             defaultValue = "1",
-            description = "Over all regions.",
+            description = "Number of zones in all regions together.",
             paramLabel = "<arg8>")
     private int zones;
 
@@ -90,13 +90,13 @@
             names = "--apart",
             defaultValue = "3600",
             paramLabel = "SECONDS",
-            description = "For which regions are cut off; a zone a tenth of it.")
+            description = "Time for which regions are cut off; zones are for a tenth of it.")
     private int partitionSeconds;
 
     @Option(
             names = "--seeds",
             split = ",",
-            description = "With zones, in place of --seed.",
+            description = "Seeds to use with zones instead of --seed.",
             paramLabel = "<arg10>")
     private List<Long> seeds;
 
@@ -104,7 +104,7 @@
             names = "--known",
             defaultValue = "0",
             paramLabel = "N",
-            description = "With zones: addresses that each member is told; 0: all.")
+            description = "With zones: number of addresses given to each member; 0 means all.")
     private int knownAddressCount;
 
     @Override
@@ -115,8 +115,8 @@
     private int simulateRegions() {
         if (!areRegionArgumentsUsable()) {
             return reject(
-                    "expected 2 to 64 zones, no more regions than zones, sizes from the zones to"
-                            + " 4096, and one second or more");
+                    "expected 2 to 64 zones, no more regions than zones, sizes from the number of"
+                            + " zones to 4096, and times of one second or more");
         }
         return LabCommand.lab()
                 .membersOver(
@@ -145,8 +145,8 @@
     private int simulateFleet() {
         if (!areFleetArgumentsUsable()) {
             return reject(
-                    "expected sizes of 2 to 4096, losses of 0 to 0.9, and one death and one second"
-                            + " or more");
+                    "expected sizes of 2 to 4096, losses of 0 to 0.9, one death or more, and one"
+                            + " quiet second or more");
         }
         return LabCommand.lab().members(sizes, lossRates, seed, killCount, quietSeconds, operatorFile, out);
     }
--- a/src/main/java/cottonlock/cli/LabRolloutCommand.java
+++ b/src/main/java/cottonlock/cli/LabRolloutCommand.java
@@ -12,12 +12,12 @@
 @Command(
         name = "rollout",
         mixinStandardHelpOptions = true,
-        description = "Plays how a change of the settings comes into force, in virtual time.",
+        description = "Simulates the rollout of changed settings to a fleet in virtual time.",
         footer = {
             "",
-            "One seed gives the same figures on any machine.",
-            "Exit status: 0 played; 1 a change was not in force in time, or a version went"
-                    + " back; 2 an argument can't be used."
+            "The same seed gives the same results on any machine.",
+            "Exit status: 0 success; 1 a change was not in force in time, or a proxy returned to"
+                    + " a lower version; 2 an argument is invalid."
         })
 final class LabRolloutCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
@@ -26,7 +26,7 @@
             names = "--sizes",
             split = ",",
             defaultValue = "100,300,1000,3000",
-            description = "Proxies; default ${DEFAULT-VALUE}.",
+            description = "Numbers of proxies; default: ${DEFAULT-VALUE}.",
             paramLabel = "<arg0>")
     private List<Integer> sizes;
 
@@ -34,7 +34,7 @@
             names = "--seeds",
             split = ",",
             defaultValue = "1,2,3",
-            description = "Default: ${DEFAULT-VALUE}.",
+            description = "Seeds; default: ${DEFAULT-VALUE}.",
             paramLabel = "<arg1>")
     private List<Long> seeds;
 
@@ -42,10 +42,10 @@
             names = "--commit",
             defaultValue = "",
             paramLabel = "NAME",
-            description = "Of what is played, for the files.")
+            description = "Commit to record in the files.")
     private String commit;
 
-    @Option(names = "--out", paramLabel = "DIR", description = "Where rollout-SIZE-SEED.json go.")
+    @Option(names = "--out", paramLabel = "DIR", description = "Folder for the files rollout-SIZE-SEED.json.")
     private Path out;
 
     @Override
--- a/src/main/java/cottonlock/cli/LabRunCommand.java
+++ b/src/main/java/cottonlock/cli/LabRunCommand.java
@@ -7,22 +7,22 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Plays one scenario of the lab. */
+/** Runs one scenario of the lab. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
-        description = "Plays one scenario.",
+        description = "Runs one scenario.",
         footer = {
             "",
             "The last line on standard output is the verdict.",
-            "Exit status: 0 pass; 1 a rule or an expectation broke; 2 the scenario or an"
-                    + " argument can't be used; 3 the machine ran late, so there is no verdict."
+            "Exit status: 0 pass; 1 a rule was broken or an expectation not met; 2 the scenario or"
+                    + " an argument is invalid; 3 no verdict, since tasks ran late on this machine."
         })
 final class LabRunCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SCENARIO")
     private Path file;
 
-    @Option(names = "--seed", description = "In place of the scenario's.", paramLabel = "<arg1>")
+    @Option(names = "--seed", description = "Replaces the scenario's seed.", paramLabel = "<arg1>")
     private Long seed;
 
     @Option(
@@ -30,16 +30,16 @@
             paramLabel = "PATH=VALUE",
             description =
                     "Sets a value of the scenario: --set proxy.count=4, --set"
-                            + " fault.0.at=2. May be given again.")
+                            + " fault.0.at=2. Can be repeated.")
     private List<String> overrides;
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
-            description = "Where report.json, report.html, " + "schedule.tsv and ledger.txt go.")
+            description = "Folder for report.json, report.html, schedule.tsv and ledger.txt.")
     private Path out;
 
-    @Option(names = "--processes", description = "Each proxy in a process of its own.")
+    @Option(names = "--processes", description = "Runs each proxy in a separate process.")
     private boolean separateProcesses;
 
     @Override
--- a/src/main/java/cottonlock/cli/LabScaleCommand.java
+++ b/src/main/java/cottonlock/cli/LabScaleCommand.java
@@ -12,31 +12,31 @@
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
-        description = "Plays the control of a whole fleet: real proxies beside hollow ones.",
+        description = "Runs the control plane of a whole fleet with real and hollow proxies.",
         footer = {
             "",
             "The last line on standard output is the verdict.",
-            "Exit status: 0 pass; 1 a bound broke; 2 the file can't be used, or takes too"
-                    + " much of this machine; 3 the machine ran late, so there is no verdict."
+            "Exit status: 0 pass; 1 a bound was exceeded; 2 the file is invalid or needs more than"
+                    + " this machine has; 3 no verdict, since tasks ran late on this machine."
         })
 final class LabScaleCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE")
     private Path file;
 
-    @Option(names = "--seed", description = "In place of the file's.", paramLabel = "<arg1>")
+    @Option(names = "--seed", description = "Replaces the file's seed.", paramLabel = "<arg1>")
     private Long seed;
 
     @Option(
             names = "--set",
             paramLabel = "PATH=VALUE",
             description =
-                    "Sets a value of the " + "file: --set fleet.size=300. May be given again.")
+                    "Sets a value of the file: --set fleet.size=300. Can be repeated.")
     private List<String> overrides;
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
-            description = "Where scale-SIZE-SEED.json and .html go.")
+            description = "Folder for scale-SIZE-SEED.json and .html.")
     private Path out;
 
     @Override
--- a/src/main/java/cottonlock/cli/LabSoakCommand.java
+++ b/src/main/java/cottonlock/cli/LabSoakCommand.java
@@ -10,17 +10,17 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Restarts real processes of the proxy in all orders, one play for each seed. */
+/** Restarts real proxy processes in many orders, one run for each seed. */
 @Command(
         name = "soak",
         mixinStandardHelpOptions = true,
-        description = "Restarts proxies under load by series of signals, one play a seed.",
+        description = "Restarts proxies under load with series of signals, one run per seed.",
         footer = {
             "",
-            "A line for each seed; one that did not pass keeps its logs and is told with the"
-                    + " command that plays it again.",
-            "Exit status: 0 all passed; 1 one failed; 2 an argument or the scenario can't be"
-                    + " used; 3 the machine ran late in one."
+            "Prints a line for each seed. A seed that did not pass keeps its logs and is printed"
+                    + " with the command that runs it again.",
+            "Exit status: 0 all passed; 1 at least one failed; 2 an argument or the scenario is"
+                    + " invalid; 3 at least one has no verdict, since tasks ran late on this machine."
         })
 final class LabSoakCommand implements Callable<Integer> {
     private static final Pattern SEEDS = Pattern.compile("([0-9]{1,9})(-([0-9]{1,9}))?");
@@ -31,28 +31,28 @@
             names = "--seeds",
             paramLabel = "N-M",
             defaultValue = "1-50",
-            description = "The seeds to play: a number or a range (${DEFAULT-VALUE}).")
+            description = "The seeds to run: a number or a range (${DEFAULT-VALUE}).")
     private String seeds;
 
     @Option(
             names = "--scenario",
             paramLabel = "FILE",
             defaultValue = "scenarios/soak.toml",
-            description = "What the restarts are added to (${DEFAULT-VALUE}).")
+            description = "The scenario to which restarts are added (${DEFAULT-VALUE}).")
     private Path scenario;
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
             defaultValue = "target/soak",
-            description = "Where seeds that did not pass are kept (${DEFAULT-VALUE}).")
+            description = "Folder for seeds that did not pass (${DEFAULT-VALUE}).")
     private Path out;
 
     @Option(
             names = "--parallel",
             paramLabel = "N",
             defaultValue = "2",
-            description = "Seeds played at a time (${DEFAULT-VALUE}).")
+            description = "Number of seeds run at a time (${DEFAULT-VALUE}).")
     private int parallel;
 
     @Override
@@ -64,7 +64,7 @@
         long first = Long.parseLong(range.group(1));
         long last = range.group(3) == null ? first : Long.parseLong(range.group(3));
         if (last < first) {
-            return refuse("--seeds: expected a range that does not fall, found " + seeds);
+            return refuse("--seeds: expected an ascending range, found " + seeds);
         }
         if (parallel < 1) {
             return refuse("--parallel: expected 1 or more, found " + parallel);
--- a/src/main/java/cottonlock/cli/LabSweepCommand.java
+++ b/src/main/java/cottonlock/cli/LabSweepCommand.java
@@ -10,11 +10,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Plays a scenario once for each of several values of a setting. */
+/** Runs a scenario for each of several values of a setting. */
 @Command(
         name = "sweep",
         mixinStandardHelpOptions = true,
-        description = "Plays a scenario for each of several values of one setting.")
+        description = "Runs a scenario for each of several values of one setting.")
 final class LabSweepCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
@@ -26,19 +26,19 @@
             paramLabel = "PATH=V1,V2,...",
             required = true,
             description =
-                    "The one with commas is swept; others, with one value each,"
-                            + " are set in all runs.")
+                    "The option with several values is swept; options with one value are set in"
+                            + " all runs.")
     private List<String> overrides;
 
     @Option(
             names = "--seeds",
             split = ",",
             defaultValue = "1",
-            description = "Default: 1.",
+            description = "Seeds; default: 1.",
             paramLabel = "<arg2>")
     private List<Long> seeds;
 
-    @Option(names = "--out", paramLabel = "DIR", description = "Where sweep.html goes.")
+    @Option(names = "--out", paramLabel = "DIR", description = "Folder for sweep.html.")
     private Path out;
 
     @Override
--- a/src/main/java/cottonlock/cli/ServeCommand.java
+++ b/src/main/java/cottonlock/cli/ServeCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Serves requests, as the platform's configuration and the operator's file say. */
+/** Serves requests with the platform's configuration and an optional operator's file. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
@@ -19,7 +19,7 @@
         footer = {
             "",
             "EDGE_CONFIG names the platform's configuration (JSON).",
-            "Exit status: 143 after SIGTERM; " + "2 a configuration that can't be used."
+            "Exit status: 143 after SIGTERM; 2 an invalid configuration."
         })
 final class ServeCommand implements Callable<Integer> {
     @CommandLine.ParentCommand private Cli parent;
@@ -30,8 +30,8 @@
             paramLabel = "FILE",
             defaultValue = "${env:COTTONLOCK_OPERATOR}",
             description =
-                    "The operator's file (TOML); else COTTONLOCK_OPERATOR names one, else there"
-                            + " is none.")
+                    "The operator's file (TOML); by default the one that COTTONLOCK_OPERATOR names,"
+                            + " if any.")
     private Path operator;
 
     @Override
