--- a/src/main/java/cottonlock/Main.java
+++ b/src/main/java/cottonlock/Main.java
@@ -14,7 +14,10 @@
     private static final int EXIT_FAILED = 1;
     private static final int EXIT_UNUSABLE_CONFIGURATION = 2;
 
-    /** A name, as the class itself, once loaded, would have Java create its own manager. */
+    /**
+     * The class is given by name: loading it here would initialise Java's logging with the default
+     * manager, before the system property is set.
+     */
     private static final String LOG_MANAGER_CLASS = "cottonlock.ServiceLogManager";
 
     private Main() {}
@@ -22,13 +25,13 @@
     /**
      * Runs one command and exits with its status.
      *
-     * <p>The platform's own two commands, {@code serve} without an operator's file and {@code
-     * wirehost}, bypass the command line's library: loading it would lengthen the start.
+     * <p>The two commands that the platform uses, {@code serve} without an operator's file and {@code
+     * wirehost}, bypass the command-line library, since loading it would slow down the start.
      *
      * @param args the command and its options
      */
     public static void main(String[] args) {
-        // Before anything else is loaded: until then a signal ends the process.
+        // Before any other class is loaded, since a signal ends the process until then.
         ProcessSignals signals =
                 args.length > 0 && args[0].equals("serve") ? new ProcessSignals() : null;
         System.setProperty("java.util.logging.manager", LOG_MANAGER_CLASS);
@@ -42,7 +45,10 @@
         System.exit(Cli.run(args, operator -> serve(operator, installed(signals)), Main::wireHost));
     }
 
-    /** An argument file may hide the command until the command line's library has read it. */
+    /**
+     * Returns the given signal handlers, or installs them. They are missing if the command was in an
+     * argument file, which only the command-line library reads.
+     */
     private static ProcessSignals installed(ProcessSignals signals) {
         return signals == null ? new ProcessSignals() : signals;
     }
--- a/src/main/java/cottonlock/ProcessSignals.java
+++ b/src/main/java/cottonlock/ProcessSignals.java
@@ -9,37 +9,39 @@
  * Maps the process's signals to the proxy's life cycle: SIGTERM drains it, SIGHUP reloads its
  * configuration.
  *
- * <p>Created before any other class of the program is loaded, since Java's own reaction to either
- * signal ends the process. A signal that arrives during the start waits for {@link #startCompleted(Proxy)}
- * on the signal's or the shutdown hook's thread. Signals that come before the JVM has started the
- * program can't be held: docs/operators.md says what to wait for.
+ * <p>Created before any other class of the program is loaded, since Java's default handling of either
+ * signal ends the process. A signal that arrives during the start waits for {@link
+ * #startCompleted(Proxy)} on the thread of the signal or of the shutdown hook. Signals that arrive
+ * before the JVM has started the program can't be handled: docs/operators.md says what to wait for.
  *
  * <p>Java has no public interface for signals: this is the only class that uses {@code sun.misc}.
  */
 final class ProcessSignals {
-    /** A process manager kills a process that has not stopped after little more. */
+    /** Process managers kill a process that has not stopped after slightly more than this time. */
     private static final long MAX_DRAIN_DELAY_SECONDS = 3;
 
     private final CountDownLatch startLatch = new CountDownLatch(1);
     private final AtomicBoolean reloadPending = new AtomicBoolean();
     private final boolean hangUpIgnored;
 
-    /** Written once, by the starting thread, before {@link #startLatch} opens; null if none serves. */
+    /**
+     * Null if the start failed. Written once, by the starting thread, before {@link #startLatch} opens.
+     */
     private Proxy proxy;
 
     /** Installs the handler of SIGHUP, then the shutdown hook. */
     ProcessSignals() {
-        // Java leaves a signal alone that the parent process ignores, as nohup does with SIGHUP,
-        // and returns SIG_IGN here.
+        // Java installs no handler for a signal that the parent process ignores, as nohup does with
+        // SIGHUP, and returns SIG_IGN here.
         hangUpIgnored =
                 sun.misc.Signal.handle(new sun.misc.Signal("HUP"), new HangUpHandler())
                         == sun.misc.SignalHandler.SIG_IGN;
         Runtime.getRuntime().addShutdownHook(new Thread(this::drain));
     }
 
-    /** A class, as a lambda would take milliseconds to link before the handler is installed. */
+    /** Not a lambda: linking one would delay the installation of the handler by milliseconds. */
     private final class HangUpHandler implements sun.misc.SignalHandler {
-        /** Runs on a thread of its own for each signal. */
+        /** Java calls this method on a new thread for each signal. */
         @Override
         public void handle(sun.misc.Signal signal) {
             reload();
@@ -47,7 +49,8 @@
     }
 
     /**
-     * Carries out the signals that arrived during the start, and those that follow.
+     * Called when the start has ended. Signals that arrived during the start are handled now, later
+     * ones when they arrive.
      *
      * @param startedProxy the proxy that serves, or null if the start failed
      */
@@ -61,8 +64,9 @@
     }
 
     /**
-     * However long the start takes, the file is read again after it: it may have been replaced
-     * since the start read it. One reload serves all signals that have come before it begins.
+     * Reloads the configuration after the start, however long the start takes: the file may have been
+     * replaced since the start read it. Signals that arrive before a pending reload begins are merged
+     * into it.
      */
     private void reload() {
         if (!reloadPending.compareAndSet(false, true)) {
--- a/src/main/java/cottonlock/concurrent/RunCompletion.java
+++ b/src/main/java/cottonlock/concurrent/RunCompletion.java
@@ -6,29 +6,29 @@
  * Lets the {@code close} method of a task wait until the thread in its {@code run} method has
  * returned.
  *
- * <p>A socket that was closed keeps its address until the last thread that waits on it has returned
- * from the kernel, and what that thread had just accepted or received is still handled. Only when
- * it has returned is the address free and nothing more comes.
+ * <p>A closed socket keeps its address until the last thread that waits on it has returned from the
+ * kernel, and that thread still handles a connection or datagram that it has just received. Only
+ * when it has returned is the address free and nothing more is received.
  *
- * <p>A task calls {@link #begin} first and {@link #end} last in {@code run}; its {@code close}
- * calls {@link #close}, closes the sockets, and then calls {@link #awaitEnd}. All methods may be
- * called by any thread.
+ * <p>The {@code run} method of a task calls {@link #begin} first and {@link #end} last. Its {@code
+ * close} method calls {@link #close}, closes the sockets, and then calls {@link #awaitEnd}. All
+ * methods may be called by any thread.
  */
 public final class RunCompletion {
-    /** Far longer than a task needs to return from its sockets, also on a busy machine. */
+    /** Much longer than a task needs to return from its sockets, even on a busy machine. */
     private static final long MAX_WAIT_MILLIS = 5_000;
 
     /** The thread in {@code run}; null if there is none. Guarded by this object. */
     private Thread runner;
 
-    /** Guarded by this object. */
+    /** Whether {@link #close} has been called. Guarded by this object. */
     private boolean closed;
 
     /**
-     * Called when {@code run} begins.
+     * Called at the start of {@code run}.
      *
-     * @return false if the task has been closed already: {@code run} returns at once, and does not
-     *     call {@link #end}
+     * @return false if the task has been closed already: then {@code run} must return at once, without
+     *     calling {@link #end}
      */
     public synchronized boolean begin() {
         if (closed) {
@@ -38,7 +38,7 @@
         return true;
     }
 
-    /** Called when {@code run} ends, however it ends. */
+    /** Called at the end of {@code run}, whether it returns or throws. */
     public synchronized void end() {
         runner = null;
         notifyAll();
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Sleeps for so many milliseconds, or until {@link #close} is called.
+     * Sleeps for the given time, or until {@link #close} is called.
      *
      * @return whether the task has been closed
      * @throws InterruptedException if the thread is interrupted meanwhile
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Waits until no thread is in {@code run}, 5 s at most. Called by that thread itself, it
-     * returns at once. An interrupt does not end the wait; it is kept for the caller.
+     * Waits until no thread is in {@code run}, for 5 s at most. Returns at once if called by the thread
+     * in {@code run}. An interrupt does not end the wait; the interrupt status is restored after it.
      */
     public synchronized void awaitEnd() {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_WAIT_MILLIS);
--- a/src/main/java/cottonlock/concurrent/package-info.java
+++ b/src/main/java/cottonlock/concurrent/package-info.java
@@ -1,2 +1,2 @@
-/** What tasks with a thread of their own share, whatever they do. */
+/** Concurrency utilities for tasks that run on a thread of their own. */
 package cottonlock.concurrent;
--- a/src/main/java/cottonlock/package-info.java
+++ b/src/main/java/cottonlock/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The program's entry point and its process signals. docs/ARCHITECTURE.md describes the packages
- * below.
+ * The program's entry point, signal handling and log manager. docs/ARCHITECTURE.md describes the
+ * subpackages.
  */
 package cottonlock;
