--- a/src/test/java/cottonlock/ArchitectureTest.java
+++ b/src/test/java/cottonlock/ArchitectureTest.java
@@ -11,18 +11,16 @@
 import cottonlock.core.Deterministic;
 import net.jqwik.api.Example;
 
-/**
- * What may know what: decisions know no input or output, and arrows between packages point down.
- */
+/** Allowed dependencies: decisions do no input or output, and packages depend on lower layers only. */
 class ArchitectureTest {
-    private final JavaClasses all =
+    private final JavaClasses productionClasses =
             new ClassFileImporter()
                     .withImportOption(new ImportOption.DoNotIncludeTests())
                     .importPackages("cottonlock");
 
     @Example
-    void decisionsAreFreeOfInputOutputClocksThreadsAndLoggers() {
-        String[] far = {
+    void decisionsUseNoInputOutputClocksThreadsOrLoggers() {
+        String[] forbiddenPackages = {
             "java.net..",
             "java.nio",
             "java.nio.channels..",
@@ -43,10 +41,10 @@
                 .resideInAnyPackage("cottonlock.decision..", "cottonlock.core")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage(far)
+                .resideInAnyPackage(forbiddenPackages)
                 .because("decisions do no input or output")
                 .allowEmptyShould(false)
-                .check(all);
+                .check(productionClasses);
         noClasses()
                 .that()
                 .areAnnotatedWith(Deterministic.class)
@@ -67,8 +65,8 @@
                 .callMethod(System.class, "currentTimeMillis")
                 .orShould()
                 .callMethod(Math.class, "random")
-                .because("time and chance are arguments")
-                .check(all);
+                .because("time and randomness are arguments")
+                .check(productionClasses);
         classes()
                 .that()
                 .resideInAnyPackage("cottonlock.decision..", "cottonlock.core")
@@ -82,12 +80,12 @@
                         "java.util.function",
                         "java.util.stream",
                         "java.nio.charset")
-                .because("the module needs the JDK's collections " + "alone")
-                .check(all);
+                .because("the load balancer uses only the core classes of the JDK")
+                .check(productionClasses);
     }
 
     @Example
-    void arrowsPointDown() {
+    void packagesDependOnLowerLayersOnly() {
         layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .layer("main")
@@ -140,12 +138,12 @@
                         "config",
                         "membership",
                         "rollout")
-                .check(all);
-        slices().matching("cottonlock.(*)..").should().beFreeOfCycles().check(all);
+                .check(productionClasses);
+        slices().matching("cottonlock.(*)..").should().beFreeOfCycles().check(productionClasses);
     }
 
     @Example
-    void whatThePlatformStartsNeedsNoLibrary() {
+    void serveAndWirehostUseNoLibrary() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -161,6 +159,6 @@
                 .dependOnClassesThat()
                 .resideInAnyPackage("com..", "org..", "picocli..")
                 .because("serve and wirehost load no library")
-                .check(all);
+                .check(productionClasses);
     }
 }
--- a/src/test/java/cottonlock/DeployFileTest.java
+++ b/src/test/java/cottonlock/DeployFileTest.java
@@ -14,11 +14,11 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlArray;
 
-/** What deploy/balancer.toml names is there, and all that decides is named in it. */
+/** deploy/balancer.toml names only existing files, and all files of the load balancer. */
 class DeployFileTest {
     private static final Path DEPLOY_FILE = Path.of("deploy", "balancer.toml");
 
-    private static Set<String> named(String key) throws IOException {
+    private static Set<String> pathsNamedAt(String key) throws IOException {
         TomlArray paths = Toml.parse(DEPLOY_FILE).getArrayOrEmpty(key);
         return paths.toList().stream()
                 .map(Object::toString)
@@ -35,16 +35,16 @@
     }
 
     @Example
-    void policyNamesEachFileThatDecides() throws IOException {
-        Set<String> deciding = sourcesBelow("src/main/java/cottonlock/decision");
-        deciding.addAll(sourcesBelow("src/main/java/cottonlock/core"));
-        assertEquals(deciding, named("policy"));
+    void policyNamesEachFileOfTheLoadBalancer() throws IOException {
+        Set<String> loadBalancerFiles = sourcesBelow("src/main/java/cottonlock/decision");
+        loadBalancerFiles.addAll(sourcesBelow("src/main/java/cottonlock/core"));
+        assertEquals(loadBalancerFiles, pathsNamedAt("policy"));
     }
 
     @Example
-    void whatNodeNamesIsThere() throws IOException {
-        assertTrue(!named("node").isEmpty());
-        for (String path : named("node")) {
+    void filesNamedByNodeExist() throws IOException {
+        assertTrue(!pathsNamedAt("node").isEmpty());
+        for (String path : pathsNamedAt("node")) {
             assertTrue(Files.exists(Path.of(path)), path);
         }
     }
--- a/src/test/java/cottonlock/KnownRedTest.java
+++ b/src/test/java/cottonlock/KnownRedTest.java
@@ -12,8 +12,8 @@
 import net.jqwik.api.Example;
 
 /**
- * What {@code .ci/run} passes over, with a command in Maven's place that leaves reports as Surefire
- * does.
+ * Which test failures {@code .ci/run} passes over. A script in place of Maven writes reports as
+ * Surefire does.
  */
 class KnownRedTest {
     private static final String RED =
@@ -31,7 +31,7 @@
                 + "  </testcase>\n";
 
     private final Path root = folder();
-    private String said;
+    private String output;
 
     private static Path folder() {
         try {
@@ -58,8 +58,8 @@
         return String.format(fails ? FAILED : PASSED, "other");
     }
 
-    /** One report of a class; null for a run that leaves none. */
-    private void report(String cases) throws IOException {
+    /** Writes the report of one test class; no report if the test cases are null. */
+    private void writeReport(String cases) throws IOException {
         Path report = root.resolve("reports/TEST-x.LabTest.xml");
         if (cases == null) {
             Files.deleteIfExists(report);
@@ -80,81 +80,85 @@
     }
 
     /**
-     * Its exit status; Maven's as given, but 0 where it was asked not to fail by tests and only
-     * they did.
+     * Runs {@code .ci/run} and returns its exit status.
+     *
+     * @param list the content of KNOWN-RED.txt; null for no file
+     * @param cases the test cases in Maven's report; null for no report
+     * @param mavenStatus Maven's exit status: 0 if Maven was told to ignore failed tests and only tests
+     *     failed
      */
-    private int run(String list, String cases, int maven) throws Exception {
+    private int run(String list, String cases, int mavenStatus) throws Exception {
         if (list == null) {
             Files.deleteIfExists(root.resolve("KNOWN-RED.txt"));
         } else {
             Files.writeString(root.resolve("KNOWN-RED.txt"), list);
         }
-        report(cases);
+        writeReport(cases);
         Path mvn = root.resolve("bin/mvn");
         Files.writeString(
                 mvn,
                 "#!/usr/bin/env bash\necho \"mvn $*\"\nmkdir -p target\nrm -rf target/*\n"
                         + "cp -r reports target/surefire-reports\nexit "
-                        + maven
+                        + mavenStatus
                         + "\n");
         assertTrue(mvn.toFile().setExecutable(true));
         ProcessBuilder builder = new ProcessBuilder(root.resolve(".ci/run").toString());
         builder.environment().put("PATH", root.resolve("bin") + ":" + System.getenv("PATH"));
         Path log = root.resolve("log");
         Process process = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
-        assertTrue(process.waitFor(60, TimeUnit.SECONDS), "it ends");
-        said = Files.readString(log);
+        assertTrue(process.waitFor(60, TimeUnit.SECONDS), ".ci/run ends");
+        output = Files.readString(log);
         return process.exitValue();
     }
 
     @Example
-    void withoutAListItIsTheTestCommandAlone() throws Exception {
+    void withoutAListOnlyTheTestCommandRuns() throws Exception {
         for (String none : new String[] {null, ""}) {
-            assertEquals(0, run(none, many(false), 0), said);
-            assertEquals("mvn -B -ntp clean verify\n", said);
-            assertEquals(1, run(none, many(true), 1), said);
-            assertEquals("mvn -B -ntp clean verify\n", said);
+            assertEquals(0, run(none, many(false), 0), output);
+            assertEquals("mvn -B -ntp clean verify\n", output);
+            assertEquals(1, run(none, many(true), 1), output);
+            assertEquals("mvn -B -ntp clean verify\n", output);
         }
     }
 
     @Example
-    void aListedTestMayFailAndIsPrinted() throws Exception {
-        assertEquals(0, run(RED, many(true) + other(false), 0), said);
+    void listedTestMayFailAndIsPrinted() throws Exception {
+        assertEquals(0, run(RED, many(true) + other(false), 0), output);
         assertEquals(
                 "mvn -B -ntp clean verify -Dmaven.test.failure.ignore=true\nknown red, failed: "
                         + RED,
-                said);
+                output);
     }
 
     @Example
-    void aListedTestThatPassesIsToBeTakenOff() throws Exception {
-        assertEquals(0, run(RED.strip(), many(false) + other(false), 0), said);
-        assertTrue(said.contains("passed, take it off the list: " + RED), said);
+    void listedTestThatPassesIsReportedForRemoval() throws Exception {
+        assertEquals(0, run(RED.strip(), many(false) + other(false), 0), output);
+        assertTrue(output.contains("passed, take it off the list: " + RED), output);
     }
 
     @Example
     void anyOtherFailureFails() throws Exception {
-        assertEquals(1, run(RED, many(true) + other(true), 0), said);
-        assertTrue(said.contains("failed, and not known red: x.LabTest#other\n"), said);
-        assertFalse(said.contains("odd"), "what a test has printed is no test: " + said);
-        assertEquals(1, run(RED, many(true) + other(false), 1), "the lint: " + said);
-        assertEquals(1, run(RED, null, 0), said);
-        assertTrue(said.contains("no reports"), said);
+        assertEquals(1, run(RED, many(true) + other(true), 0), output);
+        assertTrue(output.contains("failed, and not known red: x.LabTest#other\n"), output);
+        assertFalse(output.contains("odd"), "the output of a test is not read as a test case: " + output);
+        assertEquals(1, run(RED, many(true) + other(false), 1), "a failure outside tests, such as the lint: " + output);
+        assertEquals(1, run(RED, null, 0), output);
+        assertTrue(output.contains("no reports"), output);
         String wholeClass =
                 String.format(FAILED, "").replace("failure", "error").replace("x.LabTest", "x.B");
         assertEquals(
-                1, run(RED, many(true) + wholeClass, 0), "a class that can't be loaded: " + said);
+                1, run(RED, many(true) + wholeClass, 0), "a class that can't be loaded: " + output);
         assertEquals(
                 1,
                 run(RED, many(true) + "<testsuite name=\"y\" failures=\"1\" errors=\"0\">", 0),
-                said);
-        assertTrue(said.contains("tell of 2 failures, 1 were found"), said);
+                output);
+        assertTrue(output.contains("tell of 2 failures, 1 were found"), output);
     }
 
     @Example
-    void aListedTestMustExistAndBeRun() throws Exception {
-        assertEquals(1, run(RED, other(false), 0), said);
-        assertTrue(said.contains("there is no such test: " + RED), said);
+    void listedTestMustExistAndBeRun() throws Exception {
+        assertEquals(1, run(RED, other(false), 0), output);
+        assertTrue(output.contains("there is no such test: " + RED), output);
         assertEquals(
                 1,
                 run(
@@ -167,41 +171,41 @@
                                 """,
                                 "many"),
                         0),
-                said);
-        assertTrue(said.contains("not run: " + RED), said);
+                output);
+        assertTrue(output.contains("not run: " + RED), output);
     }
 
-    /** A bound on the number of entries would be a reason to leave a fault out. */
+    /** The number of entries is not limited: a limit would be a reason to leave a fault out. */
     @Example
-    void aListMayHoldManyTests() throws Exception {
+    void listMayContainManyTests() throws Exception {
         StringBuilder list = new StringBuilder(RED);
         StringBuilder cases = new StringBuilder(many(true));
         for (String name : List.of("a", "b", "c", "d")) {
             list.append(RED.replace("LabTest#many", "LabTest#" + name));
             cases.append(String.format(FAILED, name));
         }
-        assertEquals(0, run(list.toString(), cases.toString(), 0), said);
-        assertEquals(5, said.split("known red, failed: ", -1).length - 1, said);
-        assertEquals(1, run(list.toString(), cases + other(true), 0), said);
+        assertEquals(0, run(list.toString(), cases.toString(), 0), output);
+        assertEquals(5, output.split("known red, failed: ", -1).length - 1, output);
+        assertEquals(1, run(list.toString(), cases + other(true), 0), output);
     }
 
-    /** It is printed, and excuses no test. */
+    /** A listed play is printed, and no test may fail because of it. */
     @Example
-    void aListedPlayIsPrinted() throws Exception {
-        assertEquals(0, run(RED_PLAY, other(false), 0), said);
-        assertTrue(said.contains("known red, not played here: " + RED_PLAY), said);
-        assertEquals(1, run(RED_PLAY, many(true), 0), said);
-        assertEquals(0, run(RED_PLAY + RED, many(true), 0), said);
-        assertTrue(said.contains("known red, failed: " + RED), said);
+    void listedPlayIsPrinted() throws Exception {
+        assertEquals(0, run(RED_PLAY, other(false), 0), output);
+        assertTrue(output.contains("known red, not played here: " + RED_PLAY), output);
+        assertEquals(1, run(RED_PLAY, many(true), 0), output);
+        assertEquals(0, run(RED_PLAY + RED, many(true), 0), output);
+        assertTrue(output.contains("known red, failed: " + RED), output);
     }
 
-    /** Seen before anything is built. */
+    /** A malformed list is reported before anything is built. */
     @Example
-    void aListThatIsMalformedFails() throws Exception {
-        assertEquals(1, run(RED + RED, many(true), 0), said);
-        assertTrue(said.startsWith("KNOWN-RED.txt:2: x.LabTest#many is listed twice"), said);
-        assertEquals(1, run(RED_PLAY + RED_PLAY, many(true), 0), said);
-        assertTrue(said.startsWith("KNOWN-RED.txt:2: play soak-17 is listed twice"), said);
+    void malformedListFails() throws Exception {
+        assertEquals(1, run(RED + RED, many(true), 0), output);
+        assertTrue(output.startsWith("KNOWN-RED.txt:2: x.LabTest#many is listed twice"), output);
+        assertEquals(1, run(RED_PLAY + RED_PLAY, many(true), 0), output);
+        assertTrue(output.startsWith("KNOWN-RED.txt:2: play soak-17 is listed twice"), output);
         for (String bad :
                 List.of(
                         "x.LabTest#many, #49",
@@ -226,13 +230,13 @@
                         RED + "\n",
                         RED.strip() + "\r\n",
                         " " + RED)) {
-            assertEquals(1, run(bad, many(true), 0), bad + said);
+            assertEquals(1, run(bad, many(true), 0), bad + output);
             assertTrue(
-                    said.matches(
+                    output.matches(
                             "(?s)KNOWN-RED.txt:[12]: expected CLASS#METHOD or play NAME, `COMMAND`,"
                                     + " WHAT WAS SEEN, #ISSUE, found: .*"),
-                    said);
-            assertFalse(said.contains("mvn"), said);
+                    output);
+            assertFalse(output.contains("mvn"), output);
         }
     }
 }
--- a/src/test/java/cottonlock/ProcessSignalsTest.java
+++ b/src/test/java/cottonlock/ProcessSignalsTest.java
@@ -22,23 +22,23 @@
 import java.util.regex.Pattern;
 import net.jqwik.api.Example;
 
-/** Guards against signals that end the process for good, or whose outcome isn't logged. */
+/** Guards against signals that end the process by mistake or whose handling is not logged. */
 class ProcessSignalsTest {
-    /** The exit status of a JVM that SIGHUP has ended, by itself or by Java's handler. */
+    /** Exit status of a JVM that SIGHUP has ended, directly or through Java's default handler. */
     private static final int ENDED_BY_HANG_UP = 129;
 
-    /** All that may be loaded by when the handler is in place. */
+    /** The program's classes that may be loaded before the handler is installed. */
     private static final Set<String> LOADED_BEFORE_HANDLER =
             Set.of("Main", "ProcessSignals", "ProcessSignals$HangUpHandler");
 
     private static final Pattern LOADED_CLASS = Pattern.compile("(?m) cottonlock\\.(\\S+) source");
     private static final long MAX_START_SECONDS = 30;
 
-    /** Longer than the three seconds for which a stop waits for the start. */
+    /** Longer than the three seconds for which a shutdown waits for the start. */
     private static final long LONG_START_SECONDS = 4;
 
-    /** By then Java's own shutdown hooks have run; the proxy serves on for longer. */
-    private static final long SHUTDOWN_BEGUN_MILLIS = 300;
+    /** Time after which Java's own shutdown hooks have run; the proxy still serves then. */
+    private static final long SHUTDOWN_HOOKS_RUN_MILLIS = 300;
 
     private static final int RESPONSE_TIMEOUT_MILLIS = 2_000;
     private static final Pattern LISTEN = Pattern.compile("\"listen\":\"127.0.0.1:(\\d+)\"");
@@ -68,21 +68,22 @@
         }
     }
 
-    /** One process that was sent SIGHUP during its start. */
-    private final class Start implements AutoCloseable {
+    /** A process of the program; most tests send it SIGHUP during its start. */
+    private final class ServeProcess implements AutoCloseable {
         private final File output = Files.createTempFile(folder, "output", ".log").toFile();
         private final Path classes = folder.resolve(output.getName() + ".classes");
         private final Process process;
         private Set<String> loadedAtSignal;
 
-        Start() throws IOException {
+        ServeProcess() throws IOException {
             this(Files.writeString(folder.resolve("configuration.json"), configurationText()));
         }
 
-        Start(Path configuration) throws IOException {
+        ServeProcess(Path configuration) throws IOException {
             ProcessBuilder builder =
                     new ProcessBuilder(
-                            // Started under nohup, this test would pass on an ignored SIGHUP.
+                            // Under nohup, the process would inherit an ignored SIGHUP, and this
+                            // test would pass without a handler.
                             "env",
                             "--default-signal=HUP",
                             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -117,7 +118,7 @@
             return loaded;
         }
 
-        /** Waits until it answers; returns its port. */
+        /** Waits until the proxy answers; returns its port. */
         int awaitServing() throws Exception {
             Matcher listen = LISTEN.matcher(Files.readString(folder.resolve("configuration.json")));
             assertTrue(listen.find());
@@ -162,8 +163,8 @@
             throw new AssertionError("the signal was lost: " + Files.readString(output.toPath()));
         }
 
-        /** It was ended by the signal: then the program had not begun when that was sent. */
-        void assertHadNotBegun() {
+        /** Asserts that the program had not started yet when the signal was sent that ended the process. */
+        void assertNotStartedAtSignal() {
             Set<String> loaded = new TreeSet<>(loadedAtSignal);
             loaded.removeAll(LOADED_BEFORE_HANDLER);
             assertEquals(Set.of(), loaded, "loaded before the SIGHUP that ended the process");
@@ -176,80 +177,83 @@
     }
 
     @Example
-    void hangUpAtAnyMomentOfTheStartIsHeldOnceTheProgramHasBegun() throws Exception {
+    void hangUpAtAnyTimeAfterTheProgramHasStartedIsHandled() throws Exception {
         for (int afterMillis = 0; afterMillis <= 300; afterMillis += 12) {
-            try (Start start = new Start()) {
+            try (ServeProcess serve = new ServeProcess()) {
                 Thread.sleep(afterMillis);
-                start.hangUp();
-                if (!start.reloads()) {
-                    start.assertHadNotBegun();
+                serve.hangUp();
+                if (!serve.reloads()) {
+                    serve.assertNotStartedAtSignal();
                 }
             }
         }
     }
 
     @Example
-    void hangUpJustAfterTheProgramHasBegunIsHeld() throws Exception {
+    void hangUpJustAfterTheProgramHasStartedIsHandled() throws Exception {
         for (int afterMicros = 0; afterMicros < 12_000; afterMicros += 500) {
-            try (Start start = new Start()) {
-                start.awaitLoaded("Main");
+            try (ServeProcess serve = new ServeProcess()) {
+                serve.awaitLoaded("Main");
                 TimeUnit.MICROSECONDS.sleep(afterMicros);
-                start.hangUp();
-                if (!start.reloads()) {
-                    start.assertHadNotBegun();
+                serve.hangUp();
+                if (!serve.reloads()) {
+                    serve.assertNotStartedAtSignal();
                 }
             }
         }
     }
 
     @Example
-    void seriesOfHangUpsDuringTheStartIsHeld() throws Exception {
-        for (String moment :
+    void severalHangUpsDuringTheStartAreHandled() throws Exception {
+        for (String loadedClass :
                 List.of(
                         "setup.OperatorConfig",
                         "proxy.Proxy",
                         "proxy.control.ProxyConfiguration")) {
-            try (Start start = new Start()) {
-                start.awaitLoaded(moment);
+            try (ServeProcess serve = new ServeProcess()) {
+                serve.awaitLoaded(loadedClass);
                 for (int i = 0; i < 5; i++) {
-                    start.hangUp();
+                    serve.hangUp();
                 }
-                assertTrue(start.reloads(), "ended by SIGHUP after " + moment + " was loaded");
+                assertTrue(serve.reloads(), "ended by SIGHUP after " + loadedClass + " was loaded");
             }
         }
     }
 
-    /** A start that takes longer than a process manager waits: the reload was forgotten. */
+    /**
+     * Guards against a reload that is lost if the start takes longer than a process manager waits.
+     */
     @Example
-    void hangUpDuringALongStartIsCarriedOutAfterIt() throws Exception {
+    void hangUpDuringALongStartIsHandledAfterTheStart() throws Exception {
         Path configuration = folder.resolve("fifo");
         assertEquals(0, new ProcessBuilder("mkfifo", configuration.toString()).start().waitFor());
-        try (Start start = new Start(configuration)) {
-            // Opened for writing once the program reads it.
+        try (ServeProcess serve = new ServeProcess(configuration)) {
+            // Opening the FIFO for writing blocks until the program opens it for reading.
             try (OutputStream first = Files.newOutputStream(configuration)) {
-                start.hangUp();
+                serve.hangUp();
                 Thread.sleep(TimeUnit.SECONDS.toMillis(LONG_START_SECONDS));
                 first.write(configurationText().getBytes(StandardCharsets.UTF_8));
             }
-            // Written while the first reader is still there, both would be read as one file.
-            start.awaitLoaded("proxy.ClientListener");
+            // If this were written before the first reader has closed the FIFO, the program would
+            // read both texts as one file.
+            serve.awaitLoaded("proxy.ClientListener");
             CompletableFuture<Path> second =
                     CompletableFuture.supplyAsync(() -> write(configuration));
             second.get(MAX_START_SECONDS, TimeUnit.SECONDS);
-            assertTrue(start.reloads(), "not read again");
+            assertTrue(serve.reloads(), "not read again");
         }
     }
 
-    /** Guards against a shutdown that logs nothing: Java closed the log as the shutdown began. */
+    /** Guards against losing log messages of the drain: Java closes the log as a shutdown begins. */
     @Example
-    void whatAShutdownLogsIsWritten() throws Exception {
-        try (Start start = new Start()) {
-            int port = start.awaitServing();
-            start.process.destroy();
-            Thread.sleep(SHUTDOWN_BEGUN_MILLIS);
+    void messagesDuringShutdownAreLogged() throws Exception {
+        try (ServeProcess serve = new ServeProcess()) {
+            int port = serve.awaitServing();
+            serve.process.destroy();
+            Thread.sleep(SHUTDOWN_HOOKS_RUN_MILLIS);
             assertEquals("HTTP/1.1 400", statusLine(port, "no request\r\n\r\n"));
-            assertTrue(start.process.waitFor(MAX_START_SECONDS, TimeUnit.SECONDS), "has not ended");
-            String log = Files.readString(start.output.toPath());
+            assertTrue(serve.process.waitFor(MAX_START_SECONDS, TimeUnit.SECONDS), "has not ended");
+            String log = Files.readString(serve.output.toPath());
             assertTrue(log.contains("bad request"), log);
         }
     }
--- a/src/test/java/cottonlock/WithdrawnWordsTest.java
+++ b/src/test/java/cottonlock/WithdrawnWordsTest.java
@@ -14,14 +14,14 @@
 import net.jqwik.api.Example;
 
 /**
- * Names and comments of the production code use the field's terms (docs/glossary.md): none of the
- * private words that they replaced comes back. Texts in quotes are not searched: names on the wire,
- * in settings and in the operators' figures stay as they are.
+ * Names and comments of the production code use the field's terms (docs/glossary.md). Guards against
+ * the return of the project's private words that these terms replaced. String literals are not
+ * searched, since names on the wire, in settings and in metrics stay as they are.
  */
 class WithdrawnWordsTest {
     private static final Path SOURCES = Path.of("src", "main", "java", "cottonlock");
 
-    /** Patterns of the files that still hold such words. Only ever shortened. */
+    /** Patterns of files that still contain such words. Must only be shortened. */
     private static final List<String> UNFINISHED = List.of("lab/.*", "proxy/[A-Za-z]+\\.java");
 
     private static final List<String> WORDS =
@@ -52,7 +52,7 @@
     private static final Pattern WITHDRAWN =
             Pattern.compile("\\b(" + String.join("|", WORDS).replace(" ", "\\s+") + ")\\b");
 
-    /** A text in quotes, a character, or a text block. */
+    /** A string literal, a character literal or a text block. */
     private static final Pattern QUOTED =
             Pattern.compile(
                     "\"\"\".*?\"\"\"|\"(\\\\.|[^\"\\\\\n])*\"|'(\\\\.|[^'\\\\\n])'",
@@ -71,7 +71,7 @@
     }
 
     @Example
-    void namesAndCommentsAreSearchedButNoTexts() {
+    void namesAndCommentsAreSearchedButNotStringLiterals() {
         assertEquals(
                 List.of("patience", "whoever", "stood still", "doubt"),
                 withdrawnWords(
--- a/src/test/java/cottonlock/cli/CliTest.java
+++ b/src/test/java/cottonlock/cli/CliTest.java
@@ -11,14 +11,15 @@
 import java.util.Map;
 import net.jqwik.api.Example;
 
-/** The program as its users start it: a process, its exit status, its two streams. */
+/** Runs the program as a process and checks its exit status and its two output streams. */
 class CliTest {
     private String out;
     private String err;
 
     private static ProcessBuilder process(
             Map<String, String> environment, List<String> options, String... args) {
-        // A shell without job control starts this test with SIGINT ignored, which Java leaves so.
+        // If a shell without job control started this test, SIGINT is ignored, and a child process
+        // would inherit that.
         List<String> command = new ArrayList<>(List.of("env", "--default-signal=INT"));
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(List.of("-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC"));
@@ -53,7 +54,7 @@
     }
 
     @Example
-    void commandsTellWhatTheyAreAndWhatIsWrong() throws Exception {
+    void commandsPrintHelpVersionAndFaults() throws Exception {
         assertEquals(0, run("--help"));
         for (String command : List.of("serve", "wirehost", "check", "lab", "completion")) {
             assertTrue(out.contains(command), out);
@@ -65,11 +66,11 @@
         assertEquals(2, run("lab", "run", "no/such.toml"));
         assertEquals("no/such.toml: there is no such file", err.strip());
         assertEquals(0, run("completion"));
-        assertTrue(out.contains("complete "), "a script for the shell");
+        assertTrue(out.contains("complete "), "a completion script for the shell");
     }
 
     @Example
-    void checkTellsEachFileApartAndTheWorstDecides() throws Exception {
+    void checkReportsEachFileAndFailsIfOneIsInvalid() throws Exception {
         assertEquals(0, run("check", "scenarios/quickstart.toml", "deploy/operator.example.toml"));
         assertEquals(2, out.lines().filter(line -> line.endsWith(": can be used")).count(), out);
         Path bad = Files.createTempFile("bad", ".json");
@@ -80,15 +81,15 @@
     }
 
     /**
-     * The platform's start must stay as quick and small as it was: no library, and nothing of the
-     * command line.
+     * Guards against a slower and larger start on the platform: serve without an operator's file must
+     * load no library and no class of the command line.
      */
     @Example
-    void serveByItselfLoadsNothingOfTheCommandLine() throws Exception {
+    void serveWithoutOperatorFileLoadsNoLibraryAndNoCommandLine() throws Exception {
         List<String> logged = List.of("-Xshare:off", "-Xlog:class+load:stdout");
         assertEquals(2, run(Map.of(), logged, "serve"));
         assertTrue(err.contains("EDGE_CONFIG names no file"), err);
-        for (String far :
+        for (String forbidden :
                 List.of(
                         "picocli",
                         "tomlj",
@@ -97,7 +98,7 @@
                         "cottonlock.cli",
                         "cottonlock.lab",
                         "cottonlock.config")) {
-            assertFalse(out.contains(far), far + " is loaded");
+            assertFalse(out.contains(forbidden), forbidden + " is loaded");
         }
     }
 
@@ -107,9 +108,9 @@
                     + "\"settings\":{\"Categories\":[{\"Name\":\"c\","
                     + "\"DueTime\":1000000}],\"MembershipMode\":\"subscribe\"}}";
 
-    /** A proxy that knows nobody loads nothing of what the others are known by. */
+    /** A proxy without membership and rollout loads none of their classes. */
     @Example
-    void servingAloneLoadsNothingOfTheFleet() throws Exception {
+    void serveWithoutMembershipAndRolloutLoadsNoneOfTheirClasses() throws Exception {
         Path folder = Files.createTempDirectory("cli");
         Path config = Files.writeString(folder.resolve("config.json"), CONFIG);
         Path loaded = folder.resolve("loaded");
@@ -120,13 +121,13 @@
                                 "serve")
                         .start();
         try (java.io.BufferedReader lines = serve.errorReader()) {
-            assertTrue(lines.readLine().contains("the watch ended"), "it serves");
+            assertTrue(lines.readLine().contains("the watch ended"), "the proxy is serving");
         } finally {
             serve.destroyForcibly().waitFor();
         }
         String classes = Files.readString(loaded);
-        assertTrue(classes.contains("cottonlock.proxy.Proxy "), "the log is there");
-        for (String far :
+        assertTrue(classes.contains("cottonlock.proxy.Proxy "), "the class log was written");
+        for (String forbidden :
                 List.of(
                         "cottonlock.membership",
                         "cottonlock.proxy.MembershipAdapter",
@@ -138,12 +139,12 @@
                         "javax.crypto",
                         "cottonlock.config",
                         "cottonlock.cli")) {
-            assertFalse(classes.contains(far), far + " is loaded");
+            assertFalse(classes.contains(forbidden), forbidden + " is loaded");
         }
     }
 
     @Example
-    void membershipThatCannotBeIsToldAtTheStart() throws Exception {
+    void invalidMembershipConfigurationFailsTheStart() throws Exception {
         Path folder = Files.createTempDirectory("cli");
         Path operator =
                 Files.writeString(folder.resolve("o.toml"), "[membership]\nenabled = true\n");
@@ -171,9 +172,11 @@
         assertTrue(err.contains(key + " holds no key of 16 to 4096 bytes"), err);
     }
 
-    /** The same test, with changes learnt of: it would see the classes if they were loaded. */
+    /**
+     * With rollout on, its classes are loaded. Shows that the test without it would see them.
+     */
     @Example
-    void whereChangesAreLearntOfItsClassesAreLoaded() throws Exception {
+    void serveWithRolloutLoadsItsClasses() throws Exception {
         Path folder = Files.createTempDirectory("cli");
         Path operator =
                 Files.writeString(
@@ -204,11 +207,11 @@
         }
         assertTrue(
                 Files.readString(loaded).contains("cottonlock.rollout.ConfigurationRollout "),
-                "the log is there");
+                "the classes of the rollout are loaded");
     }
 
     @Example
-    void serveWithAnOperatorsFileWritesItsLogAsItSays() throws Exception {
+    void serveRejectsAnInvalidOperatorFile() throws Exception {
         Path file = Files.createTempFile("operator", ".toml");
         Files.writeString(file, "[log]\nformat = \"jsn\"\n");
         assertEquals(2, run("serve", "--operator", file.toString()));
@@ -220,7 +223,7 @@
     }
 
     @Example
-    void linesOfTheLogAreObjectsWhereTheOperatorWantsThem() throws Exception {
+    void logLinesAreJsonObjectsWithThatLogFormat() throws Exception {
         Path folder = Files.createTempDirectory("cli");
         Path operator =
                 Files.writeString(folder.resolve("operator.toml"), "[log]\nformat = \"json\"\n");
@@ -246,9 +249,9 @@
         }
     }
 
-    /** Ctrl-C in the middle of a run: the report is there, and no process of a proxy is left. */
+    /** After Ctrl-C during a run, the report is written and no proxy process is left running. */
     @Example
-    void anInterruptedLabLeavesItsReportAndNothingElse() throws Exception {
+    void interruptedLabRunWritesItsReportAndEndsItsProxies() throws Exception {
         Path folder = Files.createTempDirectory("cli");
         Process lab =
                 process(
@@ -262,8 +265,8 @@
                         .redirectErrorStream(true)
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                         .start();
-        long until = System.nanoTime() + 20_000_000_000L;
-        while (lab.descendants().count() < 3 && System.nanoTime() < until) {
+        long deadlineNanos = System.nanoTime() + 20_000_000_000L;
+        while (lab.descendants().count() < 3 && System.nanoTime() < deadlineNanos) {
             Thread.sleep(20);
         }
         Thread.sleep(1_500);
