--- a/src/test/java/cottonlock/proxy/OperatorDaysTest.java
+++ b/src/test/java/cottonlock/proxy/OperatorDaysTest.java
@@ -31,7 +31,10 @@
 import java.util.Map;
 import net.jqwik.api.Example;
 
-/** What operators do with a proxy in service: call it, take backends out, retune it, replace it. */
+/**
+ * Operations on a proxy in service: management commands, manual ejections, reloads and replacement of
+ * the process.
+ */
 class OperatorDaysTest extends ProxyFixture {
     private Path file;
 
@@ -41,7 +44,7 @@
         buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
     }
 
-    private static String ask(int port, String call) throws IOException {
+    private static String sendCommand(int port, String command) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(2_000);
             send(socket, call + "\n");
@@ -49,25 +52,25 @@
         }
     }
 
-    private String ask(String call) throws IOException {
-        return ask(proxy.managementPort(), call);
+    private String sendCommand(String command) throws IOException {
+        return sendCommand(proxy.managementPort(), command);
     }
 
-    private Object figure(String name) throws IOException {
-        return ((Map<?, ?>) plain(JsonReader.read(ask("DUMP").split("\n", 0)[0]))).get(name);
+    private Object metric(String name) throws IOException {
+        return ((Map<?, ?>) plain(JsonReader.read(sendCommand("DUMP").split("\n", 0)[0]))).get(name);
     }
 
     @Example
-    void callsAreAnsweredBesideCallersWhoHoldTheirConnection() throws Exception {
+    void commandsAreAnsweredWhileIdleConnectionsAreOpen() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         startManaged(null, settings(64, 1, "", backend.host("b")));
         for (int i = 0; i < 40; i++) {
-            Socket holder = new Socket(InetAddress.getLoopbackAddress(), proxy.managementPort());
-            open.add(holder);
-            send(holder, i % 2 == 0 ? "" : "HEAL");
+            Socket idle = new Socket(InetAddress.getLoopbackAddress(), proxy.managementPort());
+            open.add(idle);
+            send(idle, i % 2 == 0 ? "" : "HEAL");
         }
         long before = System.nanoTime();
-        assertEquals("ACK\n", ask("HEALTH"));
+        assertEquals("ACK\n", sendCommand("HEALTH"));
         assertTrue(System.nanoTime() - before < 1_000_000_000L);
         for (String bad :
                 List.of(
@@ -79,13 +82,13 @@
                         "HEALTH b",
                         "\u0000",
                         "x".repeat(600))) {
-            assertTrue(ask(bad).startsWith("NAK "), bad);
+            assertTrue(sendCommand(bad).startsWith("NAK "), bad);
         }
-        assertTrue(ask("DUMP").endsWith("}\n--\n"));
+        assertTrue(sendCommand("DUMP").endsWith("}\n--\n"));
     }
 
     @Example
-    void figuresTellWhatPeersSaw() throws Exception {
+    void metricsCountWhatClientsAndBackendsSaw() throws Exception {
         StandIn backend =
                 new StandIn(
                         request -> {
@@ -99,34 +102,34 @@
         for (int i = 0; i < 5; i++) {
             assertEquals(200, status(call(request("read", "r" + i, "", ""))));
         }
-        try (Socket leaver = connect()) {
-            send(leaver, request("book", "left", "", "body"));
+        try (Socket disconnecting = connect()) {
+            send(disconnecting, request("book", "left", "", "body"));
             eventually(() -> backend.requests.size() == 6, "sent");
-            assertEquals("1", figure("inflight"));
+            assertEquals("1", metric("inflight"));
         }
-        eventually(() -> figure("inflight").equals("0"), "who leaves is no longer under way");
-        // Last: the sole backend is doubted after it.
+        eventually(() -> metric("inflight").equals("0"), "a disconnected client's request is no longer in flight");
+        // Last, since the only backend is suspected as an outlier afterwards.
         assertEquals(502, status(call(request("once", "bad", "", "body"))));
-        // Counted by the thread that has written the response, so just after its client has it.
+        // The failure is counted by the thread that writes the response, just after it has sent it.
         eventually(
-                () -> "1".equals(((Map<?, ?>) figure("failure")).get("once")),
+                () -> "1".equals(((Map<?, ?>) metric("failure")).get("once")),
                 "the failure is counted");
-        assertEquals("5", ((Map<?, ?>) figure("success")).get("read"));
-        assertEquals("7", figure("backend_calls"));
-        assertEquals("1", figure("hosts_listed"));
+        assertEquals("5", ((Map<?, ?>) metric("success")).get("read"));
+        assertEquals("7", metric("backend_calls"));
+        assertEquals("1", metric("hosts_listed"));
         for (int i = 0; i < 20; i++) {
             call(request("once", "more" + i, "", "body"));
         }
-        // Why each ended unfinished: it adds up to what was deferred and written off, either way.
-        long ended = sum(figure("busy")) + sum(figure("failure"));
-        assertTrue(ended > 1, "a doubted sole backend gets little of what may run once");
-        assertEquals(ended, sum(figure("why_by_category")));
-        assertEquals(ended, sum(figure("why_by_tenant")));
-        Map<?, ?> once = (Map<?, ?>) ((Map<?, ?>) figure("why_by_category")).get("once");
+        // The reasons, by request class and by tenant, add up to the rejected and failed requests.
+        long ended = sum(metric("busy")) + sum(metric("failure"));
+        assertTrue(ended > 1, "a suspected only backend gets few non-idempotent requests");
+        assertEquals(ended, sum(metric("why_by_category")));
+        assertEquals(ended, sum(metric("why_by_tenant")));
+        Map<?, ?> once = (Map<?, ?>) ((Map<?, ?>) metric("why_by_category")).get("once");
         assertEquals("1", once.get("answer_lost"));
         assertEquals(String.valueOf(ended - 1), once.get("no_backend"));
         assertEquals(
-                0, sum(((Map<?, ?>) figure("why_by_category")).get("read")), "none, but there");
+                0, sum(((Map<?, ?>) metric("why_by_category")).get("read")), "present, with counts of zero");
     }
 
     private static long sum(Object counts) {
@@ -136,51 +139,50 @@
     }
 
     @Example
-    void whoIsOutGetsNothingWhateverDiscoverySaysAndIsColdWhenBack() throws Exception {
+    void ejectedBackendGetsNoRequestsUntilItIsRestored() throws Exception {
         StandIn one = new StandIn(request -> OK);
         StandIn two = new StandIn(request -> OK);
         Path folder = Files.createTempDirectory("bans");
         startManaged(folder, settings(64, 1, "", one.host("one"), two.host("two")));
-        eventually(() -> figure("hosts_listed").equals("2"), "both are listed");
-        assertEquals("ACK\n", ask("OFFLINE one"));
-        assertEquals("ACK\n", ask("OFFLINE one"));
+        eventually(() -> metric("hosts_listed").equals("2"), "both are listed");
+        assertEquals("ACK\n", sendCommand("OFFLINE one"));
+        assertEquals("ACK\n", sendCommand("OFFLINE one"));
         int before = one.requests.size();
         for (int i = 0; i < 20; i++) {
             call(request("read", "r" + i, "", ""));
         }
         assertEquals(before, one.requests.size());
-        assertEquals("1", figure("hosts_down"));
-        // The process dies without a word; the next one knows, and a stale or foreign file does no
-        // harm.
+        assertEquals("1", metric("hosts_down"));
+        // The next process knows the ejection, and an unrelated file is ignored.
         proxy.close();
         proxy.join();
         Files.writeString(folder.resolve("cottonlock-other.bans"), "\u0001\u0002");
         startManaged(folder, settings(64, 1, "", one.host("one"), two.host("two")));
-        eventually(() -> figure("hosts_down").equals("1"), "still out");
+        eventually(() -> metric("hosts_down").equals("1"), "still ejected");
         for (int i = 0; i < 20; i++) {
             call(request("read", "s" + i, "", ""));
         }
         assertEquals(before, one.requests.size());
-        assertEquals("ACK\n", ask("ONLINE one"), "two bans need one call back");
+        assertEquals("ACK\n", sendCommand("ONLINE one"), "two ejections are ended by one command");
         eventually(
                 () -> {
                     call(request("read", "t" + System.nanoTime(), "", ""));
                     return one.requests.size() > before;
                 },
-                "it gets work again");
+                "it gets requests again");
     }
 
     @Example
-    void bansAreSharedWithAnotherProcessAndReturnsAreColdThereToo() throws Exception {
+    void ejectionsAreSharedWithAnotherProcessAndRestoredBackendsStartSlowly() throws Exception {
         RateLimitedLog log = new RateLimitedLog(System.getLogger("test"));
         Path folder = Files.createTempDirectory("bans");
         TickClock clock = new TickClock();
-        List<String> told = new ArrayList<>();
+        List<String> notifications = new ArrayList<>();
         ManualEjections here =
                 new ManualEjections(new SharedFile(folder, "p", "bans", log), clock, () -> {});
         ManualEjections there =
                 new ManualEjections(
-                        new SharedFile(folder, "p", "bans", log), clock, () -> told.add("there"));
+                        new SharedFile(folder, "p", "bans", log), clock, () -> notifications.add("there"));
         Endpoint listed = new Endpoint("b", 0, 0, 0, Endpoint.State.READY, 1, 5);
         assertTrue(here.setEjected("b", true));
         there.poll();
@@ -191,16 +193,16 @@
         assertFalse(here.isEjected("b"));
         assertTrue(
                 clock.now() - here.effective(listed).startedAtTicks() < 10_000,
-                "cold, whatever the list says");
-        assertEquals(List.of("there", "there"), told);
+                "in slow start, whatever start time the endpoint list has");
+        assertEquals(List.of("there", "there"), notifications);
         Files.writeString(folder.resolve("cottonlock-p.bans"), "something else\nout b\n");
         here.poll();
-        assertFalse(here.isEjected("b"), "a foreign file counts as empty");
+        assertFalse(here.isEjected("b"), "a file of unknown format counts as empty");
         assertNull(new SharedFile(null, "p", "bans", log).revision());
     }
 
     @Example
-    void aFileIsTakenWholeOrNotAtAll() throws Exception {
+    void configurationFileIsReloadedCompletelyOrNotAtAll() throws Exception {
         StandIn backend =
                 new StandIn(
                         request -> {
@@ -235,28 +237,31 @@
                 proxy.reload();
                 assertEquals(404, status(call(request("twice", "n", "", "body"))), bad);
             }
-            assertEquals("12", figure("reconfig_failed"));
+            assertEquals("12", metric("reconfig_failed"));
             Files.writeString(file, next);
             proxy.reload();
-            assertEquals("1", figure("reconfig_ok"));
+            assertEquals("1", metric("reconfig_ok"));
             assertEquals(200, status(call(request("twice", "new", "", "body"))));
             assertEquals(404, status(call(request("once", "gone", "", "body"))));
-            assertEquals(200, status(receive(old)), "what was open keeps its category");
+            assertEquals(200, status(receive(old)), "a request in flight keeps its request class");
         }
         Files.writeString(file, now);
         proxy.reload();
         assertEquals(
-                200, status(call(request("once", "back", "", "body"))), "a name that comes again");
+                200, status(call(request("once", "back", "", "body"))), "a name that is used again");
         assertEquals(
                 "3",
-                ((Map<?, ?>) figure("success"))
+                ((Map<?, ?>) metric("success"))
                                 .values().stream()
                                         .mapToInt(n -> Integer.parseInt(n.toString()))
                                         .sum()
                         + "");
     }
 
-    /** A process of one proxy: all have the same listen and folder, each a mgmt of its own. */
+    /**
+     * Starts a process of one proxy and waits until it serves. All have the same listen address and
+     * folder, and each has its own management address.
+     */
     private Process launch(Path folder, int listen, int mgmt, StandIn... backends)
             throws Exception {
         Path config =
@@ -285,19 +290,19 @@
         eventually(
                 () -> {
                     try {
-                        return ask(mgmt, "HEALTH").equals("ACK\n");
+                        return sendCommand(mgmt, "HEALTH").equals("ACK\n");
                     } catch (IOException e) {
                         assertTrue(process.isAlive());
                         return false;
                     }
                 },
-                "it serves");
+                "the process is serving");
         return process;
     }
 
-    private static int[] freePorts(int many) throws IOException {
-        int[] ports = new int[many];
-        for (int i = 0; i < many; i++) {
+    private static int[] freePorts(int count) throws IOException {
+        int[] ports = new int[count];
+        for (int i = 0; i < count; i++) {
             try (ServerSocket free = new ServerSocket(0)) {
                 ports[i] = free.getLocalPort();
             }
@@ -314,7 +319,7 @@
     }
 
     @Example
-    void twoUpgradesInARowTurnNobodyAway() throws Exception {
+    void twoUpgradesInARowRejectNoRequest() throws Exception {
         StandIn one =
                 new StandIn(
                         request -> {
@@ -330,21 +335,21 @@
         Files.writeString(
                 folder.resolve("cottonlock-p-127.0.0.1_" + ports[0] + ".serving"), "stale\n");
         Process old = launch(folder, ports[0], ports[1], one, two);
-        assertEquals("ACK\n", ask(ports[1], "OFFLINE c"));
+        assertEquals("ACK\n", sendCommand(ports[1], "OFFLINE c"));
         for (int i = 1; i < 3; i++) {
             int before = two.requests.size();
             Process next = launch(folder, ports[0], ports[1 + i], one, two);
             assertTrue(
-                    ask(ports[1 + i], "DUMP").contains("\"hosts_down\":1"),
-                    "bans are known at once");
-            Process leaving = old;
+                    sendCommand(ports[1 + i], "DUMP").contains("\"hosts_down\":1"),
+                    "the ejection is known at once");
+            Process ending = old;
             try (Socket kept = new Socket(InetAddress.getLoopbackAddress(), ports[0]);
                     Socket held = new Socket(InetAddress.getLoopbackAddress(), ports[0])) {
-                // Held by one of the two; whichever it is, its request is answered.
+                // Either process may hold a connection; its request is answered in both cases.
                 send(kept, request("read", "first" + i, "", ""));
                 assertEquals(200, status(receive(kept)));
                 send(held, request("once", "long" + i, "", "body"));
-                leaving.destroy();
+                ending.destroy();
                 for (int k = 0; k < 40; k++) {
                     String call = request("read", "during" + i + "-" + k, "", "");
                     assertEquals(200, callAt(ports[0], call), call);
@@ -353,21 +358,21 @@
                 send(kept, request("read", "second" + i, "", ""));
                 assertEquals(200, status(receive(kept)));
             }
-            eventually(() -> !leaving.isAlive(), "the old one leaves");
+            eventually(() -> !ending.isAlive(), "the old process ends");
             assertTrue(next.isAlive());
-            assertEquals(before, two.requests.size(), "who is out gets nothing from either");
+            assertEquals(before, two.requests.size(), "an ejected backend gets no request from either process");
             old = next;
         }
-        assertEquals("ACK\n", ask(ports[3], "ONLINE c"));
+        assertEquals("ACK\n", sendCommand(ports[3], "ONLINE c"));
         eventually(
                 () ->
                         callAt(ports[0], request("read", "t" + System.nanoTime(), "", "")) == 200
                                 && !two.requests.isEmpty(),
-                "it gets work again");
+                "it gets requests again");
     }
 
     @Example
-    void theOldProcessMayBeKilledInTheMiddleAndTheNewOneRetuned() throws Exception {
+    void oldProcessMayBeKilledDuringAnUpgradeAndTheNewOneReloaded() throws Exception {
         StandIn one =
                 new StandIn(
                         request -> {
@@ -379,17 +384,17 @@
         Path folder = Files.createTempDirectory("killed");
         Process old = launch(folder, ports[0], ports[1], one, two);
         Process next = launch(folder, ports[0], ports[2], one, two);
-        assertEquals("ACK\n", ask(ports[1], "OFFLINE c"), "made at the old one");
+        assertEquals("ACK\n", sendCommand(ports[1], "OFFLINE c"), "ejected at the old process");
         eventually(
-                () -> ask(ports[2], "DUMP").contains("\"hosts_down\":1"),
-                "in force at the new one");
-        assertEquals("ACK\n", ask(ports[2], "ONLINE c"), "lifted there");
-        eventually(() -> ask(ports[1], "DUMP").contains("\"hosts_down\":0"), "and at the old one");
-        assertEquals("ACK\n", ask(ports[1], "OFFLINE c"));
+                () -> sendCommand(ports[2], "DUMP").contains("\"hosts_down\":1"),
+                "in force at the new process");
+        assertEquals("ACK\n", sendCommand(ports[2], "ONLINE c"), "ended at the new process");
+        eventually(() -> sendCommand(ports[1], "DUMP").contains("\"hosts_down\":0"), "ended at the old process too");
+        assertEquals("ACK\n", sendCommand(ports[1], "OFFLINE c"));
         Socket[] open = new Socket[6];
         for (int i = 0; i < open.length; i++) {
             open[i] = new Socket(InetAddress.getLoopbackAddress(), ports[0]);
-            // A keyed one is repeated to whichever process it reaches; backends know it by its key.
+            // A request with a key may be retried by either process: backends recognise the key.
             send(
                     open[i],
                     request("book", "same" + i, "Idempotency-Key: k\r\n", "body")
@@ -406,7 +411,7 @@
             try (socket) {
                 answered += status(receive(socket)) == 200 ? 1 : 0;
             } catch (IOException e) {
-                // What the killed one held is its client's to repeat.
+                // The killed process held this request; its client would retry it.
             }
         }
         assertTrue(
@@ -416,22 +421,23 @@
             assertEquals(200, callAt(ports[0], request("read", "after" + k, "", "")));
         }
         assertEquals(
-                0, two.requests.size(), "who was taken out at a process that has died stays out");
-        eventually(() -> ask(ports[2], "DUMP").contains("\"reconfig_ok\":1"), "SIGHUP was heard");
+                0, two.requests.size(), "a backend ejected at a process that was killed stays ejected");
+        eventually(() -> sendCommand(ports[2], "DUMP").contains("\"reconfig_ok\":1"), "SIGHUP was handled");
         assertTrue(next.isAlive());
     }
 
     @Example
-    void moreBodiesThanMemoryAndAThousandHalfHeadsLoseNothing() throws Exception {
+    void bodiesLargerThanMemoryAndIncompleteHeadsLoseNoRequest() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         startManaged(
                 null,
                 settings(128, 1, "", backend.host("b"))
                         .replace("\"memory_mb\":64", "\"memory_mb\":4"));
-        // An eighth of the memory: asked of the pool now, the watch of the list might hold one.
+        // An eighth of the memory. Not read from the pool, since the watch of the endpoint list may
+        // hold a buffer.
         buffersAtFirst = (4 << 20) / 8 / BufferPool.SIZE;
         String body = "0123456789".repeat(6_500);
-        assertTrue(buffersAtFirst < 12 * body.length() / BufferPool.SIZE, "fewer than come");
+        assertTrue(buffersAtFirst < 12 * body.length() / BufferPool.SIZE, "fewer buffers than the bodies need");
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             Socket socket = connect();
@@ -455,18 +461,21 @@
                 assertEquals(
                         200,
                         status(call(request("read", "r" + i, "", ""))),
-                        "beside the crowd, " + i);
+                        "beside the incomplete requests, " + i);
                 long before = System.nanoTime();
-                assertTrue(ask("DUMP").endsWith("--\n") && ask("HEALTH").equals("ACK\n"));
+                assertTrue(sendCommand("DUMP").endsWith("--\n") && sendCommand("HEALTH").equals("ACK\n"));
                 assertTrue(System.nanoTime() - before < 1_000_000_000L);
             }
         }
-        assertEquals("0", figure("inflight"));
+        assertEquals("0", metric("inflight"));
     }
 
     /**
-     * A backend that sends so many bytes, in chunks or with their length told, and stops after
-     * some.
+     * Starts a backend that sends a response body.
+     *
+     * @param bytes the length of the body
+     * @param chunked whether the body is sent in chunks instead of with a Content-Length
+     * @param stopAfter number of bytes after which the backend stops sending
      */
     private StandIn bulk(int bytes, boolean chunked, int stopAfter) throws IOException {
         StandIn backend = new StandIn(request -> CLOSE);
@@ -497,8 +506,8 @@
     }
 
     /**
-     * Reads an answer, with a pause each so many bytes; the bytes of its body, or -1 if it broke
-     * off.
+     * Reads a response, with a pause after every pauseEach bytes. Returns the length of its body, or -1 if the
+     * body was cut off.
      */
     private static int readBulk(Socket socket, int pauseEach) throws Exception {
         HttpReader reader = new HttpReader(socket, new byte[BufferPool.SIZE]);
@@ -532,7 +541,7 @@
     }
 
     @Example
-    void longAnswersPassThroughOneBufferAndABrokenOneNeverLooksWhole() throws Exception {
+    void longResponsesAreStreamedAndTruncatedOnesAreNotCompleted() throws Exception {
         for (boolean chunked : new boolean[] {false, true}) {
             StandIn backend = bulk(32_000_000, chunked, 32_000_000);
             startManaged(null, settings(64, 1, "", backend.host("b")));
@@ -545,18 +554,18 @@
                     send(socket, request("read", "r" + sent, "", ""));
                     eventually(
                             () -> backend.requests.size() > sent,
-                            "each has a connection of its own");
+                            "each has its own backend connection");
                     pause(50);
                 }
                 assertEquals(32_000_000, readBulk(quick, 0));
                 assertTrue(
                         before - proxy.freeBuffers() < 12,
-                        "memory for parts only, not for 32 MB twice");
-                assertTrue(figure("inflight").equals("2"), "those that read slowly are under way");
+                        "buffers for parts of the bodies only, not for two of 32 MB");
+                assertTrue(metric("inflight").equals("2"), "the requests of slow clients are in flight");
                 assertEquals(32_000_000, readBulk(slow, 8_000_000), "longer than any expiry");
             }
             eventually(
-                    () -> figure("inflight").equals("0"), "the one that stopped reading has left");
+                    () -> metric("inflight").equals("0"), "the client that stopped reading has disconnected");
             proxy.close();
             startManaged(null, settings(64, 1, "", bulk(1_000_000, chunked, 500_000).host("b")));
             try (Socket socket = connect()) {
@@ -568,7 +577,7 @@
     }
 
     @Example
-    void longBodiesOfSlowClientsArePassedOnWholeAndCostLittleMemory() throws Exception {
+    void longBodiesOfSlowClientsAreForwardedCompletelyWithLittleMemory() throws Exception {
         StandIn backend = new StandIn(request -> OK);
         startManaged(null, settings(64, 1, "", backend.host("b")));
         int before = proxy.freeBuffers();
@@ -598,7 +607,7 @@
             int cutOff = status(receive(cut));
             assertTrue(
                     cutOff == 0 || cutOff == 408,
-                    "a body that was cut off is no request: " + cutOff);
+                    "a request with a truncated body is not forwarded: " + cutOff);
         }
         assertEquals(1, backend.requests.size());
         assertEquals(
@@ -609,6 +618,6 @@
                         call(
                                 request("read", "form", "", "")
                                         .replace("GET /", "GET http://origin:80/"))),
-                "the absolute form");
+                "a request target in absolute form");
     }
 }
--- a/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
+++ b/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
@@ -25,18 +25,18 @@
 import net.jqwik.api.Example;
 
 /**
- * Processes of the program that learn of changes from control machines on loopback, and what goes
- * wrong with these. Nothing but the promised ten seconds bounds a wait.
+ * Runs processes of the program that receive configuration versions from control servers on loopback,
+ * and injects faults of these servers. The only time limit is the guaranteed rollout time of 10 s.
  */
 class RolloutProcessesTest extends ProxyFixture {
-    private static final long PROMISED = 10_000_000_000L;
+    private static final long MAX_ROLLOUT_NANOS = 10_000_000_000L;
 
     private final List<ControlMachine> control = new ArrayList<>();
     private final List<Instance> instances = new ArrayList<>();
     private String base;
     private String content;
 
-    /** One process of serve. */
+    /** A process of the command {@code serve}. */
     private final class Instance {
         final int listen;
         final int mgmt;
@@ -51,7 +51,7 @@
             errors.toFile().deleteOnExit();
         }
 
-        void start(StandIn backend, boolean keeps) throws Exception {
+        void start(StandIn backend, boolean persistent) throws Exception {
             Path config =
                     config(
                             configuration(backend)
@@ -87,58 +87,58 @@
                             operator.toString());
             builder.environment().put("EDGE_CONFIG", config.toString());
             builder.environment().remove("TMPDIR");
-            if (keeps) {
+            if (persistent) {
                 builder.environment().put("TMPDIR", folder.toString());
             }
             process =
                     builder.redirectErrorStream(true)
                             .redirectOutput(ProcessBuilder.Redirect.appendTo(errors.toFile()))
                             .start();
-            Process mine = process;
-            open.add(mine::destroyForcibly);
-            inTime(
+            Process started = process;
+            open.add(started::destroyForcibly);
+            awaitWithinRolloutTime(
                     () -> {
-                        assertTrue(mine.isAlive(), Files.readString(errors));
-                        return figure("configuration_version") != null;
+                        assertTrue(started.isAlive(), Files.readString(errors));
+                        return metric("configuration_version") != null;
                     },
-                    "it serves");
+                    "the proxy is serving");
         }
 
-        String figure(String key) throws IOException {
+        String metric(String key) throws IOException {
             try {
                 return String.valueOf(
-                        ((JsonObject) JsonReader.read(ask("DUMP").split("\n", 0)[0])).get(key));
+                        ((JsonObject) JsonReader.read(sendCommand("DUMP").split("\n", 0)[0])).get(key));
             } catch (java.net.ConnectException e) {
                 return null;
             }
         }
 
-        String ask(String call) throws IOException {
+        String sendCommand(String command) throws IOException {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), mgmt)) {
                 socket.setSoTimeout(4_000);
-                send(socket, call + "\n");
+                send(socket, command + "\n");
                 return new String(
                         socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             }
         }
 
-        int status(String category) throws IOException {
+        int status(String requestClass) throws IOException {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), listen)) {
                 socket.setSoTimeout(4_000);
-                send(socket, request(category, "r" + System.nanoTime(), "", "body"));
+                send(socket, request(requestClass, "r" + System.nanoTime(), "", "body"));
                 return ProxyFixture.status(receive(socket));
             }
         }
 
-        long lines(String with) throws IOException {
-            return Files.readAllLines(errors).stream().filter(l -> l.contains(with)).count();
+        long countLogLines(String text) throws IOException {
+            return Files.readAllLines(errors).stream().filter(l -> l.contains(text)).count();
         }
     }
 
-    static void inTime(Check check, String what) throws Exception {
-        long until = System.nanoTime() + PROMISED;
+    static void awaitWithinRolloutTime(Check check, String what) throws Exception {
+        long deadlineNanos = System.nanoTime() + MAX_ROLLOUT_NANOS;
         while (!check.holds()) {
-            assertTrue(System.nanoTime() < until, "in time: " + what);
+            assertTrue(System.nanoTime() < deadlineNanos, "within the rollout time: " + what);
             Thread.sleep(5);
         }
     }
@@ -147,10 +147,10 @@
         return settings(64, 1, "", backend.host("b"));
     }
 
-    private static int[] freePorts(int many) throws IOException {
-        int[] ports = new int[many];
-        ServerSocket[] free = new ServerSocket[many];
-        for (int i = 0; i < many; i++) {
+    private static int[] freePorts(int count) throws IOException {
+        int[] ports = new int[count];
+        ServerSocket[] free = new ServerSocket[count];
+        for (int i = 0; i < count; i++) {
             free[i] = new ServerSocket(0);
             ports[i] = free[i].getLocalPort();
         }
@@ -184,8 +184,8 @@
         return backend;
     }
 
-    /** The settings with one category of another name. */
-    private String named(String name) {
+    /** Returns the settings with another name for one request class. */
+    private String settingsWithClass(String name) {
         return content.replace("\"once\"", '"' + name + '"');
     }
 
@@ -193,120 +193,121 @@
         control.forEach(c -> c.publish("s", seq, base, settings));
     }
 
-    private void allHold(long seq) throws Exception {
+    private void awaitVersionEverywhere(long seq) throws Exception {
         for (Instance i : instances) {
-            inTime(
-                    () -> i.figure("configuration_version").equals("" + seq),
+            awaitWithinRolloutTime(
+                    () -> i.metric("configuration_version").equals("" + seq),
                     "version " + seq + " at " + Files.readString(i.errors));
         }
     }
 
     @Example
-    void aChangeIsInForceEverywhereAndSurvivesTheLossOfControl() throws Exception {
+    void changeIsInForceEverywhereAndSurvivesTheLossOfControl() throws Exception {
         StandIn backend = start(3, 4);
         assertEquals(404, instances.get(0).status("twice"));
-        publish(1, named("twice"));
-        allHold(1);
+        publish(1, settingsWithClass("twice"));
+        awaitVersionEverywhere(1);
         for (Instance i : instances) {
             assertEquals(200, i.status("twice"));
             assertEquals(404, i.status("once"));
         }
-        // One dies with its watches, and the next change comes at once.
+        // A control server fails with its watches, and the next change follows at once.
         control.get(0).kill();
-        publish(2, named("thrice"));
-        allHold(2);
+        publish(2, settingsWithClass("thrice"));
+        awaitVersionEverywhere(2);
         for (ControlMachine c : control) {
             c.kill();
         }
         Instance first = instances.get(0);
         first.process.destroyForcibly().waitFor();
         first.start(backend, true);
-        assertEquals("2", first.figure("configuration_version"), "kept by the process before");
+        assertEquals("2", first.metric("configuration_version"), "stored by the previous process");
         assertEquals(200, first.status("thrice"));
-        inTime(
-                () -> !instances.get(1).figure("configuration_control_lost_ms").equals("-1"),
-                "a pager sees it");
-        assertEquals(200, instances.get(1).status("thrice"), "in force as long as it takes");
+        awaitWithinRolloutTime(
+                () -> !instances.get(1).metric("configuration_control_lost_ms").equals("-1"),
+                "the metric shows the loss");
+        assertEquals(200, instances.get(1).status("thrice"), "in force while control is lost");
         Instance second = instances.get(1);
         second.process.destroyForcibly().waitFor();
         second.start(backend, false);
         assertEquals(
                 "0",
-                second.figure("configuration_version"),
-                "off: nothing is kept, the file is back");
+                second.metric("configuration_version"),
+                "without a stored version, the file is in force");
         assertEquals(404, second.status("thrice"));
         for (ControlMachine c : control) {
             c.start();
         }
-        publish(3, named("fourth"));
-        allHold(3);
+        publish(3, settingsWithClass("fourth"));
+        awaitVersionEverywhere(3);
     }
 
     @Example
-    void oneThatLiesBehindIsLeft() throws Exception {
+    void staleControlServersAreAbandoned() throws Exception {
         start(3, 3);
-        publish(1, named("twice"));
-        allHold(1);
+        publish(1, settingsWithClass("twice"));
+        awaitVersionEverywhere(1);
         control.get(0).trouble(Trouble.BEHIND);
         control.get(1).trouble(Trouble.BEHIND);
-        publish(2, named("thrice"));
-        allHold(2);
-        inTime(() -> control.get(2).watches() == 3, "all watch the one that knows");
-        // Restored from an old copy, control tells a lower number: nobody goes back.
+        publish(2, settingsWithClass("thrice"));
+        awaitVersionEverywhere(2);
+        awaitWithinRolloutTime(() -> control.get(2).watches() == 3, "all watch the server that is up to date");
+        // Only servers with lower versions are left, as after a restore from an old copy: each proxy
+        // keeps its version.
         ControlMachine old = control.get(2);
         old.kill();
         for (Instance i : instances) {
-            inTime(() -> !i.figure("configuration_ahead_ms").equals("-1"), "told to a pager");
-            assertEquals("2", i.figure("configuration_version"));
+            awaitWithinRolloutTime(() -> !i.metric("configuration_ahead_ms").equals("-1"), "the metric shows that it is ahead");
+            assertEquals("2", i.metric("configuration_version"));
         }
     }
 
     @Example
-    void whatCannotBeUsedIsRefusedEverywhere() throws Exception {
+    void invalidVersionsAreRejectedEverywhere() throws Exception {
         start(3, 3);
-        publish(1, named("twice"));
-        allHold(1);
-        publish(2, named("thrice").replace("\"Expiry\":1500000", "\"Expiry\":-5"));
+        publish(1, settingsWithClass("twice"));
+        awaitVersionEverywhere(1);
+        publish(2, settingsWithClass("thrice").replace("\"Expiry\":1500000", "\"Expiry\":-5"));
         for (Instance i : instances) {
-            inTime(() -> i.figure("configuration_refused_count").equals("1"), "refused");
-            assertEquals("1", i.figure("configuration_version"));
-            assertEquals("2", i.figure("configuration_known"));
+            awaitWithinRolloutTime(() -> i.metric("configuration_refused_count").equals("1"), "rejected");
+            assertEquals("1", i.metric("configuration_version"));
+            assertEquals("2", i.metric("configuration_known"));
             assertEquals(200, i.status("twice"));
             assertEquals(404, i.status("thrice"));
-            assertEquals(1, i.lines("WARNING version: 2."), Files.readString(i.errors));
-            assertEquals(1, i.lines(" is refused, 1."), "one line: " + Files.readString(i.errors));
+            assertEquals(1, i.countLogLines("WARNING version: 2."), Files.readString(i.errors));
+            assertEquals(1, i.countLogLines(" is refused, 1."), "the rejection is logged once: " + Files.readString(i.errors));
         }
-        // The rollback: a new number with the older content.
-        publish(3, named("twice"));
-        allHold(3);
+        // A rollback is a new version with the older content.
+        publish(3, settingsWithClass("twice"));
+        awaitVersionEverywhere(3);
         assertEquals(200, instances.get(0).status("twice"));
-        // Two of three tell no whole version: it comes from the third.
+        // Two of three servers send truncated versions: the third one provides the version.
         control.get(0).trouble(Trouble.HALF);
         control.get(1).trouble(Trouble.BROKEN_OFF);
-        publish(4, named("fourth"));
-        allHold(4);
+        publish(4, settingsWithClass("fourth"));
+        awaitVersionEverywhere(4);
         for (Instance i : instances) {
             assertEquals(200, i.status("fourth"));
-            assertEquals("1", i.figure("configuration_refused_count"), "half a version is none");
+            assertEquals("1", i.metric("configuration_refused_count"), "a truncated version is not rejected, but ignored");
         }
-        // Another base: tenants need new processes, and all say so.
+        // Another base: a change of tenants needs new processes, which each proxy logs.
         control.forEach(c -> c.trouble(Trouble.NONE));
-        String others = named("fifth").replace("\"acme\"", "\"amce\"");
-        String othersBase =
+        String otherTenants = settingsWithClass("fifth").replace("\"acme\"", "\"amce\"");
+        String otherBase =
                 ConfigurationVersionDigest.ofBase(
-                        ProxyConfiguration.settings((JsonObject) JsonReader.read(others)));
-        control.forEach(c -> c.publish("s", 5, othersBase, others));
+                        ProxyConfiguration.settings((JsonObject) JsonReader.read(otherTenants)));
+        control.forEach(c -> c.publish("s", 5, otherBase, otherTenants));
         for (Instance i : instances) {
-            inTime(() -> i.figure("configuration_refused_count").equals("2"), "refused");
+            awaitWithinRolloutTime(() -> i.metric("configuration_refused_count").equals("2"), "rejected");
             assertEquals(
-                    1, i.lines("for which a new process is needed"), Files.readString(i.errors));
-            assertEquals("4", i.figure("configuration_version"));
+                    1, i.countLogLines("for which a new process is needed"), Files.readString(i.errors));
+            assertEquals("4", i.metric("configuration_version"));
         }
     }
 
     private Path file;
 
-    private void startHere(Path folder, ControlMachine... machines) throws IOException {
+    private void startInThisProcess(Path folder, ControlMachine... machines) throws IOException {
         StandIn backend = new StandIn(request -> OK);
         file = config(configuration(backend).replace("{\"listen\"", "{\"name\":\"p\",\"listen\""));
         String text = Files.readString(file);
@@ -341,17 +342,17 @@
     }
 
     @Example
-    void whatControlToldStaysInForceOverTheFile() throws Exception {
+    void versionFromControlTakesPrecedenceOverTheFile() throws Exception {
         ControlMachine machine = new ControlMachine(200);
-        startHere(Files.createTempDirectory("rollout"), machine);
+        startInThisProcess(Files.createTempDirectory("rollout"), machine);
         Files.writeString(file, Files.readString(file).replace("\"once\"", "\"byfile\""));
         proxy.reload();
         assertEquals(
                 200,
                 status(call(request("byfile", "1", "", "body"))),
-                "no version yet: the file holds");
-        machine.publish("s", 1, base, named("twice"));
-        inTime(
+                "no version yet: the file is in force");
+        machine.publish("s", 1, base, settingsWithClass("twice"));
+        awaitWithinRolloutTime(
                 () -> status(call(request("twice", "n" + System.nanoTime(), "", "body"))) == 200,
                 "in force");
         Files.writeString(file, Files.readString(file).replace("\"byfile\"", "\"again\""));
@@ -361,40 +362,40 @@
     }
 
     @Example
-    void controlThatIsOverloadedIsAskedAgainInTime() throws Exception {
+    void overloadedControlServersAreCalledAgainInTime() throws Exception {
         ControlMachine one = new ControlMachine(200);
         ControlMachine other = new ControlMachine(200);
         one.trouble(Trouble.OVERLOADED);
         other.trouble(Trouble.OVERLOADED);
-        startHere(null, one, other);
-        inTime(() -> one.worstSecond() > 0 && other.worstSecond() > 0, "both are called");
+        startInThisProcess(null, one, other);
+        awaitWithinRolloutTime(() -> one.worstSecond() > 0 && other.worstSecond() > 0, "both are called");
         other.trouble(Trouble.NONE);
-        other.publish("s", 1, base, named("twice"));
-        inTime(
+        other.publish("s", 1, base, settingsWithClass("twice"));
+        awaitWithinRolloutTime(
                 () -> status(call(request("twice", "n" + System.nanoTime(), "", "body"))) == 200,
                 "in force");
-        assertTrue(one.worstSecond() <= 4 && other.worstSecond() <= 4, "calls are paced");
+        assertTrue(one.worstSecond() <= 4 && other.worstSecond() <= 4, "the rate of calls is limited");
     }
 
-    /** A version whose taking in has ended three processes is not tried by a fourth. */
+    /** A version whose application has ended three processes is not applied by a fourth. */
     @Example
-    void aVersionThatEndsProcessesIsNotTriedForEver() throws Exception {
+    void versionThatEndsProcessesIsNotAppliedForever() throws Exception {
         Path folder = Files.createTempDirectory("rollout");
         ControlMachine machine = new ControlMachine(200);
-        startHere(folder, machine);
-        String poison = named("poison");
-        Path kept = folder.resolve("cottonlock-p-127.0.0.1_0.configuration");
+        startInThisProcess(folder, machine);
+        String fatalSettings = settingsWithClass("poison");
+        Path stored = folder.resolve("cottonlock-p-127.0.0.1_0.configuration");
         Files.writeString(
-                kept,
-                "cottonlock configuration 1\ntries 1." + ControlMachine.digest(poison) + " 3\n");
-        machine.publish("s", 1, base, poison);
-        inTime(() -> Files.readString(kept).contains(" 4"), "marked again");
+                stored,
+                "cottonlock configuration 1\ntries 1." + ControlMachine.digest(fatalSettings) + " 3\n");
+        machine.publish("s", 1, base, fatalSettings);
+        awaitWithinRolloutTime(() -> Files.readString(stored).contains(" 4"), "the attempt is counted");
         assertEquals(404, status(call(request("poison", "1", "", "body"))));
-        machine.publish("s", 2, base, named("twice"));
-        inTime(
+        machine.publish("s", 2, base, settingsWithClass("twice"));
+        awaitWithinRolloutTime(
                 () -> status(call(request("twice", "n" + System.nanoTime(), "", "body"))) == 200,
-                "the next");
-        inTime(() -> Files.readString(kept).contains("version 2 "), "kept");
-        assertTrue(!Files.readString(kept).contains("tries"), Files.readString(kept));
+                "the next version is in force");
+        awaitWithinRolloutTime(() -> Files.readString(stored).contains("version 2 "), "it is stored");
+        assertTrue(!Files.readString(stored).contains("tries"), Files.readString(stored));
     }
 }
