--- a/src/main/java/cottonlock/Main.java
+++ b/src/main/java/cottonlock/Main.java
@@ -25,8 +25,9 @@
     /**
      * Runs one command and exits with its status.
      *
-     * <p>The two commands that the platform uses, {@code serve} without an operator's file and {@code
-     * wirehost}, bypass the command-line library, since loading it would slow down the start.
+     * <p>The two commands that the platform uses, {@code serve} without an operator's file and
+     * {@code wirehost}, bypass the command-line library, since loading it would slow down the
+     * start.
      *
      * @param args the command and its options
      */
@@ -46,8 +47,8 @@
     }
 
     /**
-     * Returns the given signal handlers, or installs them. They are missing if the command was in an
-     * argument file, which only the command-line library reads.
+     * Returns the given signal handlers, or installs them. They are missing if the command was in
+     * an argument file, which only the command-line library reads.
      */
     private static ProcessSignals installed(ProcessSignals signals) {
         return signals == null ? new ProcessSignals() : signals;
--- a/src/main/java/cottonlock/ProcessSignals.java
+++ b/src/main/java/cottonlock/ProcessSignals.java
@@ -9,8 +9,8 @@
  * Maps the process's signals to the proxy's life cycle: SIGTERM drains it, SIGHUP reloads its
  * configuration.
  *
- * <p>Created before any other class of the program is loaded, since Java's default handling of either
- * signal ends the process. A signal that arrives during the start waits for {@link
+ * <p>Created before any other class of the program is loaded, since Java's default handling of
+ * either signal ends the process. A signal that arrives during the start waits for {@link
  * #startCompleted(Proxy)} on the thread of the signal or of the shutdown hook. Signals that arrive
  * before the JVM has started the program can't be handled: docs/operators.md says what to wait for.
  *
@@ -25,7 +25,8 @@
     private final boolean hangUpIgnored;
 
     /**
-     * Null if the start failed. Written once, by the starting thread, before {@link #startLatch} opens.
+     * Null if the start failed. Written once, by the starting thread, before {@link #startLatch}
+     * opens.
      */
     private Proxy proxy;
 
@@ -64,9 +65,9 @@
     }
 
     /**
-     * Reloads the configuration after the start, however long the start takes: the file may have been
-     * replaced since the start read it. Signals that arrive before a pending reload begins are merged
-     * into it.
+     * Reloads the configuration after the start, however long the start takes: the file may have
+     * been replaced since the start read it. Signals that arrive before a pending reload begins are
+     * merged into it.
      */
     private void reload() {
         if (!reloadPending.compareAndSet(false, true)) {
--- a/src/main/java/cottonlock/admin/ManagementServer.java
+++ b/src/main/java/cottonlock/admin/ManagementServer.java
@@ -15,8 +15,8 @@
 /**
  * Answers management commands, one command line per connection.
  *
- * <p>Each connection has its own thread and a reserved file descriptor, so that commands are answered
- * within a second while the request path is overloaded.
+ * <p>Each connection has its own thread and a reserved file descriptor, so that commands are
+ * answered within a second while the request path is overloaded.
  */
 public final class ManagementServer implements Runnable, AutoCloseable {
     /** Maximum number of open connections; each takes a file descriptor and a thread. */
@@ -159,8 +159,8 @@
     }
 
     /**
-     * Ends a connection's input: its thread reads the end of the stream and closes the connection. A
-     * command that the thread has just read is still answered.
+     * Ends a connection's input: its thread reads the end of the stream and closes the connection.
+     * A command that the thread has just read is still answered.
      */
     private static void shutDownInput(Socket socket) {
         try {
@@ -268,7 +268,10 @@
         }
     }
 
-    /** Without free file descriptors, accept fails at once and repeatedly; the pause limits the rate. */
+    /**
+     * Without free file descriptors, accept fails at once and repeatedly; the pause limits the
+     * rate.
+     */
     private static void pauseAccepting() {
         try {
             Thread.sleep(ACCEPT_RETRY_DELAY_MILLIS);
--- a/src/main/java/cottonlock/cli/Cli.java
+++ b/src/main/java/cottonlock/cli/Cli.java
@@ -13,8 +13,8 @@
 /**
  * The root command: parses the arguments, runs the given command and returns its exit status.
  *
- * <p>Exit statuses: 0 for success, {@link #EXIT_UNUSABLE_INPUT} for an invalid argument or file; the
- * help of each command lists its others.
+ * <p>Exit statuses: 0 for success, {@link #EXIT_UNUSABLE_INPUT} for an invalid argument or file;
+ * the help of each command lists its others.
  */
 @Command(
         name = "cottonlock",
--- a/src/main/java/cottonlock/cli/LabCompareCommand.java
+++ b/src/main/java/cottonlock/cli/LabCompareCommand.java
@@ -6,10 +6,7 @@
 import picocli.CommandLine.Parameters;
 
 /** Compares the reports of two runs. */
-@Command(
-        name = "compare",
-        mixinStandardHelpOptions = true,
-        description = "Compares two reports.")
+@Command(name = "compare", mixinStandardHelpOptions = true, description = "Compares two reports.")
 final class LabCompareCommand implements Callable<Integer> {
     @Parameters(paramLabel = "A", description = "A report.json or its folder.")
     private Path first;
--- a/src/main/java/cottonlock/cli/LabMembersCommand.java
+++ b/src/main/java/cottonlock/cli/LabMembersCommand.java
@@ -148,7 +148,8 @@
                     "expected sizes of 2 to 4096, losses of 0 to 0.9, one death or more, and one"
                             + " quiet second or more");
         }
-        return LabCommand.lab().members(sizes, lossRates, seed, killCount, quietSeconds, operatorFile, out);
+        return LabCommand.lab()
+                .members(sizes, lossRates, seed, killCount, quietSeconds, operatorFile, out);
     }
 
     private boolean areFleetArgumentsUsable() {
--- a/src/main/java/cottonlock/cli/LabRolloutCommand.java
+++ b/src/main/java/cottonlock/cli/LabRolloutCommand.java
@@ -45,7 +45,10 @@
             description = "Commit to record in the files.")
     private String commit;
 
-    @Option(names = "--out", paramLabel = "DIR", description = "Folder for the files rollout-SIZE-SEED.json.")
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
+            description = "Folder for the files rollout-SIZE-SEED.json.")
     private Path out;
 
     @Override
--- a/src/main/java/cottonlock/cli/LabRunCommand.java
+++ b/src/main/java/cottonlock/cli/LabRunCommand.java
@@ -44,6 +44,7 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        return LabCommand.lab().run(file, seed, overrides == null ? List.of() : overrides, out, separateProcesses);
+        return LabCommand.lab()
+                .run(file, seed, overrides == null ? List.of() : overrides, out, separateProcesses);
     }
 }
--- a/src/main/java/cottonlock/cli/LabScaleCommand.java
+++ b/src/main/java/cottonlock/cli/LabScaleCommand.java
@@ -29,8 +29,7 @@
     @Option(
             names = "--set",
             paramLabel = "PATH=VALUE",
-            description =
-                    "Sets a value of the file: --set fleet.size=300. Can be repeated.")
+            description = "Sets a value of the file: --set fleet.size=300. Can be repeated.")
     private List<String> overrides;
 
     @Option(
--- a/src/main/java/cottonlock/cli/LabSoakCommand.java
+++ b/src/main/java/cottonlock/cli/LabSoakCommand.java
@@ -20,7 +20,7 @@
             "Prints a line for each seed. A seed that did not pass keeps its logs and is printed"
                     + " with the command that runs it again.",
             "Exit status: 0 all passed; 1 at least one failed; 2 an argument or the scenario is"
-                    + " invalid; 3 at least one has no verdict, since tasks ran late on this machine."
+                + " invalid; 3 at least one has no verdict, since tasks ran late on this machine."
         })
 final class LabSoakCommand implements Callable<Integer> {
     private static final Pattern SEEDS = Pattern.compile("([0-9]{1,9})(-([0-9]{1,9}))?");
--- a/src/main/java/cottonlock/cli/ServeCommand.java
+++ b/src/main/java/cottonlock/cli/ServeCommand.java
@@ -41,7 +41,9 @@
             if (operator != null && !operator.toString().isEmpty()) {
                 OperatorFile file = OperatorFile.read(operator);
                 JsonLogFormatter.configureLogging(file.logFormat(), file.logLevel());
-                config = new OperatorConfig(file.shadowSettings(), file.membership(), file.rollout());
+                config =
+                        new OperatorConfig(
+                                file.shadowSettings(), file.membership(), file.rollout());
             }
         } catch (InvalidConfigurationException e) {
             return Cli.reportFaults(spec, e);
--- a/src/main/java/cottonlock/cli/WireHostCommand.java
+++ b/src/main/java/cottonlock/cli/WireHostCommand.java
@@ -9,10 +9,7 @@
         name = "wirehost",
         mixinStandardHelpOptions = true,
         description = "Serves the simulator's wire protocol on standard input and output.",
-        footer = {
-            "",
-            "Exit status: 0 end of the input; 1 malformed input."
-        })
+        footer = {"", "Exit status: 0 end of the input; 1 malformed input."})
 final class WireHostCommand implements Callable<Integer> {
     @CommandLine.ParentCommand private Cli parent;
 
--- a/src/main/java/cottonlock/concurrent/RunCompletion.java
+++ b/src/main/java/cottonlock/concurrent/RunCompletion.java
@@ -27,8 +27,8 @@
     /**
      * Called at the start of {@code run}.
      *
-     * @return false if the task has been closed already: then {@code run} must return at once, without
-     *     calling {@link #end}
+     * @return false if the task has been closed already: then {@code run} must return at once,
+     *     without calling {@link #end}
      */
     public synchronized boolean begin() {
         if (closed) {
@@ -67,8 +67,9 @@
     }
 
     /**
-     * Waits until no thread is in {@code run}, for 5 s at most. Returns at once if called by the thread
-     * in {@code run}. An interrupt does not end the wait; the interrupt status is restored after it.
+     * Waits until no thread is in {@code run}, for 5 s at most. Returns at once if called by the
+     * thread in {@code run}. An interrupt does not end the wait; the interrupt status is restored
+     * after it.
      */
     public synchronized void awaitEnd() {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_WAIT_MILLIS);
--- a/src/main/java/cottonlock/config/ConfigurationDocument.java
+++ b/src/main/java/cottonlock/config/ConfigurationDocument.java
@@ -57,8 +57,8 @@
      * is not TOML is read as a string.
      *
      * @param pair the path and the value, separated by an equals sign
-     * @throws InvalidConfigurationException if a parent in the path is neither a table nor a list, or
-     *     an index is not in its list
+     * @throws InvalidConfigurationException if a parent in the path is neither a table nor a list,
+     *     or an index is not in its list
      */
     public void set(String pair) throws InvalidConfigurationException {
         int equals = pair.indexOf('=');
--- a/src/main/java/cottonlock/config/ConfigurationFiles.java
+++ b/src/main/java/cottonlock/config/ConfigurationFiles.java
@@ -39,7 +39,6 @@
     }
 
     static InvalidConfigurationException tooDeep(String file, int line) {
-        return InvalidConfigurationException.of(
-                file, line, "", "values are nested too deeply");
+        return InvalidConfigurationException.of(file, line, "", "values are nested too deeply");
     }
 }
--- a/src/main/java/cottonlock/config/Fields.java
+++ b/src/main/java/cottonlock/config/Fields.java
@@ -121,7 +121,8 @@
         faults.add(
                 new Fault(
                         location.line,
-                        InvalidConfigurationException.formatFault(location.file, location.line, path + key, text)));
+                        InvalidConfigurationException.formatFault(
+                                location.file, location.line, path + key, text)));
     }
 
     /** Returns whether the table has the key. */
@@ -178,8 +179,8 @@
     }
 
     /**
-     * Returns one of several words. A word that was renamed is read as its new name, and a warning is
-     * logged.
+     * Returns one of several words. A word that was renamed is read as its new name, and a warning
+     * is logged.
      *
      * @param defaultValue null if the key is required
      * @param renamed the new names by old names
--- a/src/main/java/cottonlock/config/MembershipTable.java
+++ b/src/main/java/cottonlock/config/MembershipTable.java
@@ -25,7 +25,8 @@
         String nextKeyFile = keyFile(table, "next_key_file", file);
         if (keyFile.isEmpty() && !nextKeyFile.isEmpty()) {
             table.addFault(
-                    "next_key_file", "expected key_file as well, which is the key that signs datagrams");
+                    "next_key_file",
+                    "expected key_file as well, which is the key that signs datagrams");
         }
         MembershipProtocolConfig protocol = protocol(table);
         return enabled
@@ -34,8 +35,8 @@
     }
 
     /**
-     * Reads the protocol's parameters from an operator's file, even if membership is off in it. Other
-     * tables of the file are not checked.
+     * Reads the protocol's parameters from an operator's file, even if membership is off in it.
+     * Other tables of the file are not checked.
      *
      * @throws InvalidConfigurationException with all faults of the parameters
      */
@@ -54,8 +55,10 @@
         MembershipProtocolConfig defaults = MembershipProtocolConfig.DEFAULTS;
         long periodTicks =
                 Durations.millisAsTicks(table, "period_ms", defaults.periodTicks(), 50, 60_000);
-        long defaultAnswerTimeoutTicks = Math.min(defaults.answerTimeoutTicks(), periodTicks * 3 / 10);
-        long answerTimeoutTicks = Durations.millisAsTicks(table, "answer_ms", defaultAnswerTimeoutTicks, 10, 60_000);
+        long defaultAnswerTimeoutTicks =
+                Math.min(defaults.answerTimeoutTicks(), periodTicks * 3 / 10);
+        long answerTimeoutTicks =
+                Durations.millisAsTicks(table, "answer_ms", defaultAnswerTimeoutTicks, 10, 60_000);
         if (answerTimeoutTicks >= periodTicks) {
             table.addFault(
                     table.has("answer_ms") ? "answer_ms" : "period_ms",
--- a/src/main/java/cottonlock/config/OperatorFile.java
+++ b/src/main/java/cottonlock/config/OperatorFile.java
@@ -12,8 +12,8 @@
  *
  * @param logFormat {@code text}: lines with level and text; {@code json}: one JSON object per line
  * @param logLevel the lowest level that is written: {@code info}, {@code warning} or {@code off}
- * @param shadowSettings settings, by path, of a shadow load balancer whose decisions are counted but
- *     not applied; empty if there is none
+ * @param shadowSettings settings, by path, of a shadow load balancer whose decisions are counted
+ *     but not applied; empty if there is none
  * @param membership the configuration of failure detection among the proxies; null if it is off
  * @param rollout the configuration of the rollout of settings; null if it is off
  */
--- a/src/main/java/cottonlock/rollout/ConfigurationRollout.java
+++ b/src/main/java/cottonlock/rollout/ConfigurationRollout.java
@@ -10,10 +10,10 @@
  * The state machine of one proxy's configuration: which version is in force, which control server
  * is watched, and when the watch moves to another server.
  *
- * <p>Its driver keeps one watch open, on the server that {@link #nextWatch} returns, and reports its
- * events with {@link #versionAnnounced} and {@link #watchFailed}. Between lines, and at {@link
- * #nextCheckAtTicks}, it calls {@link #shouldMigrate} and {@link #nextComparison}. The validation of
- * a version ends with a call of {@link #applied} or {@link #rejected}.
+ * <p>Its driver keeps one watch open, on the server that {@link #nextWatch} returns, and reports
+ * its events with {@link #versionAnnounced} and {@link #watchFailed}. Between lines, and at {@link
+ * #nextCheckAtTicks}, it calls {@link #shouldMigrate} and {@link #nextComparison}. The validation
+ * of a version ends with a call of {@link #applied} or {@link #rejected}.
  *
  * <p>Invariants: the version in force never decreases; a rejected version is not validated again
  * while it is remembered. Times are ticks of 0.1 ms and never decrease. Not thread-safe.
--- a/src/main/java/cottonlock/rollout/ConfigurationVersion.java
+++ b/src/main/java/cottonlock/rollout/ConfigurationVersion.java
@@ -16,7 +16,9 @@
     /** Lower than any published version. */
     public static final ConfigurationVersion NONE = new ConfigurationVersion(0, 0);
 
-    /** The highest valid number, 2<sup>53</sup>: JSON readers that use doubles represent it exactly. */
+    /**
+     * The highest valid number, 2<sup>53</sup>: JSON readers that use doubles represent it exactly.
+     */
     public static final long MAX_NUMBER = 1L << 53;
 
     private static final int HEX_DIGITS = 16;
--- a/src/main/java/cottonlock/rollout/ControlServerSelector.java
+++ b/src/main/java/cottonlock/rollout/ControlServerSelector.java
@@ -16,7 +16,10 @@
     /** Index that means no server. */
     static final int NO_SERVER = -1;
 
-    /** The first call is delayed by up to this time, so that a fleet started at once spreads its calls. */
+    /**
+     * The first call is delayed by up to this time, so that a fleet started at once spreads its
+     * calls.
+     */
     private static final long STARTUP_SPREAD_TICKS = 20_000;
 
     private final RolloutConfig config;
@@ -31,6 +34,7 @@
 
     /** Position in {@link #order} of the server to call next. */
     private int position;
+
     private boolean firstRound = true;
     private int consecutiveFailures;
 
--- a/src/main/java/cottonlock/rollout/RolloutVariants.java
+++ b/src/main/java/cottonlock/rollout/RolloutVariants.java
@@ -60,7 +60,9 @@
         return defaultTicks;
     }
 
-    /** Whether a version is validated before it is put into force, and rejected if it is invalid. */
+    /**
+     * Whether a version is validated before it is put into force, and rejected if it is invalid.
+     */
     public boolean validates() {
         return true;
     }
--- a/src/test/java/cottonlock/ArchitectureTest.java
+++ b/src/test/java/cottonlock/ArchitectureTest.java
@@ -11,7 +11,9 @@
 import cottonlock.core.Deterministic;
 import net.jqwik.api.Example;
 
-/** Allowed dependencies: decisions do no input or output, and packages depend on lower layers only. */
+/**
+ * Allowed dependencies: decisions do no input or output, and packages depend on lower layers only.
+ */
 class ArchitectureTest {
     private final JavaClasses productionClasses =
             new ClassFileImporter()
--- a/src/test/java/cottonlock/KnownRedTest.java
+++ b/src/test/java/cottonlock/KnownRedTest.java
@@ -84,8 +84,8 @@
      *
      * @param list the content of KNOWN-RED.txt; null for no file
      * @param cases the test cases in Maven's report; null for no report
-     * @param mavenStatus Maven's exit status: 0 if Maven was told to ignore failed tests and only tests
-     *     failed
+     * @param mavenStatus Maven's exit status: 0 if Maven was told to ignore failed tests and only
+     *     tests failed
      */
     private int run(String list, String cases, int mavenStatus) throws Exception {
         if (list == null) {
@@ -140,8 +140,13 @@
     void anyOtherFailureFails() throws Exception {
         assertEquals(1, run(RED, many(true) + other(true), 0), output);
         assertTrue(output.contains("failed, and not known red: x.LabTest#other\n"), output);
-        assertFalse(output.contains("odd"), "the output of a test is not read as a test case: " + output);
-        assertEquals(1, run(RED, many(true) + other(false), 1), "a failure outside tests, such as the lint: " + output);
+        assertFalse(
+                output.contains("odd"),
+                "the output of a test is not read as a test case: " + output);
+        assertEquals(
+                1,
+                run(RED, many(true) + other(false), 1),
+                "a failure outside tests, such as the lint: " + output);
         assertEquals(1, run(RED, null, 0), output);
         assertTrue(output.contains("no reports"), output);
         String wholeClass =
--- a/src/test/java/cottonlock/ProcessSignalsTest.java
+++ b/src/test/java/cottonlock/ProcessSignalsTest.java
@@ -163,7 +163,10 @@
             throw new AssertionError("the signal was lost: " + Files.readString(output.toPath()));
         }
 
-        /** Asserts that the program had not started yet when the signal was sent that ended the process. */
+        /**
+         * Asserts that the program had not started yet when the signal was sent that ended the
+         * process.
+         */
         void assertNotStartedAtSignal() {
             Set<String> loaded = new TreeSet<>(loadedAtSignal);
             loaded.removeAll(LOADED_BEFORE_HANDLER);
@@ -244,7 +247,9 @@
         }
     }
 
-    /** Guards against losing log messages of the drain: Java closes the log as a shutdown begins. */
+    /**
+     * Guards against losing log messages of the drain: Java closes the log as a shutdown begins.
+     */
     @Example
     void messagesDuringShutdownAreLogged() throws Exception {
         try (ServeProcess serve = new ServeProcess()) {
--- a/src/test/java/cottonlock/WithdrawnWordsTest.java
+++ b/src/test/java/cottonlock/WithdrawnWordsTest.java
@@ -14,9 +14,9 @@
 import net.jqwik.api.Example;
 
 /**
- * Names and comments of the production code use the field's terms (docs/glossary.md). Guards against
- * the return of the project's private words that these terms replaced. String literals are not
- * searched, since names on the wire, in settings and in metrics stay as they are.
+ * Names and comments of the production code use the field's terms (docs/glossary.md). Guards
+ * against the return of the project's private words that these terms replaced. String literals are
+ * not searched, since names on the wire, in settings and in metrics stay as they are.
  */
 class WithdrawnWordsTest {
     private static final Path SOURCES = Path.of("src", "main", "java", "cottonlock");
--- a/src/test/java/cottonlock/cli/CliTest.java
+++ b/src/test/java/cottonlock/cli/CliTest.java
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Guards against a slower and larger start on the platform: serve without an operator's file must
-     * load no library and no class of the command line.
+     * Guards against a slower and larger start on the platform: serve without an operator's file
+     * must load no library and no class of the command line.
      */
     @Example
     void serveWithoutOperatorFileLoadsNoLibraryAndNoCommandLine() throws Exception {
@@ -172,9 +172,7 @@
         assertTrue(err.contains(key + " holds no key of 16 to 4096 bytes"), err);
     }
 
-    /**
-     * With rollout on, its classes are loaded. Shows that the test without it would see them.
-     */
+    /** With rollout on, its classes are loaded. Shows that the test without it would see them. */
     @Example
     void serveWithRolloutLoadsItsClasses() throws Exception {
         Path folder = Files.createTempDirectory("cli");
--- a/src/test/java/cottonlock/config/ConfigTest.java
+++ b/src/test/java/cottonlock/config/ConfigTest.java
@@ -22,8 +22,7 @@
         void read(Path file) throws InvalidConfigurationException;
     }
 
-    private static List<String> faults(String suffix, String text, Reader reader)
-            throws Exception {
+    private static List<String> faults(String suffix, String text, Reader reader) throws Exception {
         Path file = Files.createTempFile("config", suffix);
         Files.writeString(file, text);
         List<String> faults = new ArrayList<>();
--- a/src/test/java/cottonlock/proxy/OperatorDaysTest.java
+++ b/src/test/java/cottonlock/proxy/OperatorDaysTest.java
@@ -32,8 +32,8 @@
 import net.jqwik.api.Example;
 
 /**
- * Operations on a proxy in service: management commands, manual ejections, reloads and replacement of
- * the process.
+ * Operations on a proxy in service: management commands, manual ejections, reloads and replacement
+ * of the process.
  */
 class OperatorDaysTest extends ProxyFixture {
     private Path file;
@@ -47,7 +47,7 @@
     private static String sendCommand(int port, String command) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(2_000);
-            send(socket, call + "\n");
+            send(socket, command + "\n");
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
@@ -57,7 +57,8 @@
     }
 
     private Object metric(String name) throws IOException {
-        return ((Map<?, ?>) plain(JsonReader.read(sendCommand("DUMP").split("\n", 0)[0]))).get(name);
+        return ((Map<?, ?>) plain(JsonReader.read(sendCommand("DUMP").split("\n", 0)[0])))
+                .get(name);
     }
 
     @Example
@@ -107,7 +108,9 @@
             eventually(() -> backend.requests.size() == 6, "sent");
             assertEquals("1", metric("inflight"));
         }
-        eventually(() -> metric("inflight").equals("0"), "a disconnected client's request is no longer in flight");
+        eventually(
+                () -> metric("inflight").equals("0"),
+                "a disconnected client's request is no longer in flight");
         // Last, since the only backend is suspected as an outlier afterwards.
         assertEquals(502, status(call(request("once", "bad", "", "body"))));
         // The failure is counted by the thread that writes the response, just after it has sent it.
@@ -129,7 +132,9 @@
         assertEquals("1", once.get("answer_lost"));
         assertEquals(String.valueOf(ended - 1), once.get("no_backend"));
         assertEquals(
-                0, sum(((Map<?, ?>) metric("why_by_category")).get("read")), "present, with counts of zero");
+                0,
+                sum(((Map<?, ?>) metric("why_by_category")).get("read")),
+                "present, with counts of zero");
     }
 
     private static long sum(Object counts) {
@@ -182,7 +187,9 @@
                 new ManualEjections(new SharedFile(folder, "p", "bans", log), clock, () -> {});
         ManualEjections there =
                 new ManualEjections(
-                        new SharedFile(folder, "p", "bans", log), clock, () -> notifications.add("there"));
+                        new SharedFile(folder, "p", "bans", log),
+                        clock,
+                        () -> notifications.add("there"));
         Endpoint listed = new Endpoint("b", 0, 0, 0, Endpoint.State.READY, 1, 5);
         assertTrue(here.setEjected("b", true));
         there.poll();
@@ -248,7 +255,9 @@
         Files.writeString(file, now);
         proxy.reload();
         assertEquals(
-                200, status(call(request("once", "back", "", "body"))), "a name that is used again");
+                200,
+                status(call(request("once", "back", "", "body"))),
+                "a name that is used again");
         assertEquals(
                 "3",
                 ((Map<?, ?>) metric("success"))
@@ -360,7 +369,10 @@
             }
             eventually(() -> !ending.isAlive(), "the old process ends");
             assertTrue(next.isAlive());
-            assertEquals(before, two.requests.size(), "an ejected backend gets no request from either process");
+            assertEquals(
+                    before,
+                    two.requests.size(),
+                    "an ejected backend gets no request from either process");
             old = next;
         }
         assertEquals("ACK\n", sendCommand(ports[3], "ONLINE c"));
@@ -389,7 +401,9 @@
                 () -> sendCommand(ports[2], "DUMP").contains("\"hosts_down\":1"),
                 "in force at the new process");
         assertEquals("ACK\n", sendCommand(ports[2], "ONLINE c"), "ended at the new process");
-        eventually(() -> sendCommand(ports[1], "DUMP").contains("\"hosts_down\":0"), "ended at the old process too");
+        eventually(
+                () -> sendCommand(ports[1], "DUMP").contains("\"hosts_down\":0"),
+                "ended at the old process too");
         assertEquals("ACK\n", sendCommand(ports[1], "OFFLINE c"));
         Socket[] open = new Socket[6];
         for (int i = 0; i < open.length; i++) {
@@ -421,8 +435,12 @@
             assertEquals(200, callAt(ports[0], request("read", "after" + k, "", "")));
         }
         assertEquals(
-                0, two.requests.size(), "a backend ejected at a process that was killed stays ejected");
-        eventually(() -> sendCommand(ports[2], "DUMP").contains("\"reconfig_ok\":1"), "SIGHUP was handled");
+                0,
+                two.requests.size(),
+                "a backend ejected at a process that was killed stays ejected");
+        eventually(
+                () -> sendCommand(ports[2], "DUMP").contains("\"reconfig_ok\":1"),
+                "SIGHUP was handled");
         assertTrue(next.isAlive());
     }
 
@@ -437,7 +455,9 @@
         // hold a buffer.
         buffersAtFirst = (4 << 20) / 8 / BufferPool.SIZE;
         String body = "0123456789".repeat(6_500);
-        assertTrue(buffersAtFirst < 12 * body.length() / BufferPool.SIZE, "fewer buffers than the bodies need");
+        assertTrue(
+                buffersAtFirst < 12 * body.length() / BufferPool.SIZE,
+                "fewer buffers than the bodies need");
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             Socket socket = connect();
@@ -463,7 +483,9 @@
                         status(call(request("read", "r" + i, "", ""))),
                         "beside the incomplete requests, " + i);
                 long before = System.nanoTime();
-                assertTrue(sendCommand("DUMP").endsWith("--\n") && sendCommand("HEALTH").equals("ACK\n"));
+                assertTrue(
+                        sendCommand("DUMP").endsWith("--\n")
+                                && sendCommand("HEALTH").equals("ACK\n"));
                 assertTrue(System.nanoTime() - before < 1_000_000_000L);
             }
         }
@@ -506,8 +528,8 @@
     }
 
     /**
-     * Reads a response, with a pause after every pauseEach bytes. Returns the length of its body, or -1 if the
-     * body was cut off.
+     * Reads a response, with a pause after every pauseEach bytes. Returns the length of its body,
+     * or -1 if the body was cut off.
      */
     private static int readBulk(Socket socket, int pauseEach) throws Exception {
         HttpReader reader = new HttpReader(socket, new byte[BufferPool.SIZE]);
@@ -561,11 +583,14 @@
                 assertTrue(
                         before - proxy.freeBuffers() < 12,
                         "buffers for parts of the bodies only, not for two of 32 MB");
-                assertTrue(metric("inflight").equals("2"), "the requests of slow clients are in flight");
+                assertTrue(
+                        metric("inflight").equals("2"),
+                        "the requests of slow clients are in flight");
                 assertEquals(32_000_000, readBulk(slow, 8_000_000), "longer than any expiry");
             }
             eventually(
-                    () -> metric("inflight").equals("0"), "the client that stopped reading has disconnected");
+                    () -> metric("inflight").equals("0"),
+                    "the client that stopped reading has disconnected");
             proxy.close();
             startManaged(null, settings(64, 1, "", bulk(1_000_000, chunked, 500_000).host("b")));
             try (Socket socket = connect()) {
--- a/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
+++ b/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
@@ -25,8 +25,9 @@
 import net.jqwik.api.Example;
 
 /**
- * Runs processes of the program that receive configuration versions from control servers on loopback,
- * and injects faults of these servers. The only time limit is the guaranteed rollout time of 10 s.
+ * Runs processes of the program that receive configuration versions from control servers on
+ * loopback, and injects faults of these servers. The only time limit is the guaranteed rollout time
+ * of 10 s.
  */
 class RolloutProcessesTest extends ProxyFixture {
     private static final long MAX_ROLLOUT_NANOS = 10_000_000_000L;
@@ -107,7 +108,8 @@
         String metric(String key) throws IOException {
             try {
                 return String.valueOf(
-                        ((JsonObject) JsonReader.read(sendCommand("DUMP").split("\n", 0)[0])).get(key));
+                        ((JsonObject) JsonReader.read(sendCommand("DUMP").split("\n", 0)[0]))
+                                .get(key));
             } catch (java.net.ConnectException e) {
                 return null;
             }
@@ -251,13 +253,17 @@
         control.get(1).trouble(Trouble.BEHIND);
         publish(2, settingsWithClass("thrice"));
         awaitVersionEverywhere(2);
-        awaitWithinRolloutTime(() -> control.get(2).watches() == 3, "all watch the server that is up to date");
-        // Only servers with lower versions are left, as after a restore from an old copy: each proxy
+        awaitWithinRolloutTime(
+                () -> control.get(2).watches() == 3, "all watch the server that is up to date");
+        // Only servers with lower versions are left, as after a restore from an old copy: each
+        // proxy
         // keeps its version.
         ControlMachine old = control.get(2);
         old.kill();
         for (Instance i : instances) {
-            awaitWithinRolloutTime(() -> !i.metric("configuration_ahead_ms").equals("-1"), "the metric shows that it is ahead");
+            awaitWithinRolloutTime(
+                    () -> !i.metric("configuration_ahead_ms").equals("-1"),
+                    "the metric shows that it is ahead");
             assertEquals("2", i.metric("configuration_version"));
         }
     }
@@ -269,13 +275,17 @@
         awaitVersionEverywhere(1);
         publish(2, settingsWithClass("thrice").replace("\"Expiry\":1500000", "\"Expiry\":-5"));
         for (Instance i : instances) {
-            awaitWithinRolloutTime(() -> i.metric("configuration_refused_count").equals("1"), "rejected");
+            awaitWithinRolloutTime(
+                    () -> i.metric("configuration_refused_count").equals("1"), "rejected");
             assertEquals("1", i.metric("configuration_version"));
             assertEquals("2", i.metric("configuration_known"));
             assertEquals(200, i.status("twice"));
             assertEquals(404, i.status("thrice"));
             assertEquals(1, i.countLogLines("WARNING version: 2."), Files.readString(i.errors));
-            assertEquals(1, i.countLogLines(" is refused, 1."), "the rejection is logged once: " + Files.readString(i.errors));
+            assertEquals(
+                    1,
+                    i.countLogLines(" is refused, 1."),
+                    "the rejection is logged once: " + Files.readString(i.errors));
         }
         // A rollback is a new version with the older content.
         publish(3, settingsWithClass("twice"));
@@ -288,7 +298,10 @@
         awaitVersionEverywhere(4);
         for (Instance i : instances) {
             assertEquals(200, i.status("fourth"));
-            assertEquals("1", i.metric("configuration_refused_count"), "a truncated version is not rejected, but ignored");
+            assertEquals(
+                    "1",
+                    i.metric("configuration_refused_count"),
+                    "a truncated version is not rejected, but ignored");
         }
         // Another base: a change of tenants needs new processes, which each proxy logs.
         control.forEach(c -> c.trouble(Trouble.NONE));
@@ -298,9 +311,12 @@
                         ProxyConfiguration.settings((JsonObject) JsonReader.read(otherTenants)));
         control.forEach(c -> c.publish("s", 5, otherBase, otherTenants));
         for (Instance i : instances) {
-            awaitWithinRolloutTime(() -> i.metric("configuration_refused_count").equals("2"), "rejected");
+            awaitWithinRolloutTime(
+                    () -> i.metric("configuration_refused_count").equals("2"), "rejected");
             assertEquals(
-                    1, i.countLogLines("for which a new process is needed"), Files.readString(i.errors));
+                    1,
+                    i.countLogLines("for which a new process is needed"),
+                    Files.readString(i.errors));
             assertEquals("4", i.metric("configuration_version"));
         }
     }
@@ -368,13 +384,15 @@
         one.trouble(Trouble.OVERLOADED);
         other.trouble(Trouble.OVERLOADED);
         startInThisProcess(null, one, other);
-        awaitWithinRolloutTime(() -> one.worstSecond() > 0 && other.worstSecond() > 0, "both are called");
+        awaitWithinRolloutTime(
+                () -> one.worstSecond() > 0 && other.worstSecond() > 0, "both are called");
         other.trouble(Trouble.NONE);
         other.publish("s", 1, base, settingsWithClass("twice"));
         awaitWithinRolloutTime(
                 () -> status(call(request("twice", "n" + System.nanoTime(), "", "body"))) == 200,
                 "in force");
-        assertTrue(one.worstSecond() <= 4 && other.worstSecond() <= 4, "the rate of calls is limited");
+        assertTrue(
+                one.worstSecond() <= 4 && other.worstSecond() <= 4, "the rate of calls is limited");
     }
 
     /** A version whose application has ended three processes is not applied by a fourth. */
@@ -387,15 +405,19 @@
         Path stored = folder.resolve("cottonlock-p-127.0.0.1_0.configuration");
         Files.writeString(
                 stored,
-                "cottonlock configuration 1\ntries 1." + ControlMachine.digest(fatalSettings) + " 3\n");
+                "cottonlock configuration 1\ntries 1."
+                        + ControlMachine.digest(fatalSettings)
+                        + " 3\n");
         machine.publish("s", 1, base, fatalSettings);
-        awaitWithinRolloutTime(() -> Files.readString(stored).contains(" 4"), "the attempt is counted");
+        awaitWithinRolloutTime(
+                () -> Files.readString(stored).contains(" 4"), "the attempt is counted");
         assertEquals(404, status(call(request("poison", "1", "", "body"))));
         machine.publish("s", 2, base, settingsWithClass("twice"));
         awaitWithinRolloutTime(
                 () -> status(call(request("twice", "n" + System.nanoTime(), "", "body"))) == 200,
                 "the next version is in force");
-        awaitWithinRolloutTime(() -> Files.readString(stored).contains("version 2 "), "it is stored");
+        awaitWithinRolloutTime(
+                () -> Files.readString(stored).contains("version 2 "), "it is stored");
         assertTrue(!Files.readString(stored).contains("tries"), Files.readString(stored));
     }
 }
--- a/src/test/java/cottonlock/rollout/ConfigurationRolloutTest.java
+++ b/src/test/java/cottonlock/rollout/ConfigurationRolloutTest.java
@@ -18,8 +18,9 @@
 import net.jqwik.api.Property;
 
 /**
- * Simulates fleets in virtual time: each failure case of docs/rollout.md with all safeguards on, and
- * what goes wrong without the safeguard against it. A seed gives the same results on any machine.
+ * Simulates fleets in virtual time: each failure case of docs/rollout.md with all safeguards on,
+ * and what goes wrong without the safeguard against it. A seed gives the same results on any
+ * machine.
  */
 class ConfigurationRolloutTest {
     private static final int FLEET_SIZE = 300;
@@ -39,7 +40,8 @@
     }
 
     /** Asserts what holds in each case, and returns the outcome. */
-    private static Outcome assertHandled(String name, RolloutVariants variants, long maxBytesPerSecond) {
+    private static Outcome assertHandled(
+            String name, RolloutVariants variants, long maxBytesPerSecond) {
         Outcome outcome = simulate(name, variants);
         assertTrue(outcome.all() >= 0 && outcome.all() <= MAX_ROLLOUT_MILLIS, name + " " + outcome);
         assertEquals(0, outcome.back() + outcome.harmed() + outcome.differ(), name + " " + outcome);
@@ -55,13 +57,16 @@
     void changeWithoutFaultsIsInForceWithinASecond() {
         Outcome outcome = new RolloutStudy(FLEET_SIZE, SEED, RolloutVariants.DEFAULT).quiet();
         assertTrue(outcome.all() >= 0 && outcome.all() < 1_000, outcome.toString());
-        assertTrue(outcome.bytes() <= MAX_BYTES_PER_SECOND && outcome.more().get("mean") < 500, outcome.toString());
+        assertTrue(
+                outcome.bytes() <= MAX_BYTES_PER_SECOND && outcome.more().get("mean") < 500,
+                outcome.toString());
         assertEquals(0, outcome.back() + outcome.harmed() + outcome.differ());
     }
 
     @Example
     void changeDuringARegionPartition() {
-        Outcome outcome = assertHandled("region_split", RolloutVariants.DEFAULT, MAX_BYTES_PER_SECOND);
+        Outcome outcome =
+                assertHandled("region_split", RolloutVariants.DEFAULT, MAX_BYTES_PER_SECOND);
         assertFalse(isLate(outcome.more().get("healed_ms_all")), outcome.toString());
         RolloutVariants nearAndFar =
                 new RolloutVariants() {
@@ -106,7 +111,9 @@
                                 return one.number() > other.number();
                             }
                         });
-        assertTrue(isLate(off.all()) && off.differ() > 0, "without the safeguard, each region keeps its own version: " + off);
+        assertTrue(
+                isLate(off.all()) && off.differ() > 0,
+                "without the safeguard, each region keeps its own version: " + off);
     }
 
     @Example
@@ -137,7 +144,8 @@
 
     @Example
     void changeWithAFlappingZone() {
-        Outcome outcome = assertHandled("flapping_zone", RolloutVariants.DEFAULT, MAX_BYTES_PER_SECOND);
+        Outcome outcome =
+                assertHandled("flapping_zone", RolloutVariants.DEFAULT, MAX_BYTES_PER_SECOND);
         assertFalse(isLate(outcome.more().get("inside_ms_all")), outcome.toString());
         assertFalse(isLate(outcome.more().get("after_ms_all")), outcome.toString());
         Outcome off =
@@ -156,11 +164,15 @@
 
     @Example
     void allControlServersDownForTenMinutes() {
-        Outcome outcome = assertHandled("control_down", RolloutVariants.DEFAULT, MAX_BYTES_PER_SECOND);
-        assertEquals(FLEET_SIZE, outcome.more().get("kept"), "each proxy keeps the last valid version");
-        // Each proxy calls at most once in half the maximum retry delay, at a random time. The limit
+        Outcome outcome =
+                assertHandled("control_down", RolloutVariants.DEFAULT, MAX_BYTES_PER_SECOND);
+        assertEquals(
+                FLEET_SIZE, outcome.more().get("kept"), "each proxy keeps the last valid version");
+        // Each proxy calls at most once in half the maximum retry delay, at a random time. The
+        // limit
         // is three times the mean rate at a control server.
-        assertTrue(outcome.calls() <= 3 * FLEET_SIZE / RolloutStudy.CONTROL / 2, outcome.toString());
+        assertTrue(
+                outcome.calls() <= 3 * FLEET_SIZE / RolloutStudy.CONTROL / 2, outcome.toString());
         assertTrue(
                 isLate(
                         simulate(
@@ -184,7 +196,8 @@
                             }
                         });
         assertTrue(
-                noBackoff.more().get("calls_s_while_down") > 3 * outcome.more().get("calls_s_while_down")
+                noBackoff.more().get("calls_s_while_down")
+                                > 3 * outcome.more().get("calls_s_while_down")
                         && noBackoff.bytes() > MAX_BYTES_PER_SECOND,
                 "without the safeguard, calls follow one another without a delay: " + noBackoff);
     }
@@ -192,7 +205,9 @@
     @Example
     void staleControlServerIsAbandoned() {
         Outcome outcome = assertHandled("behind", RolloutVariants.DEFAULT, MAX_BYTES_PER_SECOND);
-        assertTrue(outcome.more().get("next_ms_all") < 1_000, "the watches have moved to other servers: " + outcome);
+        assertTrue(
+                outcome.more().get("next_ms_all") < 1_000,
+                "the watches have moved to other servers: " + outcome);
         Outcome off =
                 simulate(
                         "behind",
@@ -202,7 +217,9 @@
                                 return false;
                             }
                         });
-        assertTrue(isLate(off.all()) && off.differ() > 0, "without the safeguard, its watchers never learn of the change: " + off);
+        assertTrue(
+                isLate(off.all()) && off.differ() > 0,
+                "without the safeguard, its watchers never learn of the change: " + off);
     }
 
     private static final RolloutVariants NO_VALIDATION =
@@ -254,7 +271,8 @@
     @Example
     void changeWhileControlIsOverloaded() {
         Outcome outcome = assertHandled("overload", RolloutVariants.DEFAULT, MAX_BYTES_PER_SECOND);
-        // Each proxy calls at most once in 0.45 s, spread over the near servers; random variation may
+        // Each proxy calls at most once in 0.45 s, spread over the near servers; random variation
+        // may
         // add half of that.
         double maxCallsPerSecond = 1.5 * FLEET_SIZE / 0.45 / RolloutStudy.CONTROL;
         assertTrue(outcome.calls() <= maxCallsPerSecond, outcome.toString());
@@ -297,14 +315,15 @@
     }
 
     /**
-     * Whatever control servers announce and however calls fail, the version in force never decreases
-     * and a rejected version is validated only once.
+     * Whatever control servers announce and however calls fail, the version in force never
+     * decreases and a rejected version is validated only once.
      */
     @Property(tries = 200)
     void versionsNeverDecreaseAndDelaysAreBounded(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         RolloutConfig config = config(1 + random.nextInt(4), random.nextInt(4));
-        int serverCount = config.nearControlAddresses().size() + config.farControlAddresses().size();
+        int serverCount =
+                config.nearControlAddresses().size() + config.farControlAddresses().size();
         ConfigurationRollout rollout =
                 new ConfigurationRollout(0, config, ConfigurationVersion.NONE, random.split());
         long nowTicks = 0;
@@ -323,7 +342,9 @@
                 ConfigurationVersion version =
                         new ConfigurationVersion(1 + random.nextInt(30), random.nextInt(3));
                 if (rollout.versionAnnounced(nowTicks, version)) {
-                    assertTrue(version.compareTo(inForce) > 0 && validated.add(version), version + " over " + inForce);
+                    assertTrue(
+                            version.compareTo(inForce) > 0 && validated.add(version),
+                            version + " over " + inForce);
                     if (random.nextInt(3) == 0) {
                         rollout.rejected(version);
                     } else {
@@ -369,7 +390,9 @@
             nowTicks = attempt.startAtTicks() + attempt.timeoutTicks();
             rollout.watchFailed(nowTicks);
         }
-        assertTrue(nowTicks <= 20_000 + 17 * 6_500, "0.65 s for each call after the first: " + nowTicks);
+        assertTrue(
+                nowTicks <= 20_000 + 17 * 6_500,
+                "0.65 s for each call after the first: " + nowTicks);
         long delayTicks = rollout.nextWatch(nowTicks).startAtTicks() - nowTicks;
         assertTrue(
                 delayTicks >= RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS / 2
