--- a/src/main/java/cottonlock/admin/ManagementServer.java
+++ b/src/main/java/cottonlock/admin/ManagementServer.java
@@ -13,18 +13,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Answers management commands, one command line a connection.
+ * Answers management commands, one command line per connection.
  *
- * <p>It has a thread for each connection and file descriptors reserved for it, so that it answers
- * within a second while the request path is overloaded.
+ * <p>Each connection has its own thread and a reserved file descriptor, so that commands are
+ * answered within a second while the request path is overloaded.
  */
 public final class ManagementServer implements Runnable, AutoCloseable {
-    /** Connections that may be open at once; each takes a file descriptor and a thread. */
+    /** Maximum number of open connections; each takes a file descriptor and a thread. */
     public static final int MAX_CONNECTIONS = 12;
 
     /**
-     * Connections that may wait to be accepted. The system drops the connection request of one more
-     * caller, who sends it again after a second.
+     * Maximum number of connections that wait to be accepted. Beyond it, the operating system drops
+     * connection requests, and the client's system retries them after a second.
      */
     private static final int BACKLOG = 1_024;
 
@@ -32,16 +32,14 @@
 
     private static final int READ_TIMEOUT_MILLIS = 5_000;
 
-    private static final int ACCEPT_RETRY_MILLIS = 20;
+    private static final int ACCEPT_RETRY_DELAY_MILLIS = 20;
 
-    /**
-     * How long a new connection waits, at most, while all others have sent what is not yet read.
-     */
-    private static final long MAX_PLACE_WAIT_MILLIS = 100;
+    /** Maximum wait of a new connection for a slot while no other connection is idle. */
+    private static final long MAX_SLOT_WAIT_MILLIS = 100;
 
-    private static final long PLACE_CHECK_MILLIS = 2;
+    private static final long SLOT_CHECK_INTERVAL_MILLIS = 2;
 
-    /** Stack of a connection's thread: the calls here are shallow. */
+    /** Stack size of a connection's thread. A small one suffices: its call chains are short. */
     private static final long THREAD_STACK_BYTES = 192 << 10;
 
     private final ManagementOperations operations;
@@ -102,7 +100,7 @@
 
     private void startConnection(Socket socket) {
         synchronized (awaitingCommand) {
-            awaitPlace();
+            awaitConnectionSlot();
             openConnections++;
             awaitingCommand.add(socket);
         }
@@ -116,18 +114,17 @@
     }
 
     /**
-     * Waits until a connection may be added: an idle one must not keep a new caller out, and a call
-     * that has arrived must not be dropped for a newer one. Called with {@link #awaitingCommand}
-     * locked.
+     * Waits until a connection may be added. An idle connection is evicted for a new one, but a
+     * command that has arrived is not dropped for it. Called with {@link #awaitingCommand} locked.
      */
-    private void awaitPlace() {
+    private void awaitConnectionSlot() {
         long deadlineNanos =
-                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_PLACE_WAIT_MILLIS);
+                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_SLOT_WAIT_MILLIS);
         while (openConnections >= MAX_CONNECTIONS
-                && !endOldestIdle()
+                && !evictOldestIdle()
                 && System.nanoTime() - deadlineNanos < 0) {
             try {
-                awaitingCommand.wait(PLACE_CHECK_MILLIS);
+                awaitingCommand.wait(SLOT_CHECK_INTERVAL_MILLIS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
@@ -135,13 +132,17 @@
         }
     }
 
-    /** Returns whether there was a connection of which all that has arrived has been read. */
-    private boolean endOldestIdle() {
+    /**
+     * Ends the input of the oldest connection without unread bytes.
+     *
+     * @return whether there was one
+     */
+    private boolean evictOldestIdle() {
         for (Iterator<Socket> oldestFirst = awaitingCommand.iterator(); oldestFirst.hasNext(); ) {
             Socket socket = oldestFirst.next();
             if (!hasUnreadBytes(socket)) {
                 oldestFirst.remove();
-                endInput(socket);
+                shutDownInput(socket);
                 return true;
             }
         }
@@ -152,17 +153,20 @@
         try {
             return socket.getInputStream().available() > 0;
         } catch (IOException e) {
-            // It has been closed.
+            // The connection has been closed.
             return false;
         }
     }
 
-    /** Its thread sees the end and closes it; a command that it has just read is still answered. */
-    private static void endInput(Socket socket) {
+    /**
+     * Ends a connection's input: its thread reads the end of the stream and closes the connection.
+     * A command that the thread has just read is still answered.
+     */
+    private static void shutDownInput(Socket socket) {
         try {
             socket.shutdownInput();
         } catch (IOException e) {
-            // It has been closed.
+            // The connection has been closed.
         }
     }
 
@@ -177,7 +181,7 @@
             socket.getOutputStream().write(respond(command).getBytes(StandardCharsets.UTF_8));
             socket.shutdownOutput();
         } catch (IOException e) {
-            // The caller has closed the connection, or it was closed for a newer one.
+            // The client has closed the connection, or it was evicted for a newer one.
         } finally {
             endConnection(socket);
         }
@@ -192,13 +196,13 @@
         }
     }
 
-    /** Returns one line without its end, or null if it is too long. */
+    /** Returns one line without its terminator, or null if it is too long. */
     private static String readCommand(InputStream in) throws IOException {
         byte[] bytes = new byte[MAX_COMMAND_BYTES];
         int length = 0;
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
-                throw new IOException("the call ends early");
+                throw new IOException("connection ended before the end of the command line");
             }
             if (length == MAX_COMMAND_BYTES) {
                 return null;
@@ -209,7 +213,7 @@
         return new String(bytes, 0, length, StandardCharsets.UTF_8);
     }
 
-    /** Carries out a command; returns the response with its line ends. */
+    /** Executes a command; returns the response with its line terminators. */
     private String respond(String command) {
         if (command == null) {
             return "NAK the call is longer than " + MAX_COMMAND_BYTES + " bytes\n";
@@ -218,7 +222,7 @@
         try {
             return words.length == 2 ? execute(words[0], words[1]) : execute(words);
         } catch (RuntimeException e) {
-            return negative("fault: " + e);
+            return nak("fault: " + e);
         }
     }
 
@@ -226,33 +230,33 @@
         String name = words.length == 1 ? words[0] : "";
         return switch (name) {
             case "DUMP" -> operations.metricsJson() + "\n--\n";
-            case "MEMBERS" -> members(operations.membersReport());
-            case "HEALTH" -> result(operations.isServing() ? null : "not serving yet");
+            case "MEMBERS" -> membersResponse(operations.membersReport());
+            case "HEALTH" -> ackOrNak(operations.isServing() ? null : "not serving yet");
             default -> unknownCommand();
         };
     }
 
-    private static String members(String report) {
-        return report == null ? negative("membership is off") : report + "--\n";
+    private static String membersResponse(String report) {
+        return report == null ? nak("membership is off") : report + "--\n";
     }
 
     private String execute(String name, String backendId) {
         return switch (name) {
-            case "OFFLINE" -> result(operations.ejectBackend(backendId));
-            case "ONLINE" -> result(operations.restoreBackend(backendId));
+            case "OFFLINE" -> ackOrNak(operations.ejectBackend(backendId));
+            case "ONLINE" -> ackOrNak(operations.restoreBackend(backendId));
             default -> unknownCommand();
         };
     }
 
     private static String unknownCommand() {
-        return negative("expected HEALTH, DUMP, MEMBERS, OFFLINE ID or ONLINE ID");
+        return nak("expected HEALTH, DUMP, MEMBERS, OFFLINE ID or ONLINE ID");
     }
 
-    private static String result(String refusal) {
-        return refusal == null ? "ACK\n" : negative(refusal);
+    private static String ackOrNak(String refusal) {
+        return refusal == null ? "ACK\n" : nak(refusal);
     }
 
-    private static String negative(String reason) {
+    private static String nak(String reason) {
         return "NAK " + reason + "\n";
     }
 
@@ -260,14 +264,17 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // Its descriptor is released all the same.
+            // The descriptor is released nevertheless.
         }
     }
 
-    /** Without free descriptors, accept fails at once and repeatedly. */
+    /**
+     * Without free file descriptors, accept fails at once and repeatedly; the pause limits the
+     * rate.
+     */
     private static void pauseAccepting() {
         try {
-            Thread.sleep(ACCEPT_RETRY_MILLIS);
+            Thread.sleep(ACCEPT_RETRY_DELAY_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -275,7 +282,8 @@
 
     /**
      * Closes the listener, and the connections whose command has not arrived completely; commands
-     * under way are answered. When this returns, {@link #run} has returned and the address is free.
+     * in execution are answered. When this returns, {@link #run} has returned and the address is
+     * free.
      */
     @Override
     public void close() {
@@ -283,7 +291,7 @@
         try {
             server.close();
         } catch (IOException e) {
-            // Its descriptor is released all the same.
+            // The descriptor is released nevertheless.
         }
         completion.awaitEnd();
         synchronized (awaitingCommand) {
@@ -291,7 +299,7 @@
         }
     }
 
-    /** Returns the port that it listens on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return server.getLocalPort();
     }
--- a/src/main/java/cottonlock/config/MembershipTable.java
+++ b/src/main/java/cottonlock/config/MembershipTable.java
@@ -21,20 +21,21 @@
         String listen = table.address("listen", "");
         String advertise = table.address("advertise", "");
         List<String> seeds = Addresses.read(table, "seeds");
-        String key = keyFile(table, "key_file", file);
-        String nextKey = keyFile(table, "next_key_file", file);
-        if (key.isEmpty() && !nextKey.isEmpty()) {
+        String keyFile = keyFile(table, "key_file", file);
+        String nextKeyFile = keyFile(table, "next_key_file", file);
+        if (keyFile.isEmpty() && !nextKeyFile.isEmpty()) {
             table.addFault(
-                    "next_key_file", "expected key_file beside it: tags are made with that one");
+                    "next_key_file",
+                    "expected key_file as well, which is the key that signs datagrams");
         }
         MembershipProtocolConfig protocol = protocol(table);
         return enabled
-                ? new MembershipConfig(listen, advertise, seeds, key, nextKey, protocol)
+                ? new MembershipConfig(listen, advertise, seeds, keyFile, nextKeyFile, protocol)
                 : null;
     }
 
     /**
-     * Reads the protocol's parameters from an operator's file, also if membership is off there.
+     * Reads the protocol's parameters from an operator's file, even if membership is off in it.
      * Other tables of the file are not checked.
      *
      * @throws InvalidConfigurationException with all faults of the parameters
@@ -52,21 +53,23 @@
 
     private static MembershipProtocolConfig protocol(Fields table) {
         MembershipProtocolConfig defaults = MembershipProtocolConfig.DEFAULTS;
-        long period =
+        long periodTicks =
                 Durations.millisAsTicks(table, "period_ms", defaults.periodTicks(), 50, 60_000);
-        long defaultAnswer = Math.min(defaults.answerTimeoutTicks(), period * 3 / 10);
-        long answer = Durations.millisAsTicks(table, "answer_ms", defaultAnswer, 10, 60_000);
-        if (answer >= period) {
+        long defaultAnswerTimeoutTicks =
+                Math.min(defaults.answerTimeoutTicks(), periodTicks * 3 / 10);
+        long answerTimeoutTicks =
+                Durations.millisAsTicks(table, "answer_ms", defaultAnswerTimeoutTicks, 10, 60_000);
+        if (answerTimeoutTicks >= periodTicks) {
             table.addFault(
                     table.has("answer_ms") ? "answer_ms" : "period_ms",
                     "expected answer_ms to be less than period_ms, found "
-                            + answer / 10
+                            + answerTimeoutTicks / 10
                             + " and "
-                            + period / 10);
+                            + periodTicks / 10);
         }
         return new MembershipProtocolConfig(
-                period,
-                answer,
+                periodTicks,
+                answerTimeoutTicks,
                 table.integer("helpers", defaults.indirectProbeCount(), 0, 16),
                 table.number("suspicion_periods", defaults.suspicionMultiplier(), 0.5, 1_000),
                 table.number("suspicion_longest", defaults.maxSuspicionMultiplier(), 1, 100),
@@ -83,7 +86,7 @@
                 table.integer("contact_periods", defaults.contactIntervalPeriods(), 1, 100));
     }
 
-    /** Returns the path of a key file, as this process can open it; empty if none is named. */
+    /** Returns the absolute path of a key file; empty if the table names none. */
     private static String keyFile(Fields table, String key, Path file) {
         String name = table.text(key, "");
         if (name.isEmpty()) {
--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionParser.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionParser.java
@@ -59,7 +59,7 @@
 
     private static long parseNumber(JsonObject fields) {
         String seq = fields.get("seq").toString();
-        if (!Decimals.isUnsigned(seq) || Long.parseLong(seq) > ConfigurationVersion.HIGHEST) {
+        if (!Decimals.isUnsigned(seq) || Long.parseLong(seq) > ConfigurationVersion.MAX_NUMBER) {
             throw new InvalidSettingsException(
                     "the version's seq is not an integer from 0 to 2^53: " + seq);
         }
--- a/src/test/java/cottonlock/config/ConfigTest.java
+++ b/src/test/java/cottonlock/config/ConfigTest.java
@@ -16,19 +16,18 @@
 import net.jqwik.api.constraints.AlphaChars;
 import net.jqwik.api.constraints.StringLength;
 
-/** What people write is read whole or refused with all that is wrong. */
+/** Configuration files are read completely, or rejected with all their faults. */
 class ConfigTest {
-    private interface Reading {
+    private interface Reader {
         void read(Path file) throws InvalidConfigurationException;
     }
 
-    private static List<String> faults(String ending, String text, Reading reading)
-            throws Exception {
-        Path file = Files.createTempFile("config", ending);
+    private static List<String> faults(String suffix, String text, Reader reader) throws Exception {
+        Path file = Files.createTempFile("config", suffix);
         Files.writeString(file, text);
         List<String> faults = new ArrayList<>();
         try {
-            reading.read(file);
+            reader.read(file);
         } catch (InvalidConfigurationException e) {
             e.faults().forEach(f -> faults.add(f.replace(file.toString(), "F")));
         } finally {
@@ -38,7 +37,7 @@
     }
 
     @Example
-    void theOperatorsFileIsReadWithDefaults() throws Exception {
+    void operatorFileIsReadWithDefaultsAndChecked() throws Exception {
         OperatorFile plain = new OperatorFile("text", "info", Map.of(), null);
         assertEquals(plain, OperatorFile.read(Files.createTempFile("empty", ".toml")));
         assertEquals(plain, OperatorFile.read(Path.of("deploy/operator.example.toml")));
@@ -48,7 +47,7 @@
                         "[watch]\non = true\nconnection_fee = 0.05\nhandshake_fee = 0.01\n");
         assertEquals(
                 Map.of("Workload", "mesh", "Fees.Connection", "0.05", "Fees.Handshake", "0.01"),
-                OperatorFile.read(watch).watched());
+                OperatorFile.read(watch).shadowSettings());
         assertEquals(
                 List.of("F:2: watch.connection_fee: expected a number from 0 to 1000000, found -1"),
                 faults(".toml", "[watch]\nconnection_fee = -1\n", OperatorFile::read));
@@ -65,7 +64,7 @@
                 List.of(
                         "F:3: rollout.service: expected up to 64 letters, digits, dots, dashes and "
                                 + "underscores, found \"a b\"",
-                        "F:4: rollout.control: expected an address of digits with a port, such as"
+                        "F:4: rollout.control: expected a numeric address with a port, such as"
                                 + " 127.0.0.1:5000, found \"there\"",
                         "F:5: rollout.call_ms: expected a number from 50 to 2000, found 10"),
                 faults(
@@ -80,8 +79,8 @@
                         OperatorFile::read));
         assertEquals(
                 List.of(
-                        "F:1: rollout.service: expected a service whose settings these are",
-                        "F:1: rollout.control: expected a control machine or more"),
+                        "F:1: rollout.service: expected the service whose settings are rolled out",
+                        "F:1: rollout.control: expected at least one control server"),
                 faults(".toml", "[rollout]\nenabled = true\n", OperatorFile::read));
         Path rollout =
                 Files.writeString(
@@ -110,7 +109,7 @@
     }
 
     @Example
-    void thePlatformsFileIsCheckedWhole() throws Exception {
+    void platformFileIsCheckedCompletely() throws Exception {
         String good =
                 """
                 {"name": "n0", "listen": "127.0.0.1:5000", "discovery": "127.0.0.1:8500", "seed": "8c1f",
@@ -124,7 +123,7 @@
         assertEquals(List.of(), faults(".json", good, PlatformFile::check));
         assertEquals(
                 List.of(
-                        "F:1: listen: expected an address of digits with a port, such as "
+                        "F:1: listen: expected a numeric address with a port, such as "
                                 + "127.0.0.1:5000, found \"localhost\"",
                         "F:2: limits.sockets: expected a number from 64 to 1048576, found 3",
                         "F:5: known.hosts.0.health: expected one of active, leaving, left, found"
@@ -147,15 +146,15 @@
     }
 
     @Property(seed = "20261201", tries = 200)
-    void editsAreADistance(
+    void editDistanceIsSymmetricAndBounded(
             @ForAll @AlphaChars @StringLength(max = 8) String one,
             @ForAll @AlphaChars @StringLength(max = 8) String other) {
-        int there = EditDistance.between(one, other);
-        assertEquals(there, EditDistance.between(other, one));
-        assertEquals(one.equals(other), there == 0);
+        int distance = EditDistance.between(one, other);
+        assertEquals(distance, EditDistance.between(other, one));
+        assertEquals(one.equals(other), distance == 0);
         assertTrue(
-                there <= Math.max(one.length(), other.length())
-                        && there >= Math.abs(one.length() - other.length()));
-        assertTrue(EditDistance.between(one, other + "x") <= there + 1);
+                distance <= Math.max(one.length(), other.length())
+                        && distance >= Math.abs(one.length() - other.length()));
+        assertTrue(EditDistance.between(one, other + "x") <= distance + 1);
     }
 }
