--- a/src/main/java/cottonlock/membership/AddressFormat.java
+++ b/src/main/java/cottonlock/membership/AddressFormat.java
@@ -8,7 +8,7 @@
 @Deterministic
 final class AddressFormat {
     /** Length of an address as text: IPv6 in brackets, with a port. */
-    static final int MAX_LENGTH = 47;
+    static final int MAX_TEXT_LENGTH = 47;
 
     /** Bytes of an IPv4 address with its port, without the byte that says so. */
     static final int IPV4_BYTES = 6;
--- a/src/main/java/cottonlock/membership/AntiEntropy.java
+++ b/src/main/java/cottonlock/membership/AntiEntropy.java
@@ -20,7 +20,7 @@
     private static final int MAX_PAGES = 4;
 
     /** New updates for which the next exchange follows without a longer pause. */
-    private static final int PRODUCTIVE_UPDATES = 2;
+    private static final int MIN_PRODUCTIVE_UPDATES = 2;
 
     private static final int MAX_PAUSE_PERIODS = 8;
 
@@ -34,7 +34,7 @@
     private static final int HEARD_WITHIN_PERIODS = 4;
 
     /** Periods until the next look if no view differs. */
-    private static final int IDLE_PERIODS = 4;
+    private static final int IDLE_CHECK_PERIODS = 4;
 
     private final MembershipProtocolConfig config;
     private final ProtocolVariants variants;
@@ -50,7 +50,7 @@
     private int pausePeriods = 1;
 
     /** New updates that the last exchange has brought. */
-    private int newUpdates;
+    private int newUpdatesReceived;
 
     AntiEntropy(MembershipContext context) {
         this.config = context.config();
@@ -82,7 +82,7 @@
 
     /** Counts the updates of a page that were new here. */
     void countNewUpdates(int count) {
-        newUpdates += count;
+        newUpdatesReceived += count;
     }
 
     /** Compares a member's digest with this view's; returns whether they are equal. */
@@ -111,15 +111,15 @@
                     nowTicks
                             + (table.divergingCount() > 0
                                     ? pauseTicks()
-                                    : IDLE_PERIODS * config.periodTicks());
+                                    : IDLE_CHECK_PERIODS * config.periodTicks());
             return;
         }
         // Under permanent churn views never become equal, and exchanges bring next to nothing.
         pausePeriods =
-                newUpdates >= PRODUCTIVE_UPDATES
+                newUpdatesReceived >= MIN_PRODUCTIVE_UPDATES
                         ? 1
                         : Math.min(MAX_PAUSE_PERIODS, 2 * pausePeriods);
-        newUpdates = 0;
+        newUpdatesReceived = 0;
         dueAtTicks = nowTicks + pauseTicks();
         lastExchangeAtTicks = nowTicks;
         metrics.increment(MembershipMetric.EXCHANGES);
@@ -133,8 +133,8 @@
     }
 
     private void startExchange(long nowTicks, MemberRecord member) {
-        int wanted = Math.max(1, (table.liveCount() + 1) / PARTITION_MEMBERS);
-        int partitions = Math.min(DatagramCodec.MAX_PARTITIONS, Integer.highestOneBit(wanted));
+        int wantedPartitions = Math.max(1, (table.liveCount() + 1) / PARTITION_MEMBERS);
+        int partitions = Math.min(DatagramCodec.MAX_PARTITIONS, Integer.highestOneBit(wantedPartitions));
         while (DIGEST_BYTES * partitions > sender.freeBytes(Kind.PARTITION_DIGESTS)) {
             partitions /= 2;
         }
@@ -154,11 +154,11 @@
      */
     void digestsReceived(long nowTicks, Message message, MemberRecord member, int firstPartition) {
         int[] own = table.partitionDigests(message.partitionDigests.length);
-        int left = MAX_PAGES;
-        for (int i = 0; i < own.length && left > 0; i++) {
+        int pagesLeft = MAX_PAGES;
+        for (int i = 0; i < own.length && pagesLeft > 0; i++) {
             int partition = Math.floorMod(firstPartition + i, own.length);
             if (own[partition] != message.partitionDigests[partition]) {
-                left -= sendPages(nowTicks, member, own.length, partition, left);
+                pagesLeft -= sendPages(nowTicks, member, own.length, partition, pagesLeft);
             }
         }
     }
@@ -171,7 +171,7 @@
     private int sendPages(
             long nowTicks, MemberRecord receiver, int partitions, int partition, int maxPages) {
         List<MemberUpdate> updates = table.liveUpdates(partitions, partition);
-        int first = firstIndex(partitions, updates.size());
+        int first = startIndex(partitions, updates.size());
         String afterName = first == 0 ? "" : updates.get(first - 1).name();
         int next = first;
         int end = updates.size();
@@ -205,12 +205,12 @@
      * Where the pages of a partition start. A partition that is longer than the pages sent at once
      * starts at a random name, as otherwise its last names would never be sent.
      */
-    private int firstIndex(int partitions, int size) {
-        boolean startsAnywhere =
+    private int startIndex(int partitions, int size) {
+        boolean startsAtRandomName =
                 partitions == DatagramCodec.MAX_PARTITIONS
                         && size > PARTITION_MEMBERS
                         && variants.startsPagesAtRandomName();
-        return startsAnywhere ? random.nextInt(size) : 0;
+        return startsAtRandomName ? random.nextInt(size) : 0;
     }
 
     private DatagramWriter startPage(int partitions, int partition, String afterName) {
--- a/src/main/java/cottonlock/membership/BandwidthLimit.java
+++ b/src/main/java/cottonlock/membership/BandwidthLimit.java
@@ -10,7 +10,7 @@
  */
 @Deterministic
 final class BandwidthLimit {
-    private static final double REFILLED_SHARE = 0.75;
+    private static final double REFILL_SHARE_PER_SECOND = 0.75;
 
     private final int bytesPerSecond;
     private final double depthBytes;
@@ -25,21 +25,21 @@
     /**
      * Whether so many bytes may be sent now.
      *
-     * @param reserve share of the depth, 0 to 1, that must be left after them
+     * @param reservedShare share of the depth, 0 to 1, that must be left after them
      */
-    boolean allows(long nowTicks, int bytes, double reserve) {
+    boolean allows(long nowTicks, int bytes, double reservedShare) {
         if (nowTicks > refilledAtTicks) {
             availableBytes =
                     Math.min(
                             depthBytes,
                             availableBytes
                                     + bytesPerSecond
-                                            * REFILLED_SHARE
+                                            * REFILL_SHARE_PER_SECOND
                                             * (nowTicks - refilledAtTicks)
                                             / Ticks.PER_SECOND);
             refilledAtTicks = nowTicks;
         }
-        return availableBytes - bytes >= reserve * depthBytes;
+        return availableBytes - bytes >= reservedShare * depthBytes;
     }
 
     /** Takes so many bytes out of the bucket. */
--- a/src/main/java/cottonlock/membership/ContactAddresses.java
+++ b/src/main/java/cottonlock/membership/ContactAddresses.java
@@ -18,10 +18,10 @@
     private final Set<String> contacts;
 
     /** Number of live members by address. */
-    private final Map<String, Integer> live = new HashMap<>();
+    private final Map<String, Integer> liveCountByAddress = new HashMap<>();
 
     /** Number of failed members by address. */
-    private final Map<String, Integer> failed = new HashMap<>();
+    private final Map<String, Integer> failedCountByAddress = new HashMap<>();
 
     private final TreeSet<String> candidates;
 
@@ -44,11 +44,11 @@
         if (update.state() == MemberState.LEFT) {
             return;
         }
-        Map<String, Integer> counts = update.state().isLive() ? live : failed;
+        Map<String, Integer> counts = update.state().isLive() ? liveCountByAddress : failedCountByAddress;
         String address = update.address();
         counts.merge(address, change, (a, b) -> a + b == 0 ? null : a + b);
-        if (!live.containsKey(address)
-                && (contacts.contains(address) || failed.containsKey(address))) {
+        if (!liveCountByAddress.containsKey(address)
+                && (contacts.contains(address) || failedCountByAddress.containsKey(address))) {
             candidates.add(address);
         } else {
             candidates.remove(address);
--- a/src/main/java/cottonlock/membership/ContactScheduler.java
+++ b/src/main/java/cottonlock/membership/ContactScheduler.java
@@ -61,18 +61,18 @@
     }
 
     /** Pings an address at which no live member is known, if that is due. */
-    void contactUnknown(long nowTicks) {
+    void pingContactAddresses(long nowTicks) {
         if (nowTicks < dueAtTicks) {
             return;
         }
-        boolean alone = joinProtocol.isJoining() || table.liveCount() == 0;
+        boolean joiningOrAlone = joinProtocol.isJoining() || table.liveCount() == 0;
         List<String> candidates = table.contactAddresses().candidates(table.self().address());
-        int contacts = alone ? CONTACTS_WHILE_ALONE : 1;
+        int contacts = joiningOrAlone ? CONTACTS_WHILE_ALONE : 1;
         for (int i = 0; i < contacts && !candidates.isEmpty(); i++) {
             ping(nowTicks, candidates.remove(random.nextInt(candidates.size())));
         }
         dueAtTicks =
-                nowTicks + config.periodTicks() * (alone ? 1 : config.contactIntervalPeriods());
+                nowTicks + config.periodTicks() * (joiningOrAlone ? 1 : config.contactIntervalPeriods());
     }
 
     /** Looks for the later process of this name, if that is due; resumes if it is gone. */
--- a/src/main/java/cottonlock/membership/DatagramCodec.java
+++ b/src/main/java/cottonlock/membership/DatagramCodec.java
@@ -39,7 +39,7 @@
     static final int CHECKSUM_BYTES = 4;
 
     /** Where the flags stand. */
-    static final int FLAGS_POSITION = 2;
+    static final int FLAGS_OFFSET = 2;
 
     /** Stands before an IPv4 address in the place of a text's length. */
     static final int IPV4_MARKER = 4;
--- a/src/main/java/cottonlock/membership/DatagramReader.java
+++ b/src/main/java/cottonlock/membership/DatagramReader.java
@@ -85,7 +85,7 @@
         // IPv4 as text is refused: with two forms of one address views could differ for good.
         expect(
                 marker > DatagramCodec.IPV4_MARKER
-                        && marker <= AddressFormat.MAX_LENGTH
+                        && marker <= AddressFormat.MAX_TEXT_LENGTH
                         && AddressFormat.isBracketed(address)
                         && AddressFormat.parseIpv4(address) == null);
         return address;
--- a/src/main/java/cottonlock/membership/DatagramSender.java
+++ b/src/main/java/cottonlock/membership/DatagramSender.java
@@ -155,9 +155,9 @@
         return send(nowTicks, address, out, LOW_PRIORITY_RESERVE);
     }
 
-    private boolean send(long nowTicks, String address, DatagramWriter out, double reserve) {
+    private boolean send(long nowTicks, String address, DatagramWriter out, double reservedShare) {
         int bytes = out.size() + reservedBytes;
-        boolean allowed = bandwidthLimit.allows(nowTicks, bytes, reserve);
+        boolean allowed = bandwidthLimit.allows(nowTicks, bytes, reservedShare);
         metrics.increment(allowed ? MembershipMetric.SENT : MembershipMetric.THROTTLED);
         if (allowed) {
             bandwidthLimit.consume(nowTicks, bytes);
--- a/src/main/java/cottonlock/membership/DatagramWriter.java
+++ b/src/main/java/cottonlock/membership/DatagramWriter.java
@@ -100,7 +100,7 @@
 
     /** Marks that the page extends to the last name of its partition. */
     void markLastPage() {
-        bytes[DatagramCodec.FLAGS_POSITION] |= DatagramCodec.LAST_PAGE_FLAG;
+        bytes[DatagramCodec.FLAGS_OFFSET] |= DatagramCodec.LAST_PAGE_FLAG;
     }
 
     /** Bytes of the whole datagram, its checksum among them. */
--- a/src/main/java/cottonlock/membership/FailureDetector.java
+++ b/src/main/java/cottonlock/membership/FailureDetector.java
@@ -16,7 +16,7 @@
 @Deterministic
 final class FailureDetector {
     /** Answers over which the rate of lost probes is averaged. */
-    private static final double LOSS_AVERAGED_OVER = 20;
+    private static final double LOSS_AVERAGE_SAMPLES = 20;
 
     /** A member is suspected if silence of a live one would be at most so probable. */
     private static final double MAX_FALSE_SUSPICION_PROBABILITY = 0.02;
@@ -28,7 +28,7 @@
     private static final int INDIRECT_PROBE_DATAGRAMS = 4;
 
     /** Without any datagram for so many periods the fault may lie with this process. */
-    private static final int SILENCE_PERIODS = 2;
+    private static final int MAX_LOCAL_SILENCE_PERIODS = 2;
 
     /** A member heard within so many periods can help. */
     private static final int HEARD_WITHIN_PERIODS = 4;
@@ -46,7 +46,7 @@
     private final LocalHealth localHealth;
 
     /** Members to be probed before the schedule's next one. */
-    private final Deque<MemberRecord> urgent = new ArrayDeque<>();
+    private final Deque<MemberRecord> urgentTargets = new ArrayDeque<>();
 
     /** The probe in progress; null before the first one and while there are no members. */
     private Probe probe;
@@ -97,31 +97,31 @@
      */
     void maybeProbeSoon(MemberRecord member) {
         if (random.nextInt(1 + table.liveCount()) < 2 * config.confirmationCount()
-                && urgent.size() < config.maxMembers()) {
-            urgent.add(member);
+                && urgentTargets.size() < config.maxMembers()) {
+            urgentTargets.add(member);
         }
     }
 
     /** Others found a member failed, or it is about to be: it is probed from here next. */
     void probeBeforeFailing(MemberRecord member) {
-        if (!member.contested && urgent.size() < config.maxMembers()) {
-            member.contested = true;
-            urgent.addFirst(member);
+        if (!member.needsConfirmingProbe && urgentTargets.size() < config.maxMembers()) {
+            member.needsConfirmingProbe = true;
+            urgentTargets.addFirst(member);
         }
     }
 
     /** When {@link #timerFired} is due. */
     long dueAtTicks() {
         long dueAtTicks = Math.min(periodEndsAtTicks, indirectProbes.dueAtTicks());
-        return isAckOverdueNext() ? Math.min(dueAtTicks, probe.ackDueTicks) : dueAtTicks;
+        return isAwaitingDirectAck() ? Math.min(dueAtTicks, probe.ackDueTicks) : dueAtTicks;
     }
 
-    private boolean isAckOverdueNext() {
+    private boolean isAwaitingDirectAck() {
         return probe != null && probe.isWaitingForDirectAck();
     }
 
     void timerFired(long nowTicks) {
-        if (isAckOverdueNext() && nowTicks >= probe.ackDueTicks) {
+        if (isAwaitingDirectAck() && nowTicks >= probe.ackDueTicks) {
             requestIndirectProbes(nowTicks);
         }
         if (nowTicks >= periodEndsAtTicks) {
@@ -131,11 +131,11 @@
     }
 
     private void endPeriod(long nowTicks) {
-        if (probe != null && !probe.finished && continuesAfterSilence(nowTicks)) {
+        if (probe != null && !probe.finished && handleUnansweredProbe(nowTicks)) {
             return;
         }
         if (probe != null) {
-            probe.target.contested = false;
+            probe.target.needsConfirmingProbe = false;
         }
         startPeriod(nowTicks);
         pingOneOwnSuspect(nowTicks);
@@ -148,18 +148,18 @@
     }
 
     /** Ends an unanswered probe; returns whether the same member is probed for another period. */
-    private boolean continuesAfterSilence(long nowTicks) {
+    private boolean handleUnansweredProbe(long nowTicks) {
         probe.finished = true;
         // No answer of the helpers either, or no datagram at all: the fault may lie here.
-        boolean selfSuspect =
+        boolean faultMayBeLocal =
                 probe.helpers > 0
                         ? probe.nacks == 0
-                        : nowTicks - heardAtTicks > SILENCE_PERIODS * config.periodTicks();
-        if (selfSuspect) {
+                        : nowTicks - heardAtTicks > MAX_LOCAL_SILENCE_PERIODS * config.periodTicks();
+        if (faultMayBeLocal) {
             localHealth.degrade(1);
         }
         if (probe.target.update.state() == MemberState.ALIVE
-                && probe.periods < silentPeriodsNeeded()) {
+                && probe.periods < silentPeriodsBeforeSuspicion()) {
             startPeriod(nowTicks);
             startProbe(nowTicks, probe.target, probe.periods + 1);
             return true;
@@ -188,25 +188,25 @@
     }
 
     /** How many periods a live member is unlikely to be silent for, by the present rate of loss. */
-    private int silentPeriodsNeeded() {
-        double datagramArrives = Math.sqrt(1 - unansweredShare);
-        double helpersFail =
+    private int silentPeriodsBeforeSuspicion() {
+        double arrivalProbability = Math.sqrt(1 - unansweredShare);
+        double allHelpersFailProbability =
                 Math.pow(
-                        1 - Math.pow(datagramArrives, INDIRECT_PROBE_DATAGRAMS),
+                        1 - Math.pow(arrivalProbability, INDIRECT_PROBE_DATAGRAMS),
                         config.indirectProbeCount());
-        double silentPeriod = unansweredShare * unansweredShare * helpersFail;
+        double silentPeriodProbability = unansweredShare * unansweredShare * allHelpersFailProbability;
         int needed = 1;
-        double probability = silentPeriod;
+        double probability = silentPeriodProbability;
         while (probability > MAX_FALSE_SUSPICION_PROBABILITY && needed < MAX_PROBE_PERIODS) {
             needed++;
-            probability *= silentPeriod;
+            probability *= silentPeriodProbability;
         }
         return needed;
     }
 
     /** A live member has answered: the first ping, or only a repeated or an indirect one. */
-    private void recordAnswer(boolean firstPing) {
-        unansweredShare += ((firstPing ? 0 : 1) - unansweredShare) / LOSS_AVERAGED_OVER;
+    private void recordAnswer(boolean answeredFirstPing) {
+        unansweredShare += ((answeredFirstPing ? 0 : 1) - unansweredShare) / LOSS_AVERAGE_SAMPLES;
         localHealth.improve();
     }
 
@@ -223,7 +223,7 @@
                 schedule.sample(
                         1,
                         !suspects.isEmpty(),
-                        member -> member.suspicion != null && member.suspicion.accusedBy(selfHash));
+                        member -> member.suspicion != null && member.suspicion.isAccusedBy(selfHash));
         if (!accused.isEmpty()) {
             ping(nowTicks, accused.get(0), sender.nextSequenceNumber());
         }
@@ -231,14 +231,14 @@
 
     private MemberRecord nextTarget() {
         int selfHash = table.selfHash();
-        while (!urgent.isEmpty()) {
-            MemberRecord member = urgent.poll();
+        while (!urgentTargets.isEmpty()) {
+            MemberRecord member = urgentTargets.poll();
             boolean unverifiedSuspect =
-                    member.suspicion != null && !member.suspicion.accusedBy(selfHash);
-            if (!member.removed && member.isLive() && (member.contested || unverifiedSuspect)) {
+                    member.suspicion != null && !member.suspicion.isAccusedBy(selfHash);
+            if (!member.removed && member.isLive() && (member.needsConfirmingProbe || unverifiedSuspect)) {
                 return member;
             }
-            member.contested = false;
+            member.needsConfirmingProbe = false;
         }
         return schedule.next();
     }
@@ -328,7 +328,7 @@
             probe.appendFingerprint(text, nowTicks);
         }
         indirectProbes.appendFingerprint(text, nowTicks);
-        urgent.forEach(member -> text.append(' ').append(member.update.name()));
+        urgentTargets.forEach(member -> text.append(' ').append(member.update.name()));
         return text.toString();
     }
 }
--- a/src/main/java/cottonlock/membership/JoinProtocol.java
+++ b/src/main/java/cottonlock/membership/JoinProtocol.java
@@ -10,10 +10,10 @@
 @Deterministic
 final class JoinProtocol {
     /** After so many times the configured wait it becomes alive whatever the views. */
-    private static final int MAX_WAITS = 5;
+    private static final int MAX_JOIN_TIMEOUTS = 5;
 
     /** Parts of the configured wait after which it looks again. */
-    private static final int RECHECKS_PER_WAIT = 4;
+    private static final int RECHECKS_PER_JOIN_TIMEOUT = 4;
 
     private final MembershipProtocolConfig config;
     private final MemberTable table;
@@ -57,15 +57,15 @@
     /** Becomes alive if the views agree or there is no other member; else looks again later. */
     void tryJoin(long nowTicks) {
         boolean alone = table.liveCount() == 0;
-        boolean agrees = alone || table.anyMatch(this::confirmsView);
-        if (agrees || nowTicks - startedAtTicks > MAX_WAITS * config.joinTimeoutTicks()) {
+        boolean viewConfirmed = alone || table.anyMatch(this::confirmsView);
+        if (viewConfirmed || nowTicks - startedAtTicks > MAX_JOIN_TIMEOUTS * config.joinTimeoutTicks()) {
             announcer.announce(nowTicks, table.self().withState(MemberState.ALIVE, 0));
             actions.memberStateChanged(
                     table.self().name(),
                     MemberState.ALIVE,
                     alone ? "nobody else is there" : "its view is that of others");
         } else {
-            dueAtTicks = nowTicks + config.joinTimeoutTicks() / RECHECKS_PER_WAIT;
+            dueAtTicks = nowTicks + config.joinTimeoutTicks() / RECHECKS_PER_JOIN_TIMEOUT;
         }
     }
 
--- a/src/main/java/cottonlock/membership/LocalMemberProtocol.java
+++ b/src/main/java/cottonlock/membership/LocalMemberProtocol.java
@@ -12,10 +12,10 @@
 @Deterministic
 final class LocalMemberProtocol {
     /** How often a joining process outbids a later one of its name before it steps back. */
-    private static final int MAX_OUTBIDS = 4;
+    private static final int MAX_GENERATION_RAISES = 4;
 
     /** Periods of silence after which another process of this name counts as gone. */
-    private static final int DISPLACER_GONE_PERIODS = 20;
+    private static final int DISPLACER_TIMEOUT_PERIODS = 20;
 
     private final MembershipProtocolConfig config;
     private final ProtocolVariants variants;
@@ -37,7 +37,7 @@
     /** The highest accusation of this process that is not refuted yet; null if there is none. */
     private MemberUpdate accusation;
 
-    private int outbids;
+    private int generationRaises;
 
     LocalMemberProtocol(
             MembershipContext context,
@@ -60,7 +60,7 @@
     /** The process has started. */
     void start() {
         displacer = null;
-        outbids = 0;
+        generationRaises = 0;
     }
 
     /** Whether a later process of this name runs; then this one takes no part. */
@@ -74,7 +74,7 @@
     }
 
     /** A datagram of another process of this name has come. */
-    void sameNameHeard(long nowTicks, MemberUpdate sender) {
+    void sameNameDatagramReceived(long nowTicks, MemberUpdate sender) {
         reportReceived(nowTicks, sender, sender.name());
         if (displacer != null && sender.address().equals(displacer.address())) {
             displacerHeardAtTicks = nowTicks;
@@ -83,16 +83,16 @@
 
     /** Whether the later process of this name has been silent for so long that it is gone. */
     boolean isDisplacerGone(long nowTicks) {
-        return nowTicks - displacerHeardAtTicks > DISPLACER_GONE_PERIODS * config.periodTicks();
+        return nowTicks - displacerHeardAtTicks > DISPLACER_TIMEOUT_PERIODS * config.periodTicks();
     }
 
     /** A member has reported an update about this process's name. */
     void reportReceived(long nowTicks, MemberUpdate report, String reporter) {
         MemberUpdate self = table.self();
         int order = report.compareGenerations(self);
-        boolean stranger =
+        boolean isUnknownAddress =
                 !report.address().equals(self.address()) && !context.mayBeMember(report.address());
-        if (order < 0 || self.state() == MemberState.LEFT || stranger) {
+        if (order < 0 || self.state() == MemberState.LEFT || isUnknownAddress) {
             return;
         }
         if (order > 0) {
@@ -104,11 +104,11 @@
 
     private void laterProcessReported(long nowTicks, MemberUpdate report, String reporter) {
         MemberUpdate self = table.self();
-        boolean mayOutbid =
-                self.state() == MemberState.JOINING && displacer == null && outbids < MAX_OUTBIDS;
+        boolean mayRaiseGeneration =
+                self.state() == MemberState.JOINING && displacer == null && generationRaises < MAX_GENERATION_RAISES;
         // An earlier process of this proxy may have had a wrong clock, or has given the name up.
-        if (!report.state().isLive() || report.address().equals(self.address()) || mayOutbid) {
-            outbids += mayOutbid ? 1 : 0;
+        if (!report.state().isLive() || report.address().equals(self.address()) || mayRaiseGeneration) {
+            generationRaises += mayRaiseGeneration ? 1 : 0;
             startGenerationAfter(nowTicks, report);
             return;
         }
@@ -189,6 +189,6 @@
 
     /** All that decides what comes next, for tests that compare states. */
     String fingerprint() {
-        return String.valueOf(displacer) + accusation + outbids;
+        return String.valueOf(displacer) + accusation + generationRaises;
     }
 }
--- a/src/main/java/cottonlock/membership/MemberRecord.java
+++ b/src/main/java/cottonlock/membership/MemberRecord.java
@@ -57,7 +57,7 @@
      * Whether it is to be probed from here before it is declared failed: another member reported
      * its failure, or its suspicion has expired.
      */
-    boolean contested;
+    boolean needsConfirmingProbe;
 
     /** Whether it was removed from the table. */
     boolean removed;
--- a/src/main/java/cottonlock/membership/MemberTable.java
+++ b/src/main/java/cottonlock/membership/MemberTable.java
@@ -189,7 +189,7 @@
         digest += (isLive ? newDigest : 0) - (wasLive ? member.updateDigest : 0);
         liveCount += (isLive ? 1 : 0) - (wasLive ? 1 : 0);
         digestByPartition[member.partition(DatagramCodec.MAX_PARTITIONS)] +=
-                (isLive ? shorten(newDigest) : 0) - (wasLive ? shorten(member.updateDigest) : 0);
+                (isLive ? shortDigest(newDigest) : 0) - (wasLive ? shortDigest(member.updateDigest) : 0);
         divergingCount -= member.diverges() ? 1 : 0;
         if (counted) {
             contactAddresses.remove(member.update);
@@ -201,7 +201,7 @@
     }
 
     /** The part of a digest that is compared by partition. */
-    private static int shorten(long updateDigest) {
+    private static int shortDigest(long updateDigest) {
         return (int) (updateDigest >>> 32);
     }
 
@@ -210,7 +210,7 @@
     }
 
     /** The member that has not been live for the longest time; null if all are live. */
-    MemberRecord longestDead() {
+    MemberRecord longestNotLive() {
         MemberRecord oldest = null;
         for (MemberRecord member : members()) {
             if (!member.isLive()
@@ -228,7 +228,7 @@
         if (member.isLive()) {
             digest -= member.updateDigest;
             liveCount--;
-            digestByPartition[partition] -= shorten(member.updateDigest);
+            digestByPartition[partition] -= shortDigest(member.updateDigest);
         }
         List<MemberRecord> partitionMembers = byPartition.get(partition);
         partitionMembers.remove(insertionPoint(partitionMembers, member.update.name()));
@@ -247,10 +247,10 @@
         } else {
             for (MemberRecord member : others) {
                 digests[member.partition(partitions)] +=
-                        member.isLive() ? shorten(member.updateDigest) : 0;
+                        member.isLive() ? shortDigest(member.updateDigest) : 0;
             }
         }
-        digests[selfPartition(partitions)] += shorten(self.digest());
+        digests[selfPartition(partitions)] += shortDigest(self.digest());
         return digests;
     }
 
@@ -261,17 +261,17 @@
     /** Updates of the live members of a partition, in the order of names, this process's too. */
     List<MemberUpdate> liveUpdates(int partitions, int partition) {
         List<MemberUpdate> updates = new ArrayList<>();
-        boolean selfDue = selfPartition(partitions) == partition;
+        boolean selfPending = selfPartition(partitions) == partition;
         for (MemberRecord member : candidates(partitions, partition)) {
-            if (selfDue && member.update.name().compareTo(self.name()) > 0) {
+            if (selfPending && member.update.name().compareTo(self.name()) > 0) {
                 updates.add(self);
-                selfDue = false;
+                selfPending = false;
             }
             if (member.isLive() && member.partition(partitions) == partition) {
                 updates.add(member.update);
             }
         }
-        if (selfDue) {
+        if (selfPending) {
             updates.add(self);
         }
         return updates;
@@ -292,9 +292,9 @@
         List<MemberRecord> result = new ArrayList<>();
         List<MemberRecord> candidates = candidates(partitions, partition);
         int from = insertionPoint(candidates, after);
-        boolean found =
+        boolean startsWithAfter =
                 from < candidates.size() && candidates.get(from).update.name().equals(after);
-        for (MemberRecord member : candidates.subList(found ? from + 1 : from, candidates.size())) {
+        for (MemberRecord member : candidates.subList(startsWithAfter ? from + 1 : from, candidates.size())) {
             if (last != null && member.update.name().compareTo(last) > 0) {
                 break;
             }
--- a/src/main/java/cottonlock/membership/Membership.java
+++ b/src/main/java/cottonlock/membership/Membership.java
@@ -147,7 +147,7 @@
      * @param length bytes of the datagram at the beginning of the array
      */
     public long datagramReceived(long nowTicks, String from, byte[] bytes, int length) {
-        beginCall(nowTicks);
+        detectStall(nowTicks);
         if (discardsInput) {
             countEvent(MembershipMetric.STALE);
         } else {
@@ -158,7 +158,7 @@
 
     /** The time last returned has come or is past. */
     public long timerFired(long nowTicks) {
-        beginCall(nowTicks);
+        detectStall(nowTicks);
         discardsInput = false;
         localMember.refute(nowTicks, "others");
         if (table.self().state() == MemberState.LEFT) {
@@ -177,7 +177,7 @@
     private void runProtocol(long nowTicks) {
         failureDetector.timerFired(nowTicks);
         suspicionRules.expireSuspicions(nowTicks);
-        contactScheduler.contactUnknown(nowTicks);
+        contactScheduler.pingContactAddresses(nowTicks);
         if (joinProtocol.isJoining() && nowTicks >= joinProtocol.dueAtTicks()) {
             joinProtocol.tryJoin(nowTicks);
         }
@@ -206,7 +206,7 @@
     }
 
     /** Begins each call from outside: notices a stall of this process. */
-    private void beginCall(long nowTicks) {
+    private void detectStall(long nowTicks) {
         sender.setStall(workerProgress.stallTicks(nowTicks));
         if (nowTicks > dueAtTicks + MAX_TIMER_DELAY_TICKS) {
             processStalled(nowTicks, nowTicks - dueAtTicks);
--- a/src/main/java/cottonlock/membership/MembershipService.java
+++ b/src/main/java/cottonlock/membership/MembershipService.java
@@ -20,7 +20,7 @@
  */
 public final class MembershipService implements Runnable, AutoCloseable {
     /** Interval at which it is checked whether another process of this proxy has taken over. */
-    private static final int REPLACED_CHECK_MILLIS = 100;
+    private static final int REPLACED_CHECK_INTERVAL_MILLIS = 100;
 
     /**
      * A process that takes over waits so long before it starts, so that the replaced one notices
@@ -121,7 +121,7 @@
         }
         try {
             if (!completion.awaitClose(host.replaced() == null ? 0 : TAKEOVER_DELAY_MILLIS)) {
-                takePart();
+                runUntilClosed();
             }
         } catch (InterruptedException e) {
             // The process is ending before it has joined.
@@ -130,7 +130,7 @@
         }
     }
 
-    private void takePart() {
+    private void runUntilClosed() {
         start();
         DatagramPacket packet = new DatagramPacket(new byte[BUFFER_BYTES], BUFFER_BYTES);
         while (!closed) {
@@ -158,7 +158,7 @@
             membership.workerProgressedAt(host.workerProgress().getAsLong());
             dueAtTicks =
                     standingBy
-                            ? nowTicks + Ticks.ofMillis(REPLACED_CHECK_MILLIS)
+                            ? nowTicks + Ticks.ofMillis(REPLACED_CHECK_INTERVAL_MILLIS)
                             : membership.timerFired(nowTicks);
         }
     }
@@ -166,7 +166,7 @@
     private void receive(DatagramPacket packet, long nowTicks) {
         try {
             long waitMillis =
-                    Math.min(REPLACED_CHECK_MILLIS, Ticks.toMillis(dueAtTicks - nowTicks));
+                    Math.min(REPLACED_CHECK_INTERVAL_MILLIS, Ticks.toMillis(dueAtTicks - nowTicks));
             socket.setSoTimeout((int) Math.max(1, waitMillis));
             packet.setLength(BUFFER_BYTES);
             socket.receive(packet);
@@ -209,7 +209,7 @@
         if (host.replaced() == null || nowTicks < replacedCheckAtTicks) {
             return;
         }
-        replacedCheckAtTicks = nowTicks + Ticks.ofMillis(REPLACED_CHECK_MILLIS);
+        replacedCheckAtTicks = nowTicks + Ticks.ofMillis(REPLACED_CHECK_INTERVAL_MILLIS);
         boolean replaced = host.replaced().getAsBoolean();
         if (replaced == standingBy) {
             return;
--- a/src/main/java/cottonlock/membership/MessageReceiver.java
+++ b/src/main/java/cottonlock/membership/MessageReceiver.java
@@ -55,7 +55,7 @@
         } else if (!message.sender.address().equals(from) || !context.mayBeMember(from)) {
             metrics.increment(MembershipMetric.UNKNOWN_SENDERS);
         } else if (message.sender.name().equals(table.self().name())) {
-            localMember.sameNameHeard(nowTicks, message.sender);
+            localMember.sameNameDatagramReceived(nowTicks, message.sender);
             notifyOutdated(nowTicks, message, table.self());
         } else {
             receiveFromMember(nowTicks, message);
@@ -63,19 +63,19 @@
     }
 
     private void receiveFromMember(long nowTicks, Message message) {
-        MemberUpdate sending = message.sender;
-        MemberRecord known = table.get(sending.name());
-        if (known != null && known.update.compareGenerations(sending) > 0) {
-            staleReceived(nowTicks, message, known);
+        MemberUpdate senderClaim = message.sender;
+        MemberRecord known = table.get(senderClaim.name());
+        if (known != null && known.update.compareGenerations(senderClaim) > 0) {
+            receiveStale(nowTicks, message, known);
             return;
         }
-        boolean newGeneration = known == null || known.update.compareGenerations(sending) < 0;
+        boolean newGeneration = known == null || known.update.compareGenerations(senderClaim) < 0;
         if (!newGeneration && !known.acceptDatagramNumber(message.datagramNumber)) {
             metrics.increment(MembershipMetric.DUPLICATES);
             return;
         }
-        merger.merge(nowTicks, sending, sending.name());
-        MemberRecord member = table.get(sending.name());
+        merger.merge(nowTicks, senderClaim, senderClaim.name());
+        MemberRecord member = table.get(senderClaim.name());
         if (member == null) {
             answerWithoutRecord(nowTicks, message);
             return;
@@ -94,7 +94,7 @@
     }
 
     /** A datagram of an earlier process of the member, which may be late or still be running. */
-    private void staleReceived(long nowTicks, Message message, MemberRecord member) {
+    private void receiveStale(long nowTicks, Message message, MemberRecord member) {
         metrics.increment(MembershipMetric.STALE);
         for (MemberUpdate update : message.updates) {
             // Two processes that hold each other's generation for outdated learn it only here.
--- a/src/main/java/cottonlock/membership/ProtocolVariants.java
+++ b/src/main/java/cottonlock/membership/ProtocolVariants.java
@@ -61,7 +61,7 @@
     }
 
     /** How often an update is retransmitted. */
-    int transmitLimit(int usual) {
-        return usual;
+    int transmitLimit(int defaultLimit) {
+        return defaultLimit;
     }
 }
--- a/src/main/java/cottonlock/membership/SuspicionRules.java
+++ b/src/main/java/cottonlock/membership/SuspicionRules.java
@@ -46,7 +46,7 @@
                     member,
                     member.update.withState(MemberState.SUSPECT, selfHash),
                     reason);
-            if (member.contested) {
+            if (member.needsConfirmingProbe) {
                 member.suspicion.confirmFully();
             }
         }
@@ -75,7 +75,7 @@
             return true;
         }
         // Other members may have missed the refutation, so the member is probed from here first.
-        if (!member.suspicion.accusedBy(table.selfHash())
+        if (!member.suspicion.isAccusedBy(table.selfHash())
                 && context.variants().probesBeforeFailing()
                 && member.suspicion.defer(nowTicks, config.periodTicks())) {
             failureDetector.probeBeforeFailing(member);
--- a/src/main/java/cottonlock/membership/SuspicionTimer.java
+++ b/src/main/java/cottonlock/membership/SuspicionTimer.java
@@ -27,7 +27,7 @@
     private double confirmedShare;
 
     /** The suspicion does not expire before this time, whatever is confirmed. */
-    private long notBeforeTicks;
+    private long earliestExpiryTicks;
 
     /**
      * Starts a suspicion.
@@ -74,21 +74,21 @@
     }
 
     /** Whether a member is among the accusers. */
-    boolean accusedBy(int accuserHash) {
+    boolean isAccusedBy(int accuserHash) {
         return accusers.contains(accuserHash);
     }
 
     /** When the suspicion becomes a failure. */
     long expiresAtTicks() {
         return Math.max(
-                notBeforeTicks,
+                earliestExpiryTicks,
                 startedAtTicks + Math.round(maxTicks - (maxTicks - minTicks) * confirmedShare));
     }
 
     /** Excludes a stall of this process, and leaves the minimum time for a late refutation. */
     void extendForStall(long nowTicks, long stallTicks) {
         startedAtTicks += stallTicks;
-        notBeforeTicks = nowTicks + minTicks;
+        earliestExpiryTicks = nowTicks + minTicks;
     }
 
     /**
@@ -97,8 +97,8 @@
      * @return false if it can't be deferred any further
      */
     boolean defer(long nowTicks, long delayTicks) {
-        notBeforeTicks = Math.min(nowTicks + delayTicks, startedAtTicks + 2 * maxTicks);
-        return notBeforeTicks > nowTicks;
+        earliestExpiryTicks = Math.min(nowTicks + delayTicks, startedAtTicks + 2 * maxTicks);
+        return earliestExpiryTicks > nowTicks;
     }
 
     long startedAtTicks() {
--- a/src/main/java/cottonlock/membership/UpdateBroadcastQueue.java
+++ b/src/main/java/cottonlock/membership/UpdateBroadcastQueue.java
@@ -35,7 +35,7 @@
     private final int capacity;
 
     /** Number of queued updates, superseded ones among them. */
-    private int queued;
+    private int queuedCount;
 
     /**
      * Creates an empty queue.
@@ -53,31 +53,31 @@
         if (previous != null) {
             previous.superseded = true;
         }
-        transmitted(0).addFirst(broadcast);
-        queued++;
+        queueFor(0).addFirst(broadcast);
+        queuedCount++;
         discardExcess();
     }
 
     private void discardExcess() {
         int transmits = byTransmits.size() - 1;
-        while (transmits >= 0 && queued > 2 * capacity) {
+        while (transmits >= 0 && queuedCount > 2 * capacity) {
             Broadcast last = byTransmits.get(transmits).pollLast();
             if (last == null) {
                 transmits--;
             } else {
-                discarded(last);
+                onDiscarded(last);
             }
         }
     }
 
-    private void discarded(Broadcast broadcast) {
-        queued--;
+    private void onDiscarded(Broadcast broadcast) {
+        queuedCount--;
         if (!broadcast.superseded) {
             newestByName.remove(broadcast.update.name());
         }
     }
 
-    private Deque<Broadcast> transmitted(int transmits) {
+    private Deque<Broadcast> queueFor(int transmits) {
         while (byTransmits.size() <= transmits) {
             byTransmits.add(new ArrayDeque<>());
         }
@@ -91,18 +91,18 @@
      * @param excludedName a member whose update is in the datagram already
      */
     void fill(DatagramWriter out, int transmitLimit, String excludedName) {
-        boolean fits = true;
+        boolean hasSpace = true;
         List<Broadcast> sent = new ArrayList<>();
-        for (int transmits = 0; transmits < byTransmits.size() && fits; transmits++) {
+        for (int transmits = 0; transmits < byTransmits.size() && hasSpace; transmits++) {
             Iterator<Broadcast> iterator = byTransmits.get(transmits).iterator();
-            while (iterator.hasNext() && fits) {
+            while (iterator.hasNext() && hasSpace) {
                 Broadcast broadcast = iterator.next();
                 if (broadcast.superseded || transmits >= transmitLimit) {
                     iterator.remove();
-                    discarded(broadcast);
+                    onDiscarded(broadcast);
                 } else if (!broadcast.update.name().equals(excludedName)) {
-                    fits = out.addUpdate(broadcast.update);
-                    if (fits) {
+                    hasSpace = out.addUpdate(broadcast.update);
+                    if (hasSpace) {
                         iterator.remove();
                         broadcast.transmits = transmits + 1;
                         sent.add(broadcast);
@@ -110,7 +110,7 @@
                 }
             }
         }
-        sent.forEach(broadcast -> transmitted(broadcast.transmits).addLast(broadcast));
+        sent.forEach(broadcast -> queueFor(broadcast.transmits).addLast(broadcast));
     }
 
     /** Number of members about which an update is queued. */
--- a/src/main/java/cottonlock/membership/UpdateMerger.java
+++ b/src/main/java/cottonlock/membership/UpdateMerger.java
@@ -148,7 +148,7 @@
         if (!table.isFull()) {
             return true;
         }
-        MemberRecord oldest = table.longestDead();
+        MemberRecord oldest = table.longestNotLive();
         if (oldest == null) {
             context.metrics().increment(MembershipMetric.REJECTED_WHEN_FULL);
             return false;
