--- a/src/main/java/cottonlock/membership/AddressFormat.java
+++ b/src/main/java/cottonlock/membership/AddressFormat.java
@@ -7,10 +7,10 @@
  */
 @Deterministic
 final class AddressFormat {
-    /** Length of an address as text: IPv6 in brackets, with a port. */
+    /** Maximum length of an address as text: an IPv6 address in brackets with a port. */
     static final int MAX_TEXT_LENGTH = 47;
 
-    /** Bytes of an IPv4 address with its port, without the byte that says so. */
+    /** Bytes of an IPv4 address with its port, without the marker byte before them. */
     static final int IPV4_BYTES = 6;
 
     private static final int IPV4_OCTETS = 4;
@@ -21,7 +21,7 @@
     /**
      * An IPv4 address with a port.
      *
-     * @param host its four octets, the first one in the highest byte
+     * @param host the four octets, the first one in the highest byte
      */
     record Ipv4(int host, int port) {}
 
@@ -54,7 +54,7 @@
         return valid ? new Ipv4(host, port) : null;
     }
 
-    /** Whether a character ends the number with that index: the last octet ends with a colon. */
+    /** Whether a character ends the number at an index: a colon after the last octet, else a dot. */
     private static boolean isSeparator(char character, int index) {
         if (index == IPV4_OCTETS - 1) {
             return character == ':';
--- a/src/main/java/cottonlock/membership/AntiEntropy.java
+++ b/src/main/java/cottonlock/membership/AntiEntropy.java
@@ -9,31 +9,32 @@
 import java.util.TreeMap;
 
 /**
- * Repairs views that differ. Each datagram carries a digest of its sender's view. Where one has
- * differed for a while, this process sends digests of the partitions of the names; the other
- * answers with pages of the partitions that differ, and gets back what is newer here. For the
+ * Repairs views that differ. Each datagram carries a digest of its sender's view. If a
+ * member's digest has differed from this one for a while, this process sends it one digest for each
+ * partition of the member names. The member answers with pages of the partitions that differ, and
+ * this process answers the pages with the updates that are newer here. Confined to the
  * thread of its {@link Membership}.
  */
 @Deterministic
 final class AntiEntropy {
-    /** Pages sent for one request; the rest of a large view takes further requests. */
+    /** Maximum pages sent for one request; the rest of a large view takes further requests. */
     private static final int MAX_PAGES = 4;
 
-    /** New updates for which the next exchange follows without a longer pause. */
+    /** New updates received between two exchanges from which on the pause is reset to its minimum. */
     private static final int MIN_PRODUCTIVE_UPDATES = 2;
 
     private static final int MAX_PAUSE_PERIODS = 8;
 
-    /** Members of one partition, about as many as fit into a datagram. */
+    /** Desired number of members in a partition, about as many as fit into a datagram. */
     private static final int PARTITION_MEMBERS = 8;
 
     /** Bytes of one partition's digest. */
     private static final int DIGEST_BYTES = 4;
 
-    /** A member heard within so many periods can be asked. */
+    /** An exchange starts only with a member heard within this number of periods. */
     private static final int HEARD_WITHIN_PERIODS = 4;
 
-    /** Periods until the next look if no view differs. */
+    /** Periods until the next check while no view differs. */
     private static final int IDLE_CHECK_PERIODS = 4;
 
     private final MembershipProtocolConfig config;
@@ -46,10 +47,10 @@
     private long dueAtTicks = MemberRecord.NEVER;
     private long lastExchangeAtTicks = MemberRecord.NEVER;
 
-    /** Periods between two exchanges. */
+    /** Pause between two exchanges, in periods. */
     private int pausePeriods = 1;
 
-    /** New updates that the last exchange has brought. */
+    /** New updates received in pages and answers since the last exchange started. */
     private int newUpdatesReceived;
 
     AntiEntropy(MembershipContext context) {
@@ -75,17 +76,20 @@
         return isJoining() ? config.periodTicks() / 4 : pausePeriods * config.periodTicks();
     }
 
-    /** For how long a view may differ before an exchange: piggybacked updates may repair it. */
+    /**
+     * How long a view must have differed before an exchange: piggybacked updates may repair it
+     * meanwhile. A joining process does not wait.
+     */
     private long settleTicks() {
         return isJoining() ? 0 : config.periodTicks();
     }
 
-    /** Counts the updates of a page that were new here. */
+    /** Counts updates of a page, or of the answer to one, that were new here. */
     void countNewUpdates(int count) {
         newUpdatesReceived += count;
     }
 
-    /** Compares a member's digest with this view's; returns whether they are equal. */
+    /** Compares a member's digest with this view's digest; returns whether they are equal. */
     boolean compareDigest(long nowTicks, MemberRecord member, long digest) {
         if (digest == table.digest()) {
             table.setDivergedSince(member, MemberRecord.NEVER);
@@ -114,7 +118,7 @@
                                     : IDLE_CHECK_PERIODS * config.periodTicks());
             return;
         }
-        // Under permanent churn views never become equal, and exchanges bring next to nothing.
+        // Under permanent churn views never become equal, and exchanges bring few new updates.
         pausePeriods =
                 newUpdatesReceived >= MIN_PRODUCTIVE_UPDATES
                         ? 1
@@ -150,7 +154,7 @@
     /**
      * Answers a member's partition digests with pages of the partitions that differ.
      *
-     * @param firstPartition at which the comparison starts
+     * @param firstPartition the partition at which the comparison starts
      */
     void digestsReceived(long nowTicks, Message message, MemberRecord member, int firstPartition) {
         int[] own = table.partitionDigests(message.partitionDigests.length);
@@ -164,7 +168,7 @@
     }
 
     /**
-     * Sends the updates of one partition, in several pages if need be.
+     * Sends the updates of one partition in one or more pages.
      *
      * @return the number of pages sent; {@code maxPages} if not all were sent
      */
@@ -192,7 +196,7 @@
                 return sent;
             }
             if (next == end) {
-                // Continues with the names before the first one sent.
+                // Continues with the names before the one at which it started.
                 next = 0;
                 end = first;
                 afterName = "";
@@ -202,8 +206,9 @@
     }
 
     /**
-     * Where the pages of a partition start. A partition that is longer than the pages sent at once
-     * starts at a random name, as otherwise its last names would never be sent.
+     * Index of the update at which the pages of a partition start. A long partition starts at a
+     * random name: if not all of its pages can be sent at once, its last names would otherwise
+     * never be sent.
      */
     private int startIndex(int partitions, int size) {
         boolean startsAtRandomName =
@@ -222,7 +227,8 @@
     }
 
     /**
-     * Answers a page, whose updates were merged before, with what is newer here or missing there.
+     * Answers a page, whose updates are already merged, with the updates that are newer here or
+     * missing in the page.
      */
     void pageReceived(long nowTicks, Message page, MemberRecord member) {
         List<MemberUpdate> newer = newerThan(page, member);
--- a/src/main/java/cottonlock/membership/BandwidthLimit.java
+++ b/src/main/java/cottonlock/membership/BandwidthLimit.java
@@ -6,7 +6,7 @@
 /**
  * Token bucket that bounds the bytes sent in any second. Its depth is a quarter of the limit, and
  * three quarters are refilled in a second, so that a full bucket and a second's refill together
- * stay within the limit. For the thread of its {@link Membership}.
+ * stay within the limit. Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class BandwidthLimit {
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Whether so many bytes may be sent now.
+     * Whether this number of bytes may be sent now.
      *
-     * @param reservedShare share of the depth, 0 to 1, that must be left after them
+     * @param reservedShare share of the bucket's depth, 0 to 1, that must remain afterwards
      */
     boolean allows(long nowTicks, int bytes, double reservedShare) {
         if (nowTicks > refilledAtTicks) {
@@ -42,7 +42,7 @@
         return availableBytes - bytes >= reservedShare * depthBytes;
     }
 
-    /** Takes so many bytes out of the bucket. */
+    /** Takes this number of bytes out of the bucket. */
     void consume(long nowTicks, int bytes) {
         allows(nowTicks, bytes, 0);
         availableBytes -= bytes;
--- a/src/main/java/cottonlock/membership/ContactAddresses.java
+++ b/src/main/java/cottonlock/membership/ContactAddresses.java
@@ -9,8 +9,8 @@
 import java.util.TreeSet;
 
 /**
- * Addresses at which a member may be found that is not known to be live: contacts and addresses of
- * failed members at which no live member is known. Maintained with each update. For the thread of
+ * Addresses at which a member that is not known to be live may be found: contacts and addresses of
+ * failed members, except those at which a live member is known. Maintained with each update. Confined to the thread of
  * its {@link Membership}.
  */
 @Deterministic
@@ -30,12 +30,12 @@
         this.candidates = new TreeSet<>(contacts);
     }
 
-    /** An update is in the table from now on. */
+    /** Counts an update that was added to the table. */
     void add(MemberUpdate update) {
         adjustCount(update, 1);
     }
 
-    /** An update is no longer in the table. */
+    /** Discounts an update that was removed from the table. */
     void remove(MemberUpdate update) {
         adjustCount(update, -1);
     }
@@ -55,7 +55,7 @@
         }
     }
 
-    /** The addresses, sorted, without the excluded one. The list is the caller's. */
+    /** The addresses, sorted, without the excluded one, as a new list that the caller may modify. */
     List<String> candidates(String excluded) {
         List<String> result = new ArrayList<>(candidates);
         result.remove(excluded);
--- a/src/main/java/cottonlock/membership/ContactScheduler.java
+++ b/src/main/java/cottonlock/membership/ContactScheduler.java
@@ -7,26 +7,26 @@
 import java.util.SplittableRandom;
 
 /**
- * Sends the datagrams that are due at a slower rate than probes. What they are depends on the state
- * of this process: pings to addresses at which an unknown or failed member may be found, pings that
- * look for a later process of the same name, or announcements that this process leaves. For the
+ * Sends the datagrams that are not probes of known members. Which ones depends on the state of this
+ * process: pings to addresses at which an unknown or failed member may be found, pings to find out
+ * whether a later process of the same name still runs, or announcements that this process leaves. Confined to the
  * thread of its {@link Membership}.
  */
 @Deterministic
 final class ContactScheduler {
-    /** Addresses pinged at once by a process that knows no live member. */
+    /** Addresses pinged at once by a process that is joining or knows no live member. */
     private static final int CONTACTS_WHILE_ALONE = 2;
 
-    /** Periods between two looks for a later process of this name. */
+    /** Periods between two pings to a later process of this name. */
     private static final int DISPLACER_PROBE_PERIODS = 4;
 
-    /** How often a leaving process announces that it leaves. */
+    /** Number of times a leaving process announces that it leaves. */
     private static final int LEAVE_ANNOUNCEMENTS = 3;
 
-    /** Leave announcements in a period. */
+    /** Number of leave announcements in a period. */
     private static final int LEAVE_ANNOUNCEMENTS_PER_PERIOD = 4;
 
-    /** Members that a leave announcement goes to, besides as many as help with probes. */
+    /** Receivers of a leave announcement, in addition to the number of indirect probes. */
     private static final int LEAVE_RECEIVERS = 2;
 
     private final MembershipProtocolConfig config;
@@ -55,12 +55,12 @@
         return dueAtTicks;
     }
 
-    /** The next datagrams are due at once. */
+    /** Makes the next datagrams due at once. */
     void start(long nowTicks) {
         dueAtTicks = nowTicks;
     }
 
-    /** Pings an address at which no live member is known, if that is due. */
+    /** Pings addresses at which no live member is known, if that is due. */
     void pingContactAddresses(long nowTicks) {
         if (nowTicks < dueAtTicks) {
             return;
@@ -75,7 +75,10 @@
                 nowTicks + config.periodTicks() * (joiningOrAlone ? 1 : config.contactIntervalPeriods());
     }
 
-    /** Looks for the later process of this name, if that is due; resumes if it is gone. */
+    /**
+     * Pings the later process of this name and a random member, if that is due. Resumes if the later
+     * process is gone.
+     */
     void probeDisplacer(long nowTicks) {
         if (nowTicks < dueAtTicks) {
             return;
--- a/src/main/java/cottonlock/membership/DatagramAuthenticator.java
+++ b/src/main/java/cottonlock/membership/DatagramAuthenticator.java
@@ -27,7 +27,7 @@
     /**
      * Reads the keys. Datagrams are signed with the first one; tags of each are valid.
      *
-     * @throws IOException for a file that can't be read or holds no key
+     * @throws IOException if a file can't be read or holds no valid key
      */
     DatagramAuthenticator(List<Path> keyFiles) throws IOException {
         for (Path keyFile : keyFiles) {
@@ -37,12 +37,12 @@
                 mac.init(new SecretKeySpec(key, ALGORITHM));
                 macs.add(mac);
             } catch (GeneralSecurityException e) {
-                throw new IOException("no " + ALGORITHM + " is there: " + e.getMessage(), e);
+                throw new IOException(ALGORITHM + " is not available: " + e.getMessage(), e);
             }
         }
     }
 
-    /** The key that a file holds: its bytes without white space at both ends. */
+    /** Reads the key in a file: its bytes without leading and trailing white space. */
     private static byte[] readKey(Path keyFile) throws IOException {
         if (!Files.isRegularFile(keyFile)) {
             throw new IOException("the key file " + keyFile + " is not there");
@@ -84,7 +84,7 @@
     /**
      * Verifies a datagram's tag.
      *
-     * @return the number of bytes before the tag; -1 without a valid one
+     * @return the number of bytes before the tag; -1 if there is no valid tag
      */
     int verify(byte[] signed, int length) {
         int contentLength = length - TAG_BYTES;
--- a/src/main/java/cottonlock/membership/DatagramCodec.java
+++ b/src/main/java/cottonlock/membership/DatagramCodec.java
@@ -5,9 +5,9 @@
 import java.util.zip.CRC32;
 
 /**
- * Maps messages to bytes and back. The first byte begins no UTF-8 text, so that the load balancer's
- * own datagrams may use the same socket; the last four are a CRC-32 of all before, as UDP's
- * checksum is short. Numbers are big-endian. docs/membership.md describes the layout.
+ * Maps messages to bytes and back. The first byte can't start a UTF-8 text, so that the load balancer's
+ * own datagrams may use the same socket. The last four bytes are a CRC-32 of all bytes before them,
+ * because UDP's checksum has only 16 bits. Numbers are big-endian. docs/membership.md describes the layout.
  */
 @Deterministic
 final class DatagramCodec {
@@ -17,16 +17,19 @@
     /** The first byte of each datagram. */
     static final int MAGIC = 0xFB;
 
-    /** Raised with each change of the layout that an older process would misread. */
+    /** Version of the layout, raised with each change that an older process would misread. */
     private static final int VERSION = 1;
 
-    /** Length of a member's name: two updates and a header with such names fit into a datagram. */
+    /** Maximum length of a member's name: a header and two updates with such names fit into a datagram. */
     static final int MAX_NAME_LENGTH = 32;
 
-    /** Partitions of the names in a message with partition digests. */
+    /** Maximum number of partitions of the names in a message with partition digests. */
     static final int MAX_PARTITIONS = 32;
 
-    /** Highest valid generation: the year 6429 in milliseconds, with space left to raise it. */
+    /**
+     * Highest valid generation: the year 6429 in milliseconds since 1970. This leaves space to raise
+     * the generation of a process.
+     */
     static final long MAX_GENERATION = 1L << 47;
 
     /** Bytes of a generation. */
@@ -38,10 +41,10 @@
     /** Bytes of the checksum. */
     static final int CHECKSUM_BYTES = 4;
 
-    /** Where the flags stand. */
+    /** Offset of the flags byte. */
     static final int FLAGS_OFFSET = 2;
 
-    /** Stands before an IPv4 address in the place of a text's length. */
+    /** Precedes an IPv4 address in binary, where other addresses have the length of their text. */
     static final int IPV4_MARKER = 4;
 
     /** Flag of {@link Message#lastPage}. */
@@ -57,7 +60,7 @@
 
     private DatagramCodec() {}
 
-    /** Writes a message's header and the fields of its kind; updates may be added to it. */
+    /** Writes a message's header and the fields of its kind; updates may be added afterwards. */
     static DatagramWriter writerFor(Message message, int maxBytes) {
         DatagramWriter out = new DatagramWriter(maxBytes);
         MemberUpdate sender = message.sender;
@@ -113,7 +116,7 @@
         }
     }
 
-    /** Reads a datagram; null for bytes that are not a valid datagram of this protocol. */
+    /** Decodes a datagram; null for bytes that are not a valid datagram of this protocol. */
     static Message decode(byte[] bytes, int length) {
         int contentLength = Math.min(length, bytes.length) - CHECKSUM_BYTES;
         if (length > MAX_DATAGRAM_BYTES
@@ -145,7 +148,7 @@
         for (int i = 0; i < updates && in.isValid(); i++) {
             message.updates.add(in.readUpdate());
         }
-        // Suspicion and failure are stated by other members only.
+        // A process never claims to be suspected or failed itself.
         in.expect(!state.isAccusation());
         return in.isValid() && in.atEnd() ? message : null;
     }
--- a/src/main/java/cottonlock/membership/DatagramReader.java
+++ b/src/main/java/cottonlock/membership/DatagramReader.java
@@ -82,7 +82,7 @@
             return host + ":" + readNumber(2);
         }
         String address = new String(readBytes(marker), ISO_8859_1);
-        // IPv4 as text is refused: with two forms of one address views could differ for good.
+        // IPv4 as text is rejected: with two forms of one address views could differ permanently.
         expect(
                 marker > DatagramCodec.IPV4_MARKER
                         && marker <= AddressFormat.MAX_TEXT_LENGTH
@@ -103,7 +103,7 @@
         return incarnation;
     }
 
-    /** An update; null if its state is none. */
+    /** An update; null if its state is unknown. */
     MemberUpdate readUpdate() {
         MemberState state = MemberState.ofWireNumber(readByte());
         if (!expect(state != null)) {
--- a/src/main/java/cottonlock/membership/DatagramSender.java
+++ b/src/main/java/cottonlock/membership/DatagramSender.java
@@ -5,12 +5,12 @@
 import cottonlock.setup.MembershipProtocolConfig;
 
 /**
- * Encodes and sends datagrams within the bandwidth limit, and piggybacks updates on them. For the
+ * Encodes and sends datagrams within the bandwidth limit, and piggybacks updates on them. Confined to the
  * thread of its {@link Membership}.
  */
 @Deterministic
 final class DatagramSender {
-    /** Share of the bandwidth limit's depth that is left to probes and their answers. */
+    /** Share of the token bucket's depth that is reserved for probes and their answers. */
     static final double LOW_PRIORITY_RESERVE = 0.4;
 
     private static final int TICKS_PER_CENTISECOND = 100;
@@ -34,7 +34,7 @@
     /**
      * Creates a sender.
      *
-     * @param reservedBytes of each datagram that stay free for an authentication tag
+     * @param reservedBytes bytes of each datagram that stay free for an authentication tag
      */
     DatagramSender(
             MembershipProtocolConfig config,
@@ -75,22 +75,22 @@
                                         / Math.log(2)));
     }
 
-    /** This process starts another generation: its datagrams are counted from the beginning. */
+    /** Restarts the numbering of datagrams, for a new generation of this process. */
     void resetDatagramNumbers() {
         datagramNumber = 0;
     }
 
-    /** Sets for how long the worker has made no progress; datagrams carry that. */
+    /** Sets for how long the worker has made no progress, which each datagram carries. */
     void setStall(long stallTicks) {
         stallCentis = (int) Math.min(MAX_STALL_CENTIS, stallTicks / TICKS_PER_CENTISECOND);
     }
 
-    /** A number that associates an answer with a probe. */
+    /** The next number to associate an answer with a probe. */
     int nextSequenceNumber() {
         return ++sequenceNumber;
     }
 
-    /** A message of this process, without fields of its kind. Each takes a datagram number. */
+    /** Creates a message without the fields of its kind. Each one uses up a datagram number. */
     Message newMessage(Kind kind) {
         return new Message(
                 kind,
@@ -100,7 +100,7 @@
                 stallCentis);
     }
 
-    /** The same with a sequence number. */
+    /** Creates a message with a sequence number. */
     Message newMessage(Kind kind, int messageSequenceNumber) {
         Message message = newMessage(kind);
         message.sequenceNumber = messageSequenceNumber;
@@ -116,24 +116,24 @@
         return DatagramCodec.MAX_DATAGRAM_BYTES - reservedBytes;
     }
 
-    /** Bytes that a message of that kind, without fields, leaves free. Takes a datagram number. */
+    /** Free bytes of a message of a kind with empty fields. Uses up a datagram number. */
     int freeBytes(Kind kind) {
         return maxBytes() - writerFor(newMessage(kind)).size();
     }
 
-    /** Sends a message of high priority to a member, with updates. */
+    /** Sends a message with high priority to a member, with piggybacked updates. */
     boolean send(long nowTicks, MemberRecord receiver, Message message) {
         return send(nowTicks, receiver.update.address(), receiver, message);
     }
 
-    /** Sends a message of high priority to an address at which no member may be known. */
+    /** Sends a message with high priority to an address at which possibly no member is known. */
     boolean send(long nowTicks, String address, Message message) {
         return send(nowTicks, address, null, message);
     }
 
     /**
-     * Sends a message of high priority with updates; first the accusation against the receiver, if
-     * there is one.
+     * Sends a message with high priority and piggybacked updates. The accusation against the
+     * receiver, if there is one, comes first.
      *
      * @param receiver the member at the address; null if none is known
      * @return false if the bandwidth limit was reached
@@ -150,7 +150,7 @@
         return send(nowTicks, address, out, 0);
     }
 
-    /** Sends what was encoded with low priority: some of the bandwidth is left to probes. */
+    /** Sends an encoded message with low priority: part of the bandwidth is reserved for probes. */
     boolean sendLowPriority(long nowTicks, String address, DatagramWriter out) {
         return send(nowTicks, address, out, LOW_PRIORITY_RESERVE);
     }
--- a/src/main/java/cottonlock/membership/DatagramWriter.java
+++ b/src/main/java/cottonlock/membership/DatagramWriter.java
@@ -18,13 +18,13 @@
     private final int contentLimit;
     private int position;
 
-    /** Where the number of updates stands. */
+    /** Offset of the byte that counts the updates. */
     private int updateCountPosition;
 
     /**
      * Creates an empty datagram.
      *
-     * @param maxBytes of the whole datagram, its checksum among them
+     * @param maxBytes maximum size of the whole datagram including its checksum
      */
     DatagramWriter(int maxBytes) {
         this.contentLimit = maxBytes - DatagramCodec.CHECKSUM_BYTES;
@@ -46,7 +46,7 @@
         writeBytes(text.getBytes(ISO_8859_1));
     }
 
-    /** Writes an IPv4 address in six bytes after a marker, any other address as text. */
+    /** Writes an IPv4 address as a marker and six bytes, any other address as text. */
     void writeAddress(String address) {
         AddressFormat.Ipv4 ipv4 = AddressFormat.parseIpv4(address);
         if (ipv4 == null) {
@@ -65,9 +65,9 @@
     }
 
     /**
-     * Adds an update if there is space for it.
+     * Adds an update if it fits.
      *
-     * @return false if there is none
+     * @return false if there is no space for it
      */
     boolean addUpdate(MemberUpdate update) {
         if (position + size(update) > contentLimit
@@ -103,7 +103,7 @@
         bytes[DatagramCodec.FLAGS_OFFSET] |= DatagramCodec.LAST_PAGE_FLAG;
     }
 
-    /** Bytes of the whole datagram, its checksum among them. */
+    /** Size of the whole datagram including its checksum, in bytes. */
     int size() {
         return position + DatagramCodec.CHECKSUM_BYTES;
     }
--- a/src/main/java/cottonlock/membership/FailureDetector.java
+++ b/src/main/java/cottonlock/membership/FailureDetector.java
@@ -9,28 +9,28 @@
 import java.util.SplittableRandom;
 
 /**
- * Probes the members, one in each period: directly, and if there is no answer through other members
- * (SWIM). A member that answers neither is reported to a {@link SuspicionListener}. For the thread
+ * Probes the members, one in each period: first directly and, if there is no answer, through other
+ * members (SWIM). A member that answers neither way is reported to a {@link SuspicionListener}. Confined to the thread
  * of its {@link Membership}.
  */
 @Deterministic
 final class FailureDetector {
-    /** Answers over which the rate of lost probes is averaged. */
+    /** Number of answers over which the share of unanswered first pings is averaged. */
     private static final double LOSS_AVERAGE_SAMPLES = 20;
 
-    /** A member is suspected if silence of a live one would be at most so probable. */
+    /** A member is suspected once the probability that a live one is silent so long is at most this. */
     private static final double MAX_FALSE_SUSPICION_PROBABILITY = 0.02;
 
-    /** Periods over which a member is probed before it is suspected, at most. */
+    /** Maximum number of periods over which a member is probed before it is suspected. */
     private static final int MAX_PROBE_PERIODS = 4;
 
-    /** Datagrams that an indirect probe takes, there and back. */
+    /** Datagrams of an indirect probe: request, ping, answer and relayed answer. */
     private static final int INDIRECT_PROBE_DATAGRAMS = 4;
 
-    /** Without any datagram for so many periods the fault may lie with this process. */
+    /** If no datagram has come for this number of periods, the fault may lie with this process. */
     private static final int MAX_LOCAL_SILENCE_PERIODS = 2;
 
-    /** A member heard within so many periods can help. */
+    /** Members heard within this number of periods are preferred as helpers. */
     private static final int HEARD_WITHIN_PERIODS = 4;
 
     private static final int TICKS_PER_CENTISECOND = 100;
@@ -45,18 +45,18 @@
     private final IndirectProbes indirectProbes;
     private final LocalHealth localHealth;
 
-    /** Members to be probed before the schedule's next one. */
+    /** Members to be probed before the next one of the schedule. */
     private final Deque<MemberRecord> urgentTargets = new ArrayDeque<>();
 
     /** The probe in progress; null before the first one and while there are no members. */
     private Probe probe;
 
-    /** Moving average of the share of live members that did not answer at once. */
+    /** Moving average of the share of answered probes whose first ping got no answer. */
     private double unansweredShare;
 
     private long periodEndsAtTicks;
 
-    /** When any member was last heard. */
+    /** When a datagram of any member last came. */
     private long heardAtTicks = MemberRecord.NEVER;
 
     FailureDetector(MembershipContext context, SuspectSet suspects, SuspicionListener listener) {
@@ -92,8 +92,9 @@
     }
 
     /**
-     * Others suspect a member: it is probed soon with a probability such that, of a large
-     * membership, a few members do so and the suspect can answer all of them.
+     * Called when a member becomes suspected: with some probability it is probed soon. The probability
+     * is such that in a large membership only a few members do so, and the suspect can answer them
+     * all.
      */
     void maybeProbeSoon(MemberRecord member) {
         if (random.nextInt(1 + table.liveCount()) < 2 * config.confirmationCount()
@@ -102,7 +103,10 @@
         }
     }
 
-    /** Others found a member failed, or it is about to be: it is probed from here next. */
+    /**
+     * Makes a member the next one to be probed. Called before it is declared failed, and when others
+     * report its failure.
+     */
     void probeBeforeFailing(MemberRecord member) {
         if (!member.needsConfirmingProbe && urgentTargets.size() < config.maxMembers()) {
             member.needsConfirmingProbe = true;
@@ -150,7 +154,7 @@
     /** Ends an unanswered probe; returns whether the same member is probed for another period. */
     private boolean handleUnansweredProbe(long nowTicks) {
         probe.finished = true;
-        // No answer of the helpers either, or no datagram at all: the fault may lie here.
+        // If no helper reports a result either, or no datagram comes at all, the fault may be local.
         boolean faultMayBeLocal =
                 probe.helpers > 0
                         ? probe.nacks == 0
@@ -187,7 +191,10 @@
         ping(nowTicks, target, probe.sequenceNumber);
     }
 
-    /** How many periods a live member is unlikely to be silent for, by the present rate of loss. */
+    /**
+     * The number of silent periods after which a member is suspected: a live one is unlikely to be
+     * silent for so long at the present rate of loss.
+     */
     private int silentPeriodsBeforeSuspicion() {
         double arrivalProbability = Math.sqrt(1 - unansweredShare);
         double allHelpersFailProbability =
@@ -204,7 +211,11 @@
         return needed;
     }
 
-    /** A live member has answered: the first ping, or only a repeated or an indirect one. */
+    /**
+     * Records that the probed member has answered.
+     *
+     * @param answeredFirstPing false if it answered only a repeated or an indirect ping
+     */
     private void recordAnswer(boolean answeredFirstPing) {
         unansweredShare += ((answeredFirstPing ? 0 : 1) - unansweredShare) / LOSS_AVERAGE_SAMPLES;
         localHealth.improve();
@@ -216,7 +227,7 @@
         sender.send(nowTicks, target, message);
     }
 
-    /** Pings one member that this process accuses: the ping carries the accusation to it. */
+    /** Pings one member that this process accuses, to deliver the accusation with the ping. */
     private void pingOneOwnSuspect(long nowTicks) {
         int selfHash = table.selfHash();
         List<MemberRecord> accused =
@@ -256,7 +267,7 @@
         ping(nowTicks, probe.target, probe.sequenceNumber);
     }
 
-    /** Prefers members heard lately: beyond a network partition none can help. */
+    /** Prefers members heard lately: those beyond a network partition can't help. */
     private List<MemberRecord> chooseHelpers(long nowTicks) {
         List<MemberRecord> helpers =
                 schedule.sample(
@@ -274,7 +285,7 @@
         return member != probe.target && member.update.state() == MemberState.ALIVE;
     }
 
-    /** A member has answered a ping, of this process's own probe or of one made for another. */
+    /** Handles the answer to a ping of this process's own probe or of one made for another member. */
     void ackReceived(long nowTicks, Message ack, MemberRecord member) {
         boolean responsive = isResponsive(ack.stallCentis);
         if (isAnswerToProbe(ack)) {
@@ -300,7 +311,7 @@
         return probe != null && probe.sequenceNumber == message.sequenceNumber && !probe.finished;
     }
 
-    /** Whether a process whose worker has stalled for so long still counts as working. */
+    /** Whether a process whose worker has been stalled for this long still counts as working. */
     boolean isResponsive(int stallCentis) {
         return (long) stallCentis * TICKS_PER_CENTISECOND <= config.stallTimeoutTicks();
     }
@@ -320,7 +331,7 @@
         }
     }
 
-    /** All that decides what comes next, for tests that compare states. */
+    /** The state that determines future behavior as text, for tests that compare states. */
     String fingerprint(long nowTicks) {
         StringBuilder text = new StringBuilder();
         text.append(localHealth.score()).append(' ').append(periodEndsAtTicks - nowTicks);
--- a/src/main/java/cottonlock/membership/IndirectProbes.java
+++ b/src/main/java/cottonlock/membership/IndirectProbes.java
@@ -7,8 +7,7 @@
 import java.util.List;
 
 /**
- * Probes that this process makes at the request of other members. Each request is answered by an
- * indirect acknowledgement, or after a while by a negative one. For the thread of its {@link
+ * Probes that this process makes at the request of other members. Each request is answered by an indirect acknowledgement or, after a timeout, by a negative one. Confined to the thread of its {@link
  * Membership}.
  */
 @Deterministic
@@ -43,7 +42,7 @@
         return probes.isEmpty() ? Long.MAX_VALUE : probes.get(0).expiresAtTicks;
     }
 
-    /** A member requests a probe of another one. */
+    /** Starts a probe that a member has requested of another one. */
     void pingRequestReceived(long nowTicks, Message request, MemberRecord requester) {
         if (request.target.equals(table.self().name()) || probes.size() >= config.maxMembers()) {
             return;
@@ -61,7 +60,11 @@
         sender.send(nowTicks, request.targetAddress, table.get(request.target), ping);
     }
 
-    /** A member has answered; {@code responsive}: and its answer shows that it works. */
+    /**
+     * Relays a member's answer to the requesters of its probe.
+     *
+     * @param responsive whether the answer shows that the member's worker makes progress
+     */
     void ackReceived(long nowTicks, Message ack, MemberRecord member, boolean responsive) {
         for (IndirectProbe probe : List.copyOf(probes)) {
             if (probe.sequenceNumber == ack.sequenceNumber
@@ -73,7 +76,7 @@
         }
     }
 
-    /** Answers requests negatively whose probes were not answered in time. */
+    /** Sends a negative answer to requests whose probes were not answered in time. */
     void expire(long nowTicks) {
         while (!probes.isEmpty() && nowTicks >= probes.get(0).expiresAtTicks) {
             reply(nowTicks, probes.remove(0), Kind.NACK, false);
@@ -89,7 +92,7 @@
         }
     }
 
-    /** All that decides what comes next, for tests that compare states. */
+    /** Appends the state that determines future behavior, for tests that compare states. */
     void appendFingerprint(StringBuilder text, long nowTicks) {
         for (IndirectProbe probe : probes) {
             text.append(' ')
--- a/src/main/java/cottonlock/membership/JoinProtocol.java
+++ b/src/main/java/cottonlock/membership/JoinProtocol.java
@@ -4,15 +4,15 @@
 import cottonlock.setup.MembershipProtocolConfig;
 
 /**
- * Decides when a joining process becomes alive: once its view equals that of a live member, or
- * after a while if it finds no member at all. For the thread of its {@link Membership}.
+ * Decides when a joining process becomes alive: once its view equals that of a live member, or after
+ * a timeout if it finds no member or no view becomes equal. Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class JoinProtocol {
-    /** After so many times the configured wait it becomes alive whatever the views. */
+    /** After this number of join timeouts the process becomes alive even if the views differ. */
     private static final int MAX_JOIN_TIMEOUTS = 5;
 
-    /** Parts of the configured wait after which it looks again. */
+    /** Number of rechecks in the time of one join timeout. */
     private static final int RECHECKS_PER_JOIN_TIMEOUT = 4;
 
     private final MembershipProtocolConfig config;
@@ -29,13 +29,13 @@
         this.announcer = announcer;
     }
 
-    /** The process has started. */
+    /** Called when the process has started. */
     void start(long nowTicks) {
         startedAtTicks = nowTicks;
         restart(nowTicks);
     }
 
-    /** The process has become {@link MemberState#JOINING} again. */
+    /** Called when the process has become {@link MemberState#JOINING} again. */
     void restart(long nowTicks) {
         dueAtTicks = nowTicks + config.joinTimeoutTicks();
     }
@@ -54,7 +54,7 @@
         return table.self().state() == MemberState.JOINING;
     }
 
-    /** Becomes alive if the views agree or there is no other member; else looks again later. */
+    /** Becomes alive if the views agree or there is no other member; otherwise rechecks later. */
     void tryJoin(long nowTicks) {
         boolean alone = table.liveCount() == 0;
         boolean viewConfirmed = alone || table.anyMatch(this::confirmsView);
--- a/src/main/java/cottonlock/membership/LocalHealth.java
+++ b/src/main/java/cottonlock/membership/LocalHealth.java
@@ -3,8 +3,8 @@
 import cottonlock.core.Deterministic;
 
 /**
- * How unreliable this process's own observations are, as in Lifeguard: a process that gets no
- * answers at all, is suspected or has stalled waits longer before it suspects others. For the
+ * Score of how unreliable this process's own observations are, as in Lifeguard: a process that gets
+ * no answers at all, is suspected or has stalled waits longer before it suspects others. Confined to the
  * thread of its {@link Membership}.
  */
 @Deterministic
@@ -16,7 +16,7 @@
         this.maxScore = maxScore;
     }
 
-    /** 0, healthy, to the configured maximum. */
+    /** The score, from 0 (healthy) to the configured maximum. */
     int score() {
         return score;
     }
--- a/src/main/java/cottonlock/membership/LocalMember.java
+++ b/src/main/java/cottonlock/membership/LocalMember.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What a process is to the other members, and where it finds them.
+ * A process as the other members know it, and the addresses at which it finds them.
  *
- * @param name of the proxy, the same over its restarts
- * @param address where others reach this process, an IP address and a port
- * @param contacts addresses at which others may be found; its own may be among them
- * @param membersAreFixed whether no address besides the contacts may be a member's
- * @param generation milliseconds since 1970 at the process's start, by this machine's clock; it may
+ * @param name name of the proxy, the same over its restarts
+ * @param address address at which others reach this process, an IP address and a port
+ * @param contacts addresses at which others may be found; may include its own
+ * @param membersAreFixed whether only the contacts may be addresses of members
+ * @param generation milliseconds since 1970 at the process's start by this machine's clock, which may
  *     be wrong
  */
 public record LocalMember(
--- a/src/main/java/cottonlock/membership/LocalMemberProtocol.java
+++ b/src/main/java/cottonlock/membership/LocalMemberProtocol.java
@@ -5,16 +5,16 @@
 import java.util.Locale;
 
 /**
- * Handles what others report about this process. It refutes accusations by a higher incarnation,
- * outbids earlier processes of its name by a higher generation, and steps back as long as a later
- * process of its name runs. For the thread of its {@link Membership}.
+ * Handles what others report about this process. It refutes accusations by a higher
+ * incarnation, takes a higher generation than earlier processes of its name, and stays passive as
+ * long as a later process of its name runs. Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class LocalMemberProtocol {
-    /** How often a joining process outbids a later one of its name before it steps back. */
+    /** How often a joining process raises its generation above a later one's before it yields. */
     private static final int MAX_GENERATION_RAISES = 4;
 
-    /** Periods of silence after which another process of this name counts as gone. */
+    /** Periods of silence after which a later process of this name counts as gone. */
     private static final int DISPLACER_TIMEOUT_PERIODS = 20;
 
     private final MembershipProtocolConfig config;
@@ -31,7 +31,7 @@
     /** The later process of this name; null if there is none. */
     private MemberUpdate displacer;
 
-    /** When that process was last heard directly. */
+    /** When the later process was last heard directly. */
     private long displacerHeardAtTicks;
 
     /** The highest accusation of this process that is not refuted yet; null if there is none. */
@@ -57,13 +57,13 @@
         this.workerProgress = workerProgress;
     }
 
-    /** The process has started. */
+    /** Called when the process has started. */
     void start() {
         displacer = null;
         generationRaises = 0;
     }
 
-    /** Whether a later process of this name runs; then this one takes no part. */
+    /** Whether a later process of this name runs; while it does, this one is passive. */
     boolean isDisplaced() {
         return displacer != null;
     }
@@ -73,7 +73,7 @@
         return displacer;
     }
 
-    /** A datagram of another process of this name has come. */
+    /** Handles the sender's claim in a datagram of another process of this name. */
     void sameNameDatagramReceived(long nowTicks, MemberUpdate sender) {
         reportReceived(nowTicks, sender, sender.name());
         if (displacer != null && sender.address().equals(displacer.address())) {
@@ -81,12 +81,12 @@
         }
     }
 
-    /** Whether the later process of this name has been silent for so long that it is gone. */
+    /** Whether the later process of this name has been silent for so long that it counts as gone. */
     boolean isDisplacerGone(long nowTicks) {
         return nowTicks - displacerHeardAtTicks > DISPLACER_TIMEOUT_PERIODS * config.periodTicks();
     }
 
-    /** A member has reported an update about this process's name. */
+    /** Handles an update about this process's name that a member has reported. */
     void reportReceived(long nowTicks, MemberUpdate report, String reporter) {
         MemberUpdate self = table.self();
         int order = report.compareGenerations(self);
@@ -106,7 +106,8 @@
         MemberUpdate self = table.self();
         boolean mayRaiseGeneration =
                 self.state() == MemberState.JOINING && displacer == null && generationRaises < MAX_GENERATION_RAISES;
-        // An earlier process of this proxy may have had a wrong clock, or has given the name up.
+        // The other process has ended, or it may be an earlier process of this proxy whose clock
+        // was ahead.
         if (!report.state().isLive() || report.address().equals(self.address()) || mayRaiseGeneration) {
             generationRaises += mayRaiseGeneration ? 1 : 0;
             startGenerationAfter(nowTicks, report);
@@ -138,7 +139,7 @@
         }
     }
 
-    /** The later process of this name is gone: this one takes part again. */
+    /** Called when the later process of this name is gone: this one becomes active again. */
     void resume(long nowTicks) {
         startGenerationAfter(nowTicks, displacer);
     }
@@ -159,7 +160,7 @@
     }
 
     /**
-     * Refutes a pending accusation, unless the worker is stalled and the accusation so justified.
+     * Refutes a pending accusation, unless the worker is stalled, which justifies the accusation.
      */
     void refute(long nowTicks, String reporter) {
         if (accusation == null || workerProgress.isStalled(nowTicks)) {
@@ -187,7 +188,7 @@
         failureDetector.localHealth().degrade(1);
     }
 
-    /** All that decides what comes next, for tests that compare states. */
+    /** The state that determines future behavior as text, for tests that compare states. */
     String fingerprint() {
         return String.valueOf(displacer) + accusation + generationRaises;
     }
--- a/src/main/java/cottonlock/membership/MemberRecord.java
+++ b/src/main/java/cottonlock/membership/MemberRecord.java
@@ -3,7 +3,7 @@
 import cottonlock.core.Deterministic;
 
 /**
- * What this process knows of one other member. Times are in ticks of 0.1 ms. For the thread of its
+ * What this process knows about one other member. Times are in ticks of 0.1 ms. Confined to the thread of its
  * {@link Membership}.
  */
 @Deterministic
@@ -11,19 +11,19 @@
     /** A time before all others. */
     static final long NEVER = Long.MIN_VALUE / 4;
 
-    /** Datagrams that may overtake one another; an older one counts as a duplicate. */
+    /** Number of datagrams that may arrive out of order; an older one counts as a duplicate. */
     private static final int REORDERING_WINDOW = 64;
 
-    /** The highest update received. Changed by {@link MemberTable#replace} only. */
+    /** The highest update received. Changed only by {@link MemberTable#replace}. */
     MemberUpdate update;
 
-    /** {@link MemberUpdate#digest} of the update, kept because it is summed often. */
+    /** {@link MemberUpdate#digest} of the update, cached because it is summed often. */
     long updateDigest;
 
-    /** When the member got its state. */
+    /** When the member's state last changed. */
     long stateSinceTicks;
 
-    /** Why it has its state, in words. */
+    /** Why it has its state, as text for operators. */
     String reason = "";
 
     /** Hash of the member's name. */
@@ -47,15 +47,15 @@
     /** Since when its view differs from this one; {@link #NEVER}: it does not. */
     long divergedSinceTicks = NEVER;
 
-    /** When this process last sent it the accusation that is held against it. */
+    /** When this process last sent it the accusation against it. */
     long notifiedAtTicks = NEVER;
 
     /** The suspicion in progress; null if there is none. */
     SuspicionTimer suspicion;
 
     /**
-     * Whether it is to be probed from here before it is declared failed: another member reported
-     * its failure, or its suspicion has expired.
+     * Whether this process must probe the member before it declares it failed: another member has
+     * reported its failure, or its suspicion has expired.
      */
     boolean needsConfirmingProbe;
 
@@ -64,7 +64,7 @@
 
     private long highestDatagramNumber = -1;
 
-    /** Bit n: whether the datagram with the number {@code highestDatagramNumber - n} has come. */
+    /** Bit n: whether the datagram with the number {@code highestDatagramNumber - n} was received. */
     private long receivedBits;
 
     MemberRecord(MemberUpdate update, long nowTicks) {
@@ -74,7 +74,7 @@
         this.nameHash = MemberUpdate.nameHash(update.name());
     }
 
-    /** Discards what was observed of the process before: another one runs under the name. */
+    /** Discards the observations of the previous process, as another one now runs under the name. */
     void resetForNewGeneration() {
         heardAtTicks = NEVER;
         ackedAtTicks = NEVER;
@@ -87,7 +87,7 @@
     /**
      * Records a datagram's number.
      *
-     * @return false for a duplicate, and for a number too old to tell
+     * @return false for a duplicate, and for a number too old to be checked
      */
     boolean acceptDatagramNumber(long number) {
         if (number > highestDatagramNumber) {
@@ -119,12 +119,12 @@
         return isLive() && divergedSinceTicks != NEVER;
     }
 
-    /** The partition of the names in which the member lies. */
+    /** The partition of the names that the member belongs to. */
     int partition(int partitions) {
         return Math.floorMod(nameHash, partitions);
     }
 
-    /** All that decides what comes next, for tests that compare states. */
+    /** Appends the state that determines future behavior, for tests that compare states. */
     void appendFingerprint(StringBuilder text, long nowTicks) {
         text.append(update).append(diverges()).append(stallCentis);
         if (suspicion != null) {
--- a/src/main/java/cottonlock/membership/MemberState.java
+++ b/src/main/java/cottonlock/membership/MemberState.java
@@ -1,13 +1,13 @@
 package cottonlock.membership;
 
 /**
- * The state of a member. The constants stand in the order of precedence: of two updates with the
+ * The state of a member. The constants are declared in the order of precedence: of two updates with the
  * same generation and incarnation, the one with the later state supersedes the other.
  */
 public enum MemberState {
-    /** The process has started and has not yet received the others' views. */
+    /** The process is joining: its view does not yet equal that of a live member. */
     JOINING(0),
-    /** The process takes part. */
+    /** The process takes part in the protocol. */
     ALIVE(1),
     /** A member did not get a timely answer; the process may still refute that. */
     SUSPECT(2),
@@ -34,7 +34,7 @@
         return this == SUSPECT || this == FAILED;
     }
 
-    /** The number by which datagrams name the state. */
+    /** The number that denotes the state in datagrams. */
     int wireNumber() {
         return wireNumber;
     }
--- a/src/main/java/cottonlock/membership/MemberTable.java
+++ b/src/main/java/cottonlock/membership/MemberTable.java
@@ -9,8 +9,8 @@
 import java.util.function.Predicate;
 
 /**
- * All members that one process knows, itself among them, and the digest of that view. Counts and
- * digests are maintained with each change, so that reading them needs no look at all members. For
+ * All members that one process knows, including itself, and the digest of that view. Counts and
+ * digests are maintained with each change, so that reading them takes no iteration over all members. Confined to
  * the thread of its {@link Membership}.
  */
 @Deterministic
@@ -49,7 +49,8 @@
     /**
      * Creates a table that holds this process alone.
      *
-     * @param maxMembers in the table, this process and members that have failed or left among them
+     * @param maxMembers capacity of the table, counting this process and members that have failed
+     *     or left
      */
     MemberTable(MemberUpdate self, int maxMembers, ContactAddresses contactAddresses) {
         this.self = self;
@@ -119,7 +120,7 @@
         return false;
     }
 
-    /** Addresses at which a member may be found that is not known to be live. */
+    /** Addresses at which a member that is not known to be live may be found. */
     ContactAddresses contactAddresses() {
         return contactAddresses;
     }
@@ -150,7 +151,7 @@
         return null;
     }
 
-    /** Adds a member that was unknown. Its update does not count before {@link #replace}. */
+    /** Adds an unknown member. Its update is not counted before {@link #replace} is called. */
     MemberRecord add(MemberUpdate update, long nowTicks) {
         MemberRecord member = new MemberRecord(update, nowTicks);
         others.add(member);
@@ -200,7 +201,7 @@
         divergingCount += member.diverges() ? 1 : 0;
     }
 
-    /** The part of a digest that is compared by partition. */
+    /** The upper half of an update's digest, which is summed in partition digests. */
     private static int shortDigest(long updateDigest) {
         return (int) (updateDigest >>> 32);
     }
@@ -237,7 +238,7 @@
         member.removed = true;
     }
 
-    /** Digests of the live members of each of so many partitions, this process among them. */
+    /** Digest of the live members of each partition, including this process. */
     int[] partitionDigests(int partitions) {
         int[] digests = new int[partitions];
         if (DatagramCodec.MAX_PARTITIONS % partitions == 0) {
@@ -258,7 +259,7 @@
         return Math.floorMod(selfHash(), partitions);
     }
 
-    /** Updates of the live members of a partition, in the order of names, this process's too. */
+    /** Updates of the live members of a partition, in the order of names, including this process. */
     List<MemberUpdate> liveUpdates(int partitions, int partition) {
         List<MemberUpdate> updates = new ArrayList<>();
         boolean selfPending = selfPartition(partitions) == partition;
@@ -277,7 +278,7 @@
         return updates;
     }
 
-    /** Members in the order of names, those of the partition among them. */
+    /** Members in the order of names, among which are all of the partition. */
     private List<MemberRecord> candidates(int partitions, int partition) {
         return partitions == DatagramCodec.MAX_PARTITIONS ? byPartition.get(partition) : members();
     }
@@ -285,8 +286,8 @@
     /**
      * Members of a partition, in the order of names.
      *
-     * @param after they follow this name
-     * @param last they end with this name; null: with the last one
+     * @param after the members follow this name
+     * @param last the last name included; null: the members extend to the last name
      */
     List<MemberRecord> membersBetween(int partitions, int partition, String after, String last) {
         List<MemberRecord> result = new ArrayList<>();
--- a/src/main/java/cottonlock/membership/Membership.java
+++ b/src/main/java/cottonlock/membership/Membership.java
@@ -6,22 +6,21 @@
 import java.util.SplittableRandom;
 
 /**
- * One process's part in the membership protocol, a pure state machine: datagrams, timers and the
- * time come in as arguments, datagrams and notifications go out through {@link MembershipActions}
- * during the call.
+ * One process's part in the membership protocol, a pure state machine: datagrams, timer
+ * events and the time are passed in as arguments; datagrams and notifications are passed out through
+ * {@link MembershipActions} during the call.
  *
  * <p>The protocol is SWIM with Lifeguard's extensions and anti-entropy. A {@link FailureDetector}
  * probes the members; {@link SuspicionRules} turn missing answers into suspicions and suspicions
  * that are not refuted into failures; updates are piggybacked on datagrams; {@link AntiEntropy}
  * repairs views that still differ. docs/membership.md gives the reasons.
  *
- * <p>Not thread-safe: its owner calls it by one thread at a time. Times are in ticks of 0.1 ms and
- * never go back. Each call that takes the time may change when {@link #timerFired} is due, and
+ * <p>Not thread-safe: its owner must call it from one thread at a time. Times are in ticks of 0.1 ms and never decrease. Each call that takes the time may change when {@link #timerFired} is due, and
  * returns that time unless it says otherwise.
  */
 @Deterministic
 public final class Membership {
-    /** A timer that fires later than this shows that the process itself was stalled. */
+    /** A call that comes later than this after the timer was due shows that the process was stalled. */
     private static final long MAX_TIMER_DELAY_TICKS = 1_000;
 
     private final MembershipContext context;
@@ -43,16 +42,16 @@
 
     private long dueAtTicks;
 
-    /** Whether datagrams are discarded until the timer fires, as they were queued for too long. */
+    /** Whether datagrams are discarded until the timer fires, because they were queued too long. */
     private boolean discardsInput;
 
     /**
      * Creates the state of a process that has just started.
      *
      * @param self this process
-     * @param reservedBytes of each datagram that stay free for an authentication tag
-     * @param random for all choices
-     * @throws IllegalArgumentException for a name that can't be a member's
+     * @param reservedBytes bytes of each datagram that stay free for an authentication tag
+     * @param random source of all random choices
+     * @throws IllegalArgumentException if the name is not valid for a member
      */
     public Membership(
             MembershipProtocolConfig config,
@@ -109,7 +108,7 @@
         suspicionRules.probeFailed(nowTicks, member, reason);
     }
 
-    /** Starts, or starts again after another process has taken part in this one's place. */
+    /** Starts, or restarts after another process has taken part in place of this one. */
     public long start(long nowTicks) {
         MemberUpdate self = table.self();
         if (self.state() != MemberState.JOINING) {
@@ -135,7 +134,7 @@
         workerProgress.progressedAt(progressAtTicks);
     }
 
-    /** Counts an event outside, as a datagram that failed authentication. */
+    /** Counts an event noticed by the caller, such as a datagram that failed authentication. */
     public void countEvent(MembershipMetric metric) {
         context.metrics().increment(metric);
     }
@@ -156,7 +155,7 @@
         return schedule(nowTicks);
     }
 
-    /** The time last returned has come or is past. */
+    /** To be called when the time last returned has come. */
     public long timerFired(long nowTicks) {
         detectStall(nowTicks);
         discardsInput = false;
@@ -205,7 +204,7 @@
         return dueAtTicks;
     }
 
-    /** Begins each call from outside: notices a stall of this process. */
+    /** Called at the start of each event: detects a stall of this process. */
     private void detectStall(long nowTicks) {
         sender.setStall(workerProgress.stallTicks(nowTicks));
         if (nowTicks > dueAtTicks + MAX_TIMER_DELAY_TICKS) {
@@ -214,7 +213,9 @@
         }
     }
 
-    /** This process was stalled: answers it waited for may have come and gone unread. */
+    /**
+     * Handles a stall of this process, during which expected answers may have been dropped unread.
+     */
     private void processStalled(long nowTicks, long stallTicks) {
         if (config.maxLocalHealthScore() == 0 || !context.variants().tracksLocalHealth()) {
             return;
@@ -230,8 +231,8 @@
     }
 
     /**
-     * Joins again after a stall so long that others may have forgotten members that died meanwhile:
-     * neither its view nor the datagrams in its socket may be spread as new.
+     * Joins again after a stall so long that others may have removed members that failed meanwhile.
+     * Neither this process's view nor the datagrams queued in its socket may be spread as new.
      */
     private void rejoin(long nowTicks) {
         discardsInput = true;
@@ -243,7 +244,7 @@
         joinProtocol.restart(nowTicks);
     }
 
-    /** Announces that this process ends. It goes on answering until it has ended. */
+    /** Announces that this process ends. It still answers until it has ended. */
     public long leave(long nowTicks) {
         if (table.self().state() != MemberState.LEFT) {
             announcer.announce(nowTicks, table.self().withState(MemberState.LEFT, 0));
@@ -261,7 +262,7 @@
     /**
      * Sends data of another subsystem to a live member, once and unreliably.
      *
-     * @param topic which subsystem it belongs to, 0 to 255
+     * @param topic the subsystem that the data belongs to, 0 to 255
      * @param payload at most {@link #maxPayloadBytes} long
      * @return false if it could not be sent now
      */
@@ -300,7 +301,7 @@
         return viewBuilder.build(nowTicks);
     }
 
-    /** All that decides what comes next, for tests that compare states. */
+    /** The state that determines future behavior as text, for tests that compare states. */
     String fingerprint(long nowTicks) {
         StringBuilder text = new StringBuilder();
         text.append(table.self()).append(localMember.fingerprint());
--- a/src/main/java/cottonlock/membership/MembershipActions.java
+++ b/src/main/java/cottonlock/membership/MembershipActions.java
@@ -1,29 +1,29 @@
 package cottonlock.membership;
 
 /**
- * What a {@link Membership} does to its surroundings. Called during the calls of {@link
- * Membership}, by their thread.
+ * The outputs of a {@link Membership}. Called during calls of the {@link Membership}, by the same
+ * thread.
  */
 public interface MembershipActions {
     /**
      * Sends a datagram. It may be lost.
      *
-     * @param address of the receiver, an IP address without a host name, and a port
+     * @param address address of the receiver: an IP address, never a host name, and a port
      */
     void send(String address, byte[] datagram);
 
     /**
-     * A member, or this process itself, has another state now.
+     * Called when the state of a member or of this process has changed.
      *
-     * @param reason in words, for logs
+     * @param reason text for logs
      */
     void memberStateChanged(String name, MemberState state, String reason);
 
     /**
-     * A payload of another subsystem has come from a member's process.
+     * Called when a payload of another subsystem has come from a member.
      *
-     * @param generation of the member's process
-     * @param topic which subsystem it belongs to
+     * @param generation generation of the member's process
+     * @param topic the subsystem that the payload belongs to
      */
     default void payloadReceived(String name, long generation, int topic, byte[] payload) {}
 }
--- a/src/main/java/cottonlock/membership/MembershipContext.java
+++ b/src/main/java/cottonlock/membership/MembershipContext.java
@@ -6,17 +6,17 @@
 import java.util.TreeSet;
 
 /**
- * What the parts of one {@link Membership} share.
+ * The objects shared by the parts of one {@link Membership}.
  *
- * @param config of the protocol
- * @param variants rules that tests replace
- * @param actions where datagrams and notifications go
- * @param random for all choices; the order of its draws is part of a replay
- * @param contacts addresses at which members may be found, without the process's own
- * @param membersAreFixed whether no address besides the contacts may be a member's
+ * @param config configuration of the protocol
+ * @param variants rules that tests may override
+ * @param actions outputs for datagrams and notifications
+ * @param random source of all random choices; replays depend on the order of its draws
+ * @param contacts addresses at which members may be found, except the process's own
+ * @param membersAreFixed whether only the contacts may be addresses of members
  * @param metrics the counters
  * @param table all members
- * @param sender of datagrams
+ * @param sender sends datagrams
  * @param schedule order in which members are probed
  */
 record MembershipContext(
@@ -34,7 +34,7 @@
     /**
      * Creates the parts of a process that has just started.
      *
-     * @throws IllegalArgumentException for a name that can't be a member's
+     * @throws IllegalArgumentException if the name is not valid for a member
      */
     static MembershipContext create(
             MembershipProtocolConfig config,
@@ -77,7 +77,7 @@
         return new MemberUpdate(self.name(), self.address(), generation, 0, MemberState.JOINING, 0);
     }
 
-    /** Whether an address can be another member's. */
+    /** Whether an address may be that of another member. */
     boolean mayBeMember(String address) {
         return !membersAreFixed || contacts.contains(address);
     }
--- a/src/main/java/cottonlock/membership/MembershipMetric.java
+++ b/src/main/java/cottonlock/membership/MembershipMetric.java
@@ -1,18 +1,21 @@
 package cottonlock.membership;
 
-/** Counters of one process's part in the membership protocol, since it started. */
+/** Counters of the membership protocol in one process, since it started. */
 public enum MembershipMetric {
     /** Datagrams sent. */
     SENT("sent"),
     /** Datagrams not sent because the bandwidth limit was reached. */
     THROTTLED("held"),
-    /** Received bytes that are no datagram of this protocol. */
+    /** Received datagrams that are not valid in this protocol. */
     MALFORMED("malformed"),
-    /** Datagrams from an address that no member has, or that name another sender's address. */
+    /**
+     * Datagrams from an address that can't be a member's, or whose sender claims another address than
+     * the one they came from.
+     */
     UNKNOWN_SENDERS("strangers"),
-    /** Datagrams received twice, or too late to tell. */
+    /** Datagrams received twice, or too late to detect a duplicate. */
     DUPLICATES("repeated"),
-    /** Datagrams of an earlier generation of their sender. */
+    /** Datagrams of an earlier generation of their sender, or queued during a long stall. */
     STALE("outdated"),
     /** Datagrams without a valid authentication tag. */
     UNAUTHENTICATED("forged"),
@@ -24,7 +27,7 @@
     FAILURES("failures"),
     /** Suspicions of this process that it has refuted. */
     REFUTATIONS("refutations"),
-    /** Stalls of this process that it noticed itself. */
+    /** Stalls of this process that it has detected itself. */
     LOCAL_STALLS("standstills"),
     /** Anti-entropy exchanges started. */
     EXCHANGES("exchanges");
@@ -35,7 +38,7 @@
         this.label = label;
     }
 
-    /** The metric's name in management lines and in the figures. */
+    /** The metric's name in management replies and in the metrics file. */
     public String label() {
         return label;
     }
--- a/src/main/java/cottonlock/membership/MembershipMetrics.java
+++ b/src/main/java/cottonlock/membership/MembershipMetrics.java
@@ -4,7 +4,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** The counters of one process. For the thread of its {@link Membership}. */
+/** The counters of one process. Confined to the thread of its {@link Membership}. */
 @Deterministic
 final class MembershipMetrics {
     private final Map<MembershipMetric, Long> counts = new EnumMap<>(MembershipMetric.class);
--- a/src/main/java/cottonlock/membership/MembershipReport.java
+++ b/src/main/java/cottonlock/membership/MembershipReport.java
@@ -62,7 +62,7 @@
         return state.name().toLowerCase(Locale.ROOT);
     }
 
-    /** Milliseconds of so many ticks; -1 for a negative number, which stands for none. */
+    /** Converts ticks to milliseconds; -1 for a negative number, which means that there is no time. */
     private static long millisOrNone(long ticks) {
         return ticks < 0 ? -1 : Ticks.toMillis(ticks);
     }
--- a/src/main/java/cottonlock/membership/MembershipService.java
+++ b/src/main/java/cottonlock/membership/MembershipService.java
@@ -15,26 +15,26 @@
 
 /**
  * Runs a {@link Membership} on a UDP socket. The thread that executes {@link #run} owns the
- * socket's input and the timer; the other methods may be called by any thread. The state machine,
- * its actions and the authenticator are guarded by the state machine's monitor.
+ * socket's input and the timer; the other methods may be called by any thread. The state machine, its actions and the authenticator are guarded by the state machine's monitor.
  */
 public final class MembershipService implements Runnable, AutoCloseable {
-    /** Interval at which it is checked whether another process of this proxy has taken over. */
+    /** Interval of the checks whether another process of this proxy has taken over. */
     private static final int REPLACED_CHECK_INTERVAL_MILLIS = 100;
 
     /**
-     * A process that takes over waits so long before it starts, so that the replaced one notices
-     * first and falls silent.
+     * Delay before a process that takes over starts, so that the replaced one notices first and
+     * stops sending.
      */
     private static final int TAKEOVER_DELAY_MILLIS = 150;
 
     /**
-     * Datagrams read before the timer fires late. After a stall the queued ones are read first, as
-     * they may hold awaited answers; a flood must not delay the timer for ever.
+     * Maximum number of datagrams read before an overdue timer fires. After a stall the queued
+     * datagrams are read first, as they may contain expected answers; a flood must not delay the
+     * timer forever.
      */
     private static final int MAX_DATAGRAMS_BEFORE_TIMER = 2_048;
 
-    /** One byte more than is valid, to recognize datagrams that are too long. */
+    /** One byte more than the valid maximum, to recognize datagrams that are too long. */
     private static final int BUFFER_BYTES = DatagramCodec.MAX_DATAGRAM_BYTES + 1;
 
     private final DatagramSocket socket;
@@ -59,22 +59,22 @@
 
     private final RunCompletion completion = new RunCompletion();
 
-    /** Owner thread only: whether the socket had no datagram since the timer last fired. */
+    /** Owner thread only: whether a read has timed out since the timer last fired. */
     private boolean inputDrained;
 
     /** Owner thread only: datagrams read since the timer last fired. */
     private int datagramsRead;
 
-    /** Owner thread only: when it is next checked whether another process has taken over. */
+    /** Owner thread only: when to check next whether another process has taken over. */
     private long replacedCheckAtTicks;
 
     /**
-     * Creates a service that joins the others when it is run.
+     * Creates a service that joins the other members when it is run.
      *
      * @param socket closed by {@link #close}
      * @param self this process
-     * @throws IOException for a key file that can't be read
-     * @throws IllegalArgumentException for a name that can't be a member's
+     * @throws IOException if a key file can't be read or holds no valid key
+     * @throws IllegalArgumentException if the name is not valid for a member
      */
     public MembershipService(
             MembershipConfig config,
@@ -113,7 +113,7 @@
         return files;
     }
 
-    /** Takes part until {@link #close} is called or the thread is interrupted at the start. */
+    /** Runs the protocol until {@link #close} is called or the thread is interrupted at the start. */
     @Override
     public void run() {
         if (!completion.begin()) {
@@ -218,14 +218,14 @@
             standingBy = replaced;
         }
         if (replaced) {
-            host.log().accept("another process of this proxy speaks for both");
+            host.log().accept("standing by: another process of this proxy takes part in the membership");
         } else {
-            host.log().accept("the other process of this proxy is gone, this one speaks again");
+            host.log().accept("rejoining: the other process of this proxy has ended");
             start();
         }
     }
 
-    /** Announces that the process ends. It takes part until {@link #close}. */
+    /** Announces that the process ends. It still takes part until {@link #close}. */
     public void leave() {
         synchronized (membership) {
             if (!standingBy && !closed) {
@@ -253,8 +253,8 @@
     }
 
     /**
-     * Ends at once, without an announcement, and closes the socket. When it returns, {@link #run}
-     * has returned and the socket's address is free.
+     * Stops immediately, without an announcement, and closes the socket. When this method returns,
+     * {@link #run} has returned and the socket's address is free.
      */
     @Override
     public void close() {
--- a/src/main/java/cottonlock/membership/MembershipView.java
+++ b/src/main/java/cottonlock/membership/MembershipView.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * One process's view of the membership at one moment.
+ * One process's view of the membership at one point in time.
  *
  * @param members all known members, this process first
- * @param digest equal in views that hold the same members live
- * @param localHealthScore how unreliable this process takes its own observations to be; 0: reliable
+ * @param digest digest of the live members; equal views have equal digests
+ * @param localHealthScore how unreliable this process considers its own observations; 0: reliable
  * @param workerStalled whether this process's worker has made no progress for too long
  * @param metrics the protocol's counters
  */
@@ -25,11 +25,11 @@
         SELF("self"),
         /** Both directions work. */
         BIDIRECTIONAL("both"),
-        /** The member is heard here, but does not hear this process; others reach it. */
+        /** This process hears the member, but not the reverse; other members reach the member. */
         INBOUND_ONLY("hears-not"),
-        /** The member hears this process, but is not heard here; others hear it. */
+        /** The member hears this process, but not the reverse; other members hear the member. */
         OUTBOUND_ONLY("not-heard"),
-        /** Neither direction works; others reach the member. */
+        /** Neither direction works, but other members reach the member. */
         INDIRECT("by-others"),
         /** The member has not been probed yet. */
         UNKNOWN("untried"),
@@ -42,7 +42,7 @@
             this.label = label;
         }
 
-        /** The name in management lines. */
+        /** The name in management replies. */
         public String label() {
             return label;
         }
@@ -51,13 +51,13 @@
     /**
      * One member.
      *
-     * @param name the same over restarts of the member's process
+     * @param name name of the member, the same over restarts of its process
      * @param address an IP address and a port
-     * @param generation of the member's process; a later process has a higher one
-     * @param incarnation within the generation, raised by the process to refute suspicions
-     * @param state as this process holds it
-     * @param stateSinceTicks when it got the state, by this process's clock
-     * @param reason why it has the state, and by whose report
+     * @param generation generation of the member's process; a later process has a higher one
+     * @param incarnation number within the generation, raised by the process to refute suspicions
+     * @param state state of the member in this view
+     * @param stateSinceTicks when the state last changed, by this process's clock
+     * @param reason why the member has the state, and which member reported it
      * @param reach how this process and the member reach each other
      * @param divergedForTicks for how long its view has differed from this one; -1: it does not
      */
@@ -72,12 +72,12 @@
             Reach reach,
             long divergedForTicks) {}
 
-    /** Members that may be running, this process among them. */
+    /** Number of members that may be running, including this process. */
     public int liveCount() {
         return (int) members.stream().filter(member -> member.state().isLive()).count();
     }
 
-    /** The longest time for which a live member's view has differed, in ticks; -1: all agree. */
+    /** The longest time a member's view has differed from this one, in ticks; -1: all agree. */
     public long divergedForTicks() {
         return members.stream().mapToLong(Member::divergedForTicks).max().orElse(-1);
     }
--- a/src/main/java/cottonlock/membership/MembershipViewBuilder.java
+++ b/src/main/java/cottonlock/membership/MembershipViewBuilder.java
@@ -5,10 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Builds {@link MembershipView}s. For the thread of its {@link Membership}. */
+/** Builds {@link MembershipView}s. Confined to the thread of its {@link Membership}. */
 @Deterministic
 final class MembershipViewBuilder {
-    /** Rounds of probes within which a member that hears this process would have been heard. */
+    /** Probe rounds within which a member that can reach this process would have been heard. */
     private static final int HEARD_WITHIN_ROUNDS = 2;
 
     private final MembershipContext context;
--- a/src/main/java/cottonlock/membership/Message.java
+++ b/src/main/java/cottonlock/membership/Message.java
@@ -11,7 +11,7 @@
 @Deterministic
 final class Message {
 
-    /** What a message is for, and which fields it carries. */
+    /** The purpose of a message, and the fields it carries. */
     enum Kind {
         /**
          * Probes the receiver: {@code sequenceNumber}, {@code target} (empty: any process at the
@@ -25,20 +25,20 @@
          * targetAddress}.
          */
         PING_REQUEST(2),
-        /** The indirect probe was answered: {@code sequenceNumber}, {@code heardRecently}. */
+        /** Reports that an indirect probe was answered: {@code sequenceNumber}, {@code heardRecently}. */
         INDIRECT_ACK(3),
-        /** The indirect probe failed: {@code sequenceNumber}. */
+        /** Reports that an indirect probe failed: {@code sequenceNumber}. */
         NACK(4),
-        /** Digests of the sender's view, one for each partition: {@code partitionDigests}. */
+        /** Carries digests of the sender's view, one for each partition: {@code partitionDigests}. */
         PARTITION_DIGESTS(5),
         /**
-         * All updates of one partition that follow {@code afterName}: {@code partitions}, {@code
+         * Carries updates of one partition, in the order of names from the one after {@code afterName}: {@code partitions}, {@code
          * partition}, {@code lastPage}.
          */
         PARTITION_PAGE(6),
-        /** Updates alone. */
+        /** Carries updates only. */
         UPDATES(7),
-        /** Data of another subsystem: {@code topic}, {@code payload}. */
+        /** Carries data of another subsystem: {@code topic}, {@code payload}. */
         PAYLOAD(8);
 
         private static final Kind[] ALL = values();
@@ -49,7 +49,7 @@
             this.wireNumber = wireNumber;
         }
 
-        /** The number by which datagrams name the kind. */
+        /** The number that denotes the kind in datagrams. */
         int wireNumber() {
             return wireNumber;
         }
@@ -88,10 +88,10 @@
     /** Address of the member to be probed. */
     String targetAddress = "";
 
-    /** Name of the member for which the probe is made; empty: the sender. */
+    /** Name of the member that requested the probe; empty: the sender probes for itself. */
     String onBehalfOf = "";
 
-    /** Whether the member that probes was lately heard directly by the one that answers. */
+    /** Whether the answering member has lately heard the probing member directly. */
     boolean heardRecently;
 
     /** Number of partitions of the names. */
@@ -100,7 +100,7 @@
     /** The partition that a page belongs to. */
     int partition;
 
-    /** A page holds the names that follow this one. */
+    /** The page holds names that follow this one. */
     String afterName = "";
 
     /** Whether a page extends to the last name of its partition. */
@@ -109,7 +109,7 @@
     /** One digest for each partition. */
     int[] partitionDigests = {};
 
-    /** Which subsystem a payload belongs to. */
+    /** The subsystem that a payload belongs to. */
     int topic;
 
     /** Data of another subsystem. */
--- a/src/main/java/cottonlock/membership/MessageReceiver.java
+++ b/src/main/java/cottonlock/membership/MessageReceiver.java
@@ -4,12 +4,12 @@
 import cottonlock.membership.Message.Kind;
 
 /**
- * Validates received datagrams, merges their updates and dispatches them by kind. For the thread of
+ * Validates received datagrams, merges their updates and dispatches them by kind. Confined to the thread of
  * its {@link Membership}.
  */
 @Deterministic
 final class MessageReceiver {
-    /** A member heard within so many periods counts as heard recently. */
+    /** A member heard within this number of periods counts as heard recently. */
     private static final int HEARD_RECENTLY_PERIODS = 3;
 
     private final MembershipContext context;
@@ -46,7 +46,7 @@
     /**
      * Handles a datagram.
      *
-     * @param from address of its sender
+     * @param from address from which the datagram came
      */
     void receive(long nowTicks, String from, byte[] bytes, int length) {
         Message message = DatagramCodec.decode(bytes, length);
@@ -93,11 +93,11 @@
         }
     }
 
-    /** A datagram of an earlier process of the member, which may be late or still be running. */
+    /** Handles a datagram of an earlier process of the member, delayed or from one still running. */
     private void receiveStale(long nowTicks, Message message, MemberRecord member) {
         metrics.increment(MembershipMetric.STALE);
         for (MemberUpdate update : message.updates) {
-            // Two processes that hold each other's generation for outdated learn it only here.
+            // Two processes that consider each other's generation outdated learn of that only here.
             if (update.name().equals(table.self().name())) {
                 localMember.reportReceived(nowTicks, update, message.sender.name());
             }
@@ -105,7 +105,7 @@
         notifyOutdated(nowTicks, message, member.update);
     }
 
-    /** Notifies the process of an earlier generation of the later one. */
+    /** Sends the update of the later generation to the process of the earlier one. */
     private void notifyOutdated(long nowTicks, Message message, MemberUpdate newer) {
         String address = message.sender.address();
         if (message.kind != Kind.UPDATES && !address.equals(table.self().address())) {
@@ -115,7 +115,7 @@
         }
     }
 
-    /** The table is full; without an answer the sender would suspect this process. */
+    /** Answers a sender that does not fit into the full table, which would otherwise suspect this process. */
     private void answerWithoutRecord(long nowTicks, Message message) {
         if (message.kind == Kind.PING && !localMember.isDisplaced()) {
             sender.send(
@@ -167,7 +167,7 @@
         sender.send(nowTicks, member, ack);
     }
 
-    /** Whether a member's last datagram came here not long ago. */
+    /** Whether a datagram came directly from the member a short time ago. */
     boolean isHeardRecently(long nowTicks, MemberRecord member) {
         return nowTicks - member.heardAtTicks
                 < HEARD_RECENTLY_PERIODS * context.config().periodTicks();
--- a/src/main/java/cottonlock/membership/Probe.java
+++ b/src/main/java/cottonlock/membership/Probe.java
@@ -2,25 +2,25 @@
 
 import cottonlock.core.Deterministic;
 
-/** A probe of one member over one period. For the thread of its {@link Membership}. */
+/** A probe of one member over one period. Confined to the thread of its {@link Membership}. */
 @Deterministic
 final class Probe {
-    /** Value of {@link #helpers} if no member could be asked. */
+    /** Value of {@link #helpers} if there is no member that could be asked. */
     static final int NO_HELPERS = -1;
 
     final MemberRecord target;
     final int sequenceNumber;
 
-    /** When other members are asked to probe, if there was no direct answer. */
+    /** When other members are asked to probe the target if it has not answered directly. */
     final long ackDueTicks;
 
-    /** Periods for which the member has been probed without an answer, this one among them. */
+    /** Number of consecutive periods of probing the member without an answer, including this one. */
     final int periods;
 
-    /** Members asked to probe the target: {@link #NO_HELPERS}, or 0 if none were asked yet. */
+    /** Number of members asked to probe the target; 0 before any are asked, or {@link #NO_HELPERS}. */
     int helpers;
 
-    /** Helpers that got no answer either. */
+    /** Number of helpers that have reported a failed probe. */
     int nacks;
 
     /** Whether an answer has come or the period is over. */
@@ -37,7 +37,7 @@
         return !finished && helpers == 0;
     }
 
-    /** All that decides what comes next, for tests that compare states. */
+    /** Appends the state that determines future behavior, for tests that compare states. */
     void appendFingerprint(StringBuilder text, long nowTicks) {
         text.append(' ')
                 .append(target.update.name())
--- a/src/main/java/cottonlock/membership/ProbeSchedule.java
+++ b/src/main/java/cottonlock/membership/ProbeSchedule.java
@@ -8,8 +8,8 @@
 import java.util.function.Predicate;
 
 /**
- * The order in which members are probed: each once in a round, and the order is shuffled for each
- * round. For the thread of its {@link Membership}.
+ * The order in which members are probed: each once in a round, in an order that is shuffled for each
+ * round. Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class ProbeSchedule {
@@ -23,7 +23,7 @@
         this.random = random;
     }
 
-    /** Adds a member at a random place in the rest of the round, which so stays shuffled. */
+    /** Adds a member at a random index in the rest of the round, which thus stays shuffled. */
     void add(MemberRecord member) {
         order.add(position + random.nextInt(order.size() - position + 1), member);
     }
@@ -57,14 +57,16 @@
         }
     }
 
-    /** Up to so many random members that match, taken in order from a random position on. */
+    /** Up to {@code limit} members that match, in order from a random position on. */
     List<MemberRecord> sample(int limit, Predicate<MemberRecord> filter) {
         return sample(limit, true, filter);
     }
 
     /**
-     * The same, without a search if none can match. The random position is drawn in any case, so
-     * that the sequence of draws does not depend on it.
+     * Like {@link #sample(int, Predicate)}, but without a search if no member can match. The random
+     * position is drawn even then, so that the sequence of draws does not depend on it.
+     *
+     * @param anyMatches false if no member can match
      */
     List<MemberRecord> sample(int limit, boolean anyMatches, Predicate<MemberRecord> filter) {
         List<MemberRecord> sample = new ArrayList<>();
@@ -79,7 +81,7 @@
         return sample;
     }
 
-    /** All that decides what comes next, for tests that compare states. */
+    /** The state that determines future behavior, for tests that compare states. */
     @Override
     public String toString() {
         StringBuilder names = new StringBuilder().append(position);
--- a/src/main/java/cottonlock/membership/ProtocolVariants.java
+++ b/src/main/java/cottonlock/membership/ProtocolVariants.java
@@ -3,8 +3,8 @@
 import cottonlock.core.Deterministic;
 
 /**
- * The rules on which the protocol's safety rests. Tests override them with faulty ones, to show
- * that a violation is found.
+ * The rules that the protocol's safety depends on. Tests override them with faulty ones to show that
+ * violations are found.
  */
 @Deterministic
 class ProtocolVariants {
@@ -19,19 +19,19 @@
         return accusedIncarnation + 1;
     }
 
-    /** The generation that a process takes if it finds the given one under its name. */
+    /** The generation that a process takes if it finds another process of its name with this one. */
     long nextGeneration(long foundGeneration) {
         return foundGeneration + 1;
     }
 
-    /** When a suspicion becomes a failure, in ticks. */
+    /** The time at which a suspicion becomes a failure, in ticks. */
     long suspicionExpiryTicks(SuspicionTimer suspicion) {
         return suspicion.expiresAtTicks();
     }
 
     /**
-     * Whether another member's report of a failure is accepted: only for a member that has been
-     * suspected here for the minimum time.
+     * Whether another member's report of a failure is accepted: only if the member has been suspected
+     * by this process for the minimum time.
      */
     boolean acceptsFailureReport(MemberRecord member, MemberUpdate failed, long nowTicks) {
         return member.suspicion != null
@@ -40,12 +40,12 @@
                 && member.suspicion.minimumElapsed(nowTicks);
     }
 
-    /** Whether a process probes a member itself before it declares it failed. */
+    /** Whether a process itself probes a member before it declares it failed. */
     boolean probesBeforeFailing() {
         return true;
     }
 
-    /** Whether a process's own stalls degrade its local health and postpone its verdicts. */
+    /** Whether a process's own stalls degrade its local health and extend its suspicions. */
     boolean tracksLocalHealth() {
         return true;
     }
--- a/src/main/java/cottonlock/membership/SelfAnnouncer.java
+++ b/src/main/java/cottonlock/membership/SelfAnnouncer.java
@@ -3,7 +3,7 @@
 import cottonlock.core.Deterministic;
 
 /**
- * Changes what this process claims about itself, and spreads it. For the thread of its {@link
+ * Changes this process's claim about itself, and spreads it. Confined to the thread of its {@link
  * Membership}.
  */
 @Deterministic
@@ -17,7 +17,7 @@
         this.sender = context.sender();
     }
 
-    /** When this process got its state. */
+    /** When this process's state last changed. */
     long stateSinceTicks() {
         return stateSinceTicks;
     }
@@ -26,7 +26,7 @@
         stateSinceTicks = nowTicks;
     }
 
-    /** Claims an update of this process's own name and address. */
+    /** Replaces this process's claim and spreads it. */
     void announce(long nowTicks, MemberUpdate update) {
         if (update.compareGenerations(table.self()) != 0) {
             sender.resetDatagramNumbers();
--- a/src/main/java/cottonlock/membership/SocketAddresses.java
+++ b/src/main/java/cottonlock/membership/SocketAddresses.java
@@ -6,7 +6,7 @@
 public final class SocketAddresses {
     private SocketAddresses() {}
 
-    /** The text form of an address. */
+    /** Formats an address. */
     public static String format(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.indexOf(':') >= 0 ? "[" + host + "]" : host) + ":" + address.getPort();
@@ -15,13 +15,13 @@
     /**
      * Parses an address; no host name is ever resolved.
      *
-     * @throws IllegalArgumentException for a host name or a port that is none
+     * @throws IllegalArgumentException if the host is not an IP address or the port is not valid
      */
     static InetSocketAddress parse(String address) {
         int colon = address.lastIndexOf(':');
         String host = address.substring(0, colon);
         if (!host.startsWith("[") && !Character.isDigit(host.charAt(0))) {
-            throw new IllegalArgumentException("no address of digits");
+            throw new IllegalArgumentException("not an IP address");
         }
         return new InetSocketAddress(host, Integer.parseInt(address.substring(colon + 1)));
     }
--- a/src/main/java/cottonlock/membership/SocketMembershipActions.java
+++ b/src/main/java/cottonlock/membership/SocketMembershipActions.java
@@ -11,7 +11,7 @@
 
 /**
  * Sends a membership's datagrams through a socket, signed if there is a key, and logs its
- * notifications. Guarded by the lock of its {@link MembershipService}, but for {@link #close}.
+ * notifications. Guarded by the lock of its {@link MembershipService}, except {@link #close}.
  */
 final class SocketMembershipActions implements MembershipActions, AutoCloseable {
     private final DatagramSocket socket;
@@ -19,7 +19,7 @@
     private final String selfName;
     private final Consumer<String> log;
 
-    /** Parsed addresses, the most recently added ones. */
+    /** Cache of the most recently added parsed addresses. */
     private final Map<String, InetSocketAddress> parsedAddresses;
 
     /** Written by any thread. */
@@ -29,7 +29,7 @@
      * Creates the actions.
      *
      * @param authenticator signs datagrams; null: they are not signed
-     * @param maxAddresses parsed addresses that are kept
+     * @param maxAddresses maximum number of parsed addresses kept
      */
     SocketMembershipActions(
             DatagramSocket socket,
@@ -61,7 +61,7 @@
                     parsedAddresses.computeIfAbsent(address, SocketAddresses::parse);
             socket.send(new DatagramPacket(bytes, bytes.length, receiver));
         } catch (IOException | IllegalArgumentException e) {
-            // The protocol treats it as a lost datagram.
+            // The protocol treats this as a lost datagram.
             if (!closed) {
                 log.accept("a datagram to " + address + " could not be sent: " + e.getMessage());
             }
--- a/src/main/java/cottonlock/membership/SuspectSet.java
+++ b/src/main/java/cottonlock/membership/SuspectSet.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /**
- * The members under suspicion, and when the first suspicion expires. For the thread of its {@link
+ * The members under suspicion, and when the first suspicion expires. Confined to the thread of its {@link
  * Membership}.
  */
 @Deterministic
@@ -16,7 +16,7 @@
     /** In the order in which their suspicions started. */
     private final Set<MemberRecord> suspects = new LinkedHashSet<>();
 
-    /** The first expiry, valid unless {@link #expiriesChanged}. */
+    /** Time of the first expiry, valid unless {@link #expiriesChanged}. */
     private long firstExpiryTicks;
 
     private boolean expiriesChanged = true;
@@ -39,7 +39,7 @@
         expiriesChanged = true;
     }
 
-    /** The timer of some suspicion has changed. */
+    /** Called when the timer of a suspicion may have changed. */
     void timersChanged() {
         expiriesChanged = true;
     }
@@ -49,7 +49,7 @@
         return List.copyOf(suspects);
     }
 
-    /** Excludes a stall of this process from all suspicions. */
+    /** Excludes a stall of this process from the duration of all suspicions. */
     void extendForStall(long nowTicks, long stallTicks) {
         expiriesChanged = true;
         for (MemberRecord member : suspects) {
--- a/src/main/java/cottonlock/membership/SuspicionRules.java
+++ b/src/main/java/cottonlock/membership/SuspicionRules.java
@@ -6,7 +6,7 @@
 import cottonlock.setup.MembershipProtocolConfig;
 
 /**
- * Decides when a member is suspected and when a suspicion becomes a failure. For the thread of its
+ * Decides when a member is suspected and when a suspicion becomes a failure. Confined to the thread of its
  * {@link Membership}.
  */
 @Deterministic
@@ -31,7 +31,7 @@
         this.merger = merger;
     }
 
-    /** A probe of this process failed: it suspects the member or confirms the suspicion. */
+    /** Suspects a member, or confirms its suspicion, after a probe by this process has failed. */
     void probeFailed(long nowTicks, MemberRecord member, String reason) {
         int selfHash = table.selfHash();
         suspects.timersChanged();
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Declares members failed whose suspicions have expired, unless there is reason to wait. */
+    /** Declares members failed whose suspicions have expired, unless the failure is deferred. */
     void expireSuspicions(long nowTicks) {
         if (nowTicks < suspects.firstExpiryTicks()) {
             return;
@@ -66,7 +66,7 @@
     }
 
     private boolean isDeferred(long nowTicks, MemberRecord member) {
-        // A datagram received here counts more than the silence that others report.
+        // A datagram received by this process outweighs the silence that others report.
         boolean heardMeanwhile =
                 member.heardAtTicks > member.suspicion.startedAtTicks()
                         && failureDetector.isResponsive(member.stallCentis);
@@ -74,7 +74,7 @@
             notifyAccused(nowTicks, member);
             return true;
         }
-        // Other members may have missed the refutation, so the member is probed from here first.
+        // Other members may have missed the refutation, so this process probes the member first.
         if (!member.suspicion.isAccusedBy(table.selfHash())
                 && context.variants().probesBeforeFailing()
                 && member.suspicion.defer(nowTicks, config.periodTicks())) {
@@ -99,7 +99,7 @@
                 reason);
     }
 
-    /** Sends a member the accusation that is held against it, so that it can refute it. */
+    /** Sends a member the accusation against it, so that it can refute it. */
     void notifyAccused(long nowTicks, MemberRecord member) {
         if (nowTicks - member.notifiedAtTicks >= config.answerTimeoutTicks()) {
             member.notifiedAtTicks = nowTicks;
--- a/src/main/java/cottonlock/membership/SuspicionTimer.java
+++ b/src/main/java/cottonlock/membership/SuspicionTimer.java
@@ -7,11 +7,11 @@
 /**
  * The time within which a suspected member may refute the suspicion. As in Lifeguard it starts
  * long, since a single accuser may itself be at fault, and shrinks logarithmically as other members
- * confirm the suspicion. Times are in ticks of 0.1 ms. For the thread of its {@link Membership}.
+ * confirm the suspicion. Times are in ticks of 0.1 ms. Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class SuspicionTimer {
-    /** Stands for an accuser whose name is not known. */
+    /** Represents an accuser whose name is not known. */
     private static final int UNKNOWN_ACCUSER = 0;
 
     private final long minTicks;
@@ -23,16 +23,16 @@
 
     private long startedAtTicks;
 
-    /** Share of the time between maximum and minimum that confirmations have removed, 0 to 1. */
+    /** Share of the difference between maximum and minimum time removed by confirmations, 0 to 1. */
     private double confirmedShare;
 
-    /** The suspicion does not expire before this time, whatever is confirmed. */
+    /** The suspicion does not expire before this time, even with all confirmations. */
     private long earliestExpiryTicks;
 
     /**
      * Starts a suspicion.
      *
-     * @param confirmationsNeeded by other accusers, for the minimum time to hold
+     * @param confirmationsNeeded number of other accusers with which the minimum time applies
      */
     SuspicionTimer(
             long nowTicks, int accuserHash, long minTicks, long maxTicks, int confirmationsNeeded) {
@@ -44,7 +44,7 @@
         confirmedShare = confirmationsNeeded <= 0 ? 1 : 0;
     }
 
-    /** Counts another accuser; false if it has counted before or no more are needed. */
+    /** Counts another accuser; returns false if it was counted before or no more are needed. */
     boolean confirm(int accuserHash) {
         if (accusers.size() > confirmationsNeeded || accusers.contains(accuserHash)) {
             return false;
@@ -61,7 +61,7 @@
                         : Math.log(accusers.size()) / Math.log(confirmationsNeeded + 1);
     }
 
-    /** Counts as many accusers as are needed, so that the minimum time holds. */
+    /** Counts as many accusers as are needed for the minimum time to apply. */
     void confirmFully() {
         while (accusers.size() <= confirmationsNeeded) {
             addAccuser(UNKNOWN_ACCUSER);
--- a/src/main/java/cottonlock/membership/UpdateBroadcastQueue.java
+++ b/src/main/java/cottonlock/membership/UpdateBroadcastQueue.java
@@ -10,12 +10,12 @@
 import java.util.Map;
 
 /**
- * Updates that are piggybacked on datagrams: the least transmitted first, each a bounded number of
- * times. For the thread of its {@link Membership}.
+ * Updates to be piggybacked on datagrams: the least transmitted first, each a bounded number of
+ * times. Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class UpdateBroadcastQueue {
-    /** An update in the queue, until a newer one on the same member replaces it. */
+    /** An update in the queue, until a newer one about the same member replaces it. */
     private static final class Broadcast {
         final MemberUpdate update;
         int transmits;
@@ -26,27 +26,28 @@
         }
     }
 
-    /** The newest update on each member, by name. */
+    /** The newest update about each member, by name. */
     private final Map<String, Broadcast> newestByName = new HashMap<>();
 
-    /** The queued updates by the number of their transmits; superseded ones leave lazily. */
+    /** The queued updates by their number of transmissions; superseded ones are removed lazily. */
     private final List<Deque<Broadcast>> byTransmits = new ArrayList<>();
 
     private final int capacity;
 
-    /** Number of queued updates, superseded ones among them. */
+    /** Number of queued updates, including superseded ones. */
     private int queuedCount;
 
     /**
      * Creates an empty queue.
      *
-     * @param capacity members; beyond twice as many updates the most transmitted are discarded
+     * @param capacity maximum number of members; if more than twice as many updates are queued, the
+     *     most transmitted ones are discarded
      */
     UpdateBroadcastQueue(int capacity) {
         this.capacity = capacity;
     }
 
-    /** Queues an update, in place of an earlier one on the same member. */
+    /** Queues an update, which replaces an earlier one about the same member. */
     void add(MemberUpdate update) {
         Broadcast broadcast = new Broadcast(update);
         Broadcast previous = newestByName.put(update.name(), broadcast);
@@ -87,8 +88,8 @@
     /**
      * Fills a datagram with updates.
      *
-     * @param transmitLimit how often each update is transmitted
-     * @param excludedName a member whose update is in the datagram already
+     * @param transmitLimit maximum number of transmissions of each update
+     * @param excludedName name of a member whose update is not added; empty: none
      */
     void fill(DatagramWriter out, int transmitLimit, String excludedName) {
         boolean hasSpace = true;
--- a/src/main/java/cottonlock/membership/UpdateMerger.java
+++ b/src/main/java/cottonlock/membership/UpdateMerger.java
@@ -5,12 +5,11 @@
 import java.util.List;
 
 /**
- * Merges updates into the table: the higher one about a member wins. Starts and ends suspicions
- * accordingly, and spreads what was new. For the thread of its {@link Membership}.
+ * Merges updates into the table: the higher one about a member wins. Starts and ends suspicions accordingly, and spreads new updates. Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class UpdateMerger {
-    /** Part of the retention of dead members between two looks for expired ones. */
+    /** Number of checks for expired members within the retention time of dead members. */
     private static final int EXPIRY_CHECKS_PER_RETENTION = 4;
 
     private final MembershipContext context;
@@ -37,8 +36,8 @@
     /**
      * Merges a received update.
      *
-     * @param reporter name of the member that has sent it
-     * @return whether it superseded what was known
+     * @param reporter name of the member that sent the update
+     * @return whether the update superseded the known one
      */
     boolean merge(long nowTicks, MemberUpdate update, String reporter) {
         if (update.name().equals(table.self().name())) {
@@ -78,7 +77,7 @@
                 && member.isLive()
                 && !context.variants().acceptsFailureReport(member, update, nowTicks)) {
             // After a network partition has healed, each side's reports of the other's failure
-            // are outdated. A probe from here decides; meanwhile a live member can refute.
+            // are outdated. A probe by this process decides; meanwhile a live member can refute.
             failureDetector.probeBeforeFailing(member);
             return false;
         }
@@ -99,7 +98,7 @@
         return accusedBy + "told by " + reporter;
     }
 
-    /** Sets the state of a known member by this process's own judgement. */
+    /** Sets the state of a known member by a decision of this process. */
     void apply(long nowTicks, MemberRecord member, MemberUpdate update, String reason) {
         apply(nowTicks, member, update, false, reason);
     }
@@ -142,7 +141,8 @@
     }
 
     /**
-     * Makes space for a member, if need be by removing the one that is dead for the longest time.
+     * Makes space for a member. If the table is full, removes the member that has been dead for the
+     * longest time.
      */
     private boolean makeSpace() {
         if (!table.isFull()) {
@@ -163,7 +163,7 @@
         suspects.remove(member);
     }
 
-    /** Forgets all members but this process. */
+    /** Removes all members except this process. */
     void removeAll() {
         List.copyOf(table.members()).forEach(this::remove);
     }
@@ -178,7 +178,7 @@
                 nowTicks + config.deadMemberRetentionTicks() / EXPIRY_CHECKS_PER_RETENTION;
     }
 
-    /** Removes members that have been failed or left for the retention time. */
+    /** Removes members that failed or left at least the retention time ago. */
     void removeExpired(long nowTicks) {
         scheduleExpiryCheck(nowTicks);
         for (MemberRecord member : List.copyOf(table.members())) {
--- a/src/main/java/cottonlock/membership/WorkerProgress.java
+++ b/src/main/java/cottonlock/membership/WorkerProgress.java
@@ -3,8 +3,8 @@
 import cottonlock.core.Deterministic;
 
 /**
- * When the thread that serves requests last made progress. A process that answers probes while that
- * thread is stalled counts as failed. For the thread of its {@link Membership}.
+ * Tracks when the thread that serves requests last made progress. A process that answers probes
+ * while that thread is stalled counts as failed. Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class WorkerProgress {
@@ -24,7 +24,7 @@
         return Math.max(0, nowTicks - progressAtTicks);
     }
 
-    /** Whether there has been no progress for longer than is tolerated. */
+    /** Whether there has been no progress for longer than the stall timeout. */
     boolean isStalled(long nowTicks) {
         return stallTicks(nowTicks) > maxStallTicks;
     }
