--- a/src/test/java/cottonlock/membership/AntiEntropyTest.java
+++ b/src/test/java/cottonlock/membership/AntiEntropyTest.java
@@ -20,11 +20,11 @@
      * alone.
      */
     @Example
-    void allOfALongPartitionIsSentInTime() {
-        assertEquals(MEMBERS, membersSent(new ProtocolVariants()));
+    void repeatedExchangesSendEveryMemberOfALongPartition() {
+        assertEquals(MEMBERS, countMembersSent(new ProtocolVariants()));
         assertNotEquals(
                 MEMBERS,
-                membersSent(
+                countMembersSent(
                         new ProtocolVariants() {
                             @Override
                             boolean startsPagesAtRandomName() {
@@ -37,38 +37,38 @@
     /**
      * How many members a process that knows all sends to one that asks repeatedly and knows none.
      */
-    private static int membersSent(ProtocolVariants variants) {
+    private static int countMembersSent(ProtocolVariants variants) {
         Set<String> sent = new TreeSet<>();
-        Membership machine =
+        Membership membership =
                 new Membership(
                         MembershipProtocolConfig.DEFAULTS,
                         new MembershipActions() {
                             @Override
                             public void send(String to, byte[] datagram) {
-                                Message m = DatagramCodec.decode(datagram, datagram.length);
-                                if (m.kind == Message.Kind.PARTITION_PAGE) {
-                                    m.updates.stream()
-                                            .filter(w -> w.name().startsWith("x"))
-                                            .forEach(w -> sent.add(w.name()));
+                                Message message = DatagramCodec.decode(datagram, datagram.length);
+                                if (message.kind == Message.Kind.PARTITION_PAGE) {
+                                    message.updates.stream()
+                                            .filter(update -> update.name().startsWith("x"))
+                                            .forEach(update -> sent.add(update.name()));
                                 }
                             }
 
                             @Override
                             public void memberStateChanged(
-                                    String who, MemberState state, String reason) {}
+                                    String name, MemberState state, String reason) {}
                         },
                         new LocalMember("me", "10.0.0.1:1", List.of(), false, 1_000),
                         0,
                         new SplittableRandom(1),
                         variants);
-        machine.start(0);
-        MemberUpdate asker =
+        membership.start(0);
+        MemberUpdate requester =
                 new MemberUpdate("asker", "10.0.0.2:1", 1_000, 0, MemberState.ALIVE, 0);
-        long counter = 0;
+        long datagramNumber = 0;
         for (int i = 0; i < MEMBERS; ) {
             DatagramWriter out =
                     DatagramCodec.writerFor(
-                            new Message(Message.Kind.UPDATES, asker, ++counter, 0, 0),
+                            new Message(Message.Kind.UPDATES, requester, ++datagramNumber, 0, 0),
                             DatagramCodec.MAX_DATAGRAM_BYTES);
             while (i < MEMBERS
                     && out.addUpdate(
@@ -81,14 +81,14 @@
                                     0))) {
                 i++;
             }
-            machine.datagramReceived(0, asker.address(), out.toBytes(), out.size());
+            membership.datagramReceived(0, requester.address(), out.toBytes(), out.size());
         }
         for (int i = 1; i <= REQUESTS; i++) {
-            Message m = new Message(Message.Kind.PARTITION_DIGESTS, asker, ++counter, 0, 0);
-            m.partitionDigests = new int[DatagramCodec.MAX_PARTITIONS];
-            DatagramWriter out = DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES);
+            Message message = new Message(Message.Kind.PARTITION_DIGESTS, requester, ++datagramNumber, 0, 0);
+            message.partitionDigests = new int[DatagramCodec.MAX_PARTITIONS];
+            DatagramWriter out = DatagramCodec.writerFor(message, DatagramCodec.MAX_DATAGRAM_BYTES);
             // A tenth of a second apart: a page or so can be sent meanwhile.
-            machine.datagramReceived(i * 1_000L, asker.address(), out.toBytes(), out.size());
+            membership.datagramReceived(i * 1_000L, requester.address(), out.toBytes(), out.size());
         }
         return sent.size();
     }
--- a/src/test/java/cottonlock/membership/DatagramCodecTest.java
+++ b/src/test/java/cottonlock/membership/DatagramCodecTest.java
@@ -20,7 +20,7 @@
     private static final long SECOND = 10_000;
 
     /** The sender's part of each recorded datagram, behind magic, kind and flags. */
-    private static final String SENDER =
+    private static final String SENDER_HEADER =
             "0770726f78792d31040a0000011f0a018bcfe5687b00000003fedcba980123456789abcdef0203";
 
     /** Five updates, one of each state. */
@@ -43,110 +43,110 @@
                     UPDATES + "f380ee3a",
                     "070300ff64" + UPDATES + "8e1407fc");
 
-    private static String recorded(int number) {
-        return "fb1" + number + "18" + SENDER + RECORDED.get(number);
+    private static String recorded(int kindNumber) {
+        return "fb1" + kindNumber + "18" + SENDER_HEADER + RECORDED.get(kindNumber);
     }
 
     private static Message sample(Message.Kind kind) {
         MemberUpdate sender =
                 new MemberUpdate(
                         "proxy-1", "10.0.0.1:7946", 1_700_000_000_123L, 3, MemberState.JOINING, 0);
-        Message m = new Message(kind, sender, 0xfedc_ba98L, 0x0123_4567_89ab_cdefL, 515);
-        m.sequenceNumber = 0x8877_6655;
-        m.target = "proxy-2";
-        m.targetAddress = "[::1]:7946";
-        m.onBehalfOf = "proxy-3";
-        m.heardRecently = true;
-        m.partitions = 32;
-        m.partition = 31;
-        m.afterName = "proxy-4";
-        m.lastPage = true;
-        m.partitionDigests = new int[] {1, -2, 0x7fff_ffff, 4};
-        m.topic = 7;
-        m.payload = new byte[] {0, -1, 100};
-        return m;
+        Message message = new Message(kind, sender, 0xfedc_ba98L, 0x0123_4567_89ab_cdefL, 515);
+        message.sequenceNumber = 0x8877_6655;
+        message.target = "proxy-2";
+        message.targetAddress = "[::1]:7946";
+        message.onBehalfOf = "proxy-3";
+        message.heardRecently = true;
+        message.partitions = 32;
+        message.partition = 31;
+        message.afterName = "proxy-4";
+        message.lastPage = true;
+        message.partitionDigests = new int[] {1, -2, 0x7fff_ffff, 4};
+        message.topic = 7;
+        message.payload = new byte[] {0, -1, 100};
+        return message;
     }
 
-    private static byte[] encoded(Message m) {
-        DatagramWriter out = DatagramCodec.writerFor(m, DatagramCodec.MAX_DATAGRAM_BYTES);
-        int number = 0;
+    private static byte[] encoded(Message message) {
+        DatagramWriter out = DatagramCodec.writerFor(message, DatagramCodec.MAX_DATAGRAM_BYTES);
+        int stateIndex = 0;
         for (MemberState state : MemberState.values()) {
             out.addUpdate(
                     new MemberUpdate(
-                            "m" + number,
-                            number % 2 == 0 ? "192.168.0.25:65535" : "[fe80::1]:1",
-                            number,
-                            number + 1,
+                            "m" + stateIndex,
+                            stateIndex % 2 == 0 ? "192.168.0.25:65535" : "[fe80::1]:1",
+                            stateIndex,
+                            stateIndex + 1,
                             state,
                             state == MemberState.SUSPECT || state == MemberState.FAILED
                                     ? 0x9abc_def0
                                     : 0));
-            number++;
+            stateIndex++;
         }
         return out.toBytes();
     }
 
     @Example
-    void eachKindIsWrittenAsRecorded() {
-        int number = 0;
+    void encodesEachKindAsRecorded() {
+        int kindNumber = 0;
         for (Message.Kind kind : Message.Kind.values()) {
             assertEquals(
-                    recorded(number),
+                    recorded(kindNumber),
                     HexFormat.of().formatHex(encoded(sample(kind))),
                     kind.toString());
-            number++;
+            kindNumber++;
         }
-        assertEquals(RECORDED.size(), number);
+        assertEquals(RECORDED.size(), kindNumber);
     }
 
     @Example
-    void recordedDatagramsAreReadAndWrittenAgainUnchanged() {
-        for (int number = 0; number < RECORDED.size(); number++) {
-            byte[] bytes = HexFormat.of().parseHex(recorded(number));
-            Message read = DatagramCodec.decode(bytes, bytes.length);
-            assertNotNull(read, "kind " + number);
-            DatagramWriter out = DatagramCodec.writerFor(read, DatagramCodec.MAX_DATAGRAM_BYTES);
-            read.updates.forEach(out::addUpdate);
-            assertEquals(recorded(number), HexFormat.of().formatHex(out.toBytes()));
+    void reencodesRecordedDatagramsUnchanged() {
+        for (int kindNumber = 0; kindNumber < RECORDED.size(); kindNumber++) {
+            byte[] bytes = HexFormat.of().parseHex(recorded(kindNumber));
+            Message decoded = DatagramCodec.decode(bytes, bytes.length);
+            assertNotNull(decoded, "kind " + kindNumber);
+            DatagramWriter out = DatagramCodec.writerFor(decoded, DatagramCodec.MAX_DATAGRAM_BYTES);
+            decoded.updates.forEach(out::addUpdate);
+            assertEquals(recorded(kindNumber), HexFormat.of().formatHex(out.toBytes()));
         }
     }
 
     /** Every datagram of a fleet under faults: who sends what to whom, and when. */
     @Example
-    void datagramsOfASeededFleetAreThoseRecorded() throws Exception {
+    void seededFleetSendsRecordedDatagrams() throws Exception {
         MessageDigest digest = MessageDigest.getInstance("SHA-256");
-        Fleet[] at = new Fleet[1];
-        long[] count = new long[1];
-        at[0] =
+        Fleet[] fleetHolder = new Fleet[1];
+        long[] datagramCount = new long[1];
+        fleetHolder[0] =
                 new Fleet(
                         new World(20261203),
                         14,
                         MembershipProtocolConfig.DEFAULTS,
-                        (config, out, self, tag, random) ->
+                        (config, out, self, reservedBytes, random) ->
                                 new Membership(
                                         config,
                                         new MembershipActions() {
                                             @Override
                                             public void send(String to, byte[] datagram) {
                                                 digest.update(
-                                                        (at[0].world.now() + self.name() + to)
+                                                        (fleetHolder[0].world.now() + self.name() + to)
                                                                 .getBytes(UTF_8));
                                                 digest.update(datagram);
-                                                count[0]++;
+                                                datagramCount[0]++;
                                                 out.send(to, datagram);
                                             }
 
                                             @Override
                                             public void memberStateChanged(
-                                                    String who, MemberState state, String reason) {
-                                                digest.update((who + state).getBytes(UTF_8));
-                                                out.memberStateChanged(who, state, reason);
+                                                    String name, MemberState state, String reason) {
+                                                digest.update((name + state).getBytes(UTF_8));
+                                                out.memberStateChanged(name, state, reason);
                                             }
                                         },
                                         self,
-                                        tag,
+                                        reservedBytes,
                                         random));
-        Fleet fleet = at[0];
+        Fleet fleet = fleetHolder[0];
         fleet.startAll(SECOND);
         fleet.world.until(8 * SECOND);
         fleet.split(2);
@@ -162,7 +162,7 @@
         fleet.nodes.get(1).start(-100 * SECOND);
         fleet.nodes.get(4).start(0);
         fleet.world.until(100 * SECOND);
-        assertEquals(14_159, count[0], "datagrams");
+        assertEquals(14_159, datagramCount[0], "datagrams");
         assertEquals(
                 "8ed472e911fa7cab9b6303ec1a1fc1d399ec846f6c68031683da5b7be75e7431",
                 HexFormat.of().formatHex(digest.digest()));
--- a/src/test/java/cottonlock/membership/GenerationsTest.java
+++ b/src/test/java/cottonlock/membership/GenerationsTest.java
@@ -1,12 +1,12 @@
 package cottonlock.membership;
 
 import static cottonlock.membership.MembershipFleets.SECOND;
-import static cottonlock.membership.MembershipFleets.defended;
+import static cottonlock.membership.MembershipFleets.assertDefended;
 import static cottonlock.membership.MembershipFleets.fleet;
-import static cottonlock.membership.MembershipFleets.number;
-import static cottonlock.membership.MembershipFleets.pass;
-import static cottonlock.membership.MembershipFleets.rules;
-import static cottonlock.membership.MembershipFleets.usual;
+import static cottonlock.membership.MembershipFleets.nodeNumber;
+import static cottonlock.membership.MembershipFleets.advance;
+import static cottonlock.membership.MembershipFleets.config;
+import static cottonlock.membership.MembershipFleets.testConfig;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -26,11 +26,11 @@
      * the later one.
      */
     @Example
-    void aWrongClockDoesNotKeepAProcessOut() {
-        defended(
-                seed -> backInTime(seed, new ProtocolVariants()),
+    void aClockBehindDoesNotPreventRejoining() {
+        assertDefended(
+                seed -> rejoinsWithClockBehind(seed, new ProtocolVariants()),
                 seed ->
-                        backInTime(
+                        rejoinsWithClockBehind(
                                 seed,
                                 new ProtocolVariants() {
                                     @Override
@@ -40,14 +40,14 @@
                                 }));
     }
 
-    private static boolean backInTime(long seed, ProtocolVariants variants) {
-        Fleet fleet = fleet(seed, 5, usual(), variants);
+    private static boolean rejoinsWithClockBehind(long seed, ProtocolVariants variants) {
+        Fleet fleet = fleet(seed, 5, testConfig(), variants);
         fleet.nodes.get(1).kill();
-        pass(fleet, 0.5);
+        advance(fleet, 0.5);
         fleet.nodes.get(1).start(-600 * SECOND);
-        boolean back = fleet.untilAgreed(8 * SECOND) >= 0;
-        pass(fleet, 20);
-        return back && fleet.agree();
+        boolean rejoined = fleet.untilAgreed(8 * SECOND) >= 0;
+        advance(fleet, 20);
+        return rejoined && fleet.agree();
     }
 
     /**
@@ -56,47 +56,47 @@
      */
     @Example
     void datagramsOfAnEarlierGenerationAreStale() {
-        List<byte[]> old = new ArrayList<>();
+        List<byte[]> earlierDatagrams = new ArrayList<>();
         Fleet fleet = fleet(4, 4);
         fleet.world.cut((from, to) -> false);
-        Fleet.Node moved = fleet.nodes.get(2);
+        Fleet.Node restarted = fleet.nodes.get(2);
         World world = fleet.world;
         MembershipActions[] spy = new MembershipActions[1];
         assertNull(spy[0]);
         // Datagrams as its earlier generation made them, by a machine of the same name.
-        Membership former =
+        Membership earlierProcess =
                 new Membership(
-                        usual(),
+                        testConfig(),
                         new MembershipActions() {
                             @Override
                             public void send(String to, byte[] datagram) {
-                                old.add(datagram);
+                                earlierDatagrams.add(datagram);
                             }
 
                             @Override
                             public void memberStateChanged(
-                                    String who, MemberState state, String reason) {}
+                                    String name, MemberState state, String reason) {}
                         },
                         new LocalMember(
-                                moved.name,
-                                moved.address,
+                                restarted.name,
+                                restarted.address,
                                 List.of(fleet.nodes.get(0).address),
                                 true,
                                 1_000),
                         0,
                         new SplittableRandom(1));
-        former.start(0);
-        former.timerFired(0);
-        former.leave(10);
-        assertFalse(old.isEmpty());
+        earlierProcess.start(0);
+        earlierProcess.timerFired(0);
+        earlierProcess.leave(10);
+        assertFalse(earlierDatagrams.isEmpty());
         for (int i = 0; i < 20; i++) {
-            for (byte[] datagram : old) {
+            for (byte[] datagram : earlierDatagrams) {
                 fleet.nodes
                         .get(0)
                         .machine
-                        .datagramReceived(world.now(), moved.address, datagram, datagram.length);
+                        .datagramReceived(world.now(), restarted.address, datagram, datagram.length);
             }
-            pass(fleet, 0.3);
+            advance(fleet, 0.3);
         }
         assertTrue(fleet.agree());
         assertTrue(fleet.nodes.get(0).view().metrics().get(MembershipMetric.STALE) >= 20);
@@ -108,38 +108,38 @@
      * it.
      */
     @Example
-    void twoProcessesOfOneName() {
+    void theLaterOfTwoProcessesWithOneNameTakesPart() {
         World world = new World(5);
-        List<Membership> machines = new ArrayList<>();
+        List<Membership> memberships = new ArrayList<>();
         List<String> reports = new ArrayList<>();
         String[] names = {"a", "b", "twin", "twin"};
         List<String> addresses =
                 List.of("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4");
-        boolean[] up = {true, true, true, false};
+        boolean[] running = {true, true, true, false};
         for (int i = 0; i < 4; i++) {
-            int me = i;
-            machines.add(
+            int sender = i;
+            memberships.add(
                     new Membership(
-                            usual(),
+                            testConfig(),
                             new MembershipActions() {
                                 @Override
                                 public void send(String to, byte[] datagram) {
-                                    int there = addresses.indexOf(to);
+                                    int receiver = addresses.indexOf(to);
                                     world.send(
-                                            me,
-                                            there,
+                                            sender,
+                                            receiver,
                                             datagram,
                                             bytes -> {
-                                                if (up[there]) {
-                                                    Membership it = machines.get(there);
-                                                    wake(
+                                                if (running[receiver]) {
+                                                    Membership receiverMembership = memberships.get(receiver);
+                                                    scheduleTimer(
                                                             world,
-                                                            it,
-                                                            up,
-                                                            there,
-                                                            it.datagramReceived(
+                                                            receiverMembership,
+                                                            running,
+                                                            receiver,
+                                                            receiverMembership.datagramReceived(
                                                                     world.now(),
-                                                                    addresses.get(me),
+                                                                    addresses.get(sender),
                                                                     bytes,
                                                                     bytes.length));
                                                 }
@@ -148,8 +148,8 @@
 
                                 @Override
                                 public void memberStateChanged(
-                                        String who, MemberState state, String reason) {
-                                    reports.add(me + " " + who + " " + state + " " + reason);
+                                        String name, MemberState state, String reason) {
+                                    reports.add(sender + " " + name + " " + state + " " + reason);
                                 }
                             },
                             new LocalMember(
@@ -158,40 +158,40 @@
                             new SplittableRandom(i)));
         }
         for (int i = 0; i < 3; i++) {
-            wake(world, machines.get(i), up, i, machines.get(i).start(0));
+            scheduleTimer(world, memberships.get(i), running, i, memberships.get(i).start(0));
         }
         world.until(5 * SECOND);
-        up[3] = true;
-        wake(world, machines.get(3), up, 3, machines.get(3).start(world.now()));
+        running[3] = true;
+        scheduleTimer(world, memberships.get(3), running, 3, memberships.get(3).start(world.now()));
         world.until(15 * SECOND);
         assertTrue(
-                reports.stream().anyMatch(t -> t.startsWith("2 twin LEFT displaced")),
+                reports.stream().anyMatch(report -> report.startsWith("2 twin LEFT displaced")),
                 reports.toString());
         assertEquals(
                 "127.0.0.1:4",
-                address(machines.get(0), world),
+                address(memberships.get(0), world),
                 "the later one speaks for the name");
-        assertEquals(2, machines.get(0).liveOthers());
-        up[3] = false;
+        assertEquals(2, memberships.get(0).liveOthers());
+        running[3] = false;
         world.until(40 * SECOND);
         assertEquals(
-                "127.0.0.1:3", address(machines.get(0), world), "and the first one again after it");
-        assertEquals(MemberState.ALIVE, machines.get(0).stateOf("twin"));
+                "127.0.0.1:3", address(memberships.get(0), world), "and the first one again after it");
+        assertEquals(MemberState.ALIVE, memberships.get(0).stateOf("twin"));
     }
 
-    private static void wake(World world, Membership machine, boolean[] up, int number, long at) {
+    private static void scheduleTimer(World world, Membership membership, boolean[] running, int nodeNumber, long dueAtTicks) {
         world.at(
-                at,
+                dueAtTicks,
                 () -> {
-                    if (up[number] && machine.isDue(world.now())) {
-                        wake(world, machine, up, number, machine.timerFired(world.now()));
+                    if (running[nodeNumber] && membership.isDue(world.now())) {
+                        scheduleTimer(world, membership, running, nodeNumber, membership.timerFired(world.now()));
                     }
                 });
     }
 
-    private static String address(Membership machine, World world) {
-        return machine.view(world.now()).members().stream()
-                .filter(l -> l.name().equals("twin"))
+    private static String address(Membership membership, World world) {
+        return membership.view(world.now()).members().stream()
+                .filter(entry -> entry.name().equals("twin"))
                 .findFirst()
                 .orElseThrow()
                 .address();
@@ -204,14 +204,14 @@
     @Example
     void aLongStoppedProcessDoesNotReviveADeadMember() {
         Fleet fleet =
-                fleet(6, 5, rules(3, 3, 20_000, 1_024, 20 * SECOND, 3, 2), new ProtocolVariants());
+                fleet(6, 5, config(3, 3, 20_000, 1_024, 20 * SECOND, 3, 2), new ProtocolVariants());
         fleet.nodes.get(1).pause(60 * SECOND);
-        pass(fleet, 8);
+        advance(fleet, 8);
         fleet.nodes.get(2).kill();
-        pass(fleet, 51);
+        advance(fleet, 51);
         List<String> reports = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            pass(fleet, 0.1);
+            advance(fleet, 0.1);
             for (int other : new int[] {0, 3, 4}) {
                 MemberState state = fleet.nodes.get(other).machine.stateOf("n2");
                 if (state != null && state.isLive()) {
@@ -225,26 +225,26 @@
 
     /** A name at another address, and another name at the old address, are both right soon. */
     @Example
-    void namesAndAddressesMove() {
+    void viewsFollowMovedNamesAndAddresses() {
         String[] names = new String[4];
         Fleet fleet =
                 new Fleet(
                         new World(11),
                         4,
-                        usual(),
-                        (config, out, self, tag, random) ->
+                        testConfig(),
+                        (config, out, self, reservedBytes, random) ->
                                 new Membership(
                                         config,
                                         out,
                                         new LocalMember(
-                                                names[number(self.name())] == null
+                                                names[nodeNumber(self.name())] == null
                                                         ? self.name()
-                                                        : names[number(self.name())],
+                                                        : names[nodeNumber(self.name())],
                                                 self.address(),
                                                 self.contacts(),
                                                 self.membersAreFixed(),
                                                 self.generation()),
-                                        tag,
+                                        reservedBytes,
                                         random));
         fleet.startAll(SECOND);
         fleet.world.until(6 * SECOND);
@@ -254,17 +254,17 @@
         names[3] = "other";
         fleet.nodes.get(2).start(5 * SECOND);
         fleet.nodes.get(3).start(5 * SECOND);
-        pass(fleet, 12);
+        advance(fleet, 12);
         for (int viewer : new int[] {0, 1}) {
             MembershipView view = fleet.nodes.get(viewer).view();
-            assertEquals("127.0.0.1:10002", line(view, "n3").address());
-            assertEquals(MemberState.ALIVE, line(view, "n3").state());
-            assertEquals("127.0.0.1:10003", line(view, "other").address());
-            assertFalse(line(view, "n2").state().isLive(), "nobody goes by that name any more");
+            assertEquals("127.0.0.1:10002", member(view, "n3").address());
+            assertEquals(MemberState.ALIVE, member(view, "n3").state());
+            assertEquals("127.0.0.1:10003", member(view, "other").address());
+            assertFalse(member(view, "n2").state().isLive(), "nobody goes by that name any more");
         }
     }
 
-    private static MembershipView.Member line(MembershipView view, String name) {
-        return view.members().stream().filter(l -> l.name().equals(name)).findFirst().orElseThrow();
+    private static MembershipView.Member member(MembershipView view, String name) {
+        return view.members().stream().filter(entry -> entry.name().equals(name)).findFirst().orElseThrow();
     }
 }
--- a/src/test/java/cottonlock/membership/MemberTableTest.java
+++ b/src/test/java/cottonlock/membership/MemberTableTest.java
@@ -15,26 +15,26 @@
 
 /** The counts and digests that the table maintains are those that a search of all members finds. */
 class MemberTableTest {
-    private static final MemberUpdate ME =
+    private static final MemberUpdate SELF =
             new MemberUpdate("me", "10.0.0.1:1", 1, 0, MemberState.ALIVE, 0);
 
     @Property(seed = "20261202", tries = 40)
     void maintainedCountsEqualThoseOfASearch(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Set<String> contacts = new TreeSet<>(List.of("10.0.0.2:1", "10.0.0.3:1", "10.0.0.200:1"));
-        MemberTable table = new MemberTable(ME, 400, new ContactAddresses(contacts));
+        MemberTable table = new MemberTable(SELF, 400, new ContactAddresses(contacts));
         for (int step = 0; step < 600; step++) {
-            change(table, random);
+            applyRandomChange(table, random);
             if (step % 40 == 0) {
-                compare(table, contacts);
+                assertMatchesSearch(table, contacts);
             }
         }
     }
 
-    private static void change(MemberTable table, SplittableRandom random) {
+    private static void applyRandomChange(MemberTable table, SplittableRandom random) {
         // Addresses are shared by some, so that one that is gone may leave another there.
         String name = "n" + random.nextInt(300);
-        MemberUpdate w =
+        MemberUpdate update =
                 new MemberUpdate(
                         name,
                         "10.0.0." + random.nextInt(2, 120) + ":1",
@@ -42,81 +42,81 @@
                         random.nextInt(4),
                         MemberState.ofWireNumber(random.nextInt(5)),
                         0);
-        MemberRecord k = table.get(name);
-        int what = random.nextInt(5);
-        if (k == null) {
-            table.replace(table.add(w, 0), w, false);
-        } else if (what == 0) {
-            table.remove(k);
-        } else if (what == 1) {
-            table.setDivergedSince(k, random.nextBoolean() ? MemberRecord.NEVER : 7);
+        MemberRecord member = table.get(name);
+        int action = random.nextInt(5);
+        if (member == null) {
+            table.replace(table.add(update, 0), update, false);
+        } else if (action == 0) {
+            table.remove(member);
+        } else if (action == 1) {
+            table.setDivergedSince(member, random.nextBoolean() ? MemberRecord.NEVER : 7);
         } else {
-            table.replace(k, w, true);
+            table.replace(member, update, true);
         }
     }
 
-    private static void compare(MemberTable table, Set<String> contacts) {
-        int alive = 0;
-        int differing = 0;
-        long digest = ME.digest();
-        Set<String> open = new TreeSet<>(contacts);
-        for (MemberRecord k : table.members()) {
-            alive += k.update.state().isLive() ? 1 : 0;
-            digest += k.update.state().isLive() ? k.update.digest() : 0;
-            differing += k.diverges() ? 1 : 0;
-            if (k.update.state() == MemberState.FAILED) {
-                open.add(k.update.address());
+    private static void assertMatchesSearch(MemberTable table, Set<String> contacts) {
+        int expectedLiveCount = 0;
+        int expectedDivergingCount = 0;
+        long digest = SELF.digest();
+        Set<String> expectedAddresses = new TreeSet<>(contacts);
+        for (MemberRecord member : table.members()) {
+            expectedLiveCount += member.update.state().isLive() ? 1 : 0;
+            digest += member.update.state().isLive() ? member.update.digest() : 0;
+            expectedDivergingCount += member.diverges() ? 1 : 0;
+            if (member.update.state() == MemberState.FAILED) {
+                expectedAddresses.add(member.update.address());
             }
-            assertSame(k, table.get(k.update.name()));
-            assertSame(k, table.byNameHash(k.nameHash));
+            assertSame(member, table.get(member.update.name()));
+            assertSame(member, table.byNameHash(member.nameHash));
         }
         table.members().stream()
-                .filter(k -> k.update.state().isLive())
-                .forEach(k -> open.remove(k.update.address()));
-        open.remove("10.0.0.7:1");
-        assertEquals(new ArrayList<>(open), table.contactAddresses().candidates("10.0.0.7:1"));
-        assertEquals(alive, table.liveCount());
+                .filter(member -> member.update.state().isLive())
+                .forEach(member -> expectedAddresses.remove(member.update.address()));
+        expectedAddresses.remove("10.0.0.7:1");
+        assertEquals(new ArrayList<>(expectedAddresses), table.contactAddresses().candidates("10.0.0.7:1"));
+        assertEquals(expectedLiveCount, table.liveCount());
         assertEquals(digest, table.digest());
-        assertEquals(differing, table.divergingCount());
-        for (int parts : new int[] {1, 2, 7, 8, 16, 31, 32}) {
-            parts(table, parts);
+        assertEquals(expectedDivergingCount, table.divergingCount());
+        for (int partitions : new int[] {1, 2, 7, 8, 16, 31, 32}) {
+            assertPartitionsMatchSearch(table, partitions);
         }
     }
 
-    private static void parts(MemberTable table, int parts) {
-        int[] marks = new int[parts];
-        for (int part = 0; part < parts; part++) {
-            List<MemberUpdate> words = new ArrayList<>();
+    private static void assertPartitionsMatchSearch(MemberTable table, int partitions) {
+        int[] expectedDigests = new int[partitions];
+        for (int partition = 0; partition < partitions; partition++) {
+            List<MemberUpdate> expectedUpdates = new ArrayList<>();
             List<MemberRecord> between = new ArrayList<>();
-            boolean me = Math.floorMod(MemberUpdate.nameHash("me"), parts) == part;
-            for (MemberRecord k : table.members()) {
-                if (me && k.update.name().compareTo("me") > 0) {
-                    words.add(ME);
-                    me = false;
+            boolean selfPending = Math.floorMod(MemberUpdate.nameHash("me"), partitions) == partition;
+            for (MemberRecord member : table.members()) {
+                if (selfPending && member.update.name().compareTo("me") > 0) {
+                    expectedUpdates.add(SELF);
+                    selfPending = false;
                 }
-                if (k.partition(parts) == part) {
-                    if (k.update.state().isLive()) {
-                        words.add(k.update);
+                if (member.partition(partitions) == partition) {
+                    if (member.update.state().isLive()) {
+                        expectedUpdates.add(member.update);
                     }
-                    String name = k.update.name();
+                    String name = member.update.name();
                     if (name.compareTo("n150") > 0 && name.compareTo("n27") <= 0) {
-                        between.add(k);
+                        between.add(member);
                     }
                 }
             }
-            if (me) {
-                words.add(ME);
+            if (selfPending) {
+                expectedUpdates.add(SELF);
             }
-            for (MemberUpdate w : words) {
-                marks[part] += (int) (w.digest() >>> 32);
+            for (MemberUpdate update : expectedUpdates) {
+                expectedDigests[partition] += (int) (update.digest() >>> 32);
             }
-            assertEquals(words, table.liveUpdates(parts, part), "part " + part + " of " + parts);
+            assertEquals(expectedUpdates, table.liveUpdates(partitions, partition), "part " + partition + " of " + partitions);
             assertEquals(
                     between,
-                    table.membersBetween(parts, part, "n150", "n27"),
-                    "part " + part + " of " + parts);
+                    table.membersBetween(partitions, partition, "n150", "n27"),
+                    "part " + partition + " of " + partitions);
         }
-        assertArrayEquals(marks, table.partitionDigests(parts), parts + " parts");
+        assertArrayEquals(expectedDigests, table.partitionDigests(partitions), partitions + " parts");
     }
 
     /**
@@ -124,29 +124,29 @@
      */
     @Example
     void namesWithOneHashAreDistinguished() {
-        String[] alike = alike();
-        MemberTable table = new MemberTable(ME, 400, new ContactAddresses(Set.of()));
-        for (String name : alike) {
-            MemberUpdate w = new MemberUpdate(name, "10.0.0.9:1", 1, 0, MemberState.ALIVE, 0);
-            table.replace(table.add(w, 0), w, false);
+        String[] namesWithEqualHash = namesWithEqualHash();
+        MemberTable table = new MemberTable(SELF, 400, new ContactAddresses(Set.of()));
+        for (String name : namesWithEqualHash) {
+            MemberUpdate update = new MemberUpdate(name, "10.0.0.9:1", 1, 0, MemberState.ALIVE, 0);
+            table.replace(table.add(update, 0), update, false);
         }
-        for (String name : alike) {
+        for (String name : namesWithEqualHash) {
             assertEquals(name, table.get(name).update.name());
         }
-        table.remove(table.get(alike[0]));
-        assertEquals(null, table.get(alike[0]));
-        assertEquals(alike[1], table.get(alike[1]).update.name());
-        assertEquals(alike[1], table.byNameHash(MemberUpdate.nameHash(alike[1])).update.name());
+        table.remove(table.get(namesWithEqualHash[0]));
+        assertEquals(null, table.get(namesWithEqualHash[0]));
+        assertEquals(namesWithEqualHash[1], table.get(namesWithEqualHash[1]).update.name());
+        assertEquals(namesWithEqualHash[1], table.byNameHash(MemberUpdate.nameHash(namesWithEqualHash[1])).update.name());
         assertEquals(1, table.liveCount());
     }
 
-    private static String[] alike() {
-        java.util.Map<Integer, String> seen = new java.util.HashMap<>();
+    private static String[] namesWithEqualHash() {
+        java.util.Map<Integer, String> nameByHash = new java.util.HashMap<>();
         for (int i = 0; ; i++) {
             String name = "x" + i;
-            String before = seen.put(MemberUpdate.nameHash(name), name);
-            if (before != null) {
-                return new String[] {before, name};
+            String previous = nameByHash.put(MemberUpdate.nameHash(name), name);
+            if (previous != null) {
+                return new String[] {previous, name};
             }
         }
     }
--- a/src/test/java/cottonlock/membership/MembershipFleets.java
+++ b/src/test/java/cottonlock/membership/MembershipFleets.java
@@ -11,9 +11,9 @@
 final class MembershipFleets {
     static final long SECOND = 10_000;
 
-    static final MembershipProtocolConfig USUAL = MembershipProtocolConfig.DEFAULTS;
+    static final MembershipProtocolConfig DEFAULT_CONFIG = MembershipProtocolConfig.DEFAULTS;
 
-    static MembershipProtocolConfig rules(
+    static MembershipProtocolConfig config(
             int indirectProbeCount,
             double suspicionMultiplier,
             long stallTimeoutTicks,
@@ -22,24 +22,24 @@
             int maxLocalHealthScore,
             int contactIntervalPeriods) {
         return new MembershipProtocolConfig(
-                USUAL.periodTicks(),
-                USUAL.answerTimeoutTicks(),
+                DEFAULT_CONFIG.periodTicks(),
+                DEFAULT_CONFIG.answerTimeoutTicks(),
                 indirectProbeCount,
                 suspicionMultiplier,
-                USUAL.maxSuspicionMultiplier(),
-                USUAL.confirmationCount(),
+                DEFAULT_CONFIG.maxSuspicionMultiplier(),
+                DEFAULT_CONFIG.confirmationCount(),
                 stallTimeoutTicks,
-                USUAL.retransmitMultiplier(),
+                DEFAULT_CONFIG.retransmitMultiplier(),
                 maxMembers,
                 deadMemberRetentionTicks,
-                USUAL.maxBytesPerSecond(),
+                DEFAULT_CONFIG.maxBytesPerSecond(),
                 maxLocalHealthScore,
-                USUAL.joinTimeoutTicks(),
+                DEFAULT_CONFIG.joinTimeoutTicks(),
                 contactIntervalPeriods);
     }
 
-    static MembershipProtocolConfig usual() {
-        return rules(3, 3, 20_000, 1_024, 6_000_000, 3, 2);
+    static MembershipProtocolConfig testConfig() {
+        return config(3, 3, 20_000, 1_024, 6_000_000, 3, 2);
     }
 
     static Fleet fleet(
@@ -49,34 +49,34 @@
                         new World(seed),
                         size,
                         rules,
-                        (config, out, self, tag, random) ->
-                                new Membership(config, out, self, tag, random, variants));
+                        (config, out, self, reservedBytes, random) ->
+                                new Membership(config, out, self, reservedBytes, random, variants));
         fleet.startAll(SECOND);
         fleet.world.until(6 * SECOND);
         return fleet;
     }
 
     static Fleet fleet(long seed, int size) {
-        return fleet(seed, size, usual(), new ProtocolVariants());
+        return fleet(seed, size, testConfig(), new ProtocolVariants());
     }
 
-    static void pass(Fleet fleet, double seconds) {
+    static void advance(Fleet fleet, double seconds) {
         fleet.world.until(fleet.world.now() + (long) (seconds * SECOND));
     }
 
     /**
      * Plays a case with three seeds: right in all with the defence, wrong in one at least without.
      */
-    static void defended(Predicate<Long> with, Predicate<Long> without) {
-        boolean ill = false;
+    static void assertDefended(Predicate<Long> withDefence, Predicate<Long> withoutDefence) {
+        boolean failedWithout = false;
         for (long seed = 1; seed <= 3; seed++) {
-            assertTrue(with.test(seed), "with the defence, seed " + seed);
-            ill |= !without.test(seed);
+            assertTrue(withDefence.test(seed), "with the defence, seed " + seed);
+            failedWithout |= !withoutDefence.test(seed);
         }
-        assertTrue(ill, "without the defence nothing goes wrong: the case shows nothing");
+        assertTrue(failedWithout, "without the defence nothing goes wrong: the case shows nothing");
     }
 
-    static int number(String name) {
+    static int nodeNumber(String name) {
         return Integer.parseInt(name.substring(1));
     }
 
--- a/src/test/java/cottonlock/membership/MembershipTest.java
+++ b/src/test/java/cottonlock/membership/MembershipTest.java
@@ -1,12 +1,12 @@
 package cottonlock.membership;
 
 import static cottonlock.membership.MembershipFleets.SECOND;
-import static cottonlock.membership.MembershipFleets.USUAL;
-import static cottonlock.membership.MembershipFleets.defended;
+import static cottonlock.membership.MembershipFleets.DEFAULT_CONFIG;
+import static cottonlock.membership.MembershipFleets.assertDefended;
 import static cottonlock.membership.MembershipFleets.fleet;
-import static cottonlock.membership.MembershipFleets.pass;
-import static cottonlock.membership.MembershipFleets.rules;
-import static cottonlock.membership.MembershipFleets.usual;
+import static cottonlock.membership.MembershipFleets.advance;
+import static cottonlock.membership.MembershipFleets.config;
+import static cottonlock.membership.MembershipFleets.testConfig;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -27,7 +27,7 @@
  */
 class MembershipTest {
     @Property(seed = "20261201", tries = 12)
-    void deathsAreFoundByAllAndNoOtherFailure(
+    void killedMembersAreDetectedWithoutFalseFailures(
             @ForAll @IntRange(min = 4, max = 24) int size,
             @ForAll @IntRange(max = 99_999) int seed) {
         Fleet fleet = fleet(seed, size);
@@ -35,10 +35,10 @@
         List<Fleet.Node> killed =
                 new ArrayList<>(fleet.nodes.subList(0, Math.max(1, size * 3 / 8)));
         killed.forEach(Fleet.Node::kill);
-        pass(fleet, 0.3);
+        advance(fleet, 0.3);
         killed.get(0).start(0);
-        for (Fleet.Node dead : killed.subList(1, killed.size())) {
-            assertTrue(fleet.untilFailed(dead, true, 10 * SECOND) >= 0, dead.name + " is found");
+        for (Fleet.Node killedNode : killed.subList(1, killed.size())) {
+            assertTrue(fleet.untilFailed(killedNode, true, 10 * SECOND) >= 0, killedNode.name + " is found");
         }
         assertTrue(
                 fleet.untilAgreed(3 * SECOND) >= 0, "and the one that came back at once is there");
@@ -48,17 +48,17 @@
     }
 
     @Example
-    void restartsInARowAndSevenInTenAtOnce() {
+    void viewsAgreeAfterRollingAndSimultaneousRestarts() {
         Fleet fleet = fleet(7, 20);
         for (Fleet.Node node : fleet.nodes) {
             node.leave();
-            pass(fleet, 1.2);
+            advance(fleet, 1.2);
             node.start(0);
-            pass(fleet, 0.2);
+            advance(fleet, 0.2);
         }
         assertTrue(fleet.untilAgreed(3 * SECOND) >= 0);
         fleet.nodes.subList(0, 14).forEach(Fleet.Node::kill);
-        pass(fleet, 0.1);
+        advance(fleet, 0.1);
         fleet.nodes.subList(0, 14).forEach(node -> node.start(0));
         assertTrue(fleet.untilAgreed(4 * SECOND) >= 0);
         assertEquals(List.of(), fleet.falseFailures);
@@ -68,7 +68,7 @@
     void aLeavingMemberIsSeenAsLeftByAll() {
         Fleet fleet = fleet(3, 6);
         fleet.nodes.get(2).leave();
-        pass(fleet, 2);
+        advance(fleet, 2);
         for (Fleet.Node node : fleet.nodes) {
             if (node.up) {
                 assertEquals(MemberState.LEFT, node.machine.stateOf("n2"), node.name);
@@ -82,17 +82,17 @@
      */
     @Example
     void aProcessWithAStalledWorkerIsFoundFailed() {
-        defended(
-                seed -> hung(seed, usual()),
-                seed -> hung(seed, rules(3, 3, Long.MAX_VALUE, 1_024, 6_000_000, 3, 2)));
+        assertDefended(
+                seed -> stalledWorkerIsDetectedAndRecovers(seed, testConfig()),
+                seed -> stalledWorkerIsDetectedAndRecovers(seed, config(3, 3, Long.MAX_VALUE, 1_024, 6_000_000, 3, 2)));
     }
 
-    private static boolean hung(long seed, MembershipProtocolConfig rules) {
-        Fleet fleet = fleet(seed, 5, rules, new ProtocolVariants());
+    private static boolean stalledWorkerIsDetectedAndRecovers(long seed, MembershipProtocolConfig config) {
+        Fleet fleet = fleet(seed, 5, config, new ProtocolVariants());
         fleet.nodes.get(3).hang(20 * SECOND);
-        boolean found = fleet.untilFailed(fleet.nodes.get(3), true, 15 * SECOND) >= 0;
-        pass(fleet, 20);
-        return found && fleet.untilAgreed(2 * SECOND) >= 0;
+        boolean detected = fleet.untilFailed(fleet.nodes.get(3), true, 15 * SECOND) >= 0;
+        advance(fleet, 20);
+        return detected && fleet.untilAgreed(2 * SECOND) >= 0;
     }
 
     /**
@@ -100,52 +100,52 @@
      * grow.
      */
     @Example
-    void theGreatestFleetIsABound() {
-        Fleet fleet = fleet(2, 12, rules(3, 3, 20_000, 8, 6_000_000, 3, 2), new ProtocolVariants());
-        pass(fleet, 30);
-        long full = 0;
+    void theMemberTableIsBounded() {
+        Fleet fleet = fleet(2, 12, config(3, 3, 20_000, 8, 6_000_000, 3, 2), new ProtocolVariants());
+        advance(fleet, 30);
+        long rejectedWhenFull = 0;
         for (Fleet.Node node : fleet.nodes) {
             assertTrue(node.view().members().size() <= 8, "members of " + node.name);
-            full += node.view().metrics().get(MembershipMetric.REJECTED_WHEN_FULL);
+            rejectedWhenFull += node.view().metrics().get(MembershipMetric.REJECTED_WHEN_FULL);
         }
-        assertTrue(full > 0, "who found no room is counted");
-        Membership one =
+        assertTrue(rejectedWhenFull > 0, "who found no room is counted");
+        Membership membership =
                 new Membership(
-                        rules(3, 3, 20_000, 64, 20 * SECOND, 3, 2),
+                        config(3, 3, 20_000, 64, 20 * SECOND, 3, 2),
                         new MembershipActions() {
                             @Override
                             public void send(String to, byte[] datagram) {}
 
                             @Override
                             public void memberStateChanged(
-                                    String who, MemberState state, String reason) {}
+                                    String name, MemberState state, String reason) {}
                         },
                         new LocalMember("me", "127.0.0.1:1", List.of("127.0.0.1:2"), false, 1_000),
                         0,
                         new SplittableRandom(1));
-        one.start(0);
+        membership.start(0);
         long now = 0;
         for (int i = 0; i < 5_000; i++) {
             MemberUpdate other =
                     new MemberUpdate(
                             "x" + i, "127.0.0.1:" + (2 + i), 1_000, 0, MemberState.ALIVE, 0);
-            DatagramWriter hello =
+            DatagramWriter ping =
                     DatagramCodec.writerFor(
                             new Message(Message.Kind.PING, other, 1, 0, 0),
                             DatagramCodec.MAX_DATAGRAM_BYTES);
-            one.datagramReceived(now, other.address(), hello.toBytes(), hello.size());
+            membership.datagramReceived(now, other.address(), ping.toBytes(), ping.size());
             MemberUpdate left = other.withState(MemberState.LEFT, 0);
-            DatagramWriter bye =
+            DatagramWriter leaveAnnouncement =
                     DatagramCodec.writerFor(
                             new Message(Message.Kind.UPDATES, left, 2, 0, 0),
                             DatagramCodec.MAX_DATAGRAM_BYTES);
-            one.datagramReceived(now, other.address(), bye.toBytes(), bye.size());
+            membership.datagramReceived(now, other.address(), leaveAnnouncement.toBytes(), leaveAnnouncement.size());
             now += 100;
-            one.timerFired(now);
+            membership.timerFired(now);
         }
-        assertTrue(one.view(now).members().size() <= 64);
-        one.timerFired(now + 60 * SECOND);
-        assertEquals(1, one.view(now + 60 * SECOND).members().size(), "who has left is forgotten");
+        assertTrue(membership.view(now).members().size() <= 64);
+        membership.timerFired(now + 60 * SECOND);
+        assertEquals(1, membership.view(now + 60 * SECOND).members().size(), "who has left is forgotten");
     }
 
     /**
@@ -153,13 +153,13 @@
      * together.
      */
     @Example
-    void deadSeedsAreCalledAgain() {
+    void failedContactsArePingedAgain() {
         Fleet fleet =
                 new Fleet(
                         new World(9),
                         5,
-                        usual(),
-                        (config, out, self, tag, random) ->
+                        testConfig(),
+                        (config, out, self, reservedBytes, random) ->
                                 new Membership(
                                         config,
                                         out,
@@ -169,12 +169,12 @@
                                                 self.contacts().subList(0, 2),
                                                 false,
                                                 self.generation()),
-                                        tag,
+                                        reservedBytes,
                                         random));
         for (int i = 2; i < 5; i++) {
             fleet.nodes.get(i).start(0);
         }
-        pass(fleet, 10);
+        advance(fleet, 10);
         assertEquals(0, fleet.nodes.get(3).machine.liveOthers(), "no member can be found");
         assertEquals(
                 MemberState.ALIVE,
@@ -184,7 +184,7 @@
         assertTrue(fleet.untilAgreed(6 * SECOND) >= 0);
         fleet.nodes.get(0).kill();
         fleet.nodes.get(4).kill();
-        pass(fleet, 10);
+        advance(fleet, 10);
         assertTrue(fleet.agree());
     }
 
@@ -193,15 +193,15 @@
      * datagrams.
      */
     @Example
-    void membersThatComeAndGoEverySecond() {
-        defended(
-                seed -> churn(seed, new ProtocolVariants()) < 2_000,
+    void updatesAboutMembersThatRestartEverySecondAreBounded() {
+        assertDefended(
+                seed -> tenfoldBytesPerSecondAfterChurn(seed, new ProtocolVariants()) < 2_000,
                 seed ->
-                        churn(
+                        tenfoldBytesPerSecondAfterChurn(
                                         seed,
                                         new ProtocolVariants() {
                                             @Override
-                                            int transmitLimit(int usual) {
+                                            int transmitLimit(int defaultLimit) {
                                                 return 1_000_000;
                                             }
                                         })
@@ -209,8 +209,8 @@
     }
 
     /** Bytes a second in the mean of the quiet minute after a minute of comings and goings. */
-    private static long churn(long seed, ProtocolVariants variants) {
-        Fleet fleet = fleet(seed, 16, usual(), variants);
+    private static long tenfoldBytesPerSecondAfterChurn(long seed, ProtocolVariants variants) {
+        Fleet fleet = fleet(seed, 16, testConfig(), variants);
         for (int i = 0; i < 60; i++) {
             Fleet.Node node = fleet.nodes.get(4 + i % 12);
             if (node.up) {
@@ -218,21 +218,21 @@
             } else {
                 node.start(0);
             }
-            pass(fleet, 1);
+            advance(fleet, 1);
         }
         for (Fleet.Node node : fleet.nodes) {
             assertTrue(
-                    node.worstSecond <= USUAL.maxBytesPerSecond(),
+                    node.worstSecond <= DEFAULT_CONFIG.maxBytesPerSecond(),
                     node.worstSecond + " bytes in a second");
             if (!node.up) {
                 node.start(0);
             }
         }
         assertTrue(fleet.untilAgreed(8 * SECOND) >= 0);
-        pass(fleet, 10);
-        long before = fleet.nodes.get(0).sent;
-        pass(fleet, 60);
+        advance(fleet, 10);
+        long sentBefore = fleet.nodes.get(0).sent;
+        advance(fleet, 60);
         assertEquals(List.of(), fleet.falseFailures);
-        return (fleet.nodes.get(0).sent - before) / 60 * 10;
+        return (fleet.nodes.get(0).sent - sentBefore) / 60 * 10;
     }
 }
--- a/src/test/java/cottonlock/membership/NetworkPartitionTest.java
+++ b/src/test/java/cottonlock/membership/NetworkPartitionTest.java
@@ -1,12 +1,12 @@
 package cottonlock.membership;
 
 import static cottonlock.membership.MembershipFleets.SECOND;
-import static cottonlock.membership.MembershipFleets.defended;
+import static cottonlock.membership.MembershipFleets.assertDefended;
 import static cottonlock.membership.MembershipFleets.fleet;
-import static cottonlock.membership.MembershipFleets.number;
-import static cottonlock.membership.MembershipFleets.pass;
-import static cottonlock.membership.MembershipFleets.rules;
-import static cottonlock.membership.MembershipFleets.usual;
+import static cottonlock.membership.MembershipFleets.nodeNumber;
+import static cottonlock.membership.MembershipFleets.advance;
+import static cottonlock.membership.MembershipFleets.config;
+import static cottonlock.membership.MembershipFleets.testConfig;
 
 import cottonlock.lab.world.Fleet;
 import cottonlock.lab.world.World;
@@ -20,26 +20,26 @@
      * again.
      */
     @Example
-    void halvesAndThirdsFindEachOtherAgain() {
+    void separatedGroupsReuniteAfterHealing() {
         for (int groups : new int[] {2, 3}) {
-            defended(
-                    seed -> healed(seed, groups, usual()),
+            assertDefended(
+                    seed -> viewsAgreeAfterHealing(seed, groups, testConfig()),
                     seed ->
-                            healed(
+                            viewsAgreeAfterHealing(
                                     seed,
                                     groups,
-                                    rules(3, 3, 20_000, 1_024, 6_000_000, 3, 1_000_000)));
+                                    config(3, 3, 20_000, 1_024, 6_000_000, 3, 1_000_000)));
         }
     }
 
-    private static boolean healed(long seed, int groups, MembershipProtocolConfig rules) {
-        Fleet fleet = fleet(seed, 9, rules, new ProtocolVariants());
+    private static boolean viewsAgreeAfterHealing(long seed, int groups, MembershipProtocolConfig config) {
+        Fleet fleet = fleet(seed, 9, config, new ProtocolVariants());
         fleet.split(groups);
-        pass(fleet, 6);
+        advance(fleet, 6);
         fleet.split(1);
-        pass(fleet, 0.7);
+        advance(fleet, 0.7);
         fleet.split(groups + 1);
-        pass(fleet, 20);
+        advance(fleet, 20);
         if (!fleet.agree()) {
             return false;
         }
@@ -52,30 +52,30 @@
      */
     @Example
     void aHealedPartitionCausesNoFailureOnTheOwnSide() {
-        defended(
-                seed -> ownFailures(seed, new ProtocolVariants()) == 0,
+        assertDefended(
+                seed -> sameSideFailures(seed, new ProtocolVariants()) == 0,
                 seed ->
-                        ownFailures(
+                        sameSideFailures(
                                         seed,
                                         new ProtocolVariants() {
                                             @Override
                                             boolean acceptsFailureReport(
-                                                    MemberRecord k, MemberUpdate failed, long now) {
+                                                    MemberRecord member, MemberUpdate failed, long now) {
                                                 return true;
                                             }
                                         })
                                 == 0);
     }
 
-    private static int ownFailures(long seed, ProtocolVariants variants) {
-        int[] own = {0};
-        Fleet[] at = new Fleet[1];
-        at[0] =
+    private static int sameSideFailures(long seed, ProtocolVariants variants) {
+        int[] failures = {0};
+        Fleet[] fleetHolder = new Fleet[1];
+        fleetHolder[0] =
                 new Fleet(
                         new World(seed),
                         12,
-                        usual(),
-                        (config, out, self, tag, random) ->
+                        testConfig(),
+                        (config, out, self, reservedBytes, random) ->
                                 new Membership(
                                         config,
                                         new MembershipActions() {
@@ -86,30 +86,30 @@
 
                                             @Override
                                             public void memberStateChanged(
-                                                    String who, MemberState state, String reason) {
-                                                boolean same =
-                                                        (number(who) + number(self.name())) % 2
+                                                    String name, MemberState state, String reason) {
+                                                boolean sameSide =
+                                                        (nodeNumber(name) + nodeNumber(self.name())) % 2
                                                                 == 0;
-                                                own[0] +=
+                                                failures[0] +=
                                                         state == MemberState.FAILED
-                                                                        && same
-                                                                        && at[0].world.now()
+                                                                        && sameSide
+                                                                        && fleetHolder[0].world.now()
                                                                                 > 30 * SECOND
                                                                 ? 1
                                                                 : 0;
                                             }
                                         },
                                         self,
-                                        tag,
+                                        reservedBytes,
                                         random,
                                         variants));
-        at[0].startAll(SECOND);
-        at[0].world.until(6 * SECOND);
-        at[0].split(2);
-        at[0].world.until(30 * SECOND);
-        at[0].split(1);
-        at[0].world.until(40 * SECOND);
-        return own[0];
+        fleetHolder[0].startAll(SECOND);
+        fleetHolder[0].world.until(6 * SECOND);
+        fleetHolder[0].split(2);
+        fleetHolder[0].world.until(30 * SECOND);
+        fleetHolder[0].split(1);
+        fleetHolder[0].world.until(40 * SECOND);
+        return failures[0];
     }
 
     /**
@@ -118,15 +118,15 @@
      */
     @Example
     void aOneWayCutCausesNoFailure() {
-        defended(
-                seed -> oneWay(seed, usual()),
-                seed -> oneWay(seed, rules(0, 3, 20_000, 1_024, 6_000_000, 3, 2)));
+        assertDefended(
+                seed -> oneWayCutIsTolerated(seed, testConfig()),
+                seed -> oneWayCutIsTolerated(seed, config(0, 3, 20_000, 1_024, 6_000_000, 3, 2)));
     }
 
-    private static boolean oneWay(long seed, MembershipProtocolConfig rules) {
-        Fleet fleet = fleet(seed, 6, rules, new ProtocolVariants());
+    private static boolean oneWayCutIsTolerated(long seed, MembershipProtocolConfig config) {
+        Fleet fleet = fleet(seed, 6, config, new ProtocolVariants());
         fleet.world.cut((from, to) -> from == 0 && to == 1);
-        pass(fleet, 60);
+        advance(fleet, 60);
         return fleet.falseFailures.isEmpty()
                 && reach(fleet, 0, "n1") == MembershipView.Reach.INBOUND_ONLY
                 && reach(fleet, 1, "n0") == MembershipView.Reach.OUTBOUND_ONLY;
@@ -134,7 +134,7 @@
 
     private static MembershipView.Reach reach(Fleet fleet, int viewer, String name) {
         return fleet.nodes.get(viewer).view().members().stream()
-                .filter(l -> l.name().equals(name))
+                .filter(member -> member.name().equals(name))
                 .findFirst()
                 .orElseThrow()
                 .reach();
