--- a/src/test/java/cottonlock/membership/AntiEntropyTest.java
+++ b/src/test/java/cottonlock/membership/AntiEntropyTest.java
@@ -10,14 +10,14 @@
 import java.util.TreeSet;
 import net.jqwik.api.Example;
 
-/** Views that are larger than what one exchange carries. */
+/** Anti-entropy between views that are larger than what one exchange carries. */
 class AntiEntropyTest {
     private static final int MEMBERS = 1_200;
     private static final int REQUESTS = 2_500;
 
     /**
-     * Partitions are long in a large membership: in time all of each is sent, not its beginning
-     * alone.
+     * A partition of a large membership is longer than one exchange. If each exchange sent it from its
+     * beginning, its last members would never be sent.
      */
     @Example
     void repeatedExchangesSendEveryMemberOfALongPartition() {
@@ -31,11 +31,12 @@
                                 return false;
                             }
                         }),
-                "without the defence nothing goes wrong: the case shows nothing");
+                "all members were sent without the random start, so this test shows nothing");
     }
 
     /**
-     * How many members a process that knows all sends to one that asks repeatedly and knows none.
+     * Number of distinct members that a process that knows all of them sends to one that knows none
+     * and sends {@link #REQUESTS} requests.
      */
     private static int countMembersSent(ProtocolVariants variants) {
         Set<String> sent = new TreeSet<>();
@@ -87,7 +88,7 @@
             Message message = new Message(Message.Kind.PARTITION_DIGESTS, requester, ++datagramNumber, 0, 0);
             message.partitionDigests = new int[DatagramCodec.MAX_PARTITIONS];
             DatagramWriter out = DatagramCodec.writerFor(message, DatagramCodec.MAX_DATAGRAM_BYTES);
-            // A tenth of a second apart: a page or so can be sent meanwhile.
+            // At intervals of 100 ms the bandwidth limit allows about one page for each request.
             membership.datagramReceived(i * 1_000L, requester.address(), out.toBytes(), out.size());
         }
         return sent.size();
--- a/src/test/java/cottonlock/membership/DatagramAuthenticatorTest.java
+++ b/src/test/java/cottonlock/membership/DatagramAuthenticatorTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Tags of the members' keys, and of no others. */
+/** Datagrams are accepted only with a tag made by one of the configured keys. */
 class DatagramAuthenticatorTest {
     private static Path keyFile(String text) throws IOException {
         Path file = Files.createTempFile("key", "");
@@ -30,7 +30,7 @@
         byte[] datagram = {(byte) DatagramCodec.MAGIC, 1, 2, 3};
         byte[] signed = oldKey.sign(datagram);
         assertEquals(datagram.length + DatagramAuthenticator.TAG_BYTES, signed.length);
-        assertArrayEquals(datagram, Arrays.copyOf(signed, 4), "the datagram itself stays readable");
+        assertArrayEquals(datagram, Arrays.copyOf(signed, 4), "signing must not change the content");
         assertEquals(4, oldKey.verify(signed, signed.length));
         assertEquals(4, bothKeys.verify(signed, signed.length));
         assertEquals(-1, newKey.verify(signed, signed.length));
--- a/src/test/java/cottonlock/membership/DatagramCodecTest.java
+++ b/src/test/java/cottonlock/membership/DatagramCodecTest.java
@@ -13,13 +13,13 @@
 import net.jqwik.api.Example;
 
 /**
- * The datagrams and their order, by bytes recorded at 9f2b593, before the members of these classes
- * were renamed.
+ * Compares encoded datagrams, and the datagrams that a fleet sends, with bytes recorded at commit
+ * 9f2b593.
  */
 class DatagramCodecTest {
     private static final long SECOND = 10_000;
 
-    /** The sender's part of each recorded datagram, behind magic, kind and flags. */
+    /** The part of each recorded datagram that describes the sender, after magic, kind and flags. */
     private static final String SENDER_HEADER =
             "0770726f78792d31040a0000011f0a018bcfe5687b00000003fedcba980123456789abcdef0203";
 
@@ -30,7 +30,7 @@
                 + "3a3a315d3a31000000000003000000049abcdef004026d3404c0a80019ffff0000000000040000"
                 + "0005";
 
-    /** Fields and checksum of a datagram of each kind, in the order of the kinds' numbers. */
+    /** Kind-specific fields, updates and checksum of a datagram of each kind, by the kind's number. */
     private static final List<String> RECORDED =
             List.of(
                     "887766550770726f78792d320770726f78792d33" + UPDATES + "a8e7e2f5",
@@ -111,7 +111,7 @@
         }
     }
 
-    /** Every datagram of a fleet under faults: who sends what to whom, and when. */
+    /** Compares all datagrams of a fleet under faults: time, sender, receiver and content. */
     @Example
     void seededFleetSendsRecordedDatagrams() throws Exception {
         MessageDigest digest = MessageDigest.getInstance("SHA-256");
--- a/src/test/java/cottonlock/membership/FalseSuspicionTest.java
+++ b/src/test/java/cottonlock/membership/FalseSuspicionTest.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Losses, delays and stalls, which must not end in the failure of a member that runs. */
+/** Loss, delay and stalls must not lead to a running member being declared failed. */
 class FalseSuspicionTest {
     @Property(seed = "20261201", tries = 4)
     void lossAndDuplicationOfAThirdCauseNoFalseFailure(
@@ -31,7 +31,7 @@
         Fleet.Node killed = fleet.nodes.get(size / 2);
         killed.kill();
         assertTrue(
-                fleet.untilFailed(killed, true, 15 * SECOND) >= 0, "a death is found all the same");
+                fleet.untilFailed(killed, true, 15 * SECOND) >= 0, "a killed member is still detected");
         killed.start(0);
         assertTrue(fleet.untilAgreed(10 * SECOND) >= 0);
         for (Fleet.Node node : fleet.nodes) {
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Doubts of others are shown by probes of one's own: they end too soon where they are very
-     * short.
+     * Under loss a refutation may take a while to arrive. With a suspicion timeout that is too short a
+     * running member is declared failed before.
      */
     @Example
     void aSuspicionNeedsItsTimeoutUnderLoss() {
@@ -63,12 +63,12 @@
     }
 
     /**
-     * Stopped for ten seconds it wakes with all its suspicions expired, for which it is itself the
-     * cause.
+     * After a pause of ten seconds all suspicions of a process have expired, but only because it did
+     * not read the refutations. It must not declare their members failed.
      */
     @Example
     void aStalledProcessDeclaresNoMemberFailed() {
-        // Looking again at whom it is about to call failed would do too, and is not looked at here.
+        // The probe before a member is declared failed would prevent this as well, so it is off here.
         assertDefended(
                 seed -> noFalseFailureAfterPauses(seed, new NoConfirmingProbe()),
                 seed ->
@@ -82,7 +82,7 @@
                                 }));
     }
 
-    /** Declares members failed that others suspect, without a probe of its own. */
+    /** Lets processes declare members failed that others suspect without probing them first. */
     private static class NoConfirmingProbe extends ProtocolVariants {
         @Override
         boolean probesBeforeFailing() {
@@ -91,8 +91,8 @@
     }
 
     /**
-     * At others' word alone those are called failed who have cleared themselves where it was not
-     * heard.
+     * A refutation may reach some processes and not others. Without a probe of its own, a process that
+     * missed it would declare a running member failed.
      */
     @Example
     void noMemberIsDeclaredFailedWithoutAProbe() {
@@ -107,13 +107,13 @@
     }
 
     private static boolean noFalseFailureAfterPauses(long seed, ProtocolVariants variants) {
-        // Datagrams are lost, so that there are suspicions at any time.
+        // With loss there are suspicions at any time.
         Fleet fleet = fleet(seed, 10, testConfig(), variants);
         fleet.world.trouble(0.25, 0, 0);
         for (int i = 0; i < 10; i++) {
             int pausedNode = i;
             advance(fleet, 2 + i * 0.13);
-            // Nothing waits for it in its socket: its whole machine was stopped.
+            // As if the whole machine were paused: no datagrams queue in its socket.
             fleet.world.cut((from, to) -> to == pausedNode);
             fleet.nodes.get(i).pause(10 * SECOND);
             advance(fleet, 10);
--- a/src/test/java/cottonlock/membership/GenerationsTest.java
+++ b/src/test/java/cottonlock/membership/GenerationsTest.java
@@ -19,11 +19,11 @@
 import java.util.SplittableRandom;
 import net.jqwik.api.Example;
 
-/** Several processes, addresses and clocks of one name. */
+/** Processes that share a name, with different addresses, clocks or generations. */
 class GenerationsTest {
     /**
-     * It starts again with a clock that is minutes behind: others hold its earlier generation for
-     * the later one.
+     * A process restarts with a clock that is ten minutes behind, so that the other members take its
+     * earlier generation for the later one.
      */
     @Example
     void aClockBehindDoesNotPreventRejoining() {
@@ -51,8 +51,7 @@
     }
 
     /**
-     * Datagrams of an earlier generation come late again and again: they have no effect on the
-     * later one.
+     * Delayed datagrams of an earlier generation arrive repeatedly and must not affect the later one.
      */
     @Example
     void datagramsOfAnEarlierGenerationAreStale() {
@@ -63,7 +62,7 @@
         World world = fleet.world;
         MembershipActions[] spy = new MembershipActions[1];
         assertNull(spy[0]);
-        // Datagrams as its earlier generation made them, by a machine of the same name.
+        // Datagrams as an earlier generation would have sent them.
         Membership earlierProcess =
                 new Membership(
                         testConfig(),
@@ -104,8 +103,8 @@
     }
 
     /**
-     * Of two processes of one name the later one speaks; the other says so, and speaks again after
-     * it.
+     * Of two processes with one name the later one takes part. The other one reports that it is
+     * displaced, and takes part again when the later one has ended.
      */
     @Example
     void theLaterOfTwoProcessesWithOneNameTakesPart() {
@@ -170,12 +169,12 @@
         assertEquals(
                 "127.0.0.1:4",
                 address(memberships.get(0), world),
-                "the later one speaks for the name");
+                "the later process holds the name");
         assertEquals(2, memberships.get(0).liveOthers());
         running[3] = false;
         world.until(40 * SECOND);
         assertEquals(
-                "127.0.0.1:3", address(memberships.get(0), world), "and the first one again after it");
+                "127.0.0.1:3", address(memberships.get(0), world), "the first process holds the name again");
         assertEquals(MemberState.ALIVE, memberships.get(0).stateOf("twin"));
     }
 
@@ -198,8 +197,8 @@
     }
 
     /**
-     * One that has been stopped for longer than the dead are remembered takes nothing it knew for
-     * news.
+     * A process that was paused for longer than failed members are retained still holds a failed member
+     * as alive. It must not spread that to members that have removed the failed one.
      */
     @Example
     void aLongStoppedProcessDoesNotReviveADeadMember() {
@@ -215,7 +214,7 @@
             for (int other : new int[] {0, 3, 4}) {
                 MemberState state = fleet.nodes.get(other).machine.stateOf("n2");
                 if (state != null && state.isLive()) {
-                    reports.add("n" + other + " holds n2 for " + state);
+                    reports.add("n" + other + " has n2 as " + state);
                 }
             }
         }
@@ -223,7 +222,7 @@
         assertTrue(fleet.untilAgreed(3 * SECOND) >= 0);
     }
 
-    /** A name at another address, and another name at the old address, are both right soon. */
+    /** Views follow a name that moves to another address and a new name at its former address. */
     @Example
     void viewsFollowMovedNamesAndAddresses() {
         String[] names = new String[4];
@@ -260,7 +259,7 @@
             assertEquals("127.0.0.1:10002", member(view, "n3").address());
             assertEquals(MemberState.ALIVE, member(view, "n3").state());
             assertEquals("127.0.0.1:10003", member(view, "other").address());
-            assertFalse(member(view, "n2").state().isLive(), "nobody goes by that name any more");
+            assertFalse(member(view, "n2").state().isLive(), "no process has this name any more");
         }
     }
 
--- a/src/test/java/cottonlock/membership/HostileDatagramsTest.java
+++ b/src/test/java/cottonlock/membership/HostileDatagramsTest.java
@@ -12,9 +12,9 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Bytes that no member has sent. */
+/** Received bytes that no member has sent. */
 class HostileDatagramsTest {
-    /** Bytes of any kind are read as nothing or as a message, and never thrown on. */
+    /** Arbitrary bytes are decoded to a message or to null, and never cause an exception. */
     @Property(seed = "20261201", tries = 2_000)
     void hostileBytesAreDropped(@ForAll int seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Bytes changed on the way, without a key to tell them: whatever they made it believe does not
-     * last.
+     * Datagrams are corrupted in transit, and no key authenticates them. Views must be right again some
+     * time after the corruption has ended.
      */
     @Example
     void effectsOfCorruptDatagramsDoNotLast() {
--- a/src/test/java/cottonlock/membership/MemberTableTest.java
+++ b/src/test/java/cottonlock/membership/MemberTableTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** The counts and digests that the table maintains are those that a search of all members finds. */
+/** Maintained counts and digests must equal those computed from all members. */
 class MemberTableTest {
     private static final MemberUpdate SELF =
             new MemberUpdate("me", "10.0.0.1:1", 1, 0, MemberState.ALIVE, 0);
@@ -32,7 +32,7 @@
     }
 
     private static void applyRandomChange(MemberTable table, SplittableRandom random) {
-        // Addresses are shared by some, so that one that is gone may leave another there.
+        // Some members share an address, so that removing one may leave another at it.
         String name = "n" + random.nextInt(300);
         MemberUpdate update =
                 new MemberUpdate(
@@ -120,7 +120,8 @@
     }
 
     /**
-     * Names with one hash are rare by chance, and can be made on purpose: they are distinguished.
+     * Names with equal hashes are rare by chance, but an attacker can create them. The table must
+     * distinguish them.
      */
     @Example
     void namesWithOneHashAreDistinguished() {
--- a/src/test/java/cottonlock/membership/MembershipFleets.java
+++ b/src/test/java/cottonlock/membership/MembershipFleets.java
@@ -7,7 +7,7 @@
 import cottonlock.setup.MembershipProtocolConfig;
 import java.util.function.Predicate;
 
-/** Fleets in virtual time, for tests of the membership protocol. */
+/** Creates fleets in virtual time for tests of the membership protocol. */
 final class MembershipFleets {
     static final long SECOND = 10_000;
 
@@ -65,7 +65,8 @@
     }
 
     /**
-     * Plays a case with three seeds: right in all with the defence, wrong in one at least without.
+     * Asserts for three seeds that a case passes with a defence of the protocol, and that it fails
+     * without the defence for at least one of them.
      */
     static void assertDefended(Predicate<Long> withDefence, Predicate<Long> withoutDefence) {
         boolean failedWithout = false;
@@ -73,7 +74,7 @@
             assertTrue(withDefence.test(seed), "with the defence, seed " + seed);
             failedWithout |= !withoutDefence.test(seed);
         }
-        assertTrue(failedWithout, "without the defence nothing goes wrong: the case shows nothing");
+        assertTrue(failedWithout, "passed without the defence for all seeds, so this test shows nothing");
     }
 
     static int nodeNumber(String name) {
--- a/src/test/java/cottonlock/membership/MembershipTest.java
+++ b/src/test/java/cottonlock/membership/MembershipTest.java
@@ -22,8 +22,8 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * Fleets in virtual time under each hard case. Where a case hangs on one defence, the same is
- * played with the defence off, and must go wrong.
+ * Fleets in virtual time under various faults. If a case depends on one defence of the protocol, it is
+ * also run with the defence off and must then fail.
  */
 class MembershipTest {
     @Property(seed = "20261201", tries = 12)
@@ -31,19 +31,19 @@
             @ForAll @IntRange(min = 4, max = 24) int size,
             @ForAll @IntRange(max = 99_999) int seed) {
         Fleet fleet = fleet(seed, size);
-        assertTrue(fleet.agree(), "all have found one another");
+        assertTrue(fleet.agree(), "all members have found each other");
         List<Fleet.Node> killed =
                 new ArrayList<>(fleet.nodes.subList(0, Math.max(1, size * 3 / 8)));
         killed.forEach(Fleet.Node::kill);
         advance(fleet, 0.3);
         killed.get(0).start(0);
         for (Fleet.Node killedNode : killed.subList(1, killed.size())) {
-            assertTrue(fleet.untilFailed(killedNode, true, 10 * SECOND) >= 0, killedNode.name + " is found");
+            assertTrue(fleet.untilFailed(killedNode, true, 10 * SECOND) >= 0, killedNode.name + " is detected as failed");
         }
         assertTrue(
-                fleet.untilAgreed(3 * SECOND) >= 0, "and the one that came back at once is there");
+                fleet.untilAgreed(3 * SECOND) >= 0, "the member that restarted at once is live");
         killed.subList(1, killed.size()).forEach(node -> node.start(0));
-        assertTrue(fleet.untilAgreed(4 * SECOND) >= 0, "all are back");
+        assertTrue(fleet.untilAgreed(4 * SECOND) >= 0, "all restarted members are live");
         assertEquals(List.of(), fleet.falseFailures);
     }
 
@@ -77,8 +77,8 @@
     }
 
     /**
-     * A module that stands still is found although the sockets answer; it comes back when it goes
-     * on.
+     * A process whose worker is stalled must be detected although its socket still answers probes, and
+     * be live again when the worker goes on.
      */
     @Example
     void aProcessWithAStalledWorkerIsFoundFailed() {
@@ -96,8 +96,8 @@
     }
 
     /**
-     * A view of as many as it may hold: no other is added, and no names that come and go make it
-     * grow.
+     * The member table has a fixed capacity. Further members are not added, and many short-lived names
+     * do not make it grow.
      */
     @Example
     void theMemberTableIsBounded() {
@@ -108,7 +108,7 @@
             assertTrue(node.view().members().size() <= 8, "members of " + node.name);
             rejectedWhenFull += node.view().metrics().get(MembershipMetric.REJECTED_WHEN_FULL);
         }
-        assertTrue(rejectedWhenFull > 0, "who found no room is counted");
+        assertTrue(rejectedWhenFull > 0, "members rejected by a full table are counted");
         Membership membership =
                 new Membership(
                         config(3, 3, 20_000, 64, 20 * SECOND, 3, 2),
@@ -145,12 +145,12 @@
         }
         assertTrue(membership.view(now).members().size() <= 64);
         membership.timerFired(now + 60 * SECOND);
-        assertEquals(1, membership.view(now + 60 * SECOND).members().size(), "who has left is forgotten");
+        assertEquals(1, membership.view(now + 60 * SECOND).members().size(), "members that have left are removed");
     }
 
     /**
-     * The seeds that a file names are dead when it joins; one that comes later brings them
-     * together.
+     * The configured contacts are down while processes join. When one of them starts later, all
+     * processes find each other through it.
      */
     @Example
     void failedContactsArePingedAgain() {
@@ -179,7 +179,7 @@
         assertEquals(
                 MemberState.ALIVE,
                 fleet.nodes.get(3).view().members().get(0).state(),
-                "and it serves");
+                "it becomes alive all the same");
         fleet.nodes.get(0).start(0);
         assertTrue(fleet.untilAgreed(6 * SECOND) >= 0);
         fleet.nodes.get(0).kill();
@@ -189,8 +189,8 @@
     }
 
     /**
-     * Updates keep to their bounds of bytes and retransmissions; without a bound they fill all
-     * datagrams.
+     * Updates about members that restart often keep to the limits of bandwidth and retransmissions.
+     * Without the retransmission limit they would fill all datagrams.
      */
     @Example
     void updatesAboutMembersThatRestartEverySecondAreBounded() {
@@ -208,7 +208,10 @@
                                 < 2_000);
     }
 
-    /** Bytes a second in the mean of the quiet minute after a minute of comings and goings. */
+    /**
+     * Returns ten times the mean bytes per second of one process in a minute without changes, after a
+     * minute with a restart or a kill in each second.
+     */
     private static long tenfoldBytesPerSecondAfterChurn(long seed, ProtocolVariants variants) {
         Fleet fleet = fleet(seed, 16, testConfig(), variants);
         for (int i = 0; i < 60; i++) {
--- a/src/test/java/cottonlock/membership/NetworkPartitionTest.java
+++ b/src/test/java/cottonlock/membership/NetworkPartitionTest.java
@@ -13,11 +13,11 @@
 import cottonlock.setup.MembershipProtocolConfig;
 import net.jqwik.api.Example;
 
-/** Members that are cut off from one another, one way or both, in virtual time. */
+/** Network partitions in one or both directions, in virtual time. */
 class NetworkPartitionTest {
     /**
-     * Both halves call each other failed; calls at addresses of the failed are what finds them
-     * again.
+     * The groups declare each other failed. They find each other again only by pinging the addresses of
+     * failed members.
      */
     @Example
     void separatedGroupsReuniteAfterHealing() {
@@ -48,7 +48,8 @@
     }
 
     /**
-     * Without being looked at first, whom the other half has called failed is called so by its own.
+     * After healing, each side receives the other side's outdated reports of failures. Without a probe
+     * first, a member would be declared failed by its own side.
      */
     @Example
     void aHealedPartitionCausesNoFailureOnTheOwnSide() {
@@ -113,8 +114,8 @@
     }
 
     /**
-     * One hears another and is not heard by it: others' probes show that both live, and which way
-     * is cut.
+     * Datagrams between two members pass in one direction only. Indirect probes show that both are live
+     * and which direction is cut.
      */
     @Example
     void aOneWayCutCausesNoFailure() {
--- a/src/test/java/cottonlock/membership/ProtocolStateSpaceTest.java
+++ b/src/test/java/cottonlock/membership/ProtocolStateSpaceTest.java
@@ -17,23 +17,23 @@
 import net.jqwik.api.Example;
 
 /**
- * Three processes and every order of what may befall them, to a depth: each datagram under way
- * comes at any time or never, each clock runs as it likes, one is killed, started again or stops
- * for a while. After each step updates must have moved forward only; from every state, once all is
- * well, views must become right.
+ * Explores all orders of events among three processes to a given depth: each datagram in flight may
+ * arrive at any time or never, each clock runs independently, and a process may be killed, restarted
+ * or stalled. After each step, updates must only have been superseded by higher ones. From every
+ * state, views must become right once there are no further faults.
  */
 class ProtocolStateSpaceTest {
     private static final MembershipProtocolConfig CONFIG =
             new MembershipProtocolConfig(
                     5_000, 1_500, 1, 1, 1, 1, 20_000, 1, 16, 6_000_000, 4_096, 3, 3_000, 1);
 
-    /** Steps, beside those of the beginnings. */
+    /** Maximum number of steps after the initial state. */
     private static final int DEPTH = Integer.getInteger("cottonlock.depth", 6);
 
-    /** Datagrams under way at most; beyond, the oldest is lost. */
+    /** Maximum number of datagrams in flight; beyond it the oldest one is lost. */
     private static final int MAX_IN_FLIGHT = 5;
 
-    /** What there is to begin with. */
+    /** The states from which the exploration starts. */
     private enum InitialState {
         JOINED,
         JOINING_BY_ONE_CONTACT,
@@ -43,7 +43,7 @@
         PARTITIONED
     }
 
-    /** A datagram under way, with the numbers of its sender and its receiver. */
+    /** A datagram in flight, with the indexes of its sender and its receiver. */
     private static final class Datagram {
         final int from;
         final int to;
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Something has gone wrong. */
+    /** A violated invariant, or views that do not become right. */
     private static final class Violation extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /** One world, played by a path of steps. */
+    /** Three processes and their datagrams, driven by a sequence of steps. */
     private static final class Simulation {
         final ProtocolVariants variants;
         final boolean singleContact;
@@ -77,7 +77,7 @@
         final List<Datagram> inFlight = new ArrayList<>();
         final List<Map<String, MemberUpdate>> lastViews = new ArrayList<>();
 
-        /** The last that each has claimed of itself, in any of its generations. */
+        /** The highest claim of each process about itself, over all of its generations. */
         final Map<String, MemberUpdate> ownClaims = new TreeMap<>();
 
         boolean[][] cut = new boolean[3][3];
@@ -93,8 +93,8 @@
                 start(process);
             }
             if (singleContact) {
-                // What the seed sends the others about one another is lost, until it has
-                // retransmitted it often enough.
+                // All updates that the contact sends to the others about each other are lost, until it
+                // no longer retransmits them.
                 runWithoutFaults(100_000, datagram -> datagram.to == 0 ? datagram : withoutUpdatesAboutOthers(datagram));
                 checkInvariants();
                 inFlight.clear();
@@ -145,7 +145,7 @@
             lastViews.get(process).clear();
             List<String> contacts =
                     singleContact ? List.of(address(0)) : List.of(address(0), address(1), address(2));
-            // Each start's clock is behind that of the one before.
+            // The clock of each start is behind that of the start before.
             memberships[process] =
                     new Membership(
                             CONFIG,
@@ -180,7 +180,7 @@
             kills++;
         }
 
-        /** All that may happen next; each a step. */
+        /** All steps that may happen next. */
         List<Integer> steps() {
             List<Integer> steps = new ArrayList<>();
             Set<String> seen = new HashSet<>();
@@ -225,7 +225,7 @@
                     timerDueAt[process] = memberships[process].timerFired(now[process]);
                     if (failedInCall != null) {
                         throw new Violation(
-                                name(process) + " was stalled and calls " + failedInCall + " failed");
+                                name(process) + " declared " + failedInCall + " failed after its own stall");
                     }
                 }
             }
@@ -242,7 +242,8 @@
         }
 
         /**
-         * Updates move forward only, and none goes beyond what its subject has claimed of itself.
+         * Checks that each view's updates are only superseded by higher ones, and that none has a higher
+         * generation or incarnation than its subject has claimed.
          */
         private void checkInvariants() {
             for (int process = 0; process < 3; process++) {
@@ -272,7 +273,7 @@
                                     0);
                     MemberUpdate before = lastViews.get(process).put(update.name(), update);
                     if (before != null && before.supersedes(update)) {
-                        throw new Violation(name(process) + " accepts " + update + " after " + before);
+                        throw new Violation(name(process) + " replaced " + before + " by the lower " + update);
                     }
                     MemberUpdate own = ownClaims.get(member.name());
                     if (member.generation() > own.generation()
@@ -290,7 +291,7 @@
             }
         }
 
-        /** From here on all is well: what is sent comes soon, clocks run alike. */
+        /** Runs for a time without faults: datagrams arrive soon and all clocks agree. */
         void runWithoutFaults(long length) {
             runWithoutFaults(length, datagram -> datagram);
         }
@@ -318,7 +319,7 @@
                 runWithoutFaults(1_000);
             }
             if (!reached.getAsBoolean()) {
-                throw new Violation("suspicions have not come to what they must by now");
+                throw new Violation("the initial state was not reached");
             }
         }
 
@@ -331,7 +332,7 @@
             }
         }
 
-        /** The same without its updates about others than its receiver. */
+        /** A copy with only those updates that are about the receiver. */
         private static Datagram withoutUpdatesAboutOthers(Datagram datagram) {
             Message message = decode(datagram);
             DatagramWriter out = DatagramCodec.writerFor(message, DatagramCodec.MAX_DATAGRAM_BYTES);
@@ -339,28 +340,28 @@
             return new Datagram(datagram.from, datagram.to, out.toBytes());
         }
 
-        /** Once all is well every view is right, and no old update is retransmitted any more. */
+        /** Checks that without faults every view becomes right and retransmissions of updates end. */
         void checkConvergence() {
             runWithoutFaults(200_000);
             for (int process = 0; process < 3; process++) {
                 for (int other = 0; other < 3; other++) {
                     MemberState state = process == other ? MemberState.ALIVE : memberships[process].stateOf(name(other));
                     boolean live = state != null && state.isLive();
-                    // With the only seed dead, two that have not met can't find each other.
+                    // With the only contact down, two processes that never met can't find each other.
                     boolean neverMet = singleContact && !running[0] && state == null;
                     if (running[process] && live != running[other] && !neverMet) {
                         throw new Violation(
                                 "in the end "
                                         + name(process)
-                                        + " holds "
+                                        + " has "
                                         + name(other)
-                                        + " for "
+                                        + " as "
                                         + state
                                         + ", which "
-                                        + (running[other] ? "lives" : "is dead"));
+                                        + (running[other] ? "runs" : "is down"));
                     }
                 }
-                // An update about the only receiver is never sent to it.
+                // One update may remain: an update about the only possible receiver is never sent to it.
                 String queuedUpdates = memberships[process].fingerprint(now[process]).replaceAll("(?s).*telling ", "");
                 if (running[process] && memberships[process].liveOthers() > 0 && Integer.parseInt(queuedUpdates) > 1) {
                     throw new Violation("in the end " + name(process) + " still retransmits old updates");
@@ -399,7 +400,7 @@
         }
     }
 
-    /** All worlds from one beginning. */
+    /** Explores all states that can be reached from one initial state. */
     private static final class Explorer {
         final InitialState initialState;
         final ProtocolVariants variants;
@@ -420,7 +421,7 @@
             return simulation;
         }
 
-        /** Throws with the path that leads there, where anything is wrong. */
+        /** Throws an exception with the path that leads to a violation. */
         void explore() {
             // Breadth first, so that the first path found is a shortest one.
             List<List<Integer>> paths = List.of(List.of());
@@ -465,12 +466,12 @@
         long from = System.nanoTime();
         long states = explore(new ProtocolVariants(), DEPTH);
         System.out.printf(
-                "small worlds: %d states to a depth of %d from %d beginnings, %.1f s%n",
+                "state space: %d states to a depth of %d from %d initial states, %.1f s%n",
                 states, DEPTH, InitialState.values().length, (System.nanoTime() - from) / 1e9);
         assertTrue(states > 5_000, states + " states");
     }
 
-    /** Faults planted one by one are found, each with a shortest path to it. */
+    /** Each faulty variant of the protocol must be found, with a shortest path to a violation. */
     @Example
     void findsEachFaultyVariant() {
         Map<String, ProtocolVariants> faults = new TreeMap<>();
@@ -507,7 +508,7 @@
                     }
                 });
         faults.put(
-                "a suspicion has no end",
+                "a suspicion never expires",
                 new ProtocolVariants() {
                     @Override
                     long suspicionExpiryTicks(SuspicionTimer suspicion) {
@@ -515,7 +516,7 @@
                     }
                 });
         faults.put(
-                "its own stall is ignored",
+                "a process ignores its own stall",
                 new ProtocolVariants() {
                     @Override
                     boolean tracksLocalHealth() {
@@ -528,7 +529,7 @@
                     }
                 });
         faults.put(
-                "updates are retransmitted for ever",
+                "updates are retransmitted forever",
                 new ProtocolVariants() {
                     @Override
                     int transmitLimit(int defaultLimit) {
@@ -542,7 +543,7 @@
                         explore(variants, 3);
                         undetected.add(name);
                     } catch (Violation e) {
-                        System.out.println("planted: " + name + ": " + e.getMessage());
+                        System.out.println("faulty variant: " + name + ": " + e.getMessage());
                     }
                 });
         assertEquals(List.of(), undetected, "faults that were not found");
