--- a/src/main/java/cottonlock/membership/AddressFormat.java
+++ b/src/main/java/cottonlock/membership/AddressFormat.java
@@ -54,7 +54,9 @@
         return valid ? new Ipv4(host, port) : null;
     }
 
-    /** Whether a character ends the number at an index: a colon after the last octet, else a dot. */
+    /**
+     * Whether a character ends the number at an index: a colon after the last octet, else a dot.
+     */
     private static boolean isSeparator(char character, int index) {
         if (index == IPV4_OCTETS - 1) {
             return character == ':';
--- a/src/main/java/cottonlock/membership/AntiEntropy.java
+++ b/src/main/java/cottonlock/membership/AntiEntropy.java
@@ -9,18 +9,20 @@
 import java.util.TreeMap;
 
 /**
- * Repairs views that differ. Each datagram carries a digest of its sender's view. If a
- * member's digest has differed from this one for a while, this process sends it one digest for each
+ * Repairs views that differ. Each datagram carries a digest of its sender's view. If a member's
+ * digest has differed from this one for a while, this process sends it one digest for each
  * partition of the member names. The member answers with pages of the partitions that differ, and
- * this process answers the pages with the updates that are newer here. Confined to the
- * thread of its {@link Membership}.
+ * this process answers the pages with the updates that are newer here. Confined to the thread of
+ * its {@link Membership}.
  */
 @Deterministic
 final class AntiEntropy {
     /** Maximum pages sent for one request; the rest of a large view takes further requests. */
     private static final int MAX_PAGES = 4;
 
-    /** New updates received between two exchanges from which on the pause is reset to its minimum. */
+    /**
+     * New updates received between two exchanges from which on the pause is reset to its minimum.
+     */
     private static final int MIN_PRODUCTIVE_UPDATES = 2;
 
     private static final int MAX_PAUSE_PERIODS = 8;
@@ -138,7 +140,8 @@
 
     private void startExchange(long nowTicks, MemberRecord member) {
         int wantedPartitions = Math.max(1, (table.liveCount() + 1) / PARTITION_MEMBERS);
-        int partitions = Math.min(DatagramCodec.MAX_PARTITIONS, Integer.highestOneBit(wantedPartitions));
+        int partitions =
+                Math.min(DatagramCodec.MAX_PARTITIONS, Integer.highestOneBit(wantedPartitions));
         while (DIGEST_BYTES * partitions > sender.freeBytes(Kind.PARTITION_DIGESTS)) {
             partitions /= 2;
         }
--- a/src/main/java/cottonlock/membership/ContactAddresses.java
+++ b/src/main/java/cottonlock/membership/ContactAddresses.java
@@ -10,8 +10,8 @@
 
 /**
  * Addresses at which a member that is not known to be live may be found: contacts and addresses of
- * failed members, except those at which a live member is known. Maintained with each update. Confined to the thread of
- * its {@link Membership}.
+ * failed members, except those at which a live member is known. Maintained with each update.
+ * Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class ContactAddresses {
@@ -44,7 +44,8 @@
         if (update.state() == MemberState.LEFT) {
             return;
         }
-        Map<String, Integer> counts = update.state().isLive() ? liveCountByAddress : failedCountByAddress;
+        Map<String, Integer> counts =
+                update.state().isLive() ? liveCountByAddress : failedCountByAddress;
         String address = update.address();
         counts.merge(address, change, (a, b) -> a + b == 0 ? null : a + b);
         if (!liveCountByAddress.containsKey(address)
@@ -55,7 +56,9 @@
         }
     }
 
-    /** The addresses, sorted, without the excluded one, as a new list that the caller may modify. */
+    /**
+     * The addresses, sorted, without the excluded one, as a new list that the caller may modify.
+     */
     List<String> candidates(String excluded) {
         List<String> result = new ArrayList<>(candidates);
         result.remove(excluded);
--- a/src/main/java/cottonlock/membership/ContactScheduler.java
+++ b/src/main/java/cottonlock/membership/ContactScheduler.java
@@ -9,8 +9,8 @@
 /**
  * Sends the datagrams that are not probes of known members. Which ones depends on the state of this
  * process: pings to addresses at which an unknown or failed member may be found, pings to find out
- * whether a later process of the same name still runs, or announcements that this process leaves. Confined to the
- * thread of its {@link Membership}.
+ * whether a later process of the same name still runs, or announcements that this process leaves.
+ * Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class ContactScheduler {
@@ -72,12 +72,14 @@
             ping(nowTicks, candidates.remove(random.nextInt(candidates.size())));
         }
         dueAtTicks =
-                nowTicks + config.periodTicks() * (joiningOrAlone ? 1 : config.contactIntervalPeriods());
+                nowTicks
+                        + config.periodTicks()
+                                * (joiningOrAlone ? 1 : config.contactIntervalPeriods());
     }
 
     /**
-     * Pings the later process of this name and a random member, if that is due. Resumes if the later
-     * process is gone.
+     * Pings the later process of this name and a random member, if that is due. Resumes if the
+     * later process is gone.
      */
     void probeDisplacer(long nowTicks) {
         if (nowTicks < dueAtTicks) {
--- a/src/main/java/cottonlock/membership/DatagramCodec.java
+++ b/src/main/java/cottonlock/membership/DatagramCodec.java
@@ -5,9 +5,10 @@
 import java.util.zip.CRC32;
 
 /**
- * Maps messages to bytes and back. The first byte can't start a UTF-8 text, so that the load balancer's
- * own datagrams may use the same socket. The last four bytes are a CRC-32 of all bytes before them,
- * because UDP's checksum has only 16 bits. Numbers are big-endian. docs/membership.md describes the layout.
+ * Maps messages to bytes and back. The first byte can't start a UTF-8 text, so that the load
+ * balancer's own datagrams may use the same socket. The last four bytes are a CRC-32 of all bytes
+ * before them, because UDP's checksum has only 16 bits. Numbers are big-endian. docs/membership.md
+ * describes the layout.
  */
 @Deterministic
 final class DatagramCodec {
@@ -20,15 +21,18 @@
     /** Version of the layout, raised with each change that an older process would misread. */
     private static final int VERSION = 1;
 
-    /** Maximum length of a member's name: a header and two updates with such names fit into a datagram. */
+    /**
+     * Maximum length of a member's name: a header and two updates with such names fit into a
+     * datagram.
+     */
     static final int MAX_NAME_LENGTH = 32;
 
     /** Maximum number of partitions of the names in a message with partition digests. */
     static final int MAX_PARTITIONS = 32;
 
     /**
-     * Highest valid generation: the year 6429 in milliseconds since 1970. This leaves space to raise
-     * the generation of a process.
+     * Highest valid generation: the year 6429 in milliseconds since 1970. This leaves space to
+     * raise the generation of a process.
      */
     static final long MAX_GENERATION = 1L << 47;
 
--- a/src/main/java/cottonlock/membership/DatagramSender.java
+++ b/src/main/java/cottonlock/membership/DatagramSender.java
@@ -5,8 +5,8 @@
 import cottonlock.setup.MembershipProtocolConfig;
 
 /**
- * Encodes and sends datagrams within the bandwidth limit, and piggybacks updates on them. Confined to the
- * thread of its {@link Membership}.
+ * Encodes and sends datagrams within the bandwidth limit, and piggybacks updates on them. Confined
+ * to the thread of its {@link Membership}.
  */
 @Deterministic
 final class DatagramSender {
--- a/src/main/java/cottonlock/membership/FailureDetector.java
+++ b/src/main/java/cottonlock/membership/FailureDetector.java
@@ -10,15 +10,17 @@
 
 /**
  * Probes the members, one in each period: first directly and, if there is no answer, through other
- * members (SWIM). A member that answers neither way is reported to a {@link SuspicionListener}. Confined to the thread
- * of its {@link Membership}.
+ * members (SWIM). A member that answers neither way is reported to a {@link SuspicionListener}.
+ * Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class FailureDetector {
     /** Number of answers over which the share of unanswered first pings is averaged. */
     private static final double LOSS_AVERAGE_SAMPLES = 20;
 
-    /** A member is suspected once the probability that a live one is silent so long is at most this. */
+    /**
+     * A member is suspected once the probability that a live one is silent so long is at most this.
+     */
     private static final double MAX_FALSE_SUSPICION_PROBABILITY = 0.02;
 
     /** Maximum number of periods over which a member is probed before it is suspected. */
@@ -92,9 +94,9 @@
     }
 
     /**
-     * Called when a member becomes suspected: with some probability it is probed soon. The probability
-     * is such that in a large membership only a few members do so, and the suspect can answer them
-     * all.
+     * Called when a member becomes suspected: with some probability it is probed soon. The
+     * probability is such that in a large membership only a few members do so, and the suspect can
+     * answer them all.
      */
     void maybeProbeSoon(MemberRecord member) {
         if (random.nextInt(1 + table.liveCount()) < 2 * config.confirmationCount()
@@ -104,8 +106,8 @@
     }
 
     /**
-     * Makes a member the next one to be probed. Called before it is declared failed, and when others
-     * report its failure.
+     * Makes a member the next one to be probed. Called before it is declared failed, and when
+     * others report its failure.
      */
     void probeBeforeFailing(MemberRecord member) {
         if (!member.needsConfirmingProbe && urgentTargets.size() < config.maxMembers()) {
@@ -154,11 +156,13 @@
     /** Ends an unanswered probe; returns whether the same member is probed for another period. */
     private boolean handleUnansweredProbe(long nowTicks) {
         probe.finished = true;
-        // If no helper reports a result either, or no datagram comes at all, the fault may be local.
+        // If no helper reports a result either, or no datagram comes at all, the fault may be
+        // local.
         boolean faultMayBeLocal =
                 probe.helpers > 0
                         ? probe.nacks == 0
-                        : nowTicks - heardAtTicks > MAX_LOCAL_SILENCE_PERIODS * config.periodTicks();
+                        : nowTicks - heardAtTicks
+                                > MAX_LOCAL_SILENCE_PERIODS * config.periodTicks();
         if (faultMayBeLocal) {
             localHealth.degrade(1);
         }
@@ -201,7 +205,8 @@
                 Math.pow(
                         1 - Math.pow(arrivalProbability, INDIRECT_PROBE_DATAGRAMS),
                         config.indirectProbeCount());
-        double silentPeriodProbability = unansweredShare * unansweredShare * allHelpersFailProbability;
+        double silentPeriodProbability =
+                unansweredShare * unansweredShare * allHelpersFailProbability;
         int needed = 1;
         double probability = silentPeriodProbability;
         while (probability > MAX_FALSE_SUSPICION_PROBABILITY && needed < MAX_PROBE_PERIODS) {
@@ -234,7 +239,8 @@
                 schedule.sample(
                         1,
                         !suspects.isEmpty(),
-                        member -> member.suspicion != null && member.suspicion.isAccusedBy(selfHash));
+                        member ->
+                                member.suspicion != null && member.suspicion.isAccusedBy(selfHash));
         if (!accused.isEmpty()) {
             ping(nowTicks, accused.get(0), sender.nextSequenceNumber());
         }
@@ -246,7 +252,9 @@
             MemberRecord member = urgentTargets.poll();
             boolean unverifiedSuspect =
                     member.suspicion != null && !member.suspicion.isAccusedBy(selfHash);
-            if (!member.removed && member.isLive() && (member.needsConfirmingProbe || unverifiedSuspect)) {
+            if (!member.removed
+                    && member.isLive()
+                    && (member.needsConfirmingProbe || unverifiedSuspect)) {
                 return member;
             }
             member.needsConfirmingProbe = false;
@@ -285,7 +293,9 @@
         return member != probe.target && member.update.state() == MemberState.ALIVE;
     }
 
-    /** Handles the answer to a ping of this process's own probe or of one made for another member. */
+    /**
+     * Handles the answer to a ping of this process's own probe or of one made for another member.
+     */
     void ackReceived(long nowTicks, Message ack, MemberRecord member) {
         boolean responsive = isResponsive(ack.stallCentis);
         if (isAnswerToProbe(ack)) {
--- a/src/main/java/cottonlock/membership/IndirectProbes.java
+++ b/src/main/java/cottonlock/membership/IndirectProbes.java
@@ -7,8 +7,9 @@
 import java.util.List;
 
 /**
- * Probes that this process makes at the request of other members. Each request is answered by an indirect acknowledgement or, after a timeout, by a negative one. Confined to the thread of its {@link
- * Membership}.
+ * Probes that this process makes at the request of other members. Each request is answered by an
+ * indirect acknowledgement or, after a timeout, by a negative one. Confined to the thread of its
+ * {@link Membership}.
  */
 @Deterministic
 final class IndirectProbes {
--- a/src/main/java/cottonlock/membership/JoinProtocol.java
+++ b/src/main/java/cottonlock/membership/JoinProtocol.java
@@ -4,8 +4,9 @@
 import cottonlock.setup.MembershipProtocolConfig;
 
 /**
- * Decides when a joining process becomes alive: once its view equals that of a live member, or after
- * a timeout if it finds no member or no view becomes equal. Confined to the thread of its {@link Membership}.
+ * Decides when a joining process becomes alive: once its view equals that of a live member, or
+ * after a timeout if it finds no member or no view becomes equal. Confined to the thread of its
+ * {@link Membership}.
  */
 @Deterministic
 final class JoinProtocol {
@@ -58,7 +59,8 @@
     void tryJoin(long nowTicks) {
         boolean alone = table.liveCount() == 0;
         boolean viewConfirmed = alone || table.anyMatch(this::confirmsView);
-        if (viewConfirmed || nowTicks - startedAtTicks > MAX_JOIN_TIMEOUTS * config.joinTimeoutTicks()) {
+        if (viewConfirmed
+                || nowTicks - startedAtTicks > MAX_JOIN_TIMEOUTS * config.joinTimeoutTicks()) {
             announcer.announce(nowTicks, table.self().withState(MemberState.ALIVE, 0));
             actions.memberStateChanged(
                     table.self().name(),
--- a/src/main/java/cottonlock/membership/LocalHealth.java
+++ b/src/main/java/cottonlock/membership/LocalHealth.java
@@ -4,8 +4,8 @@
 
 /**
  * Score of how unreliable this process's own observations are, as in Lifeguard: a process that gets
- * no answers at all, is suspected or has stalled waits longer before it suspects others. Confined to the
- * thread of its {@link Membership}.
+ * no answers at all, is suspected or has stalled waits longer before it suspects others. Confined
+ * to the thread of its {@link Membership}.
  */
 @Deterministic
 final class LocalHealth {
--- a/src/main/java/cottonlock/membership/LocalMember.java
+++ b/src/main/java/cottonlock/membership/LocalMember.java
@@ -9,8 +9,8 @@
  * @param address address at which others reach this process, an IP address and a port
  * @param contacts addresses at which others may be found; may include its own
  * @param membersAreFixed whether only the contacts may be addresses of members
- * @param generation milliseconds since 1970 at the process's start by this machine's clock, which may
- *     be wrong
+ * @param generation milliseconds since 1970 at the process's start by this machine's clock, which
+ *     may be wrong
  */
 public record LocalMember(
         String name,
--- a/src/main/java/cottonlock/membership/LocalMemberProtocol.java
+++ b/src/main/java/cottonlock/membership/LocalMemberProtocol.java
@@ -5,9 +5,9 @@
 import java.util.Locale;
 
 /**
- * Handles what others report about this process. It refutes accusations by a higher
- * incarnation, takes a higher generation than earlier processes of its name, and stays passive as
- * long as a later process of its name runs. Confined to the thread of its {@link Membership}.
+ * Handles what others report about this process. It refutes accusations by a higher incarnation,
+ * takes a higher generation than earlier processes of its name, and stays passive as long as a
+ * later process of its name runs. Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class LocalMemberProtocol {
@@ -81,7 +81,9 @@
         }
     }
 
-    /** Whether the later process of this name has been silent for so long that it counts as gone. */
+    /**
+     * Whether the later process of this name has been silent for so long that it counts as gone.
+     */
     boolean isDisplacerGone(long nowTicks) {
         return nowTicks - displacerHeardAtTicks > DISPLACER_TIMEOUT_PERIODS * config.periodTicks();
     }
@@ -105,10 +107,14 @@
     private void laterProcessReported(long nowTicks, MemberUpdate report, String reporter) {
         MemberUpdate self = table.self();
         boolean mayRaiseGeneration =
-                self.state() == MemberState.JOINING && displacer == null && generationRaises < MAX_GENERATION_RAISES;
+                self.state() == MemberState.JOINING
+                        && displacer == null
+                        && generationRaises < MAX_GENERATION_RAISES;
         // The other process has ended, or it may be an earlier process of this proxy whose clock
         // was ahead.
-        if (!report.state().isLive() || report.address().equals(self.address()) || mayRaiseGeneration) {
+        if (!report.state().isLive()
+                || report.address().equals(self.address())
+                || mayRaiseGeneration) {
             generationRaises += mayRaiseGeneration ? 1 : 0;
             startGenerationAfter(nowTicks, report);
             return;
--- a/src/main/java/cottonlock/membership/MemberRecord.java
+++ b/src/main/java/cottonlock/membership/MemberRecord.java
@@ -3,8 +3,8 @@
 import cottonlock.core.Deterministic;
 
 /**
- * What this process knows about one other member. Times are in ticks of 0.1 ms. Confined to the thread of its
- * {@link Membership}.
+ * What this process knows about one other member. Times are in ticks of 0.1 ms. Confined to the
+ * thread of its {@link Membership}.
  */
 @Deterministic
 final class MemberRecord {
@@ -64,7 +64,9 @@
 
     private long highestDatagramNumber = -1;
 
-    /** Bit n: whether the datagram with the number {@code highestDatagramNumber - n} was received. */
+    /**
+     * Bit n: whether the datagram with the number {@code highestDatagramNumber - n} was received.
+     */
     private long receivedBits;
 
     MemberRecord(MemberUpdate update, long nowTicks) {
@@ -74,7 +76,9 @@
         this.nameHash = MemberUpdate.nameHash(update.name());
     }
 
-    /** Discards the observations of the previous process, as another one now runs under the name. */
+    /**
+     * Discards the observations of the previous process, as another one now runs under the name.
+     */
     void resetForNewGeneration() {
         heardAtTicks = NEVER;
         ackedAtTicks = NEVER;
--- a/src/main/java/cottonlock/membership/MemberState.java
+++ b/src/main/java/cottonlock/membership/MemberState.java
@@ -1,8 +1,8 @@
 package cottonlock.membership;
 
 /**
- * The state of a member. The constants are declared in the order of precedence: of two updates with the
- * same generation and incarnation, the one with the later state supersedes the other.
+ * The state of a member. The constants are declared in the order of precedence: of two updates with
+ * the same generation and incarnation, the one with the later state supersedes the other.
  */
 public enum MemberState {
     /** The process is joining: its view does not yet equal that of a live member. */
--- a/src/main/java/cottonlock/membership/MemberTable.java
+++ b/src/main/java/cottonlock/membership/MemberTable.java
@@ -10,8 +10,8 @@
 
 /**
  * All members that one process knows, including itself, and the digest of that view. Counts and
- * digests are maintained with each change, so that reading them takes no iteration over all members. Confined to
- * the thread of its {@link Membership}.
+ * digests are maintained with each change, so that reading them takes no iteration over all
+ * members. Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class MemberTable {
@@ -190,7 +190,8 @@
         digest += (isLive ? newDigest : 0) - (wasLive ? member.updateDigest : 0);
         liveCount += (isLive ? 1 : 0) - (wasLive ? 1 : 0);
         digestByPartition[member.partition(DatagramCodec.MAX_PARTITIONS)] +=
-                (isLive ? shortDigest(newDigest) : 0) - (wasLive ? shortDigest(member.updateDigest) : 0);
+                (isLive ? shortDigest(newDigest) : 0)
+                        - (wasLive ? shortDigest(member.updateDigest) : 0);
         divergingCount -= member.diverges() ? 1 : 0;
         if (counted) {
             contactAddresses.remove(member.update);
@@ -259,7 +260,9 @@
         return Math.floorMod(selfHash(), partitions);
     }
 
-    /** Updates of the live members of a partition, in the order of names, including this process. */
+    /**
+     * Updates of the live members of a partition, in the order of names, including this process.
+     */
     List<MemberUpdate> liveUpdates(int partitions, int partition) {
         List<MemberUpdate> updates = new ArrayList<>();
         boolean selfPending = selfPartition(partitions) == partition;
@@ -295,7 +298,8 @@
         int from = insertionPoint(candidates, after);
         boolean startsWithAfter =
                 from < candidates.size() && candidates.get(from).update.name().equals(after);
-        for (MemberRecord member : candidates.subList(startsWithAfter ? from + 1 : from, candidates.size())) {
+        for (MemberRecord member :
+                candidates.subList(startsWithAfter ? from + 1 : from, candidates.size())) {
             if (last != null && member.update.name().compareTo(last) > 0) {
                 break;
             }
--- a/src/main/java/cottonlock/membership/MemberUpdate.java
+++ b/src/main/java/cottonlock/membership/MemberUpdate.java
@@ -13,7 +13,8 @@
  *     the process itself if it finds a later one of its name; no other process sets it
  * @param incarnation number within the generation, raised only by the process itself to refute a
  *     suspicion
- * @param accuserHash hash of the name of the member that suspects this one or found it failed; 0 in a member's own claims. It does not affect the order.
+ * @param accuserHash hash of the name of the member that suspects this one or found it failed; 0 in
+ *     a member's own claims. It does not affect the order.
  */
 @Deterministic
 record MemberUpdate(
@@ -56,8 +57,8 @@
     }
 
     /**
-     * The update's contribution to the digest of a view, which is the sum of these: equal views have
-     * equal sums. Suspicion does not affect it, because suspicions start and end often.
+     * The update's contribution to the digest of a view, which is the sum of these: equal views
+     * have equal sums. Suspicion does not affect it, because suspicions start and end often.
      */
     long digest() {
         long nameAndIncarnation =
--- a/src/main/java/cottonlock/membership/Membership.java
+++ b/src/main/java/cottonlock/membership/Membership.java
@@ -6,21 +6,24 @@
 import java.util.SplittableRandom;
 
 /**
- * One process's part in the membership protocol, a pure state machine: datagrams, timer
- * events and the time are passed in as arguments; datagrams and notifications are passed out through
- * {@link MembershipActions} during the call.
+ * One process's part in the membership protocol, a pure state machine: datagrams, timer events and
+ * the time are passed in as arguments; datagrams and notifications are passed out through {@link
+ * MembershipActions} during the call.
  *
  * <p>The protocol is SWIM with Lifeguard's extensions and anti-entropy. A {@link FailureDetector}
  * probes the members; {@link SuspicionRules} turn missing answers into suspicions and suspicions
  * that are not refuted into failures; updates are piggybacked on datagrams; {@link AntiEntropy}
  * repairs views that still differ. docs/membership.md gives the reasons.
  *
- * <p>Not thread-safe: its owner must call it from one thread at a time. Times are in ticks of 0.1 ms and never decrease. Each call that takes the time may change when {@link #timerFired} is due, and
- * returns that time unless it says otherwise.
+ * <p>Not thread-safe: its owner must call it from one thread at a time. Times are in ticks of 0.1
+ * ms and never decrease. Each call that takes the time may change when {@link #timerFired} is due,
+ * and returns that time unless it says otherwise.
  */
 @Deterministic
 public final class Membership {
-    /** A call that comes later than this after the timer was due shows that the process was stalled. */
+    /**
+     * A call that comes later than this after the timer was due shows that the process was stalled.
+     */
     private static final long MAX_TIMER_DELAY_TICKS = 1_000;
 
     private final MembershipContext context;
--- a/src/main/java/cottonlock/membership/MembershipHost.java
+++ b/src/main/java/cottonlock/membership/MembershipHost.java
@@ -10,7 +10,8 @@
  * @param clock the time in ticks of 0.1 ms, which never decreases; called by any thread
  * @param workerProgress when the thread that serves requests last made progress, by that clock;
  *     called by any thread
- * @param replaced whether another process of this proxy has taken over; null if processes never hand over
+ * @param replaced whether another process of this proxy has taken over; null if processes never
+ *     hand over
  * @param foreignDatagrams handles datagrams of other protocols on the same socket
  * @param log receives log lines; called by any thread
  */
--- a/src/main/java/cottonlock/membership/MembershipMetric.java
+++ b/src/main/java/cottonlock/membership/MembershipMetric.java
@@ -9,8 +9,8 @@
     /** Received datagrams that are not valid in this protocol. */
     MALFORMED("malformed"),
     /**
-     * Datagrams from an address that can't be a member's, or whose sender claims another address than
-     * the one they came from.
+     * Datagrams from an address that can't be a member's, or whose sender claims another address
+     * than the one they came from.
      */
     UNKNOWN_SENDERS("strangers"),
     /** Datagrams received twice, or too late to detect a duplicate. */
--- a/src/main/java/cottonlock/membership/MembershipReport.java
+++ b/src/main/java/cottonlock/membership/MembershipReport.java
@@ -62,7 +62,9 @@
         return state.name().toLowerCase(Locale.ROOT);
     }
 
-    /** Converts ticks to milliseconds; -1 for a negative number, which means that there is no time. */
+    /**
+     * Converts ticks to milliseconds; -1 for a negative number, which means that there is no time.
+     */
     private static long millisOrNone(long ticks) {
         return ticks < 0 ? -1 : Ticks.toMillis(ticks);
     }
--- a/src/main/java/cottonlock/membership/MembershipService.java
+++ b/src/main/java/cottonlock/membership/MembershipService.java
@@ -15,7 +15,8 @@
 
 /**
  * Runs a {@link Membership} on a UDP socket. The thread that executes {@link #run} owns the
- * socket's input and the timer; the other methods may be called by any thread. The state machine, its actions and the authenticator are guarded by the state machine's monitor.
+ * socket's input and the timer; the other methods may be called by any thread. The state machine,
+ * its actions and the authenticator are guarded by the state machine's monitor.
  */
 public final class MembershipService implements Runnable, AutoCloseable {
     /** Interval of the checks whether another process of this proxy has taken over. */
@@ -113,7 +114,9 @@
         return files;
     }
 
-    /** Runs the protocol until {@link #close} is called or the thread is interrupted at the start. */
+    /**
+     * Runs the protocol until {@link #close} is called or the thread is interrupted at the start.
+     */
     @Override
     public void run() {
         if (!completion.begin()) {
@@ -218,7 +221,10 @@
             standingBy = replaced;
         }
         if (replaced) {
-            host.log().accept("standing by: another process of this proxy takes part in the membership");
+            host.log()
+                    .accept(
+                            "standing by: another process of this proxy takes part in the"
+                                    + " membership");
         } else {
             host.log().accept("rejoining: the other process of this proxy has ended");
             start();
--- a/src/main/java/cottonlock/membership/Message.java
+++ b/src/main/java/cottonlock/membership/Message.java
@@ -25,15 +25,20 @@
          * targetAddress}.
          */
         PING_REQUEST(2),
-        /** Reports that an indirect probe was answered: {@code sequenceNumber}, {@code heardRecently}. */
+        /**
+         * Reports that an indirect probe was answered: {@code sequenceNumber}, {@code
+         * heardRecently}.
+         */
         INDIRECT_ACK(3),
         /** Reports that an indirect probe failed: {@code sequenceNumber}. */
         NACK(4),
-        /** Carries digests of the sender's view, one for each partition: {@code partitionDigests}. */
+        /**
+         * Carries digests of the sender's view, one for each partition: {@code partitionDigests}.
+         */
         PARTITION_DIGESTS(5),
         /**
-         * Carries updates of one partition, in the order of names from the one after {@code afterName}: {@code partitions}, {@code
-         * partition}, {@code lastPage}.
+         * Carries updates of one partition, in the order of names from the one after {@code
+         * afterName}: {@code partitions}, {@code partition}, {@code lastPage}.
          */
         PARTITION_PAGE(6),
         /** Carries updates only. */
--- a/src/main/java/cottonlock/membership/MessageReceiver.java
+++ b/src/main/java/cottonlock/membership/MessageReceiver.java
@@ -4,8 +4,8 @@
 import cottonlock.membership.Message.Kind;
 
 /**
- * Validates received datagrams, merges their updates and dispatches them by kind. Confined to the thread of
- * its {@link Membership}.
+ * Validates received datagrams, merges their updates and dispatches them by kind. Confined to the
+ * thread of its {@link Membership}.
  */
 @Deterministic
 final class MessageReceiver {
@@ -93,7 +93,9 @@
         }
     }
 
-    /** Handles a datagram of an earlier process of the member, delayed or from one still running. */
+    /**
+     * Handles a datagram of an earlier process of the member, delayed or from one still running.
+     */
     private void receiveStale(long nowTicks, Message message, MemberRecord member) {
         metrics.increment(MembershipMetric.STALE);
         for (MemberUpdate update : message.updates) {
@@ -115,7 +117,10 @@
         }
     }
 
-    /** Answers a sender that does not fit into the full table, which would otherwise suspect this process. */
+    /**
+     * Answers a sender that does not fit into the full table, which would otherwise suspect this
+     * process.
+     */
     private void answerWithoutRecord(long nowTicks, Message message) {
         if (message.kind == Kind.PING && !localMember.isDisplaced()) {
             sender.send(
--- a/src/main/java/cottonlock/membership/Probe.java
+++ b/src/main/java/cottonlock/membership/Probe.java
@@ -14,10 +14,14 @@
     /** When other members are asked to probe the target if it has not answered directly. */
     final long ackDueTicks;
 
-    /** Number of consecutive periods of probing the member without an answer, including this one. */
+    /**
+     * Number of consecutive periods of probing the member without an answer, including this one.
+     */
     final int periods;
 
-    /** Number of members asked to probe the target; 0 before any are asked, or {@link #NO_HELPERS}. */
+    /**
+     * Number of members asked to probe the target; 0 before any are asked, or {@link #NO_HELPERS}.
+     */
     int helpers;
 
     /** Number of helpers that have reported a failed probe. */
--- a/src/main/java/cottonlock/membership/ProbeSchedule.java
+++ b/src/main/java/cottonlock/membership/ProbeSchedule.java
@@ -8,8 +8,8 @@
 import java.util.function.Predicate;
 
 /**
- * The order in which members are probed: each once in a round, in an order that is shuffled for each
- * round. Confined to the thread of its {@link Membership}.
+ * The order in which members are probed: each once in a round, in an order that is shuffled for
+ * each round. Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class ProbeSchedule {
--- a/src/main/java/cottonlock/membership/ProtocolVariants.java
+++ b/src/main/java/cottonlock/membership/ProtocolVariants.java
@@ -3,8 +3,8 @@
 import cottonlock.core.Deterministic;
 
 /**
- * The rules that the protocol's safety depends on. Tests override them with faulty ones to show that
- * violations are found.
+ * The rules that the protocol's safety depends on. Tests override them with faulty ones to show
+ * that violations are found.
  */
 @Deterministic
 class ProtocolVariants {
@@ -19,7 +19,9 @@
         return accusedIncarnation + 1;
     }
 
-    /** The generation that a process takes if it finds another process of its name with this one. */
+    /**
+     * The generation that a process takes if it finds another process of its name with this one.
+     */
     long nextGeneration(long foundGeneration) {
         return foundGeneration + 1;
     }
@@ -30,8 +32,8 @@
     }
 
     /**
-     * Whether another member's report of a failure is accepted: only if the member has been suspected
-     * by this process for the minimum time.
+     * Whether another member's report of a failure is accepted: only if the member has been
+     * suspected by this process for the minimum time.
      */
     boolean acceptsFailureReport(MemberRecord member, MemberUpdate failed, long nowTicks) {
         return member.suspicion != null
--- a/src/main/java/cottonlock/membership/SuspectSet.java
+++ b/src/main/java/cottonlock/membership/SuspectSet.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * The members under suspicion, and when the first suspicion expires. Confined to the thread of its {@link
- * Membership}.
+ * The members under suspicion, and when the first suspicion expires. Confined to the thread of its
+ * {@link Membership}.
  */
 @Deterministic
 final class SuspectSet {
--- a/src/main/java/cottonlock/membership/SuspicionRules.java
+++ b/src/main/java/cottonlock/membership/SuspicionRules.java
@@ -6,8 +6,8 @@
 import cottonlock.setup.MembershipProtocolConfig;
 
 /**
- * Decides when a member is suspected and when a suspicion becomes a failure. Confined to the thread of its
- * {@link Membership}.
+ * Decides when a member is suspected and when a suspicion becomes a failure. Confined to the thread
+ * of its {@link Membership}.
  */
 @Deterministic
 final class SuspicionRules {
--- a/src/main/java/cottonlock/membership/SuspicionTimer.java
+++ b/src/main/java/cottonlock/membership/SuspicionTimer.java
@@ -7,7 +7,8 @@
 /**
  * The time within which a suspected member may refute the suspicion. As in Lifeguard it starts
  * long, since a single accuser may itself be at fault, and shrinks logarithmically as other members
- * confirm the suspicion. Times are in ticks of 0.1 ms. Confined to the thread of its {@link Membership}.
+ * confirm the suspicion. Times are in ticks of 0.1 ms. Confined to the thread of its {@link
+ * Membership}.
  */
 @Deterministic
 final class SuspicionTimer {
@@ -23,7 +24,9 @@
 
     private long startedAtTicks;
 
-    /** Share of the difference between maximum and minimum time removed by confirmations, 0 to 1. */
+    /**
+     * Share of the difference between maximum and minimum time removed by confirmations, 0 to 1.
+     */
     private double confirmedShare;
 
     /** The suspicion does not expire before this time, even with all confirmations. */
--- a/src/main/java/cottonlock/membership/UpdateMerger.java
+++ b/src/main/java/cottonlock/membership/UpdateMerger.java
@@ -5,7 +5,8 @@
 import java.util.List;
 
 /**
- * Merges updates into the table: the higher one about a member wins. Starts and ends suspicions accordingly, and spreads new updates. Confined to the thread of its {@link Membership}.
+ * Merges updates into the table: the higher one about a member wins. Starts and ends suspicions
+ * accordingly, and spreads new updates. Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class UpdateMerger {
--- a/src/main/java/cottonlock/membership/package-info.java
+++ b/src/main/java/cottonlock/membership/package-info.java
@@ -4,7 +4,7 @@
  *
  * <p>{@link cottonlock.membership.Membership} is a pure state machine, free of I/O, clocks and
  * threads. {@link cottonlock.membership.MembershipService} runs it on a socket with one thread. The
- * protocol is SWIM with Lifeguard's extensions and anti-entropy; docs/membership.md describes it and its
- * guarantees.
+ * protocol is SWIM with Lifeguard's extensions and anti-entropy; docs/membership.md describes it
+ * and its guarantees.
  */
 package cottonlock.membership;
--- a/src/test/java/cottonlock/membership/AntiEntropyTest.java
+++ b/src/test/java/cottonlock/membership/AntiEntropyTest.java
@@ -16,8 +16,8 @@
     private static final int REQUESTS = 2_500;
 
     /**
-     * A partition of a large membership is longer than one exchange. If each exchange sent it from its
-     * beginning, its last members would never be sent.
+     * A partition of a large membership is longer than one exchange. If each exchange sent it from
+     * its beginning, its last members would never be sent.
      */
     @Example
     void repeatedExchangesSendEveryMemberOfALongPartition() {
@@ -85,7 +85,8 @@
             membership.datagramReceived(0, requester.address(), out.toBytes(), out.size());
         }
         for (int i = 1; i <= REQUESTS; i++) {
-            Message message = new Message(Message.Kind.PARTITION_DIGESTS, requester, ++datagramNumber, 0, 0);
+            Message message =
+                    new Message(Message.Kind.PARTITION_DIGESTS, requester, ++datagramNumber, 0, 0);
             message.partitionDigests = new int[DatagramCodec.MAX_PARTITIONS];
             DatagramWriter out = DatagramCodec.writerFor(message, DatagramCodec.MAX_DATAGRAM_BYTES);
             // At intervals of 100 ms the bandwidth limit allows about one page for each request.
--- a/src/test/java/cottonlock/membership/DatagramAuthenticatorTest.java
+++ b/src/test/java/cottonlock/membership/DatagramAuthenticatorTest.java
@@ -30,7 +30,8 @@
         byte[] datagram = {(byte) DatagramCodec.MAGIC, 1, 2, 3};
         byte[] signed = oldKey.sign(datagram);
         assertEquals(datagram.length + DatagramAuthenticator.TAG_BYTES, signed.length);
-        assertArrayEquals(datagram, Arrays.copyOf(signed, 4), "signing must not change the content");
+        assertArrayEquals(
+                datagram, Arrays.copyOf(signed, 4), "signing must not change the content");
         assertEquals(4, oldKey.verify(signed, signed.length));
         assertEquals(4, bothKeys.verify(signed, signed.length));
         assertEquals(-1, newKey.verify(signed, signed.length));
@@ -57,7 +58,9 @@
                         .contains("is not there"));
         Path shortKeyFile = keyFile("            \n\n         x       ");
         assertTrue(
-                assertThrows(IOException.class, () -> new DatagramAuthenticator(List.of(shortKeyFile)))
+                assertThrows(
+                                IOException.class,
+                                () -> new DatagramAuthenticator(List.of(shortKeyFile)))
                         .getMessage()
                         .contains("holds no key"));
     }
--- a/src/test/java/cottonlock/membership/DatagramCodecTest.java
+++ b/src/test/java/cottonlock/membership/DatagramCodecTest.java
@@ -19,7 +19,9 @@
 class DatagramCodecTest {
     private static final long SECOND = 10_000;
 
-    /** The part of each recorded datagram that describes the sender, after magic, kind and flags. */
+    /**
+     * The part of each recorded datagram that describes the sender, after magic, kind and flags.
+     */
     private static final String SENDER_HEADER =
             "0770726f78792d31040a0000011f0a018bcfe5687b00000003fedcba980123456789abcdef0203";
 
@@ -30,7 +32,9 @@
                 + "3a3a315d3a31000000000003000000049abcdef004026d3404c0a80019ffff0000000000040000"
                 + "0005";
 
-    /** Kind-specific fields, updates and checksum of a datagram of each kind, by the kind's number. */
+    /**
+     * Kind-specific fields, updates and checksum of a datagram of each kind, by the kind's number.
+     */
     private static final List<String> RECORDED =
             List.of(
                     "887766550770726f78792d320770726f78792d33" + UPDATES + "a8e7e2f5",
@@ -129,7 +133,9 @@
                                             @Override
                                             public void send(String to, byte[] datagram) {
                                                 digest.update(
-                                                        (fleetHolder[0].world.now() + self.name() + to)
+                                                        (fleetHolder[0].world.now()
+                                                                        + self.name()
+                                                                        + to)
                                                                 .getBytes(UTF_8));
                                                 digest.update(datagram);
                                                 datagramCount[0]++;
--- a/src/test/java/cottonlock/membership/FalseSuspicionTest.java
+++ b/src/test/java/cottonlock/membership/FalseSuspicionTest.java
@@ -1,11 +1,11 @@
 package cottonlock.membership;
 
-import static cottonlock.membership.MembershipFleets.SECOND;
 import static cottonlock.membership.MembershipFleets.DEFAULT_CONFIG;
-import static cottonlock.membership.MembershipFleets.assertDefended;
-import static cottonlock.membership.MembershipFleets.fleet;
+import static cottonlock.membership.MembershipFleets.SECOND;
 import static cottonlock.membership.MembershipFleets.advance;
+import static cottonlock.membership.MembershipFleets.assertDefended;
 import static cottonlock.membership.MembershipFleets.config;
+import static cottonlock.membership.MembershipFleets.fleet;
 import static cottonlock.membership.MembershipFleets.testConfig;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -31,7 +31,8 @@
         Fleet.Node killed = fleet.nodes.get(size / 2);
         killed.kill();
         assertTrue(
-                fleet.untilFailed(killed, true, 15 * SECOND) >= 0, "a killed member is still detected");
+                fleet.untilFailed(killed, true, 15 * SECOND) >= 0,
+                "a killed member is still detected");
         killed.start(0);
         assertTrue(fleet.untilAgreed(10 * SECOND) >= 0);
         for (Fleet.Node node : fleet.nodes) {
@@ -42,12 +43,14 @@
     }
 
     /**
-     * Under loss a refutation may take a while to arrive. With a suspicion timeout that is too short a
-     * running member is declared failed before.
+     * Under loss a refutation may take a while to arrive. With a suspicion timeout that is too
+     * short a running member is declared failed before.
      */
     @Example
     void aSuspicionNeedsItsTimeoutUnderLoss() {
-        assertDefended(seed -> noFalseFailureUnderLoss(seed, 3), seed -> noFalseFailureUnderLoss(seed, 0.1));
+        assertDefended(
+                seed -> noFalseFailureUnderLoss(seed, 3),
+                seed -> noFalseFailureUnderLoss(seed, 0.1));
     }
 
     private static boolean noFalseFailureUnderLoss(long seed, double suspicionMultiplier) {
@@ -63,12 +66,13 @@
     }
 
     /**
-     * After a pause of ten seconds all suspicions of a process have expired, but only because it did
-     * not read the refutations. It must not declare their members failed.
+     * After a pause of ten seconds all suspicions of a process have expired, but only because it
+     * did not read the refutations. It must not declare their members failed.
      */
     @Example
     void aStalledProcessDeclaresNoMemberFailed() {
-        // The probe before a member is declared failed would prevent this as well, so it is off here.
+        // The probe before a member is declared failed would prevent this as well, so it is off
+        // here.
         assertDefended(
                 seed -> noFalseFailureAfterPauses(seed, new NoConfirmingProbe()),
                 seed ->
@@ -91,12 +95,14 @@
     }
 
     /**
-     * A refutation may reach some processes and not others. Without a probe of its own, a process that
-     * missed it would declare a running member failed.
+     * A refutation may reach some processes and not others. Without a probe of its own, a process
+     * that missed it would declare a running member failed.
      */
     @Example
     void noMemberIsDeclaredFailedWithoutAProbe() {
-        assertDefended(seed -> noFalseFailureInLargeFleet(seed, new ProtocolVariants()), seed -> noFalseFailureInLargeFleet(seed, new NoConfirmingProbe()));
+        assertDefended(
+                seed -> noFalseFailureInLargeFleet(seed, new ProtocolVariants()),
+                seed -> noFalseFailureInLargeFleet(seed, new NoConfirmingProbe()));
     }
 
     private static boolean noFalseFailureInLargeFleet(long seed, ProtocolVariants variants) {
--- a/src/test/java/cottonlock/membership/GenerationsTest.java
+++ b/src/test/java/cottonlock/membership/GenerationsTest.java
@@ -1,11 +1,11 @@
 package cottonlock.membership;
 
 import static cottonlock.membership.MembershipFleets.SECOND;
+import static cottonlock.membership.MembershipFleets.advance;
 import static cottonlock.membership.MembershipFleets.assertDefended;
+import static cottonlock.membership.MembershipFleets.config;
 import static cottonlock.membership.MembershipFleets.fleet;
 import static cottonlock.membership.MembershipFleets.nodeNumber;
-import static cottonlock.membership.MembershipFleets.advance;
-import static cottonlock.membership.MembershipFleets.config;
 import static cottonlock.membership.MembershipFleets.testConfig;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -22,8 +22,8 @@
 /** Processes that share a name, with different addresses, clocks or generations. */
 class GenerationsTest {
     /**
-     * A process restarts with a clock that is ten minutes behind, so that the other members take its
-     * earlier generation for the later one.
+     * A process restarts with a clock that is ten minutes behind, so that the other members take
+     * its earlier generation for the later one.
      */
     @Example
     void aClockBehindDoesNotPreventRejoining() {
@@ -51,7 +51,8 @@
     }
 
     /**
-     * Delayed datagrams of an earlier generation arrive repeatedly and must not affect the later one.
+     * Delayed datagrams of an earlier generation arrive repeatedly and must not affect the later
+     * one.
      */
     @Example
     void datagramsOfAnEarlierGenerationAreStale() {
@@ -93,7 +94,8 @@
                 fleet.nodes
                         .get(0)
                         .machine
-                        .datagramReceived(world.now(), restarted.address, datagram, datagram.length);
+                        .datagramReceived(
+                                world.now(), restarted.address, datagram, datagram.length);
             }
             advance(fleet, 0.3);
         }
@@ -130,7 +132,8 @@
                                             datagram,
                                             bytes -> {
                                                 if (running[receiver]) {
-                                                    Membership receiverMembership = memberships.get(receiver);
+                                                    Membership receiverMembership =
+                                                            memberships.get(receiver);
                                                     scheduleTimer(
                                                             world,
                                                             receiverMembership,
@@ -174,16 +177,28 @@
         running[3] = false;
         world.until(40 * SECOND);
         assertEquals(
-                "127.0.0.1:3", address(memberships.get(0), world), "the first process holds the name again");
+                "127.0.0.1:3",
+                address(memberships.get(0), world),
+                "the first process holds the name again");
         assertEquals(MemberState.ALIVE, memberships.get(0).stateOf("twin"));
     }
 
-    private static void scheduleTimer(World world, Membership membership, boolean[] running, int nodeNumber, long dueAtTicks) {
+    private static void scheduleTimer(
+            World world,
+            Membership membership,
+            boolean[] running,
+            int nodeNumber,
+            long dueAtTicks) {
         world.at(
                 dueAtTicks,
                 () -> {
                     if (running[nodeNumber] && membership.isDue(world.now())) {
-                        scheduleTimer(world, membership, running, nodeNumber, membership.timerFired(world.now()));
+                        scheduleTimer(
+                                world,
+                                membership,
+                                running,
+                                nodeNumber,
+                                membership.timerFired(world.now()));
                     }
                 });
     }
@@ -197,8 +212,8 @@
     }
 
     /**
-     * A process that was paused for longer than failed members are retained still holds a failed member
-     * as alive. It must not spread that to members that have removed the failed one.
+     * A process that was paused for longer than failed members are retained still holds a failed
+     * member as alive. It must not spread that to members that have removed the failed one.
      */
     @Example
     void aLongStoppedProcessDoesNotReviveADeadMember() {
@@ -264,6 +279,9 @@
     }
 
     private static MembershipView.Member member(MembershipView view, String name) {
-        return view.members().stream().filter(entry -> entry.name().equals(name)).findFirst().orElseThrow();
+        return view.members().stream()
+                .filter(entry -> entry.name().equals(name))
+                .findFirst()
+                .orElseThrow();
     }
 }
--- a/src/test/java/cottonlock/membership/HostileDatagramsTest.java
+++ b/src/test/java/cottonlock/membership/HostileDatagramsTest.java
@@ -1,8 +1,8 @@
 package cottonlock.membership;
 
 import static cottonlock.membership.MembershipFleets.SECOND;
-import static cottonlock.membership.MembershipFleets.fleet;
 import static cottonlock.membership.MembershipFleets.advance;
+import static cottonlock.membership.MembershipFleets.fleet;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Datagrams are corrupted in transit, and no key authenticates them. Views must be right again some
-     * time after the corruption has ended.
+     * Datagrams are corrupted in transit, and no key authenticates them. Views must be right again
+     * some time after the corruption has ended.
      */
     @Example
     void effectsOfCorruptDatagramsDoNotLast() {
--- a/src/test/java/cottonlock/membership/MemberTableTest.java
+++ b/src/test/java/cottonlock/membership/MemberTableTest.java
@@ -74,7 +74,9 @@
                 .filter(member -> member.update.state().isLive())
                 .forEach(member -> expectedAddresses.remove(member.update.address()));
         expectedAddresses.remove("10.0.0.7:1");
-        assertEquals(new ArrayList<>(expectedAddresses), table.contactAddresses().candidates("10.0.0.7:1"));
+        assertEquals(
+                new ArrayList<>(expectedAddresses),
+                table.contactAddresses().candidates("10.0.0.7:1"));
         assertEquals(expectedLiveCount, table.liveCount());
         assertEquals(digest, table.digest());
         assertEquals(expectedDivergingCount, table.divergingCount());
@@ -88,7 +90,8 @@
         for (int partition = 0; partition < partitions; partition++) {
             List<MemberUpdate> expectedUpdates = new ArrayList<>();
             List<MemberRecord> between = new ArrayList<>();
-            boolean selfPending = Math.floorMod(MemberUpdate.nameHash("me"), partitions) == partition;
+            boolean selfPending =
+                    Math.floorMod(MemberUpdate.nameHash("me"), partitions) == partition;
             for (MemberRecord member : table.members()) {
                 if (selfPending && member.update.name().compareTo("me") > 0) {
                     expectedUpdates.add(SELF);
@@ -110,13 +113,17 @@
             for (MemberUpdate update : expectedUpdates) {
                 expectedDigests[partition] += (int) (update.digest() >>> 32);
             }
-            assertEquals(expectedUpdates, table.liveUpdates(partitions, partition), "part " + partition + " of " + partitions);
+            assertEquals(
+                    expectedUpdates,
+                    table.liveUpdates(partitions, partition),
+                    "part " + partition + " of " + partitions);
             assertEquals(
                     between,
                     table.membersBetween(partitions, partition, "n150", "n27"),
                     "part " + partition + " of " + partitions);
         }
-        assertArrayEquals(expectedDigests, table.partitionDigests(partitions), partitions + " parts");
+        assertArrayEquals(
+                expectedDigests, table.partitionDigests(partitions), partitions + " parts");
     }
 
     /**
@@ -137,7 +144,9 @@
         table.remove(table.get(namesWithEqualHash[0]));
         assertEquals(null, table.get(namesWithEqualHash[0]));
         assertEquals(namesWithEqualHash[1], table.get(namesWithEqualHash[1]).update.name());
-        assertEquals(namesWithEqualHash[1], table.byNameHash(MemberUpdate.nameHash(namesWithEqualHash[1])).update.name());
+        assertEquals(
+                namesWithEqualHash[1],
+                table.byNameHash(MemberUpdate.nameHash(namesWithEqualHash[1])).update.name());
         assertEquals(1, table.liveCount());
     }
 
--- a/src/test/java/cottonlock/membership/MembershipFleets.java
+++ b/src/test/java/cottonlock/membership/MembershipFleets.java
@@ -74,7 +74,9 @@
             assertTrue(withDefence.test(seed), "with the defence, seed " + seed);
             failedWithout |= !withoutDefence.test(seed);
         }
-        assertTrue(failedWithout, "passed without the defence for all seeds, so this test shows nothing");
+        assertTrue(
+                failedWithout,
+                "passed without the defence for all seeds, so this test shows nothing");
     }
 
     static int nodeNumber(String name) {
--- a/src/test/java/cottonlock/membership/MembershipTest.java
+++ b/src/test/java/cottonlock/membership/MembershipTest.java
@@ -1,11 +1,11 @@
 package cottonlock.membership;
 
-import static cottonlock.membership.MembershipFleets.SECOND;
 import static cottonlock.membership.MembershipFleets.DEFAULT_CONFIG;
-import static cottonlock.membership.MembershipFleets.assertDefended;
-import static cottonlock.membership.MembershipFleets.fleet;
+import static cottonlock.membership.MembershipFleets.SECOND;
 import static cottonlock.membership.MembershipFleets.advance;
+import static cottonlock.membership.MembershipFleets.assertDefended;
 import static cottonlock.membership.MembershipFleets.config;
+import static cottonlock.membership.MembershipFleets.fleet;
 import static cottonlock.membership.MembershipFleets.testConfig;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -22,8 +22,8 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * Fleets in virtual time under various faults. If a case depends on one defence of the protocol, it is
- * also run with the defence off and must then fail.
+ * Fleets in virtual time under various faults. If a case depends on one defence of the protocol, it
+ * is also run with the defence off and must then fail.
  */
 class MembershipTest {
     @Property(seed = "20261201", tries = 12)
@@ -38,10 +38,11 @@
         advance(fleet, 0.3);
         killed.get(0).start(0);
         for (Fleet.Node killedNode : killed.subList(1, killed.size())) {
-            assertTrue(fleet.untilFailed(killedNode, true, 10 * SECOND) >= 0, killedNode.name + " is detected as failed");
+            assertTrue(
+                    fleet.untilFailed(killedNode, true, 10 * SECOND) >= 0,
+                    killedNode.name + " is detected as failed");
         }
-        assertTrue(
-                fleet.untilAgreed(3 * SECOND) >= 0, "the member that restarted at once is live");
+        assertTrue(fleet.untilAgreed(3 * SECOND) >= 0, "the member that restarted at once is live");
         killed.subList(1, killed.size()).forEach(node -> node.start(0));
         assertTrue(fleet.untilAgreed(4 * SECOND) >= 0, "all restarted members are live");
         assertEquals(List.of(), fleet.falseFailures);
@@ -77,17 +78,20 @@
     }
 
     /**
-     * A process whose worker is stalled must be detected although its socket still answers probes, and
-     * be live again when the worker goes on.
+     * A process whose worker is stalled must be detected although its socket still answers probes,
+     * and be live again when the worker goes on.
      */
     @Example
     void aProcessWithAStalledWorkerIsFoundFailed() {
         assertDefended(
                 seed -> stalledWorkerIsDetectedAndRecovers(seed, testConfig()),
-                seed -> stalledWorkerIsDetectedAndRecovers(seed, config(3, 3, Long.MAX_VALUE, 1_024, 6_000_000, 3, 2)));
+                seed ->
+                        stalledWorkerIsDetectedAndRecovers(
+                                seed, config(3, 3, Long.MAX_VALUE, 1_024, 6_000_000, 3, 2)));
     }
 
-    private static boolean stalledWorkerIsDetectedAndRecovers(long seed, MembershipProtocolConfig config) {
+    private static boolean stalledWorkerIsDetectedAndRecovers(
+            long seed, MembershipProtocolConfig config) {
         Fleet fleet = fleet(seed, 5, config, new ProtocolVariants());
         fleet.nodes.get(3).hang(20 * SECOND);
         boolean detected = fleet.untilFailed(fleet.nodes.get(3), true, 15 * SECOND) >= 0;
@@ -96,12 +100,13 @@
     }
 
     /**
-     * The member table has a fixed capacity. Further members are not added, and many short-lived names
-     * do not make it grow.
+     * The member table has a fixed capacity. Further members are not added, and many short-lived
+     * names do not make it grow.
      */
     @Example
     void theMemberTableIsBounded() {
-        Fleet fleet = fleet(2, 12, config(3, 3, 20_000, 8, 6_000_000, 3, 2), new ProtocolVariants());
+        Fleet fleet =
+                fleet(2, 12, config(3, 3, 20_000, 8, 6_000_000, 3, 2), new ProtocolVariants());
         advance(fleet, 30);
         long rejectedWhenFull = 0;
         for (Fleet.Node node : fleet.nodes) {
@@ -139,13 +144,17 @@
                     DatagramCodec.writerFor(
                             new Message(Message.Kind.UPDATES, left, 2, 0, 0),
                             DatagramCodec.MAX_DATAGRAM_BYTES);
-            membership.datagramReceived(now, other.address(), leaveAnnouncement.toBytes(), leaveAnnouncement.size());
+            membership.datagramReceived(
+                    now, other.address(), leaveAnnouncement.toBytes(), leaveAnnouncement.size());
             now += 100;
             membership.timerFired(now);
         }
         assertTrue(membership.view(now).members().size() <= 64);
         membership.timerFired(now + 60 * SECOND);
-        assertEquals(1, membership.view(now + 60 * SECOND).members().size(), "members that have left are removed");
+        assertEquals(
+                1,
+                membership.view(now + 60 * SECOND).members().size(),
+                "members that have left are removed");
     }
 
     /**
@@ -209,8 +218,8 @@
     }
 
     /**
-     * Returns ten times the mean bytes per second of one process in a minute without changes, after a
-     * minute with a restart or a kill in each second.
+     * Returns ten times the mean bytes per second of one process in a minute without changes, after
+     * a minute with a restart or a kill in each second.
      */
     private static long tenfoldBytesPerSecondAfterChurn(long seed, ProtocolVariants variants) {
         Fleet fleet = fleet(seed, 16, testConfig(), variants);
--- a/src/test/java/cottonlock/membership/NetworkPartitionTest.java
+++ b/src/test/java/cottonlock/membership/NetworkPartitionTest.java
@@ -1,11 +1,11 @@
 package cottonlock.membership;
 
 import static cottonlock.membership.MembershipFleets.SECOND;
+import static cottonlock.membership.MembershipFleets.advance;
 import static cottonlock.membership.MembershipFleets.assertDefended;
+import static cottonlock.membership.MembershipFleets.config;
 import static cottonlock.membership.MembershipFleets.fleet;
 import static cottonlock.membership.MembershipFleets.nodeNumber;
-import static cottonlock.membership.MembershipFleets.advance;
-import static cottonlock.membership.MembershipFleets.config;
 import static cottonlock.membership.MembershipFleets.testConfig;
 
 import cottonlock.lab.world.Fleet;
@@ -16,8 +16,8 @@
 /** Network partitions in one or both directions, in virtual time. */
 class NetworkPartitionTest {
     /**
-     * The groups declare each other failed. They find each other again only by pinging the addresses of
-     * failed members.
+     * The groups declare each other failed. They find each other again only by pinging the
+     * addresses of failed members.
      */
     @Example
     void separatedGroupsReuniteAfterHealing() {
@@ -32,7 +32,8 @@
         }
     }
 
-    private static boolean viewsAgreeAfterHealing(long seed, int groups, MembershipProtocolConfig config) {
+    private static boolean viewsAgreeAfterHealing(
+            long seed, int groups, MembershipProtocolConfig config) {
         Fleet fleet = fleet(seed, 9, config, new ProtocolVariants());
         fleet.split(groups);
         advance(fleet, 6);
@@ -48,8 +49,8 @@
     }
 
     /**
-     * After healing, each side receives the other side's outdated reports of failures. Without a probe
-     * first, a member would be declared failed by its own side.
+     * After healing, each side receives the other side's outdated reports of failures. Without a
+     * probe first, a member would be declared failed by its own side.
      */
     @Example
     void aHealedPartitionCausesNoFailureOnTheOwnSide() {
@@ -61,7 +62,9 @@
                                         new ProtocolVariants() {
                                             @Override
                                             boolean acceptsFailureReport(
-                                                    MemberRecord member, MemberUpdate failed, long now) {
+                                                    MemberRecord member,
+                                                    MemberUpdate failed,
+                                                    long now) {
                                                 return true;
                                             }
                                         })
@@ -89,12 +92,14 @@
                                             public void memberStateChanged(
                                                     String name, MemberState state, String reason) {
                                                 boolean sameSide =
-                                                        (nodeNumber(name) + nodeNumber(self.name())) % 2
+                                                        (nodeNumber(name) + nodeNumber(self.name()))
+                                                                        % 2
                                                                 == 0;
                                                 failures[0] +=
                                                         state == MemberState.FAILED
                                                                         && sameSide
-                                                                        && fleetHolder[0].world.now()
+                                                                        && fleetHolder[0].world
+                                                                                        .now()
                                                                                 > 30 * SECOND
                                                                 ? 1
                                                                 : 0;
@@ -114,8 +119,8 @@
     }
 
     /**
-     * Datagrams between two members pass in one direction only. Indirect probes show that both are live
-     * and which direction is cut.
+     * Datagrams between two members pass in one direction only. Indirect probes show that both are
+     * live and which direction is cut.
      */
     @Example
     void aOneWayCutCausesNoFailure() {
--- a/src/test/java/cottonlock/membership/ProtocolStateSpaceTest.java
+++ b/src/test/java/cottonlock/membership/ProtocolStateSpaceTest.java
@@ -18,9 +18,9 @@
 
 /**
  * Explores all orders of events among three processes to a given depth: each datagram in flight may
- * arrive at any time or never, each clock runs independently, and a process may be killed, restarted
- * or stalled. After each step, updates must only have been superseded by higher ones. From every
- * state, views must become right once there are no further faults.
+ * arrive at any time or never, each clock runs independently, and a process may be killed,
+ * restarted or stalled. After each step, updates must only have been superseded by higher ones.
+ * From every state, views must become right once there are no further faults.
  */
 class ProtocolStateSpaceTest {
     private static final MembershipProtocolConfig CONFIG =
@@ -93,9 +93,13 @@
                 start(process);
             }
             if (singleContact) {
-                // All updates that the contact sends to the others about each other are lost, until it
+                // All updates that the contact sends to the others about each other are lost, until
+                // it
                 // no longer retransmits them.
-                runWithoutFaults(100_000, datagram -> datagram.to == 0 ? datagram : withoutUpdatesAboutOthers(datagram));
+                runWithoutFaults(
+                        100_000,
+                        datagram ->
+                                datagram.to == 0 ? datagram : withoutUpdatesAboutOthers(datagram));
                 checkInvariants();
                 inFlight.clear();
                 return;
@@ -144,7 +148,9 @@
             running[process] = true;
             lastViews.get(process).clear();
             List<String> contacts =
-                    singleContact ? List.of(address(0)) : List.of(address(0), address(1), address(2));
+                    singleContact
+                            ? List.of(address(0))
+                            : List.of(address(0), address(1), address(2));
             // The clock of each start is behind that of the start before.
             memberships[process] =
                     new Membership(
@@ -154,13 +160,16 @@
                                 public void send(String to, byte[] datagram) {
                                     inFlight.add(
                                             new Datagram(
-                                                    process, to.charAt(to.length() - 1) - '1', datagram));
+                                                    process,
+                                                    to.charAt(to.length() - 1) - '1',
+                                                    datagram));
                                 }
 
                                 @Override
                                 public void memberStateChanged(
                                         String memberName, MemberState state, String reason) {
-                                    failedInCall = state == MemberState.FAILED ? memberName : failedInCall;
+                                    failedInCall =
+                                            state == MemberState.FAILED ? memberName : failedInCall;
                                 }
                             },
                             new LocalMember(
@@ -225,7 +234,10 @@
                     timerDueAt[process] = memberships[process].timerFired(now[process]);
                     if (failedInCall != null) {
                         throw new Violation(
-                                name(process) + " declared " + failedInCall + " failed after its own stall");
+                                name(process)
+                                        + " declared "
+                                        + failedInCall
+                                        + " failed after its own stall");
                     }
                 }
             }
@@ -238,16 +250,20 @@
         private void deliver(Datagram datagram) {
             timerDueAt[datagram.to] =
                     memberships[datagram.to].datagramReceived(
-                            now[datagram.to], address(datagram.from), datagram.bytes, datagram.bytes.length);
+                            now[datagram.to],
+                            address(datagram.from),
+                            datagram.bytes,
+                            datagram.bytes.length);
         }
 
         /**
-         * Checks that each view's updates are only superseded by higher ones, and that none has a higher
-         * generation or incarnation than its subject has claimed.
+         * Checks that each view's updates are only superseded by higher ones, and that none has a
+         * higher generation or incarnation than its subject has claimed.
          */
         private void checkInvariants() {
             for (int process = 0; process < 3; process++) {
-                MembershipView.Member own = memberships[process].view(now[process]).members().get(0);
+                MembershipView.Member own =
+                        memberships[process].view(now[process]).members().get(0);
                 MemberUpdate update =
                         new MemberUpdate(
                                 own.name(),
@@ -256,13 +272,15 @@
                                 own.incarnation(),
                                 MemberState.JOINING,
                                 0);
-                ownClaims.merge(own.name(), update, (one, other) -> one.supersedes(other) ? one : other);
+                ownClaims.merge(
+                        own.name(), update, (one, other) -> one.supersedes(other) ? one : other);
             }
             for (int process = 0; process < 3; process++) {
                 if (!running[process]) {
                     continue;
                 }
-                for (MembershipView.Member member : memberships[process].view(now[process]).members()) {
+                for (MembershipView.Member member :
+                        memberships[process].view(now[process]).members()) {
                     MemberUpdate update =
                             new MemberUpdate(
                                     member.name(),
@@ -273,7 +291,8 @@
                                     0);
                     MemberUpdate before = lastViews.get(process).put(update.name(), update);
                     if (before != null && before.supersedes(update)) {
-                        throw new Violation(name(process) + " replaced " + before + " by the lower " + update);
+                        throw new Violation(
+                                name(process) + " replaced " + before + " by the lower " + update);
                     }
                     MemberUpdate own = ownClaims.get(member.name());
                     if (member.generation() > own.generation()
@@ -303,7 +322,10 @@
                 deliverQueued(50, transform);
                 long next = from + length;
                 for (int process = 0; process < 3; process++) {
-                    next = running[process] ? Math.min(next, Math.max(now[0] + 5, timerDueAt[process])) : next;
+                    next =
+                            running[process]
+                                    ? Math.min(next, Math.max(now[0] + 5, timerDueAt[process]))
+                                    : next;
                 }
                 java.util.Arrays.fill(now, next);
                 for (int process = 0; process < 3; process++) {
@@ -336,18 +358,26 @@
         private static Datagram withoutUpdatesAboutOthers(Datagram datagram) {
             Message message = decode(datagram);
             DatagramWriter out = DatagramCodec.writerFor(message, DatagramCodec.MAX_DATAGRAM_BYTES);
-            message.updates.stream().filter(update -> update.name().equals(name(datagram.to))).forEach(out::addUpdate);
+            message.updates.stream()
+                    .filter(update -> update.name().equals(name(datagram.to)))
+                    .forEach(out::addUpdate);
             return new Datagram(datagram.from, datagram.to, out.toBytes());
         }
 
-        /** Checks that without faults every view becomes right and retransmissions of updates end. */
+        /**
+         * Checks that without faults every view becomes right and retransmissions of updates end.
+         */
         void checkConvergence() {
             runWithoutFaults(200_000);
             for (int process = 0; process < 3; process++) {
                 for (int other = 0; other < 3; other++) {
-                    MemberState state = process == other ? MemberState.ALIVE : memberships[process].stateOf(name(other));
+                    MemberState state =
+                            process == other
+                                    ? MemberState.ALIVE
+                                    : memberships[process].stateOf(name(other));
                     boolean live = state != null && state.isLive();
-                    // With the only contact down, two processes that never met can't find each other.
+                    // With the only contact down, two processes that never met can't find each
+                    // other.
                     boolean neverMet = singleContact && !running[0] && state == null;
                     if (running[process] && live != running[other] && !neverMet) {
                         throw new Violation(
@@ -361,10 +391,17 @@
                                         + (running[other] ? "runs" : "is down"));
                     }
                 }
-                // One update may remain: an update about the only possible receiver is never sent to it.
-                String queuedUpdates = memberships[process].fingerprint(now[process]).replaceAll("(?s).*telling ", "");
-                if (running[process] && memberships[process].liveOthers() > 0 && Integer.parseInt(queuedUpdates) > 1) {
-                    throw new Violation("in the end " + name(process) + " still retransmits old updates");
+                // One update may remain: an update about the only possible receiver is never sent
+                // to it.
+                String queuedUpdates =
+                        memberships[process]
+                                .fingerprint(now[process])
+                                .replaceAll("(?s).*telling ", "");
+                if (running[process]
+                        && memberships[process].liveOthers() > 0
+                        && Integer.parseInt(queuedUpdates) > 1) {
+                    throw new Violation(
+                            "in the end " + name(process) + " still retransmits old updates");
                 }
             }
         }
@@ -393,9 +430,16 @@
             StringBuilder stateKey = new StringBuilder();
             for (int process = 0; process < 3; process++) {
                 stateKey.append(running[process]).append(startCounts[process]).append('|');
-                stateKey.append(running[process] ? memberships[process].fingerprint(now[process]) : "").append('|');
+                stateKey.append(
+                                running[process]
+                                        ? memberships[process].fingerprint(now[process])
+                                        : "")
+                        .append('|');
             }
-            inFlight.stream().map(Simulation::describe).sorted().forEach(description -> stateKey.append(description).append('\n'));
+            inFlight.stream()
+                    .map(Simulation::describe)
+                    .sorted()
+                    .forEach(description -> stateKey.append(description).append('\n'));
             return stateKey.append(kills).append(stalls).toString();
         }
     }
