--- a/src/main/java/cottonlock/membership/ContactAddresses.java
+++ b/src/main/java/cottonlock/membership/ContactAddresses.java
@@ -9,19 +9,19 @@
 import java.util.TreeSet;
 
 /**
- * Addresses at which a member may be found that is not known to be live: contacts and addresses of
- * failed members at which no live member is known. Maintained with each update. For the thread of
- * its {@link Membership}.
+ * Addresses at which a member that is not known to be live may be found: contacts and addresses of
+ * failed members, except those at which a live member is known. Maintained with each update.
+ * Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class ContactAddresses {
     private final Set<String> contacts;
 
     /** Number of live members by address. */
-    private final Map<String, Integer> live = new HashMap<>();
+    private final Map<String, Integer> liveCountByAddress = new HashMap<>();
 
     /** Number of failed members by address. */
-    private final Map<String, Integer> failed = new HashMap<>();
+    private final Map<String, Integer> failedCountByAddress = new HashMap<>();
 
     private final TreeSet<String> candidates;
 
@@ -30,12 +30,12 @@
         this.candidates = new TreeSet<>(contacts);
     }
 
-    /** An update is in the table from now on. */
+    /** Counts an update that was added to the table. */
     void add(MemberUpdate update) {
         adjustCount(update, 1);
     }
 
-    /** An update is no longer in the table. */
+    /** Discounts an update that was removed from the table. */
     void remove(MemberUpdate update) {
         adjustCount(update, -1);
     }
@@ -44,18 +44,21 @@
         if (update.state() == MemberState.LEFT) {
             return;
         }
-        Map<String, Integer> counts = update.state().isLive() ? live : failed;
+        Map<String, Integer> counts =
+                update.state().isLive() ? liveCountByAddress : failedCountByAddress;
         String address = update.address();
         counts.merge(address, change, (a, b) -> a + b == 0 ? null : a + b);
-        if (!live.containsKey(address)
-                && (contacts.contains(address) || failed.containsKey(address))) {
+        if (!liveCountByAddress.containsKey(address)
+                && (contacts.contains(address) || failedCountByAddress.containsKey(address))) {
             candidates.add(address);
         } else {
             candidates.remove(address);
         }
     }
 
-    /** The addresses, sorted, without the excluded one. The list is the caller's. */
+    /**
+     * The addresses, sorted, without the excluded one, as a new list that the caller may modify.
+     */
     List<String> candidates(String excluded) {
         List<String> result = new ArrayList<>(candidates);
         result.remove(excluded);
--- a/src/main/java/cottonlock/membership/JoinProtocol.java
+++ b/src/main/java/cottonlock/membership/JoinProtocol.java
@@ -5,15 +5,16 @@
 
 /**
  * Decides when a joining process becomes alive: once its view equals that of a live member, or
- * after a while if it finds no member at all. For the thread of its {@link Membership}.
+ * after a timeout if it finds no member or no view becomes equal. Confined to the thread of its
+ * {@link Membership}.
  */
 @Deterministic
 final class JoinProtocol {
-    /** After so many times the configured wait it becomes alive whatever the views. */
-    private static final int MAX_WAITS = 5;
+    /** After this number of join timeouts the process becomes alive even if the views differ. */
+    private static final int MAX_JOIN_TIMEOUTS = 5;
 
-    /** Parts of the configured wait after which it looks again. */
-    private static final int RECHECKS_PER_WAIT = 4;
+    /** Number of rechecks in the time of one join timeout. */
+    private static final int RECHECKS_PER_JOIN_TIMEOUT = 4;
 
     private final MembershipProtocolConfig config;
     private final MemberTable table;
@@ -29,13 +30,13 @@
         this.announcer = announcer;
     }
 
-    /** The process has started. */
+    /** Called when the process has started. */
     void start(long nowTicks) {
         startedAtTicks = nowTicks;
         restart(nowTicks);
     }
 
-    /** The process has become {@link MemberState#JOINING} again. */
+    /** Called when the process has become {@link MemberState#JOINING} again. */
     void restart(long nowTicks) {
         dueAtTicks = nowTicks + config.joinTimeoutTicks();
     }
@@ -54,18 +55,19 @@
         return table.self().state() == MemberState.JOINING;
     }
 
-    /** Becomes alive if the views agree or there is no other member; else looks again later. */
+    /** Becomes alive if the views agree or there is no other member; otherwise rechecks later. */
     void tryJoin(long nowTicks) {
         boolean alone = table.liveCount() == 0;
-        boolean agrees = alone || table.anyMatch(this::confirmsView);
-        if (agrees || nowTicks - startedAtTicks > MAX_WAITS * config.joinTimeoutTicks()) {
+        boolean viewConfirmed = alone || table.anyMatch(this::confirmsView);
+        if (viewConfirmed
+                || nowTicks - startedAtTicks > MAX_JOIN_TIMEOUTS * config.joinTimeoutTicks()) {
             announcer.announce(nowTicks, table.self().withState(MemberState.ALIVE, 0));
             actions.memberStateChanged(
                     table.self().name(),
                     MemberState.ALIVE,
                     alone ? "nobody else is there" : "its view is that of others");
         } else {
-            dueAtTicks = nowTicks + config.joinTimeoutTicks() / RECHECKS_PER_WAIT;
+            dueAtTicks = nowTicks + config.joinTimeoutTicks() / RECHECKS_PER_JOIN_TIMEOUT;
         }
     }
 
--- a/src/main/java/cottonlock/membership/MemberTable.java
+++ b/src/main/java/cottonlock/membership/MemberTable.java
@@ -9,9 +9,9 @@
 import java.util.function.Predicate;
 
 /**
- * All members that one process knows, itself among them, and the digest of that view. Counts and
- * digests are maintained with each change, so that reading them needs no look at all members. For
- * the thread of its {@link Membership}.
+ * All members that one process knows, including itself, and the digest of that view. Counts and
+ * digests are maintained with each change, so that reading them takes no iteration over all
+ * members. Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class MemberTable {
@@ -49,7 +49,8 @@
     /**
      * Creates a table that holds this process alone.
      *
-     * @param maxMembers in the table, this process and members that have failed or left among them
+     * @param maxMembers capacity of the table, counting this process and members that have failed
+     *     or left
      */
     MemberTable(MemberUpdate self, int maxMembers, ContactAddresses contactAddresses) {
         this.self = self;
@@ -119,7 +120,7 @@
         return false;
     }
 
-    /** Addresses at which a member may be found that is not known to be live. */
+    /** Addresses at which a member that is not known to be live may be found. */
     ContactAddresses contactAddresses() {
         return contactAddresses;
     }
@@ -150,7 +151,7 @@
         return null;
     }
 
-    /** Adds a member that was unknown. Its update does not count before {@link #replace}. */
+    /** Adds an unknown member. Its update is not counted before {@link #replace} is called. */
     MemberRecord add(MemberUpdate update, long nowTicks) {
         MemberRecord member = new MemberRecord(update, nowTicks);
         others.add(member);
@@ -189,7 +190,8 @@
         digest += (isLive ? newDigest : 0) - (wasLive ? member.updateDigest : 0);
         liveCount += (isLive ? 1 : 0) - (wasLive ? 1 : 0);
         digestByPartition[member.partition(DatagramCodec.MAX_PARTITIONS)] +=
-                (isLive ? shorten(newDigest) : 0) - (wasLive ? shorten(member.updateDigest) : 0);
+                (isLive ? shortDigest(newDigest) : 0)
+                        - (wasLive ? shortDigest(member.updateDigest) : 0);
         divergingCount -= member.diverges() ? 1 : 0;
         if (counted) {
             contactAddresses.remove(member.update);
@@ -200,8 +202,8 @@
         divergingCount += member.diverges() ? 1 : 0;
     }
 
-    /** The part of a digest that is compared by partition. */
-    private static int shorten(long updateDigest) {
+    /** The upper half of an update's digest, which is summed in partition digests. */
+    private static int shortDigest(long updateDigest) {
         return (int) (updateDigest >>> 32);
     }
 
@@ -210,7 +212,7 @@
     }
 
     /** The member that has not been live for the longest time; null if all are live. */
-    MemberRecord longestDead() {
+    MemberRecord longestNotLive() {
         MemberRecord oldest = null;
         for (MemberRecord member : members()) {
             if (!member.isLive()
@@ -228,7 +230,7 @@
         if (member.isLive()) {
             digest -= member.updateDigest;
             liveCount--;
-            digestByPartition[partition] -= shorten(member.updateDigest);
+            digestByPartition[partition] -= shortDigest(member.updateDigest);
         }
         List<MemberRecord> partitionMembers = byPartition.get(partition);
         partitionMembers.remove(insertionPoint(partitionMembers, member.update.name()));
@@ -237,7 +239,7 @@
         member.removed = true;
     }
 
-    /** Digests of the live members of each of so many partitions, this process among them. */
+    /** Digest of the live members of each partition, including this process. */
     int[] partitionDigests(int partitions) {
         int[] digests = new int[partitions];
         if (DatagramCodec.MAX_PARTITIONS % partitions == 0) {
@@ -247,10 +249,10 @@
         } else {
             for (MemberRecord member : others) {
                 digests[member.partition(partitions)] +=
-                        member.isLive() ? shorten(member.updateDigest) : 0;
+                        member.isLive() ? shortDigest(member.updateDigest) : 0;
             }
         }
-        digests[selfPartition(partitions)] += shorten(self.digest());
+        digests[selfPartition(partitions)] += shortDigest(self.digest());
         return digests;
     }
 
@@ -258,26 +260,28 @@
         return Math.floorMod(selfHash(), partitions);
     }
 
-    /** Updates of the live members of a partition, in the order of names, this process's too. */
+    /**
+     * Updates of the live members of a partition, in the order of names, including this process.
+     */
     List<MemberUpdate> liveUpdates(int partitions, int partition) {
         List<MemberUpdate> updates = new ArrayList<>();
-        boolean selfDue = selfPartition(partitions) == partition;
+        boolean selfPending = selfPartition(partitions) == partition;
         for (MemberRecord member : candidates(partitions, partition)) {
-            if (selfDue && member.update.name().compareTo(self.name()) > 0) {
+            if (selfPending && member.update.name().compareTo(self.name()) > 0) {
                 updates.add(self);
-                selfDue = false;
+                selfPending = false;
             }
             if (member.isLive() && member.partition(partitions) == partition) {
                 updates.add(member.update);
             }
         }
-        if (selfDue) {
+        if (selfPending) {
             updates.add(self);
         }
         return updates;
     }
 
-    /** Members in the order of names, those of the partition among them. */
+    /** Members in the order of names, among which are all of the partition. */
     private List<MemberRecord> candidates(int partitions, int partition) {
         return partitions == DatagramCodec.MAX_PARTITIONS ? byPartition.get(partition) : members();
     }
@@ -285,16 +289,17 @@
     /**
      * Members of a partition, in the order of names.
      *
-     * @param after they follow this name
-     * @param last they end with this name; null: with the last one
+     * @param after the members follow this name
+     * @param last the last name included; null: the members extend to the last name
      */
     List<MemberRecord> membersBetween(int partitions, int partition, String after, String last) {
         List<MemberRecord> result = new ArrayList<>();
         List<MemberRecord> candidates = candidates(partitions, partition);
         int from = insertionPoint(candidates, after);
-        boolean found =
+        boolean startsWithAfter =
                 from < candidates.size() && candidates.get(from).update.name().equals(after);
-        for (MemberRecord member : candidates.subList(found ? from + 1 : from, candidates.size())) {
+        for (MemberRecord member :
+                candidates.subList(startsWithAfter ? from + 1 : from, candidates.size())) {
             if (last != null && member.update.name().compareTo(last) > 0) {
                 break;
             }
--- a/src/main/java/cottonlock/membership/SuspicionRules.java
+++ b/src/main/java/cottonlock/membership/SuspicionRules.java
@@ -6,8 +6,8 @@
 import cottonlock.setup.MembershipProtocolConfig;
 
 /**
- * Decides when a member is suspected and when a suspicion becomes a failure. For the thread of its
- * {@link Membership}.
+ * Decides when a member is suspected and when a suspicion becomes a failure. Confined to the thread
+ * of its {@link Membership}.
  */
 @Deterministic
 final class SuspicionRules {
@@ -31,7 +31,7 @@
         this.merger = merger;
     }
 
-    /** A probe of this process failed: it suspects the member or confirms the suspicion. */
+    /** Suspects a member, or confirms its suspicion, after a probe by this process has failed. */
     void probeFailed(long nowTicks, MemberRecord member, String reason) {
         int selfHash = table.selfHash();
         suspects.timersChanged();
@@ -46,13 +46,13 @@
                     member,
                     member.update.withState(MemberState.SUSPECT, selfHash),
                     reason);
-            if (member.contested) {
+            if (member.needsConfirmingProbe) {
                 member.suspicion.confirmFully();
             }
         }
     }
 
-    /** Declares members failed whose suspicions have expired, unless there is reason to wait. */
+    /** Declares members failed whose suspicions have expired, unless the failure is deferred. */
     void expireSuspicions(long nowTicks) {
         if (nowTicks < suspects.firstExpiryTicks()) {
             return;
@@ -66,7 +66,7 @@
     }
 
     private boolean isDeferred(long nowTicks, MemberRecord member) {
-        // A datagram received here counts more than the silence that others report.
+        // A datagram received by this process outweighs the silence that others report.
         boolean heardMeanwhile =
                 member.heardAtTicks > member.suspicion.startedAtTicks()
                         && failureDetector.isResponsive(member.stallCentis);
@@ -74,8 +74,8 @@
             notifyAccused(nowTicks, member);
             return true;
         }
-        // Other members may have missed the refutation, so the member is probed from here first.
-        if (!member.suspicion.accusedBy(table.selfHash())
+        // Other members may have missed the refutation, so this process probes the member first.
+        if (!member.suspicion.isAccusedBy(table.selfHash())
                 && context.variants().probesBeforeFailing()
                 && member.suspicion.defer(nowTicks, config.periodTicks())) {
             failureDetector.probeBeforeFailing(member);
@@ -99,7 +99,7 @@
                 reason);
     }
 
-    /** Sends a member the accusation that is held against it, so that it can refute it. */
+    /** Sends a member the accusation against it, so that it can refute it. */
     void notifyAccused(long nowTicks, MemberRecord member) {
         if (nowTicks - member.notifiedAtTicks >= config.answerTimeoutTicks()) {
             member.notifiedAtTicks = nowTicks;
--- a/src/main/java/cottonlock/membership/UpdateBroadcastQueue.java
+++ b/src/main/java/cottonlock/membership/UpdateBroadcastQueue.java
@@ -10,12 +10,12 @@
 import java.util.Map;
 
 /**
- * Updates that are piggybacked on datagrams: the least transmitted first, each a bounded number of
- * times. For the thread of its {@link Membership}.
+ * Updates to be piggybacked on datagrams: the least transmitted first, each a bounded number of
+ * times. Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class UpdateBroadcastQueue {
-    /** An update in the queue, until a newer one on the same member replaces it. */
+    /** An update in the queue, until a newer one about the same member replaces it. */
     private static final class Broadcast {
         final MemberUpdate update;
         int transmits;
@@ -26,58 +26,59 @@
         }
     }
 
-    /** The newest update on each member, by name. */
+    /** The newest update about each member, by name. */
     private final Map<String, Broadcast> newestByName = new HashMap<>();
 
-    /** The queued updates by the number of their transmits; superseded ones leave lazily. */
+    /** The queued updates by their number of transmissions; superseded ones are removed lazily. */
     private final List<Deque<Broadcast>> byTransmits = new ArrayList<>();
 
     private final int capacity;
 
-    /** Number of queued updates, superseded ones among them. */
-    private int queued;
+    /** Number of queued updates, including superseded ones. */
+    private int queuedCount;
 
     /**
      * Creates an empty queue.
      *
-     * @param capacity members; beyond twice as many updates the most transmitted are discarded
+     * @param capacity maximum number of members; if more than twice as many updates are queued, the
+     *     most transmitted ones are discarded
      */
     UpdateBroadcastQueue(int capacity) {
         this.capacity = capacity;
     }
 
-    /** Queues an update, in place of an earlier one on the same member. */
+    /** Queues an update, which replaces an earlier one about the same member. */
     void add(MemberUpdate update) {
         Broadcast broadcast = new Broadcast(update);
         Broadcast previous = newestByName.put(update.name(), broadcast);
         if (previous != null) {
             previous.superseded = true;
         }
-        transmitted(0).addFirst(broadcast);
-        queued++;
+        queueFor(0).addFirst(broadcast);
+        queuedCount++;
         discardExcess();
     }
 
     private void discardExcess() {
         int transmits = byTransmits.size() - 1;
-        while (transmits >= 0 && queued > 2 * capacity) {
+        while (transmits >= 0 && queuedCount > 2 * capacity) {
             Broadcast last = byTransmits.get(transmits).pollLast();
             if (last == null) {
                 transmits--;
             } else {
-                discarded(last);
+                onDiscarded(last);
             }
         }
     }
 
-    private void discarded(Broadcast broadcast) {
-        queued--;
+    private void onDiscarded(Broadcast broadcast) {
+        queuedCount--;
         if (!broadcast.superseded) {
             newestByName.remove(broadcast.update.name());
         }
     }
 
-    private Deque<Broadcast> transmitted(int transmits) {
+    private Deque<Broadcast> queueFor(int transmits) {
         while (byTransmits.size() <= transmits) {
             byTransmits.add(new ArrayDeque<>());
         }
@@ -87,22 +88,22 @@
     /**
      * Fills a datagram with updates.
      *
-     * @param transmitLimit how often each update is transmitted
-     * @param excludedName a member whose update is in the datagram already
+     * @param transmitLimit maximum number of transmissions of each update
+     * @param excludedName name of a member whose update is not added; empty: none
      */
     void fill(DatagramWriter out, int transmitLimit, String excludedName) {
-        boolean fits = true;
+        boolean hasSpace = true;
         List<Broadcast> sent = new ArrayList<>();
-        for (int transmits = 0; transmits < byTransmits.size() && fits; transmits++) {
+        for (int transmits = 0; transmits < byTransmits.size() && hasSpace; transmits++) {
             Iterator<Broadcast> iterator = byTransmits.get(transmits).iterator();
-            while (iterator.hasNext() && fits) {
+            while (iterator.hasNext() && hasSpace) {
                 Broadcast broadcast = iterator.next();
                 if (broadcast.superseded || transmits >= transmitLimit) {
                     iterator.remove();
-                    discarded(broadcast);
+                    onDiscarded(broadcast);
                 } else if (!broadcast.update.name().equals(excludedName)) {
-                    fits = out.addUpdate(broadcast.update);
-                    if (fits) {
+                    hasSpace = out.addUpdate(broadcast.update);
+                    if (hasSpace) {
                         iterator.remove();
                         broadcast.transmits = transmits + 1;
                         sent.add(broadcast);
@@ -110,7 +111,7 @@
                 }
             }
         }
-        sent.forEach(broadcast -> transmitted(broadcast.transmits).addLast(broadcast));
+        sent.forEach(broadcast -> queueFor(broadcast.transmits).addLast(broadcast));
     }
 
     /** Number of members about which an update is queued. */
