--- a/src/main/java/cottonlock/proxy/ClientConnection.java
+++ b/src/main/java/cottonlock/proxy/ClientConnection.java
@@ -412,7 +412,8 @@
                         // The rest may take as long as the client likes; what is in hand would be
                         // missed by others.
                         part.release();
-                        rest.setPacing(RELAY_PAUSE_MILLIS, HttpReader.NEGLIGIBLE_RATE_BYTES_PER_SECOND);
+                        rest.setPacing(
+                                RELAY_PAUSE_MILLIS, HttpReader.NEGLIGIBLE_RATE_BYTES_PER_SECOND);
                         rest.relayBody(
                                 (from, at, count) ->
                                         writer.writeRelayed(out, chunked, from, at, count));
--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionParser.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionParser.java
@@ -28,7 +28,8 @@
         JsonObject fields = parseObject(message);
         ConfigurationVersion version =
                 new ConfigurationVersion(
-                        parseNumber(fields), Long.parseUnsignedLong(parseDigest(fields, "digest"), 16));
+                        parseNumber(fields),
+                        Long.parseUnsignedLong(parseDigest(fields, "digest"), 16));
         if (!fields.has("settings")) {
             return ConfigurationVersionMessage.announcement(version);
         }
--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionStore.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionStore.java
@@ -77,7 +77,8 @@
      * stored a higher version with the same base.
      */
     void save(ConfigurationVersion version, ConfigurationVersionMessage.Content content) {
-        file.change(lines -> holdsHigherThan(version) ? lines : List.of(versionLine(version, content)));
+        file.change(
+                lines -> holdsHigherThan(version) ? lines : List.of(versionLine(version, content)));
     }
 
     private boolean holdsHigherThan(ConfigurationVersion version) {
--- a/src/main/java/cottonlock/proxy/control/ConfigurationVersionValidator.java
+++ b/src/main/java/cottonlock/proxy/control/ConfigurationVersionValidator.java
@@ -27,7 +27,8 @@
         JsonObject fields = parseObject(content.settings());
         for (String name : ConfigurationVersionDigest.PER_PROCESS_SETTINGS) {
             if (fields.has(name)) {
-                throw new InvalidSettingsException("settings." + name + " is set for each process on its own");
+                throw new InvalidSettingsException(
+                        "settings." + name + " is set for each process on its own");
             }
         }
         Settings settings = ProxyConfiguration.settings(fields);
--- a/src/main/java/cottonlock/proxy/control/ManualEjections.java
+++ b/src/main/java/cottonlock/proxy/control/ManualEjections.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * The backends that operators have ejected manually. To the load balancer they are draining, even if
- * discovery lists them as ready. The ejections are stored for the proxy's next process, and shared
- * with another process that serves at the same time.
+ * The backends that operators have ejected manually. To the load balancer they are draining, even
+ * if discovery lists them as ready. The ejections are stored for the proxy's next process, and
+ * shared with another process that serves at the same time.
  *
  * <p>Safe for use by any thread; its own thread polls for changes by another process.
  */
--- a/src/main/java/cottonlock/proxy/control/ProxyConfiguration.java
+++ b/src/main/java/cottonlock/proxy/control/ProxyConfiguration.java
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Checks that this configuration may replace another one in a running process. A file that lacks
-     * a key of the previous one, or whose settings could serve no request, is taken for truncated or
-     * mistyped.
+     * Checks that this configuration may replace another one in a running process. A file that
+     * lacks a key of the previous one, or whose settings could serve no request, is taken for
+     * truncated or mistyped.
      *
      * @throws InvalidSettingsException if it may not
      */
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Checks that a proxy with these settings could serve requests: there are request classes, their
-     * names are unique, and their times and the limit of attempts are positive.
+     * Checks that a proxy with these settings could serve requests: there are request classes,
+     * their names are unique, and their times and the limit of attempts are positive.
      *
      * @throws InvalidSettingsException if it could not
      */
--- a/src/main/java/cottonlock/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cottonlock/proxy/discovery/DiscoveryClient.java
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Ends like a killed process: the socket is closed, and nothing more is sent. When this returns,
-     * the thread has ended, and the listener is not called any more.
+     * Ends like a killed process: the socket is closed, and nothing more is sent. When this
+     * returns, the thread has ended, and the listener is not called any more.
      */
     @Override
     public void close() {
--- a/src/main/java/cottonlock/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/cottonlock/proxy/discovery/EndpointListParser.java
@@ -67,7 +67,9 @@
             if (state == Endpoint.State.READY) {
                 throw e;
             }
-            log.warn("list", "used only the health of a host with an invalid field: " + e.getMessage());
+            log.warn(
+                    "list",
+                    "used only the health of a host with an invalid field: " + e.getMessage());
             int zone = indexOrAppend(zones, "");
             int kind = indexOrAppend(kinds, "");
             return new EndpointList.Entry(new Endpoint(id, zone, kind, 0, state, 0, 0), null);
@@ -110,7 +112,8 @@
         return share;
     }
 
-    private static InetSocketAddress parseAddress(JsonObject fields, String id, Endpoint.State state) {
+    private static InetSocketAddress parseAddress(
+            JsonObject fields, String id, Endpoint.State state) {
         String dial = fields.text("dial", "");
         if (dial.isEmpty() && state != Endpoint.State.READY) {
             return null;
--- a/src/main/java/cottonlock/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/cottonlock/proxy/discovery/EndpointListWatch.java
@@ -23,7 +23,9 @@
     /** Short, as discovery is in the same network. */
     public static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
-    /** A watch is closed after this time without a line. Discovery sends an empty line every 2 s. */
+    /**
+     * A watch is closed after this time without a line. Discovery sends an empty line every 2 s.
+     */
     public static final long SILENCE_TIMEOUT_MILLIS = 4_000;
 
     /** The shortest delay before the next watch; doubled with each consecutive failure. */
--- a/src/main/java/cottonlock/proxy/http/HttpReader.java
+++ b/src/main/java/cottonlock/proxy/http/HttpReader.java
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Whether the buffered bytes cannot begin a message, because the declared length of the last one
-     * was wrong.
+     * Whether the buffered bytes cannot begin a message, because the declared length of the last
+     * one was wrong.
      */
     public boolean hasStrayBytes() {
         if (!hasBufferedBytes()) {
--- a/src/main/java/cottonlock/proxy/http/HttpWriter.java
+++ b/src/main/java/cottonlock/proxy/http/HttpWriter.java
@@ -76,8 +76,8 @@
     }
 
     /**
-     * Writes the head of a long response that is relayed while it is received, and the first part of
-     * its body.
+     * Writes the head of a long response that is relayed while it is received, and the first part
+     * of its body.
      *
      * @param length the length of the whole body in bytes; -1 if it is unknown
      * @param chunked whether the body is sent in chunks
--- a/src/main/java/cottonlock/proxy/http/MessageHead.java
+++ b/src/main/java/cottonlock/proxy/http/MessageHead.java
@@ -65,9 +65,7 @@
         return List.of(startLine).contains(HTTP_1_0);
     }
 
-    /**
-     * Checks a request's start line, and converts a target in absolute form to origin form.
-     */
+    /** Checks a request's start line, and converts a target in absolute form to origin form. */
     void checkRequestLine() throws MalformedMessageException {
         boolean complete = startLine.length == 3;
         if (complete && target().startsWith(ABSOLUTE_FORM)) {
--- a/src/main/java/cottonlock/proxy/io/RateLimitedLog.java
+++ b/src/main/java/cottonlock/proxy/io/RateLimitedLog.java
@@ -85,7 +85,8 @@
         synchronized (singleLineWindows) {
             long nowNanos = System.nanoTime();
             Window window =
-                    singleLineWindows.computeIfAbsent(kind, unused -> new Window(nowNanos - INTERVAL_NANOS));
+                    singleLineWindows.computeIfAbsent(
+                            kind, unused -> new Window(nowNanos - INTERVAL_NANOS));
             if (nowNanos - window.start < INTERVAL_NANOS) {
                 window.dropped++;
                 return;
--- a/src/main/java/cottonlock/proxy/io/Sockets.java
+++ b/src/main/java/cottonlock/proxy/io/Sockets.java
@@ -36,8 +36,8 @@
 
     /**
      * Waits at most 5 s in total until the threads have ended, ignoring the calling thread if it is
-     * among them. An interrupt does not end the wait; the calling thread's interrupt status is set on
-     * return.
+     * among them. An interrupt does not end the wait; the calling thread's interrupt status is set
+     * on return.
      *
      * @return the threads that have not ended
      */
--- a/src/test/java/cottonlock/proxy/ListsTest.java
+++ b/src/test/java/cottonlock/proxy/ListsTest.java
@@ -146,8 +146,7 @@
         public void cancelAttempt(long requestId, int attemptNumber) {}
 
         @Override
-        public void reject(
-                long requestId, long retryAfterTicks, RejectionReason rejectionReason) {}
+        public void reject(long requestId, long retryAfterTicks, RejectionReason rejectionReason) {}
 
         @Override
         public void fail(long requestId, RejectionReason rejectionReason) {}
@@ -180,7 +179,8 @@
      *
      * @return the ticks from the failure until that subscription
      */
-    private static long ticksUntilResubscription(LoadBalancer loadBalancer, SubscriptionCounter actions, long now) {
+    private static long ticksUntilResubscription(
+            LoadBalancer loadBalancer, SubscriptionCounter actions, long now) {
         int before = actions.subscribeCount;
         loadBalancer.onEndpointListFailed(now);
         long at = now;
@@ -224,9 +224,12 @@
                     EndpointListWatch.SILENCE_TIMEOUT_MILLIS * 10
                             + longestTicks
                             + EndpointListWatch.CONNECT_TIMEOUT_MILLIS * 10;
-            assertTrue(sumTicks + RESPONSE_RESERVE_TICKS <= PROPAGATION_LIMIT_TICKS, "ticks for AskWithin " + askWithinTicks + ": " + sumTicks);
+            assertTrue(
+                    sumTicks + RESPONSE_RESERVE_TICKS <= PROPAGATION_LIMIT_TICKS,
+                    "ticks for AskWithin " + askWithinTicks + ": " + sumTicks);
         }
-        // In automatic mode the watch itself delays its retries: a pushed change counts at once, and
+        // In automatic mode the watch itself delays its retries: a pushed change counts at once,
+        // and
         // a drain is binding after the limit.
         assertTrue(
                 EndpointListWatch.SILENCE_TIMEOUT_MILLIS
@@ -274,7 +277,8 @@
     /**
      * Starts a load balancer's actor and its watch, with the given silence timeout in place of 4 s.
      */
-    private LoadBalancerActor startLoadBalancer(InetSocketAddress discovery, long silenceTimeoutMillis, RateLimitedLog log)
+    private LoadBalancerActor startLoadBalancer(
+            InetSocketAddress discovery, long silenceTimeoutMillis, RateLimitedLog log)
             throws IOException {
         TickClock clock = new TickClock();
         LoadBalancerActor loadBalancer =
@@ -431,7 +435,8 @@
                                     InetAddress.getLoopbackAddress(), server.getLocalPort()),
                             300,
                             log);
-            eventuallyWithin30Seconds(() -> loadBalancer.lists("b9"), "b9 is listed after: " + fault.getKey());
+            eventuallyWithin30Seconds(
+                    () -> loadBalancer.lists("b9"), "b9 is listed after: " + fault.getKey());
             assertFalse(loadBalancer.lists("b1"), fault.getKey());
         }
     }
@@ -447,7 +452,8 @@
         Socket reservation = reserveRefusingPort();
         int port = reservation.getLocalPort();
         LoadBalancerActor refused =
-                startLoadBalancer(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 300, log);
+                startLoadBalancer(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 300, log);
         refused.settle();
         reservation.close();
         startDiscovery(port, sendsList);
@@ -501,7 +507,9 @@
                                                 "\"AskWithin\":120000000")));
         buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
         // With delays of at most 0.8 s this takes 5.4 s; doubled without a bound, at least 25 s.
-        assertTrue(connections.await(20, TimeUnit.SECONDS), "connections missing: " + connections.getCount());
+        assertTrue(
+                connections.await(20, TimeUnit.SECONDS),
+                "connections missing: " + connections.getCount());
     }
 
     /** In automatic mode pushed changes count as delivered even while the watch is closed. */
@@ -522,12 +530,14 @@
                                         .replace("subscribe", "automatic")));
         buffersAtFirst = (64 << 20) / 8 / BufferPool.SIZE;
         // With delays of at most 50 ms this takes 1 s; with 0.5 s or more, at least 9.5 s.
-        assertTrue(connections.await(8, TimeUnit.SECONDS), "connections missing: " + connections.getCount());
+        assertTrue(
+                connections.await(8, TimeUnit.SECONDS),
+                "connections missing: " + connections.getCount());
     }
 
     /**
-     * An error such as a temporary lack of memory must not end the watch's thread, as no other thread
-     * receives the endpoint list.
+     * An error such as a temporary lack of memory must not end the watch's thread, as no other
+     * thread receives the endpoint list.
      */
     @Example
     void watchSurvivesAnError() throws Exception {
@@ -613,7 +623,8 @@
             Process process = startServe(ignored ? "trap '' HUP; " : "", text, output);
             eventuallyWithin30Seconds(() -> healthy(port), "the proxy is healthy");
             if (ignored) {
-                eventuallyWithin30Seconds(() -> Files.readString(output).contains("SIGHUP"), "the warning is logged");
+                eventuallyWithin30Seconds(
+                        () -> Files.readString(output).contains("SIGHUP"), "the warning is logged");
             }
             process.destroy();
             assertTrue(process.waitFor(8, TimeUnit.SECONDS));
@@ -630,7 +641,9 @@
         }
     }
 
-    /** Starts with neither discovery nor backends reachable, and a cached list of 1,024 backends. */
+    /**
+     * Starts with neither discovery nor backends reachable, and a cached list of 1,024 backends.
+     */
     @Example
     void startupWaitsNeitherForDiscoveryNorForALongList() throws Exception {
         ServerSocket unresponsiveDiscovery = listenWithFullBacklog();
@@ -661,13 +674,12 @@
     }
 
     /**
-     * Everything that may hold file descriptors does so: a steady stream of idle clients, attempts in
-     * progress, spill files of long bodies, management connections, and as many open files as a
+     * Everything that may hold file descriptors does so: a steady stream of idle clients, attempts
+     * in progress, spill files of long bodies, management connections, and as many open files as a
      * deployment's jars. No descriptor is spare but that of the watch.
      */
     @Example
-    void watchAndAttemptsGetSocketsWhileAllDescriptorsAreInUse()
-            throws Exception {
+    void watchAndAttemptsGetSocketsWhileAllDescriptorsAreInUse() throws Exception {
         int maxDescriptors = 128;
         CountDownLatch answer = new CountDownLatch(1);
         StandIn hanging =
@@ -677,7 +689,9 @@
                             return OK;
                         });
         StandIn responsive = new StandIn(request -> OK);
-        Socket[] reservations = {reserveRefusingPort(), reserveRefusingPort(), reserveRefusingPort()};
+        Socket[] reservations = {
+            reserveRefusingPort(), reserveRefusingPort(), reserveRefusingPort()
+        };
         int port = reservations[0].getLocalPort();
         int managementPort = reservations[1].getLocalPort();
         int discoveryPort = reservations[2].getLocalPort();
@@ -701,7 +715,9 @@
         }
         Process process = startServe(jars + "; ", text, output);
         eventuallyWithin30Seconds(() -> healthy(port), "the proxy is healthy");
-        while (open.stream().filter(o -> o instanceof Socket s && s.getPort() == managementPort).count()
+        while (open.stream()
+                        .filter(o -> o instanceof Socket s && s.getPort() == managementPort)
+                        .count()
                 < ManagementServer.MAX_CONNECTIONS) {
             eventuallyWithin30Seconds(
                     () -> {
@@ -709,7 +725,8 @@
                             return open.add(
                                     new Socket(InetAddress.getLoopbackAddress(), managementPort));
                         } catch (IOException e) {
-                            // The management server listens a little later than the client listener.
+                            // The management server listens a little later than the client
+                            // listener.
                             return false;
                         }
                     },
@@ -744,18 +761,24 @@
                         // The test is over.
                     }
                 });
-        assertTrue(idleClients.await(60, TimeUnit.SECONDS), "the idle clients connected while discovery was down");
+        assertTrue(
+                idleClients.await(60, TimeUnit.SECONDS),
+                "the idle clients connected while discovery was down");
         int descriptorsInUse = openDescriptors(process);
         reservations[2].close();
         CountDownLatch listSent = new CountDownLatch(1);
         startDiscovery(
                 discoveryPort,
                 socket -> {
-                    send(socket, HEAD + list(2, true, hanging.host("b0"), responsive.host("b1")) + "\n");
+                    send(
+                            socket,
+                            HEAD + list(2, true, hanging.host("b0"), responsive.host("b1")) + "\n");
                     listSent.countDown();
                     keepOpen();
                 });
-        assertTrue(listSent.await(20, TimeUnit.SECONDS), "the watch got a socket; open descriptors: " + descriptorsInUse);
+        assertTrue(
+                listSent.await(20, TimeUnit.SECONDS),
+                "the watch got a socket; open descriptors: " + descriptorsInUse);
         answer.countDown();
         eventuallyWithin30Seconds(
                 () -> {
@@ -790,7 +813,11 @@
                             send(
                                     socket,
                                     HEAD
-                                            + list(2, true, removed.host("gone"), remaining.host("stays"))
+                                            + list(
+                                                    2,
+                                                    true,
+                                                    removed.host("gone"),
+                                                    remaining.host("stays"))
                                             + "\n");
                             sendNewList.await();
                             send(socket, list(3, true, remaining.host("stays")) + "\n");
@@ -814,7 +841,8 @@
             assertTrue(i < 1_000, "both backends are used at first");
         }
         CountDownLatch answer = new CountDownLatch(1);
-        // An attempt that is in progress when the list arrives and fails later: its retry goes to the
+        // An attempt that is in progress when the list arrives and fails later: its retry goes to
+        // the
         // remaining backend.
         removed.play =
                 request -> {
@@ -837,7 +865,8 @@
         sendNewList.countDown();
         eventuallyWithin30Seconds(
                 () -> {
-                    // Until the list is applied, requests may still go to the removed backend and time out.
+                    // Until the list is applied, requests may still go to the removed backend and
+                    // time out.
                     int before = removed.requests.size();
                     boolean all = true;
                     for (int i = 0; i < 20 && all; i++) {
@@ -891,8 +920,8 @@
     }
 
     /**
-     * The connection to the removed backend is established only after the list has arrived: nothing may
-     * be sent on it.
+     * The connection to the removed backend is established only after the list has arrived: nothing
+     * may be sent on it.
      */
     @Example
     void requestWaitingForAConnectIsSentElsewhereWhenItsBackendIsRemoved() throws Exception {
@@ -908,8 +937,11 @@
                             keepOpen();
                         });
         String host =
-                remaining.host("gone")
-                        .replace(":" + remaining.server.getLocalPort(), ":" + removed.getLocalPort());
+                remaining
+                        .host("gone")
+                        .replace(
+                                ":" + remaining.server.getLocalPort(),
+                                ":" + removed.getLocalPort());
         proxy =
                 new Proxy(
                         config(
@@ -962,6 +994,7 @@
                 });
         assertEquals(200, status(receive(socket)));
         assertEquals(0, bytes.get(), "bytes received by the removed backend");
-        assertEquals(1, remaining.requests.stream().filter(r -> r.get(0).contains("/once")).count());
+        assertEquals(
+                1, remaining.requests.stream().filter(r -> r.get(0).contains("/once")).count());
     }
 }
--- a/src/test/java/cottonlock/proxy/control/ConfigurationVersionParserTest.java
+++ b/src/test/java/cottonlock/proxy/control/ConfigurationVersionParserTest.java
@@ -56,7 +56,9 @@
         assertTrue(announcement.content().isEmpty());
         assertEquals(255, announcement.version().digest());
         assertEquals(
-                0x2cf24dba5fb0a30eL, ConfigurationVersionDigest.of("hello"), "the first 8 bytes that sha256sum prints");
+                0x2cf24dba5fb0a30eL,
+                ConfigurationVersionDigest.of("hello"),
+                "the first 8 bytes that sha256sum prints");
     }
 
     @Example
@@ -96,7 +98,10 @@
                 SETTINGS.replace("800000", "0"),
                 "settings.Categories.0.DueTime must be greater than 0, found 0"
             },
-            {SETTINGS.replace("\"Expiry\":1500000,", ""), "Expiry must be greater than 0, found none"},
+            {
+                SETTINGS.replace("\"Expiry\":1500000,", ""),
+                "Expiry must be greater than 0, found none"
+            },
             {
                 SETTINGS.replace(",\"Repeat\":\"safe\"", ""),
                 "settings.Categories.0.Repeat is missing"
@@ -120,7 +125,8 @@
                             InvalidSettingsException.class,
                             () ->
                                     validated(
-                                            ConfigurationVersionParser.parse(line(settingsAndFault[0])),
+                                            ConfigurationVersionParser.parse(
+                                                    line(settingsAndFault[0])),
                                             base(SETTINGS)),
                             settingsAndFault[0]);
             assertTrue(fault.getMessage().contains(settingsAndFault[1]), fault.getMessage());
@@ -128,10 +134,15 @@
         String otherSettings = SETTINGS.replace("\"z\"", "\"z\",\"y\"");
         ConfigurationVersionMessage onOtherBase =
                 ConfigurationVersionParser.parse(
-                        line(43, ControlMachine.digest(otherSettings), base(otherSettings), otherSettings));
+                        line(
+                                43,
+                                ControlMachine.digest(otherSettings),
+                                base(otherSettings),
+                                otherSettings));
         InvalidSettingsException fault =
                 assertThrows(
-                        InvalidSettingsException.class, () -> validated(onOtherBase, base(SETTINGS)));
+                        InvalidSettingsException.class,
+                        () -> validated(onOtherBase, base(SETTINGS)));
         assertTrue(
                 fault.getMessage().contains("for which a new process is needed"),
                 fault.getMessage());
--- a/src/test/java/cottonlock/proxy/control/StoredFilesTest.java
+++ b/src/test/java/cottonlock/proxy/control/StoredFilesTest.java
@@ -123,7 +123,8 @@
         return ProxyConfiguration.settings((JsonObject) JsonReader.read(json));
     }
 
-    private RolloutActor actor(Path folder, List<String> control, Consumer<Settings> settingsConsumer) {
+    private RolloutActor actor(
+            Path folder, List<String> control, Consumer<Settings> settingsConsumer) {
         RolloutConfig config = new RolloutConfig("s", control, List.of(), 4_000, 40_000, 10_000);
         return new RolloutActor(
                 config,
@@ -192,9 +193,11 @@
             runUntilInForce(second, 44);
         }
         assertEquals(recorded("cottonlock-p.configuration-44"), text(file));
-        assertEquals(recorded("cottonlock-p.configuration-attempt-at-43"), contentsWhileApplying.get(0));
+        assertEquals(
+                recorded("cottonlock-p.configuration-attempt-at-43"), contentsWhileApplying.get(0));
         assertEquals(3, contentsWhileApplying.size(), "43, the stored 43 and 44");
-        assertEquals(recorded("cottonlock-p.configuration-attempt-at-44"), contentsWhileApplying.get(2));
+        assertEquals(
+                recorded("cottonlock-p.configuration-attempt-at-44"), contentsWhileApplying.get(2));
     }
 
     @Example
@@ -219,7 +222,9 @@
             actor.begin();
             runUntilInForce(actor, 44);
         }
-        assertTrue(contentsWhileApplying.get(1).endsWith("tries 44.6ec5d9e9794c3bf6 2\n"), contentsWhileApplying.get(1));
+        assertTrue(
+                contentsWhileApplying.get(1).endsWith("tries 44.6ec5d9e9794c3bf6 2\n"),
+                contentsWhileApplying.get(1));
     }
 
     @Example
