--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -28,13 +28,13 @@
  */
 final class Experiment {
     /** Nanoseconds between the last proxy's start and the first arrival. */
-    private static final long LEAD = 300_000_000L;
+    private static final long START_LEAD_NANOS = 300_000_000L;
 
     /**
      * Nanoseconds that a planned restart's front still sends to the old process (PROTOCOL,
      * Figures).
      */
-    private static final long FRONT_AFTER_TERM = 300_000_000L;
+    private static final long FRONT_AFTER_TERM_NANOS = 300_000_000L;
 
     /** The longest deadline that whoever stops a proxy waits for, and how much longer. */
     private static final long MAX_DEADLINE_MILLIS = 3_000;
@@ -42,7 +42,7 @@
     private static final long KILL_AFTER_DEADLINE_MILLIS = 700;
 
     /** Nanoseconds that a backend is gone at least before it starts again. */
-    private static final long GONE = 500_000_000L;
+    private static final long MIN_DOWN_NANOS = 500_000_000L;
 
     /** Descriptors of the program itself, with room to spare. */
     private static final long OWN_DESCRIPTORS = 300;
@@ -51,26 +51,26 @@
      * Threads that start and end proxies: each start of a process takes half a core for half a
      * second.
      */
-    private static final int STARTERS = 6;
+    private static final int PROCESS_THREADS = 6;
 
     /**
      * Periods after which a view must be right: more than the longest doubt, which is nine by
      * default.
      */
-    private static final int SETTLED = 14;
+    private static final int SETTLE_PERIODS = 14;
 
     /** Nanoseconds: a starved process runs once in each. */
-    private static final long SLICE = 100_000_000L;
+    private static final long STARVE_SLICE_NANOS = 100_000_000L;
 
     /** Bytes of a process's log that are kept for its report. */
-    private static final long MOST_LOG = 4 << 20;
+    private static final long MAX_LOG_BYTES = 4 << 20;
 
     /**
      * Requests a second from which a run is warmed up for: below, compiling keeps up by the way.
      */
-    private static final double WARM_UP_FROM = 500;
+    private static final double WARM_UP_MIN_REQUESTS_PER_SECOND = 500;
 
-    private static final String WARM_UP =
+    private static final String WARM_UP_SCENARIO =
             """
             seconds = 2
             proxy = {policy = "direct", count = 2}
@@ -87,15 +87,15 @@
         volatile boolean serving;
 
         /** Of the first tier, whose proxies clients call. */
-        final boolean first;
+        final boolean firstTier;
 
         long starts;
 
-        Node(int number, Host host, Caller caller, boolean first) {
+        Node(int number, Host host, Caller caller, boolean firstTier) {
             this.number = number;
             this.host = host;
             this.caller = caller;
-            this.first = first;
+            this.firstTier = firstTier;
         }
     }
 
@@ -114,33 +114,33 @@
     private final java.nio.file.Path folder;
 
     /** Where the proxies of the first tier know one another; null where they don't. */
-    private PeerNet net;
+    private PeerNet peerNet;
 
     private MembersJudge judge;
     private MembersWatch watch;
     private Watcher watcher;
 
     /** Faults that wait for a moment, by its name. */
-    private final Map<String, List<Timeline.Entry>> waiting = new HashMap<>();
+    private final Map<String, List<Timeline.Entry>> waitingFaults = new HashMap<>();
 
     private final Map<String, String> logs = new TreeMap<>();
-    private final ExecutorService starters = Executors.newFixedThreadPool(STARTERS);
-    private final CountDownLatch over = new CountDownLatch(1);
+    private final ExecutorService processExecutor = Executors.newFixedThreadPool(PROCESS_THREADS);
+    private final CountDownLatch loopEnded = new CountDownLatch(1);
     private final long wallStart = System.currentTimeMillis();
-    private long from;
-    private volatile String fault;
+    private long loadStart;
+    private volatile String failure;
     private volatile boolean interrupted;
-    private LongConsumer eachSecond = second -> {};
+    private LongConsumer onSecond = second -> {};
 
     /** Builds it; throws where the machine can't hold it. */
     Experiment(Scenario scenario) throws IOException, InvalidConfigurationException {
         this.scenario = scenario;
-        descriptors();
+        checkFileDescriptors();
         schedule =
                 Arrivals.draw(
                         scenario.seed,
                         scenario.length,
-                        scenario.rooms.size(),
+                        scenario.zones.size(),
                         scenario.tenants,
                         scenario.categories,
                         scenario.clients,
@@ -150,13 +150,13 @@
                         scenario.seed,
                         scenario.faults,
                         scenario.random,
-                        scenario.rooms,
+                        scenario.zones,
                         scenario.tiers,
                         scenario.proxies.count());
         ledger = new Ledger(scenario.rules.grace(), scenario.rules.drain());
         series = new Series(scenario.tenants.size(), scenario.categories.size());
         folder = Files.createTempDirectory("cottonlock-lab");
-        SplittableRandom chance = new SplittableRandom(scenario.seed + 1);
+        SplittableRandom rng = new SplittableRandom(scenario.seed + 1);
         Map<String, Scenario.CategoryPlan> categories = new LinkedHashMap<>();
         scenario.categories.forEach(c -> categories.put(c.name(), c));
         for (int t = 0; t < scenario.tiers.size(); t++) {
@@ -173,9 +173,9 @@
             for (int b = 0; b < plan.backends(); b++) {
                 Backend backend =
                         new Backend(
-                                Scenario.backend(t, b),
+                                Scenario.backendId(t, b),
                                 t,
-                                room(b),
+                                zoneOf(b),
                                 loop,
                                 ledger,
                                 series,
@@ -183,33 +183,33 @@
                                 scenario.rules,
                                 categories,
                                 marks,
-                                chance.split(),
+                                rng.split(),
                                 scenario.sabotage);
                 backends.put(backend.id, backend);
                 discoveries.get(t).add(backend);
             }
         }
-        if (scenario.knowing != null) {
-            net = new PeerNet(loop, scenario.seed, scenario.proxies.count());
+        if (scenario.membership != null) {
+            peerNet = new PeerNet(loop, scenario.seed, scenario.proxies.count());
             List<String> names = new ArrayList<>();
             for (int p = 0; p < scenario.proxies.count(); p++) {
                 names.add("n" + p);
             }
-            judge = new MembersJudge(names, SETTLED * scenario.knowing.period());
+            judge = new MembersJudge(names, SETTLE_PERIODS * scenario.membership.period());
             watch = new MembersWatch();
             watcher = new Watcher(ServeCommand.code());
         }
         List<Caller> callers = new ArrayList<>();
-        int[] rooms = new int[scenario.proxies.count()];
-        for (int p = 0; p < rooms.length; p++) {
-            rooms[p] = p % scenario.rooms.size();
-            callers.add(node(0, rooms.length, chance.split()).caller);
+        int[] zones = new int[scenario.proxies.count()];
+        for (int p = 0; p < zones.length; p++) {
+            zones[p] = p % scenario.zones.size();
+            callers.add(addNode(0, zones.length, rng.split()).caller);
         }
         for (int t = 1; t < scenario.tiers.size(); t++) {
             int before = scenario.tiers.get(t - 1).backends();
             for (int b = 0; b < before; b++) {
-                Backend backend = backends.get(Scenario.backend(t - 1, b));
-                Node node = node(t, before, chance.split());
+                Backend backend = backends.get(Scenario.backendId(t - 1, b));
+                Node node = addNode(t, before, rng.split());
                 backend.next = node.caller;
                 backend.died = () -> kill(node);
                 ownProxies.put(backend.id, node);
@@ -223,62 +223,65 @@
                         scenario.tenants.stream().map(Scenario.TenantPlan::name).toList(),
                         scenario.categories,
                         callers,
-                        rooms);
+                        zones);
     }
 
-    private String room(int number) {
-        return scenario.rooms.get(number % scenario.rooms.size());
+    private String zoneOf(int number) {
+        return scenario.zones.get(number % scenario.zones.size());
     }
 
     /** What would run out in the middle of a run is told before it begins. */
-    private void descriptors() throws InvalidConfigurationException {
+    private void checkFileDescriptors() throws InvalidConfigurationException {
         if (!(java.lang.management.ManagementFactory.getOperatingSystemMXBean()
                 instanceof com.sun.management.UnixOperatingSystemMXBean system)) {
             return;
         }
         long needed = OWN_DESCRIPTORS;
-        for (Scenario.Fault crowd : scenario.faults) {
-            needed += crowd.kind().equals("proxy-crowd") ? (long) crowd.amount() : 0;
+        for (Scenario.Fault fault : scenario.faults) {
+            needed += fault.kind().equals("proxy-crowd") ? (long) fault.amount() : 0;
         }
         for (int t = 0; t < scenario.tiers.size(); t++) {
             long proxies = t == 0 ? scenario.proxies.count() : scenario.tiers.get(t - 1).backends();
-            long there = scenario.tiers.get(t).backends();
-            boolean own = scenario.proxies.processes();
-            long kept = Math.min(there, scenario.proxies.sockets() * 3L / 8);
-            needed += proxies * there + proxies * kept * (own ? 1 : 2) + proxies * 12;
+            long backendCount = scenario.tiers.get(t).backends();
+            boolean separateProcesses = scenario.proxies.processes();
+            long keptConnections = Math.min(backendCount, scenario.proxies.sockets() * 3L / 8);
+            needed +=
+                    proxies * backendCount
+                            + proxies * keptConnections * (separateProcesses ? 1 : 2)
+                            + proxies * 12;
         }
-        long have = system.getMaxFileDescriptorCount();
-        if (needed > have) {
+        long available = system.getMaxFileDescriptorCount();
+        if (needed > available) {
             throw new InvalidConfigurationException(
                     List.of(
                             "this scenario needs some "
                                     + needed
                                     + " file descriptors, and the process may "
                                     + "have "
-                                    + have
+                                    + available
                                     + ": fewer proxies or backends, a smaller proxy.sockets, or a"
                                     + " higher limit"));
         }
     }
 
-    private Node node(int tier, int fleet, SplittableRandom chance) throws IOException {
+    private Node addNode(int tier, int fleet, SplittableRandom rng) throws IOException {
         int number = nodes.size();
         String name = "n" + number;
         Discovery discovery = discoveries.get(tier);
-        Map<String, InetSocketAddress> dials = new LinkedHashMap<>();
-        Map<Backend, InetSocketAddress> plainDials = new HashMap<>();
+        Map<String, InetSocketAddress> backendAddresses = new LinkedHashMap<>();
+        Map<Backend, InetSocketAddress> plainBackendAddresses = new HashMap<>();
         for (Backend backend : backends.values()) {
             if (backend.id.startsWith("t" + tier + "b")) {
-                InetSocketAddress dial = backend.door(buffer, number).address();
-                dials.put(backend.id, dial);
-                plainDials.put(backend, dial);
+                InetSocketAddress address = backend.door(buffer, number).address();
+                backendAddresses.put(backend.id, address);
+                plainBackendAddresses.put(backend, address);
             }
         }
-        Node[] self = new Node[1];
+        Node[] nodeRef = new Node[1];
         if (scenario.proxies.policy().equals("direct")) {
             // No proxy between: what the stand-ins can do by themselves.
-            List<InetSocketAddress> doors = List.copyOf(plainDials.values());
-            InetSocketAddress only = doors.get(number % doors.size());
+            List<InetSocketAddress> addresses = List.copyOf(plainBackendAddresses.values());
+            InetSocketAddress target = addresses.get(number % addresses.size());
             nodes.add(
                     new Node(
                             number,
@@ -288,9 +291,9 @@
                                     ledger,
                                     buffer,
                                     number,
-                                    () -> only,
+                                    () -> target,
                                     scenario.sabotage,
-                                    chance.split()),
+                                    rng.split()),
                             tier == 0));
             return nodes.get(number);
         }
@@ -303,10 +306,10 @@
                             scenario.proxies.policy(),
                             scenario.proxies.maxHandOffs(),
                             scenario.proxies.connectTimeout(),
-                            chance.split(),
-                            plainDials);
+                            rng.split(),
+                            plainBackendAddresses);
             discovery.servePlain(number, plain::list);
-            self[0] =
+            nodeRef[0] =
                     new Node(
                             number,
                             null,
@@ -315,15 +318,15 @@
                                     ledger,
                                     buffer,
                                     number,
-                                    () -> self[0].serving ? plain.address() : null,
+                                    () -> nodeRef[0].serving ? plain.address() : null,
                                     scenario.sabotage,
-                                    chance.split()),
+                                    rng.split()),
                             tier == 0);
         } else {
-            discovery.serve(number, dials);
-            long seed = chance.nextLong();
-            Host[] at = new Host[1];
-            ProxyConfig.Talk[] talk = new ProxyConfig.Talk[1];
+            discovery.serve(number, backendAddresses);
+            long seed = rng.nextLong();
+            Host[] hostRef = new Host[1];
+            ProxyConfig.PeerSettings[] peerSettings = new ProxyConfig.PeerSettings[1];
             Host host =
                     new Host(
                             name,
@@ -333,30 +336,33 @@
                                 try {
                                     return ProxyConfig.json(
                                             name,
-                                            text(at[0].address()),
-                                            text(discovery.address(number)),
+                                            hostAndPort(hostRef[0].address()),
+                                            hostAndPort(discovery.address(number)),
                                             seed + start,
                                             discovery.whole(number),
                                             tier,
                                             fleet,
                                             scenario.proxies,
                                             scenario.rules,
-                                            scenario.rooms,
+                                            scenario.zones,
                                             scenario.tenants,
                                             scenario.categories,
-                                            talk[0] == null
+                                            peerSettings[0] == null
                                                     ? null
-                                                    : talk[0].calledAt(text(at[0].calledAt())));
+                                                    : peerSettings[0].withManagement(
+                                                            hostAndPort(
+                                                                    hostRef[0]
+                                                                            .managementAddress())));
                                 } catch (IOException e) {
                                     throw new UncheckedIOException(e);
                                 }
                             },
-                            tier == 0 && scenario.knowing != null ? operatorsFile() : null);
-            at[0] = host;
-            if (tier == 0 && scenario.knowing != null) {
-                talk[0] = talk(number, fleet, host);
+                            tier == 0 && scenario.membership != null ? operatorFileText() : null);
+            hostRef[0] = host;
+            if (tier == 0 && scenario.membership != null) {
+                peerSettings[0] = peerSettings(number, fleet, host);
             }
-            self[0] =
+            nodeRef[0] =
                     new Node(
                             number,
                             host,
@@ -365,49 +371,51 @@
                                     ledger,
                                     buffer,
                                     number,
-                                    () -> self[0].serving ? host.address() : null,
+                                    () -> nodeRef[0].serving ? host.address() : null,
                                     scenario.sabotage,
-                                    chance.split()),
+                                    rng.split()),
                             tier == 0);
         }
-        nodes.add(self[0]);
-        return self[0];
+        nodes.add(nodeRef[0]);
+        return nodeRef[0];
     }
 
-    private String operatorsFile() throws IOException {
+    private String operatorFileText() throws IOException {
         String key = "";
-        if (scenario.knowing.keyed()) {
+        if (scenario.membership.keyed()) {
             java.nio.file.Path file = folder.resolve("key");
             Files.writeString(file, "a key of the lab's, seed " + scenario.seed);
             key = "key_file = \"" + file + "\"\n";
         }
-        return "[membership]\n" + key + scenario.knowing.toml();
+        return "[membership]\n" + key + scenario.membership.toml();
     }
 
     /** How a proxy of the first tier reaches the others: by the lab's own addresses of them. */
-    private ProxyConfig.Talk talk(int number, int fleet, Host host) throws IOException {
+    private ProxyConfig.PeerSettings peerSettings(int number, int fleet, Host host)
+            throws IOException {
         List<String> peers = new ArrayList<>();
         for (int p = 0; p < fleet; p++) {
-            peers.add(text(net.address(p)));
+            peers.add(hostAndPort(peerNet.address(p)));
         }
-        InetSocketAddress real;
+        InetSocketAddress realAddress;
         // Not held until then: a second socket on it would get a part of what comes.
         try (java.net.DatagramSocket free =
                 new java.net.DatagramSocket(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
-            real = (InetSocketAddress) free.getLocalSocketAddress();
+            realAddress = (InetSocketAddress) free.getLocalSocketAddress();
         }
-        net.listens(number, real);
-        return new ProxyConfig.Talk(text(host.calledAt()), text(real), peers, number);
+        peerNet.listens(number, realAddress);
+        return new ProxyConfig.PeerSettings(
+                hostAndPort(host.managementAddress()), hostAndPort(realAddress), peers, number);
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /** Told on the loop's thread what second of the load has ended. */
-    void eachSecond(LongConsumer whom) {
-        eachSecond = whom;
+    void onSecond(LongConsumer listener) {
+        onSecond = listener;
     }
 
     /** From any thread: ends the run early; what was measured until then is reported. */
@@ -423,10 +431,10 @@
     /** Plays it; returns when all is over and nothing is left behind. */
     void play() throws IOException, InterruptedException {
         if (scenario.tenants.stream().mapToDouble(Scenario.TenantPlan::rate).sum()
-                >= WARM_UP_FROM) {
+                >= WARM_UP_MIN_REQUESTS_PER_SECOND) {
             warmUp();
         }
-        perform();
+        playOnce();
     }
 
     /**
@@ -436,8 +444,8 @@
     private static void warmUp() throws IOException, InterruptedException {
         java.nio.file.Path file = Files.createTempFile("warm-up", ".toml");
         try {
-            Files.writeString(file, WARM_UP);
-            new Experiment(Scenario.read(file, List.of(), null)).perform();
+            Files.writeString(file, WARM_UP_SCENARIO);
+            new Experiment(Scenario.read(file, List.of(), null)).playOnce();
         } catch (InvalidConfigurationException e) {
             throw new IllegalStateException(e);
         } finally {
@@ -445,40 +453,40 @@
         }
     }
 
-    private void perform() throws IOException, InterruptedException {
-        Thread stage =
+    private void playOnce() throws IOException, InterruptedException {
+        Thread loopThread =
                 new Thread(
                         () -> {
                             try {
                                 loop.run();
                             } catch (IOException | RuntimeException | OutOfMemoryError e) {
-                                fault = "the lab itself failed: " + e;
+                                failure = "the lab itself failed: " + e;
                                 e.printStackTrace();
                             } finally {
-                                over.countDown();
+                                loopEnded.countDown();
                             }
                         },
                         "lab");
-        stage.start();
+        loopThread.start();
         try {
             List<Future<?>> starts = new ArrayList<>();
             for (Node node : nodes) {
-                starts.add(starters.submit(() -> start(node)));
+                starts.add(processExecutor.submit(() -> start(node)));
             }
             for (Future<?> start : starts) {
                 start.get();
             }
-            if (fault == null) {
-                loop.post(this::begin);
-                over.await();
+            if (failure == null) {
+                loop.post(this::startLoad);
+                loopEnded.await();
             }
         } catch (java.util.concurrent.ExecutionException e) {
-            fault = String.valueOf(e.getCause());
+            failure = String.valueOf(e.getCause());
         } finally {
-            end(stage);
+            shutDown(loopThread);
         }
-        if (fault != null) {
-            throw new IOException(fault);
+        if (failure != null) {
+            throw new IOException(failure);
         }
     }
 
@@ -488,59 +496,61 @@
                 node.host.start(node.starts++);
             }
             node.serving = true;
-            loop.post(() -> isUp(node));
+            loop.post(() -> onProxyUp(node));
         } catch (IOException | RuntimeException e) {
-            fault = String.valueOf(e.getMessage());
+            failure = String.valueOf(e.getMessage());
             loop.post(this::finish);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void isUp(Node node) {
-        if (judge != null && node.first) {
+    private void onProxyUp(Node node) {
+        if (judge != null && node.firstTier) {
             judge.up(node.number, loop.now());
         }
-        moment(node.host == null ? "" : node.host.name() + ".up");
+        onMoment(node.host == null ? "" : node.host.name() + ".up");
     }
 
     /** What the timeline may name has happened: faults that wait for it are set. */
-    private void moment(String name) {
-        for (Timeline.Entry entry : waiting.getOrDefault(name, List.of())) {
+    private void onMoment(String name) {
+        for (Timeline.Entry entry : waitingFaults.getOrDefault(name, List.of())) {
             loop.at(loop.now() + entry.at(), () -> apply(entry));
         }
-        waiting.remove(name);
+        waitingFaults.remove(name);
     }
 
-    private void begin() {
+    private void startLoad() {
         // Until the proxies have found one another nothing is counted.
-        from =
+        loadStart =
                 loop.now()
-                        + LEAD
-                        + (scenario.knowing == null ? 0 : SETTLED * scenario.knowing.period());
+                        + START_LEAD_NANOS
+                        + (scenario.membership == null
+                                ? 0
+                                : SETTLE_PERIODS * scenario.membership.period());
         loop.at(
-                from,
+                loadStart,
                 () -> {
                     loop.late().reset();
                     if (watcher != null) {
                         watcher.reset();
                     }
                 });
-        clients.start(schedule, from);
+        clients.start(schedule, loadStart);
         for (Timeline.Entry entry : timeline) {
             if (entry.after().isEmpty()) {
-                loop.at(from + entry.at(), () -> apply(entry));
+                loop.at(loadStart + entry.at(), () -> apply(entry));
             } else {
-                waiting.computeIfAbsent(entry.after(), m -> new ArrayList<>()).add(entry);
+                waitingFaults.computeIfAbsent(entry.after(), m -> new ArrayList<>()).add(entry);
             }
         }
         if (watch != null) {
             nodes.stream()
-                    .filter(n -> n.first)
+                    .filter(n -> n.firstTier)
                     .forEach(
                             n ->
                                     watch.watch(
-                                            n.host::calledAt,
+                                            n.host::managementAddress,
                                             view ->
                                                     loop.post(
                                                             () ->
@@ -549,31 +559,32 @@
                                                                             loop.now(),
                                                                             view))));
         }
-        tick(1);
-        loop.at(from + scenario.length, this::awaitLast);
+        scheduleSecond(1);
+        loop.at(loadStart + scenario.length, this::awaitLastRequests);
     }
 
-    private void tick(long second) {
+    private void scheduleSecond(long second) {
         loop.at(
-                from + second * 1_000_000_000L,
+                loadStart + second * 1_000_000_000L,
                 () -> {
-                    eachSecond.accept(second);
+                    onSecond.accept(second);
                     if (second * 1_000_000_000L < scenario.length) {
-                        tick(second + 1);
+                        scheduleSecond(second + 1);
                     }
                 });
     }
 
-    private void awaitLast() {
+    private void awaitLastRequests() {
         long longest =
                 scenario.categories.stream()
                         .mapToLong(Scenario.CategoryPlan::expiry)
                         .max()
                         .orElse(0);
-        if (clients.allOver() || loop.now() > from + scenario.length + longest + 1_000_000_000L) {
+        if (clients.allOver()
+                || loop.now() > loadStart + scenario.length + longest + 1_000_000_000L) {
             finish();
         } else {
-            loop.after(20_000_000L, this::awaitLast);
+            loop.after(20_000_000L, this::awaitLastRequests);
         }
     }
 
@@ -582,21 +593,21 @@
         loop.stop();
     }
 
-    private void end(Thread stage) throws InterruptedException {
+    private void shutDown(Thread loopThread) throws InterruptedException {
         loop.stop();
-        stage.join();
-        starters.shutdown();
-        if (!starters.awaitTermination(6, TimeUnit.SECONDS)) {
-            starters.shutdownNow();
+        loopThread.join();
+        processExecutor.shutdown();
+        if (!processExecutor.awaitTermination(6, TimeUnit.SECONDS)) {
+            processExecutor.shutdownNow();
         }
         if (watch != null) {
             watch.close();
             watcher.end();
-            net.close();
+            peerNet.close();
         }
         for (Node node : nodes) {
             if (node.host != null) {
-                node.host.end();
+                node.host.close();
             }
         }
         nodes.forEach(node -> node.caller.close());
@@ -608,7 +619,7 @@
         try (java.util.stream.Stream<java.nio.file.Path> files = Files.walk(folder)) {
             for (Node node : nodes) {
                 java.nio.file.Path log = folder.resolve("n" + node.number + ".log");
-                if (Files.exists(log) && Files.size(log) < MOST_LOG) {
+                if (Files.exists(log) && Files.size(log) < MAX_LOG_BYTES) {
                     logs.put("n" + node.number, Files.readString(log));
                 }
             }
@@ -622,89 +633,99 @@
     }
 
     private void apply(Timeline.Entry entry) {
-        List<Backend> hit = entry.backends().stream().map(backends::get).toList();
+        List<Backend> targets = entry.backends().stream().map(backends::get).toList();
         long end = loop.now() + entry.length();
         if (!entry.name().isEmpty()) {
-            moment(entry.name() + ".begin");
-            loop.at(end, () -> moment(entry.name() + ".end"));
+            onMoment(entry.name() + ".begin");
+            loop.at(end, () -> onMoment(entry.name() + ".end"));
         }
         try {
             switch (entry.kind()) {
                 case "slow" ->
-                        hit.forEach(
-                                b -> during(end, () -> b.slow(entry.amount()), () -> b.slow(1)));
+                        targets.forEach(
+                                b ->
+                                        applyUntil(
+                                                end,
+                                                () -> b.slow(entry.amount()),
+                                                () -> b.slow(1)));
                 case "errors" ->
-                        hit.forEach(
+                        targets.forEach(
                                 b ->
-                                        during(
+                                        applyUntil(
                                                 end,
                                                 () -> b.errors = entry.amount(),
                                                 () -> b.errors = 0));
                 case "pause" ->
-                        hit.forEach(b -> during(end, () -> b.pause(true), () -> b.pause(false)));
+                        targets.forEach(
+                                b -> applyUntil(end, () -> b.pause(true), () -> b.pause(false)));
                 case "delay" ->
-                        hit.forEach(
+                        targets.forEach(
                                 b ->
-                                        during(
+                                        applyUntil(
                                                 end,
                                                 () -> b.path.delay = (long) (entry.amount() * 1e6),
                                                 () -> b.path.delay = 0));
                 case "throttle" ->
-                        hit.forEach(
+                        targets.forEach(
                                 b ->
-                                        during(
+                                        applyUntil(
                                                 end,
                                                 () ->
                                                         b.path.bytesPerSecond =
                                                                 Math.max(1, (long) entry.amount()),
                                                 () -> b.path.bytesPerSecond = 0));
                 case "resets" ->
-                        hit.forEach(
+                        targets.forEach(
                                 b ->
-                                        during(
+                                        applyUntil(
                                                 end,
                                                 () -> b.path.resets = entry.amount(),
                                                 () -> b.path.resets = 0));
                 case "splits" ->
-                        hit.forEach(
+                        targets.forEach(
                                 b ->
-                                        during(
+                                        applyUntil(
                                                 end,
                                                 () -> b.path.splits = entry.amount(),
                                                 () -> b.path.splits = 0));
                 case "garble" ->
-                        hit.forEach(
+                        targets.forEach(
                                 b ->
-                                        during(
+                                        applyUntil(
                                                 end,
                                                 () -> b.path.garbles = entry.amount(),
                                                 () -> b.path.garbles = 0));
                 case "cut" ->
-                        hit.forEach(b -> during(end, () -> cut(b, true), () -> cut(b, false)));
-                case "crash" -> hit.forEach(b -> during(end, () -> b.die(false), () -> restart(b)));
-                case "drain" -> hit.forEach(b -> drain(b, entry));
+                        targets.forEach(
+                                b -> applyUntil(end, () -> cut(b, true), () -> cut(b, false)));
+                case "crash" ->
+                        targets.forEach(b -> applyUntil(end, () -> b.die(false), () -> restart(b)));
+                case "drain" -> targets.forEach(b -> drain(b, entry));
                 case "proxy-kill" -> proxyKill(nodes.get(entry.proxy()), end);
                 case "proxy-term" -> proxyTerm(nodes.get(entry.proxy()), entry.length());
                 case "proxy-restart" ->
                         proxyRestart(nodes.get(entry.proxy()), entry.series(), entry.length());
-                case "proxy-crowd" -> crowd(nodes.get(entry.proxy()), end, (int) entry.amount());
+                case "proxy-crowd" ->
+                        proxyCrowd(nodes.get(entry.proxy()), end, (int) entry.amount());
                 case "proxy-pause" -> proxyPause(nodes.get(entry.proxy()), end);
                 case "proxy-hang" -> proxyHang(nodes.get(entry.proxy()), end);
                 case "proxy-starve" -> proxyStarve(nodes.get(entry.proxy()), end, entry.amount());
                 case "proxy-replace" -> proxyReplace(nodes.get(entry.proxy()));
-                case "proxy-clock" -> nodes.get(entry.proxy()).host.clock((long) entry.amount());
-                case "peer-forge" -> forge(end, (long) (1e9 / Math.max(0.1, entry.amount())));
+                case "proxy-clock" ->
+                        nodes.get(entry.proxy()).host.setClockOffset((long) entry.amount());
+                case "peer-forge" ->
+                        forgePeriodically(end, (long) (1e9 / Math.max(0.1, entry.amount())));
                 case "peer-cut",
                         "peer-split",
                         "peer-loss",
                         "peer-double",
                         "peer-garble",
                         "peer-delay" ->
-                        between(entry, end);
+                        startPeerFault(entry, end);
                 default -> discoveryFault(entry, end);
             }
         } catch (IOException e) {
-            fault = entry.kind() + " could not be played: " + e.getMessage();
+            failure = entry.kind() + " could not be played: " + e.getMessage();
             finish();
         }
     }
@@ -714,17 +735,18 @@
             switch (entry.kind()) {
                 case "discovery-down" -> {
                     discovery.down(true);
-                    loop.at(end, () -> quietly(() -> discovery.down(false)));
+                    loop.at(end, () -> runOrFail(() -> discovery.down(false)));
                 }
                 case "discovery-slow" ->
-                        during(
+                        applyUntil(
                                 end,
                                 () -> discovery.slow((long) (entry.amount() * 1e6)),
                                 () -> discovery.slow(0));
                 case "discovery-silent" ->
-                        during(end, () -> discovery.silent(true), () -> discovery.silent(false));
+                        applyUntil(
+                                end, () -> discovery.silent(true), () -> discovery.silent(false));
                 case "discovery-stale" ->
-                        during(end, () -> discovery.stale(true), () -> discovery.stale(false));
+                        applyUntil(end, () -> discovery.stale(true), () -> discovery.stale(false));
                 default -> {
                     discovery.move();
                     nodes.stream()
@@ -742,36 +764,36 @@
     }
 
     /** Something that fails only when the machine has no more sockets. */
-    private interface Step {
-        void take() throws IOException;
+    private interface IoAction {
+        void run() throws IOException;
     }
 
-    private void quietly(Step step) {
+    private void runOrFail(IoAction action) {
         try {
-            step.take();
+            action.run();
         } catch (IOException e) {
-            fault = "a fault could not be played: " + e.getMessage();
+            failure = "a fault could not be played: " + e.getMessage();
             finish();
         }
     }
 
-    private void during(long end, Runnable begins, Runnable ends) {
-        begins.run();
-        loop.at(end, ends);
+    private void applyUntil(long end, Runnable start, Runnable stop) {
+        start.run();
+        loop.at(end, stop);
     }
 
     private void cut(Backend backend, boolean off) {
-        quietly(() -> backend.cut(off));
+        runOrFail(() -> backend.cut(off));
     }
 
     private void restart(Backend backend) {
         if (backend.life != Backend.Life.DOWN) {
             return;
         }
-        Node own = ownProxies.get(backend.id);
-        Runnable up =
+        Node ownProxy = ownProxies.get(backend.id);
+        Runnable restartBackend =
                 () ->
-                        quietly(
+                        runOrFail(
                                 () -> {
                                     backend.restart();
                                     discoveries
@@ -781,20 +803,20 @@
                                                                     1, backend.id.indexOf('b'))))
                                             .restarted(backend);
                                 });
-        if (own == null || own.host == null) {
-            if (own != null) {
-                own.caller.dying(false);
-                own.serving = true;
+        if (ownProxy == null || ownProxy.host == null) {
+            if (ownProxy != null) {
+                ownProxy.caller.dying(false);
+                ownProxy.serving = true;
             }
-            up.run();
+            restartBackend.run();
         } else {
             runInBackground(
                     () -> {
-                        start(own);
+                        start(ownProxy);
                         loop.post(
                                 () -> {
-                                    own.caller.dying(false);
-                                    up.run();
+                                    ownProxy.caller.dying(false);
+                                    restartBackend.run();
                                 });
                         return null;
                     });
@@ -805,27 +827,29 @@
         Discovery discovery =
                 discoveries.get(Integer.parseInt(backend.id.substring(1, backend.id.indexOf('b'))));
         discovery.set(backend, Discovery.Health.LEAVING);
-        long left = loop.now() + (long) entry.amount();
+        long leavesAt = loop.now() + (long) entry.amount();
         loop.at(
-                left,
+                leavesAt,
                 () -> {
                     discovery.set(backend, Discovery.Health.LEFT);
                     if (backend.life == Backend.Life.UP) {
                         backend.die(false);
                     }
                 });
-        loop.at(Math.max(loop.now() + entry.length(), left + GONE), () -> restart(backend));
+        loop.at(
+                Math.max(loop.now() + entry.length(), leavesAt + MIN_DOWN_NANOS),
+                () -> restart(backend));
     }
 
     /** The process is stopped where it stands: what it owes meanwhile it can't give. */
     private void proxyPause(Node node, long end) {
-        stands(node, true);
+        setSuspended(node, true);
         signal(node, true);
         loop.at(
                 end,
                 () -> {
                     signal(node, false);
-                    stands(node, false);
+                    setSuspended(node, false);
                 });
     }
 
@@ -840,7 +864,7 @@
                         node.host.replace(node.starts++);
                         loop.post(() -> judge.replaced(loop.now()));
                     } catch (IOException e) {
-                        fault = String.valueOf(e.getMessage());
+                        failure = String.valueOf(e.getMessage());
                         loop.post(this::finish);
                     }
                     return null;
@@ -848,26 +872,26 @@
     }
 
     private void proxyHang(Node node, long end) {
-        stands(node, true);
-        quietly(() -> node.host.hang(true));
+        setSuspended(node, true);
+        runOrFail(() -> node.host.setHung(true));
         loop.at(
                 end,
                 () -> {
-                    quietly(() -> node.host.hang(false));
-                    stands(node, false);
+                    runOrFail(() -> node.host.setHung(false));
+                    setSuspended(node, false);
                 });
     }
 
-    private void stands(Node node, boolean still) {
-        node.caller.dying(still);
-        if (still) {
+    private void setSuspended(Node node, boolean suspended) {
+        node.caller.dying(suspended);
+        if (suspended) {
             clients.gone(node.number, loop.now() + scenario.clients.notice());
         } else {
             ledger.stoppedUntil(node.number, loop.now());
             clients.back(node.number);
         }
-        if (judge != null && node.first) {
-            if (still) {
+        if (judge != null && node.firstTier) {
+            if (suspended) {
                 judge.down(node.number, loop.now());
             } else {
                 judge.up(node.number, loop.now());
@@ -875,38 +899,38 @@
         }
     }
 
-    /** It gets only a part of a core: stopped for most of each {@link #SLICE}. */
-    private void proxyStarve(Node node, long end, double part) {
+    /** It gets only a part of a core: stopped for most of each {@link #STARVE_SLICE_NANOS}. */
+    private void proxyStarve(Node node, long end, double cpuShare) {
         ledger.stoppedUntil(node.number, end);
-        starveSlice(node, end, part);
+        starveSlice(node, end, cpuShare);
     }
 
-    private void starveSlice(Node node, long end, double part) {
+    private void starveSlice(Node node, long end, double cpuShare) {
         if (loop.now() >= end) {
             return;
         }
         signal(node, true);
-        loop.after((long) (SLICE * (1 - part)), () -> signal(node, false));
-        loop.after(SLICE, () -> starveSlice(node, end, part));
+        loop.after((long) (STARVE_SLICE_NANOS * (1 - cpuShare)), () -> signal(node, false));
+        loop.after(STARVE_SLICE_NANOS, () -> starveSlice(node, end, cpuShare));
     }
 
     /** Runs a step that waits for processes outside the loop's thread; its failure is dropped. */
     private void runInBackground(Callable<?> step) {
-        Future<?> unused = starters.submit(step);
+        Future<?> unused = processExecutor.submit(step);
     }
 
-    private void signal(Node node, boolean stop) {
+    private void signal(Node node, boolean suspend) {
         runInBackground(
                 () -> {
-                    node.host.stop(stop);
+                    node.host.setStopped(suspend);
                     return null;
                 });
     }
 
-    private void forge(long end, long every) {
-        if (net != null && loop.now() < end) {
-            net.forge();
-            loop.after(every, () -> forge(end, every));
+    private void forgePeriodically(long end, long intervalNanos) {
+        if (peerNet != null && loop.now() < end) {
+            peerNet.forge();
+            loop.after(intervalNanos, () -> forgePeriodically(end, intervalNanos));
         }
     }
 
@@ -914,36 +938,36 @@
      * Something befalls the ways between proxies: all, those between groups, or from the first
      * group on.
      */
-    private void between(Timeline.Entry entry, long end) {
-        if (net == null) {
+    private void startPeerFault(Timeline.Entry entry, long end) {
+        if (peerNet == null) {
             return;
         }
-        ways(entry, true);
-        loop.at(end, () -> ways(entry, false));
+        applyPeerFault(entry, true);
+        loop.at(end, () -> applyPeerFault(entry, false));
     }
 
-    private void ways(Timeline.Entry entry, boolean begins) {
+    private void applyPeerFault(Timeline.Entry entry, boolean active) {
         List<List<Integer>> groups = entry.groups();
         int n = scenario.proxies.count();
         for (int a = 0; a < n; a++) {
             for (int b = 0; b < n; b++) {
-                int from = group(groups, a);
-                int to = group(groups, b);
-                boolean hit =
+                int fromGroup = groupOf(groups, a);
+                int toGroup = groupOf(groups, b);
+                boolean peerAffected =
                         groups.isEmpty()
-                                || (from >= 0
-                                        && to >= 0
-                                        && from != to
-                                        && (!entry.oneWay() || from == 0));
-                if (a != b && hit) {
-                    way(entry, a, b, begins);
+                                || (fromGroup >= 0
+                                        && toGroup >= 0
+                                        && fromGroup != toGroup
+                                        && (!entry.oneWay() || fromGroup == 0));
+                if (a != b && peerAffected) {
+                    applyPathFault(entry, a, b, active);
                 }
             }
         }
-        judge.reach(loop.now(), !begins);
+        judge.reach(loop.now(), !active);
     }
 
-    private static int group(List<List<Integer>> groups, int proxy) {
+    private static int groupOf(List<List<Integer>> groups, int proxy) {
         for (int g = 0; g < groups.size(); g++) {
             if (groups.get(g).contains(proxy)) {
                 return g;
@@ -952,16 +976,16 @@
         return -1;
     }
 
-    private void way(Timeline.Entry entry, int from, int to, boolean begins) {
-        PeerPaths paths = net.paths();
-        double amount = begins ? entry.amount() : 0;
+    private void applyPathFault(Timeline.Entry entry, int from, int to, boolean active) {
+        PeerPaths paths = peerNet.paths();
+        double amount = active ? entry.amount() : 0;
         switch (entry.kind()) {
             case "peer-loss" -> paths.loss(from, to, amount);
             case "peer-double" -> paths.twice(from, to, amount);
             case "peer-garble" -> paths.garble(from, to, amount);
             case "peer-delay" -> paths.delay(from, to, (long) (amount * 1e6));
             default -> {
-                paths.cut(from, to, begins);
+                paths.cut(from, to, active);
                 judge.way(from, to, !paths.isCut(from, to));
             }
         }
@@ -970,7 +994,7 @@
     /** A process of a proxy is killed, and is not there until it is started again. */
     private void kill(Node node) {
         node.serving = false;
-        if (judge != null && node.first) {
+        if (judge != null && node.firstTier) {
             judge.down(node.number, loop.now());
         }
         node.caller.dying(true);
@@ -987,14 +1011,14 @@
     private void proxyKill(Node node, long end) {
         kill(node);
         clients.gone(node.number, loop.now() + scenario.clients.notice());
-        loop.at(end, () -> back(node));
+        loop.at(end, () -> startAgain(node));
     }
 
-    private void proxyTerm(Node node, long away) {
-        clients.gone(node.number, loop.now() + FRONT_AFTER_TERM);
+    private void proxyTerm(Node node, long downNanos) {
+        clients.gone(node.number, loop.now() + FRONT_AFTER_TERM_NANOS);
         if (node.host == null) {
             // A baseline has no process: it is only left out by the front.
-            loop.after(away, () -> clients.back(node.number));
+            loop.after(downNanos, () -> clients.back(node.number));
             return;
         }
         runInBackground(
@@ -1003,11 +1027,11 @@
                     loop.post(
                             () -> {
                                 node.serving = false;
-                                if (judge != null && node.first) {
+                                if (judge != null && node.firstTier) {
                                     judge.down(node.number, loop.now());
                                 }
                                 ledger.startedAnew(node.number);
-                                loop.after(away, () -> back(node));
+                                loop.after(downNanos, () -> startAgain(node));
                             });
                     return null;
                 });
@@ -1017,30 +1041,32 @@
      * A process is ended by a series of signals and killed at the earliest moment that it has to
      * count with; clients go on to use the connections that they have.
      */
-    private void proxyRestart(Node node, SignalSeries series, long away) {
+    private void proxyRestart(Node node, SignalSeries series, long downNanos) {
         runInBackground(
                 () -> {
-                    node.host.end(
+                    node.host.endBySignals(
                             series,
                             killAfterMillis(),
-                            () -> loop.post(() -> node.caller.leaves(FRONT_AFTER_TERM)));
+                            () -> loop.post(() -> node.caller.leaves(FRONT_AFTER_TERM_NANOS)));
                     loop.post(
                             () -> {
                                 node.serving = false;
                                 ledger.startedAnew(node.number);
-                                loop.after(away, () -> backAfterRestart(node, series, away));
+                                loop.after(
+                                        downNanos,
+                                        () -> startAfterRestart(node, series, downNanos));
                             });
                     return null;
                 });
     }
 
-    private void backAfterRestart(Node node, SignalSeries series, long away) {
+    private void startAfterRestart(Node node, SignalSeries series, long downNanos) {
         runInBackground(
                 () -> {
                     start(node);
                     loop.post(node.caller::restarted);
                     if (series.againWhenReady()) {
-                        proxyRestart(node, SignalSeries.TERM, away);
+                        proxyRestart(node, SignalSeries.TERM, downNanos);
                     }
                     return null;
                 });
@@ -1056,13 +1082,13 @@
         return Math.min(MAX_DEADLINE_MILLIS, longest / 1_000_000) + KILL_AFTER_DEADLINE_MILLIS;
     }
 
-    private void crowd(Node node, long end, int connections) {
+    private void proxyCrowd(Node node, long end, int connections) {
         Crowd crowd = new Crowd(loop, buffer, () -> node.serving ? node.host.address() : null);
         crowd.gather(connections);
         loop.at(end, crowd::disperse);
     }
 
-    private void back(Node node) {
+    private void startAgain(Node node) {
         runInBackground(
                 () -> {
                     start(node);
@@ -1077,35 +1103,35 @@
 
     /** The figures that the verdict judges. */
     Map<String, Double> figures() {
-        Map<String, Double> f = new TreeMap<>();
-        f.put("service", series.service(-1));
-        f.put("sent", (double) clients.sent());
-        f.put("finished", (double) series.total(Series.Count.FINISHED));
-        f.put("deferred", (double) series.total(Series.Count.DEFERRED));
-        f.put("written_off", (double) series.total(Series.Count.WRITTEN_OFF));
-        f.put("late", (double) series.total(Series.Count.LATE));
-        f.put("lost", (double) ledger.count(Ledger.Rule.LOST));
-        f.put("twice", (double) ledger.count(Ledger.Rule.TWICE));
-        f.put("drains", (double) ledger.count(Ledger.Rule.DRAINS));
-        f.put("cold", (double) ledger.count(Ledger.Rule.COLD));
-        f.put("p50_ms", series.latency.getValueAtPercentile(50) / 1_000.0);
-        f.put("p99_ms", series.latency.getValueAtPercentile(99) / 1_000.0);
+        Map<String, Double> figures = new TreeMap<>();
+        figures.put("service", series.service(-1));
+        figures.put("sent", (double) clients.sent());
+        figures.put("finished", (double) series.total(Series.Count.FINISHED));
+        figures.put("deferred", (double) series.total(Series.Count.DEFERRED));
+        figures.put("written_off", (double) series.total(Series.Count.WRITTEN_OFF));
+        figures.put("late", (double) series.total(Series.Count.LATE));
+        figures.put("lost", (double) ledger.count(Ledger.Rule.LOST));
+        figures.put("twice", (double) ledger.count(Ledger.Rule.TWICE));
+        figures.put("drains", (double) ledger.count(Ledger.Rule.DRAINS));
+        figures.put("cold", (double) ledger.count(Ledger.Rule.COLD));
+        figures.put("p50_ms", series.latency.getValueAtPercentile(50) / 1_000.0);
+        figures.put("p99_ms", series.latency.getValueAtPercentile(99) / 1_000.0);
         double worst = 1;
         for (int s = 0; s < scenario.length / 1_000_000_000L; s++) {
             worst = Math.min(worst, series.service(s));
         }
-        f.put("worst_s", worst);
-        f.put("unanswered", (double) ledger.diedWithProxy());
-        f.put("retried", (double) clients.retried());
-        f.put("sends_per_item", ledger.sends() / Math.max(1.0, (double) clients.sent()));
-        f.put("behind_ms", loop.late().getValueAtPercentile(99.9) / 1_000.0);
+        figures.put("worst_s", worst);
+        figures.put("unanswered", (double) ledger.diedWithProxy());
+        figures.put("retried", (double) clients.retried());
+        figures.put("sends_per_item", ledger.sends() / Math.max(1.0, (double) clients.sent()));
+        figures.put("behind_ms", loop.late().getValueAtPercentile(99.9) / 1_000.0);
         if (judge != null) {
-            judge.figures(loop.now(), f);
-            f.put("peer_bytes_s", (double) net.worstSecond());
-            f.put("peer_mean_s", net.mean(loop.now()));
-            f.put("watch_ms", watcher.worstMs());
+            judge.figures(loop.now(), figures);
+            figures.put("peer_bytes_s", (double) peerNet.worstSecond());
+            figures.put("peer_mean_s", peerNet.mean(loop.now()));
+            figures.put("watch_ms", watcher.worstMs());
         }
-        return f;
+        return figures;
     }
 
     Verdict verdict() {
@@ -1113,7 +1139,9 @@
                 figures(),
                 scenario.bounds,
                 scenario.lateLimit / 1e6,
-                scenario.knowing == null ? Double.MAX_VALUE : scenario.knowing.watchLimitMs());
+                scenario.membership == null
+                        ? Double.MAX_VALUE
+                        : scenario.membership.watchLimitMs());
     }
 
     /** What each process of a proxy has logged, over its lives. */
--- a/src/main/java/cottonlock/lab/Host.java
+++ b/src/main/java/cottonlock/lab/Host.java
@@ -21,31 +21,31 @@
  */
 final class Host {
     /** Milliseconds for a process to serve. */
-    private static final long START = 20_000;
+    private static final long START_TIMEOUT_MILLIS = 20_000;
 
     /** Milliseconds for a planned restart to end by itself. */
-    private static final long LEAVE = 4_000;
+    private static final long SHUTDOWN_TIMEOUT_MILLIS = 4_000;
 
     private final String name;
-    private final boolean own;
+    private final boolean ownProcess;
     private final java.nio.file.Path folder;
     private final LongFunction<String> configuration;
-    private final Socket reserved;
+    private final Socket addressSocket;
     private final InetSocketAddress address;
 
     /**
      * Where operators call it, by turns with each replacement, and the operator's file; null: none.
      */
-    private final Socket[] reservedForCalls;
+    private final Socket[] managementSockets;
 
-    private volatile int turn;
-    private final String operator;
-    private final java.nio.file.Path hang;
+    private volatile int managementIndex;
+    private final String operatorFileText;
+    private final java.nio.file.Path hangFile;
     private Proxy proxy;
     private Process process;
 
     /** Milliseconds by which the process's clock is wrong when it starts next. */
-    private volatile long clockOff;
+    private volatile long clockOffsetMillis;
 
     /**
      * The configuration is made for the number of the start, from 0; operator's file: null for
@@ -53,21 +53,23 @@
      */
     Host(
             String name,
-            boolean own,
+            boolean ownProcess,
             java.nio.file.Path folder,
             LongFunction<String> configuration,
-            String operator)
+            String operatorFileText)
             throws IOException {
         this.name = name;
-        this.own = own;
+        this.ownProcess = ownProcess;
         this.folder = folder;
         this.configuration = configuration;
-        this.reserved = reserve();
+        this.addressSocket = reservePort();
         this.address =
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), reserved.getLocalPort());
-        this.operator = operator;
-        this.reservedForCalls = operator == null ? null : new Socket[] {reserve(), reserve()};
-        this.hang = folder.resolve(name + ".hang");
+                new InetSocketAddress(
+                        InetAddress.getLoopbackAddress(), addressSocket.getLocalPort());
+        this.operatorFileText = operatorFileText;
+        this.managementSockets =
+                operatorFileText == null ? null : new Socket[] {reservePort(), reservePort()};
+        this.hangFile = folder.resolve(name + ".hang");
     }
 
     /**
@@ -75,7 +77,7 @@
      * listened on: a listener that shares addresses, as the proxy's does, can have it all the same,
      * and nobody else is given it.
      */
-    private static Socket reserve() throws IOException {
+    private static Socket reservePort() throws IOException {
         Socket socket = new Socket();
         socket.setReuseAddress(true);
         socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -87,9 +89,10 @@
     }
 
     /** Where operators call it now. */
-    InetSocketAddress calledAt() {
+    InetSocketAddress managementAddress() {
         return new InetSocketAddress(
-                InetAddress.getLoopbackAddress(), reservedForCalls[turn].getLocalPort());
+                InetAddress.getLoopbackAddress(),
+                managementSockets[managementIndex].getLocalPort());
     }
 
     String name() {
@@ -99,20 +102,20 @@
     synchronized void start(long number) throws IOException, InterruptedException {
         java.nio.file.Path file = folder.resolve(name + ".json");
         Files.writeString(file, configuration.apply(number));
-        if (!own) {
+        if (!ownProcess) {
             proxy = new Proxy(file);
             return;
         }
-        Files.deleteIfExists(hang);
+        Files.deleteIfExists(hangFile);
         process = launch();
-        awaited(process, this::healthy);
+        awaitReady(process, this::healthy);
     }
 
     /** Waits until it serves. */
-    private void awaited(Process started, BooleanSupplier serves)
+    private void awaitReady(Process started, BooleanSupplier ready)
             throws IOException, InterruptedException {
-        long until = System.nanoTime() + START * 1_000_000;
-        while (!serves.getAsBoolean()) {
+        long until = System.nanoTime() + START_TIMEOUT_MILLIS * 1_000_000;
+        while (!ready.getAsBoolean()) {
             if (!started.isAlive() || System.nanoTime() > until) {
                 throw new IOException(
                         name
@@ -128,10 +131,10 @@
         ProcessBuilder builder = new ProcessBuilder(command());
         builder.environment().put("EDGE_CONFIG", file.toString());
         builder.environment().remove("COTTONLOCK_OPERATOR");
-        if (operator != null) {
-            java.nio.file.Path asked = folder.resolve(name + ".toml");
-            Files.writeString(asked, operator);
-            builder.environment().put("COTTONLOCK_OPERATOR", asked.toString());
+        if (operatorFileText != null) {
+            java.nio.file.Path operatorFile = folder.resolve(name + ".toml");
+            Files.writeString(operatorFile, operatorFileText);
+            builder.environment().put("COTTONLOCK_OPERATOR", operatorFile.toString());
             builder.environment()
                     .put(
                             "TMPDIR",
@@ -150,25 +153,26 @@
         Process old;
         synchronized (this) {
             old = process;
-            turn = 1 - turn;
+            managementIndex = 1 - managementIndex;
             Files.writeString(folder.resolve(name + ".json"), configuration.apply(number));
             process = launch();
-            awaited(process, () -> "ACK\n".equals(MembersWatch.ask(calledAt(), "HEALTH")));
+            awaitReady(
+                    process, () -> "ACK\n".equals(MembersWatch.ask(managementAddress(), "HEALTH")));
         }
         old.destroy();
-        if (!old.waitFor(LEAVE, TimeUnit.MILLISECONDS)) {
+        if (!old.waitFor(SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
             old.destroyForcibly();
         }
     }
 
     private List<String> command() throws IOException {
         return ServeCommand.of(
-                operator != null,
-                operator == null
+                operatorFileText != null,
+                operatorFileText == null
                         ? List.of()
                         : List.of(
-                                "-Dcottonlock.test.clock_ms=" + clockOff,
-                                "-Dcottonlock.test.hang=" + hang));
+                                "-Dcottonlock.test.clock_ms=" + clockOffsetMillis,
+                                "-Dcottonlock.test.hang=" + hangFile));
     }
 
     private boolean healthy() {
@@ -212,7 +216,7 @@
         }
         if (leaving != null) {
             leaving.destroy();
-            if (!leaving.waitFor(LEAVE, TimeUnit.MILLISECONDS)) {
+            if (!leaving.waitFor(SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
                 leaving.destroyForcibly();
             }
         }
@@ -224,16 +228,16 @@
      *
      * @param beforeTerm called just before the first SIGTERM is sent
      */
-    void end(SignalSeries series, long killAfterMillis, Runnable beforeTerm)
+    void endBySignals(SignalSeries series, long killAfterMillis, Runnable beforeTerm)
             throws IOException, InterruptedException {
         Process leaving;
         synchronized (this) {
             leaving = process;
         }
-        long beganAt = System.nanoTime();
+        long startedAt = System.nanoTime();
         long killAt = 0;
         for (SignalSeries.Step step : series.steps()) {
-            sleepUntil(beganAt + TimeUnit.MILLISECONDS.toNanos(step.afterMillis()));
+            sleepUntil(startedAt + TimeUnit.MILLISECONDS.toNanos(step.afterMillis()));
             if (killAt == 0 && step.isTerm()) {
                 beforeTerm.run();
                 killAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(killAfterMillis);
@@ -259,26 +263,26 @@
     }
 
     /** Stops the process where it stands, or lets it go on: no signal handler sees either. */
-    synchronized void stop(boolean stands) throws IOException, InterruptedException {
+    synchronized void setStopped(boolean stopped) throws IOException, InterruptedException {
         if (process != null) {
-            new ProcessBuilder("kill", stands ? "-STOP" : "-CONT", Long.toString(process.pid()))
+            new ProcessBuilder("kill", stopped ? "-STOP" : "-CONT", Long.toString(process.pid()))
                     .start()
                     .waitFor();
         }
     }
 
     /** Its module's thread stands still, or goes on. */
-    void hang(boolean stands) throws IOException {
-        if (stands) {
-            Files.writeString(hang, "");
+    void setHung(boolean hung) throws IOException {
+        if (hung) {
+            Files.writeString(hangFile, "");
         } else {
-            Files.deleteIfExists(hang);
+            Files.deleteIfExists(hangFile);
         }
     }
 
     /** From its next start on its clock is wrong by so many milliseconds. */
-    void clock(long off) {
-        clockOff = off;
+    void setClockOffset(long offsetMillis) {
+        clockOffsetMillis = offsetMillis;
     }
 
     /** Its configuration has changed, as SIGHUP tells. */
@@ -293,7 +297,7 @@
     }
 
     /** For a run that ends: leaves nothing behind. */
-    synchronized void end() {
+    synchronized void close() {
         if (process != null) {
             process.destroyForcibly();
         }
@@ -301,10 +305,10 @@
             proxy.close();
         }
         try {
-            reserved.close();
-            if (reservedForCalls != null) {
-                reservedForCalls[0].close();
-                reservedForCalls[1].close();
+            addressSocket.close();
+            if (managementSockets != null) {
+                managementSockets[0].close();
+                managementSockets[1].close();
             }
         } catch (IOException e) {
             // It is closed all the same.
--- a/src/main/java/cottonlock/lab/Lab.java
+++ b/src/main/java/cottonlock/lab/Lab.java
@@ -21,17 +21,17 @@
  */
 public final class Lab {
     /** The status of a scenario or an argument that can't be used. */
-    private static final int UNUSABLE = 2;
+    private static final int EXIT_UNUSABLE = 2;
 
     /** Milliseconds that an interrupted run has to write its report. */
-    private static final long REPORT = 5_000;
+    private static final long REPORT_TIMEOUT_MILLIS = 5_000;
 
     private final PrintStream out;
     private final PrintStream err;
     private final boolean progress;
 
     /** Kept: a logger that nobody holds forgets its level. */
-    private final java.util.logging.Logger proxies =
+    private final java.util.logging.Logger proxyLogger =
             java.util.logging.Logger.getLogger("cottonlock");
 
     /** Progress: whether the error stream is a terminal. */
@@ -41,7 +41,7 @@
         this.progress = progress;
         // Proxies in this process would fill the error stream with what the scenario does to them
         // on purpose.
-        proxies.setLevel(java.util.logging.Level.OFF);
+        proxyLogger.setLevel(java.util.logging.Level.OFF);
     }
 
     /**
@@ -52,7 +52,7 @@
             return new RolloutReport(out, commit, folder).play(sizes, seeds) ? 0 : 1;
         } catch (IOException e) {
             err.println(folder + ": " + e.getMessage());
-            return UNUSABLE;
+            return EXIT_UNUSABLE;
         }
     }
 
@@ -74,7 +74,7 @@
         } catch (IOException | RuntimeException e) {
             err.println(file + ": " + e.getMessage());
         }
-        return UNUSABLE;
+        return EXIT_UNUSABLE;
     }
 
     private Verdict play(Path file, Long seed, List<String> sets, Path folder, boolean processes)
@@ -90,13 +90,13 @@
                         () -> {
                             run.interrupt();
                             try {
-                                main.join(REPORT);
+                                main.join(REPORT_TIMEOUT_MILLIS);
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
                         });
         if (progress) {
-            run.eachSecond(second -> show(run, second));
+            run.onSecond(second -> showProgress(run, second));
         }
         Runtime.getRuntime().addShutdownHook(hook);
         Verdict verdict;
@@ -126,7 +126,7 @@
         return verdict;
     }
 
-    private void show(Experiment run, long second) {
+    private void showProgress(Experiment run, long second) {
         int last = (int) second - 1;
         Series series = run.series();
         err.print(
@@ -186,7 +186,7 @@
             return 0;
         } catch (IOException e) {
             err.println(e.getMessage());
-            return UNUSABLE;
+            return EXIT_UNUSABLE;
         }
     }
 
@@ -242,14 +242,14 @@
                 all.add(path + "=" + values.get(v));
                 StringBuilder verdicts = new StringBuilder();
                 for (Long seed : seeds) {
-                    Path own =
+                    Path reportFolder =
                             folder == null
                                     ? null
                                     : folder.resolve(
                                             values.get(v).replaceAll("[^A-Za-z0-9.-]", "_")
                                                     + "-"
                                                     + seed);
-                    Verdict verdict = play(file, seed, all, own, false);
+                    Verdict verdict = play(file, seed, all, reportFolder, false);
                     verdicts.append(' ').append(verdict.word());
                     status = Math.max(status, verdict.kind == Verdict.Kind.NONE ? 3 : 0);
                     for (int f = 0; f < figures.size(); f++) {
@@ -269,7 +269,8 @@
             }
             if (folder != null) {
                 Files.writeString(
-                        folder.resolve("sweep.html"), curve(file, path, values, figures, means));
+                        folder.resolve("sweep.html"),
+                        sweepPage(file, path, values, figures, means));
             }
             return status;
         } catch (InvalidConfigurationException e) {
@@ -277,7 +278,7 @@
         } catch (IOException | RuntimeException e) {
             err.println(file + ": " + e.getMessage());
         }
-        return UNUSABLE;
+        return EXIT_UNUSABLE;
     }
 
     /** Plays fleets in virtual time; {@link MembersStudy} says what is printed. */
@@ -306,7 +307,7 @@
         } catch (IOException e) {
             err.println(e.getMessage());
         }
-        return UNUSABLE;
+        return EXIT_UNUSABLE;
     }
 
     /** Plays fleets over regions and zones in virtual time, each size with each seed. */
@@ -339,15 +340,15 @@
         } catch (IOException | UncheckedIOException e) {
             err.println(e.getMessage());
         }
-        return UNUSABLE;
+        return EXIT_UNUSABLE;
     }
 
-    private static String curve(
+    private static String sweepPage(
             Path file, String path, List<String> values, List<String> figures, double[][] means) {
         double[] xs = new double[values.size()];
-        boolean numbers = values.stream().allMatch(v -> v.matches("-?[0-9]+(\\.[0-9]+)?"));
+        boolean numeric = values.stream().allMatch(v -> v.matches("-?[0-9]+(\\.[0-9]+)?"));
         for (int i = 0; i < xs.length; i++) {
-            xs[i] = numbers ? Double.parseDouble(values.get(i)) : i;
+            xs[i] = numeric ? Double.parseDouble(values.get(i)) : i;
         }
         StringBuilder page =
                 new StringBuilder(Page.HEAD)
@@ -356,7 +357,7 @@
                         .append("</head><body><h1>")
                         .append(Chart.text(file.getFileName() + ": " + path))
                         .append("</h1>\n");
-        if (!numbers) {
+        if (!numeric) {
             page.append("<p>Values along the axis: ")
                     .append(Chart.text(String.join(", ", values)))
                     .append("</p>\n");
--- a/src/main/java/cottonlock/lab/ProxyConfig.java
+++ b/src/main/java/cottonlock/lab/ProxyConfig.java
@@ -11,9 +11,9 @@
     private ProxyConfig() {}
 
     /** Where operators call, and how it talks to the others of its tier. */
-    record Talk(String management, String listen, List<String> peers, int me) {
-        Talk calledAt(String address) {
-            return new Talk(address, listen, peers, me);
+    record PeerSettings(String management, String listen, List<String> peers, int proxyNumber) {
+        PeerSettings withManagement(String address) {
+            return new PeerSettings(address, listen, peers, proxyNumber);
         }
     }
 
@@ -29,15 +29,15 @@
             String listen,
             String discovery,
             long seed,
-            String known,
+            String knownBackends,
             int stage,
             int fleet,
             Scenario.Proxies proxies,
             Scenario.Rules rules,
-            List<String> rooms,
+            List<String> zones,
             List<Scenario.TenantPlan> tenants,
             List<Scenario.CategoryPlan> categories,
-            Talk talk)
+            PeerSettings peerSettings)
             throws IOException {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
@@ -46,26 +46,26 @@
             json.writeStringField("listen", listen);
             json.writeStringField("discovery", discovery);
             json.writeStringField("seed", Long.toHexString(seed));
-            if (talk != null) {
-                json.writeStringField("mgmt", talk.management);
-                json.writeStringField("peer_listen", talk.listen);
-                strings(json, "peers", talk.peers);
+            if (peerSettings != null) {
+                json.writeStringField("mgmt", peerSettings.management);
+                json.writeStringField("peer_listen", peerSettings.listen);
+                writeStrings(json, "peers", peerSettings.peers);
             }
             json.writeObjectFieldStart("limits");
             json.writeNumberField("memory_mb", proxies.memoryMb());
             json.writeNumberField("sockets", proxies.sockets());
             json.writeEndObject();
             json.writeFieldName("known");
-            json.writeRawValue(known);
+            json.writeRawValue(knownBackends);
             json.writeObjectFieldStart("settings");
             json.writeNumberField("Stage", stage);
             json.writeNumberField("FleetSize", fleet);
-            if (talk != null) {
-                json.writeNumberField("Me", talk.me);
+            if (peerSettings != null) {
+                json.writeNumberField("Me", peerSettings.proxyNumber);
             }
             json.writeStringField("MembershipMode", "subscribe");
-            strings(json, "Zones", rooms);
-            strings(json, "Flavors", List.of("std"));
+            writeStrings(json, "Zones", zones);
+            writeStrings(json, "Flavors", List.of("std"));
             json.writeArrayFieldStart("Categories");
             for (Scenario.CategoryPlan c : categories) {
                 json.writeStartObject();
@@ -114,7 +114,7 @@
         return text.toString();
     }
 
-    private static void strings(JsonGenerator json, String name, List<String> values)
+    private static void writeStrings(JsonGenerator json, String name, List<String> values)
             throws IOException {
         json.writeArrayFieldStart(name);
         for (String value : values) {
--- a/src/main/java/cottonlock/lab/Scenario.java
+++ b/src/main/java/cottonlock/lab/Scenario.java
@@ -21,20 +21,20 @@
  */
 final class Scenario {
     /** What scenarios said for a category's repeat before. */
-    private static final Map<String, String> OLD_WORDS =
+    private static final Map<String, String> DEPRECATED_REPEAT_VALUES =
             Map.of("rerunnable", "safe", "ticketed", "keyed", "exclusive", "unsafe");
 
-    private static final double ANY = Double.MAX_VALUE;
-    private static final double SECOND = 1e9;
-    private static final double MILLI = 1e6;
+    private static final double UNBOUNDED = Double.MAX_VALUE;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final double NANOS_PER_MILLI = 1e6;
 
     /** The stand-ins hold a body whole. */
     private static final int MAX_BODY_BYTES = 4 << 20;
 
-    private static final String NAME = "[A-Za-z0-9._-]{1,40}";
+    private static final String NAME_PATTERN = "[A-Za-z0-9._-]{1,40}";
 
     /** Arrivals of one run, at most: their schedule is held in memory. */
-    private static final double MOST_ARRIVALS = 5e6;
+    private static final double MAX_ARRIVALS = 5e6;
 
     /** How the proxies are played. */
     record Proxies(
@@ -119,7 +119,7 @@
             String kind,
             int tier,
             String backend,
-            String room,
+            String zone,
             List<Integer> proxies,
             int count,
             double amount,
@@ -134,7 +134,7 @@
      * How the proxies know one another; text is the table of the operator's file, keyed: with a
      * key.
      */
-    record Knowing(String toml, boolean keyed, long period, double watchLimitMs) {}
+    record Membership(String toml, boolean keyed, long period, double watchLimitMs) {}
 
     /** Faults drawn from the seed. */
     record RandomFaults(int count, List<String> kinds, long from, long to, long length) {}
@@ -151,7 +151,7 @@
     }
 
     /** Every kind of fault, with what its amount means; null where it has none. */
-    static final Map<String, String> KINDS =
+    static final Map<String, String> FAULT_KINDS =
             new TreeMap<>(
                     Map.ofEntries(
                             Map.entry("slow", "factor"),
@@ -189,7 +189,7 @@
                             Map.entry("peer-forge", "per_second")));
 
     /** Those that need each proxy in a process of its own. */
-    static final Set<String> OF_PROCESSES =
+    static final Set<String> NEEDS_OWN_PROCESS =
             Set.of(
                     "proxy-kill",
                     "proxy-restart",
@@ -210,7 +210,7 @@
     final long length;
     final Proxies proxies;
     final Rules rules;
-    final List<String> rooms;
+    final List<String> zones;
     final List<Tier> tiers = new ArrayList<>();
     final List<TenantPlan> tenants = new ArrayList<>();
     final List<CategoryPlan> categories = new ArrayList<>();
@@ -223,47 +223,47 @@
     final long lateLimit;
 
     /** Null where they don't. */
-    final Knowing knowing;
+    final Membership membership;
 
     /** Reads a scenario with some of its values set anew; a seed of null is the file's. */
-    static Scenario read(Path file, List<String> sets, Long seed)
+    static Scenario read(Path file, List<String> overrides, Long seed)
             throws InvalidConfigurationException {
         ConfigurationDocument doc = ConfigurationDocument.toml(file);
-        for (String set : sets) {
+        for (String set : overrides) {
             doc.set(set);
         }
         if (seed != null) {
             doc.set("seed=" + seed);
         }
         Fields top = Fields.of(doc);
-        String stem = String.valueOf(file.getFileName()).replaceAll("\\.toml$", "");
-        Scenario scenario = new Scenario(top, stem, file.toAbsolutePath().getParent());
+        String defaultName = String.valueOf(file.getFileName()).replaceAll("\\.toml$", "");
+        Scenario scenario = new Scenario(top, defaultName, file.toAbsolutePath().getParent());
         top.throwIfInvalid();
         return scenario;
     }
 
-    private Scenario(Fields top, String stem, Path folder) {
-        name = top.matching("name", stem, NAME, "a short name");
+    private Scenario(Fields top, String defaultName, Path folder) {
+        name = top.matching("name", defaultName, NAME_PATTERN, "a short name");
         about = top.text("about", "");
         seed = (long) top.number("seed", 1, 0, 1L << 53);
-        length = (long) (SECOND * top.number("seconds", 10, 1, 3_600));
-        lateLimit = (long) (MILLI * top.number("late_limit_ms", 20, 1, 1_000));
+        length = (long) (NANOS_PER_SECOND * top.number("seconds", 10, 1, 3_600));
+        lateLimit = (long) (NANOS_PER_MILLI * top.number("late_limit_ms", 20, 1, 1_000));
         sabotage = top.oneOf("sabotage", "none", SABOTAGE);
-        rooms = top.texts("rooms", List.of("a"));
-        if (rooms.isEmpty() || new HashSet<>(rooms).size() < rooms.size()) {
+        zones = top.texts("rooms", List.of("a"));
+        if (zones.isEmpty() || new HashSet<>(zones).size() < zones.size()) {
             top.addFault("rooms", "expected one name or more, each once");
         }
-        proxies = proxies(top.table("proxy"));
-        knowing = knowing(top, folder);
-        rules = rules(top.table("rules"));
-        tiers(top);
-        names(top);
-        clients = clients(top.table("clients"), folder);
+        proxies = readProxies(top.table("proxy"));
+        membership = readMembership(top, folder);
+        rules = readRules(top.table("rules"));
+        readTiers(top);
+        readTenantsAndCategories(top);
+        clients = readClients(top.table("clients"), folder);
         for (Fields f : top.tables("burst")) {
             Burst burst =
                     new Burst(
-                            seconds(f, "at", Double.NaN, 0),
-                            seconds(f, "for", Double.NaN, 0.001),
+                            readSeconds(f, "at", Double.NaN, 0),
+                            readSeconds(f, "for", Double.NaN, 0.001),
                             f.number("times", Double.NaN, 0, 1_000),
                             f.text("tenant", ""));
             if (!burst.tenant.isEmpty()
@@ -273,35 +273,35 @@
             bursts.add(burst);
         }
         for (Fields f : top.tables("fault")) {
-            faults.add(fault(f));
+            faults.add(readFault(f));
         }
-        random = random(top.table("random_faults"));
+        random = readRandomFaults(top.table("random_faults"));
         double rate = tenants.stream().mapToDouble(TenantPlan::rate).sum();
         double times = Math.max(1, bursts.stream().mapToDouble(Burst::times).max().orElse(1));
-        if (rate * times * length / SECOND > MOST_ARRIVALS) {
+        if (rate * times * length / NANOS_PER_SECOND > MAX_ARRIVALS) {
             top.addFault(
                     "seconds",
                     "expected "
-                            + (long) MOST_ARRIVALS
+                            + (long) MAX_ARRIVALS
                             + " arrivals at most, found some "
-                            + (long) (rate * times * length / SECOND));
+                            + (long) (rate * times * length / NANOS_PER_SECOND));
         }
         Fields expect = top.table("expect");
         for (String key : expect.keys()) {
-            bound(expect, key);
+            readBound(expect, key);
         }
         bounds.sort(java.util.Comparator.comparing(Bound::key));
     }
 
-    private static long seconds(Fields f, String key, double otherwise, double least) {
-        return (long) (SECOND * f.number(key, otherwise, least, 3_600));
+    private static long readSeconds(Fields f, String key, double defaultValue, double minimum) {
+        return (long) (NANOS_PER_SECOND * f.number(key, defaultValue, minimum, 3_600));
     }
 
-    private static long millis(Fields f, String key, double otherwise, double least) {
-        return (long) (MILLI * f.number(key, otherwise, least, 3_600_000));
+    private static long readMillis(Fields f, String key, double defaultValue, double minimum) {
+        return (long) (NANOS_PER_MILLI * f.number(key, defaultValue, minimum, 3_600_000));
     }
 
-    private static Proxies proxies(Fields f) {
+    private static Proxies readProxies(Fields f) {
         return new Proxies(
                 f.integer("count", 1, 1, 1_000),
                 f.oneOf("policy", "lanes", "lanes", "random", "least", "round", "direct"),
@@ -311,17 +311,17 @@
                 f.integer("max_hand_offs", 3, 1, 20),
                 f.bool("retry_after", true),
                 f.bool("cancel", true),
-                millis(f, "connect_timeout_ms", 150, 1),
-                seconds(f, "idle_s", 60, 0.1));
+                readMillis(f, "connect_timeout_ms", 150, 1),
+                readSeconds(f, "idle_s", 60, 0.1));
     }
 
-    private Knowing knowing(Fields top, Path folder) {
+    private Membership readMembership(Fields top, Path folder) {
         Fields f = top.table("membership");
-        boolean on = f.bool("enabled", false);
-        double limit = f.number("watch_limit_ms", 200, 1, 60_000);
+        boolean enabled = f.bool("enabled", false);
+        double watchLimitMs = f.number("watch_limit_ms", 200, 1, 60_000);
         boolean keyed = f.bool("keyed", false);
         MembershipConfig plan = MembershipTable.read(f, folder.resolve("scenario.toml"));
-        if (!on) {
+        if (!enabled) {
             return null;
         }
         if (!proxies.processes || !proxies.policy.equals("lanes")) {
@@ -329,25 +329,25 @@
                     "membership",
                     "needs proxies in processes of their own: proxy.processes = true");
         }
-        return new Knowing(
+        return new Membership(
                 f.toToml(Set.of("watch_limit_ms", "keyed")),
                 keyed,
                 plan.protocol().periodTicks() * 100_000,
-                limit);
+                watchLimitMs);
     }
 
-    private static Rules rules(Fields f) {
+    private static Rules readRules(Fields f) {
         return new Rules(
-                millis(f, "grace_ms", 50, 0),
-                millis(f, "drain_ms", 1_500, 0),
+                readMillis(f, "grace_ms", 50, 0),
+                readMillis(f, "drain_ms", 1_500, 0),
                 f.number("cold_share", 0.35, 0.01, 1),
-                seconds(f, "cold_s", 8.7, 0),
+                readSeconds(f, "cold_s", 8.7, 0),
                 f.number("fall_multiple", 3, 1, 1_000),
-                seconds(f, "fall_s", 3, 0.1),
-                seconds(f, "ask_within_s", 10, 0.1));
+                readSeconds(f, "fall_s", 3, 0.1),
+                readSeconds(f, "ask_within_s", 10, 0.1));
     }
 
-    private void tiers(Fields top) {
+    private void readTiers(Fields top) {
         List<Fields> list = top.tables("tier");
         if (list.isEmpty() || list.size() > 3) {
             top.addFault("tier", "expected one to three tables [[tier]], found " + list.size());
@@ -370,13 +370,13 @@
         }
     }
 
-    private void names(Fields top) {
+    private void readTenantsAndCategories(Fields top) {
         Set<String> seen = new HashSet<>();
         double shares = 0;
         for (Fields f : top.tables("tenant")) {
             TenantPlan t =
                     new TenantPlan(
-                            f.matching("name", null, NAME, "a short name"),
+                            f.matching("name", null, NAME_PATTERN, "a short name"),
                             f.number("share", 0, 0, 1),
                             f.number("quota", 1e6, 0, 1e9),
                             f.number("rate", Double.NaN, 0, 1e6));
@@ -396,19 +396,25 @@
         for (Fields f : top.tables("category")) {
             CategoryPlan c =
                     new CategoryPlan(
-                            f.matching("name", null, NAME, "a short name"),
-                            millis(f, "due_ms", Double.NaN, 1),
-                            millis(f, "expiry_ms", Double.NaN, 1),
-                            f.oneOf("repeat", "safe", OLD_WORDS, "safe", "keyed", "unsafe"),
+                            f.matching("name", null, NAME_PATTERN, "a short name"),
+                            readMillis(f, "due_ms", Double.NaN, 1),
+                            readMillis(f, "expiry_ms", Double.NaN, 1),
+                            f.oneOf(
+                                    "repeat",
+                                    "safe",
+                                    DEPRECATED_REPEAT_VALUES,
+                                    "safe",
+                                    "keyed",
+                                    "unsafe"),
                             f.oneOf("scope", "all", "all", "room"),
-                            seconds(f, "window_s", 10, 0),
+                            readSeconds(f, "window_s", 10, 0),
                             f.number("credit", 1, 0, 1e6),
                             f.number("late_credit", 0, 0, 1),
                             f.number("weight", 1, 0, 1e6),
-                            MILLI * f.number("work_ms", Double.NaN, 0, 60_000),
+                            NANOS_PER_MILLI * f.number("work_ms", Double.NaN, 0, 60_000),
                             f.number("spread", 0.3, 0, 3),
                             f.integer("body_bytes", 4, 0, MAX_BODY_BYTES),
-                            millis(f, "upload_ms", 0, 0));
+                            readMillis(f, "upload_ms", 0, 0));
             if (!seen.add(c.name)) {
                 f.addFault("name", "stands twice");
             }
@@ -424,12 +430,12 @@
         }
     }
 
-    private static ClientPlan clients(Fields f, Path folder) {
+    private static ClientPlan readClients(Fields f, Path folder) {
         String arrivals = f.oneOf("arrivals", "poisson", "poisson", "even", "trace");
         List<Long> trace = new ArrayList<>();
         String file = f.text("trace", "");
         if (arrivals.equals("trace")) {
-            trace.addAll(trace(f, folder.resolve(file)));
+            trace.addAll(readTrace(f, folder.resolve(file)));
         } else if (!file.isEmpty()) {
             f.addFault("trace", "is read only with arrivals = \"trace\"");
         }
@@ -439,11 +445,11 @@
                 f.number("keep", 0.9, 0, 1),
                 f.integer("retries", 0, 0, 10),
                 f.number("leave", 0, 0, 1),
-                seconds(f, "notice_s", 2, 0));
+                readSeconds(f, "notice_s", 2, 0));
     }
 
     /** Times of arrival in milliseconds from the start, one a line, in order. */
-    private static List<Long> trace(Fields f, Path file) {
+    private static List<Long> readTrace(Fields f, Path file) {
         List<Long> times = new ArrayList<>();
         try {
             List<String> lines = java.nio.file.Files.readAllLines(file);
@@ -454,7 +460,7 @@
                 }
                 long at =
                         text.matches("[0-9]{1,9}(\\.[0-9]{1,6})?")
-                                ? (long) (MILLI * Double.parseDouble(text))
+                                ? (long) (NANOS_PER_MILLI * Double.parseDouble(text))
                                 : -1;
                 if (at < 0 || (!times.isEmpty() && at < times.get(times.size() - 1))) {
                     f.addFault(
@@ -476,16 +482,19 @@
         return times;
     }
 
-    private Fault fault(Fields f) {
-        String kind = f.oneOf("kind", null, KINDS.keySet().toArray(String[]::new));
-        String amount = KINDS.get(kind);
-        double value = 0;
-        if (amount != null && !amount.isEmpty()) {
-            value =
-                    amount.equals("chance")
-                            ? f.number(amount, Double.NaN, 0, 1)
+    private Fault readFault(Fields f) {
+        String kind = f.oneOf("kind", null, FAULT_KINDS.keySet().toArray(String[]::new));
+        String amountKey = FAULT_KINDS.get(kind);
+        double amount = 0;
+        if (amountKey != null && !amountKey.isEmpty()) {
+            amount =
+                    amountKey.equals("chance")
+                            ? f.number(amountKey, Double.NaN, 0, 1)
                             : f.number(
-                                    amount, Double.NaN, kind.equals("proxy-clock") ? -ANY : 0, ANY);
+                                    amountKey,
+                                    Double.NaN,
+                                    kind.equals("proxy-clock") ? -UNBOUNDED : 0,
+                                    UNBOUNDED);
         }
         int tier = f.integer("tier", 0, 0, Math.max(0, tiers.size() - 1));
         String backend = f.text("backend", "");
@@ -499,21 +508,21 @@
                             + "b"
                             + (tiers.get(tiers.size() - 1).backends - 1));
         }
-        String room = f.text("room", "");
-        if (!room.isEmpty() && !rooms.contains(room)) {
-            f.addFault("room", "there is no room " + room + "; known: " + String.join(", ", rooms));
+        String zone = f.text("room", "");
+        if (!zone.isEmpty() && !zones.contains(zone)) {
+            f.addFault("room", "there is no room " + zone + "; known: " + String.join(", ", zones));
         }
         int count = f.integer("count", 0, 0, 2_000);
         double part = f.number("part", 0, 0, 1);
         if (kind.startsWith("proxy") && part > 0) {
             count = Math.max(1, (int) Math.round(part * proxies.count));
         }
-        if (OF_PROCESSES.contains(kind) && !proxies.processes) {
+        if (NEEDS_OWN_PROCESS.contains(kind) && !proxies.processes) {
             f.addFault(
                     "kind",
                     kind + " needs proxies in processes of their own: proxy.processes = true");
         }
-        if ((kind.equals("proxy-hang") || kind.equals("proxy-replace")) && knowing == null) {
+        if ((kind.equals("proxy-hang") || kind.equals("proxy-replace")) && membership == null) {
             f.addFault("kind", kind + " needs membership.enabled = true");
         }
         String after =
@@ -522,29 +531,29 @@
                         "",
                         "[A-Za-z0-9-]{1,40}\\.(begin|end|up)",
                         "the name of a fault or " + "proxy and .begin, .end or .up");
-        long at = seconds(f, "at", Double.NaN, 0);
+        long at = readSeconds(f, "at", Double.NaN, 0);
         if (at >= length && f.has("at")) {
             f.addFault("at", "expected a time before the end of the run");
         }
         return new Fault(
                 at,
-                seconds(f, "for", 1, 0),
+                readSeconds(f, "for", 1, 0),
                 kind,
                 tier,
                 backend,
-                room,
-                hit(f, kind, count),
+                zone,
+                readProxyTargets(f, kind, count),
                 count,
-                value,
-                seconds(f, "every", 0, 0),
-                groups(f, kind),
+                amount,
+                readSeconds(f, "every", 0, 0),
+                readGroups(f, kind),
                 f.bool("one_way", false),
                 f.matching("name", "", "[A-Za-z0-9-]{1,40}", "a short name"),
                 after,
-                series(f));
+                readSeries(f));
     }
 
-    private static SignalSeries series(Fields f) {
+    private static SignalSeries readSeries(Fields f) {
         String[] names = new String[SignalSeries.values().length];
         for (SignalSeries series : SignalSeries.values()) {
             names[series.ordinal()] = series.name().toLowerCase(Locale.ROOT);
@@ -554,25 +563,25 @@
     }
 
     /** The proxies that a fault of proxies hits; none where they are drawn. */
-    private List<Integer> hit(Fields f, String kind, int count) {
+    private List<Integer> readProxyTargets(Fields f, String kind, int count) {
         if (f.has("proxies")) {
-            return numbers(f, "proxies", f.text("proxies", ""));
+            return parseProxyNumbers(f, "proxies", f.text("proxies", ""));
         }
         boolean drawn = kind.startsWith("proxy") && count > 0 && !f.has("proxy");
         return drawn ? List.of() : List.of(f.integer("proxy", 0, 0, proxies.count - 1));
     }
 
     /** Such as "0-2,5": numbers of proxies, with ranges; or "all". */
-    private List<Integer> numbers(Fields f, String key, String text) {
+    private List<Integer> parseProxyNumbers(Fields f, String key, String text) {
         List<Integer> numbers = new ArrayList<>();
         if (text.equals("all")) {
             text = "0-" + (proxies.count - 1);
         }
         for (String part : text.replace(" ", "").split(",", 0)) {
             String[] ends = part.split("-", 0);
-            boolean right = part.matches("[0-9]{1,3}(-[0-9]{1,3})?");
-            int last = right ? Integer.parseInt(ends[ends.length - 1]) : 0;
-            if (!right || last >= proxies.count || Integer.parseInt(ends[0]) > last) {
+            boolean wellFormed = part.matches("[0-9]{1,3}(-[0-9]{1,3})?");
+            int last = wellFormed ? Integer.parseInt(ends[ends.length - 1]) : 0;
+            if (!wellFormed || last >= proxies.count || Integer.parseInt(ends[0]) > last) {
                 f.addFault(
                         key,
                         "expected numbers below "
@@ -590,7 +599,7 @@
     }
 
     /** Whom a fault of the ways between proxies parts: groups, or one from others. */
-    private List<List<Integer>> groups(Fields f, String kind) {
+    private List<List<Integer>> readGroups(Fields f, String kind) {
         List<List<Integer>> groups = new ArrayList<>();
         String text = f.text("groups", "");
         int parts = f.integer("parts", 0, 0, 100);
@@ -607,7 +616,7 @@
             }
         } else if (!text.isEmpty()) {
             for (String group : text.split("/", -1)) {
-                groups.add(numbers(f, "groups", group));
+                groups.add(parseProxyNumbers(f, "groups", group));
             }
             if (groups.size() < 2) {
                 f.addFault("groups", "expected two groups or more, such as \"0-3/4-7\"");
@@ -629,7 +638,7 @@
         return false;
     }
 
-    private RandomFaults random(Fields f) {
+    private RandomFaults readRandomFaults(Fields f) {
         List<String> kinds = f.texts("kinds", List.of("slow", "cut", "crash", "delay"));
         Set<String> drawn =
                 Set.of(
@@ -666,22 +675,22 @@
             }
         }
         for (String kind : kinds) {
-            if (OF_PROCESSES.contains(kind) && !proxies.processes) {
+            if (NEEDS_OWN_PROCESS.contains(kind) && !proxies.processes) {
                 f.addFault(
                         "kinds",
                         kind + " needs proxies in processes of their own: proxy.processes = true");
             }
         }
-        double end = length / SECOND;
+        double end = length / NANOS_PER_SECOND;
         return new RandomFaults(
                 f.integer("count", 0, 0, 1_000),
                 kinds,
-                seconds(f, "from", 0.2 * end, 0),
-                seconds(f, "to", 0.8 * end, 0),
-                seconds(f, "for", 0.2 * end, 0));
+                readSeconds(f, "from", 0.2 * end, 0),
+                readSeconds(f, "to", 0.8 * end, 0),
+                readSeconds(f, "for", 0.2 * end, 0));
     }
 
-    private void bound(Fields f, String key) {
+    private void readBound(Fields f, String key) {
         String text = f.text(key, "").replace(" ", "");
         String operator =
                 text.startsWith(">=") || text.startsWith("<=")
@@ -695,15 +704,17 @@
                     key,
                     "the verdict has no such figure; it has "
                             + String.join(", ", Verdict.KEYS)
-                            + (knowing == null ? "" : ", " + String.join(", ", Verdict.MEMBERS)));
-        } else if (knowing != null || !Verdict.MEMBERS.contains(key)) {
+                            + (membership == null
+                                    ? ""
+                                    : ", " + String.join(", ", Verdict.MEMBERS)));
+        } else if (membership != null || !Verdict.MEMBERS.contains(key)) {
             bounds.add(
                     new Bound(key, operator, Double.parseDouble(number), operator + " " + number));
         }
     }
 
     /** The name of a backend. */
-    static String backend(int tier, int number) {
+    static String backendId(int tier, int number) {
         return "t" + tier + "b" + number;
     }
 }
--- a/src/main/java/cottonlock/lab/Timeline.java
+++ b/src/main/java/cottonlock/lab/Timeline.java
@@ -18,9 +18,9 @@
      * Seconds that a rolling deployment has each backend leave and be gone, before it goes on to
      * the next.
      */
-    private static final long LEAVING = 2_000_000_000L;
+    private static final long DRAIN_NANOS = 2_000_000_000L;
 
-    private static final long GONE = 500_000_000L;
+    private static final long DOWN_NANOS = 500_000_000L;
 
     /** One fault with the backends it hits, by their names, or the proxies between whom it acts. */
     record Entry(
@@ -50,30 +50,30 @@
                     SignalSeries.TERM);
         }
 
-        String line() {
+        String tsvLine() {
             return String.format(
                             Locale.ROOT,
                             "%.3f\t%.3f\t%s\t%s\t%d\t%.3f",
                             at / 1e6,
                             length / 1e6,
                             kind,
-                            String.join(",", backends) + parted(),
+                            String.join(",", backends) + groupsText(),
                             proxy,
                             amount)
                     + (after.isEmpty() ? "" : "\t" + after);
         }
 
-        private String parted() {
+        private String groupsText() {
             return groups.stream()
                     .map(g -> g.stream().map(p -> "n" + p).collect(Collectors.joining(",")))
                     .collect(Collectors.joining(oneWay ? ">" : "/"));
         }
 
         /** In a few words, for people. */
-        String words() {
+        String label() {
             return kind
                     + (backends.isEmpty()
-                            ? kind.startsWith("proxy") ? " n" + proxy : " " + parted()
+                            ? kind.startsWith("proxy") ? " n" + proxy : " " + groupsText()
                             : backends.size() > 3
                                     ? " of " + backends.size()
                                     : " " + String.join(" ", backends));
@@ -86,26 +86,29 @@
             long seed,
             List<Scenario.Fault> faults,
             Scenario.RandomFaults random,
-            List<String> rooms,
+            List<String> zones,
             List<Scenario.Tier> tiers,
             int proxies) {
-        SplittableRandom chance = new SplittableRandom(~seed);
+        SplittableRandom rng = new SplittableRandom(~seed);
         List<Entry> entries = new ArrayList<>();
         for (Scenario.Fault f : faults) {
-            boolean ofProxies = f.kind().startsWith("proxy");
-            boolean aimless =
-                    f.kind().startsWith("discovery") || f.kind().startsWith("peer") || ofProxies;
-            List<String> hit = aimless ? List.of() : hit(f, rooms, tiers, chance);
-            if (ofProxies) {
+            boolean proxyFault = f.kind().startsWith("proxy");
+            boolean withoutBackends =
+                    f.kind().startsWith("discovery") || f.kind().startsWith("peer") || proxyFault;
+            List<String> targets =
+                    withoutBackends ? List.of() : targetBackends(f, zones, tiers, rng);
+            if (proxyFault) {
                 long at = f.at();
                 for (int proxy :
-                        f.proxies().isEmpty() ? some(proxies, f.count(), chance) : f.proxies()) {
+                        f.proxies().isEmpty()
+                                ? drawProxies(proxies, f.count(), rng)
+                                : f.proxies()) {
                     entries.add(
                             new Entry(
                                     at,
                                     f.length(),
                                     f.kind(),
-                                    hit,
+                                    targets,
                                     proxy,
                                     f.amount(),
                                     List.of(),
@@ -121,7 +124,7 @@
                                 f.at(),
                                 f.length(),
                                 f.kind(),
-                                hit,
+                                targets,
                                 0,
                                 f.amount(),
                                 f.groups(),
@@ -131,10 +134,16 @@
                                 f.series()));
             } else if (f.kind().equals("deploy")) {
                 long at = f.at();
-                for (String backend : hit) {
+                for (String backend : targets) {
                     entries.add(
-                            new Entry(at, LEAVING + GONE, "drain", List.of(backend), 0, LEAVING));
-                    at += Math.max(f.length(), LEAVING + GONE);
+                            new Entry(
+                                    at,
+                                    DRAIN_NANOS + DOWN_NANOS,
+                                    "drain",
+                                    List.of(backend),
+                                    0,
+                                    DRAIN_NANOS));
+                    at += Math.max(f.length(), DRAIN_NANOS + DOWN_NANOS);
                 }
             } else {
                 double amount = f.kind().equals("drain") ? f.length() : f.amount();
@@ -143,7 +152,7 @@
                                 f.at(),
                                 f.length(),
                                 f.kind(),
-                                hit,
+                                targets,
                                 0,
                                 amount,
                                 List.of(),
@@ -154,14 +163,14 @@
             }
         }
         for (int i = 0; i < random.count(); i++) {
-            String kind = random.kinds().get(chance.nextInt(random.kinds().size()));
+            String kind = random.kinds().get(rng.nextInt(random.kinds().size()));
             long span = Math.max(1, random.to() - random.from());
-            long at = random.from() + chance.nextLong(span);
-            int tier = chance.nextInt(tiers.size());
-            String backend = Scenario.backend(tier, chance.nextInt(tiers.get(tier).backends()));
-            double amount = amount(kind, chance.nextDouble());
+            long at = random.from() + rng.nextLong(span);
+            int tier = rng.nextInt(tiers.size());
+            String backend = Scenario.backendId(tier, rng.nextInt(tiers.get(tier).backends()));
+            double amount = amount(kind, rng.nextDouble());
             if (kind.startsWith("proxy") || kind.startsWith("peer")) {
-                List<Integer> drawn = some(proxies, Math.max(1, proxies / 2), chance);
+                List<Integer> drawn = drawProxies(proxies, Math.max(1, proxies / 2), rng);
                 List<Integer> rest = new ArrayList<>();
                 for (int p = 0; p < proxies; p++) {
                     if (!drawn.contains(p)) {
@@ -186,7 +195,7 @@
                                 drawn.get(0),
                                 amount,
                                 groups,
-                                pair && chance.nextBoolean(),
+                                pair && rng.nextBoolean(),
                                 "",
                                 "",
                                 SignalSeries.TERM));
@@ -205,33 +214,30 @@
         return entries;
     }
 
-    private static List<Integer> some(int proxies, int count, SplittableRandom chance) {
-        List<Integer> some = new ArrayList<>();
+    private static List<Integer> drawProxies(int proxies, int count, SplittableRandom rng) {
+        List<Integer> proxyNumbers = new ArrayList<>();
         for (int p = 0; p < proxies; p++) {
-            some.add(p);
+            proxyNumbers.add(p);
         }
-        while (some.size() > count) {
-            some.remove(chance.nextInt(some.size()));
+        while (proxyNumbers.size() > count) {
+            proxyNumbers.remove(rng.nextInt(proxyNumbers.size()));
         }
-        return some;
+        return proxyNumbers;
     }
 
-    private static List<String> hit(
-            Scenario.Fault f,
-            List<String> rooms,
-            List<Scenario.Tier> tiers,
-            SplittableRandom chance) {
+    private static List<String> targetBackends(
+            Scenario.Fault f, List<String> zones, List<Scenario.Tier> tiers, SplittableRandom rng) {
         if (!f.backend().isEmpty()) {
             return List.of(f.backend());
         }
         List<String> all = new ArrayList<>();
         for (int b = 0; b < tiers.get(f.tier()).backends(); b++) {
-            if (f.room().isEmpty() || rooms.get(b % rooms.size()).equals(f.room())) {
-                all.add(Scenario.backend(f.tier(), b));
+            if (f.zone().isEmpty() || zones.get(b % zones.size()).equals(f.zone())) {
+                all.add(Scenario.backendId(f.tier(), b));
             }
         }
         while (f.count() > 0 && all.size() > f.count()) {
-            all.remove(chance.nextInt(all.size()));
+            all.remove(rng.nextInt(all.size()));
         }
         return all;
     }
--- a/src/main/java/cottonlock/lab/Watcher.java
+++ b/src/main/java/cottonlock/lab/Watcher.java
@@ -11,13 +11,13 @@
  * a program that was.
  */
 public final class Watcher {
-    private static final long NAP = 5_000_000L;
+    private static final long SLEEP_NANOS = 5_000_000L;
 
     /** Microseconds: what is later is as bad as this. */
-    private static final long LATEST = 600_000_000L;
+    private static final long MAX_LATE_MICROS = 600_000_000L;
 
     private final Process process;
-    private final Histogram tenths = new Histogram(LATEST, 3);
+    private final Histogram lateMicros = new Histogram(MAX_LATE_MICROS, 3);
 
     /** Starts one; its command is the lab's own. */
     public Watcher(java.nio.file.Path code) throws IOException {
@@ -45,7 +45,9 @@
                                     record(
                                             Math.max(
                                                     0,
-                                                    Math.min(LATEST, Long.parseLong(line.trim()))));
+                                                    Math.min(
+                                                            MAX_LATE_MICROS,
+                                                            Long.parseLong(line.trim()))));
                                 }
                             } catch (IOException | NumberFormatException e) {
                                 // It has been ended.
@@ -57,24 +59,24 @@
     }
 
     private synchronized void record(long micros) {
-        tenths.recordValue(micros);
+        lateMicros.recordValue(micros);
     }
 
     /** What counts begins now. */
     public synchronized void reset() {
-        tenths.reset();
+        lateMicros.reset();
     }
 
     /** Milliseconds by which it woke too late at the worst. */
     public synchronized double worstMs() {
-        return tenths.getMaxValue() / 1_000.0;
+        return lateMicros.getMaxValue() / 1_000.0;
     }
 
     /**
      * Milliseconds by which it woke too late at the worst in that part of all tenths of a second.
      */
     public synchronized double percentileMs(double percentile) {
-        return tenths.getValueAtPercentile(percentile) / 1_000.0;
+        return lateMicros.getValueAtPercentile(percentile) / 1_000.0;
     }
 
     public void end() {
@@ -87,14 +89,14 @@
      */
     public static void main(String[] args) throws IOException {
         long late = 0;
-        int naps = 0;
+        int sleeps = 0;
         long before = System.nanoTime();
         while (!System.out.checkError()) {
-            LockSupport.parkNanos(NAP);
+            LockSupport.parkNanos(SLEEP_NANOS);
             long now = System.nanoTime();
-            late = Math.max(late, (now - before - NAP) / 1_000);
+            late = Math.max(late, (now - before - SLEEP_NANOS) / 1_000);
             before = now;
-            if (++naps % 20 == 0) {
+            if (++sleeps % 20 == 0) {
                 System.out.println(late);
                 late = 0;
                 before = System.nanoTime();
--- a/src/test/java/cottonlock/lab/LabTest.java
+++ b/src/test/java/cottonlock/lab/LabTest.java
@@ -154,9 +154,9 @@
         StringBuilder text =
                 new StringBuilder(MIXED)
                         .append("[clients]\nretries = 1\nleave = 0.05\nkeep = 0.5\n");
-        for (String kind : Scenario.KINDS.keySet()) {
-            String amount = Scenario.KINDS.get(kind);
-            if (!Scenario.OF_PROCESSES.contains(kind)) {
+        for (String kind : Scenario.FAULT_KINDS.keySet()) {
+            String amount = Scenario.FAULT_KINDS.get(kind);
+            if (!Scenario.NEEDS_OWN_PROCESS.contains(kind)) {
                 text.append("[[fault]]\nkind = \"")
                         .append(kind)
                         .append("\"\nat = 0.5\nfor = 1\n")
--- a/src/test/java/cottonlock/lab/ScenarioTest.java
+++ b/src/test/java/cottonlock/lab/ScenarioTest.java
@@ -60,8 +60,10 @@
 
     @Example
     void wordsOfBeforeAreReadAsThoseOfNow() throws Exception {
-        String[][] pairs = {{"rerunnable", "safe"}, {"ticketed", "keyed"}, {"exclusive", "unsafe"}};
-        for (String[] pair : pairs) {
+        String[][] renamedValues = {
+            {"rerunnable", "safe"}, {"ticketed", "keyed"}, {"exclusive", "unsafe"}
+        };
+        for (String[] pair : renamedValues) {
             for (String word : pair) {
                 String text = PLAIN + "repeat = \"" + word + "\"\n";
                 assertEquals(
@@ -167,12 +169,12 @@
                 Arrivals.draw(
                         s.seed,
                         s.length,
-                        s.rooms.size(),
+                        s.zones.size(),
                         s.tenants,
                         s.categories,
                         s.clients,
                         s.bursts),
-                Timeline.draw(s.seed, s.faults, s.random, s.rooms, s.tiers, 1));
+                Timeline.draw(s.seed, s.faults, s.random, s.zones, s.tiers, 1));
         byte[] bytes = Files.readAllBytes(out);
         Files.delete(out);
         return bytes;
