--- a/src/main/java/cottonlock/lab/Chart.java
+++ b/src/main/java/cottonlock/lab/Chart.java
@@ -55,7 +55,7 @@
                                         new Mark(
                                                 fault.at() / 1e9,
                                                 (fault.at() + fault.length()) / 1e9,
-                                                fault.words()))
+                                                fault.label()))
                         .toList());
     }
 
--- a/src/main/java/cottonlock/lab/Page.java
+++ b/src/main/java/cottonlock/lab/Page.java
@@ -261,7 +261,7 @@
                                     + "<td>%s</td></tr>%n",
                             fault.at() / 1e9,
                             fault.length() / 1e9,
-                            Chart.text(fault.words())));
+                            Chart.text(fault.label())));
         }
         page.append("</table>\n");
     }
--- a/src/main/java/cottonlock/lab/Report.java
+++ b/src/main/java/cottonlock/lab/Report.java
@@ -44,7 +44,7 @@
         try (Writer out = Files.newBufferedWriter(file, StandardCharsets.UTF_8)) {
             out.write("# fault: at_ms\tfor_ms\tkind\tbackends\tproxy\tamount\n");
             for (Timeline.Entry fault : faults) {
-                out.write(fault.line() + "\n");
+                out.write(fault.tsvLine() + "\n");
             }
             out.write("# arrival: number\tat_ms\ttenant\tcategory\troom\twork_ms\tdraw\tleaves\n");
             for (int i = 0; i < arrivals.size(); i++) {
@@ -90,7 +90,7 @@
                 json.writeStartObject();
                 json.writeNumberField("at_s", fault.at() / 1e9);
                 json.writeNumberField("for_s", fault.length() / 1e9);
-                json.writeStringField("what", fault.words());
+                json.writeStringField("what", fault.label());
                 json.writeEndObject();
             }
             json.writeEndArray();
