--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -23,50 +23,52 @@
 import java.util.function.LongConsumer;
 
 /**
- * One run of a scenario: builds the stand-ins and the proxies, plays the schedule and the faults,
- * and ends all.
+ * One run of a scenario: creates the stand-ins and the proxies, plays the arrivals and the faults,
+ * and shuts everything down.
  */
 final class Experiment {
-    /** Nanoseconds between the last proxy's start and the first arrival. */
+    /** Nanoseconds between the start of the last proxy and the first arrival. */
     private static final long START_LEAD_NANOS = 300_000_000L;
 
     /**
-     * Nanoseconds that a planned restart's front still sends to the old process (PROTOCOL,
-     * Figures).
+     * Nanoseconds after SIGTERM during which the front still sends new connections to the old
+     * process of a planned restart (PROTOCOL, Figures).
      */
     private static final long FRONT_AFTER_TERM_NANOS = 300_000_000L;
 
-    /** The longest deadline that whoever stops a proxy waits for, and how much longer. */
+    /** The longest deadline that a process manager waits for before it kills a proxy. */
     private static final long MAX_DEADLINE_MILLIS = 3_000;
 
+    /** Milliseconds that it waits in addition to the longest deadline. */
     private static final long KILL_AFTER_DEADLINE_MILLIS = 700;
 
-    /** Nanoseconds that a backend is gone at least before it starts again. */
+    /** Minimum time in nanoseconds that a drained backend is down before it starts again. */
     private static final long MIN_DOWN_NANOS = 500_000_000L;
 
-    /** Descriptors of the program itself, with room to spare. */
+    /** File descriptors that the lab itself needs, with a margin. */
     private static final long OWN_DESCRIPTORS = 300;
 
     /**
-     * Threads that start and end proxies: each start of a process takes half a core for half a
-     * second.
+     * Threads that start and stop proxies. They are few because each start of a process takes half
+     * a core for half a second.
      */
     private static final int PROCESS_THREADS = 6;
 
     /**
-     * Periods after which a view must be right: more than the longest doubt, which is nine by
-     * default.
+     * Protocol periods after which each proxy's view of the members must be correct: more than the
+     * longest suspicion timeout, which is nine periods by default.
      */
     private static final int SETTLE_PERIODS = 14;
 
-    /** Nanoseconds: a starved process runs once in each. */
+    /** Length in nanoseconds of a slice; a starved process runs once in each slice. */
     private static final long STARVE_SLICE_NANOS = 100_000_000L;
 
-    /** Bytes of a process's log that are kept for its report. */
+    /** Largest log of a process, in bytes, that is kept for the report. */
     private static final long MAX_LOG_BYTES = 4 << 20;
 
     /**
-     * Requests a second from which a run is warmed up for: below, compiling keeps up by the way.
+     * Request rate from which the JVM is warmed up before a run; at lower rates the JIT compiler
+     * keeps up during the run.
      */
     private static final double WARM_UP_MIN_REQUESTS_PER_SECOND = 500;
 
@@ -79,14 +81,14 @@
             category = [{name = "c", due_ms = 500, expiry_ms = 500, work_ms = 0.1}]
             """;
 
-    /** One proxy: who calls it, and where it runs, or the baseline that stands in. */
+    /** One proxy or baseline proxy, with its host (null for a baseline) and its caller. */
     private static final class Node {
         final int number;
         final Host host;
         final Caller caller;
         volatile boolean serving;
 
-        /** Of the first tier, whose proxies clients call. */
+        /** Whether it is in the first tier, whose proxies the clients call. */
         final boolean firstTier;
 
         long starts;
@@ -113,14 +115,14 @@
     private final Clients clients;
     private final java.nio.file.Path folder;
 
-    /** Where the proxies of the first tier know one another; null where they don't. */
+    /** Network between the proxies of the first tier; null without membership. */
     private PeerNet peerNet;
 
     private MembersJudge judge;
     private MembersWatch watch;
     private Watcher watcher;
 
-    /** Faults that wait for a moment, by its name. */
+    /** Faults that are scheduled after a moment, by the name of that moment. */
     private final Map<String, List<Timeline.Entry>> waitingFaults = new HashMap<>();
 
     private final Map<String, String> logs = new TreeMap<>();
@@ -132,7 +134,7 @@
     private volatile boolean interrupted;
     private LongConsumer onSecond = second -> {};
 
-    /** Builds it; throws where the machine can't hold it. */
+    /** Creates the stand-ins and proxies; throws if the process's limits are too low for them. */
     Experiment(Scenario scenario) throws IOException, InvalidConfigurationException {
         this.scenario = scenario;
         checkFileDescriptors();
@@ -230,7 +232,7 @@
         return scenario.zones.get(number % scenario.zones.size());
     }
 
-    /** What would run out in the middle of a run is told before it begins. */
+    /** Checks before the run that the file descriptors will not run out during it. */
     private void checkFileDescriptors() throws InvalidConfigurationException {
         if (!(java.lang.management.ManagementFactory.getOperatingSystemMXBean()
                 instanceof com.sun.management.UnixOperatingSystemMXBean system)) {
@@ -254,13 +256,12 @@
         if (needed > available) {
             throw new InvalidConfigurationException(
                     List.of(
-                            "this scenario needs some "
+                            "this scenario needs about "
                                     + needed
-                                    + " file descriptors, and the process may "
-                                    + "have "
+                                    + " file descriptors, but the limit of the process is "
                                     + available
-                                    + ": fewer proxies or backends, a smaller proxy.sockets, or a"
-                                    + " higher limit"));
+                                    + ": use fewer proxies or backends or a smaller proxy.sockets,"
+                                    + " or raise the limit"));
         }
     }
 
@@ -279,7 +280,7 @@
         }
         Node[] nodeRef = new Node[1];
         if (scenario.proxies.policy().equals("direct")) {
-            // No proxy between: what the stand-ins can do by themselves.
+            // Without a proxy in between, to measure what the stand-ins can do by themselves.
             List<InetSocketAddress> addresses = List.copyOf(plainBackendAddresses.values());
             InetSocketAddress target = addresses.get(number % addresses.size());
             nodes.add(
@@ -390,7 +391,10 @@
         return "[membership]\n" + key + scenario.membership.toml();
     }
 
-    /** How a proxy of the first tier reaches the others: by the lab's own addresses of them. */
+    /**
+     * Returns the peer settings of a proxy of the first tier. Its peers' addresses belong to the
+     * lab's network, which forwards the datagrams.
+     */
     private ProxyConfig.PeerSettings peerSettings(int number, int fleet, Host host)
             throws IOException {
         List<String> peers = new ArrayList<>();
@@ -398,7 +402,8 @@
             peers.add(hostAndPort(peerNet.address(p)));
         }
         InetSocketAddress realAddress;
-        // Not held until then: a second socket on it would get a part of what comes.
+        // The port is released here: a second socket bound to it would receive some of the
+        // datagrams.
         try (java.net.DatagramSocket free =
                 new java.net.DatagramSocket(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
@@ -413,12 +418,14 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Told on the loop's thread what second of the load has ended. */
+    /** Sets a listener that is called on the loop's thread at the end of each second of load. */
     void onSecond(LongConsumer listener) {
         onSecond = listener;
     }
 
-    /** From any thread: ends the run early; what was measured until then is reported. */
+    /**
+     * Ends the run early; what was measured until then is reported. May be called from any thread.
+     */
     void interrupt() {
         interrupted = true;
         loop.post(this::finish);
@@ -428,7 +435,7 @@
         return interrupted;
     }
 
-    /** Plays it; returns when all is over and nothing is left behind. */
+    /** Plays the scenario; returns after all proxies have ended and the files are deleted. */
     void play() throws IOException, InterruptedException {
         if (scenario.tenants.stream().mapToDouble(Scenario.TenantPlan::rate).sum()
                 >= WARM_UP_MIN_REQUESTS_PER_SECOND) {
@@ -438,8 +445,8 @@
     }
 
     /**
-     * The stand-ins' code is compiled before it counts: at high rates a slow start alone made runs
-     * fall behind.
+     * Plays a short scenario so that the JIT compiles the stand-ins' code before the measured run.
+     * At high rates, runs fell behind merely because of the slow start.
      */
     private static void warmUp() throws IOException, InterruptedException {
         java.nio.file.Path file = Files.createTempFile("warm-up", ".toml");
@@ -460,7 +467,7 @@
                             try {
                                 loop.run();
                             } catch (IOException | RuntimeException | OutOfMemoryError e) {
-                                failure = "the lab itself failed: " + e;
+                                failure = "internal error in the lab: " + e;
                                 e.printStackTrace();
                             } finally {
                                 loopEnded.countDown();
@@ -512,7 +519,7 @@
         onMoment(node.host == null ? "" : node.host.name() + ".up");
     }
 
-    /** What the timeline may name has happened: faults that wait for it are set. */
+    /** Schedules the faults that wait for this moment, which has just come. */
     private void onMoment(String name) {
         for (Timeline.Entry entry : waitingFaults.getOrDefault(name, List.of())) {
             loop.at(loop.now() + entry.at(), () -> apply(entry));
@@ -521,7 +528,7 @@
     }
 
     private void startLoad() {
-        // Until the proxies have found one another nothing is counted.
+        // The load starts only after the proxies have discovered one another.
         loadStart =
                 loop.now()
                         + START_LEAD_NANOS
@@ -628,7 +635,7 @@
                 Files.delete(file);
             }
         } catch (IOException e) {
-            // What is left of it lies in the system's folder for such files.
+            // Remaining files stay in the system's temporary directory.
         }
     }
 
@@ -725,7 +732,7 @@
                 default -> discoveryFault(entry, end);
             }
         } catch (IOException e) {
-            failure = entry.kind() + " could not be played: " + e.getMessage();
+            failure = entry.kind() + " fault could not be applied: " + e.getMessage();
             finish();
         }
     }
@@ -763,7 +770,7 @@
         }
     }
 
-    /** Something that fails only when the machine has no more sockets. */
+    /** An action that fails only if the machine has run out of sockets. */
     private interface IoAction {
         void run() throws IOException;
     }
@@ -772,7 +779,7 @@
         try {
             action.run();
         } catch (IOException e) {
-            failure = "a fault could not be played: " + e.getMessage();
+            failure = "a fault could not be applied: " + e.getMessage();
             finish();
         }
     }
@@ -841,7 +848,7 @@
                 () -> restart(backend));
     }
 
-    /** The process is stopped where it stands: what it owes meanwhile it can't give. */
+    /** Stops the process with SIGSTOP until the end; meanwhile it cannot answer its requests. */
     private void proxyPause(Node node, long end) {
         setSuspended(node, true);
         signal(node, true);
@@ -854,7 +861,8 @@
     }
 
     /**
-     * Another process of the proxy takes over while this one serves: to the others nothing happens.
+     * Hands the proxy over to a new process while the old one still serves; its peers should notice
+     * nothing.
      */
     private void proxyReplace(Node node) {
         runInBackground(
@@ -899,7 +907,7 @@
         }
     }
 
-    /** It gets only a part of a core: stopped for most of each {@link #STARVE_SLICE_NANOS}. */
+    /** Gives the process only a share of a core, by stopping it for the rest of each slice. */
     private void proxyStarve(Node node, long end, double cpuShare) {
         ledger.stoppedUntil(node.number, end);
         starveSlice(node, end, cpuShare);
@@ -914,7 +922,10 @@
         loop.after(STARVE_SLICE_NANOS, () -> starveSlice(node, end, cpuShare));
     }
 
-    /** Runs a step that waits for processes outside the loop's thread; its failure is dropped. */
+    /**
+     * Runs a step that may block on processes outside the loop's thread; its exceptions are
+     * ignored.
+     */
     private void runInBackground(Callable<?> step) {
         Future<?> unused = processExecutor.submit(step);
     }
@@ -935,8 +946,8 @@
     }
 
     /**
-     * Something befalls the ways between proxies: all, those between groups, or from the first
-     * group on.
+     * Applies a fault to paths between proxies: to all paths, to those between groups, or only to
+     * those from the first group to the others.
      */
     private void startPeerFault(Timeline.Entry entry, long end) {
         if (peerNet == null) {
@@ -991,7 +1002,7 @@
         }
     }
 
-    /** A process of a proxy is killed, and is not there until it is started again. */
+    /** Kills the process of a proxy, which is down until it is started again. */
     private void kill(Node node) {
         node.serving = false;
         if (judge != null && node.firstTier) {
@@ -1017,7 +1028,7 @@
     private void proxyTerm(Node node, long downNanos) {
         clients.gone(node.number, loop.now() + FRONT_AFTER_TERM_NANOS);
         if (node.host == null) {
-            // A baseline has no process: it is only left out by the front.
+            // A baseline has no process: the front only stops using it for a while.
             loop.after(downNanos, () -> clients.back(node.number));
             return;
         }
@@ -1038,8 +1049,8 @@
     }
 
     /**
-     * A process is ended by a series of signals and killed at the earliest moment that it has to
-     * count with; clients go on to use the connections that they have.
+     * Ends a process by a series of signals and kills it at the earliest time after SIGTERM at
+     * which it must expect SIGKILL. Clients continue to use their open connections.
      */
     private void proxyRestart(Node node, SignalSeries series, long downNanos) {
         runInBackground(
@@ -1072,7 +1083,10 @@
                 });
     }
 
-    /** The longest deadline, of three seconds at most, and a little more (DEPLOY). */
+    /**
+     * Returns the milliseconds from SIGTERM to SIGKILL: the longest deadline, at most 3 s, plus a
+     * margin (DEPLOY).
+     */
     private long killAfterMillis() {
         long longest =
                 scenario.categories.stream()
@@ -1101,7 +1115,7 @@
                 });
     }
 
-    /** The figures that the verdict judges. */
+    /** Returns the figures on which the verdict is based. */
     Map<String, Double> figures() {
         Map<String, Double> figures = new TreeMap<>();
         figures.put("service", series.service(-1));
@@ -1144,14 +1158,12 @@
                         : scenario.membership.watchLimitMs());
     }
 
-    /** What each process of a proxy has logged, over its lives. */
+    /** Returns the log of each proxy's processes, across restarts. */
     Map<String, String> logs() {
         return logs;
     }
 
-    /**
-     * What proxies knew of one another, held against what was true; null where they know nothing.
-     */
+    /** Compares the proxies' views of one another with the truth; null without membership. */
     MembersJudge judge() {
         return judge;
     }
@@ -1176,7 +1188,7 @@
         return timeline;
     }
 
-    /** By how much tasks of the stand-ins ran late, in microseconds. */
+    /** Returns how late the tasks of the stand-ins ran, in microseconds. */
     org.HdrHistogram.Histogram late() {
         return loop.late();
     }
--- a/src/main/java/cottonlock/lab/Host.java
+++ b/src/main/java/cottonlock/lab/Host.java
@@ -15,15 +15,15 @@
 import java.util.function.LongFunction;
 
 /**
- * Where one proxy runs: in the lab's own process, or in one of its own as {@code
- * deploy/balancer.toml} starts it. It keeps its address over restarts. All of it may wait, so none
- * of it runs on the loop's thread.
+ * Runs one proxy, either inside the lab's process or in its own process, started as in {@code
+ * deploy/balancer.toml}. The proxy keeps its address across restarts. The methods may block, so
+ * they must not run on the loop's thread.
  */
 final class Host {
-    /** Milliseconds for a process to serve. */
+    /** Milliseconds within which a started process must serve. */
     private static final long START_TIMEOUT_MILLIS = 20_000;
 
-    /** Milliseconds for a planned restart to end by itself. */
+    /** Milliseconds after SIGTERM within which a process must exit; then it is killed. */
     private static final long SHUTDOWN_TIMEOUT_MILLIS = 4_000;
 
     private final String name;
@@ -34,22 +34,28 @@
     private final InetSocketAddress address;
 
     /**
-     * Where operators call it, by turns with each replacement, and the operator's file; null: none.
+     * Reserved ports of the management interface, which alternate with each process hand-over; null
+     * without an operator's file.
      */
     private final Socket[] managementSockets;
 
     private volatile int managementIndex;
+
+    /** Content of the operator's file; null for none. */
     private final String operatorFileText;
+
     private final java.nio.file.Path hangFile;
     private Proxy proxy;
     private Process process;
 
-    /** Milliseconds by which the process's clock is wrong when it starts next. */
+    /** Clock error in milliseconds with which the next process starts. */
     private volatile long clockOffsetMillis;
 
     /**
-     * The configuration is made for the number of the start, from 0; operator's file: null for
-     * none.
+     * Reserves the proxy's ports.
+     *
+     * @param configuration returns the configuration as JSON for the number of a start, from 0
+     * @param operatorFileText content of the operator's file; null for none
      */
     Host(
             String name,
@@ -73,9 +79,9 @@
     }
 
     /**
-     * A port that is this proxy's for the whole run, over its restarts. It is bound but not
-     * listened on: a listener that shares addresses, as the proxy's does, can have it all the same,
-     * and nobody else is given it.
+     * Reserves a port for this proxy during the whole run, across its restarts. The socket is bound
+     * but does not listen: the proxy's listener reuses addresses and so can still bind the port,
+     * and the system assigns it to no other socket.
      */
     private static Socket reservePort() throws IOException {
         Socket socket = new Socket();
@@ -88,7 +94,7 @@
         return address;
     }
 
-    /** Where operators call it now. */
+    /** Returns the current address of the management interface. */
     InetSocketAddress managementAddress() {
         return new InetSocketAddress(
                 InetAddress.getLoopbackAddress(),
@@ -111,7 +117,7 @@
         awaitReady(process, this::healthy);
     }
 
-    /** Waits until it serves. */
+    /** Waits until a started process is ready; throws if it exits or takes too long. */
     private void awaitReady(Process started, BooleanSupplier ready)
             throws IOException, InterruptedException {
         long until = System.nanoTime() + START_TIMEOUT_MILLIS * 1_000_000;
@@ -146,8 +152,8 @@
     }
 
     /**
-     * Another process takes over while this one serves; the old one is told to end once the new one
-     * does.
+     * Starts a new process that takes over while the old one still serves, and terminates the old
+     * one when the new one is ready.
      */
     void replace(long number) throws IOException, InterruptedException {
         Process old;
@@ -188,7 +194,7 @@
         }
     }
 
-    /** Ends it at once, as SIGKILL does. */
+    /** Ends the proxy immediately, as SIGKILL does. */
     synchronized void kill() throws InterruptedException {
         if (proxy != null) {
             proxy.close();
@@ -200,7 +206,7 @@
         }
     }
 
-    /** Ends it as SIGTERM does, and waits for its end. */
+    /** Shuts the proxy down gracefully, as SIGTERM does, and waits until it has ended. */
     void term() throws InterruptedException {
         Proxy draining;
         Process leaving;
@@ -223,9 +229,9 @@
     }
 
     /**
-     * Sends the signals of a series to the process, and kills what is left of it so many
-     * milliseconds after the first SIGTERM.
+     * Sends the signals of a series to the process, and kills it if it has not exited in time.
      *
+     * @param killAfterMillis time from the first SIGTERM to SIGKILL
      * @param beforeTerm called just before the first SIGTERM is sent
      */
     void endBySignals(SignalSeries series, long killAfterMillis, Runnable beforeTerm)
@@ -262,7 +268,7 @@
         new ProcessBuilder("kill", "-" + name, Long.toString(to.pid())).start().waitFor();
     }
 
-    /** Stops the process where it stands, or lets it go on: no signal handler sees either. */
+    /** Suspends or resumes the process by signals; its handlers see neither SIGSTOP nor SIGCONT. */
     synchronized void setStopped(boolean stopped) throws IOException, InterruptedException {
         if (process != null) {
             new ProcessBuilder("kill", stopped ? "-STOP" : "-CONT", Long.toString(process.pid()))
@@ -271,7 +277,7 @@
         }
     }
 
-    /** Its module's thread stands still, or goes on. */
+    /** Blocks the thread of the process's load balancer, or lets it continue. */
     void setHung(boolean hung) throws IOException {
         if (hung) {
             Files.writeString(hangFile, "");
@@ -280,12 +286,12 @@
         }
     }
 
-    /** From its next start on its clock is wrong by so many milliseconds. */
+    /** Sets the clock error with which the process runs from its next start. */
     void setClockOffset(long offsetMillis) {
         clockOffsetMillis = offsetMillis;
     }
 
-    /** Its configuration has changed, as SIGHUP tells. */
+    /** Writes a new configuration and has the proxy reload it, as SIGHUP does. */
     synchronized void reload(long number) throws IOException {
         Files.writeString(folder.resolve(name + ".json"), configuration.apply(number));
         if (proxy != null) {
@@ -296,7 +302,7 @@
         }
     }
 
-    /** For a run that ends: leaves nothing behind. */
+    /** Kills the proxy and releases its ports at the end of a run. */
     synchronized void close() {
         if (process != null) {
             process.destroyForcibly();
@@ -311,7 +317,7 @@
                 managementSockets[1].close();
             }
         } catch (IOException e) {
-            // It is closed all the same.
+            // The socket is closed even if this fails.
         }
     }
 }
--- a/src/main/java/cottonlock/lab/Lab.java
+++ b/src/main/java/cottonlock/lab/Lab.java
@@ -16,36 +16,41 @@
 import java.util.TreeMap;
 
 /**
- * What the command line and the tests use of the lab. Each call returns the exit status of
- * docs/lab.md.
+ * Entry points of the lab for the command line and the tests. Methods that play something return an
+ * exit status as described in docs/lab.md.
  */
 public final class Lab {
-    /** The status of a scenario or an argument that can't be used. */
+    /** Exit status for an invalid scenario or argument, or an I/O error. */
     private static final int EXIT_UNUSABLE = 2;
 
-    /** Milliseconds that an interrupted run has to write its report. */
+    /** Milliseconds that the shutdown hook waits for an interrupted run to write its report. */
     private static final long REPORT_TIMEOUT_MILLIS = 5_000;
 
     private final PrintStream out;
     private final PrintStream err;
     private final boolean progress;
 
-    /** Kept: a logger that nobody holds forgets its level. */
+    /** Kept in a field because a logger without a strong reference loses its level. */
     private final java.util.logging.Logger proxyLogger =
             java.util.logging.Logger.getLogger("cottonlock");
 
-    /** Progress: whether the error stream is a terminal. */
+    /**
+     * Creates a lab that prints to the given streams.
+     *
+     * @param progress whether to show progress, for which the error stream must be a terminal
+     */
     public Lab(PrintStream out, PrintStream err, boolean progress) {
         this.out = out;
         this.err = err;
         this.progress = progress;
-        // Proxies in this process would fill the error stream with what the scenario does to them
-        // on purpose.
+        // Proxies in this process would fill the error stream with warnings about the faults that
+        // the scenario causes.
         proxyLogger.setLevel(java.util.logging.Level.OFF);
     }
 
     /**
-     * Plays how changes of the settings come into force, and writes a file for each size and seed.
+     * Simulates how changes of the settings are rolled out, and writes a file for each size and
+     * seed.
      */
     public int rollout(List<Integer> sizes, List<Long> seeds, String commit, Path folder) {
         try {
@@ -60,7 +65,7 @@
      * Plays one scenario, and prints the verdict as the last line.
      *
      * @param seed null for the scenario's own
-     * @param folder where reports go; null for nowhere
+     * @param folder where reports are written; null for none
      */
     public int run(Path file, Long seed, List<String> sets, Path folder, boolean processes)
             throws InterruptedException {
@@ -117,9 +122,9 @@
             try {
                 Runtime.getRuntime().removeShutdownHook(hook);
             } catch (IllegalStateException e) {
-                // It is being shut down, and the hook waits for this thread.
+                // The JVM is shutting down, and the hook waits for this thread.
                 if (run.interrupted()) {
-                    err.println("ended early");
+                    err.println("the run was interrupted before its end");
                 }
             }
         }
@@ -144,18 +149,18 @@
         err.flush();
     }
 
-    /** Checks a scenario without playing it; throws what is wrong. */
+    /** Checks a scenario without playing it; throws an exception that lists its faults. */
     public static void check(Path file) throws InvalidConfigurationException {
         Scenario.read(file, List.of(), null);
     }
 
-    /** Whether a TOML file is a scenario, by what only scenarios have. */
+    /** Returns whether a TOML file has keys that only scenarios have. */
     public static boolean isScenario(Path file) throws InvalidConfigurationException {
         return ConfigurationDocument.toml(file).has("tier")
                 || ConfigurationDocument.toml(file).has("category");
     }
 
-    /** Puts two reports side by side. */
+    /** Prints the figures of two reports side by side, with their differences. */
     public int compare(Path one, Path other) {
         try {
             Report.Summary a = Report.read(one);
@@ -211,8 +216,8 @@
 
     /**
      * Plays a scenario once for each value of one setting and each seed, and prints a line for each
-     * value. With a folder, the curve goes there as sweep.html, and the reports into folders beside
-     * it.
+     * value. If a folder is given, the charts are written there as sweep.html, and the reports to
+     * subfolders.
      */
     public int sweep(
             Path file,
@@ -281,7 +286,7 @@
         return EXIT_UNUSABLE;
     }
 
-    /** Plays fleets in virtual time; {@link MembersStudy} says what is printed. */
+    /** Simulates membership in virtual time; {@link MembersStudy} describes the output. */
     public int members(
             List<Integer> sizes,
             List<Double> losses,
@@ -310,7 +315,9 @@
         return EXIT_UNUSABLE;
     }
 
-    /** Plays fleets over regions and zones in virtual time, each size with each seed. */
+    /**
+     * Simulates membership across regions and zones in virtual time, for each size with each seed.
+     */
     public int membersOver(
             int regions,
             int zones,
--- a/src/main/java/cottonlock/lab/ProxyConfig.java
+++ b/src/main/java/cottonlock/lab/ProxyConfig.java
@@ -6,11 +6,17 @@
 import java.io.StringWriter;
 import java.util.List;
 
-/** Writes the configuration of one proxy in the platform's form (DEPLOY, What a proxy is told). */
+/**
+ * Writes the configuration of one proxy in the format of the platform (DEPLOY, What a proxy is
+ * told).
+ */
 final class ProxyConfig {
     private ProxyConfig() {}
 
-    /** Where operators call, and how it talks to the others of its tier. */
+    /**
+     * The address of a proxy's management interface, and the addresses for peer messages: its own
+     * and those of all proxies of its tier, among which it has a number.
+     */
     record PeerSettings(String management, String listen, List<String> peers, int proxyNumber) {
         PeerSettings withManagement(String address) {
             return new PeerSettings(address, listen, peers, proxyNumber);
@@ -18,11 +24,11 @@
     }
 
     /**
-     * The configuration as JSON.
+     * Returns the configuration as JSON.
      *
-     * @param known the list of backends as discovery tells it, as JSON
-     * @param fleet how many proxies the tier has
-     * @param talk null where it talks to nobody
+     * @param knownBackends the complete list of backends as discovery sends it, as JSON
+     * @param fleet the number of proxies in the tier
+     * @param peerSettings null without membership
      */
     static String json(
             String name,
--- a/src/main/java/cottonlock/lab/Scenario.java
+++ b/src/main/java/cottonlock/lab/Scenario.java
@@ -15,12 +15,12 @@
 import java.util.TreeMap;
 
 /**
- * A scenario as read from its file, in parts: each part of the lab is given its own. docs/lab.md
- * lists every key with unit, range and default. Times are nanoseconds here, whatever the file's
- * unit is.
+ * A scenario read from its file, split into a record for each part of the lab. docs/lab.md lists
+ * every key with its unit, range and default. Times are nanoseconds here, whatever unit the file
+ * uses.
  */
 final class Scenario {
-    /** What scenarios said for a category's repeat before. */
+    /** Former values of a category's {@code repeat} key, with the current ones. */
     private static final Map<String, String> DEPRECATED_REPEAT_VALUES =
             Map.of("rerunnable", "safe", "ticketed", "keyed", "exclusive", "unsafe");
 
@@ -28,15 +28,20 @@
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** The stand-ins hold a body whole. */
+    /** Limits bodies because the stand-ins hold each body completely in memory. */
     private static final int MAX_BODY_BYTES = 4 << 20;
 
     private static final String NAME_PATTERN = "[A-Za-z0-9._-]{1,40}";
 
-    /** Arrivals of one run, at most: their schedule is held in memory. */
+    /** Most arrivals of one run; limited because their schedule is held in memory. */
     private static final double MAX_ARRIVALS = 5e6;
 
-    /** How the proxies are played. */
+    /**
+     * The proxies and how they run.
+     *
+     * @param processes whether each proxy runs in its own process
+     * @param idle how long a proxy keeps an unused connection
+     */
     record Proxies(
             int count,
             String policy,
@@ -49,7 +54,16 @@
             long connectTimeout,
             long idle) {}
 
-    /** The figures of the four rules. */
+    /**
+     * The parameters of the four rules that the ledger checks.
+     *
+     * @param cold how long a backend warms up after its start
+     * @param coldShare the share of its capacity that it has at its start
+     * @param fall the window over which the work offered to a cold backend is summed
+     * @param fallMultiple the multiple of its current capacity at which it falls over
+     * @param askWithin how long a proxy may go without contacting discovery; after that it counts
+     *     as informed
+     */
     record Rules(
             long grace,
             long drain,
@@ -69,11 +83,11 @@
             int calls,
             boolean reports) {}
 
-    /** One tenant; rate in first sends a second. */
+    /** One tenant; its rate is in requests per second, without retries. */
     record TenantPlan(String name, double share, double quota, double rate) {}
 
     /**
-     * One category; work in core nanoseconds at speed 1.
+     * One request class; its work is in nanoseconds of a core at speed 1.
      *
      * @param upload nanoseconds over which the bodies of its requests are sent, in pieces
      */
@@ -92,7 +106,14 @@
             int bodyBytes,
             long upload) {}
 
-    /** How the clients behave. */
+    /**
+     * How the clients behave.
+     *
+     * @param trace arrival times in nanoseconds from the start
+     * @param keep probability that a connection is used again
+     * @param leave probability that a client leaves before its request's timeout
+     * @param notice how long the front takes to notice that a proxy is down
+     */
     record ClientPlan(
             String arrivals,
             List<Long> trace,
@@ -101,16 +122,17 @@
             double leave,
             long notice) {}
 
-    /** The rate of a tenant, or of all, is so many times the usual for a while. */
+    /** Multiplies the rate of one tenant, or of all if the tenant is empty, for a while. */
     record Burst(long at, long length, double times, String tenant) {}
 
     /**
-     * Something goes wrong at a time, for a while, with an amount that its kind gives a meaning.
+     * A fault with its start, its duration and an amount whose meaning depends on the kind.
      *
-     * @param proxies whom a fault of proxies hits, one {@code every} nanoseconds
-     * @param groups between which a fault of the ways between proxies acts; none: between all
-     * @param oneWay whether from the first group to the others only
-     * @param after the moment that {@code at} counts from; empty: the beginning
+     * @param proxies the proxies that a proxy fault hits; it hits the next one after each {@code
+     *     every} nanoseconds; empty if they are drawn
+     * @param groups the groups of proxies between which a peer fault acts; empty for all paths
+     * @param oneWay whether a peer fault acts only on paths from the first group to the others
+     * @param after the moment from which {@code at} counts; empty for the start of the load
      * @param series the signals of a restart
      */
     record Fault(
@@ -131,12 +153,15 @@
             SignalSeries series) {}
 
     /**
-     * How the proxies know one another; text is the table of the operator's file, keyed: with a
-     * key.
+     * The membership of the proxies.
+     *
+     * @param toml the content of the {@code [membership]} table in the operator's file
+     * @param keyed whether peer messages are authenticated with a key
+     * @param period the protocol period
      */
     record Membership(String toml, boolean keyed, long period, double watchLimitMs) {}
 
-    /** Faults drawn from the seed. */
+    /** Random faults, which are drawn from the seed. */
     record RandomFaults(int count, List<String> kinds, long from, long to, long length) {}
 
     /** A bound on one figure of the verdict. */
@@ -150,7 +175,7 @@
         }
     }
 
-    /** Every kind of fault, with what its amount means; null where it has none. */
+    /** Every kind of fault, with the key of its amount; the key is empty if it has none. */
     static final Map<String, String> FAULT_KINDS =
             new TreeMap<>(
                     Map.ofEntries(
@@ -188,7 +213,7 @@
                             Map.entry("peer-delay", "ms"),
                             Map.entry("peer-forge", "per_second")));
 
-    /** Those that need each proxy in a process of its own. */
+    /** The kinds of fault that need each proxy to run in its own process. */
     static final Set<String> NEEDS_OWN_PROCESS =
             Set.of(
                     "proxy-kill",
@@ -199,7 +224,10 @@
                     "proxy-clock",
                     "proxy-replace");
 
-    /** What the stand-ins can do to make a sound proxy look like one that breaks a rule. */
+    /**
+     * How the stand-ins can misbehave so that a correct proxy appears to break a rule, which checks
+     * that the ledger detects it.
+     */
     static final String[] SABOTAGE = {
         "none", "resend", "ignore-drain", "drop-answer", "wrong-answer", "answer-late", "hide-cold"
     };
@@ -222,10 +250,15 @@
     final String sabotage;
     final long lateLimit;
 
-    /** Null where they don't. */
+    /** Null without membership. */
     final Membership membership;
 
-    /** Reads a scenario with some of its values set anew; a seed of null is the file's. */
+    /**
+     * Reads a scenario.
+     *
+     * @param overrides settings as {@code path=value}, which replace values of the file
+     * @param seed null for the file's own
+     */
     static Scenario read(Path file, List<String> overrides, Long seed)
             throws InvalidConfigurationException {
         ConfigurationDocument doc = ConfigurationDocument.toml(file);
@@ -251,7 +284,7 @@
         sabotage = top.oneOf("sabotage", "none", SABOTAGE);
         zones = top.texts("rooms", List.of("a"));
         if (zones.isEmpty() || new HashSet<>(zones).size() < zones.size()) {
-            top.addFault("rooms", "expected one name or more, each once");
+            top.addFault("rooms", "expected one or more names without duplicates");
         }
         proxies = readProxies(top.table("proxy"));
         membership = readMembership(top, folder);
@@ -268,7 +301,7 @@
                             f.text("tenant", ""));
             if (!burst.tenant.isEmpty()
                     && tenants.stream().noneMatch(t -> t.name.equals(burst.tenant))) {
-                f.addFault("tenant", "there is no tenant " + burst.tenant);
+                f.addFault("tenant", "unknown tenant " + burst.tenant);
             }
             bursts.add(burst);
         }
@@ -281,9 +314,9 @@
         if (rate * times * length / NANOS_PER_SECOND > MAX_ARRIVALS) {
             top.addFault(
                     "seconds",
-                    "expected "
+                    "expected at most "
                             + (long) MAX_ARRIVALS
-                            + " arrivals at most, found some "
+                            + " arrivals, found about "
                             + (long) (rate * times * length / NANOS_PER_SECOND));
         }
         Fields expect = top.table("expect");
@@ -327,7 +360,7 @@
         if (!proxies.processes || !proxies.policy.equals("lanes")) {
             top.addFault(
                     "membership",
-                    "needs proxies in processes of their own: proxy.processes = true");
+                    "requires each proxy to run in its own process: set proxy.processes = true");
         }
         return new Membership(
                 f.toToml(Set.of("watch_limit_ms", "keyed")),
@@ -387,10 +420,12 @@
             tenants.add(t);
         }
         if (tenants.isEmpty()) {
-            top.addFault("tenant", "expected one table [[tenant]] or more");
+            top.addFault("tenant", "expected at least one [[tenant]] table");
         }
         if (shares > 1.001) {
-            top.addFault("tenant", "expected shares of 1 at most together, found " + shares);
+            top.addFault(
+                    "tenant",
+                    "expected the shares of all tenants to total at most 1, found " + shares);
         }
         seen.clear();
         for (Fields f : top.tables("category")) {
@@ -419,14 +454,14 @@
                 f.addFault("name", "stands twice");
             }
             if (c.expiry < c.due) {
-                f.addFault("expiry_ms", "expected no less than due_ms");
+                f.addFault("expiry_ms", "expected a value not less than due_ms");
             }
             categories.add(c);
         }
         if (categories.stream().mapToDouble(CategoryPlan::weight).sum() <= 0) {
             top.addFault(
                     "category",
-                    "expected one table [[category]] or more, with weights above 0 together");
+                    "expected at least one [[category]] table and a total weight above 0");
         }
     }
 
@@ -437,7 +472,7 @@
         if (arrivals.equals("trace")) {
             trace.addAll(readTrace(f, folder.resolve(file)));
         } else if (!file.isEmpty()) {
-            f.addFault("trace", "is read only with arrivals = \"trace\"");
+            f.addFault("trace", "is only used with arrivals = \"trace\"");
         }
         return new ClientPlan(
                 arrivals,
@@ -448,7 +483,7 @@
                 readSeconds(f, "notice_s", 2, 0));
     }
 
-    /** Times of arrival in milliseconds from the start, one a line, in order. */
+    /** Reads a trace: arrival times in milliseconds from the start, one per line, in order. */
     private static List<Long> readTrace(Fields f, Path file) {
         List<Long> times = new ArrayList<>();
         try {
@@ -468,8 +503,8 @@
                             file
                                     + ":"
                                     + (i + 1)
-                                    + ": expected a time in milliseconds, no less than "
-                                    + "the one before, found \""
+                                    + ": expected a time in milliseconds, not less than the"
+                                    + " previous one, found \""
                                     + text
                                     + "\"");
                     break;
@@ -501,16 +536,17 @@
         if (!backend.isEmpty() && !isBackend(backend)) {
             f.addFault(
                     "backend",
-                    "there is no backend "
+                    "unknown backend "
                             + backend
-                            + "; they are called t0b0 to t"
+                            + "; backends are named t0b0 to t"
                             + (tiers.size() - 1)
                             + "b"
                             + (tiers.get(tiers.size() - 1).backends - 1));
         }
         String zone = f.text("room", "");
         if (!zone.isEmpty() && !zones.contains(zone)) {
-            f.addFault("room", "there is no room " + zone + "; known: " + String.join(", ", zones));
+            f.addFault(
+                    "room", "unknown room " + zone + "; known rooms: " + String.join(", ", zones));
         }
         int count = f.integer("count", 0, 0, 2_000);
         double part = f.number("part", 0, 0, 1);
@@ -520,17 +556,19 @@
         if (NEEDS_OWN_PROCESS.contains(kind) && !proxies.processes) {
             f.addFault(
                     "kind",
-                    kind + " needs proxies in processes of their own: proxy.processes = true");
+                    kind
+                            + " requires each proxy to run in its own process: set"
+                            + " proxy.processes = true");
         }
         if ((kind.equals("proxy-hang") || kind.equals("proxy-replace")) && membership == null) {
-            f.addFault("kind", kind + " needs membership.enabled = true");
+            f.addFault("kind", kind + " requires membership.enabled = true");
         }
         String after =
                 f.matching(
                         "after",
                         "",
                         "[A-Za-z0-9-]{1,40}\\.(begin|end|up)",
-                        "the name of a fault or " + "proxy and .begin, .end or .up");
+                        "the name of a fault or proxy followed by .begin, .end or .up");
         long at = readSeconds(f, "at", Double.NaN, 0);
         if (at >= length && f.has("at")) {
             f.addFault("at", "expected a time before the end of the run");
@@ -562,7 +600,7 @@
         return SignalSeries.valueOf(name.toUpperCase(Locale.ROOT));
     }
 
-    /** The proxies that a fault of proxies hits; none where they are drawn. */
+    /** Returns the proxies that a proxy fault hits; empty if they are drawn at random. */
     private List<Integer> readProxyTargets(Fields f, String kind, int count) {
         if (f.has("proxies")) {
             return parseProxyNumbers(f, "proxies", f.text("proxies", ""));
@@ -571,7 +609,7 @@
         return drawn ? List.of() : List.of(f.integer("proxy", 0, 0, proxies.count - 1));
     }
 
-    /** Such as "0-2,5": numbers of proxies, with ranges; or "all". */
+    /** Parses numbers and ranges of proxies such as "0-2,5", or "all". */
     private List<Integer> parseProxyNumbers(Fields f, String key, String text) {
         List<Integer> numbers = new ArrayList<>();
         if (text.equals("all")) {
@@ -584,7 +622,7 @@
             if (!wellFormed || last >= proxies.count || Integer.parseInt(ends[0]) > last) {
                 f.addFault(
                         key,
-                        "expected numbers below "
+                        "expected proxy numbers below "
                                 + proxies.count
                                 + " such as \"0-2,5\", found \""
                                 + text
@@ -598,7 +636,7 @@
         return numbers;
     }
 
-    /** Whom a fault of the ways between proxies parts: groups, or one from others. */
+    /** Returns the groups of proxies between which a peer fault acts; empty for all paths. */
     private List<List<Integer>> readGroups(Fields f, String kind) {
         List<List<Integer>> groups = new ArrayList<>();
         String text = f.text("groups", "");
@@ -619,10 +657,10 @@
                 groups.add(parseProxyNumbers(f, "groups", group));
             }
             if (groups.size() < 2) {
-                f.addFault("groups", "expected two groups or more, such as \"0-3/4-7\"");
+                f.addFault("groups", "expected at least two groups, such as \"0-3/4-7\"");
             }
         } else if (kind.equals("peer-cut") || kind.equals("peer-split")) {
-            f.addFault("kind", kind + " needs parts = 2 or more, or groups such as \"0-3/4-7\"");
+            f.addFault("kind", kind + " requires parts = 2 or more, or groups such as \"0-3/4-7\"");
         }
         return groups;
     }
@@ -667,7 +705,7 @@
             if (!drawn.contains(kind)) {
                 f.addFault(
                         "kinds",
-                        "expected kinds out of "
+                        "expected kinds from the list "
                                 + String.join(", ", new java.util.TreeSet<>(drawn))
                                 + "; found \""
                                 + kind
@@ -678,7 +716,9 @@
             if (NEEDS_OWN_PROCESS.contains(kind) && !proxies.processes) {
                 f.addFault(
                         "kinds",
-                        kind + " needs proxies in processes of their own: proxy.processes = true");
+                        kind
+                                + " requires each proxy to run in its own process: set"
+                                + " proxy.processes = true");
             }
         }
         double end = length / NANOS_PER_SECOND;
@@ -702,7 +742,7 @@
         } else if (!Verdict.KEYS.contains(key) && !Verdict.MEMBERS.contains(key)) {
             f.addFault(
                     key,
-                    "the verdict has no such figure; it has "
+                    "unknown figure of the verdict; known figures: "
                             + String.join(", ", Verdict.KEYS)
                             + (membership == null
                                     ? ""
@@ -713,7 +753,7 @@
         }
     }
 
-    /** The name of a backend. */
+    /** Returns the identifier of a backend in a tier. */
     static String backendId(int tier, int number) {
         return "t" + tier + "b" + number;
     }
--- a/src/main/java/cottonlock/lab/ServeCommand.java
+++ b/src/main/java/cottonlock/lab/ServeCommand.java
@@ -8,22 +8,22 @@
 import java.util.List;
 
 /**
- * How the lab starts processes: {@code serve} as deploy/balancer.toml has it, from where the lab
- * runs.
+ * Builds the command by which the lab starts {@code serve}: with the options of
+ * deploy/balancer.toml, and with the JVM and the code of the lab itself.
  */
 public final class ServeCommand {
     private ServeCommand() {}
 
-    /** The JVM that the lab itself runs on. */
+    /** Returns the path of the JVM that the lab itself runs on. */
     public static String java() {
         return Path.of(System.getProperty("java.home"), "bin", "java").toString();
     }
 
     /**
-     * The command of a process that serves.
+     * Returns the command of a {@code serve} process.
      *
      * @param operators whether it reads an operator's file, for which it needs the libraries
-     * @param options more of the JVM
+     * @param options additional options of the JVM
      */
     public static List<String> of(boolean operators, List<String> options) throws IOException {
         List<String> command = new ArrayList<>(List.of(java()));
@@ -56,7 +56,7 @@
         return command;
     }
 
-    /** The jar or folder that the lab itself runs from. */
+    /** Returns the jar or directory that the lab itself runs from. */
     public static Path code() throws IOException {
         try {
             return Path.of(
--- a/src/main/java/cottonlock/lab/SignalSeries.java
+++ b/src/main/java/cottonlock/lab/SignalSeries.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 
-/** The signals by which a process manager or an operator ends a proxy's process, in their order. */
+/** The sequences of signals by which a process manager or an operator ends a proxy's process. */
 enum SignalSeries {
     /** One SIGTERM. */
     TERM(false, new Step("TERM", 0)),
 
-    /** A second SIGTERM while the first is being carried out. */
+    /** A second SIGTERM while the process shuts down because of the first. */
     TERM_TWICE(false, new Step("TERM", 0), new Step("TERM", 50)),
 
-    /** Two reloads in a row, then two stops. */
+    /** Two reloads (SIGHUP) in a row, then two SIGTERMs. */
     RELOADS_THEN_TERMS(
             false,
             new Step("HUP", 0),
@@ -21,14 +21,14 @@
     /** Reloads while the process shuts down. */
     RELOADS_IN_SHUTDOWN(false, new Step("TERM", 0), new Step("HUP", 200), new Step("HUP", 900)),
 
-    /** A stop, and another one as soon as the process that follows is ready. */
+    /** One SIGTERM, and another to the next process as soon as it is ready. */
     TERM_JUST_AFTER_READY(true, new Step("TERM", 0));
 
     /**
      * One signal.
      *
-     * @param name as {@code kill} takes it
-     * @param afterMillis when it is sent, from the beginning of the series
+     * @param name the signal's name as an argument of {@code kill}
+     * @param afterMillis when it is sent, in milliseconds from the start of the series
      */
     record Step(String name, long afterMillis) {
         boolean isTerm() {
@@ -48,7 +48,7 @@
         return steps;
     }
 
-    /** Whether the process that is started next gets one SIGTERM as soon as it is ready. */
+    /** Returns whether the next process gets one SIGTERM as soon as it is ready. */
     boolean againWhenReady() {
         return againWhenReady;
     }
--- a/src/main/java/cottonlock/lab/Timeline.java
+++ b/src/main/java/cottonlock/lab/Timeline.java
@@ -9,20 +9,21 @@
 import java.util.stream.Collectors;
 
 /**
- * What goes wrong when, to whom: the scenario's faults and those drawn from the seed, before the
- * run begins.
+ * Schedules the faults of a run before it starts: those listed in the scenario and those drawn from
+ * the seed.
  */
 @Deterministic
 final class Timeline {
-    /**
-     * Seconds that a rolling deployment has each backend leave and be gone, before it goes on to
-     * the next.
-     */
+    /** Nanoseconds for which a rolling deployment drains each backend before it ends. */
     private static final long DRAIN_NANOS = 2_000_000_000L;
 
+    /** Nanoseconds for which a backend is then down, before the deployment continues. */
     private static final long DOWN_NANOS = 500_000_000L;
 
-    /** One fault with the backends it hits, by their names, or the proxies between whom it acts. */
+    /**
+     * One scheduled fault, with the identifiers of the backends or the number of the proxy that it
+     * hits, or the groups of proxies between which it acts.
+     */
     record Entry(
             long at,
             long length,
@@ -69,7 +70,7 @@
                     .collect(Collectors.joining(oneWay ? ">" : "/"));
         }
 
-        /** In a few words, for people. */
+        /** Returns a short description for the report. */
         String label() {
             return kind
                     + (backends.isEmpty()
@@ -242,7 +243,7 @@
         return all;
     }
 
-    /** What is usual of a kind when it goes wrong, from mild to bad. */
+    /** Returns a typical amount for a kind of fault, from mild at a draw of 0 to severe at 1. */
     private static double amount(String kind, double draw) {
         return switch (kind) {
             case "slow" -> 2 + 8 * draw;
--- a/src/main/java/cottonlock/lab/Watcher.java
+++ b/src/main/java/cottonlock/lab/Watcher.java
@@ -7,19 +7,19 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A process that does nothing but measure its own lateness: so a machine that was late is told from
- * a program that was.
+ * Runs a process that only measures how late it wakes up, to distinguish a delay of the machine
+ * from a delay of the program under test.
  */
 public final class Watcher {
     private static final long SLEEP_NANOS = 5_000_000L;
 
-    /** Microseconds: what is later is as bad as this. */
+    /** Upper limit of recorded delays in microseconds; longer ones are recorded as this. */
     private static final long MAX_LATE_MICROS = 600_000_000L;
 
     private final Process process;
     private final Histogram lateMicros = new Histogram(MAX_LATE_MICROS, 3);
 
-    /** Starts one; its command is the lab's own. */
+    /** Starts the process on the lab's own JVM; code is the jar or directory of the lab. */
     public Watcher(java.nio.file.Path code) throws IOException {
         String command =
                 java.nio.file.Path.of(System.getProperty("java.home"), "bin", "java").toString();
@@ -50,7 +50,7 @@
                                                             Long.parseLong(line.trim()))));
                                 }
                             } catch (IOException | NumberFormatException e) {
-                                // It has been ended.
+                                // The process has been killed.
                             }
                         },
                         "watcher");
@@ -62,18 +62,19 @@
         lateMicros.recordValue(micros);
     }
 
-    /** What counts begins now. */
+    /** Discards what was recorded so far; the measurement starts now. */
     public synchronized void reset() {
         lateMicros.reset();
     }
 
-    /** Milliseconds by which it woke too late at the worst. */
+    /** Returns the longest delay of a wake-up, in milliseconds. */
     public synchronized double worstMs() {
         return lateMicros.getMaxValue() / 1_000.0;
     }
 
     /**
-     * Milliseconds by which it woke too late at the worst in that part of all tenths of a second.
+     * Returns a percentile, in milliseconds, of the longest delays in each interval of a tenth of a
+     * second.
      */
     public synchronized double percentileMs(double percentile) {
         return lateMicros.getValueAtPercentile(percentile) / 1_000.0;
@@ -84,8 +85,8 @@
     }
 
     /**
-     * The process: naps, and writes each tenth of a second by how many microseconds it woke too
-     * late.
+     * Entry point of the process: sleeps repeatedly, and prints after each tenth of a second the
+     * longest delay of a wake-up in microseconds.
      */
     public static void main(String[] args) throws IOException {
         long late = 0;
--- a/src/main/java/cottonlock/lab/package-info.java
+++ b/src/main/java/cottonlock/lab/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Plays a scenario with real proxies on loopback: stand-ins of discovery, backends, clients and the
- * network, a ledger of every byte they see, and reports. Used by tests and the command line, never
- * by {@code serve}.
+ * Plays scenarios with real proxies on loopback: stand-ins for discovery, backends, clients and the
+ * network, a ledger of all messages that they exchange with the proxies, and reports. Used by tests
+ * and the command line, never by {@code serve}.
  *
- * <p>All stand-ins live on one thread, a {@link cottonlock.lab.Loop}, and so need no locks; what
- * they decide stands in classes free of I/O, marked {@link cottonlock.core.Deterministic}.
- * docs/lab.md says why.
+ * <p>All stand-ins run on one thread, a {@link cottonlock.lab.Loop}, and so need no locks; their
+ * decisions are made in classes without I/O, marked {@link cottonlock.core.Deterministic}.
+ * docs/lab.md gives the reasons.
  */
 package cottonlock.lab;
--- a/src/test/java/cottonlock/lab/ScenarioTest.java
+++ b/src/test/java/cottonlock/lab/ScenarioTest.java
@@ -94,7 +94,7 @@
                 List.of(
                         "F:6: tier.0.backend: unknown key; did you mean backends?",
                         "F:10: tenant.0.rate: expected a number from 0 to 1000000, found -1",
-                        "F:19: fault.0.backend: there is no backend t0b9; they are called t0b0 to"
+                        "F:19: fault.0.backend: unknown backend t0b9; backends are named t0b0 to"
                                 + " t0b0"),
                 faults.subList(0, 3));
         assertTrue(
@@ -117,8 +117,8 @@
                         .anyMatch(
                                 f ->
                                         f.startsWith(
-                                                "F:25: expect.servise: the verdict has no "
-                                                        + "such")));
+                                                "F:25: expect.servise: unknown figure of the "
+                                                        + "verdict; known figures: ")));
     }
 
     @Example
@@ -144,7 +144,7 @@
         assertTrue(
                 faults(PLAIN + "[[fault]]\nkind = \"proxy-kill\"\nat = 1\n")
                         .get(0)
-                        .contains("proxy-kill needs proxies in processes of their own"));
+                        .contains("proxy-kill requires each proxy to run in its own process"));
     }
 
     @Example
