--- a/src/test/java/cottonlock/lab/LabTest.java
+++ b/src/test/java/cottonlock/lab/LabTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Whole runs, real proxies on real sockets, each of a few seconds. */
+/** Complete runs of a few seconds each, with real proxies on real sockets. */
 class LabTest {
     private static final String MIXED =
             ScenarioTest.PLAIN.replace("rate = 100", "rate = 250")
@@ -41,7 +41,7 @@
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
     private final Lab lab = new Lab(new PrintStream(out, true), new PrintStream(err, true), false);
 
-    /** Plays it; a machine that is too busy for a verdict is given two more tries. */
+    /** Plays a scenario; repeats it up to twice if the machine is too busy for a verdict. */
     private int run(String text, Path folder, String... sets) throws Exception {
         List<String> all = new ArrayList<>(List.of("late_limit_ms=100"));
         all.addAll(List.of(sets));
@@ -64,7 +64,7 @@
     }
 
     @Example
-    void aCalmRunPassesAndLeavesItsReports() throws Exception {
+    void runWithDrainPassesAndWritesItsReports() throws Exception {
         Path folder = Files.createTempDirectory("lab");
         assertEquals(0, run(MIXED + DRAIN, folder), verdict() + err);
         assertTrue(
@@ -81,7 +81,7 @@
         String page = Files.readString(folder.resolve("report.html"));
         assertTrue(
                 page.contains("<svg") && !page.contains("http") && !page.contains("<script"),
-                "stands by itself");
+                "the page loads nothing and has no scripts");
         byte[] schedule = Files.readAllBytes(folder.resolve("schedule.tsv"));
         assertEquals(0, run(MIXED + DRAIN, folder), verdict() + err);
         assertArrayEquals(schedule, Files.readAllBytes(folder.resolve("schedule.tsv")));
@@ -93,9 +93,9 @@
                 err.toString(UTF_8).contains("expected a report of version 1 or older, found 2"));
     }
 
-    /** Each way to break a rule is seen as that rule, on real sockets with a real proxy between. */
+    /** Each misbehaviour of the stand-ins is counted as a breach of the right rule. */
     @Example
-    void everyBreachIsSeenAndNamed() throws Exception {
+    void everyBreachIsDetectedAndNamed() throws Exception {
         String[][] breaches = {
             {"resend", "twice"},
             {"ignore-drain", "drains"},
@@ -114,9 +114,12 @@
         }
     }
 
-    /** A proxy that is not told that a backend is cold pushes it over; told, it does not. */
+    /**
+     * A cold backend falls over if its start is hidden from the proxies; otherwise they limit its
+     * load.
+     */
     @Example
-    void aColdBackendFallsOnlyWhereItsStartIsHidden() throws Exception {
+    void coldBackendFallsOverOnlyIfItsStartIsHidden() throws Exception {
         String text =
                 MIXED.replace("rate = 250", "rate = 300").replace("work_ms = 2", "work_ms = 14")
                         + "[[fault]]\n"
@@ -136,7 +139,7 @@
     }
 
     @Example
-    void aBoundThatDoesNotHoldFailsAndBaselinesPlayTheSame() throws Exception {
+    void unmetBoundFailsAndBaselinePoliciesPass() throws Exception {
         assertEquals(1, run(MIXED + "[expect]\np50_ms = \"<= 0.1\"\n", null));
         assertTrue(out.toString(UTF_8).contains("expected p50_ms <= 0.1, found "));
         for (String policy : List.of("random", "least", "round")) {
@@ -146,11 +149,10 @@
     }
 
     /**
-     * All that can go wrong at once, with many backends and with few: each request is answered all
-     * the same.
+     * Each request is answered although all faults act at once, with many backends and with few.
      */
     @Example
-    void everyFaultCanBePlayedAndEndsWithEachRequestAnswered() throws Exception {
+    void everyRequestIsAnsweredUnderAllFaultsAtOnce() throws Exception {
         StringBuilder text =
                 new StringBuilder(MIXED)
                         .append("[clients]\nretries = 1\nleave = 0.05\nkeep = 0.5\n");
@@ -193,7 +195,7 @@
     }
 
     @Example
-    void aSweepPlaysEachValueAndDrawsItsCurve() throws Exception {
+    void sweepPlaysEachValueAndDrawsItsCurve() throws Exception {
         Path folder = Files.createTempDirectory("lab");
         assertEquals(
                 0,
@@ -224,11 +226,11 @@
     }
 
     @Example
-    void anInterruptedRunStillWritesItsReport() throws Exception {
+    void interruptedRunStillWritesItsReport() throws Exception {
         Experiment run =
                 new Experiment(
                         Scenario.read(ScenarioTest.file(MIXED), List.of("seconds=60"), null));
-        Thread later =
+        Thread interrupter =
                 new Thread(
                         () -> {
                             try {
@@ -238,22 +240,19 @@
                                 Thread.currentThread().interrupt();
                             }
                         });
-        later.start();
+        interrupter.start();
         long from = System.nanoTime();
         run.play();
-        assertTrue(System.nanoTime() - from < 15e9, "it ends soon");
+        assertTrue(System.nanoTime() - from < 15e9, "the run ends within 15 s");
         Path folder = Files.createTempDirectory("lab");
         Report.write(folder, run, run.verdict());
         assertTrue(
                 Files.readString(folder.resolve("report.json")).contains("\"interrupted\" : true"));
     }
 
-    /**
-     * The stand-ins' network does to a connection what a fault says; connects to a walled-up door
-     * never come up.
-     */
+    /** Connection attempts to a blocked address time out, and succeed after it is opened again. */
     @Example
-    void aWalledUpDoorLetsNobodyInAndAnOpenOneAgain() throws Exception {
+    void connectionsTimeOutWhileTheAddressIsBlocked() throws Exception {
         Loop loop = new Loop();
         Conn.Owner owner =
                 new Conn.Owner() {
@@ -277,7 +276,7 @@
                             }
                         });
         thread.start();
-        assertTrue(comesUp(door));
+        assertTrue(canConnect(door));
         loop.post(
                 () -> {
                     try {
@@ -287,7 +286,7 @@
                     }
                 });
         Thread.sleep(100);
-        assertTrue(!comesUp(door), "nobody answers the door");
+        assertTrue(!canConnect(door), "a connection attempt to a blocked address times out");
         loop.post(
                 () -> {
                     try {
@@ -297,14 +296,14 @@
                     }
                 });
         Thread.sleep(100);
-        assertTrue(comesUp(door));
+        assertTrue(canConnect(door));
         loop.stop();
         thread.join();
         door.shut();
         loop.close();
     }
 
-    private static boolean comesUp(Door door) throws IOException {
+    private static boolean canConnect(Door door) throws IOException {
         try (java.net.Socket socket = new java.net.Socket()) {
             socket.connect(door.address(), 300);
             return true;
--- a/src/test/java/cottonlock/lab/ScenarioTest.java
+++ b/src/test/java/cottonlock/lab/ScenarioTest.java
@@ -20,7 +20,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Scenario files, and all that a seed decides before a run begins. */
+/** Reading of scenario files, and schedules that depend only on the seed. */
 class ScenarioTest {
     static final String PLAIN =
             """
@@ -59,7 +59,7 @@
     }
 
     @Example
-    void wordsOfBeforeAreReadAsThoseOfNow() throws Exception {
+    void formerRepeatValuesAreReadAsCurrentOnes() throws Exception {
         String[][] renamedValues = {
             {"rerunnable", "safe"}, {"ticketed", "keyed"}, {"exclusive", "unsafe"}
         };
@@ -75,7 +75,7 @@
     }
 
     @Example
-    void allFaultsAreToldAtOnceWithLineKeyAndWhatWasExpected() throws Exception {
+    void allFaultsAreReportedAtOnceWithLineKeyAndExpectation() throws Exception {
         List<String> faults =
                 faults(
                         PLAIN.replace("backends = 3", "backend = 3")
@@ -122,7 +122,7 @@
     }
 
     @Example
-    void whatIsSetOnTheCommandLineIsCheckedAlike() throws Exception {
+    void overridesFromTheCommandLineAreValidated() throws Exception {
         assertEquals(
                 List.of("--set proxy.cuont=3: proxy.cuont: unknown key; did you mean count?"),
                 faults(PLAIN, "proxy.cuont=3"));
@@ -148,7 +148,7 @@
     }
 
     @Example
-    void oneSeedGivesTheSameScheduleByteByByte() throws Exception {
+    void sameSeedGivesAnIdenticalSchedule() throws Exception {
         String text =
                 PLAIN
                         + "[random_faults]\ncount = 5\nkinds = [\"slow\", \"drain\", \"garble\"]\n"
@@ -181,7 +181,7 @@
     }
 
     @Example
-    void arrivalsKeepTheirRatesBurstsAndTraces() throws Exception {
+    void arrivalsFollowRatesBurstsAndTraces() throws Exception {
         Scenario s =
                 Scenario.read(
                         file(PLAIN + "[[burst]]\nat = 50\nfor = 25\ntimes = 3\n"),
@@ -191,7 +191,7 @@
                 Arrivals.draw(9, s.length, 2, s.tenants, s.categories, s.clients, s.bursts);
         long calm = all.stream().filter(a -> a.at() < 50e9).count();
         long burst = all.stream().filter(a -> a.at() >= 50e9 && a.at() < 75e9).count();
-        // Poisson: five spreads each way.
+        // Poisson arrivals: within five standard deviations.
         assertTrue(
                 Math.abs(calm - 5_000) < 5 * Math.sqrt(5_000), calm + " in 50 s at 100 a second");
         assertTrue(
@@ -212,9 +212,9 @@
                         .toList());
     }
 
-    /** Messages come out whole and in order, in whatever pieces their bytes come in. */
+    /** Messages are read completely and in order, however their bytes are split. */
     @Property(seed = "20261201", tries = 200)
-    void messagesAreReadInAnyPieces(@ForAll long seed) throws Exception {
+    void messagesAreReadFromArbitraryFragments(@ForAll long seed) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         List<String> bodies = new ArrayList<>();
@@ -241,9 +241,11 @@
         assertTrue(in.atRest());
     }
 
-    /** A file of any bytes gives a scenario or says what is wrong, and nothing else. */
+    /**
+     * Reading a corrupted file returns a scenario or lists the faults; it never throws otherwise.
+     */
     @Property(seed = "20261201", tries = 300)
-    void mutatedFilesAreRefusedInWords(@ForAll long seed) throws Exception {
+    void mutatedFilesAreReadOrRejectedWithAMessage(@ForAll long seed) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         byte[] bytes = PLAIN.getBytes(UTF_8);
         for (int i = 0; i < 1 + random.nextInt(4); i++) {
