--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -208,10 +208,10 @@
             callers.add(addNode(0, zones.length, rng.split()).caller);
         }
         for (int t = 1; t < scenario.tiers.size(); t++) {
-            int before = scenario.tiers.get(t - 1).backends();
-            for (int b = 0; b < before; b++) {
+            int callingBackends = scenario.tiers.get(t - 1).backends();
+            for (int b = 0; b < callingBackends; b++) {
                 Backend backend = backends.get(Scenario.backendId(t - 1, b));
-                Node node = addNode(t, before, rng.split());
+                Node node = addNode(t, callingBackends, rng.split());
                 backend.next = node.caller;
                 backend.died = () -> kill(node);
                 ownProxies.put(backend.id, node);
@@ -964,13 +964,13 @@
             for (int b = 0; b < n; b++) {
                 int fromGroup = groupOf(groups, a);
                 int toGroup = groupOf(groups, b);
-                boolean peerAffected =
+                boolean pathAffected =
                         groups.isEmpty()
                                 || (fromGroup >= 0
                                         && toGroup >= 0
                                         && fromGroup != toGroup
                                         && (!entry.oneWay() || fromGroup == 0));
-                if (a != b && peerAffected) {
+                if (a != b && pathAffected) {
                     applyPathFault(entry, a, b, active);
                 }
             }
@@ -1076,7 +1076,7 @@
                 () -> {
                     start(node);
                     loop.post(node.caller::restarted);
-                    if (series.againWhenReady()) {
+                    if (series.termsNextWhenReady()) {
                         proxyRestart(node, SignalSeries.TERM, downNanos);
                     }
                     return null;
--- a/src/main/java/cottonlock/lab/SignalSeries.java
+++ b/src/main/java/cottonlock/lab/SignalSeries.java
@@ -36,11 +36,11 @@
         }
     }
 
-    private final boolean againWhenReady;
+    private final boolean termsNextWhenReady;
     private final List<Step> steps;
 
-    SignalSeries(boolean againWhenReady, Step... steps) {
-        this.againWhenReady = againWhenReady;
+    SignalSeries(boolean termsNextWhenReady, Step... steps) {
+        this.termsNextWhenReady = termsNextWhenReady;
         this.steps = List.of(steps);
     }
 
@@ -49,7 +49,7 @@
     }
 
     /** Returns whether the next process gets one SIGTERM as soon as it is ready. */
-    boolean againWhenReady() {
-        return againWhenReady;
+    boolean termsNextWhenReady() {
+        return termsNextWhenReady;
     }
 }
--- a/src/test/java/cottonlock/lab/LabTest.java
+++ b/src/test/java/cottonlock/lab/LabTest.java
@@ -174,15 +174,16 @@
                         .append(amount.isEmpty() ? "" : amount.equals("chance") ? "0.2\n" : "50\n");
             }
         }
-        for (String[] play : new String[][] {{"8", "1"}, {"2", "2"}, {"1", "3"}}) {
+        for (String[] variant : new String[][] {{"8", "1"}, {"2", "2"}, {"1", "3"}}) {
             int status =
                     run(
                             text.toString(),
                             null,
                             "seconds=3",
-                            "tier.0.backends=" + play[0],
-                            "seed=" + play[1]);
-            assertEquals(0, status, String.join(" backends, seed ", play) + ": " + out + " " + err);
+                            "tier.0.backends=" + variant[0],
+                            "seed=" + variant[1]);
+            assertEquals(
+                    0, status, String.join(" backends, seed ", variant) + ": " + out + " " + err);
         }
     }
 
