--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -81,7 +81,10 @@
             category = [{name = "c", due_ms = 500, expiry_ms = 500, work_ms = 0.1}]
             """;
 
-    /** One proxy or baseline proxy, with its host (null for a baseline) and its caller. */
+    /**
+     * One proxy with its host and its caller. The host is null for a baseline policy and for calls
+     * without a proxy.
+     */
     private static final class Node {
         final int number;
         final Host host;
--- a/src/main/java/cottonlock/lab/Lab.java
+++ b/src/main/java/cottonlock/lab/Lab.java
@@ -16,7 +16,7 @@
 import java.util.TreeMap;
 
 /**
- * Entry points of the lab for the command line and the tests. Methods that play something return an
+ * Entry points of the lab for the command line and the tests. Methods that return an int return an
  * exit status as described in docs/lab.md.
  */
 public final class Lab {
--- a/src/main/java/cottonlock/lab/ServeCommand.java
+++ b/src/main/java/cottonlock/lab/ServeCommand.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * Builds the command by which the lab starts {@code serve}: with the options of
- * deploy/balancer.toml, and with the JVM and the code of the lab itself.
+ * Builds the command by which the lab starts {@code serve}: as in deploy/balancer.toml, but with
+ * the JVM and the code of the lab itself.
  */
 public final class ServeCommand {
     private ServeCommand() {}
