--- a/src/main/java/cottonlock/lab/Host.java
+++ b/src/main/java/cottonlock/lab/Host.java
@@ -15,67 +15,75 @@
 import java.util.function.LongFunction;
 
 /**
- * Where one proxy runs: in the lab's own process, or in one of its own as {@code
- * deploy/balancer.toml} starts it. It keeps its address over restarts. All of it may wait, so none
- * of it runs on the loop's thread.
+ * Runs one proxy, either inside the lab's process or in its own process, started as in {@code
+ * deploy/balancer.toml}. The proxy keeps its address across restarts. The methods may block, so
+ * they must not run on the loop's thread.
  */
 final class Host {
-    /** Milliseconds for a process to serve. */
-    private static final long START = 20_000;
+    /** Milliseconds within which a started process must serve. */
+    private static final long START_TIMEOUT_MILLIS = 20_000;
 
-    /** Milliseconds for a planned restart to end by itself. */
-    private static final long LEAVE = 4_000;
+    /** Milliseconds after SIGTERM within which a process must exit; then it is killed. */
+    private static final long SHUTDOWN_TIMEOUT_MILLIS = 4_000;
 
     private final String name;
-    private final boolean own;
+    private final boolean ownProcess;
     private final java.nio.file.Path folder;
     private final LongFunction<String> configuration;
-    private final Socket reserved;
+    private final Socket addressSocket;
     private final InetSocketAddress address;
 
     /**
-     * Where operators call it, by turns with each replacement, and the operator's file; null: none.
+     * Reserved ports of the management interface, which alternate with each process hand-over; null
+     * without an operator's file.
      */
-    private final Socket[] reservedForCalls;
+    private final Socket[] managementSockets;
 
-    private volatile int turn;
-    private final String operator;
-    private final java.nio.file.Path hang;
+    private volatile int managementIndex;
+
+    /** Content of the operator's file; null for none. */
+    private final String operatorFileText;
+
+    private final java.nio.file.Path hangFile;
     private Proxy proxy;
     private Process process;
 
-    /** Milliseconds by which the process's clock is wrong when it starts next. */
-    private volatile long clockOff;
+    /** Clock error in milliseconds with which the next process starts. */
+    private volatile long clockOffsetMillis;
 
     /**
-     * The configuration is made for the number of the start, from 0; operator's file: null for
-     * none.
+     * Reserves the proxy's ports.
+     *
+     * @param configuration returns the configuration as JSON for the number of a start, from 0
+     * @param operatorFileText content of the operator's file; null for none
      */
     Host(
             String name,
-            boolean own,
+            boolean ownProcess,
             java.nio.file.Path folder,
             LongFunction<String> configuration,
-            String operator)
+            String operatorFileText)
             throws IOException {
         this.name = name;
-        this.own = own;
+        this.ownProcess = ownProcess;
         this.folder = folder;
         this.configuration = configuration;
-        this.reserved = reserve();
+        this.addressSocket = reservePort();
         this.address =
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), reserved.getLocalPort());
-        this.operator = operator;
-        this.reservedForCalls = operator == null ? null : new Socket[] {reserve(), reserve()};
-        this.hang = folder.resolve(name + ".hang");
+                new InetSocketAddress(
+                        InetAddress.getLoopbackAddress(), addressSocket.getLocalPort());
+        this.operatorFileText = operatorFileText;
+        this.managementSockets =
+                operatorFileText == null ? null : new Socket[] {reservePort(), reservePort()};
+        this.hangFile = folder.resolve(name + ".hang");
     }
 
     /**
-     * A port that is this proxy's for the whole run, over its restarts. It is bound but not
-     * listened on: a listener that shares addresses, as the proxy's does, can have it all the same,
-     * and nobody else is given it.
+     * Reserves a port for this proxy during the whole run, across its restarts. The socket is bound
+     * but does not listen: the proxy's listener reuses addresses and so can still bind the port,
+     * and the system assigns it to no other socket.
      */
-    private static Socket reserve() throws IOException {
+    private static Socket reservePort() throws IOException {
         Socket socket = new Socket();
         socket.setReuseAddress(true);
         socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -86,10 +94,11 @@
         return address;
     }
 
-    /** Where operators call it now. */
-    InetSocketAddress calledAt() {
+    /** Returns the current address of the management interface. */
+    InetSocketAddress managementAddress() {
         return new InetSocketAddress(
-                InetAddress.getLoopbackAddress(), reservedForCalls[turn].getLocalPort());
+                InetAddress.getLoopbackAddress(),
+                managementSockets[managementIndex].getLocalPort());
     }
 
     String name() {
@@ -99,20 +108,20 @@
     synchronized void start(long number) throws IOException, InterruptedException {
         java.nio.file.Path file = folder.resolve(name + ".json");
         Files.writeString(file, configuration.apply(number));
-        if (!own) {
+        if (!ownProcess) {
             proxy = new Proxy(file);
             return;
         }
-        Files.deleteIfExists(hang);
+        Files.deleteIfExists(hangFile);
         process = launch();
-        awaited(process, this::healthy);
+        awaitReady(process, this::healthy);
     }
 
-    /** Waits until it serves. */
-    private void awaited(Process started, BooleanSupplier serves)
+    /** Waits until a started process is ready; throws if it exits or takes too long. */
+    private void awaitReady(Process started, BooleanSupplier ready)
             throws IOException, InterruptedException {
-        long until = System.nanoTime() + START * 1_000_000;
-        while (!serves.getAsBoolean()) {
+        long until = System.nanoTime() + START_TIMEOUT_MILLIS * 1_000_000;
+        while (!ready.getAsBoolean()) {
             if (!started.isAlive() || System.nanoTime() > until) {
                 throw new IOException(
                         name
@@ -128,10 +137,10 @@
         ProcessBuilder builder = new ProcessBuilder(command());
         builder.environment().put("EDGE_CONFIG", file.toString());
         builder.environment().remove("COTTONLOCK_OPERATOR");
-        if (operator != null) {
-            java.nio.file.Path asked = folder.resolve(name + ".toml");
-            Files.writeString(asked, operator);
-            builder.environment().put("COTTONLOCK_OPERATOR", asked.toString());
+        if (operatorFileText != null) {
+            java.nio.file.Path operatorFile = folder.resolve(name + ".toml");
+            Files.writeString(operatorFile, operatorFileText);
+            builder.environment().put("COTTONLOCK_OPERATOR", operatorFile.toString());
             builder.environment()
                     .put(
                             "TMPDIR",
@@ -143,32 +152,33 @@
     }
 
     /**
-     * Another process takes over while this one serves; the old one is told to end once the new one
-     * does.
+     * Starts a new process that takes over while the old one still serves, and terminates the old
+     * one when the new one is ready.
      */
     void replace(long number) throws IOException, InterruptedException {
         Process old;
         synchronized (this) {
             old = process;
-            turn = 1 - turn;
+            managementIndex = 1 - managementIndex;
             Files.writeString(folder.resolve(name + ".json"), configuration.apply(number));
             process = launch();
-            awaited(process, () -> "ACK\n".equals(MembersWatch.ask(calledAt(), "HEALTH")));
+            awaitReady(
+                    process, () -> "ACK\n".equals(MembersWatch.ask(managementAddress(), "HEALTH")));
         }
         old.destroy();
-        if (!old.waitFor(LEAVE, TimeUnit.MILLISECONDS)) {
+        if (!old.waitFor(SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
             old.destroyForcibly();
         }
     }
 
     private List<String> command() throws IOException {
         return ServeCommand.of(
-                operator != null,
-                operator == null
+                operatorFileText != null,
+                operatorFileText == null
                         ? List.of()
                         : List.of(
-                                "-Dcottonlock.test.clock_ms=" + clockOff,
-                                "-Dcottonlock.test.hang=" + hang));
+                                "-Dcottonlock.test.clock_ms=" + clockOffsetMillis,
+                                "-Dcottonlock.test.hang=" + hangFile));
     }
 
     private boolean healthy() {
@@ -184,7 +194,7 @@
         }
     }
 
-    /** Ends it at once, as SIGKILL does. */
+    /** Ends the proxy immediately, as SIGKILL does. */
     synchronized void kill() throws InterruptedException {
         if (proxy != null) {
             proxy.close();
@@ -196,7 +206,7 @@
         }
     }
 
-    /** Ends it as SIGTERM does, and waits for its end. */
+    /** Shuts the proxy down gracefully, as SIGTERM does, and waits until it has ended. */
     void term() throws InterruptedException {
         Proxy draining;
         Process leaving;
@@ -212,28 +222,28 @@
         }
         if (leaving != null) {
             leaving.destroy();
-            if (!leaving.waitFor(LEAVE, TimeUnit.MILLISECONDS)) {
+            if (!leaving.waitFor(SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
                 leaving.destroyForcibly();
             }
         }
     }
 
     /**
-     * Sends the signals of a series to the process, and kills what is left of it so many
-     * milliseconds after the first SIGTERM.
+     * Sends the signals of a series to the process, and kills it if it has not exited in time.
      *
+     * @param killAfterMillis time from the first SIGTERM to SIGKILL
      * @param beforeTerm called just before the first SIGTERM is sent
      */
-    void end(SignalSeries series, long killAfterMillis, Runnable beforeTerm)
+    void endBySignals(SignalSeries series, long killAfterMillis, Runnable beforeTerm)
             throws IOException, InterruptedException {
         Process leaving;
         synchronized (this) {
             leaving = process;
         }
-        long beganAt = System.nanoTime();
+        long startedAt = System.nanoTime();
         long killAt = 0;
         for (SignalSeries.Step step : series.steps()) {
-            sleepUntil(beganAt + TimeUnit.MILLISECONDS.toNanos(step.afterMillis()));
+            sleepUntil(startedAt + TimeUnit.MILLISECONDS.toNanos(step.afterMillis()));
             if (killAt == 0 && step.isTerm()) {
                 beforeTerm.run();
                 killAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(killAfterMillis);
@@ -258,30 +268,30 @@
         new ProcessBuilder("kill", "-" + name, Long.toString(to.pid())).start().waitFor();
     }
 
-    /** Stops the process where it stands, or lets it go on: no signal handler sees either. */
-    synchronized void stop(boolean stands) throws IOException, InterruptedException {
+    /** Suspends or resumes the process by signals; its handlers see neither SIGSTOP nor SIGCONT. */
+    synchronized void setStopped(boolean stopped) throws IOException, InterruptedException {
         if (process != null) {
-            new ProcessBuilder("kill", stands ? "-STOP" : "-CONT", Long.toString(process.pid()))
+            new ProcessBuilder("kill", stopped ? "-STOP" : "-CONT", Long.toString(process.pid()))
                     .start()
                     .waitFor();
         }
     }
 
-    /** Its module's thread stands still, or goes on. */
-    void hang(boolean stands) throws IOException {
-        if (stands) {
-            Files.writeString(hang, "");
+    /** Blocks the thread of the process's load balancer, or lets it continue. */
+    void setHung(boolean hung) throws IOException {
+        if (hung) {
+            Files.writeString(hangFile, "");
         } else {
-            Files.deleteIfExists(hang);
+            Files.deleteIfExists(hangFile);
         }
     }
 
-    /** From its next start on its clock is wrong by so many milliseconds. */
-    void clock(long off) {
-        clockOff = off;
+    /** Sets the clock error with which the process runs from its next start. */
+    void setClockOffset(long offsetMillis) {
+        clockOffsetMillis = offsetMillis;
     }
 
-    /** Its configuration has changed, as SIGHUP tells. */
+    /** Writes a new configuration and has the proxy reload it, as SIGHUP does. */
     synchronized void reload(long number) throws IOException {
         Files.writeString(folder.resolve(name + ".json"), configuration.apply(number));
         if (proxy != null) {
@@ -292,8 +302,8 @@
         }
     }
 
-    /** For a run that ends: leaves nothing behind. */
-    synchronized void end() {
+    /** Kills the proxy and releases its ports at the end of a run. */
+    synchronized void close() {
         if (process != null) {
             process.destroyForcibly();
         }
@@ -301,13 +311,13 @@
             proxy.close();
         }
         try {
-            reserved.close();
-            if (reservedForCalls != null) {
-                reservedForCalls[0].close();
-                reservedForCalls[1].close();
+            addressSocket.close();
+            if (managementSockets != null) {
+                managementSockets[0].close();
+                managementSockets[1].close();
             }
         } catch (IOException e) {
-            // It is closed all the same.
+            // The socket is closed even if this fails.
         }
     }
 }
--- a/src/test/java/cottonlock/lab/ScenarioTest.java
+++ b/src/test/java/cottonlock/lab/ScenarioTest.java
@@ -20,7 +20,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Scenario files, and all that a seed decides before a run begins. */
+/** Reading of scenario files, and schedules that depend only on the seed. */
 class ScenarioTest {
     static final String PLAIN =
             """
@@ -59,9 +59,11 @@
     }
 
     @Example
-    void wordsOfBeforeAreReadAsThoseOfNow() throws Exception {
-        String[][] pairs = {{"rerunnable", "safe"}, {"ticketed", "keyed"}, {"exclusive", "unsafe"}};
-        for (String[] pair : pairs) {
+    void formerRepeatValuesAreReadAsCurrentOnes() throws Exception {
+        String[][] renamedValues = {
+            {"rerunnable", "safe"}, {"ticketed", "keyed"}, {"exclusive", "unsafe"}
+        };
+        for (String[] pair : renamedValues) {
             for (String word : pair) {
                 String text = PLAIN + "repeat = \"" + word + "\"\n";
                 assertEquals(
@@ -73,7 +75,7 @@
     }
 
     @Example
-    void allFaultsAreToldAtOnceWithLineKeyAndWhatWasExpected() throws Exception {
+    void allFaultsAreReportedAtOnceWithLineKeyAndExpectation() throws Exception {
         List<String> faults =
                 faults(
                         PLAIN.replace("backends = 3", "backend = 3")
@@ -92,7 +94,7 @@
                 List.of(
                         "F:6: tier.0.backend: unknown key; did you mean backends?",
                         "F:10: tenant.0.rate: expected a number from 0 to 1000000, found -1",
-                        "F:19: fault.0.backend: there is no backend t0b9; they are called t0b0 to"
+                        "F:19: fault.0.backend: unknown backend t0b9; backends are named t0b0 to"
                                 + " t0b0"),
                 faults.subList(0, 3));
         assertTrue(
@@ -115,12 +117,12 @@
                         .anyMatch(
                                 f ->
                                         f.startsWith(
-                                                "F:25: expect.servise: the verdict has no "
-                                                        + "such")));
+                                                "F:25: expect.servise: unknown figure of the "
+                                                        + "verdict; known figures: ")));
     }
 
     @Example
-    void whatIsSetOnTheCommandLineIsCheckedAlike() throws Exception {
+    void overridesFromTheCommandLineAreValidated() throws Exception {
         assertEquals(
                 List.of("--set proxy.cuont=3: proxy.cuont: unknown key; did you mean count?"),
                 faults(PLAIN, "proxy.cuont=3"));
@@ -142,11 +144,11 @@
         assertTrue(
                 faults(PLAIN + "[[fault]]\nkind = \"proxy-kill\"\nat = 1\n")
                         .get(0)
-                        .contains("proxy-kill needs proxies in processes of their own"));
+                        .contains("proxy-kill requires each proxy to run in its own process"));
     }
 
     @Example
-    void oneSeedGivesTheSameScheduleByteByByte() throws Exception {
+    void sameSeedGivesAnIdenticalSchedule() throws Exception {
         String text =
                 PLAIN
                         + "[random_faults]\ncount = 5\nkinds = [\"slow\", \"drain\", \"garble\"]\n"
@@ -167,19 +169,19 @@
                 Arrivals.draw(
                         s.seed,
                         s.length,
-                        s.rooms.size(),
+                        s.zones.size(),
                         s.tenants,
                         s.categories,
                         s.clients,
                         s.bursts),
-                Timeline.draw(s.seed, s.faults, s.random, s.rooms, s.tiers, 1));
+                Timeline.draw(s.seed, s.faults, s.random, s.zones, s.tiers, 1));
         byte[] bytes = Files.readAllBytes(out);
         Files.delete(out);
         return bytes;
     }
 
     @Example
-    void arrivalsKeepTheirRatesBurstsAndTraces() throws Exception {
+    void arrivalsFollowRatesBurstsAndTraces() throws Exception {
         Scenario s =
                 Scenario.read(
                         file(PLAIN + "[[burst]]\nat = 50\nfor = 25\ntimes = 3\n"),
@@ -189,7 +191,7 @@
                 Arrivals.draw(9, s.length, 2, s.tenants, s.categories, s.clients, s.bursts);
         long calm = all.stream().filter(a -> a.at() < 50e9).count();
         long burst = all.stream().filter(a -> a.at() >= 50e9 && a.at() < 75e9).count();
-        // Poisson: five spreads each way.
+        // Poisson arrivals: within five standard deviations.
         assertTrue(
                 Math.abs(calm - 5_000) < 5 * Math.sqrt(5_000), calm + " in 50 s at 100 a second");
         assertTrue(
@@ -210,9 +212,9 @@
                         .toList());
     }
 
-    /** Messages come out whole and in order, in whatever pieces their bytes come in. */
+    /** Messages are read completely and in order, however their bytes are split. */
     @Property(seed = "20261201", tries = 200)
-    void messagesAreReadInAnyPieces(@ForAll long seed) throws Exception {
+    void messagesAreReadFromArbitraryFragments(@ForAll long seed) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         List<String> bodies = new ArrayList<>();
@@ -239,9 +241,11 @@
         assertTrue(in.atRest());
     }
 
-    /** A file of any bytes gives a scenario or says what is wrong, and nothing else. */
+    /**
+     * Reading a corrupted file returns a scenario or lists the faults; it never throws otherwise.
+     */
     @Property(seed = "20261201", tries = 300)
-    void mutatedFilesAreRefusedInWords(@ForAll long seed) throws Exception {
+    void mutatedFilesAreReadOrRejectedWithAMessage(@ForAll long seed) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         byte[] bytes = PLAIN.getBytes(UTF_8);
         for (int i = 0; i < 1 + random.nextInt(4); i++) {
