--- a/src/main/java/cottonlock/lab/scale/Bounds.java
+++ b/src/main/java/cottonlock/lab/scale/Bounds.java
@@ -18,40 +18,40 @@
      * Megabytes beside its heap of a JVM of the lab's, and all of a process that serves, as
      * measured.
      */
-    private static final double JVM = 80;
+    private static final double JVM_OVERHEAD_MB = 80;
 
-    private static final double SERVE = 75;
+    private static final double SERVE_PROCESS_MB = 75;
 
     /** Kilobytes of what a thread's stack and the kernel keep. */
-    private static final double THREAD_KB = 40;
+    private static final double THREAD_STACK_KB = 40;
 
     /**
      * Kilobytes of one entry of a held list, and of a member in a view, by the objects that they
      * are.
      */
-    private static final double ENTRY_KB = 0.35;
+    private static final double LIST_ENTRY_KB = 0.35;
 
-    private static final double MEMBER_KB = 0.6;
+    private static final double VIEW_MEMBER_KB = 0.6;
 
     /** Kilobytes of a backend's actor in a process that serves. */
-    private static final double ACTOR_KB = 3;
+    private static final double BACKEND_ACTOR_KB = 3;
 
     /**
      * Megabytes of a heap for what is read and thrown away, and kilobytes more for each entry of a
      * list: some twenty whole lists at once.
      */
-    private static final int SPARE_MB = 64;
+    private static final int SPARE_HEAP_MB = 64;
 
-    private static final double READING_KB = 40;
+    private static final double LIST_PARSING_KB_PER_ENTRY = 40;
 
     /** Descriptors of a process of its own, and threads of the machine that are left to others. */
-    private static final long OWN_DESCRIPTORS = 100;
+    private static final long BASE_DESCRIPTORS = 100;
 
     /** Ports below those that the kernel deals out; a run needs three in a row. */
     private static final int FIRST_PORT = 20_000;
 
     private static final int LAST_PORT = 32_000;
-    static final int PORTS = 3;
+    static final int PORT_COUNT = 3;
 
     final int hosts;
     final int processes;
@@ -66,70 +66,74 @@
     /** Throws, in one line, what the run would take too much of. */
     Bounds(ScaleFile file) throws InvalidConfigurationException {
         ScaleFile.Fleet fleet = file.fleet;
-        int hollow = fleet.size() - fleet.real();
-        hosts = (hollow + fleet.perJvm() - 1) / fleet.perJvm();
+        int hollowCount = fleet.size() - fleet.real();
+        hosts = (hollowCount + fleet.perJvm() - 1) / fleet.perJvm();
         processes = hosts + fleet.real() + file.control.machines() + 2;
-        double held = fleet.size() * (ENTRY_KB + (file.membership == null ? 0 : MEMBER_KB)) / 1_024;
+        double listMbPerProxy =
+                fleet.size()
+                        * (LIST_ENTRY_KB + (file.membership == null ? 0 : VIEW_MEMBER_KB))
+                        / 1_024;
         hollowHeapMb =
-                SPARE_MB
-                        + (int) (fleet.size() * READING_KB / 1_024)
-                        + (int) Math.ceil(Math.min(hollow, fleet.perJvm()) * held);
-        controlHeapMb = SPARE_MB / 2 + fleet.size() / 64;
+                SPARE_HEAP_MB
+                        + (int) (fleet.size() * LIST_PARSING_KB_PER_ENTRY / 1_024)
+                        + (int) Math.ceil(Math.min(hollowCount, fleet.perJvm()) * listMbPerProxy);
+        controlHeapMb = SPARE_HEAP_MB / 2 + fleet.size() / 64;
         memoryMb =
-                hosts * (JVM + hollowHeapMb)
-                        + hollow * 2 * THREAD_KB / 1_024
-                        + fleet.real() * (SERVE + fleet.size() * ACTOR_KB / 1_024)
-                        + file.control.machines() * (JVM + controlHeapMb)
-                        + JVM;
+                hosts * (JVM_OVERHEAD_MB + hollowHeapMb)
+                        + hollowCount * 2 * THREAD_STACK_KB / 1_024
+                        + fleet.real()
+                                * (SERVE_PROCESS_MB + fleet.size() * BACKEND_ACTOR_KB / 1_024)
+                        + file.control.machines() * (JVM_OVERHEAD_MB + controlHeapMb)
+                        + JVM_OVERHEAD_MB;
         if (processes > file.processes) {
-            refuse(
+            reject(
                     "needs "
                             + processes
                             + " processes, and may have "
                             + file.processes
                             + ": fewer real ones, or more hollow ones to a JVM (fleet.per_jvm)");
         }
-        long half = Math.min(file.memoryMb, machineMb() / 2);
-        if (memoryMb > half) {
-            refuse(
+        long memoryLimitMb = Math.min(file.memoryMb, machineMb() / 2);
+        if (memoryMb > memoryLimitMb) {
+            reject(
                     "needs some "
                             + Math.round(memoryMb)
                             + " MB, and may have "
-                            + half
+                            + memoryLimitMb
                             + " (half of the machine's, or bounds.memory_mb): a smaller fleet.size"
                             + " or fleet.real");
         }
-        long free = availableMb();
-        if (memoryMb > free) {
+        long availableMb = availableMb();
+        if (memoryMb > availableMb) {
             // Half of the machine's is the most; when others use it too, what they leave is less.
-            refuse(
+            reject(
                     "needs some "
                             + Math.round(memoryMb)
                             + " MB, and only "
-                            + free
+                            + availableMb
                             + " are available now: a smaller fleet.size or fleet.real, or a machine"
                             + " with less to do");
         }
-        long descriptors = descriptors();
+        long maxDescriptors = maxDescriptors();
         long needed =
-                OWN_DESCRIPTORS
+                BASE_DESCRIPTORS
                         + Math.max(
                                 2L * fleet.perJvm(),
                                 2L * fleet.size() / file.control.machines() + fleet.size());
-        if (needed > descriptors) {
-            refuse(
+        if (needed > maxDescriptors) {
+            reject(
                     "needs some "
                             + needed
                             + " file descriptors in one process, and it may have "
-                            + descriptors
+                            + maxDescriptors
                             + ": more control.machines, a smaller fleet.per_jvm, or a higher"
                             + " limit");
         }
-        port = ports();
+        port = findFreePorts();
     }
 
-    private static void refuse(String what) throws InvalidConfigurationException {
-        throw new InvalidConfigurationException(List.of("this scale run " + what));
+    private static void reject(String message) throws InvalidConfigurationException {
+        throw new InvalidConfigurationException(List.of("this scale run " + message));
     }
 
     static long machineMb() {
@@ -155,7 +159,7 @@
         return Long.MAX_VALUE;
     }
 
-    private static long descriptors() {
+    private static long maxDescriptors() {
         return ManagementFactory.getOperatingSystemMXBean()
                         instanceof com.sun.management.UnixOperatingSystemMXBean system
                 ? system.getMaxFileDescriptorCount()
@@ -163,19 +167,19 @@
     }
 
     /** The first of some ports that nobody has at any address of this machine. */
-    private static int ports() throws InvalidConfigurationException {
-        int span = (LAST_PORT - FIRST_PORT) / PORTS;
+    private static int findFreePorts() throws InvalidConfigurationException {
+        int span = (LAST_PORT - FIRST_PORT) / PORT_COUNT;
         // Two runs that begin together begin to look at different places.
-        int from = (int) (ProcessHandle.current().pid() % span);
+        int offset = (int) (ProcessHandle.current().pid() % span);
         for (int i = 0; i < span; i++) {
-            int port = FIRST_PORT + (from + i) % span * PORTS;
-            if (free(port) && free(port + 1) && free(port + 2)) {
+            int port = FIRST_PORT + (offset + i) % span * PORT_COUNT;
+            if (isPortFree(port) && isPortFree(port + 1) && isPortFree(port + 2)) {
                 return port;
             }
         }
-        refuse(
+        reject(
                 "needs "
-                        + PORTS
+                        + PORT_COUNT
                         + " free ports in a row, and there are none from "
                         + FIRST_PORT
                         + " to "
@@ -183,7 +187,7 @@
         return 0;
     }
 
-    private static boolean free(int port) {
+    private static boolean isPortFree(int port) {
         try (ServerSocket tcp = new ServerSocket();
                 DatagramSocket udp = new DatagramSocket(null)) {
             tcp.setReuseAddress(false);
--- a/src/main/java/cottonlock/lab/scale/Budget.java
+++ b/src/main/java/cottonlock/lab/scale/Budget.java
@@ -18,7 +18,7 @@
  */
 final class Budget {
     /** The operators' figures that must be there, all above 0. */
-    private static final List<String> OPERATORS =
+    private static final List<String> OPERATOR_KEYS =
             List.of(
                     "backends",
                     "services",
@@ -36,7 +36,7 @@
                     "proxy_bytes_s",
                     "control_machines");
 
-    private static final List<String> ASSUMED =
+    private static final List<String> ASSUMPTION_KEYS =
             List.of(
                     "due_ms",
                     "conn_idle_s",
@@ -47,12 +47,12 @@
                     "beat_s",
                     "streak",
                     "list_changes");
-    private static final double MOST = 1e15;
-    private static final double LEAST = 1e-9;
-    private static final String SOURCE =
+    private static final double MAX_VALUE = 1e15;
+    private static final double MIN_VALUE = 1e-9;
+    private static final String SOURCE_PATTERN =
             "(scale|members|rollout|proxy|latency):[a-z0-9_.]+" + "|worked:[a-z0-9_]+|none:";
-    private static final String KEY = "(operators|assumed|constant|worked)\\.[a-z0-9_]+";
-    private static final String SIZE = "operators.backends";
+    private static final String NAME_PATTERN = "(operators|assumed|constant|worked)\\.[a-z0-9_]+";
+    private static final String DEFAULT_SIZE_NAME = "operators.backends";
 
     /** A constant of the program: its file, its name there, its value. */
     record Constant(String name, String file, String field, double value) {}
@@ -72,13 +72,13 @@
             String part,
             String figure,
             String source,
-            String at,
-            boolean slope,
+            String sizeName,
+            boolean extrapolated,
             String unit,
-            String budget,
-            String carried) {
-        boolean uncarried() {
-            return carried.startsWith("nothing");
+            String budgetName,
+            String carriedBy) {
+        boolean isUncarried() {
+            return carriedBy.startsWith("nothing");
         }
 
         String kind() {
@@ -94,7 +94,7 @@
      * All figures by name: {@code operators.backends}, {@code assumed.due_ms}, {@code
      * constant.retire}.
      */
-    final Map<String, Double> given = new LinkedHashMap<>();
+    final Map<String, Double> quantities = new LinkedHashMap<>();
 
     final List<Constant> constants = new ArrayList<>();
     final List<Need> needs = new ArrayList<>();
@@ -106,16 +106,17 @@
         Budget budget = new Budget();
         Fields top = Fields.of(ConfigurationDocument.toml(file));
         Fields operators = top.table("operators");
-        OPERATORS.forEach(
+        OPERATOR_KEYS.forEach(
                 key ->
-                        budget.given.put(
+                        budget.quantities.put(
                                 "operators." + key,
-                                operators.number(key, Double.NaN, LEAST, MOST)));
+                                operators.number(key, Double.NaN, MIN_VALUE, MAX_VALUE)));
         Fields assumed = top.table("assumed");
-        ASSUMED.forEach(
+        ASSUMPTION_KEYS.forEach(
                 key ->
-                        budget.given.put(
-                                "assumed." + key, assumed.number(key, Double.NaN, LEAST, MOST)));
+                        budget.quantities.put(
+                                "assumed." + key,
+                                assumed.number(key, Double.NaN, MIN_VALUE, MAX_VALUE)));
         Set<String> seen = new HashSet<>();
         for (Fields f : top.tables("constant")) {
             Constant c =
@@ -123,30 +124,40 @@
                             f.matching("name", null, "[a-z0-9_]+", "a short name"),
                             f.text("file", null),
                             f.text("field", null),
-                            f.number("value", Double.NaN, 0, MOST));
+                            f.number("value", Double.NaN, 0, MAX_VALUE));
             if (!seen.add(c.name)) {
                 f.addFault("name", "stands twice");
             }
             budget.constants.add(c);
-            budget.given.put("constant." + c.name, c.value);
+            budget.quantities.put("constant." + c.name, c.value);
         }
         for (Fields f : top.tables("need")) {
-            String key = f.matching("budget", "", KEY, "a name such as operators.backends");
-            String at = f.matching("at", SIZE, KEY, "a name such as operators.backends");
+            String key =
+                    f.matching("budget", "", NAME_PATTERN, "a name such as operators.backends");
+            String sizeName =
+                    f.matching(
+                            "at",
+                            DEFAULT_SIZE_NAME,
+                            NAME_PATTERN,
+                            "a name such as operators.backends");
             budget.needs.add(
                     new Need(
                             f.text("part", null),
                             f.text("figure", null),
-                            f.matching("source", null, SOURCE, "KIND:PATH, worked:NAME or none:"),
-                            at,
+                            f.matching(
+                                    "source",
+                                    null,
+                                    SOURCE_PATTERN,
+                                    "KIND:PATH, worked:NAME or none:"),
+                            sizeName,
                             f.bool("slope", true),
                             f.text("unit", ""),
                             key,
                             f.text("carried", null)));
-            for (String name : List.of(key, at)) {
+            for (String name : List.of(key, sizeName)) {
                 if (!name.isEmpty()
                         && !name.startsWith("worked.")
-                        && !budget.given.containsKey(name)) {
+                        && !budget.quantities.containsKey(name)) {
                     f.addFault(name.equals(key) ? "budget" : "at", "there is no figure " + name);
                 }
             }
--- a/src/main/java/cottonlock/lab/scale/Capacity.java
+++ b/src/main/java/cottonlock/lab/scale/Capacity.java
@@ -12,12 +12,12 @@
  * status.
  */
 public final class Capacity {
-    private static final int UNUSABLE = 2;
+    private static final int INVALID_INPUT_STATUS = 2;
 
     /** As the lab has it: the machine ran late, so there is no verdict. */
-    private static final int NO_VERDICT = 3;
+    private static final int NO_VERDICT_STATUS = 3;
 
-    private static final String MEASURE = "(proxy|latency)-[0-9]{1,5}-[0-9]{1,9}";
+    private static final String MEASUREMENT_PATTERN = "(proxy|latency)-[0-9]{1,5}-[0-9]{1,9}";
 
     private final PrintStream out;
     private final PrintStream err;
@@ -33,10 +33,10 @@
      * or {@code latency-TIERS-SEED}, which is also the file's name.
      */
     public int measure(Path folder, String what) throws InterruptedException {
-        if (!what.matches(MEASURE)) {
+        if (!what.matches(MEASUREMENT_PATTERN)) {
             err.println(
                     "expected proxy-ENTRIES-SEED or latency-TIERS-SEED to measure, found " + what);
-            return UNUSABLE;
+            return INVALID_INPUT_STATUS;
         }
         String[] parts = what.split("-", 0);
         int size = Integer.parseInt(parts[1]);
@@ -44,26 +44,28 @@
         boolean latency = parts[0].equals("latency");
         if (size < 1 || (latency && size > 3) || (!latency && size > 10_000)) {
             err.println("expected 1 to 3 tiers or 1 to 10000 entries, found " + what);
-            return UNUSABLE;
+            return INVALID_INPUT_STATUS;
         }
         try {
             Files.createDirectories(folder);
             Path result = folder.resolve(what + ".json");
             String command = "cottonlock lab capacity docs/capacity --measure " + what;
-            var given = Budget.read(folder.resolve("budget.toml")).given;
-            double rate = given.get("operators.calls_s") / given.get("operators.backends");
+            var quantities = Budget.read(folder.resolve("budget.toml")).quantities;
+            double callsPerSecond =
+                    quantities.get("operators.calls_s") / quantities.get("operators.backends");
             String verdict =
                     latency
                             ? new LatencyMeasure(size, seed, err).play(result, command, commit())
-                            : new ProxyMeasure(size, seed, rate).play(result, command, commit());
+                            : new ProxyMeasure(size, seed, callsPerSecond)
+                                    .play(result, command, commit());
             out.println("measured: " + verdict + " " + result);
-            return verdict.equals("none") ? NO_VERDICT : verdict.equals("fail") ? 1 : 0;
+            return verdict.equals("none") ? NO_VERDICT_STATUS : verdict.equals("fail") ? 1 : 0;
         } catch (InvalidConfigurationException e) {
             e.faults().forEach(err::println);
         } catch (IOException e) {
             err.println(what + ": " + e.getMessage());
         }
-        return UNUSABLE;
+        return INVALID_INPUT_STATUS;
     }
 
     /** The state that is measured, as git calls it; "unknown" outside of a clone. */
@@ -81,7 +83,7 @@
     /** Generates the page from a folder of results, its template and its budget. */
     public int page(Path folder, Path page) {
         try {
-            String text = CapacityPage.of(folder);
+            String text = CapacityPage.generate(folder);
             if (page == null) {
                 out.print(text);
             } else {
@@ -93,6 +95,6 @@
         } catch (IOException e) {
             err.println(e.getMessage());
         }
-        return UNUSABLE;
+        return INVALID_INPUT_STATUS;
     }
 }
--- a/src/main/java/cottonlock/lab/scale/CapacityPage.java
+++ b/src/main/java/cottonlock/lab/scale/CapacityPage.java
@@ -27,22 +27,22 @@
  * file. What no run has measured prints as "not measured".
  */
 final class CapacityPage {
-    private static final String MISSING = "not measured";
+    private static final String NOT_MEASURED = "not measured";
 
     /** What a folder of an earlier state's results begins with. */
-    private static final String BEFORE = "before-";
+    private static final String EARLIER_STATE_PREFIX = "before-";
 
     /** A ratio to a budget of nothing. */
-    private static final String UNBOUND = "without bound";
+    private static final String WITHOUT_BOUND = "without bound";
 
-    private static final Pattern PLACE = Pattern.compile("\\{\\{([^{}]*)}}");
-    private static final Pattern CODE = Pattern.compile("`[^`]*`");
+    private static final Pattern PLACEHOLDER = Pattern.compile("\\{\\{([^{}]*)}}");
+    private static final Pattern INLINE_CODE = Pattern.compile("`[^`]*`");
 
     /** Tiers are three at most in the lab (docs/lab.md), so a slope over them rests on three. */
-    private static final int LEAST_TIERS = 3;
+    private static final int MIN_TIERS = 3;
 
     /** A need with what came of it; NaN where not measured. */
-    private record Row(Budget.Need need, double value, String how, double budget) {
+    private record Row(Budget.Need need, double value, String basis, double budget) {
         double ratio() {
             return value / budget;
         }
@@ -56,35 +56,35 @@
      * Results of earlier states of the program, by what changed since; they are shown and in no
      * slope.
      */
-    private final Map<String, List<ResultFile>> before = new TreeMap<>();
+    private final Map<String, List<ResultFile>> earlierResults = new TreeMap<>();
 
-    private final WorkedOut worked;
+    private final DerivedQuantities derived;
     private final List<Row> rows = new ArrayList<>();
 
     private CapacityPage(Path folder) throws InvalidConfigurationException {
         this.folder = folder;
         budget = Budget.read(folder.resolve("budget.toml"));
-        results = ResultFile.all(folder);
-        for (Path earlier : earlier(folder)) {
-            before.put(
-                    earlier.getFileName().toString().substring(BEFORE.length()),
-                    ResultFile.all(earlier));
+        results = ResultFile.readAll(folder);
+        for (Path earlierFolder : earlierFolders(folder)) {
+            earlierResults.put(
+                    earlierFolder.getFileName().toString().substring(EARLIER_STATE_PREFIX.length()),
+                    ResultFile.readAll(earlierFolder));
         }
-        Slope list = slope("proxy", "figures.list_bytes");
-        worked =
-                new WorkedOut(
-                        budget.given,
-                        list == null
+        Slope listBytes = fitSlope("proxy", "figures.list_bytes");
+        derived =
+                new DerivedQuantities(
+                        budget.quantities,
+                        listBytes == null
                                 ? Double.NaN
-                                : list.at(budget.given.get("operators.backends")));
+                                : listBytes.valueAt(budget.quantities.get("operators.backends")));
         for (Budget.Need need : budget.needs) {
-            rows.add(row(need));
+            rows.add(createRow(need));
         }
     }
 
-    private static List<Path> earlier(Path folder) throws InvalidConfigurationException {
-        try (Stream<Path> there = Files.list(folder)) {
-            return there.filter(f -> f.getFileName().toString().startsWith(BEFORE))
+    private static List<Path> earlierFolders(Path folder) throws InvalidConfigurationException {
+        try (Stream<Path> entries = Files.list(folder)) {
+            return entries.filter(f -> f.getFileName().toString().startsWith(EARLIER_STATE_PREFIX))
                     .sorted()
                     .toList();
         } catch (IOException e) {
@@ -94,35 +94,37 @@
     }
 
     /** The page; faults of any file are told at once. */
-    static String of(Path folder) throws InvalidConfigurationException, IOException {
-        return new CapacityPage(folder).page();
+    static String generate(Path folder) throws InvalidConfigurationException, IOException {
+        return new CapacityPage(folder).render();
     }
 
-    private String page() throws InvalidConfigurationException, IOException {
+    private String render() throws InvalidConfigurationException, IOException {
         Path template = folder.resolve("page.md");
         List<String> lines = Files.readAllLines(template);
         List<String> faults = new ArrayList<>();
         StringBuilder page = new StringBuilder();
         for (int i = 0; i < lines.size(); i++) {
             String line = lines.get(i);
-            String where = template + ":" + (i + 1) + ": ";
-            String prose = CODE.matcher(PLACE.matcher(line).replaceAll("")).replaceAll("");
+            String location = template + ":" + (i + 1) + ": ";
+            String prose =
+                    INLINE_CODE.matcher(PLACEHOLDER.matcher(line).replaceAll("")).replaceAll("");
             if (prose.chars().anyMatch(Character::isDigit)) {
                 faults.add(
-                        where
+                        location
                                 + "a figure in the prose, where only {{NAME}} may stand: "
                                 + line.strip());
             }
-            Matcher place = PLACE.matcher(line);
+            Matcher placeholder = PLACEHOLDER.matcher(line);
             StringBuilder filled = new StringBuilder();
-            while (place.find()) {
-                String text = fill(place.group(1).strip());
+            while (placeholder.find()) {
+                String text = textFor(placeholder.group(1).strip());
                 if (text == null) {
-                    faults.add(where + "there is no " + place.group(1));
+                    faults.add(location + "there is no " + placeholder.group(1));
                 }
-                place.appendReplacement(filled, Matcher.quoteReplacement(text == null ? "" : text));
+                placeholder.appendReplacement(
+                        filled, Matcher.quoteReplacement(text == null ? "" : text));
             }
-            page.append(place.appendTail(filled)).append('\n');
+            page.append(placeholder.appendTail(filled)).append('\n');
         }
         if (!faults.isEmpty()) {
             throw new InvalidConfigurationException(faults);
@@ -131,36 +133,40 @@
     }
 
     /** What stands at a place of the template; null where there is nothing of that name. */
-    private String fill(String name) {
-        if (budget.given.containsKey(name)) {
-            return exact(budget.given.get(name));
+    private String textFor(String name) {
+        if (budget.quantities.containsKey(name)) {
+            return formatExact(budget.quantities.get(name));
         }
         if (name.startsWith("worked.")) {
-            Double value = worked.figures().get(name.substring("worked.".length()));
-            return value == null ? null : shown(value);
+            Double value = derived.figures().get(name.substring("worked.".length()));
+            return value == null ? null : formatRounded(value);
         }
         if (name.startsWith("part ") && budget.parts().contains(name.substring("part ".length()))) {
-            return part(name.substring("part ".length()));
+            return partTable(name.substring("part ".length()));
         }
         if (name.startsWith("measured ")) {
-            return measured(results, name.substring("measured ".length()));
+            return measuredTable(results, name.substring("measured ".length()));
         }
         String[] words = name.split(" ", 0);
-        if (words.length == 3 && words[0].equals("before") && before.containsKey(words[1])) {
-            return measured(before.get(words[1]), words[2]);
+        if (words.length == 3
+                && words[0].equals("before")
+                && earlierResults.containsKey(words[1])) {
+            return measuredTable(earlierResults.get(words[1]), words[2]);
         }
         if (name.startsWith("without verdict ")) {
             String kind = name.substring("without verdict ".length());
-            return results.stream().filter(r -> r.kind().equals(kind) && !r.counts()).count()
+            return results.stream()
+                            .filter(r -> r.kind().equals(kind) && !r.hasUsableFigures())
+                            .count()
                     + " of "
                     + results.stream().filter(r -> r.kind().equals(kind)).count();
         }
         return switch (name) {
-            case "runs" -> runs();
-            case "ratios" -> ratios();
-            case "largest" -> largest();
-            case "missing" -> missing();
-            case "latency" -> latency();
+            case "runs" -> runTable();
+            case "ratios" -> ratioTable();
+            case "largest" -> largestUncarriedNeed();
+            case "missing" -> missingFigures();
+            case "latency" -> latencyTable();
             default -> null;
         };
     }
@@ -169,52 +175,52 @@
      * Whether a figure of calls is of a process that fell behind them: it shows no cost of that
      * rate.
      */
-    private boolean behind(ResultFile r, String path) {
+    private boolean fellBehind(ResultFile r, String path) {
         return path.startsWith("calls.")
                 && !(r.number("calls.served") > 0
-                        && r.number("calls.p50_ms") <= budget.given.get("assumed.due_ms"));
+                        && r.number("calls.p50_ms") <= budget.quantities.get("assumed.due_ms"));
     }
 
     private boolean usable(ResultFile r, String kind, String path) {
         return r.kind().equals(kind)
-                && r.counts()
+                && r.hasUsableFigures()
                 && !Double.isNaN(r.number(path))
-                && !behind(r, path);
+                && !fellBehind(r, path);
     }
 
-    private Slope slope(String kind, String path) {
+    private Slope fitSlope(String kind, String path) {
         List<Slope.Point> points =
                 results.stream()
                         .filter(r -> usable(r, kind, path))
                         .map(r -> new Slope.Point(r.size(), r.number(path)))
                         .toList();
-        return Slope.fit(points, kind.equals("latency") ? LEAST_TIERS : Slope.LEAST);
+        return Slope.fit(points, kind.equals("latency") ? MIN_TIERS : Slope.MIN_SIZES);
     }
 
-    private double named(String name) {
+    private double quantity(String name) {
         return name.startsWith("worked.")
-                ? worked.figures().getOrDefault(name.substring("worked.".length()), Double.NaN)
-                : budget.given.getOrDefault(name, Double.NaN);
+                ? derived.figures().getOrDefault(name.substring("worked.".length()), Double.NaN)
+                : budget.quantities.getOrDefault(name, Double.NaN);
     }
 
-    private Row row(Budget.Need need) {
-        double allowed = need.budget().isEmpty() ? Double.NaN : named(need.budget());
+    private Row createRow(Budget.Need need) {
+        double allowed = need.budgetName().isEmpty() ? Double.NaN : quantity(need.budgetName());
         if (need.kind().equals("none")) {
-            return new Row(need, Double.NaN, MISSING, allowed);
+            return new Row(need, Double.NaN, NOT_MEASURED, allowed);
         }
         if (need.kind().equals("worked")) {
-            double value = named("worked." + need.path());
-            return new Row(need, value, Double.isNaN(value) ? MISSING : "worked out", allowed);
+            double value = quantity("worked." + need.path());
+            return new Row(need, value, Double.isNaN(value) ? NOT_MEASURED : "worked out", allowed);
         }
-        if (!need.slope()) {
+        if (!need.extrapolated()) {
             return new Row(need, Double.NaN, "by size, below", allowed);
         }
-        double size = named(need.at());
-        Slope slope = slope(need.kind(), need.path());
+        double size = quantity(need.sizeName());
+        Slope slope = fitSlope(need.kind(), need.path());
         String never =
                 results.stream()
-                        .filter(r -> r.kind().equals(need.kind()) && r.never(need.path()))
-                        .map(r -> exact(r.size()))
+                        .filter(r -> r.kind().equals(need.kind()) && r.neverReached(need.path()))
+                        .map(r -> formatExact(r.size()))
                         .distinct()
                         .collect(Collectors.joining(", "));
         String late =
@@ -222,10 +228,10 @@
                         .filter(
                                 r ->
                                         r.kind().equals(need.kind())
-                                                && r.counts()
+                                                && r.hasUsableFigures()
                                                 && !Double.isNaN(r.number(need.path()))
-                                                && behind(r, need.path()))
-                        .map(r -> exact(r.size()))
+                                                && fellBehind(r, need.path()))
+                        .map(r -> formatExact(r.size()))
                         .distinct()
                         .collect(Collectors.joining(", "));
         String note =
@@ -238,11 +244,11 @@
                             .map(ResultFile::size)
                             .distinct()
                             .count();
-            int least = need.kind().equals("latency") ? LEAST_TIERS : Slope.LEAST;
+            int least = need.kind().equals("latency") ? MIN_TIERS : Slope.MIN_SIZES;
             return new Row(
                     need,
                     Double.NaN,
-                    MISSING
+                    NOT_MEASURED
                             + (sizes == 0
                                     ? ""
                                     : ": "
@@ -253,29 +259,34 @@
                             + note,
                     allowed);
         }
-        String how =
+        String basis =
                 slope.law()
                         + ", "
-                        + slope.sizes()
+                        + slope.sizeCount()
                         + " sizes to "
-                        + exact(slope.largest())
+                        + formatExact(slope.largestSize())
                         + "; spread "
-                        + percent(slope.spread())
+                        + formatPercent(slope.spread())
                         + ", "
-                        + (Double.isNaN(slope.seeds())
+                        + (Double.isNaN(slope.seedSpread())
                                 ? "one seed"
-                                : "seeds " + percent(slope.seeds()))
-                        + (slope.beyond(size) > 1
-                                ? "; " + shown(slope.beyond(size)) + " times beyond"
+                                : "seeds " + formatPercent(slope.seedSpread()))
+                        + (slope.extrapolationFactor(size) > 1
+                                ? "; "
+                                        + formatRounded(slope.extrapolationFactor(size))
+                                        + " times beyond"
                                 : "")
-                        + (slope.other() == null
+                        + (slope.alternative() == null
                                 ? ""
-                                : "; " + slope.other().law() + ": " + shown(slope.other().at(size)))
+                                : "; "
+                                        + slope.alternative().law()
+                                        + ": "
+                                        + formatRounded(slope.alternative().valueAt(size)))
                         + note;
-        return new Row(need, slope.at(size), how, allowed);
+        return new Row(need, slope.valueAt(size), basis, allowed);
     }
 
-    private String part(String name) {
+    private String partTable(String name) {
         StringBuilder table =
                 new StringBuilder(
                         "| figure | from | at the operators' size | budget | ratio "
@@ -285,55 +296,58 @@
                 table.append("\n| ")
                         .append(row.need.figure())
                         .append(" | ")
-                        .append(row.how)
+                        .append(row.basis)
                         .append(" | ")
-                        .append(row.need.slope() ? withUnit(row.value, row.need.unit()) : "-")
+                        .append(
+                                row.need.extrapolated()
+                                        ? formatWithUnit(row.value, row.need.unit())
+                                        : "-")
                         .append(" | ")
-                        .append(Double.isNaN(row.budget) ? "-" : exact(row.budget))
+                        .append(Double.isNaN(row.budget) ? "-" : formatExact(row.budget))
                         .append(" | ")
-                        .append(Double.isNaN(row.ratio()) ? "-" : shown(row.ratio()))
+                        .append(Double.isNaN(row.ratio()) ? "-" : formatRounded(row.ratio()))
                         .append(" | ")
-                        .append(row.need.carried())
+                        .append(row.need.carriedBy())
                         .append(" |");
             }
         }
         return table.toString();
     }
 
-    private List<Row> byRatio() {
+    private List<Row> rowsByRatio() {
         return rows.stream()
                 .filter(r -> !Double.isNaN(r.ratio()))
                 .sorted(Comparator.comparingDouble(Row::ratio).reversed())
                 .toList();
     }
 
-    private String ratios() {
+    private String ratioTable() {
         StringBuilder table =
                 new StringBuilder(
                         "| ratio | what | need | budget | carried by |\n"
                                 + "| --- | --- | --- | --- | --- |");
-        for (Row row : byRatio()) {
+        for (Row row : rowsByRatio()) {
             table.append("\n| ")
-                    .append(shown(row.ratio()))
+                    .append(formatRounded(row.ratio()))
                     .append(" | ")
                     .append(row.need.part())
                     .append(": ")
                     .append(row.need.figure())
                     .append(" | ")
-                    .append(withUnit(row.value, row.need.unit()))
+                    .append(formatWithUnit(row.value, row.need.unit()))
                     .append(" | ")
-                    .append(exact(row.budget))
+                    .append(formatExact(row.budget))
                     .append(" | ")
-                    .append(row.need.carried())
+                    .append(row.need.carriedBy())
                     .append(" |");
         }
         return table.toString();
     }
 
     /** The largest need that nothing carries today. */
-    private String largest() {
-        return byRatio().stream()
-                .filter(r -> r.need.uncarried() && r.ratio() > 1)
+    private String largestUncarriedNeed() {
+        return rowsByRatio().stream()
+                .filter(r -> r.need.isUncarried() && r.ratio() > 1)
                 .findFirst()
                 .map(
                         r ->
@@ -343,19 +357,19 @@
                                         + r.need.figure()
                                         + "**, "
                                         + (Double.isInfinite(r.ratio())
-                                                ? UNBOUND
-                                                : shown(r.ratio()) + " times its budget"))
+                                                ? WITHOUT_BOUND
+                                                : formatRounded(r.ratio()) + " times its budget"))
                 .orElse("none that has a figure");
     }
 
-    private String missing() {
+    private String missingFigures() {
         return rows.stream()
-                .filter(r -> Double.isNaN(r.value) && r.need.slope())
-                .map(r -> "- " + r.need.part() + ": " + r.need.figure() + " (" + r.how + ")")
+                .filter(r -> Double.isNaN(r.value) && r.need.extrapolated())
+                .map(r -> "- " + r.need.part() + ": " + r.need.figure() + " (" + r.basis + ")")
                 .collect(Collectors.joining("\n"));
     }
 
-    private String runs() {
+    private String runTable() {
         StringBuilder table =
                 new StringBuilder(
                         "| result | verdict | machine late, 99.9"
@@ -363,7 +377,7 @@
                                 + " and worst, ms "
                                 + "| commit | in the slopes |\n| --- | --- | --- | --- | --- |");
         List<ResultFile> all = new ArrayList<>(results);
-        before.values().forEach(all::addAll);
+        earlierResults.values().forEach(all::addAll);
         for (ResultFile r : all) {
             double late = r.number("machine.late_ms_p999");
             table.append("\n| `")
@@ -374,27 +388,34 @@
                     .append(
                             Double.isNaN(late)
                                     ? "virtual time"
-                                    : shown(late) + ", " + shown(r.number("machine.late_ms_worst")))
+                                    : formatRounded(late)
+                                            + ", "
+                                            + formatRounded(r.number("machine.late_ms_worst")))
                     .append(" | ")
                     .append(r.text("commit"))
                     .append(" | ")
-                    .append(!results.contains(r) ? "no: before" : r.counts() ? "yes" : "no")
+                    .append(
+                            !results.contains(r)
+                                    ? "no: before"
+                                    : r.hasUsableFigures() ? "yes" : "no")
                     .append(" |");
         }
-        return results.isEmpty() ? MISSING : table.toString();
+        return results.isEmpty() ? NOT_MEASURED : table.toString();
     }
 
     /** Every figure that a need rests on, by size: the mean over the seeds that gave a verdict. */
-    private String measured(List<ResultFile> from, String kind) {
-        List<ResultFile> some =
-                from.stream().filter(r -> r.kind().equals(kind) && r.counts()).toList();
+    private String measuredTable(List<ResultFile> from, String kind) {
+        List<ResultFile> selected =
+                from.stream().filter(r -> r.kind().equals(kind) && r.hasUsableFigures()).toList();
         TreeSet<Integer> sizes =
-                some.stream().map(ResultFile::size).collect(Collectors.toCollection(TreeSet::new));
+                selected.stream()
+                        .map(ResultFile::size)
+                        .collect(Collectors.toCollection(TreeSet::new));
         if (sizes.isEmpty()) {
-            return MISSING;
+            return NOT_MEASURED;
         }
         StringBuilder table = new StringBuilder("| figure |");
-        sizes.forEach(size -> table.append(' ').append(exact(size)).append(" |"));
+        sizes.forEach(size -> table.append(' ').append(formatExact(size)).append(" |"));
         table.append("\n| --- |").append(" --- |".repeat(sizes.size()));
         List<String> paths =
                 budget.needs.stream()
@@ -403,10 +424,10 @@
                         .distinct()
                         .filter(
                                 path ->
-                                        some.stream()
+                                        selected.stream()
                                                 .anyMatch(
                                                         r ->
-                                                                r.never(path)
+                                                                r.neverReached(path)
                                                                         || !Double.isNaN(
                                                                                 r.number(path))))
                         .toList();
@@ -414,17 +435,18 @@
             table.append("\n| `").append(path).append("` |");
             for (int size : sizes) {
                 List<Double> values =
-                        some.stream()
+                        selected.stream()
                                 .filter(r -> r.size() == size)
                                 .map(r -> r.number(path))
                                 .filter(v -> !Double.isNaN(v))
                                 .toList();
-                boolean never = some.stream().anyMatch(r -> r.size() == size && r.never(path));
+                boolean never =
+                        selected.stream().anyMatch(r -> r.size() == size && r.neverReached(path));
                 table.append(' ')
                         .append(
                                 values.isEmpty()
-                                        ? never ? "never" : MISSING
-                                        : shown(
+                                        ? never ? "never" : NOT_MEASURED
+                                        : formatRounded(
                                                         values.stream()
                                                                 .mapToDouble(v -> v)
                                                                 .average()
@@ -437,28 +459,29 @@
         sizes.forEach(
                 size ->
                         table.append(' ')
-                                .append(some.stream().filter(r -> r.size() == size).count())
+                                .append(selected.stream().filter(r -> r.size() == size).count())
                                 .append(" |"));
         return table.toString();
     }
 
-    private String latency() {
-        List<ResultFile> some = results.stream().filter(r -> r.kind().equals("latency")).toList();
-        if (some.isEmpty()) {
-            return MISSING;
+    private String latencyTable() {
+        List<ResultFile> selected =
+                results.stream().filter(r -> r.kind().equals("latency")).toList();
+        if (selected.isEmpty()) {
+            return NOT_MEASURED;
         }
         StringBuilder table =
                 new StringBuilder(
                         "| tiers | seed | verdict | no proxy: p50, p99 | relay: p50, p99 | proxy:"
                                 + " p50, p99 | added to the relay: p50, p99 |\n"
                                 + "| --- | --- | --- | --- | --- | --- | --- |");
-        for (ResultFile r : some) {
+        for (ResultFile r : selected) {
             Function<String, String> pair =
                     path ->
-                            r.counts()
-                                    ? shown(r.number(path + "p50_ms"))
+                            r.hasUsableFigures()
+                                    ? formatRounded(r.number(path + "p50_ms"))
                                             + ", "
-                                            + shown(r.number(path + "p99_ms"))
+                                            + formatRounded(r.number(path + "p99_ms"))
                                     : "-";
             table.append("\n| ")
                     .append(r.size())
@@ -479,33 +502,33 @@
         return table.toString();
     }
 
-    private static String withUnit(double value, String unit) {
+    private static String formatWithUnit(double value, String unit) {
         return Double.isNaN(value)
-                ? MISSING
-                : unit.isEmpty() ? shown(value) : shown(value) + " " + unit;
+                ? NOT_MEASURED
+                : unit.isEmpty() ? formatRounded(value) : formatRounded(value) + " " + unit;
     }
 
-    private static String percent(double part) {
-        return shown(100 * part) + "%";
+    private static String formatPercent(double part) {
+        return formatRounded(100 * part) + "%";
     }
 
     /** A figure that was given, as it was. */
-    private static String exact(double value) {
-        return grouped(BigDecimal.valueOf(value).stripTrailingZeros());
+    private static String formatExact(double value) {
+        return formatGrouped(BigDecimal.valueOf(value).stripTrailingZeros());
     }
 
     /**
      * A figure that was measured or worked out: three digits of it tell more than the spread
      * allows.
      */
-    private static String shown(double value) {
+    private static String formatRounded(double value) {
         if (!Double.isFinite(value)) {
-            return value > 0 ? UNBOUND : MISSING;
+            return value > 0 ? WITHOUT_BOUND : NOT_MEASURED;
         }
-        return grouped(new BigDecimal(value).round(new MathContext(3, RoundingMode.HALF_UP)));
+        return formatGrouped(new BigDecimal(value).round(new MathContext(3, RoundingMode.HALF_UP)));
     }
 
-    private static String grouped(BigDecimal value) {
+    private static String formatGrouped(BigDecimal value) {
         BigDecimal plain = value.signum() == 0 ? BigDecimal.ZERO : value.stripTrailingZeros();
         int places = Math.max(0, plain.scale());
         return String.format(Locale.ROOT, "%,." + places + "f", plain);
--- a/src/main/java/cottonlock/lab/scale/CountedSocket.java
+++ b/src/main/java/cottonlock/lab/scale/CountedSocket.java
@@ -13,44 +13,44 @@
 final class CountedSocket extends DatagramSocket {
     /** Which zones are cut off from each other; one for all proxies of the process. */
     static final class Cuts {
-        private volatile boolean[][] between = new boolean[0][0];
+        private volatile boolean[][] cutZonePairs = new boolean[0][0];
 
         void set(boolean[][] cut) {
-            between = cut;
+            cutZonePairs = cut;
         }
 
-        boolean cut(int one, int other) {
-            boolean[][] now = between;
-            return one >= 0
-                    && other >= 0
-                    && one < now.length
-                    && other < now.length
-                    && now[one][other];
+        boolean isCut(int zone, int otherZone) {
+            boolean[][] cutMatrix = cutZonePairs;
+            return zone >= 0
+                    && otherZone >= 0
+                    && zone < cutMatrix.length
+                    && otherZone < cutMatrix.length
+                    && cutMatrix[zone][otherZone];
         }
     }
 
     /** What passed within the second; told from any thread. */
     static final class Traffic {
-        private long in;
-        private long out;
+        private long bytesIn;
+        private long bytesOut;
         private long messagesIn;
         private long messagesOut;
 
-        synchronized void came(int bytes) {
-            in += bytes;
+        synchronized void countReceived(int bytes) {
+            bytesIn += bytes;
             messagesIn++;
         }
 
-        synchronized void went(int bytes) {
-            out += bytes;
+        synchronized void countSent(int bytes) {
+            bytesOut += bytes;
             messagesOut++;
         }
 
         /** Bytes in and out, messages in and out since it was last asked. */
         synchronized long[] take() {
-            long[] taken = {in, out, messagesIn, messagesOut};
-            in = 0;
-            out = 0;
+            long[] taken = {bytesIn, bytesOut, messagesIn, messagesOut};
+            bytesIn = 0;
+            bytesOut = 0;
             messagesIn = 0;
             messagesOut = 0;
             return taken;
@@ -59,26 +59,26 @@
 
     private final int zone;
     private final Cuts cuts;
-    private final Traffic own;
+    private final Traffic ownTraffic;
 
     /** What passes between hollow proxies and real ones, as the hollow ones see it. */
-    private final Traffic real;
+    private final Traffic realTraffic;
 
-    private final java.util.Set<java.net.InetAddress> realOnes;
+    private final java.util.Set<java.net.InetAddress> realAddresses;
 
     CountedSocket(
             InetSocketAddress address,
             Cuts cuts,
-            Traffic own,
-            Traffic real,
-            java.util.Set<java.net.InetAddress> realOnes)
+            Traffic ownTraffic,
+            Traffic realTraffic,
+            java.util.Set<java.net.InetAddress> realAddresses)
             throws IOException {
         super(address);
         this.zone = zone(address);
         this.cuts = cuts;
-        this.own = own;
-        this.real = real;
-        this.realOnes = realOnes;
+        this.ownTraffic = ownTraffic;
+        this.realTraffic = realTraffic;
+        this.realAddresses = realAddresses;
     }
 
     private static int zone(InetSocketAddress address) {
@@ -88,26 +88,26 @@
     @Override
     public void send(DatagramPacket packet) throws IOException {
         InetSocketAddress to = (InetSocketAddress) packet.getSocketAddress();
-        own.went(packet.getLength());
-        if (realOnes.contains(to.getAddress())) {
-            real.came(packet.getLength());
+        ownTraffic.countSent(packet.getLength());
+        if (realAddresses.contains(to.getAddress())) {
+            realTraffic.countReceived(packet.getLength());
         }
-        if (!cuts.cut(zone, zone(to))) {
+        if (!cuts.isCut(zone, zone(to))) {
             super.send(packet);
         }
     }
 
     @Override
     public void receive(DatagramPacket packet) throws IOException {
-        int room = packet.getLength();
+        int bufferLength = packet.getLength();
         while (true) {
-            packet.setLength(room);
+            packet.setLength(bufferLength);
             super.receive(packet);
             InetSocketAddress from = (InetSocketAddress) packet.getSocketAddress();
-            if (!cuts.cut(zone, zone(from))) {
-                own.came(packet.getLength());
-                if (realOnes.contains(from.getAddress())) {
-                    real.went(packet.getLength());
+            if (!cuts.isCut(zone, zone(from))) {
+                ownTraffic.countReceived(packet.getLength());
+                if (realAddresses.contains(from.getAddress())) {
+                    realTraffic.countSent(packet.getLength());
                 }
                 return;
             }
--- /dev/null
+++ b/src/main/java/cottonlock/lab/scale/DerivedQuantities.java
@@ -0,0 +1,158 @@
+package cottonlock.lab.scale;
+
+import cottonlock.core.Deterministic;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * Figures that no run measures and that follow from the operators' design, the program's constants
+ * and measured slopes. One that rests on something not measured is not a number. Times are in
+ * seconds where the name doesn't say otherwise.
+ */
+@Deterministic
+final class DerivedQuantities {
+    private static final double SECONDS_PER_DAY = 86_400;
+    private static final double BYTES_PER_MB = 1 << 20;
+
+    /** Tenths of a millisecond in a second: the module's unit of time. */
+    private static final double TICKS_PER_SECOND = 10_000;
+
+    private final Map<String, Double> given;
+    private final Map<String, Double> figures = new LinkedHashMap<>();
+
+    /**
+     * Works all out.
+     *
+     * @param given the figures of {@link Budget}
+     * @param listBytes of one whole list on the wire at the operators' size; NaN where not measured
+     */
+    DerivedQuantities(Map<String, Double> given, double listBytes) {
+        this.given = given;
+        deriveUnits();
+        deriveListTransfers(listBytes);
+        deriveQuotas();
+        deriveColdBackends();
+        derivePairs();
+    }
+
+    Map<String, Double> figures() {
+        return figures;
+    }
+
+    private double input(String name) {
+        return given.getOrDefault(name, Double.NaN);
+    }
+
+    private double derived(String name) {
+        return figures.get(name);
+    }
+
+    private void deriveUnits() {
+        figures.put("one", 1.0);
+        figures.put("none", 0.0);
+        figures.put("calls_proxy", input("operators.calls_s") / input("operators.backends"));
+        figures.put("service_backends", input("operators.backends") / input("operators.services"));
+        figures.put("in_force_ms", 1_000 * input("operators.in_force_s"));
+        figures.put("proxy_memory_bytes", BYTES_PER_MB * input("operators.proxy_memory_mb"));
+        figures.put("proxy_cpu_us", 1e6 * input("operators.proxy_cpu_share"));
+        double changes =
+                input("operators.restarts_day") * input("assumed.list_changes")
+                        + input("operators.failures_day") * (input("assumed.list_changes") - 1);
+        figures.put("discovery_watches", input("operators.backends"));
+        figures.put("discovery_beats_s", input("operators.backends") / input("assumed.beat_s"));
+        figures.put("discovery_changes_s", changes * input("operators.backends") / SECONDS_PER_DAY);
+        figures.put("tells_day", input("operators.changes_day") * input("operators.backends"));
+        figures.put(
+                "in_force_tells_s", input("operators.backends") / input("operators.in_force_s"));
+        figures.put("tells_s", derived("tells_day") / SECONDS_PER_DAY);
+    }
+
+    /** Control returns, and each proxy asks for the whole list at once. */
+    private void deriveListTransfers(double bytes) {
+        double all = bytes * input("operators.backends");
+        figures.put("list_bytes", bytes);
+        figures.put("list_entry_bytes", bytes / input("operators.backends"));
+        figures.put("list_rate", bytes / input("operators.in_force_s"));
+        figures.put("list_time_s", bytes / input("operators.proxy_bytes_s"));
+        figures.put("list_all_bytes", all);
+        figures.put(
+                "list_control_rate",
+                all / input("operators.in_force_s") / input("operators.control_machines"));
+        figures.put("list_zone_bytes", bytes / input("operators.zones"));
+    }
+
+    /** Balancer.Intake: each balancer has quota / balancers and a bucket of its own. */
+    private void deriveQuotas() {
+        double quota = input("operators.calls_s") / input("operators.services");
+        double part = quota / input("operators.backends");
+        // Half a second's worth, and DEPTH at least; a quarter of it is there at the start.
+        double depth = Math.max(input("constant.quota_depth"), part / 2);
+        figures.put("quota", quota);
+        figures.put("quota_part", part);
+        figures.put("quota_gap_s", 1 / part);
+        figures.put("quota_start", input("operators.backends") * depth / 4);
+        figures.put("quota_burst", input("operators.backends") * depth);
+        figures.put("quota_burst_s", derived("quota_burst") / quota);
+        // Where they carry unlike amounts, nothing is divided.
+        figures.put("quota_mesh", input("operators.backends"));
+        figures.put("quota_lost", input("operators.backends") / derived("service_backends"));
+        figures.put("quota_got", quota / derived("quota_lost"));
+    }
+
+    /**
+     * Balancer.Fleet.warmEnough: half of what pushes a cold one over, parted by what each gets
+     * finished.
+     */
+    private void deriveColdBackends() {
+        double sent =
+                input("operators.calls_s") / input("operators.backends") * input("assumed.fall_s");
+        double mine = sent / input("operators.backends");
+        double part =
+                Math.max(
+                        input("assumed.fall_multiple") / 2 * input("assumed.cold_share") * mine,
+                        1 / input("operators.backends"));
+        double over = input("assumed.fall_multiple") * input("assumed.cold_share") * sent;
+        figures.put("cold_part", part);
+        figures.put("cold_all", part * input("operators.backends"));
+        figures.put("cold_over", over);
+        figures.put("cold_ratio", derived("cold_all") / over);
+        figures.put("cold_gap_s", input("assumed.fall_s") * input("operators.backends"));
+        figures.put("cold_gap_h", derived("cold_gap_s") / 3_600);
+        figures.put("cold_floor_all_s", 1 / input("assumed.fall_s"));
+    }
+
+    /** One caller and one backend, where calls go to all backends alike. */
+    private void derivePairs() {
+        double calls = derived("calls_proxy");
+        double pair = calls / input("operators.backends");
+        double due =
+                Math.max(
+                        input("constant.least_due") / TICKS_PER_SECOND,
+                        input("assumed.due_ms") / 1_000);
+        figures.put("pair_s", pair);
+        figures.put("pair_gap_s", 1 / pair);
+        figures.put("pair_service_s", calls / derived("service_backends"));
+        figures.put("due_s", due);
+        figures.put("now_span_s", input("constant.now_span") * due);
+        figures.put("now_samples", pair * derived("now_span_s"));
+        figures.put("gap_span_s", input("constant.gap_span") * due);
+        figures.put("gap_samples", pair * derived("gap_span_s"));
+        figures.put("gaps_short", input("constant.imagined_gaps") / derived("gap_samples"));
+        figures.put("times_span_s", input("constant.usual_span") * due);
+        figures.put("times_samples", calls * derived("times_span_s"));
+        figures.put("stays_span_s", derived("times_span_s"));
+        figures.put("line_span_s", input("constant.line_span") * due);
+        figures.put("line_samples", calls * derived("line_span_s"));
+        figures.put("streak_s", input("assumed.streak") / pair);
+        double kept = 1 - Math.exp(-pair * input("constant.retire") * input("assumed.conn_idle_s"));
+        figures.put("reuse", kept);
+        figures.put("connections", kept * input("operators.backends"));
+        double sockets = input("assumed.sockets") - input("constant.own_sockets");
+        sockets -= Math.floor(sockets / input("constant.for_bodies"));
+        figures.put("backend_sockets", Math.floor(sockets * input("constant.to_backends")));
+        figures.put(
+                "bounded_reuse",
+                Math.min(kept, derived("backend_sockets") / input("operators.backends")));
+        figures.put("new_connections_s", calls * (1 - derived("bounded_reuse")));
+    }
+}
--- a/src/main/java/cottonlock/lab/scale/LatencyMeasure.java
+++ b/src/main/java/cottonlock/lab/scale/LatencyMeasure.java
@@ -25,11 +25,11 @@
     /** Each policy, and what the result calls it; in this order they are played. */
     private static final List<String> POLICIES = List.of("direct", "round", "lanes");
 
-    private static final Map<String, String> NAMES =
+    private static final Map<String, String> RESULT_NAMES =
             Map.of("direct", "none", "round", "relay", "lanes", "proxy");
-    private static final int PLAYS = 3;
-    private static final int LATE = 3;
-    private static final List<String> FIGURES =
+    private static final int MAX_PLAYS = 3;
+    private static final int LATE_EXIT_STATUS = 3;
+    private static final List<String> REPORT_FIGURES =
             List.of("service", "deferred", "lost", "twice", "drains", "cold", "behind_ms");
 
     private final int tiers;
@@ -52,9 +52,9 @@
             String verdict = "pass";
             for (String policy : POLICIES) {
                 Path out = folder.resolve(policy);
-                int status = LATE;
+                int status = LATE_EXIT_STATUS;
                 int plays = 0;
-                while (status == LATE && plays < PLAYS) {
+                while (status == LATE_EXIT_STATUS && plays < MAX_PLAYS) {
                     plays++;
                     status =
                             new Lab(err, err, false)
@@ -68,10 +68,10 @@
                 if (!Files.exists(out.resolve("report.json"))) {
                     throw new IOException(scenario + " could not be played with policy " + policy);
                 }
-                runs.put(NAMES.get(policy), flat(out.resolve("report.json")));
-                runs.get(NAMES.get(policy)).put("plays", Integer.toString(plays));
+                runs.put(RESULT_NAMES.get(policy), flattenReport(out.resolve("report.json")));
+                runs.get(RESULT_NAMES.get(policy)).put("plays", Integer.toString(plays));
                 verdict =
-                        verdict.equals("none") || status == LATE
+                        verdict.equals("none") || status == LATE_EXIT_STATUS
                                 ? "none"
                                 : status == 0 ? verdict : "fail";
             }
@@ -85,30 +85,30 @@
                 json.writeNumberField("seed", seed);
                 json.writeStringField("command", command);
                 json.writeStringField("commit", commit);
-                lateness.machine(json);
+                lateness.writeMachine(json);
                 json.writeStringField("verdict", verdict);
                 json.writeObjectFieldStart("runs");
                 for (Map.Entry<String, Map<String, String>> run : runs.entrySet()) {
                     json.writeObjectFieldStart(run.getKey());
                     json.writeStringField("verdict", run.getValue().get("verdict"));
-                    raw(json, "plays", run.getValue().get("plays"));
-                    for (String key : FIGURES) {
-                        raw(json, key, run.getValue().get("figures." + key));
+                    writeRawNumber(json, "plays", run.getValue().get("plays"));
+                    for (String key : REPORT_FIGURES) {
+                        writeRawNumber(json, key, run.getValue().get("figures." + key));
                     }
                     for (String key : List.of("from_s", "finished", "p50_ms", "p99_ms")) {
-                        raw(json, "steady_" + key, run.getValue().get("steady." + key));
+                        writeRawNumber(json, "steady_" + key, run.getValue().get("steady." + key));
                     }
                     json.writeEndObject();
                 }
                 json.writeEndObject();
                 json.writeObjectFieldStart("added");
-                for (String than : List.of("relay", "none")) {
+                for (String baseline : List.of("relay", "none")) {
                     for (String key : List.of("p50_ms", "p99_ms")) {
                         double proxy = Double.parseDouble(runs.get("proxy").get("steady." + key));
-                        double other = Double.parseDouble(runs.get(than).get("steady." + key));
-                        raw(
+                        double other = Double.parseDouble(runs.get(baseline).get("steady." + key));
+                        writeRawNumber(
                                 json,
-                                "to_" + than + "_" + key,
+                                "to_" + baseline + "_" + key,
                                 Double.toString(Math.round((proxy - other) * 1_000) / 1_000.0));
                     }
                 }
@@ -125,13 +125,14 @@
         }
     }
 
-    private static void raw(JsonGenerator json, String key, String number) throws IOException {
+    private static void writeRawNumber(JsonGenerator json, String key, String number)
+            throws IOException {
         json.writeFieldName(key);
         json.writeRawValue(number);
     }
 
     /** The plain values of a report's first two levels, by path. */
-    private static Map<String, String> flat(Path report) throws IOException {
+    private static Map<String, String> flattenReport(Path report) throws IOException {
         Map<String, String> values = new TreeMap<>();
         try (JsonParser json = new JsonFactory().createParser(Files.readString(report))) {
             json.nextToken();
--- a/src/main/java/cottonlock/lab/scale/Lateness.java
+++ b/src/main/java/cottonlock/lab/scale/Lateness.java
@@ -11,23 +11,23 @@
  * A thread that does nothing but measure by how much it wakes too late while others are measured.
  */
 final class Lateness implements AutoCloseable {
-    private static final long NAP = 5_000_000L;
-    private static final double MOST = 99.9;
+    private static final long SLEEP_NANOS = 5_000_000L;
+    private static final double REPORTED_PERCENTILE = 99.9;
 
-    private final Histogram late = new Histogram(3_600_000_000L, 2);
-    private final Thread thread = new Thread(this::watch, "lateness");
-    private volatile boolean over;
+    private final Histogram lateMicros = new Histogram(3_600_000_000L, 2);
+    private final Thread thread = new Thread(this::measure, "lateness");
+    private volatile boolean stopped;
 
     Lateness() {
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void watch() {
-        while (!over) {
+    private void measure() {
+        while (!stopped) {
             long before = System.nanoTime();
-            LockSupport.parkNanos(NAP);
-            late.recordValue(Math.max(0, System.nanoTime() - before - NAP) / 1_000);
+            LockSupport.parkNanos(SLEEP_NANOS);
+            lateMicros.recordValue(Math.max(0, System.nanoTime() - before - SLEEP_NANOS) / 1_000);
         }
     }
 
@@ -39,7 +39,7 @@
 
     /** Ends the measurement; its figures can be read from here on. */
     void stop() {
-        over = true;
+        stopped = true;
         try {
             thread.join();
         } catch (InterruptedException e) {
@@ -48,29 +48,29 @@
     }
 
     /** Milliseconds, of 99.9% of its naps. */
-    double usual() {
-        return late.getValueAtPercentile(MOST) / 1_000.0;
+    double p999Millis() {
+        return lateMicros.getValueAtPercentile(REPORTED_PERCENTILE) / 1_000.0;
     }
 
-    private double worst() {
-        return late.getMaxValue() / 1_000.0;
+    private double maxMillis() {
+        return lateMicros.getMaxValue() / 1_000.0;
     }
 
     /** Writes what is known of the machine, this lateness among it. */
-    void machine(JsonGenerator json) throws IOException {
+    void writeMachine(JsonGenerator json) throws IOException {
         json.writeObjectFieldStart("machine");
         json.writeNumberField("cores", Runtime.getRuntime().availableProcessors());
-        json.writeNumberField("memory_mb", memory());
+        json.writeNumberField("memory_mb", machineMemoryMb());
         json.writeNumberField(
                 "load_1m",
                 java.lang.management.ManagementFactory.getOperatingSystemMXBean()
                         .getSystemLoadAverage());
-        json.writeNumberField("late_ms_p999", usual());
-        json.writeNumberField("late_ms_worst", worst());
+        json.writeNumberField("late_ms_p999", p999Millis());
+        json.writeNumberField("late_ms_worst", maxMillis());
         json.writeEndObject();
     }
 
-    private static long memory() throws IOException {
+    private static long machineMemoryMb() throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/meminfo"))) {
             if (line.startsWith("MemTotal:")) {
                 return Long.parseLong(line.replaceAll("[^0-9]", "")) / 1_024;
--- a/src/main/java/cottonlock/lab/scale/Calls.java
+++ b/src/main/java/cottonlock/lab/scale/LoadGenerator.java
@@ -21,54 +21,54 @@
  * counts from when a call was due to be sent. Threads wait on sockets, as there are few calls at a
  * time.
  */
-final class Calls implements AutoCloseable {
-    private static final int CALLERS = 24;
-    private static final long STACK = 192 << 10;
-    private static final byte[] ANSWER =
+final class LoadGenerator implements AutoCloseable {
+    private static final int CLIENT_THREADS = 24;
+    private static final long THREAD_STACK_BYTES = 192 << 10;
+    private static final byte[] RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.ISO_8859_1);
 
     /** Microseconds that are told apart at most. */
-    private static final long LONGEST = 60_000_000;
+    private static final long MAX_LATENCY_MICROS = 60_000_000;
 
-    private static final int PATIENCE_MS = 2_000;
+    private static final int CLIENT_TIMEOUT_MS = 2_000;
 
-    private final ServerSocket backends;
+    private final ServerSocket backendListener;
     private final SplittableRandom random;
-    private final double rate;
-    private final LinkedBlockingQueue<Long> due = new LinkedBlockingQueue<>();
-    private final Set<InetAddress> used = ConcurrentHashMap.newKeySet();
-    private final Map<Socket, Boolean> open = new ConcurrentHashMap<>();
-    private final AtomicLong connections = new AtomicLong();
+    private final double callsPerSecond;
+    private final LinkedBlockingQueue<Long> dueTimesNanos = new LinkedBlockingQueue<>();
+    private final Set<InetAddress> usedBackendAddresses = ConcurrentHashMap.newKeySet();
+    private final Map<Socket, Boolean> openConnections = new ConcurrentHashMap<>();
+    private final AtomicLong acceptedConnections = new AtomicLong();
     private final AtomicLong served = new AtomicLong();
     private final AtomicLong failed = new AtomicLong();
-    private final Histogram latency = new Histogram(LONGEST, 3);
-    private volatile boolean over;
+    private final Histogram latency = new Histogram(MAX_LATENCY_MICROS, 3);
+    private volatile boolean stopped;
 
     /** Rate: calls a second. */
-    Calls(long seed, double rate) throws IOException {
+    LoadGenerator(long seed, double callsPerSecond) throws IOException {
         this.random = new SplittableRandom(seed);
-        this.rate = rate;
-        this.backends = new ServerSocket(0, 1_024);
-        start("backends", this::accept);
+        this.callsPerSecond = callsPerSecond;
+        this.backendListener = new ServerSocket(0, 1_024);
+        startThread("backends", this::acceptConnections);
     }
 
-    private static void start(String name, Runnable task) {
-        Thread thread = new Thread(null, task, name, STACK);
+    private static void startThread(String name, Runnable task) {
+        Thread thread = new Thread(null, task, name, THREAD_STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
     }
 
     /** Where all backends listen. */
     int port() {
-        return backends.getLocalPort();
+        return backendListener.getLocalPort();
     }
 
     /** Calls go to the proxy at a port from now on. */
     void start(int port) {
-        for (int i = 0; i < CALLERS; i++) {
-            start("caller", () -> call(port));
+        for (int i = 0; i < CLIENT_THREADS; i++) {
+            startThread("caller", () -> sendCalls(port));
         }
-        start("arrivals", this::arrive);
+        startThread("arrivals", this::scheduleArrivals);
     }
 
     /** What counts begins now. */
@@ -76,58 +76,62 @@
         synchronized (latency) {
             latency.reset();
         }
-        connections.set(0);
+        acceptedConnections.set(0);
         served.set(0);
         failed.set(0);
     }
 
-    private void arrive() {
+    private void scheduleArrivals() {
         try {
-            long next = System.nanoTime();
-            while (!over) {
-                next += (long) (-Math.log(1 - random.nextDouble()) / rate * 1e9);
-                long wait = next - System.nanoTime();
-                if (wait > 0) {
-                    Thread.sleep(wait / 1_000_000, (int) (wait % 1_000_000));
+            long nextNanos = System.nanoTime();
+            while (!stopped) {
+                nextNanos += (long) (-Math.log(1 - random.nextDouble()) / callsPerSecond * 1e9);
+                long waitNanos = nextNanos - System.nanoTime();
+                if (waitNanos > 0) {
+                    Thread.sleep(waitNanos / 1_000_000, (int) (waitNanos % 1_000_000));
                 }
-                due.add(next);
+                dueTimesNanos.add(nextNanos);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void call(int port) {
-        byte[] ask =
+    private void sendCalls(int port) {
+        byte[] requestHead =
                 ("GET /quote HTTP/1.1\r\n"
                                 + "Host: lab\r\n"
                                 + "X-Priority-Class: quote\r\n"
                                 + "X-Tenant-Id: acme\r\n"
                                 + "X-Timeout-Ms: "
-                                + PATIENCE_MS
+                                + CLIENT_TIMEOUT_MS
                                 + "\r\nX-Request-ID: ")
                         .getBytes(StandardCharsets.ISO_8859_1);
         Socket socket = null;
         long number = 0;
-        while (!over) {
+        while (!stopped) {
             try {
-                long at = due.take();
+                long dueNanos = dueTimesNanos.take();
                 if (socket == null) {
                     socket = new Socket(InetAddress.getLoopbackAddress(), port);
                     socket.setTcpNoDelay(true);
-                    socket.setSoTimeout(2 * PATIENCE_MS);
+                    socket.setSoTimeout(2 * CLIENT_TIMEOUT_MS);
                 }
                 String id = Long.toString(Thread.currentThread().getId(), 36) + "-" + number++;
-                byte[] rest = (id + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1);
-                byte[] whole = java.util.Arrays.copyOf(ask, ask.length + rest.length);
-                System.arraycopy(rest, 0, whole, ask.length, rest.length);
-                socket.getOutputStream().write(whole);
-                boolean ok = answer(socket.getInputStream());
+                byte[] requestEnd = (id + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1);
+                byte[] request =
+                        java.util.Arrays.copyOf(
+                                requestHead, requestHead.length + requestEnd.length);
+                System.arraycopy(requestEnd, 0, request, requestHead.length, requestEnd.length);
+                socket.getOutputStream().write(request);
+                boolean ok = readResponse(socket.getInputStream());
                 if (ok) {
                     served.incrementAndGet();
                     synchronized (latency) {
                         latency.recordValue(
-                                Math.min(LONGEST, Math.max(0, System.nanoTime() - at) / 1_000));
+                                Math.min(
+                                        MAX_LATENCY_MICROS,
+                                        Math.max(0, System.nanoTime() - dueNanos) / 1_000));
                     }
                 } else {
                     failed.incrementAndGet();
@@ -144,8 +148,8 @@
     }
 
     /** Reads one answer whole; whether it is a 200. */
-    private static boolean answer(InputStream in) throws IOException {
-        String head = head(in);
+    private static boolean readResponse(InputStream in) throws IOException {
+        String head = readHead(in);
         int length = 0;
         for (String line : head.split("\r\n", 0)) {
             if (line.toLowerCase(java.util.Locale.ROOT).startsWith("content-length:")) {
@@ -158,7 +162,7 @@
         return head.startsWith("HTTP/1.1 200");
     }
 
-    private static String head(InputStream in) throws IOException {
+    private static String readHead(InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
         while (text.length() < 4 || !text.substring(text.length() - 4).equals("\r\n\r\n")) {
             int b = in.read();
@@ -170,32 +174,32 @@
         return text.toString();
     }
 
-    private void accept() {
-        while (!over) {
+    private void acceptConnections() {
+        while (!stopped) {
             try {
-                Socket socket = backends.accept();
-                connections.incrementAndGet();
-                used.add(socket.getLocalAddress());
-                open.put(socket, true);
-                start("backend", () -> serve(socket));
+                Socket socket = backendListener.accept();
+                acceptedConnections.incrementAndGet();
+                usedBackendAddresses.add(socket.getLocalAddress());
+                openConnections.put(socket, true);
+                startThread("backend", () -> serveConnection(socket));
             } catch (IOException e) {
                 // It is over, or the caller has gone.
             }
         }
     }
 
-    private void serve(Socket socket) {
+    private void serveConnection(Socket socket) {
         try {
             socket.setTcpNoDelay(true);
             InputStream in = new java.io.BufferedInputStream(socket.getInputStream());
-            while (!over) {
-                head(in);
-                socket.getOutputStream().write(ANSWER);
+            while (!stopped) {
+                readHead(in);
+                socket.getOutputStream().write(RESPONSE);
             }
         } catch (IOException e) {
             // The proxy has closed it.
         } finally {
-            open.remove(socket);
+            openConnections.remove(socket);
             close(socket);
         }
     }
@@ -218,8 +222,8 @@
     void write(JsonGenerator json) throws IOException {
         json.writeNumberField("served", served.get());
         json.writeNumberField("not_served", failed.get());
-        json.writeNumberField("backends_used", used.size());
-        json.writeNumberField("connections_made", connections.get());
+        json.writeNumberField("backends_used", usedBackendAddresses.size());
+        json.writeNumberField("connections_made", acceptedConnections.get());
         json.writeNumberField("p50_ms", latency.getValueAtPercentile(50) / 1_000.0);
         json.writeNumberField("p99_ms", latency.getValueAtPercentile(99) / 1_000.0);
     }
@@ -231,12 +235,12 @@
 
     /** Ends the measurement; its figures can be read from here on. */
     void stop() {
-        over = true;
+        stopped = true;
         try {
-            backends.close();
+            backendListener.close();
         } catch (IOException e) {
             // It is closed all the same.
         }
-        open.keySet().forEach(Calls::close);
+        openConnections.keySet().forEach(LoadGenerator::close);
     }
 }
--- a/src/main/java/cottonlock/lab/scale/Proc.java
+++ b/src/main/java/cottonlock/lab/scale/Proc.java
@@ -7,12 +7,12 @@
 /** What the kernel counts of a process. */
 final class Proc {
     /** Of a second: the unit of /proc's times on every Linux. */
-    static final double TICKS = 100;
+    static final double TICKS_PER_SECOND = 100;
 
     private Proc() {}
 
     /** Ticks of processor time that it has used; -1 where it is gone. */
-    static long cpu(long pid) {
+    static long cpuTicks(long pid) {
         try {
             String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
             // Behind the name in brackets, which may hold spaces: the state is the third field.
--- a/src/main/java/cottonlock/lab/scale/ResultFile.java
+++ b/src/main/java/cottonlock/lab/scale/ResultFile.java
@@ -26,12 +26,12 @@
     private static final double NEVER = -1;
 
     /** A result holds some hundred values; what is much longer is no result. */
-    private static final long LONGEST = 1 << 20;
+    private static final long MAX_BYTES = 1 << 20;
 
-    private static final int DEEPEST = 8;
+    private static final int MAX_DEPTH = 8;
 
     /** What each kind must hold beside its kind, size and seed. */
-    private static final Map<String, List<String>> NEEDED =
+    private static final Map<String, List<String>> REQUIRED_FIELDS =
             Map.of(
                     "scale", List.of("command", "commit", "verdict", "machine.late_ms_p999"),
                     "members", List.of("command", "commit", "seconds_virtual"),
@@ -53,7 +53,7 @@
     static ResultFile read(Path file) throws InvalidConfigurationException {
         ResultFile result = new ResultFile(file.getFileName().toString());
         try {
-            if (Files.size(file) > LONGEST) {
+            if (Files.size(file) > MAX_BYTES) {
                 throw new InvalidConfigurationException(
                         List.of(file + ": is longer than a result of a run can be"));
             }
@@ -66,7 +66,7 @@
                     throw new InvalidConfigurationException(
                             List.of(file + ": expected a JSON object"));
                 }
-                result.object(file, json, "", 0);
+                result.readObject(file, json, "", 0);
                 if (json.nextToken() != null) {
                     throw new InvalidConfigurationException(
                             List.of(file + ": expected nothing behind the object"));
@@ -84,7 +84,7 @@
             throw new InvalidConfigurationException(
                     List.of(file + ": cannot be read: " + e.getMessage()));
         }
-        result.check(file);
+        result.validate(file);
         return result;
     }
 
@@ -92,11 +92,11 @@
      * All results of a folder in the order of kind, size and seed; other files in it are left
      * alone.
      */
-    static List<ResultFile> all(Path folder) throws InvalidConfigurationException {
+    static List<ResultFile> readAll(Path folder) throws InvalidConfigurationException {
         List<Path> files;
-        try (Stream<Path> there = Files.list(folder)) {
+        try (Stream<Path> entries = Files.list(folder)) {
             files =
-                    there.filter(f -> f.getFileName().toString().endsWith(".json"))
+                    entries.filter(f -> f.getFileName().toString().endsWith(".json"))
                             .sorted()
                             .toList();
         } catch (IOException e) {
@@ -122,16 +122,16 @@
         return results;
     }
 
-    private void object(Path file, JsonParser json, String path, int depth)
+    private void readObject(Path file, JsonParser json, String path, int depth)
             throws IOException, InvalidConfigurationException {
-        if (depth > DEEPEST) {
+        if (depth > MAX_DEPTH) {
             throw new InvalidConfigurationException(
                     List.of(file + ": values lie too deep in each other"));
         }
         while (json.nextToken() != JsonToken.END_OBJECT) {
             String key = path + json.currentName();
             switch (json.nextToken()) {
-                case START_OBJECT -> object(file, json, key + ".", depth + 1);
+                case START_OBJECT -> readObject(file, json, key + ".", depth + 1);
                 case START_ARRAY -> json.skipChildren();
                 case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT ->
                         numbers.put(key, json.getDoubleValue());
@@ -141,15 +141,15 @@
         }
     }
 
-    private void check(Path file) throws InvalidConfigurationException {
+    private void validate(Path file) throws InvalidConfigurationException {
         List<String> faults = new ArrayList<>();
         String kind = texts.getOrDefault("kind", "");
-        if (!NEEDED.containsKey(kind)) {
+        if (!REQUIRED_FIELDS.containsKey(kind)) {
             throw new InvalidConfigurationException(
                     List.of(
                             file
                                     + ": kind: expected one of "
-                                    + String.join(", ", new TreeMap<>(NEEDED).keySet())
+                                    + String.join(", ", new TreeMap<>(REQUIRED_FIELDS).keySet())
                                     + ", found \""
                                     + kind
                                     + "\""));
@@ -165,7 +165,7 @@
                                 + (Double.isNaN(value) ? "none" : value));
             }
         }
-        for (String key : NEEDED.get(kind)) {
+        for (String key : REQUIRED_FIELDS.get(kind)) {
             if (!numbers.containsKey(key) && !texts.containsKey(key)) {
                 faults.add(file + ": " + key + ": is not there");
             }
@@ -219,7 +219,7 @@
      * that served nothing has no cost of serving. A fleet that broke a bound has its figures all
      * the same.
      */
-    boolean counts() {
+    boolean hasUsableFigures() {
         return !verdict().equals("none") && !(kind().equals("proxy") && verdict().equals("fail"));
     }
 
@@ -234,7 +234,7 @@
     }
 
     /** Whether the run tells that what this figure times never came. */
-    boolean never(String path) {
+    boolean neverReached(String path) {
         return !path.startsWith("added.") && numbers.getOrDefault(path, 0.0) == NEVER;
     }
 }
--- a/src/main/java/cottonlock/lab/scale/Samples.java
+++ b/src/main/java/cottonlock/lab/scale/Samples.java
@@ -26,8 +26,8 @@
 
     synchronized void add(String role, long second, What what, double value) {
         Map<What, Double> row = row(role, second);
-        double before = row.getOrDefault(what, 0.0);
-        row.put(what, what == What.WORST_OUT ? Math.max(before, value) : before + value);
+        double previous = row.getOrDefault(what, 0.0);
+        row.put(what, what == What.WORST_OUT ? Math.max(previous, value) : previous + value);
     }
 
     private Map<What, Double> row(String role, long second) {
--- a/src/main/java/cottonlock/lab/scale/Slope.java
+++ b/src/main/java/cottonlock/lab/scale/Slope.java
@@ -26,24 +26,24 @@
         double base,
         double rise,
         double spread,
-        double seeds,
-        Slope other,
-        int sizes,
-        double largest) {
+        double seedSpread,
+        Slope alternative,
+        int sizeCount,
+        double largestSize) {
     /** A bend shows with four sizes; three can't tell a line from a curve with some spread. */
-    static final int LEAST = 4;
+    static final int MIN_SIZES = 4;
 
     /** One run's figure. */
     record Point(double size, double value) {}
 
     /** Fits both laws; null where there are fewer sizes than the least. */
-    static Slope fit(List<Point> points, int least) {
+    static Slope fit(List<Point> points, int minSizes) {
         Map<Double, List<Double>> bySize = new TreeMap<>();
         points.forEach(p -> bySize.computeIfAbsent(p.size, s -> new ArrayList<>()).add(p.value));
-        if (bySize.size() < Math.max(2, least)) {
+        if (bySize.size() < Math.max(2, minSizes)) {
             return null;
         }
-        double seeds = Double.NaN;
+        double seedSpread = Double.NaN;
         for (List<Double> values : bySize.values()) {
             if (values.size() < 2) {
                 continue;
@@ -51,72 +51,80 @@
             double mean = values.stream().mapToDouble(v -> v).average().orElse(0);
             double high = values.stream().mapToDouble(v -> v).max().orElse(0);
             double low = values.stream().mapToDouble(v -> v).min().orElse(0);
-            double apart = high == low ? 0 : (high - low) / Math.max(1e-12, Math.abs(mean));
-            seeds = Double.isNaN(seeds) ? apart : Math.max(seeds, apart);
+            double relativeRange = high == low ? 0 : (high - low) / Math.max(1e-12, Math.abs(mean));
+            seedSpread =
+                    Double.isNaN(seedSpread) ? relativeRange : Math.max(seedSpread, relativeRange);
         }
-        double largest = bySize.keySet().stream().mapToDouble(s -> s).max().orElse(0);
-        double[] line = line(points);
-        Slope linear = of("linear", line, points, seeds, null, bySize.size(), largest);
+        double largestSize = bySize.keySet().stream().mapToDouble(s -> s).max().orElse(0);
+        double[] line = fitLine(points);
+        Slope linear =
+                createFit("linear", line, points, seedSpread, null, bySize.size(), largestSize);
         if (points.stream().anyMatch(p -> p.size <= 0 || p.value <= 0)) {
             return linear;
         }
         double[] logs =
-                line(
+                fitLine(
                         points.stream()
                                 .map(p -> new Point(Math.log(p.size), Math.log(p.value)))
                                 .toList());
         Slope power =
-                of(
+                createFit(
                         "power",
                         new double[] {Math.exp(logs[0]), logs[1]},
                         points,
-                        seeds,
+                        seedSpread,
                         null,
                         bySize.size(),
-                        largest);
-        return linear.spread <= power.spread ? linear.with(power) : power.with(linear);
+                        largestSize);
+        return linear.spread <= power.spread
+                ? linear.withAlternative(power)
+                : power.withAlternative(linear);
     }
 
-    private Slope with(Slope second) {
-        return new Slope(law, base, rise, spread, seeds, second, sizes, largest);
+    private Slope withAlternative(Slope alternativeFit) {
+        return new Slope(
+                law, base, rise, spread, seedSpread, alternativeFit, sizeCount, largestSize);
     }
 
-    private static Slope of(
+    private static Slope createFit(
             String law,
             double[] fit,
             List<Point> points,
-            double seeds,
-            Slope other,
-            int sizes,
-            double largest) {
-        Slope without = new Slope(law, fit[0], fit[1], 0, seeds, other, sizes, largest);
+            double seedSpread,
+            Slope alternative,
+            int sizeCount,
+            double largestSize) {
+        Slope withoutSpread =
+                new Slope(law, fit[0], fit[1], 0, seedSpread, alternative, sizeCount, largestSize);
         double mean = points.stream().mapToDouble(Point::value).average().orElse(0);
-        double squares =
+        double meanSquare =
                 points.stream()
-                        .mapToDouble(p -> Math.pow(p.value - without.at(p.size), 2))
+                        .mapToDouble(p -> Math.pow(p.value - withoutSpread.valueAt(p.size), 2))
                         .average()
                         .orElse(0);
-        double spread = squares < 1e-24 ? 0 : Math.sqrt(squares) / Math.max(1e-12, Math.abs(mean));
-        return new Slope(law, fit[0], fit[1], spread, seeds, other, sizes, largest);
+        double spread =
+                meanSquare < 1e-24 ? 0 : Math.sqrt(meanSquare) / Math.max(1e-12, Math.abs(mean));
+        return new Slope(
+                law, fit[0], fit[1], spread, seedSpread, alternative, sizeCount, largestSize);
     }
 
     /** The value at 0 and the rise of the line with the least squares. */
-    private static double[] line(List<Point> points) {
+    private static double[] fitLine(List<Point> points) {
         double x = points.stream().mapToDouble(Point::size).average().orElse(0);
         double y = points.stream().mapToDouble(Point::value).average().orElse(0);
-        double both = points.stream().mapToDouble(p -> (p.size - x) * (p.value - y)).sum();
-        double square = points.stream().mapToDouble(p -> (p.size - x) * (p.size - x)).sum();
-        double rise = square == 0 ? 0 : both / square;
+        double crossProducts = points.stream().mapToDouble(p -> (p.size - x) * (p.value - y)).sum();
+        double squaredSizes = points.stream().mapToDouble(p -> (p.size - x) * (p.size - x)).sum();
+        double rise = squaredSizes == 0 ? 0 : crossProducts / squaredSizes;
         return new double[] {y - rise * x, rise};
     }
 
     /** What the law says for a size. */
-    double at(double size) {
+    double valueAt(double size) {
         return law.equals("linear") ? base + rise * size : base * Math.pow(size, rise);
     }
 
     /** By what factor a size lies beyond the largest that was measured; 1 at least. */
-    double beyond(double size) {
-        return Math.max(1, size / largest);
+    double extrapolationFactor(double size) {
+        return Math.max(1, size / largestSize);
     }
 }
--- a/src/main/java/cottonlock/lab/scale/Topology.java
+++ b/src/main/java/cottonlock/lab/scale/Topology.java
@@ -14,18 +14,18 @@
     /**
      * The second byte of addresses: of control, and of the first zone; all of 127/8 is loopback.
      */
-    private static final int CONTROL = 9;
+    private static final int CONTROL_SECOND_BYTE = 9;
 
-    private static final int FIRST_ZONE = 10;
+    private static final int FIRST_ZONE_SECOND_BYTE = 10;
 
     private final ScaleFile.Fleet fleet;
-    private final int machines;
+    private final int controlMachines;
     private final List<Integer> real = new ArrayList<>();
     private final boolean[] isReal;
 
-    Topology(ScaleFile.Fleet fleet, int machines) {
+    Topology(ScaleFile.Fleet fleet, int controlMachines) {
         this.fleet = fleet;
-        this.machines = machines;
+        this.controlMachines = controlMachines;
         this.isReal = new boolean[fleet.size()];
         // All of one region: what passes between two of them is seen by nobody and can't be cut.
         for (int i = 0; i < fleet.size() && real.size() < fleet.real(); i++) {
@@ -75,27 +75,34 @@
 
     /** The machine of control that a proxy asks: of its zone, else of its region. */
     int control(int proxy) {
-        List<Integer> near = new ArrayList<>();
-        for (int m = 0; m < machines; m++) {
+        List<Integer> nearMachines = new ArrayList<>();
+        for (int m = 0; m < controlMachines; m++) {
             if (controlZone(m) == zone(proxy)) {
-                near.add(m);
+                nearMachines.add(m);
             }
         }
-        for (int m = 0; near.isEmpty() && m < machines; m++) {
+        for (int m = 0; nearMachines.isEmpty() && m < controlMachines; m++) {
             if (region(controlZone(m)) == region(zone(proxy))) {
-                near.add(m);
+                nearMachines.add(m);
             }
         }
-        return near.isEmpty() ? proxy % machines : near.get(proxy / fleet.zones() % near.size());
+        return nearMachines.isEmpty()
+                ? proxy % controlMachines
+                : nearMachines.get(proxy / fleet.zones() % nearMachines.size());
     }
 
     String ip(int proxy) {
-        return "127." + (FIRST_ZONE + zone(proxy)) + "." + (proxy >> 8) + "." + (proxy & 0xff);
+        return "127."
+                + (FIRST_ZONE_SECOND_BYTE + zone(proxy))
+                + "."
+                + (proxy >> 8)
+                + "."
+                + (proxy & 0xff);
     }
 
     /** The zone of an address of a proxy; -1 for any other. */
     static int zoneOf(int secondByte) {
-        return secondByte < FIRST_ZONE ? -1 : secondByte - FIRST_ZONE;
+        return secondByte < FIRST_ZONE_SECOND_BYTE ? -1 : secondByte - FIRST_ZONE_SECOND_BYTE;
     }
 
     /**
@@ -103,7 +110,7 @@
      * apart.
      */
     String controlIp(int machine, boolean byReal) {
-        return "127." + CONTROL + "." + machine + "." + (byReal ? 2 : 1);
+        return "127." + CONTROL_SECOND_BYTE + "." + machine + "." + (byReal ? 2 : 1);
     }
 
     String name(int proxy) {
