--- a/src/main/java/cottonlock/lab/scale/ProxyMeasure.java
+++ b/src/main/java/cottonlock/lab/scale/ProxyMeasure.java
@@ -71,7 +71,7 @@
         Path folder = Files.createTempDirectory("cottonlock-proxy");
         Process process = null;
         try (ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
-                Calls calls = new Calls(seed, rate);
+                LoadGenerator calls = new LoadGenerator(seed, rate);
                 Lateness lateness = new Lateness()) {
             String list = list(calls.port());
             long[] onWire = new long[1];
@@ -105,7 +105,9 @@
             calls.stop();
             lateness.stop();
             String verdict =
-                    lateness.usual() > LATE_LIMIT ? "none" : calls.served() == 0 ? "fail" : "pass";
+                    lateness.p999Millis() > LATE_LIMIT
+                            ? "none"
+                            : calls.served() == 0 ? "fail" : "pass";
             try (JsonGenerator json =
                     new JsonFactory().createGenerator(Files.newBufferedWriter(result))) {
                 json.useDefaultPrettyPrinter();
@@ -115,7 +117,7 @@
                 json.writeNumberField("seed", seed);
                 json.writeStringField("command", command);
                 json.writeStringField("commit", commit);
-                lateness.machine(json);
+                lateness.writeMachine(json);
                 json.writeStringField("verdict", verdict);
                 json.writeObjectFieldStart("figures");
                 json.writeNumberField("first_200_ms", Math.round(first * 10) / 10.0);
--- a/src/main/java/cottonlock/lab/scale/ScaleRun.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleRun.java
@@ -415,14 +415,14 @@
                 double span = (at - beforeAt) / 1e9;
                 for (Map.Entry<String, List<Long>> role : pids().entrySet()) {
                     for (long pid : role.getValue()) {
-                        long ticks = Proc.cpu(pid);
+                        long ticks = Proc.cpuTicks(pid);
                         Long last = before.put(pid, ticks);
                         if (last != null && ticks >= last) {
                             samples.add(
                                     role.getKey(),
                                     second,
                                     What.CPU,
-                                    (ticks - last) / Proc.TICKS / span);
+                                    (ticks - last) / Proc.TICKS_PER_SECOND / span);
                         }
                         samples.add(
                                 role.getKey(),
--- a/src/test/java/cottonlock/lab/scale/CapacityPageTest.java
+++ b/src/test/java/cottonlock/lab/scale/CapacityPageTest.java
@@ -29,7 +29,7 @@
     @Example
     void thePageIsWhatItsFilesSay() throws Exception {
         assertEquals(
-                CapacityPage.of(FOLDER),
+                CapacityPage.generate(FOLDER),
                 Files.readString(PAGE),
                 "docs/CAPACITY.md differs from its "
                         + "files; docs/capacity/README.md tells how it is made anew");
@@ -42,7 +42,7 @@
     void recordedResultsAreReadAsBeforeTheRenaming() throws Exception {
         assertEquals(
                 Files.readString(RECORDED.resolve("expected.md")),
-                CapacityPage.of(RECORDED.resolve("capacity")));
+                CapacityPage.generate(RECORDED.resolve("capacity")));
     }
 
     @Example
@@ -82,17 +82,17 @@
     @Example
     void aChangedDigitOfAResultChangesThePage() throws Exception {
         Path folder = copy(FIXTURE);
-        String before = CapacityPage.of(folder);
+        String before = CapacityPage.generate(folder);
         change(folder.resolve("proxy-400-1.json"), "\"rss_mb\": 90.0", "\"rss_mb\": 91.0");
-        assertNotEquals(before, CapacityPage.of(folder));
+        assertNotEquals(before, CapacityPage.generate(folder));
     }
 
     @Example
     void aChangedBudgetChangesThePage() throws Exception {
         Path folder = copy(FIXTURE);
-        String before = CapacityPage.of(folder);
+        String before = CapacityPage.generate(folder);
         change(folder.resolve("budget.toml"), "proxy_memory_mb = 128", "proxy_memory_mb = 129");
-        assertNotEquals(before, CapacityPage.of(folder));
+        assertNotEquals(before, CapacityPage.generate(folder));
     }
 
     @Example
@@ -100,7 +100,8 @@
         Path folder = copy(FIXTURE);
         change(folder.resolve("page.md"), "Budgets:", "Budgets, of 17 machines:");
         InvalidConfigurationException bad =
-                assertThrows(InvalidConfigurationException.class, () -> CapacityPage.of(folder));
+                assertThrows(
+                        InvalidConfigurationException.class, () -> CapacityPage.generate(folder));
         assertTrue(bad.getMessage().contains("page.md:3: a figure in the prose"), bad.getMessage());
     }
 
@@ -109,7 +110,8 @@
         Path folder = copy(FIXTURE);
         change(folder.resolve("page.md"), "{{operators.backends}}", "{{operators.backend}}");
         InvalidConfigurationException bad =
-                assertThrows(InvalidConfigurationException.class, () -> CapacityPage.of(folder));
+                assertThrows(
+                        InvalidConfigurationException.class, () -> CapacityPage.generate(folder));
         assertTrue(
                 bad.getMessage().contains("page.md:3: there is no operators.backend"),
                 bad.getMessage());
@@ -118,7 +120,7 @@
     /** Memory in the fixture is 50 MB and 0.1 for each entry: 350 at the operators' 3,000. */
     @Example
     void aSlopeIsWorkedOutToTheOperatorsSize() throws Exception {
-        String page = CapacityPage.of(copy(FIXTURE));
+        String page = CapacityPage.generate(copy(FIXTURE));
         assertTrue(
                 page.contains(
                         "| memory | linear, 4 sizes to 400; spread 0%, one seed; 7.5 times beyond; "
@@ -132,7 +134,7 @@
 
     @Example
     void theLargestNeedThatNothingCarriesIsNamed() throws Exception {
-        String page = CapacityPage.of(copy(FIXTURE));
+        String page = CapacityPage.generate(copy(FIXTURE));
         assertTrue(page.contains("Largest: **quotas: lost**, 460 times its budget"), page);
         assertTrue(
                 page.indexOf("| 460 | quotas: lost") < page.indexOf("| 2.73 | proxy: memory"),
@@ -146,7 +148,7 @@
                 folder.resolve("budget.toml"),
                 "budget = \"worked.one\"",
                 "budget = \"worked.none\"");
-        String page = CapacityPage.of(folder);
+        String page = CapacityPage.generate(folder);
         assertTrue(page.contains("Largest: **quotas: lost**, without bound"), page);
         assertTrue(
                 page.indexOf("| without bound | quotas: lost")
@@ -168,7 +170,7 @@
         Files.writeString(
                 folder.resolve("page.md"),
                 Files.readString(folder.resolve("page.md")) + "\n{{before mend proxy}}\n");
-        String page = CapacityPage.of(folder);
+        String page = CapacityPage.generate(folder);
         assertTrue(
                 page.contains("| `proxy-400-2.json` | pass | 812, 930 | 0123abc | no: before |"),
                 page);
@@ -187,7 +189,7 @@
     @Example
     void whatRanOnALateMachineIsNamedAndInNoSlope() throws Exception {
         Path folder = copy(FIXTURE);
-        String page = CapacityPage.of(folder);
+        String page = CapacityPage.generate(folder);
         // Its memory of 999 MB would have bent the line.
         assertTrue(page.contains("| `proxy-400-2.json` | none | 812, 930 | 0123abc | no |"), page);
         assertTrue(page.contains("Late: 1 of 5"), page);
@@ -195,20 +197,20 @@
                 folder.resolve("proxy-400-2.json"),
                 "\"verdict\": \"none\"",
                 "\"verdict\": \"pass\"");
-        assertFalse(CapacityPage.of(folder).contains("350 MB"));
+        assertFalse(CapacityPage.generate(folder).contains("350 MB"));
         // Nor what a process cost that served nothing.
         change(
                 folder.resolve("proxy-400-2.json"),
                 "\"verdict\": \"pass\"",
                 "\"verdict\": \"fail\"");
-        assertTrue(CapacityPage.of(folder).contains("350 MB"));
+        assertTrue(CapacityPage.generate(folder).contains("350 MB"));
     }
 
     @Example
     void whatIsNotMeasuredSaysSo() throws Exception {
         Path folder = copy(FIXTURE);
         Files.delete(folder.resolve("proxy-300-1.json"));
-        String page = CapacityPage.of(folder);
+        String page = CapacityPage.generate(folder);
         assertTrue(
                 page.contains(
                         "| memory | not measured: 3 of the 4 sizes that a slope needs "
@@ -225,9 +227,10 @@
     @Example
     void whatAProcessCostThatFellBehindItsCallsIsInNoSlope() throws Exception {
         Path folder = copy(FIXTURE);
-        assertTrue(CapacityPage.of(folder).contains(" | 3.1 of a core | - | - | `net.Proxy` |"));
+        assertTrue(
+                CapacityPage.generate(folder).contains(" | 3.1 of a core | - | - | `net.Proxy` |"));
         change(folder.resolve("proxy-400-1.json"), "\"p50_ms\": 2.5", "\"p50_ms\": 4960");
-        String page = CapacityPage.of(folder);
+        String page = CapacityPage.generate(folder);
         assertTrue(
                 page.contains(
                         "| calls | not measured: 3 of the 4 sizes that a slope needs; "
@@ -243,7 +246,7 @@
                 folder.resolve("budget.toml"),
                 "source = \"proxy:figures.rss_mb\"",
                 "source = \"proxy:figures.rss_mb\"\nslope = false");
-        String page = CapacityPage.of(folder);
+        String page = CapacityPage.generate(folder);
         assertTrue(
                 page.contains("| memory | by size, below | - | 128 | - | `net.BackendActor` |"),
                 page);
@@ -258,7 +261,7 @@
                 folder.resolve("proxy-400-1.json"),
                 "\"first_200_ms\": 130.0",
                 "\"first_200_ms\": -1");
-        String page = CapacityPage.of(folder);
+        String page = CapacityPage.generate(folder);
         assertTrue(page.contains("| `figures.first_200_ms` | 100 | 110 | 120 | never |"), page);
         assertTrue(page.contains("3 of the 4 sizes that a slope needs; never came at 400"), page);
     }
@@ -270,7 +273,7 @@
         ByteArrayOutputStream said = new ByteArrayOutputStream();
         Capacity capacity = new Capacity(new PrintStream(said), new PrintStream(said));
         assertEquals(0, capacity.page(folder, page));
-        assertEquals(CapacityPage.of(folder), Files.readString(page));
+        assertEquals(CapacityPage.generate(folder), Files.readString(page));
         Files.writeString(folder.resolve("proxy-7-1.json"), "{\"kind\": \"proxy\"}");
         assertEquals(2, capacity.page(folder, page));
         assertTrue(
--- a/src/test/java/cottonlock/lab/scale/SlopeTest.java
+++ b/src/test/java/cottonlock/lab/scale/SlopeTest.java
@@ -25,11 +25,11 @@
             @ForAll @DoubleRange(min = 0, max = 500) double base,
             @ForAll @DoubleRange(min = 0.01, max = 50) double rise) {
         Slope slope = Slope.fit(SIZES.stream().map(s -> new Point(s, base + rise * s)).toList(), 4);
-        assertEquals(base + rise * 3_000, slope.at(3_000), NEAR * (base + rise * 3_000));
+        assertEquals(base + rise * 3_000, slope.valueAt(3_000), NEAR * (base + rise * 3_000));
         assertEquals(0, slope.spread(), NEAR);
-        assertTrue(Double.isNaN(slope.seeds()), "no size has two seeds");
-        assertEquals(3, slope.beyond(3_000));
-        assertEquals(1, slope.beyond(500));
+        assertTrue(Double.isNaN(slope.seedSpread()), "no size has two seeds");
+        assertEquals(3, slope.extrapolationFactor(3_000));
+        assertEquals(1, slope.extrapolationFactor(500));
     }
 
     @Property(tries = 100)
@@ -44,9 +44,11 @@
                         4);
         assertEquals("power", slope.law());
         double there = base * Math.pow(3_000, exponent);
-        assertEquals(there, slope.at(3_000), NEAR * there);
-        assertEquals("linear", slope.other().law());
-        assertTrue(slope.other().at(3_000) < there, "a line lies below a curve that bends up");
+        assertEquals(there, slope.valueAt(3_000), NEAR * there);
+        assertEquals("linear", slope.alternative().law());
+        assertTrue(
+                slope.alternative().valueAt(3_000) < there,
+                "a line lies below a curve that bends up");
     }
 
     @Example
@@ -59,7 +61,7 @@
                             new Point(2, 2 + seed),
                             new Point(3, 3 + seed)));
         }
-        assertNull(Slope.fit(three, Slope.LEAST));
+        assertNull(Slope.fit(three, Slope.MIN_SIZES));
         assertNotNull(Slope.fit(three, 3));
         assertNull(Slope.fit(List.of(), 0));
         assertNull(Slope.fit(List.of(new Point(5, 1), new Point(5, 2)), 0));
@@ -77,7 +79,7 @@
         assertEquals("linear", slope.law());
         assertEquals(2, slope.rise(), NEAR);
         assertEquals(0.2, slope.spread(), NEAR);
-        assertEquals(1.0, slope.seeds(), NEAR);
+        assertEquals(1.0, slope.seedSpread(), NEAR);
     }
 
     /** Differences can be below 0, where no power law can be had. */
@@ -85,8 +87,8 @@
     void valuesBelowZeroHaveALineAlone() {
         Slope slope = Slope.fit(List.of(new Point(1, -1), new Point(2, 0), new Point(3, 1)), 3);
         assertEquals("linear", slope.law());
-        assertNull(slope.other());
-        assertEquals(7, slope.at(9), NEAR);
+        assertNull(slope.alternative());
+        assertEquals(7, slope.valueAt(9), NEAR);
     }
 
     /** The operators' design by hand: 640,000 calls a second over 3,000 proxies, and so on. */
@@ -118,7 +120,7 @@
         given.put("operators.restarts_day", 350.0);
         given.put("operators.failures_day", 4.0);
         given.put("assumed.list_changes", 3.0);
-        Map<String, Double> out = new WorkedOut(given, 420_000).figures();
+        Map<String, Double> out = new DerivedQuantities(given, 420_000).figures();
         assertEquals(213.333, out.get("calls_proxy"), 0.001);
         assertEquals(60, out.get("list_time_s"), NEAR);
         assertEquals(42_000, out.get("list_rate"), NEAR);
@@ -131,6 +133,8 @@
         assertEquals(336, out.get("cold_all"), NEAR);
         assertEquals(0.5, out.get("cold_ratio"), NEAR);
         assertEquals((350 * 3 + 4 * 2) * 3_000 / 86_400.0, out.get("discovery_changes_s"), NEAR);
-        assertTrue(Double.isNaN(new WorkedOut(given, Double.NaN).figures().get("list_all_bytes")));
+        assertTrue(
+                Double.isNaN(
+                        new DerivedQuantities(given, Double.NaN).figures().get("list_all_bytes")));
     }
 }
