--- a/src/main/java/cottonlock/lab/scale/Bounds.java
+++ b/src/main/java/cottonlock/lab/scale/Bounds.java
@@ -11,59 +11,69 @@
 import java.util.List;
 
 /**
- * What a run takes of the machine; one that would take too much is refused before anything starts.
+ * The resources that a scale run needs from the machine, by estimate. A run that needs more than it
+ * may have is refused before any process starts.
  */
 final class Bounds {
-    /**
-     * Megabytes beside its heap of a JVM of the lab's, and all of a process that serves, as
-     * measured.
-     */
+    /** Measured memory of a JVM of the lab beside its heap. */
     private static final double JVM_OVERHEAD_MB = 80;
 
+    /** Measured memory of a whole {@code serve} process without its backend actors. */
     private static final double SERVE_PROCESS_MB = 75;
 
-    /** Kilobytes of what a thread's stack and the kernel keep. */
+    /** Memory of a thread: its stack and what the kernel keeps for it. */
     private static final double THREAD_STACK_KB = 40;
 
-    /**
-     * Kilobytes of one entry of a held list, and of a member in a view, by the objects that they
-     * are.
-     */
+    /** Memory of an entry of a proxy's endpoint list, by the sizes of its objects. */
     private static final double LIST_ENTRY_KB = 0.35;
 
+    /** Memory of a member in a proxy's membership view, by the sizes of its objects. */
     private static final double VIEW_MEMBER_KB = 0.6;
 
-    /** Kilobytes of a backend's actor in a process that serves. */
+    /** Memory of a backend's actor in a {@code serve} process. */
     private static final double BACKEND_ACTOR_KB = 3;
 
-    /**
-     * Megabytes of a heap for what is read and thrown away, and kilobytes more for each entry of a
-     * list: some twenty whole lists at once.
-     */
+    /** Heap for short-lived objects. */
     private static final int SPARE_HEAP_MB = 64;
 
+    /** Heap for parsing lists, per entry: enough for some twenty complete lists at once. */
     private static final double LIST_PARSING_KB_PER_ENTRY = 40;
 
-    /** Descriptors of a process of its own, and threads of the machine that are left to others. */
+    /** File descriptors of a process beside the connections and sockets for proxies. */
     private static final long BASE_DESCRIPTORS = 100;
 
-    /** Ports below those that the kernel deals out; a run needs three in a row. */
+    /** The ports searched lie below those that the kernel assigns by itself. */
     private static final int FIRST_PORT = 20_000;
 
     private static final int LAST_PORT = 32_000;
+
+    /** The number of consecutive ports that a run needs. */
     static final int PORT_COUNT = 3;
 
+    /** The number of processes that run hollow (simulated) proxies. */
     final int hosts;
+
+    /** All processes of the run. */
     final int processes;
+
+    /** The estimated memory of all processes. */
     final double memoryMb;
 
-    /** What the lab's JVMs may take for their heaps. */
+    /** Maximum heap of a process of hollow proxies. */
     final int hollowHeapMb;
 
+    /** Maximum heap of a stand-in for a control machine. */
     final int controlHeapMb;
+
+    /** The first of the run's ports. */
     final int port;
 
-    /** Throws, in one line, what the run would take too much of. */
+    /**
+     * Estimates the run's needs.
+     *
+     * @throws InvalidConfigurationException if the run needs too much of a resource; its message
+     *     names the resource in one line
+     */
     Bounds(ScaleFile file) throws InvalidConfigurationException {
         ScaleFile.Fleet fleet = file.fleet;
         int hollowCount = fleet.size() - fleet.real();
@@ -91,28 +101,28 @@
                             + processes
                             + " processes, and may have "
                             + file.processes
-                            + ": fewer real ones, or more hollow ones to a JVM (fleet.per_jvm)");
+                            + ": reduce fleet.real or raise fleet.per_jvm");
         }
         long memoryLimitMb = Math.min(file.memoryMb, machineMb() / 2);
         if (memoryMb > memoryLimitMb) {
             reject(
-                    "needs some "
+                    "needs about "
                             + Math.round(memoryMb)
                             + " MB, and may have "
                             + memoryLimitMb
-                            + " (half of the machine's, or bounds.memory_mb): a smaller fleet.size"
-                            + " or fleet.real");
+                            + " (the lesser of bounds.memory_mb and half of the machine's memory):"
+                            + " reduce fleet.size or fleet.real");
         }
         long availableMb = availableMb();
         if (memoryMb > availableMb) {
-            // Half of the machine's is the most; when others use it too, what they leave is less.
+            // Other programs may leave less than half of the machine's memory free.
             reject(
-                    "needs some "
+                    "needs about "
                             + Math.round(memoryMb)
                             + " MB, and only "
                             + availableMb
-                            + " are available now: a smaller fleet.size or fleet.real, or a machine"
-                            + " with less to do");
+                            + " MB are available now: reduce fleet.size or fleet.real, or stop"
+                            + " other programs on the machine");
         }
         long maxDescriptors = maxDescriptors();
         long needed =
@@ -122,12 +132,12 @@
                                 2L * fleet.size() / file.control.machines() + fleet.size());
         if (needed > maxDescriptors) {
             reject(
-                    "needs some "
+                    "needs about "
                             + needed
                             + " file descriptors in one process, and it may have "
                             + maxDescriptors
-                            + ": more control.machines, a smaller fleet.per_jvm, or a higher"
-                            + " limit");
+                            + ": raise control.machines, reduce fleet.per_jvm, or raise the"
+                            + " process's descriptor limit");
         }
         port = findFreePorts();
     }
@@ -144,7 +154,8 @@
     }
 
     /**
-     * As the kernel reckons it, without pushing anybody out; without bound where it does not tell.
+     * The memory that the kernel estimates as available without swapping; {@link Long#MAX_VALUE} on
+     * systems that don't report it.
      */
     private static long availableMb() {
         try {
@@ -154,7 +165,7 @@
                 }
             }
         } catch (IOException e) {
-            // Another system: half of the machine's is the bound.
+            // Not Linux: half of the machine's memory remains the only limit.
         }
         return Long.MAX_VALUE;
     }
@@ -166,10 +177,10 @@
                 : Long.MAX_VALUE;
     }
 
-    /** The first of some ports that nobody has at any address of this machine. */
+    /** The first of {@link #PORT_COUNT} consecutive ports that are free at all local addresses. */
     private static int findFreePorts() throws InvalidConfigurationException {
         int span = (LAST_PORT - FIRST_PORT) / PORT_COUNT;
-        // Two runs that begin together begin to look at different places.
+        // Runs that start at the same time begin their search at different ports.
         int offset = (int) (ProcessHandle.current().pid() % span);
         for (int i = 0; i < span; i++) {
             int port = FIRST_PORT + (offset + i) % span * PORT_COUNT;
@@ -180,7 +191,7 @@
         reject(
                 "needs "
                         + PORT_COUNT
-                        + " free ports in a row, and there are none from "
+                        + " consecutive free ports, and there are none from "
                         + FIRST_PORT
                         + " to "
                         + LAST_PORT);
--- a/src/main/java/cottonlock/lab/scale/Budget.java
+++ b/src/main/java/cottonlock/lab/scale/Budget.java
@@ -12,12 +12,12 @@
 import java.util.Set;
 
 /**
- * What the operators' design asks and allows, what it leaves open and is assumed, the program's
- * constants that figures are worked out with, and the needs that the page holds against all that;
- * read from {@code budget.toml}. No figure of it stands in code.
+ * The contents of {@code budget.toml}: the operators' requirements and limits, assumptions about
+ * what they leave open, the program's constants that other quantities are derived from, and the
+ * needs that the capacity page compares with all these. None of the values is repeated in code.
  */
 final class Budget {
-    /** The operators' figures that must be there, all above 0. */
+    /** The required keys of the operators' quantities, all above 0. */
     private static final List<String> OPERATOR_KEYS =
             List.of(
                     "backends",
@@ -36,6 +36,7 @@
                     "proxy_bytes_s",
                     "control_machines");
 
+    /** The required keys of the assumed quantities, all above 0. */
     private static final List<String> ASSUMPTION_KEYS =
             List.of(
                     "due_ms",
@@ -47,6 +48,7 @@
                     "beat_s",
                     "streak",
                     "list_changes");
+
     private static final double MAX_VALUE = 1e15;
     private static final double MIN_VALUE = 1e-9;
     private static final String SOURCE_PATTERN =
@@ -54,19 +56,20 @@
     private static final String NAME_PATTERN = "(operators|assumed|constant|worked)\\.[a-z0-9_]+";
     private static final String DEFAULT_SIZE_NAME = "operators.backends";
 
-    /** A constant of the program: its file, its name there, its value. */
+    /** A constant of the program: its source file, the field's name there, and its value. */
     record Constant(String name, String file, String field, double value) {}
 
     /**
-     * One figure that is needed.
+     * A figure that the design needs, which the capacity page compares with its budget.
      *
      * @param part the role, event or mechanism
-     * @param source where the figure comes from: KIND:PATH or worked:NAME; "none:" where nothing
-     *     tells it
-     * @param at the size that a slope is worked out to, by name
-     * @param slope whether a slope over sizes says something of it; else it is shown by size alone
-     * @param budget what it may be, by name; empty where nothing is said
-     * @param carried the class that carries it; "nothing" and why where none does
+     * @param source the origin of the figure: KIND:PATH of a result file or worked:NAME of {@link
+     *     DerivedQuantities}; "none:" if it is neither measured nor derived
+     * @param sizeName the name of the size that the figure is extrapolated to
+     * @param extrapolated whether the figure is extrapolated over sizes; otherwise it is only shown
+     *     for each measured size
+     * @param budgetName the name of the figure's limit; empty if it has none
+     * @param carriedBy the class that implements the need; "nothing" and the reason if none does
      */
     record Need(
             String part,
@@ -91,7 +94,7 @@
     }
 
     /**
-     * All figures by name: {@code operators.backends}, {@code assumed.due_ms}, {@code
+     * All quantities by name, such as {@code operators.backends}, {@code assumed.due_ms} and {@code
      * constant.retire}.
      */
     final Map<String, Double> quantities = new LinkedHashMap<>();
@@ -101,7 +104,7 @@
 
     private Budget() {}
 
-    /** Reads it; every fault is told at once. */
+    /** Reads a budget; the exception lists all faults of the file. */
     static Budget read(Path file) throws InvalidConfigurationException {
         Budget budget = new Budget();
         Fields top = Fields.of(ConfigurationDocument.toml(file));
@@ -126,7 +129,7 @@
                             f.text("field", null),
                             f.number("value", Double.NaN, 0, MAX_VALUE));
             if (!seen.add(c.name)) {
-                f.addFault("name", "stands twice");
+                f.addFault("name", "duplicate name of a constant");
             }
             budget.constants.add(c);
             budget.quantities.put("constant." + c.name, c.value);
@@ -162,14 +165,14 @@
                 }
             }
             if (!seen.add(f.text("part", "") + "/" + f.text("figure", ""))) {
-                f.addFault("figure", "stands twice in its part");
+                f.addFault("figure", "duplicate figure of its part");
             }
         }
         top.throwIfInvalid();
         return budget;
     }
 
-    /** The parts in the order of the file. */
+    /** The distinct parts of the needs in the order of the file. */
     List<String> parts() {
         return needs.stream().map(Need::part).distinct().toList();
     }
--- a/src/main/java/cottonlock/lab/scale/Capacity.java
+++ b/src/main/java/cottonlock/lab/scale/Capacity.java
@@ -8,13 +8,13 @@
 import java.nio.file.Path;
 
 /**
- * What the command line uses of this package for docs/CAPACITY.md. Each call returns an exit
- * status.
+ * Measures the capacity of parts of the program and generates docs/CAPACITY.md, for the command
+ * line. Each operation returns an exit status.
  */
 public final class Capacity {
     private static final int INVALID_INPUT_STATUS = 2;
 
-    /** As the lab has it: the machine ran late, so there is no verdict. */
+    /** The exit status, as of other lab commands, if the machine ran too late for a verdict. */
     private static final int NO_VERDICT_STATUS = 3;
 
     private static final String MEASUREMENT_PATTERN = "(proxy|latency)-[0-9]{1,5}-[0-9]{1,9}";
@@ -22,15 +22,15 @@
     private final PrintStream out;
     private final PrintStream err;
 
-    /** What is generated goes to the one, faults and progress to the other. */
+    /** Generated output goes to {@code out}, faults and progress to {@code err}. */
     public Capacity(PrintStream out, PrintStream err) {
         this.out = out;
         this.err = err;
     }
 
     /**
-     * Measures one figure's run and writes its result into the folder: {@code proxy-ENTRIES-SEED}
-     * or {@code latency-TIERS-SEED}, which is also the file's name.
+     * Plays one measurement and writes its result into the folder. Its name, {@code
+     * proxy-ENTRIES-SEED} or {@code latency-TIERS-SEED}, is also that of the result file.
      */
     public int measure(Path folder, String what) throws InterruptedException {
         if (!what.matches(MEASUREMENT_PATTERN)) {
@@ -68,7 +68,7 @@
         return INVALID_INPUT_STATUS;
     }
 
-    /** The state that is measured, as git calls it; "unknown" outside of a clone. */
+    /** The short hash of the measured commit; "unknown" outside a git clone. */
     private static String commit() throws InterruptedException {
         try {
             Process git = new ProcessBuilder("git", "rev-parse", "--short", "HEAD").start();
@@ -80,7 +80,10 @@
         }
     }
 
-    /** Generates the page from a folder of results, its template and its budget. */
+    /**
+     * Generates the page from a folder with results, a template and a budget; prints it if {@code
+     * page} is null.
+     */
     public int page(Path folder, Path page) {
         try {
             String text = CapacityPage.generate(folder);
--- a/src/main/java/cottonlock/lab/scale/CapacityPage.java
+++ b/src/main/java/cottonlock/lab/scale/CapacityPage.java
@@ -21,27 +21,27 @@
 import java.util.stream.Stream;
 
 /**
- * Makes docs/CAPACITY.md of a folder: the prose of {@code page.md}, in which {@code {{NAME}}}
- * stands for a figure or a table, the results of runs, and {@code budget.toml}. The prose itself
- * holds no figure: a digit in it outside of code is a fault, so that each figure of the page has a
- * file. What no run has measured prints as "not measured".
+ * Generates docs/CAPACITY.md from a folder: the template {@code page.md}, in which {@code {{NAME}}}
+ * is replaced by a figure or a table, the results of runs, and {@code budget.toml}. A digit in the
+ * template outside inline code is a fault, so that each figure of the page comes from a file. A
+ * figure that no run has measured is printed as "not measured".
  */
 final class CapacityPage {
     private static final String NOT_MEASURED = "not measured";
 
-    /** What a folder of an earlier state's results begins with. */
+    /** The prefix of folders with results of earlier states of the program. */
     private static final String EARLIER_STATE_PREFIX = "before-";
 
-    /** A ratio to a budget of nothing. */
+    /** The text of a ratio to a budget of 0. */
     private static final String WITHOUT_BOUND = "without bound";
 
     private static final Pattern PLACEHOLDER = Pattern.compile("\\{\\{([^{}]*)}}");
     private static final Pattern INLINE_CODE = Pattern.compile("`[^`]*`");
 
-    /** Tiers are three at most in the lab (docs/lab.md), so a slope over them rests on three. */
+    /** The lab has at most three tiers (docs/lab.md), so a slope over tiers needs only three. */
     private static final int MIN_TIERS = 3;
 
-    /** A need with what came of it; NaN where not measured. */
+    /** A need with its value and budget, each NaN if unknown, and how the value was obtained. */
     private record Row(Budget.Need need, double value, String basis, double budget) {
         double ratio() {
             return value / budget;
@@ -53,7 +53,7 @@
     private final List<ResultFile> results;
 
     /**
-     * Results of earlier states of the program, by what changed since; they are shown and in no
+     * Results of earlier states of the program, by the change made since; they are shown but in no
      * slope.
      */
     private final Map<String, List<ResultFile>> earlierResults = new TreeMap<>();
@@ -93,7 +93,7 @@
         }
     }
 
-    /** The page; faults of any file are told at once. */
+    /** Generates the page; the exception lists all faults of a file or folder of results. */
     static String generate(Path folder) throws InvalidConfigurationException, IOException {
         return new CapacityPage(folder).render();
     }
@@ -132,7 +132,7 @@
         return page.toString();
     }
 
-    /** What stands at a place of the template; null where there is nothing of that name. */
+    /** The text that replaces a placeholder; null if the name is unknown. */
     private String textFor(String name) {
         if (budget.quantities.containsKey(name)) {
             return formatExact(budget.quantities.get(name));
@@ -172,8 +172,8 @@
     }
 
     /**
-     * Whether a figure of calls is of a process that fell behind them: it shows no cost of that
-     * rate.
+     * Whether a figure about calls comes from a process that fell behind the calls' rate; such a
+     * figure doesn't show the cost of that rate.
      */
     private boolean fellBehind(ResultFile r, String path) {
         return path.startsWith("calls.")
@@ -344,7 +344,7 @@
         return table.toString();
     }
 
-    /** The largest need that nothing carries today. */
+    /** The need with the highest ratio above 1 that no class carries today. */
     private String largestUncarriedNeed() {
         return rowsByRatio().stream()
                 .filter(r -> r.need.isUncarried() && r.ratio() > 1)
@@ -403,7 +403,7 @@
         return results.isEmpty() ? NOT_MEASURED : table.toString();
     }
 
-    /** Every figure that a need rests on, by size: the mean over the seeds that gave a verdict. */
+    /** The measured figures of all needs by size, each the mean over the runs that are usable. */
     private String measuredTable(List<ResultFile> from, String kind) {
         List<ResultFile> selected =
                 from.stream().filter(r -> r.kind().equals(kind) && r.hasUsableFigures()).toList();
@@ -512,14 +512,14 @@
         return formatRounded(100 * part) + "%";
     }
 
-    /** A figure that was given, as it was. */
+    /** Formats a given figure without rounding. */
     private static String formatExact(double value) {
         return formatGrouped(BigDecimal.valueOf(value).stripTrailingZeros());
     }
 
     /**
-     * A figure that was measured or worked out: three digits of it tell more than the spread
-     * allows.
+     * Formats a measured or derived figure with three digits, which is already more than its spread
+     * justifies.
      */
     private static String formatRounded(double value) {
         if (!Double.isFinite(value)) {
--- a/src/main/java/cottonlock/lab/scale/CountedSocket.java
+++ b/src/main/java/cottonlock/lab/scale/CountedSocket.java
@@ -6,12 +6,14 @@
 import java.net.InetSocketAddress;
 
 /**
- * The socket of a hollow proxy: it counts what passes, and loses what comes from or goes to a zone
- * that its own is cut off from, as a network does. The receiver's side cuts too, for real proxies'
- * sockets don't.
+ * The socket of a hollow (simulated) proxy: it counts datagrams and drops those to and from zones
+ * that the proxy's zone is cut off from, as a network partition does. Received datagrams are
+ * dropped too, since the sockets of real proxies don't drop what they send.
  */
 final class CountedSocket extends DatagramSocket {
-    /** Which zones are cut off from each other; one for all proxies of the process. */
+    /**
+     * The pairs of zones that are cut off from each other, shared by all proxies of the process.
+     */
     static final class Cuts {
         private volatile boolean[][] cutZonePairs = new boolean[0][0];
 
@@ -29,7 +31,7 @@
         }
     }
 
-    /** What passed within the second; told from any thread. */
+    /** Bytes and messages since the last call of {@link #take}; thread-safe. */
     static final class Traffic {
         private long bytesIn;
         private long bytesOut;
@@ -46,7 +48,7 @@
             messagesOut++;
         }
 
-        /** Bytes in and out, messages in and out since it was last asked. */
+        /** Returns and resets the bytes in and out and the messages in and out, in this order. */
         synchronized long[] take() {
             long[] taken = {bytesIn, bytesOut, messagesIn, messagesOut};
             bytesIn = 0;
@@ -61,7 +63,10 @@
     private final Cuts cuts;
     private final Traffic ownTraffic;
 
-    /** What passes between hollow proxies and real ones, as the hollow ones see it. */
+    /**
+     * The traffic between hollow and real proxies, counted from the real proxies' side: what a
+     * hollow proxy sends is received here.
+     */
     private final Traffic realTraffic;
 
     private final java.util.Set<java.net.InetAddress> realAddresses;
--- a/src/main/java/cottonlock/lab/scale/DerivedQuantities.java
+++ b/src/main/java/cottonlock/lab/scale/DerivedQuantities.java
@@ -5,26 +5,27 @@
 import java.util.Map;
 
 /**
- * Figures that no run measures and that follow from the operators' design, the program's constants
- * and measured slopes. One that rests on something not measured is not a number. Times are in
- * seconds where the name doesn't say otherwise.
+ * Quantities that are not measured but derived from the operators' design, the program's constants
+ * and measured slopes; {@code worked:NAME} in {@code budget.toml} refers to them. A quantity is NaN
+ * if one that it depends on was not measured. Times are in seconds unless the name says otherwise.
  */
 @Deterministic
 final class DerivedQuantities {
     private static final double SECONDS_PER_DAY = 86_400;
     private static final double BYTES_PER_MB = 1 << 20;
 
-    /** Tenths of a millisecond in a second: the module's unit of time. */
+    /** The load balancer's unit of time is a tick of 0.1 ms. */
     private static final double TICKS_PER_SECOND = 10_000;
 
     private final Map<String, Double> given;
     private final Map<String, Double> figures = new LinkedHashMap<>();
 
     /**
-     * Works all out.
+     * Derives all quantities.
      *
-     * @param given the figures of {@link Budget}
-     * @param listBytes of one whole list on the wire at the operators' size; NaN where not measured
+     * @param given the quantities of {@link Budget}
+     * @param listBytes the size of a complete list on the wire at the operators' number of
+     *     backends; NaN if not measured
      */
     DerivedQuantities(Map<String, Double> given, double listBytes) {
         this.given = given;
@@ -67,7 +68,7 @@
         figures.put("tells_s", derived("tells_day") / SECONDS_PER_DAY);
     }
 
-    /** Control returns, and each proxy asks for the whole list at once. */
+    /** After control servers return, each proxy requests the complete list at once. */
     private void deriveListTransfers(double bytes) {
         double all = bytes * input("operators.backends");
         figures.put("list_bytes", bytes);
@@ -81,11 +82,12 @@
         figures.put("list_zone_bytes", bytes / input("operators.zones"));
     }
 
-    /** Balancer.Intake: each balancer has quota / balancers and a bucket of its own. */
+    /** TenantQuota: each of N load balancers grants quota / N from a token bucket of its own. */
     private void deriveQuotas() {
         double quota = input("operators.calls_s") / input("operators.services");
         double part = quota / input("operators.backends");
-        // Half a second's worth, and DEPTH at least; a quarter of it is there at the start.
+        // A burst is half a second at the quota's rate, and MIN_BURST_REQUESTS at least; buckets
+        // start filled to a quarter.
         double depth = Math.max(input("constant.quota_depth"), part / 2);
         figures.put("quota", quota);
         figures.put("quota_part", part);
@@ -93,15 +95,15 @@
         figures.put("quota_start", input("operators.backends") * depth / 4);
         figures.put("quota_burst", input("operators.backends") * depth);
         figures.put("quota_burst_s", derived("quota_burst") / quota);
-        // Where they carry unlike amounts, nothing is divided.
+        // Load balancers with unequal load don't divide a quota: each grants all of it.
         figures.put("quota_mesh", input("operators.backends"));
         figures.put("quota_lost", input("operators.backends") / derived("service_backends"));
         figures.put("quota_got", quota / derived("quota_lost"));
     }
 
     /**
-     * Balancer.Fleet.warmEnough: half of what pushes a cold one over, parted by what each gets
-     * finished.
+     * SlowStart: together, load balancers may send a warming backend half of what overloads it,
+     * each in proportion to what it completes.
      */
     private void deriveColdBackends() {
         double sent =
@@ -121,7 +123,7 @@
         figures.put("cold_floor_all_s", 1 / input("assumed.fall_s"));
     }
 
-    /** One caller and one backend, where calls go to all backends alike. */
+    /** Quantities of one proxy and one backend, if calls are spread evenly over all backends. */
     private void derivePairs() {
         double calls = derived("calls_proxy");
         double pair = calls / input("operators.backends");
--- a/src/main/java/cottonlock/lab/scale/LatencyMeasure.java
+++ b/src/main/java/cottonlock/lab/scale/LatencyMeasure.java
@@ -15,20 +15,26 @@
 import java.util.stream.Stream;
 
 /**
- * What a proxy adds to a call over one, two or three tiers: the same schedule is played by the real
- * proxy in processes of its own, by the lab's relay that decides nothing but whose turn it is
- * (policy {@code round}), and with no proxy at all ({@code direct}). Percentiles are those of the
- * second half of each run, when compiling is over. It has a verdict only where all three have one;
- * each is played again, twice at most, where the machine ran late, whatever was measured then.
+ * Measures the latency that a proxy adds to a call over one, two or three tiers. The same schedule
+ * is played with the real proxy in processes of its own, with the lab's round-robin relay (policy
+ * {@code round}), and without a proxy ({@code direct}). Percentiles are those of the second half of
+ * each run, after JIT compilation. The measurement has a verdict only if all three runs have one; a
+ * run is repeated, at most twice, if the machine ran late, whatever it measured.
  */
 final class LatencyMeasure {
-    /** Each policy, and what the result calls it; in this order they are played. */
+    /** The policies in the order in which they are played. */
     private static final List<String> POLICIES = List.of("direct", "round", "lanes");
 
+    /** The name of each policy's run in the result file. */
     private static final Map<String, String> RESULT_NAMES =
             Map.of("direct", "none", "round", "relay", "lanes", "proxy");
+
     private static final int MAX_PLAYS = 3;
+
+    /** The lab's exit status if the machine ran too late for a verdict. */
     private static final int LATE_EXIT_STATUS = 3;
+
+    /** The figures that are copied from each report. */
     private static final List<String> REPORT_FIGURES =
             List.of("service", "deferred", "lost", "twice", "drains", "cold", "behind_ms");
 
@@ -42,7 +48,7 @@
         this.err = err;
     }
 
-    /** Plays it and writes the result; returns its verdict. */
+    /** Plays the runs and writes the result; returns its verdict. */
     String play(Path result, String command, String commit)
             throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("cottonlock-latency");
@@ -131,7 +137,7 @@
         json.writeRawValue(number);
     }
 
-    /** The plain values of a report's first two levels, by path. */
+    /** The scalar values of a report's first two levels, by path. */
     private static Map<String, String> flattenReport(Path report) throws IOException {
         Map<String, String> values = new TreeMap<>();
         try (JsonParser json = new JsonFactory().createParser(Files.readString(report))) {
--- a/src/main/java/cottonlock/lab/scale/Lateness.java
+++ b/src/main/java/cottonlock/lab/scale/Lateness.java
@@ -8,7 +8,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A thread that does nothing but measure by how much it wakes too late while others are measured.
+ * Measures the machine's scheduling lateness during a measurement: a thread of its own sleeps
+ * repeatedly and records by how much it wakes too late.
  */
 final class Lateness implements AutoCloseable {
     private static final long SLEEP_NANOS = 5_000_000L;
@@ -31,13 +32,12 @@
         }
     }
 
-    /** Ends the watch; the figures are whole then. */
     @Override
     public void close() {
         stop();
     }
 
-    /** Ends the measurement; its figures can be read from here on. */
+    /** Stops measuring and waits for the thread; the figures are final then. */
     void stop() {
         stopped = true;
         try {
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Milliseconds, of 99.9% of its naps. */
+    /** The 99.9th percentile of the lateness. */
     double p999Millis() {
         return lateMicros.getValueAtPercentile(REPORTED_PERCENTILE) / 1_000.0;
     }
@@ -56,7 +56,7 @@
         return lateMicros.getMaxValue() / 1_000.0;
     }
 
-    /** Writes what is known of the machine, this lateness among it. */
+    /** Writes the object {@code machine}: cores, memory, system load and lateness. */
     void writeMachine(JsonGenerator json) throws IOException {
         json.writeObjectFieldStart("machine");
         json.writeNumberField("cores", Runtime.getRuntime().availableProcessors());
--- a/src/main/java/cottonlock/lab/scale/LoadGenerator.java
+++ b/src/main/java/cottonlock/lab/scale/LoadGenerator.java
@@ -16,10 +16,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients that call one proxy at an even chance in time, and all of its backends: one listener on
- * every address of loopback answers at once for whatever address a backend is listed at. Latency
- * counts from when a call was due to be sent. Threads wait on sockets, as there are few calls at a
- * time.
+ * Clients that call one proxy with Poisson arrivals, together with all of its backends: one
+ * listener on all loopback addresses answers at once for each address that a backend is listed at.
+ * Latency counts from the scheduled time of a call, so a proxy that falls behind shows in it.
+ * Blocking I/O with a thread per connection suffices, as few calls run at a time.
  */
 final class LoadGenerator implements AutoCloseable {
     private static final int CLIENT_THREADS = 24;
@@ -27,9 +27,10 @@
     private static final byte[] RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.ISO_8859_1);
 
-    /** Microseconds that are told apart at most. */
+    /** The longest latency that the histogram distinguishes. */
     private static final long MAX_LATENCY_MICROS = 60_000_000;
 
+    /** The timeout that calls announce; a client waits twice as long for data. */
     private static final int CLIENT_TIMEOUT_MS = 2_000;
 
     private final ServerSocket backendListener;
@@ -44,7 +45,7 @@
     private final Histogram latency = new Histogram(MAX_LATENCY_MICROS, 3);
     private volatile boolean stopped;
 
-    /** Rate: calls a second. */
+    /** Opens the backends' listener; calls are sent after {@link #start}. */
     LoadGenerator(long seed, double callsPerSecond) throws IOException {
         this.random = new SplittableRandom(seed);
         this.callsPerSecond = callsPerSecond;
@@ -58,12 +59,12 @@
         thread.start();
     }
 
-    /** Where all backends listen. */
+    /** The port that all backends listen on. */
     int port() {
         return backendListener.getLocalPort();
     }
 
-    /** Calls go to the proxy at a port from now on. */
+    /** Starts sending calls to the proxy at a loopback port. */
     void start(int port) {
         for (int i = 0; i < CLIENT_THREADS; i++) {
             startThread("caller", () -> sendCalls(port));
@@ -71,7 +72,7 @@
         startThread("arrivals", this::scheduleArrivals);
     }
 
-    /** What counts begins now. */
+    /** Discards the calls measured so far, such as those of a warm-up. */
     void reset() {
         synchronized (latency) {
             latency.reset();
@@ -147,7 +148,7 @@
         close(socket);
     }
 
-    /** Reads one answer whole; whether it is a 200. */
+    /** Reads a complete response; returns whether its status is 200. */
     private static boolean readResponse(InputStream in) throws IOException {
         String head = readHead(in);
         int length = 0;
@@ -157,7 +158,7 @@
             }
         }
         if (in.readNBytes(length).length < length) {
-            throw new IOException("the answer ended early");
+            throw new IOException("the connection ended within a response body");
         }
         return head.startsWith("HTTP/1.1 200");
     }
@@ -167,7 +168,7 @@
         while (text.length() < 4 || !text.substring(text.length() - 4).equals("\r\n\r\n")) {
             int b = in.read();
             if (b < 0) {
-                throw new IOException("the connection ended");
+                throw new IOException("the connection ended within a message head");
             }
             text.append((char) b);
         }
@@ -183,7 +184,7 @@
                 openConnections.put(socket, true);
                 startThread("backend", () -> serveConnection(socket));
             } catch (IOException e) {
-                // It is over, or the caller has gone.
+                // The listener was closed, or the peer closed its connection.
             }
         }
     }
@@ -197,7 +198,7 @@
                 socket.getOutputStream().write(RESPONSE);
             }
         } catch (IOException e) {
-            // The proxy has closed it.
+            // The proxy closed the connection.
         } finally {
             openConnections.remove(socket);
             close(socket);
@@ -210,7 +211,7 @@
                 socket.close();
             }
         } catch (IOException e) {
-            // It is closed all the same.
+            // The socket is released even if closing fails.
         }
     }
 
@@ -218,7 +219,10 @@
         return served.get();
     }
 
-    /** Writes what came of the calls since the last reset; of backends, all that were ever used. */
+    /**
+     * Writes the results of the calls since the last reset; the number of backends used counts from
+     * the start.
+     */
     void write(JsonGenerator json) throws IOException {
         json.writeNumberField("served", served.get());
         json.writeNumberField("not_served", failed.get());
@@ -233,13 +237,13 @@
         stop();
     }
 
-    /** Ends the measurement; its figures can be read from here on. */
+    /** Stops the calls and closes the backends' connections; to be called before {@link #write}. */
     void stop() {
         stopped = true;
         try {
             backendListener.close();
         } catch (IOException e) {
-            // It is closed all the same.
+            // The socket is released even if closing fails.
         }
         openConnections.keySet().forEach(LoadGenerator::close);
     }
--- a/src/main/java/cottonlock/lab/scale/Proc.java
+++ b/src/main/java/cottonlock/lab/scale/Proc.java
@@ -4,18 +4,19 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What the kernel counts of a process. */
+/** Resource usage of a process, as Linux reports it in /proc. */
 final class Proc {
-    /** Of a second: the unit of /proc's times on every Linux. */
+    /** Clock ticks (USER_HZ) in a second: the unit of processor times in /proc on Linux. */
     static final double TICKS_PER_SECOND = 100;
 
     private Proc() {}
 
-    /** Ticks of processor time that it has used; -1 where it is gone. */
+    /** User and system processor time of a process in clock ticks; -1 if it has ended. */
     static long cpuTicks(long pid) {
         try {
             String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
-            // Behind the name in brackets, which may hold spaces: the state is the third field.
+            // Skips the command name in parentheses, which may contain spaces: fields[0] is the
+            // state.
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
             return Long.parseLong(fields[11]) + Long.parseLong(fields[12]);
         } catch (IOException e) {
@@ -23,7 +24,7 @@
         }
     }
 
-    /** Megabytes resident; -1 where it is gone. */
+    /** Resident memory of a process; -1 if it has ended. */
     static double residentMb(long pid) {
         try {
             for (String line : Files.readAllLines(Path.of("/proc/" + pid + "/status"))) {
@@ -32,7 +33,7 @@
                 }
             }
         } catch (IOException e) {
-            // It is gone.
+            // The process has ended.
         }
         return -1;
     }
--- a/src/main/java/cottonlock/lab/scale/ResultFile.java
+++ b/src/main/java/cottonlock/lab/scale/ResultFile.java
@@ -17,20 +17,20 @@
 import java.util.stream.Stream;
 
 /**
- * What one run measured, as its file has it: {@code KIND-SIZE-SEED.json}. Every plain value is
- * found by the names that lead to it, joined by dots ({@code roles.control.rss_mb}); a list of
- * plain values is left out. docs/capacity/README.md tells what each kind holds.
+ * The results of one run, read from its file {@code KIND-SIZE-SEED.json}. Scalar values are found
+ * by their path with dots ({@code roles.control.rss_mb}); arrays are skipped.
+ * docs/capacity/README.md describes the contents of each kind.
  */
 final class ResultFile {
-    /** A value that a run didn't reach, in place of a time: never. */
+    /** The value of a time if the run never reached the event that is timed. */
     private static final double NEVER = -1;
 
-    /** A result holds some hundred values; what is much longer is no result. */
+    /** A result holds some hundred values; a much larger file can't be one. */
     private static final long MAX_BYTES = 1 << 20;
 
     private static final int MAX_DEPTH = 8;
 
-    /** What each kind must hold beside its kind, size and seed. */
+    /** The required fields of each kind beside kind, size and seed. */
     private static final Map<String, List<String>> REQUIRED_FIELDS =
             Map.of(
                     "scale", List.of("command", "commit", "verdict", "machine.late_ms_p999"),
@@ -49,13 +49,13 @@
         this.name = name;
     }
 
-    /** Reads one file; every fault of it is told at once. */
+    /** Reads one file; the exception lists all faults found in its values. */
     static ResultFile read(Path file) throws InvalidConfigurationException {
         ResultFile result = new ResultFile(file.getFileName().toString());
         try {
             if (Files.size(file) > MAX_BYTES) {
                 throw new InvalidConfigurationException(
-                        List.of(file + ": is longer than a result of a run can be"));
+                        List.of(file + ": is longer than the result of a run can be"));
             }
             JsonFactory factory =
                     JsonFactory.builder()
@@ -69,7 +69,7 @@
                 result.readObject(file, json, "", 0);
                 if (json.nextToken() != null) {
                     throw new InvalidConfigurationException(
-                            List.of(file + ": expected nothing behind the object"));
+                            List.of(file + ": unexpected content after the JSON object"));
                 }
             }
         } catch (JsonProcessingException e) {
@@ -88,10 +88,7 @@
         return result;
     }
 
-    /**
-     * All results of a folder in the order of kind, size and seed; other files in it are left
-     * alone.
-     */
+    /** Reads all results of a folder, sorted by kind, size and seed; other files are ignored. */
     static List<ResultFile> readAll(Path folder) throws InvalidConfigurationException {
         List<Path> files;
         try (Stream<Path> entries = Files.list(folder)) {
@@ -126,7 +123,7 @@
             throws IOException, InvalidConfigurationException {
         if (depth > MAX_DEPTH) {
             throw new InvalidConfigurationException(
-                    List.of(file + ": values lie too deep in each other"));
+                    List.of(file + ": objects are nested too deeply"));
         }
         while (json.nextToken() != JsonToken.END_OBJECT) {
             String key = path + json.currentName();
@@ -209,15 +206,15 @@
         return numbers.get("seed").longValue();
     }
 
-    /** Of a run in virtual time, which no machine makes late: pass. */
+    /** The verdict; always pass for a run in virtual time, which a slow machine can't distort. */
     String verdict() {
         return texts.getOrDefault("verdict", "pass");
     }
 
     /**
-     * Whether figures may be taken from it: what ran on a late machine shows nothing, and a process
-     * that served nothing has no cost of serving. A fleet that broke a bound has its figures all
-     * the same.
+     * Whether the run's figures may be used: not those of a run on a machine that ran late, nor
+     * those of a proxy that served no call, since it shows no cost of serving. A fleet that
+     * exceeded a bound still has valid figures.
      */
     boolean hasUsableFigures() {
         return !verdict().equals("none") && !(kind().equals("proxy") && verdict().equals("fail"));
@@ -227,13 +224,13 @@
         return texts.getOrDefault(path, "");
     }
 
-    /** A number, or NaN where the run has none or what it timed never came. */
+    /** A number; NaN if the run has none or never reached the event that is timed. */
     double number(String path) {
         double value = numbers.getOrDefault(path, Double.NaN);
         return value == NEVER && !path.startsWith("added.") ? Double.NaN : value;
     }
 
-    /** Whether the run tells that what this figure times never came. */
+    /** Whether the run reports that the event timed by this figure was never reached. */
     boolean neverReached(String path) {
         return !path.startsWith("added.") && numbers.getOrDefault(path, 0.0) == NEVER;
     }
--- a/src/main/java/cottonlock/lab/scale/Samples.java
+++ b/src/main/java/cottonlock/lab/scale/Samples.java
@@ -5,11 +5,11 @@
 import java.util.TreeMap;
 
 /**
- * What each role used and what passed, by second. Told from any thread; a second's number is that
- * of the clock which all processes of a machine share.
+ * Resource usage and traffic of each role by second. Thread-safe; seconds are numbered by the clock
+ * that all processes of a machine share.
  */
 final class Samples {
-    /** What is counted; all but the worst are sums over the role. */
+    /** The sampled quantities: sums over a role, except {@link #WORST_OUT}, which is a maximum. */
     enum What {
         BYTES_IN,
         BYTES_OUT,
@@ -35,14 +35,14 @@
                 .computeIfAbsent(second, s -> new EnumMap<>(What.class));
     }
 
-    /** The value of a second; 0 where nothing was told. */
+    /** The value in a second; 0 if there is no sample. */
     synchronized double at(String role, long second, What what) {
         TreeMap<Long, Map<What, Double>> seconds = roles.get(role);
         Map<What, Double> row = seconds == null ? null : seconds.get(second);
         return row == null ? 0 : row.getOrDefault(what, 0.0);
     }
 
-    /** The mean over seconds, the last left out. */
+    /** The mean per second from {@code from}, inclusive, to {@code to}, exclusive. */
     double mean(String role, long from, long to, What what) {
         return sum(role, from, to, what) / Math.max(1, to - from);
     }
--- a/src/main/java/cottonlock/lab/scale/Slope.java
+++ b/src/main/java/cottonlock/lab/scale/Slope.java
@@ -7,18 +7,20 @@
 import java.util.TreeMap;
 
 /**
- * How a figure grows with a size: a straight line and a power law, both by least squares over all
- * points, and of the two the one that lies nearer to them. Sizes and figures carry no unit here.
+ * The growth of a figure with a size. A straight line and a power law are fitted to all points by
+ * least squares, the power law on logarithms; of the two, the one with the smaller spread is used.
+ * Sizes and figures carry no unit here.
  *
- * @param law "linear" or "power", whichever lies nearer
- * @param base of the line: its value at size 0; of the power law: its value at size 1
- * @param rise of the line: its rise for each one of size; of the power law: the exponent
- * @param spread root mean square of the points' distances from it, as a part of their mean
- * @param seeds the greatest distance of two seeds of one size, as a part of that size's mean; NaN
- *     where no size has two
- * @param other what the other law would say, for the same sizes; null where no power law can be had
- * @param sizes how many sizes it rests on
- * @param largest of the sizes
+ * @param law "linear" or "power", whichever fits better
+ * @param base the line's value at size 0, or the power law's value at size 1
+ * @param rise the line's increase per unit of size, or the power law's exponent
+ * @param spread the root mean square of the residuals as a part of the points' mean
+ * @param seedSpread the largest range over the seeds of one size as a part of that size's mean; NaN
+ *     if no size has two seeds
+ * @param alternative the fit of the other law to the same points; null if no power law can be
+ *     fitted
+ * @param sizeCount the number of distinct sizes that the fit rests on
+ * @param largestSize the largest of these sizes
  */
 @Deterministic
 record Slope(
@@ -30,13 +32,13 @@
         Slope alternative,
         int sizeCount,
         double largestSize) {
-    /** A bend shows with four sizes; three can't tell a line from a curve with some spread. */
+    /** Three sizes can't distinguish a line from a curve in the presence of spread; four can. */
     static final int MIN_SIZES = 4;
 
-    /** One run's figure. */
+    /** The figure of one run. */
     record Point(double size, double value) {}
 
-    /** Fits both laws; null where there are fewer sizes than the least. */
+    /** Fits both laws; null if there are fewer distinct sizes than the minimum, or than two. */
     static Slope fit(List<Point> points, int minSizes) {
         Map<Double, List<Double>> bySize = new TreeMap<>();
         points.forEach(p -> bySize.computeIfAbsent(p.size, s -> new ArrayList<>()).add(p.value));
@@ -108,7 +110,7 @@
                 law, fit[0], fit[1], spread, seedSpread, alternative, sizeCount, largestSize);
     }
 
-    /** The value at 0 and the rise of the line with the least squares. */
+    /** The value at 0 and the slope of the least-squares line. */
     private static double[] fitLine(List<Point> points) {
         double x = points.stream().mapToDouble(Point::size).average().orElse(0);
         double y = points.stream().mapToDouble(Point::value).average().orElse(0);
@@ -118,12 +120,12 @@
         return new double[] {y - rise * x, rise};
     }
 
-    /** What the law says for a size. */
+    /** The fitted value at a size. */
     double valueAt(double size) {
         return law.equals("linear") ? base + rise * size : base * Math.pow(size, rise);
     }
 
-    /** By what factor a size lies beyond the largest that was measured; 1 at least. */
+    /** The factor by which a size exceeds the largest measured size; at least 1. */
     double extrapolationFactor(double size) {
         return Math.max(1, size / largestSize);
     }
--- a/src/main/java/cottonlock/lab/scale/Topology.java
+++ b/src/main/java/cottonlock/lab/scale/Topology.java
@@ -5,17 +5,16 @@
 import java.util.List;
 
 /**
- * Where each proxy and each machine of control of a run stands, and which addresses are theirs.
- * Zones are dealt out to regions in rows, proxies to zones in turn; the zone can be read off an
- * address.
+ * The placement and addresses of the proxies and control machines of a run. Each region has a
+ * contiguous range of zones; proxies are assigned to zones round-robin. A proxy's address contains
+ * its zone.
  */
 @Deterministic
 final class Topology {
-    /**
-     * The second byte of addresses: of control, and of the first zone; all of 127/8 is loopback.
-     */
+    /** The second byte of the addresses of control machines; all of 127/8 is loopback. */
     private static final int CONTROL_SECOND_BYTE = 9;
 
+    /** The second byte of the addresses of proxies in the first zone. */
     private static final int FIRST_ZONE_SECOND_BYTE = 10;
 
     private final ScaleFile.Fleet fleet;
@@ -27,7 +26,7 @@
         this.fleet = fleet;
         this.controlMachines = controlMachines;
         this.isReal = new boolean[fleet.size()];
-        // All of one region: what passes between two of them is seen by nobody and can't be cut.
+        // Real proxies share one region, as traffic between two of them can't be counted or cut.
         for (int i = 0; i < fleet.size() && real.size() < fleet.real(); i++) {
             if (region(zone(i)) == 0) {
                 real.add(i);
@@ -44,12 +43,12 @@
         return zone * fleet.regions() / fleet.zones();
     }
 
-    /** Of all zones: the rack's number is the zone's times the racks, and its own. */
+    /** The rack's number over all zones. */
     int rack(int proxy) {
         return zone(proxy) * fleet.racks() + proxy / fleet.zones() % fleet.racks();
     }
 
-    /** The proxies that are processes of {@code serve}. */
+    /** The proxies that are real {@code serve} processes. */
     List<Integer> real() {
         return real;
     }
@@ -58,7 +57,7 @@
         return isReal[proxy];
     }
 
-    /** Machines of control are dealt out to regions in turn, and in each to its zones in turn. */
+    /** Control machines are assigned to regions round-robin, and within a region to its zones. */
     int controlZone(int machine) {
         List<Integer> zones = new ArrayList<>();
         for (int z = 0; z < fleet.zones(); z++) {
@@ -73,7 +72,7 @@
         return region(controlZone(machine));
     }
 
-    /** The machine of control that a proxy asks: of its zone, else of its region. */
+    /** The control machine that a proxy asks: one of its zone, else of its region, else any. */
     int control(int proxy) {
         List<Integer> nearMachines = new ArrayList<>();
         for (int m = 0; m < controlMachines; m++) {
@@ -100,14 +99,14 @@
                 + (proxy & 0xff);
     }
 
-    /** The zone of an address of a proxy; -1 for any other. */
+    /** The zone of a proxy's address by its second byte; -1 for other addresses. */
     static int zoneOf(int secondByte) {
         return secondByte < FIRST_ZONE_SECOND_BYTE ? -1 : secondByte - FIRST_ZONE_SECOND_BYTE;
     }
 
     /**
-     * Where a machine of control is asked by proxies of a role; an address each, to tell them
-     * apart.
+     * The address of a control machine for real or for hollow proxies; the addresses differ, so
+     * that traffic is counted for each role.
      */
     String controlIp(int machine, boolean byReal) {
         return "127." + CONTROL_SECOND_BYTE + "." + machine + "." + (byReal ? 2 : 1);
@@ -117,7 +116,7 @@
         return "n" + proxy;
     }
 
-    /** The id of the backend beside a proxy, after so many replacements. */
+    /** The id of the backend beside a proxy after a number of replacements. */
     String backend(int proxy, int replaced) {
         return "s"
                 + proxy % fleet.services()
