--- a/src/test/java/cottonlock/lab/scale/CapacityPageTest.java
+++ b/src/test/java/cottonlock/lab/scale/CapacityPageTest.java
@@ -19,7 +19,7 @@
 import java.util.stream.Stream;
 import net.jqwik.api.Example;
 
-/** docs/CAPACITY.md and the results that it is made of, and what makes it of them. */
+/** Generates docs/CAPACITY.md from recorded results and checks the faults of its input files. */
 class CapacityPageTest {
     private static final Path FOLDER = Path.of("docs", "capacity");
     private static final Path PAGE = Path.of("docs", "CAPACITY.md");
@@ -27,37 +27,40 @@
     private static final Path FIXTURE = Path.of("src", "test", "resources", "capacity");
 
     @Example
-    void thePageIsWhatItsFilesSay() throws Exception {
+    void pageMatchesItsFiles() throws Exception {
         assertEquals(
                 CapacityPage.generate(FOLDER),
                 Files.readString(PAGE),
                 "docs/CAPACITY.md differs from its "
-                        + "files; docs/capacity/README.md tells how it is made anew");
+                        + "files; docs/capacity/README.md says how to generate it");
     }
 
     /**
-     * The files of commit 7f2d4cc, before classes were renamed, with the page made of them then.
+     * The input files of commit 7f2d4cc, from before classes were renamed, must still give the page
+     * that was generated then.
      */
     @Example
-    void recordedResultsAreReadAsBeforeTheRenaming() throws Exception {
+    void recordedResultsGiveTheRecordedPage() throws Exception {
         assertEquals(
                 Files.readString(RECORDED.resolve("expected.md")),
                 CapacityPage.generate(RECORDED.resolve("capacity")));
     }
 
     @Example
-    void everyNeedOfTheBudgetHasItsPlaceOnThePage() throws Exception {
+    void templateShowsEachPartOfTheBudget() throws Exception {
         String template = Files.readString(FOLDER.resolve("page.md"));
         for (String part : Budget.read(FOLDER.resolve("budget.toml")).parts()) {
-            assertTrue(template.contains("{{part " + part + "}}"), "no table of: " + part);
+            assertTrue(
+                    template.contains("{{part " + part + "}}"),
+                    "page.md has no table of part " + part);
         }
         for (String table : List.of("ratios", "largest", "missing", "runs", "latency")) {
-            assertTrue(template.contains("{{" + table + "}}"), "no " + table);
+            assertTrue(template.contains("{{" + table + "}}"), "page.md has no table " + table);
         }
     }
 
     @Example
-    void constantsOfTheBudgetAreTheProgramsOwn() throws Exception {
+    void constantsOfTheBudgetEqualThoseInTheSources() throws Exception {
         for (Budget.Constant c : Budget.read(FOLDER.resolve("budget.toml")).constants) {
             String source = Files.readString(Path.of(c.file()));
             Matcher found =
@@ -80,7 +83,7 @@
     }
 
     @Example
-    void aChangedDigitOfAResultChangesThePage() throws Exception {
+    void changedResultChangesThePage() throws Exception {
         Path folder = copy(FIXTURE);
         String before = CapacityPage.generate(folder);
         change(folder.resolve("proxy-400-1.json"), "\"rss_mb\": 90.0", "\"rss_mb\": 91.0");
@@ -88,7 +91,7 @@
     }
 
     @Example
-    void aChangedBudgetChangesThePage() throws Exception {
+    void changedBudgetChangesThePage() throws Exception {
         Path folder = copy(FIXTURE);
         String before = CapacityPage.generate(folder);
         change(folder.resolve("budget.toml"), "proxy_memory_mb = 128", "proxy_memory_mb = 129");
@@ -96,30 +99,32 @@
     }
 
     @Example
-    void aFigureInTheProseIsAFault() throws Exception {
+    void digitInTheTemplateIsAFault() throws Exception {
         Path folder = copy(FIXTURE);
         change(folder.resolve("page.md"), "Budgets:", "Budgets, of 17 machines:");
-        InvalidConfigurationException bad =
+        InvalidConfigurationException thrown =
                 assertThrows(
                         InvalidConfigurationException.class, () -> CapacityPage.generate(folder));
-        assertTrue(bad.getMessage().contains("page.md:3: a figure in the prose"), bad.getMessage());
+        assertTrue(
+                thrown.getMessage().contains("page.md:3: a figure in the prose"),
+                thrown.getMessage());
     }
 
     @Example
-    void aPlaceThatNothingFillsIsAFault() throws Exception {
+    void unknownPlaceholderIsAFault() throws Exception {
         Path folder = copy(FIXTURE);
         change(folder.resolve("page.md"), "{{operators.backends}}", "{{operators.backend}}");
-        InvalidConfigurationException bad =
+        InvalidConfigurationException thrown =
                 assertThrows(
                         InvalidConfigurationException.class, () -> CapacityPage.generate(folder));
         assertTrue(
-                bad.getMessage().contains("page.md:3: there is no operators.backend"),
-                bad.getMessage());
+                thrown.getMessage().contains("page.md:3: there is no operators.backend"),
+                thrown.getMessage());
     }
 
     /** Memory in the fixture is 50 MB and 0.1 for each entry: 350 at the operators' 3,000. */
     @Example
-    void aSlopeIsWorkedOutToTheOperatorsSize() throws Exception {
+    void slopeIsExtrapolatedToTheOperatorsSize() throws Exception {
         String page = CapacityPage.generate(copy(FIXTURE));
         assertTrue(
                 page.contains(
@@ -133,7 +138,7 @@
     }
 
     @Example
-    void theLargestNeedThatNothingCarriesIsNamed() throws Exception {
+    void largestUncarriedNeedIsNamed() throws Exception {
         String page = CapacityPage.generate(copy(FIXTURE));
         assertTrue(page.contains("Largest: **quotas: lost**, 460 times its budget"), page);
         assertTrue(
@@ -142,7 +147,7 @@
     }
 
     @Example
-    void aNeedOfWhichThereIsNothingAtAllComesFirst() throws Exception {
+    void needWithABudgetOfZeroComesFirst() throws Exception {
         Path folder = copy(FIXTURE);
         change(
                 folder.resolve("budget.toml"),
@@ -187,10 +192,10 @@
     }
 
     @Example
-    void whatRanOnALateMachineIsNamedAndInNoSlope() throws Exception {
+    void resultsOfALateMachineAreListedButInNoSlope() throws Exception {
         Path folder = copy(FIXTURE);
         String page = CapacityPage.generate(folder);
-        // Its memory of 999 MB would have bent the line.
+        // Its memory of 999 MB would change the slope, as the next assertion shows.
         assertTrue(page.contains("| `proxy-400-2.json` | none | 812, 930 | 0123abc | no |"), page);
         assertTrue(page.contains("Late: 1 of 5"), page);
         change(
@@ -198,7 +203,7 @@
                 "\"verdict\": \"none\"",
                 "\"verdict\": \"pass\"");
         assertFalse(CapacityPage.generate(folder).contains("350 MB"));
-        // Nor what a process cost that served nothing.
+        // A proxy that served no call is excluded too.
         change(
                 folder.resolve("proxy-400-2.json"),
                 "\"verdict\": \"pass\"",
@@ -207,7 +212,7 @@
     }
 
     @Example
-    void whatIsNotMeasuredSaysSo() throws Exception {
+    void missingMeasurementsAreShownAsNotMeasured() throws Exception {
         Path folder = copy(FIXTURE);
         Files.delete(folder.resolve("proxy-300-1.json"));
         String page = CapacityPage.generate(folder);
@@ -223,9 +228,9 @@
         assertTrue(page.contains("- tool: state (not measured)"), page);
     }
 
-    /** The calls' processor time in the fixture is 0.1 and 0.001 for each entry. */
+    /** In the fixture, the processor share of calls is 0.1 plus 0.001 for each entry. */
     @Example
-    void whatAProcessCostThatFellBehindItsCallsIsInNoSlope() throws Exception {
+    void proxyThatFellBehindItsCallsIsInNoSlope() throws Exception {
         Path folder = copy(FIXTURE);
         assertTrue(
                 CapacityPage.generate(folder).contains(" | 3.1 of a core | - | - | `net.Proxy` |"));
@@ -240,7 +245,7 @@
     }
 
     @Example
-    void whatHasNoSlopeIsShownBySizeAlone() throws Exception {
+    void figureWithoutSlopeIsShownBySizeOnly() throws Exception {
         Path folder = copy(FIXTURE);
         change(
                 folder.resolve("budget.toml"),
@@ -255,7 +260,7 @@
     }
 
     @Example
-    void whatNeverCameIsSaid() throws Exception {
+    void eventThatWasNeverReachedIsShownAsNever() throws Exception {
         Path folder = copy(FIXTURE);
         change(
                 folder.resolve("proxy-400-1.json"),
@@ -267,25 +272,25 @@
     }
 
     @Example
-    void theCommandWritesThePage() throws Exception {
+    void commandWritesThePageAndReportsFaults() throws Exception {
         Path folder = copy(FIXTURE);
         Path page = folder.resolve("PAGE.md");
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        Capacity capacity = new Capacity(new PrintStream(said), new PrintStream(said));
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        Capacity capacity = new Capacity(new PrintStream(output), new PrintStream(output));
         assertEquals(0, capacity.page(folder, page));
         assertEquals(CapacityPage.generate(folder), Files.readString(page));
         Files.writeString(folder.resolve("proxy-7-1.json"), "{\"kind\": \"proxy\"}");
         assertEquals(2, capacity.page(folder, page));
         assertTrue(
-                said.toString(StandardCharsets.UTF_8)
+                output.toString(StandardCharsets.UTF_8)
                         .contains("proxy-7-1.json: size: expected a whole " + "number, found none"),
-                said.toString(StandardCharsets.UTF_8));
+                output.toString(StandardCharsets.UTF_8));
         assertEquals(2, capacity.measure(folder, "proxy-none"));
         assertEquals(2, capacity.measure(folder, "latency-4-1"));
     }
 
     @Example
-    void faultsOfAResultAreToldAtOnce() throws Exception {
+    void faultsOfAResultNameTheField() throws Exception {
         assertEquals(
                 "kind: expected one of latency, members, proxy, rollout, scale, found \"\"",
                 fault("{}"));
@@ -306,7 +311,7 @@
     }
 
     @Example
-    void faultsOfABudgetNameTheirLineAndKey() throws Exception {
+    void faultsOfABudgetNameFileAndKey() throws Exception {
         assertBudget(
                 "backends = 3000",
                 "",
@@ -324,21 +329,22 @@
                 "services = 460", "service = 460", "operators.service: unknown key; did you mean");
     }
 
-    private static void assertBudget(String one, String other, String told) throws Exception {
+    private static void assertBudget(String original, String replacement, String fault)
+            throws Exception {
         Path folder = copy(FIXTURE);
-        change(folder.resolve("budget.toml"), one, other);
-        InvalidConfigurationException bad =
+        change(folder.resolve("budget.toml"), original, replacement);
+        InvalidConfigurationException thrown =
                 assertThrows(
                         InvalidConfigurationException.class,
                         () -> Budget.read(folder.resolve("budget.toml")));
         assertTrue(
-                bad.getMessage().contains(told) && bad.getMessage().contains("budget.toml:"),
-                bad.getMessage());
+                thrown.getMessage().contains(fault) && thrown.getMessage().contains("budget.toml:"),
+                thrown.getMessage());
     }
 
     /**
-     * What is said of a result under the name of another, without the place; empty where it is
-     * sound.
+     * The fault of a result that is stored as proxy-5-1.json, without file name and line; empty if
+     * the result is valid.
      */
     private static String fault(String text) throws IOException {
         Path file = Files.createTempDirectory("result").resolve("proxy-5-1.json");
@@ -362,9 +368,9 @@
         return to;
     }
 
-    private static void change(Path file, String one, String other) throws IOException {
+    private static void change(Path file, String original, String replacement) throws IOException {
         String text = Files.readString(file);
-        assertTrue(text.contains(one), file + " has no " + one);
-        Files.writeString(file, text.replace(one, other));
+        assertTrue(text.contains(original), file + " has no " + original);
+        Files.writeString(file, text.replace(original, replacement));
     }
 }
--- a/src/test/java/cottonlock/lab/scale/SlopeTest.java
+++ b/src/test/java/cottonlock/lab/scale/SlopeTest.java
@@ -15,25 +15,25 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 
-/** Slopes whose law is known, and what is worked out with them. */
+/** Fits points of known laws and checks quantities derived from the operators' design. */
 class SlopeTest {
-    private static final double NEAR = 1e-6;
+    private static final double TOLERANCE = 1e-6;
     private static final List<Double> SIZES = List.of(10.0, 100.0, 300.0, 1_000.0);
 
     @Property(tries = 100)
-    void aLineIsFoundAgain(
+    void fitRecoversALine(
             @ForAll @DoubleRange(min = 0, max = 500) double base,
             @ForAll @DoubleRange(min = 0.01, max = 50) double rise) {
         Slope slope = Slope.fit(SIZES.stream().map(s -> new Point(s, base + rise * s)).toList(), 4);
-        assertEquals(base + rise * 3_000, slope.valueAt(3_000), NEAR * (base + rise * 3_000));
-        assertEquals(0, slope.spread(), NEAR);
+        assertEquals(base + rise * 3_000, slope.valueAt(3_000), TOLERANCE * (base + rise * 3_000));
+        assertEquals(0, slope.spread(), TOLERANCE);
         assertTrue(Double.isNaN(slope.seedSpread()), "no size has two seeds");
         assertEquals(3, slope.extrapolationFactor(3_000));
         assertEquals(1, slope.extrapolationFactor(500));
     }
 
     @Property(tries = 100)
-    void aPowerLawIsFoundAgain(
+    void fitRecoversAPowerLaw(
             @ForAll @DoubleRange(min = 0.1, max = 50) double base,
             @ForAll @DoubleRange(min = 1.2, max = 2.5) double exponent) {
         Slope slope =
@@ -43,16 +43,16 @@
                                 .toList(),
                         4);
         assertEquals("power", slope.law());
-        double there = base * Math.pow(3_000, exponent);
-        assertEquals(there, slope.valueAt(3_000), NEAR * there);
+        double expected = base * Math.pow(3_000, exponent);
+        assertEquals(expected, slope.valueAt(3_000), TOLERANCE * expected);
         assertEquals("linear", slope.alternative().law());
         assertTrue(
-                slope.alternative().valueAt(3_000) < there,
+                slope.alternative().valueAt(3_000) < expected,
                 "a line lies below a curve that bends up");
     }
 
     @Example
-    void fewerSizesThanTheLeastMakeNoSlope() {
+    void fewerSizesThanTheMinimumGiveNoFit() {
         List<Point> three = new ArrayList<>();
         for (int seed = 0; seed < 5; seed++) {
             three.addAll(
@@ -67,9 +67,9 @@
         assertNull(Slope.fit(List.of(new Point(5, 1), new Point(5, 2)), 0));
     }
 
-    /** By hand: the line through the means is 2x; four points are off by 1, of a mean of 5. */
+    /** The line through the means is 2x; each point is off by 1, and the mean is 5. */
     @Example
-    void spreadAndSeedsAreParts() {
+    void spreadsAreRelativeToTheMean() {
         List<Point> points = new ArrayList<>();
         for (int x = 1; x <= 4; x++) {
             points.add(new Point(x, 2 * x - 1));
@@ -77,23 +77,23 @@
         }
         Slope slope = Slope.fit(points, 4);
         assertEquals("linear", slope.law());
-        assertEquals(2, slope.rise(), NEAR);
-        assertEquals(0.2, slope.spread(), NEAR);
-        assertEquals(1.0, slope.seedSpread(), NEAR);
+        assertEquals(2, slope.rise(), TOLERANCE);
+        assertEquals(0.2, slope.spread(), TOLERANCE);
+        assertEquals(1.0, slope.seedSpread(), TOLERANCE);
     }
 
-    /** Differences can be below 0, where no power law can be had. */
+    /** Differences can be negative, where a power law can't be fitted. */
     @Example
-    void valuesBelowZeroHaveALineAlone() {
+    void negativeValuesAreFittedByALineOnly() {
         Slope slope = Slope.fit(List.of(new Point(1, -1), new Point(2, 0), new Point(3, 1)), 3);
         assertEquals("linear", slope.law());
         assertNull(slope.alternative());
-        assertEquals(7, slope.valueAt(9), NEAR);
+        assertEquals(7, slope.valueAt(9), TOLERANCE);
     }
 
-    /** The operators' design by hand: 640,000 calls a second over 3,000 proxies, and so on. */
+    /** Expected values are computed by hand, such as 640,000 calls a second over 3,000 proxies. */
     @Example
-    void whatIsWorkedOutFollowsFromTheDesign() {
+    void derivedQuantitiesFollowFromTheDesign() {
         Map<String, Double> given =
                 new TreeMap<>(
                         Map.of(
@@ -122,17 +122,18 @@
         given.put("assumed.list_changes", 3.0);
         Map<String, Double> out = new DerivedQuantities(given, 420_000).figures();
         assertEquals(213.333, out.get("calls_proxy"), 0.001);
-        assertEquals(60, out.get("list_time_s"), NEAR);
-        assertEquals(42_000, out.get("list_rate"), NEAR);
-        assertEquals(1.26e9, out.get("list_all_bytes"), NEAR);
-        assertEquals(420_000 * 300 / 17.0, out.get("list_control_rate"), NEAR);
+        assertEquals(60, out.get("list_time_s"), TOLERANCE);
+        assertEquals(42_000, out.get("list_rate"), TOLERANCE);
+        assertEquals(1.26e9, out.get("list_all_bytes"), TOLERANCE);
+        assertEquals(420_000 * 300 / 17.0, out.get("list_control_rate"), TOLERANCE);
         assertEquals(0.46377, out.get("quota_part"), 0.0001);
-        assertEquals(12_000, out.get("quota_burst"), NEAR);
-        assertEquals(3_000, out.get("quota_start"), NEAR);
-        assertEquals(460, out.get("quota_lost"), NEAR);
-        assertEquals(336, out.get("cold_all"), NEAR);
-        assertEquals(0.5, out.get("cold_ratio"), NEAR);
-        assertEquals((350 * 3 + 4 * 2) * 3_000 / 86_400.0, out.get("discovery_changes_s"), NEAR);
+        assertEquals(12_000, out.get("quota_burst"), TOLERANCE);
+        assertEquals(3_000, out.get("quota_start"), TOLERANCE);
+        assertEquals(460, out.get("quota_lost"), TOLERANCE);
+        assertEquals(336, out.get("cold_all"), TOLERANCE);
+        assertEquals(0.5, out.get("cold_ratio"), TOLERANCE);
+        assertEquals(
+                (350 * 3 + 4 * 2) * 3_000 / 86_400.0, out.get("discovery_changes_s"), TOLERANCE);
         assertTrue(
                 Double.isNaN(
                         new DerivedQuantities(given, Double.NaN).figures().get("list_all_bytes")));
