--- a/src/main/java/cottonlock/lab/scale/CapacityPage.java
+++ b/src/main/java/cottonlock/lab/scale/CapacityPage.java
@@ -217,13 +217,13 @@
         }
         double size = quantity(need.sizeName());
         Slope slope = fitSlope(need.kind(), need.path());
-        String never =
+        String sizesNeverReached =
                 results.stream()
                         .filter(r -> r.kind().equals(need.kind()) && r.neverReached(need.path()))
                         .map(r -> formatExact(r.size()))
                         .distinct()
                         .collect(Collectors.joining(", "));
-        String late =
+        String sizesFallenBehind =
                 results.stream()
                         .filter(
                                 r ->
@@ -235,8 +235,10 @@
                         .distinct()
                         .collect(Collectors.joining(", "));
         String note =
-                (never.isEmpty() ? "" : "; never came at " + never)
-                        + (late.isEmpty() ? "" : "; fell behind at " + late);
+                (sizesNeverReached.isEmpty() ? "" : "; never came at " + sizesNeverReached)
+                        + (sizesFallenBehind.isEmpty()
+                                ? ""
+                                : "; fell behind at " + sizesFallenBehind);
         if (slope == null) {
             long sizes =
                     results.stream()
@@ -244,7 +246,7 @@
                             .map(ResultFile::size)
                             .distinct()
                             .count();
-            int least = need.kind().equals("latency") ? MIN_TIERS : Slope.MIN_SIZES;
+            int minSizes = need.kind().equals("latency") ? MIN_TIERS : Slope.MIN_SIZES;
             return new Row(
                     need,
                     Double.NaN,
@@ -254,7 +256,7 @@
                                     : ": "
                                             + sizes
                                             + " of the "
-                                            + least
+                                            + minSizes
                                             + " sizes that a slope needs")
                             + note,
                     allowed);
--- a/src/main/java/cottonlock/lab/scale/DerivedQuantities.java
+++ b/src/main/java/cottonlock/lab/scale/DerivedQuantities.java
@@ -69,31 +69,31 @@
     }
 
     /** After control servers return, each proxy requests the complete list at once. */
-    private void deriveListTransfers(double bytes) {
-        double all = bytes * input("operators.backends");
-        figures.put("list_bytes", bytes);
-        figures.put("list_entry_bytes", bytes / input("operators.backends"));
-        figures.put("list_rate", bytes / input("operators.in_force_s"));
-        figures.put("list_time_s", bytes / input("operators.proxy_bytes_s"));
-        figures.put("list_all_bytes", all);
+    private void deriveListTransfers(double listBytes) {
+        double totalBytes = listBytes * input("operators.backends");
+        figures.put("list_bytes", listBytes);
+        figures.put("list_entry_bytes", listBytes / input("operators.backends"));
+        figures.put("list_rate", listBytes / input("operators.in_force_s"));
+        figures.put("list_time_s", listBytes / input("operators.proxy_bytes_s"));
+        figures.put("list_all_bytes", totalBytes);
         figures.put(
                 "list_control_rate",
-                all / input("operators.in_force_s") / input("operators.control_machines"));
-        figures.put("list_zone_bytes", bytes / input("operators.zones"));
+                totalBytes / input("operators.in_force_s") / input("operators.control_machines"));
+        figures.put("list_zone_bytes", listBytes / input("operators.zones"));
     }
 
     /** TenantQuota: each of N load balancers grants quota / N from a token bucket of its own. */
     private void deriveQuotas() {
         double quota = input("operators.calls_s") / input("operators.services");
-        double part = quota / input("operators.backends");
+        double quotaPerBalancer = quota / input("operators.backends");
         // A burst is half a second at the quota's rate, and MIN_BURST_REQUESTS at least; buckets
         // start filled to a quarter.
-        double depth = Math.max(input("constant.quota_depth"), part / 2);
+        double burst = Math.max(input("constant.quota_depth"), quotaPerBalancer / 2);
         figures.put("quota", quota);
-        figures.put("quota_part", part);
-        figures.put("quota_gap_s", 1 / part);
-        figures.put("quota_start", input("operators.backends") * depth / 4);
-        figures.put("quota_burst", input("operators.backends") * depth);
+        figures.put("quota_part", quotaPerBalancer);
+        figures.put("quota_gap_s", 1 / quotaPerBalancer);
+        figures.put("quota_start", input("operators.backends") * burst / 4);
+        figures.put("quota_burst", input("operators.backends") * burst);
         figures.put("quota_burst_s", derived("quota_burst") / quota);
         // Load balancers with unequal load don't divide a quota: each grants all of it.
         figures.put("quota_mesh", input("operators.backends"));
@@ -106,18 +106,22 @@
      * each in proportion to what it completes.
      */
     private void deriveColdBackends() {
-        double sent =
+        double ownCallsInWindow =
                 input("operators.calls_s") / input("operators.backends") * input("assumed.fall_s");
-        double mine = sent / input("operators.backends");
-        double part =
+        double ownCallsPerBackend = ownCallsInWindow / input("operators.backends");
+        double allowedCalls =
                 Math.max(
-                        input("assumed.fall_multiple") / 2 * input("assumed.cold_share") * mine,
+                        input("assumed.fall_multiple")
+                                / 2
+                                * input("assumed.cold_share")
+                                * ownCallsPerBackend,
                         1 / input("operators.backends"));
-        double over = input("assumed.fall_multiple") * input("assumed.cold_share") * sent;
-        figures.put("cold_part", part);
-        figures.put("cold_all", part * input("operators.backends"));
-        figures.put("cold_over", over);
-        figures.put("cold_ratio", derived("cold_all") / over);
+        double overloadCalls =
+                input("assumed.fall_multiple") * input("assumed.cold_share") * ownCallsInWindow;
+        figures.put("cold_part", allowedCalls);
+        figures.put("cold_all", allowedCalls * input("operators.backends"));
+        figures.put("cold_over", overloadCalls);
+        figures.put("cold_ratio", derived("cold_all") / overloadCalls);
         figures.put("cold_gap_s", input("assumed.fall_s") * input("operators.backends"));
         figures.put("cold_gap_h", derived("cold_gap_s") / 3_600);
         figures.put("cold_floor_all_s", 1 / input("assumed.fall_s"));
@@ -126,35 +130,40 @@
     /** Quantities of one proxy and one backend, if calls are spread evenly over all backends. */
     private void derivePairs() {
         double calls = derived("calls_proxy");
-        double pair = calls / input("operators.backends");
-        double due =
+        double callsPerPair = calls / input("operators.backends");
+        double objectiveSeconds =
                 Math.max(
                         input("constant.least_due") / TICKS_PER_SECOND,
                         input("assumed.due_ms") / 1_000);
-        figures.put("pair_s", pair);
-        figures.put("pair_gap_s", 1 / pair);
+        figures.put("pair_s", callsPerPair);
+        figures.put("pair_gap_s", 1 / callsPerPair);
         figures.put("pair_service_s", calls / derived("service_backends"));
-        figures.put("due_s", due);
-        figures.put("now_span_s", input("constant.now_span") * due);
-        figures.put("now_samples", pair * derived("now_span_s"));
-        figures.put("gap_span_s", input("constant.gap_span") * due);
-        figures.put("gap_samples", pair * derived("gap_span_s"));
+        figures.put("due_s", objectiveSeconds);
+        figures.put("now_span_s", input("constant.now_span") * objectiveSeconds);
+        figures.put("now_samples", callsPerPair * derived("now_span_s"));
+        figures.put("gap_span_s", input("constant.gap_span") * objectiveSeconds);
+        figures.put("gap_samples", callsPerPair * derived("gap_span_s"));
         figures.put("gaps_short", input("constant.imagined_gaps") / derived("gap_samples"));
-        figures.put("times_span_s", input("constant.usual_span") * due);
+        figures.put("times_span_s", input("constant.usual_span") * objectiveSeconds);
         figures.put("times_samples", calls * derived("times_span_s"));
         figures.put("stays_span_s", derived("times_span_s"));
-        figures.put("line_span_s", input("constant.line_span") * due);
+        figures.put("line_span_s", input("constant.line_span") * objectiveSeconds);
         figures.put("line_samples", calls * derived("line_span_s"));
-        figures.put("streak_s", input("assumed.streak") / pair);
-        double kept = 1 - Math.exp(-pair * input("constant.retire") * input("assumed.conn_idle_s"));
-        figures.put("reuse", kept);
-        figures.put("connections", kept * input("operators.backends"));
+        figures.put("streak_s", input("assumed.streak") / callsPerPair);
+        double reuseShare =
+                1
+                        - Math.exp(
+                                -callsPerPair
+                                        * input("constant.retire")
+                                        * input("assumed.conn_idle_s"));
+        figures.put("reuse", reuseShare);
+        figures.put("connections", reuseShare * input("operators.backends"));
         double sockets = input("assumed.sockets") - input("constant.own_sockets");
         sockets -= Math.floor(sockets / input("constant.for_bodies"));
         figures.put("backend_sockets", Math.floor(sockets * input("constant.to_backends")));
         figures.put(
                 "bounded_reuse",
-                Math.min(kept, derived("backend_sockets") / input("operators.backends")));
+                Math.min(reuseShare, derived("backend_sockets") / input("operators.backends")));
         figures.put("new_connections_s", calls * (1 - derived("bounded_reuse")));
     }
 }
