--- a/src/main/java/cottonlock/lab/scale/Budget.java
+++ b/src/main/java/cottonlock/lab/scale/Budget.java
@@ -12,13 +12,13 @@
 import java.util.Set;
 
 /**
- * What the operators' design asks and allows, what it leaves open and is assumed, the program's
- * constants that figures are worked out with, and the needs that the page holds against all that;
- * read from {@code budget.toml}. No figure of it stands in code.
+ * The contents of {@code budget.toml}: the operators' requirements and limits, assumptions about
+ * what they leave open, the program's constants that other quantities are derived from, and the
+ * needs that the capacity page compares with all these. None of the values is repeated in code.
  */
 final class Budget {
-    /** The operators' figures that must be there, all above 0. */
-    private static final List<String> OPERATORS =
+    /** The required keys of the operators' quantities, all above 0. */
+    private static final List<String> OPERATOR_KEYS =
             List.of(
                     "backends",
                     "services",
@@ -36,7 +36,8 @@
                     "proxy_bytes_s",
                     "control_machines");
 
-    private static final List<String> ASSUMED =
+    /** The required keys of the assumed quantities, all above 0. */
+    private static final List<String> ASSUMPTION_KEYS =
             List.of(
                     "due_ms",
                     "conn_idle_s",
@@ -47,38 +48,40 @@
                     "beat_s",
                     "streak",
                     "list_changes");
-    private static final double MOST = 1e15;
-    private static final double LEAST = 1e-9;
-    private static final String SOURCE =
+
+    private static final double MAX_VALUE = 1e15;
+    private static final double MIN_VALUE = 1e-9;
+    private static final String SOURCE_PATTERN =
             "(scale|members|rollout|proxy|latency):[a-z0-9_.]+" + "|worked:[a-z0-9_]+|none:";
-    private static final String KEY = "(operators|assumed|constant|worked)\\.[a-z0-9_]+";
-    private static final String SIZE = "operators.backends";
+    private static final String NAME_PATTERN = "(operators|assumed|constant|worked)\\.[a-z0-9_]+";
+    private static final String DEFAULT_SIZE_NAME = "operators.backends";
 
-    /** A constant of the program: its file, its name there, its value. */
+    /** A constant of the program: its source file, the field's name there, and its value. */
     record Constant(String name, String file, String field, double value) {}
 
     /**
-     * One figure that is needed.
+     * A figure that the design needs, which the capacity page compares with its budget.
      *
      * @param part the role, event or mechanism
-     * @param source where the figure comes from: KIND:PATH or worked:NAME; "none:" where nothing
-     *     tells it
-     * @param at the size that a slope is worked out to, by name
-     * @param slope whether a slope over sizes says something of it; else it is shown by size alone
-     * @param budget what it may be, by name; empty where nothing is said
-     * @param carried the class that carries it; "nothing" and why where none does
+     * @param source the origin of the figure: KIND:PATH of a result file or worked:NAME of {@link
+     *     DerivedQuantities}; "none:" if it is neither measured nor derived
+     * @param sizeName the name of the size that the figure is extrapolated to
+     * @param extrapolated whether the figure is extrapolated over sizes; otherwise it is only shown
+     *     for each measured size
+     * @param budgetName the name of the figure's limit; empty if it has none
+     * @param carriedBy the class that implements the need; "nothing" and the reason if none does
      */
     record Need(
             String part,
             String figure,
             String source,
-            String at,
-            boolean slope,
+            String sizeName,
+            boolean extrapolated,
             String unit,
-            String budget,
-            String carried) {
-        boolean uncarried() {
-            return carried.startsWith("nothing");
+            String budgetName,
+            String carriedBy) {
+        boolean isUncarried() {
+            return carriedBy.startsWith("nothing");
         }
 
         String kind() {
@@ -91,31 +94,32 @@
     }
 
     /**
-     * All figures by name: {@code operators.backends}, {@code assumed.due_ms}, {@code
+     * All quantities by name, such as {@code operators.backends}, {@code assumed.due_ms} and {@code
      * constant.retire}.
      */
-    final Map<String, Double> given = new LinkedHashMap<>();
+    final Map<String, Double> quantities = new LinkedHashMap<>();
 
     final List<Constant> constants = new ArrayList<>();
     final List<Need> needs = new ArrayList<>();
 
     private Budget() {}
 
-    /** Reads it; every fault is told at once. */
+    /** Reads a budget; the exception lists all faults of the file. */
     static Budget read(Path file) throws InvalidConfigurationException {
         Budget budget = new Budget();
         Fields top = Fields.of(ConfigurationDocument.toml(file));
         Fields operators = top.table("operators");
-        OPERATORS.forEach(
+        OPERATOR_KEYS.forEach(
                 key ->
-                        budget.given.put(
+                        budget.quantities.put(
                                 "operators." + key,
-                                operators.number(key, Double.NaN, LEAST, MOST)));
+                                operators.number(key, Double.NaN, MIN_VALUE, MAX_VALUE)));
         Fields assumed = top.table("assumed");
-        ASSUMED.forEach(
+        ASSUMPTION_KEYS.forEach(
                 key ->
-                        budget.given.put(
-                                "assumed." + key, assumed.number(key, Double.NaN, LEAST, MOST)));
+                        budget.quantities.put(
+                                "assumed." + key,
+                                assumed.number(key, Double.NaN, MIN_VALUE, MAX_VALUE)));
         Set<String> seen = new HashSet<>();
         for (Fields f : top.tables("constant")) {
             Constant c =
@@ -123,42 +127,52 @@
                             f.matching("name", null, "[a-z0-9_]+", "a short name"),
                             f.text("file", null),
                             f.text("field", null),
-                            f.number("value", Double.NaN, 0, MOST));
+                            f.number("value", Double.NaN, 0, MAX_VALUE));
             if (!seen.add(c.name)) {
-                f.addFault("name", "stands twice");
+                f.addFault("name", "duplicate name of a constant");
             }
             budget.constants.add(c);
-            budget.given.put("constant." + c.name, c.value);
+            budget.quantities.put("constant." + c.name, c.value);
         }
         for (Fields f : top.tables("need")) {
-            String key = f.matching("budget", "", KEY, "a name such as operators.backends");
-            String at = f.matching("at", SIZE, KEY, "a name such as operators.backends");
+            String key =
+                    f.matching("budget", "", NAME_PATTERN, "a name such as operators.backends");
+            String sizeName =
+                    f.matching(
+                            "at",
+                            DEFAULT_SIZE_NAME,
+                            NAME_PATTERN,
+                            "a name such as operators.backends");
             budget.needs.add(
                     new Need(
                             f.text("part", null),
                             f.text("figure", null),
-                            f.matching("source", null, SOURCE, "KIND:PATH, worked:NAME or none:"),
-                            at,
+                            f.matching(
+                                    "source",
+                                    null,
+                                    SOURCE_PATTERN,
+                                    "KIND:PATH, worked:NAME or none:"),
+                            sizeName,
                             f.bool("slope", true),
                             f.text("unit", ""),
                             key,
                             f.text("carried", null)));
-            for (String name : List.of(key, at)) {
+            for (String name : List.of(key, sizeName)) {
                 if (!name.isEmpty()
                         && !name.startsWith("worked.")
-                        && !budget.given.containsKey(name)) {
+                        && !budget.quantities.containsKey(name)) {
                     f.addFault(name.equals(key) ? "budget" : "at", "there is no figure " + name);
                 }
             }
             if (!seen.add(f.text("part", "") + "/" + f.text("figure", ""))) {
-                f.addFault("figure", "stands twice in its part");
+                f.addFault("figure", "duplicate figure of its part");
             }
         }
         top.throwIfInvalid();
         return budget;
     }
 
-    /** The parts in the order of the file. */
+    /** The distinct parts of the needs in the order of the file. */
     List<String> parts() {
         return needs.stream().map(Need::part).distinct().toList();
     }
--- a/src/main/java/cottonlock/lab/scale/ResultFile.java
+++ b/src/main/java/cottonlock/lab/scale/ResultFile.java
@@ -17,21 +17,21 @@
 import java.util.stream.Stream;
 
 /**
- * What one run measured, as its file has it: {@code KIND-SIZE-SEED.json}. Every plain value is
- * found by the names that lead to it, joined by dots ({@code roles.control.rss_mb}); a list of
- * plain values is left out. docs/capacity/README.md tells what each kind holds.
+ * The results of one run, read from its file {@code KIND-SIZE-SEED.json}. Scalar values are found
+ * by their path with dots ({@code roles.control.rss_mb}); arrays are skipped.
+ * docs/capacity/README.md describes the contents of each kind.
  */
 final class ResultFile {
-    /** A value that a run didn't reach, in place of a time: never. */
+    /** The value of a time if the run never reached the event that is timed. */
     private static final double NEVER = -1;
 
-    /** A result holds some hundred values; what is much longer is no result. */
-    private static final long LONGEST = 1 << 20;
+    /** A result holds some hundred values; a much larger file can't be one. */
+    private static final long MAX_BYTES = 1 << 20;
 
-    private static final int DEEPEST = 8;
+    private static final int MAX_DEPTH = 8;
 
-    /** What each kind must hold beside its kind, size and seed. */
-    private static final Map<String, List<String>> NEEDED =
+    /** The required fields of each kind beside kind, size and seed. */
+    private static final Map<String, List<String>> REQUIRED_FIELDS =
             Map.of(
                     "scale", List.of("command", "commit", "verdict", "machine.late_ms_p999"),
                     "members", List.of("command", "commit", "seconds_virtual"),
@@ -49,13 +49,13 @@
         this.name = name;
     }
 
-    /** Reads one file; every fault of it is told at once. */
+    /** Reads one file; the exception lists all faults found in its values. */
     static ResultFile read(Path file) throws InvalidConfigurationException {
         ResultFile result = new ResultFile(file.getFileName().toString());
         try {
-            if (Files.size(file) > LONGEST) {
+            if (Files.size(file) > MAX_BYTES) {
                 throw new InvalidConfigurationException(
-                        List.of(file + ": is longer than a result of a run can be"));
+                        List.of(file + ": is longer than the result of a run can be"));
             }
             JsonFactory factory =
                     JsonFactory.builder()
@@ -66,10 +66,10 @@
                     throw new InvalidConfigurationException(
                             List.of(file + ": expected a JSON object"));
                 }
-                result.object(file, json, "", 0);
+                result.readObject(file, json, "", 0);
                 if (json.nextToken() != null) {
                     throw new InvalidConfigurationException(
-                            List.of(file + ": expected nothing behind the object"));
+                            List.of(file + ": unexpected content after the JSON object"));
                 }
             }
         } catch (JsonProcessingException e) {
@@ -84,19 +84,16 @@
             throw new InvalidConfigurationException(
                     List.of(file + ": cannot be read: " + e.getMessage()));
         }
-        result.check(file);
+        result.validate(file);
         return result;
     }
 
-    /**
-     * All results of a folder in the order of kind, size and seed; other files in it are left
-     * alone.
-     */
-    static List<ResultFile> all(Path folder) throws InvalidConfigurationException {
+    /** Reads all results of a folder, sorted by kind, size and seed; other files are ignored. */
+    static List<ResultFile> readAll(Path folder) throws InvalidConfigurationException {
         List<Path> files;
-        try (Stream<Path> there = Files.list(folder)) {
+        try (Stream<Path> entries = Files.list(folder)) {
             files =
-                    there.filter(f -> f.getFileName().toString().endsWith(".json"))
+                    entries.filter(f -> f.getFileName().toString().endsWith(".json"))
                             .sorted()
                             .toList();
         } catch (IOException e) {
@@ -122,16 +119,16 @@
         return results;
     }
 
-    private void object(Path file, JsonParser json, String path, int depth)
+    private void readObject(Path file, JsonParser json, String path, int depth)
             throws IOException, InvalidConfigurationException {
-        if (depth > DEEPEST) {
+        if (depth > MAX_DEPTH) {
             throw new InvalidConfigurationException(
-                    List.of(file + ": values lie too deep in each other"));
+                    List.of(file + ": objects are nested too deeply"));
         }
         while (json.nextToken() != JsonToken.END_OBJECT) {
             String key = path + json.currentName();
             switch (json.nextToken()) {
-                case START_OBJECT -> object(file, json, key + ".", depth + 1);
+                case START_OBJECT -> readObject(file, json, key + ".", depth + 1);
                 case START_ARRAY -> json.skipChildren();
                 case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT ->
                         numbers.put(key, json.getDoubleValue());
@@ -141,15 +138,15 @@
         }
     }
 
-    private void check(Path file) throws InvalidConfigurationException {
+    private void validate(Path file) throws InvalidConfigurationException {
         List<String> faults = new ArrayList<>();
         String kind = texts.getOrDefault("kind", "");
-        if (!NEEDED.containsKey(kind)) {
+        if (!REQUIRED_FIELDS.containsKey(kind)) {
             throw new InvalidConfigurationException(
                     List.of(
                             file
                                     + ": kind: expected one of "
-                                    + String.join(", ", new TreeMap<>(NEEDED).keySet())
+                                    + String.join(", ", new TreeMap<>(REQUIRED_FIELDS).keySet())
                                     + ", found \""
                                     + kind
                                     + "\""));
@@ -165,7 +162,7 @@
                                 + (Double.isNaN(value) ? "none" : value));
             }
         }
-        for (String key : NEEDED.get(kind)) {
+        for (String key : REQUIRED_FIELDS.get(kind)) {
             if (!numbers.containsKey(key) && !texts.containsKey(key)) {
                 faults.add(file + ": " + key + ": is not there");
             }
@@ -209,17 +206,17 @@
         return numbers.get("seed").longValue();
     }
 
-    /** Of a run in virtual time, which no machine makes late: pass. */
+    /** The verdict; always pass for a run in virtual time, which a slow machine can't distort. */
     String verdict() {
         return texts.getOrDefault("verdict", "pass");
     }
 
     /**
-     * Whether figures may be taken from it: what ran on a late machine shows nothing, and a process
-     * that served nothing has no cost of serving. A fleet that broke a bound has its figures all
-     * the same.
+     * Whether the run's figures may be used: not those of a run on a machine that ran late, nor
+     * those of a proxy that served no call, since it shows no cost of serving. A fleet that
+     * exceeded a bound still has valid figures.
      */
-    boolean counts() {
+    boolean hasUsableFigures() {
         return !verdict().equals("none") && !(kind().equals("proxy") && verdict().equals("fail"));
     }
 
@@ -227,14 +224,14 @@
         return texts.getOrDefault(path, "");
     }
 
-    /** A number, or NaN where the run has none or what it timed never came. */
+    /** A number; NaN if the run has none or never reached the event that is timed. */
     double number(String path) {
         double value = numbers.getOrDefault(path, Double.NaN);
         return value == NEVER && !path.startsWith("added.") ? Double.NaN : value;
     }
 
-    /** Whether the run tells that what this figure times never came. */
-    boolean never(String path) {
+    /** Whether the run reports that the event timed by this figure was never reached. */
+    boolean neverReached(String path) {
         return !path.startsWith("added.") && numbers.getOrDefault(path, 0.0) == NEVER;
     }
 }
--- a/src/main/java/cottonlock/lab/scale/Slope.java
+++ b/src/main/java/cottonlock/lab/scale/Slope.java
@@ -7,18 +7,20 @@
 import java.util.TreeMap;
 
 /**
- * How a figure grows with a size: a straight line and a power law, both by least squares over all
- * points, and of the two the one that lies nearer to them. Sizes and figures carry no unit here.
+ * The growth of a figure with a size. A straight line and a power law are fitted to all points by
+ * least squares, the power law on logarithms; of the two, the one with the smaller spread is used.
+ * Sizes and figures carry no unit here.
  *
- * @param law "linear" or "power", whichever lies nearer
- * @param base of the line: its value at size 0; of the power law: its value at size 1
- * @param rise of the line: its rise for each one of size; of the power law: the exponent
- * @param spread root mean square of the points' distances from it, as a part of their mean
- * @param seeds the greatest distance of two seeds of one size, as a part of that size's mean; NaN
- *     where no size has two
- * @param other what the other law would say, for the same sizes; null where no power law can be had
- * @param sizes how many sizes it rests on
- * @param largest of the sizes
+ * @param law "linear" or "power", whichever fits better
+ * @param base the line's value at size 0, or the power law's value at size 1
+ * @param rise the line's increase per unit of size, or the power law's exponent
+ * @param spread the root mean square of the residuals as a part of the points' mean
+ * @param seedSpread the largest range over the seeds of one size as a part of that size's mean; NaN
+ *     if no size has two seeds
+ * @param alternative the fit of the other law to the same points; null if no power law can be
+ *     fitted
+ * @param sizeCount the number of distinct sizes that the fit rests on
+ * @param largestSize the largest of these sizes
  */
 @Deterministic
 record Slope(
@@ -26,24 +28,24 @@
         double base,
         double rise,
         double spread,
-        double seeds,
-        Slope other,
-        int sizes,
-        double largest) {
-    /** A bend shows with four sizes; three can't tell a line from a curve with some spread. */
-    static final int LEAST = 4;
+        double seedSpread,
+        Slope alternative,
+        int sizeCount,
+        double largestSize) {
+    /** Three sizes can't distinguish a line from a curve in the presence of spread; four can. */
+    static final int MIN_SIZES = 4;
 
-    /** One run's figure. */
+    /** The figure of one run. */
     record Point(double size, double value) {}
 
-    /** Fits both laws; null where there are fewer sizes than the least. */
-    static Slope fit(List<Point> points, int least) {
+    /** Fits both laws; null if there are fewer distinct sizes than the minimum, or than two. */
+    static Slope fit(List<Point> points, int minSizes) {
         Map<Double, List<Double>> bySize = new TreeMap<>();
         points.forEach(p -> bySize.computeIfAbsent(p.size, s -> new ArrayList<>()).add(p.value));
-        if (bySize.size() < Math.max(2, least)) {
+        if (bySize.size() < Math.max(2, minSizes)) {
             return null;
         }
-        double seeds = Double.NaN;
+        double seedSpread = Double.NaN;
         for (List<Double> values : bySize.values()) {
             if (values.size() < 2) {
                 continue;
@@ -51,72 +53,80 @@
             double mean = values.stream().mapToDouble(v -> v).average().orElse(0);
             double high = values.stream().mapToDouble(v -> v).max().orElse(0);
             double low = values.stream().mapToDouble(v -> v).min().orElse(0);
-            double apart = high == low ? 0 : (high - low) / Math.max(1e-12, Math.abs(mean));
-            seeds = Double.isNaN(seeds) ? apart : Math.max(seeds, apart);
+            double relativeRange = high == low ? 0 : (high - low) / Math.max(1e-12, Math.abs(mean));
+            seedSpread =
+                    Double.isNaN(seedSpread) ? relativeRange : Math.max(seedSpread, relativeRange);
         }
-        double largest = bySize.keySet().stream().mapToDouble(s -> s).max().orElse(0);
-        double[] line = line(points);
-        Slope linear = of("linear", line, points, seeds, null, bySize.size(), largest);
+        double largestSize = bySize.keySet().stream().mapToDouble(s -> s).max().orElse(0);
+        double[] line = fitLine(points);
+        Slope linear =
+                createFit("linear", line, points, seedSpread, null, bySize.size(), largestSize);
         if (points.stream().anyMatch(p -> p.size <= 0 || p.value <= 0)) {
             return linear;
         }
         double[] logs =
-                line(
+                fitLine(
                         points.stream()
                                 .map(p -> new Point(Math.log(p.size), Math.log(p.value)))
                                 .toList());
         Slope power =
-                of(
+                createFit(
                         "power",
                         new double[] {Math.exp(logs[0]), logs[1]},
                         points,
-                        seeds,
+                        seedSpread,
                         null,
                         bySize.size(),
-                        largest);
-        return linear.spread <= power.spread ? linear.with(power) : power.with(linear);
+                        largestSize);
+        return linear.spread <= power.spread
+                ? linear.withAlternative(power)
+                : power.withAlternative(linear);
     }
 
-    private Slope with(Slope second) {
-        return new Slope(law, base, rise, spread, seeds, second, sizes, largest);
+    private Slope withAlternative(Slope alternativeFit) {
+        return new Slope(
+                law, base, rise, spread, seedSpread, alternativeFit, sizeCount, largestSize);
     }
 
-    private static Slope of(
+    private static Slope createFit(
             String law,
             double[] fit,
             List<Point> points,
-            double seeds,
-            Slope other,
-            int sizes,
-            double largest) {
-        Slope without = new Slope(law, fit[0], fit[1], 0, seeds, other, sizes, largest);
+            double seedSpread,
+            Slope alternative,
+            int sizeCount,
+            double largestSize) {
+        Slope withoutSpread =
+                new Slope(law, fit[0], fit[1], 0, seedSpread, alternative, sizeCount, largestSize);
         double mean = points.stream().mapToDouble(Point::value).average().orElse(0);
-        double squares =
+        double meanSquare =
                 points.stream()
-                        .mapToDouble(p -> Math.pow(p.value - without.at(p.size), 2))
+                        .mapToDouble(p -> Math.pow(p.value - withoutSpread.valueAt(p.size), 2))
                         .average()
                         .orElse(0);
-        double spread = squares < 1e-24 ? 0 : Math.sqrt(squares) / Math.max(1e-12, Math.abs(mean));
-        return new Slope(law, fit[0], fit[1], spread, seeds, other, sizes, largest);
+        double spread =
+                meanSquare < 1e-24 ? 0 : Math.sqrt(meanSquare) / Math.max(1e-12, Math.abs(mean));
+        return new Slope(
+                law, fit[0], fit[1], spread, seedSpread, alternative, sizeCount, largestSize);
     }
 
-    /** The value at 0 and the rise of the line with the least squares. */
-    private static double[] line(List<Point> points) {
+    /** The value at 0 and the slope of the least-squares line. */
+    private static double[] fitLine(List<Point> points) {
         double x = points.stream().mapToDouble(Point::size).average().orElse(0);
         double y = points.stream().mapToDouble(Point::value).average().orElse(0);
-        double both = points.stream().mapToDouble(p -> (p.size - x) * (p.value - y)).sum();
-        double square = points.stream().mapToDouble(p -> (p.size - x) * (p.size - x)).sum();
-        double rise = square == 0 ? 0 : both / square;
+        double crossProducts = points.stream().mapToDouble(p -> (p.size - x) * (p.value - y)).sum();
+        double squaredSizes = points.stream().mapToDouble(p -> (p.size - x) * (p.size - x)).sum();
+        double rise = squaredSizes == 0 ? 0 : crossProducts / squaredSizes;
         return new double[] {y - rise * x, rise};
     }
 
-    /** What the law says for a size. */
-    double at(double size) {
+    /** The fitted value at a size. */
+    double valueAt(double size) {
         return law.equals("linear") ? base + rise * size : base * Math.pow(size, rise);
     }
 
-    /** By what factor a size lies beyond the largest that was measured; 1 at least. */
-    double beyond(double size) {
-        return Math.max(1, size / largest);
+    /** The factor by which a size exceeds the largest measured size; at least 1. */
+    double extrapolationFactor(double size) {
+        return Math.max(1, size / largestSize);
     }
 }
