--- a/src/main/java/cottonlock/lab/scale/Change.java
+++ b/src/main/java/cottonlock/lab/scale/Change.java
@@ -9,7 +9,7 @@
     final long version;
 
     /** Nanoseconds, by the clock that all processes share, when control was told. */
-    final long at;
+    final long sentAt;
 
     /**
      * For some, it could not come before then: those that were cut off, or not there; 0: nobody.
@@ -17,36 +17,36 @@
     long reachableAt;
 
     /** Nanoseconds that it took, one for each proxy that has it, and how many have not. */
-    final List<Long> took = new ArrayList<>();
+    final List<Long> delaysNanos = new ArrayList<>();
 
     int missing;
 
     /** How many had it before it could come to them. */
-    int early;
+    int earlyCount;
 
-    Change(long version, long at) {
+    Change(long version, long sentAt) {
         this.version = version;
-        this.at = at;
+        this.sentAt = sentAt;
     }
 
-    void inForce(long heldAt, boolean late) {
+    void recordInForce(long heldAt, boolean wasCutOff) {
         if (heldAt < 0) {
             missing++;
         } else {
-            early += late && heldAt < reachableAt ? 1 : 0;
-            took.add(Math.max(0, heldAt - (late ? reachableAt : at)));
+            earlyCount += wasCutOff && heldAt < reachableAt ? 1 : 0;
+            delaysNanos.add(Math.max(0, heldAt - (wasCutOff ? reachableAt : sentAt)));
         }
     }
 
     /** Milliseconds until in force at a part of all; -1 where it never was at so many. */
-    double ms(double part) {
-        int all = took.size() + missing;
-        int place = (int) Math.ceil(part * all) - 1;
-        if (all == 0 || place >= took.size()) {
+    double inForceMillis(double fraction) {
+        int all = delaysNanos.size() + missing;
+        int index = (int) Math.ceil(fraction * all) - 1;
+        if (all == 0 || index >= delaysNanos.size()) {
             return -1;
         }
-        List<Long> sorted = new ArrayList<>(took);
+        List<Long> sorted = new ArrayList<>(delaysNanos);
         Collections.sort(sorted);
-        return sorted.get(Math.max(0, place)) / 1e6;
+        return sorted.get(Math.max(0, index)) / 1e6;
     }
 }
--- a/src/main/java/cottonlock/lab/scale/Child.java
+++ b/src/main/java/cottonlock/lab/scale/ChildProcess.java
@@ -17,29 +17,29 @@
  * A process of the run's that takes orders by lines and answers by lines. It ends when its input
  * does, so none is left when the run itself is killed.
  */
-final class Child {
+final class ChildProcess {
     /** Seconds for an answer, on a machine with no core to spare. */
-    private static final long PATIENCE = 60;
+    private static final long ANSWER_TIMEOUT_SECONDS = 60;
 
     final String name;
     private final Process process;
     private final Writer orders;
     private final Path log;
     private final LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
-    private volatile boolean ending;
+    private volatile boolean ended;
 
     /**
      * Starts one; lines that begin with one of the words of news go to whom, on a thread of their
      * own.
      */
-    Child(
+    ChildProcess(
             String name,
             Path folder,
             int heapMb,
-            Class<?> main,
+            Class<?> mainClass,
             List<String> args,
-            List<String> news,
-            Consumer<String[]> whom)
+            List<String> reportPrefixes,
+            Consumer<String[]> reportListener)
             throws IOException {
         this.name = name;
         this.log = folder.resolve(name + ".log");
@@ -55,7 +55,7 @@
                                 "-XX:+ExitOnOutOfMemoryError",
                                 "-cp",
                                 System.getProperty("java.class.path"),
-                                main.getName()));
+                                mainClass.getName()));
         command.addAll(args);
         process =
                 new ProcessBuilder(command)
@@ -72,8 +72,8 @@
                                         line != null;
                                         line = lines.readLine()) {
                                     String[] words = line.split(" ");
-                                    if (news.contains(words[0])) {
-                                        whom.accept(words);
+                                    if (reportPrefixes.contains(words[0])) {
+                                        reportListener.accept(words);
                                     } else {
                                         answers.add(line);
                                     }
@@ -93,18 +93,18 @@
         return process.pid();
     }
 
-    boolean lives() {
+    boolean isAlive() {
         return process.isAlive();
     }
 
-    void tell(String order) throws IOException {
+    void send(String order) throws IOException {
         try {
             synchronized (orders) {
                 orders.write(order);
                 orders.write('\n');
             }
         } catch (IOException e) {
-            throw gone();
+            throw processError();
         }
     }
 
@@ -114,43 +114,44 @@
                 orders.flush();
             }
         } catch (IOException e) {
-            throw gone();
+            throw processError();
         }
     }
 
     /** The next answer, without its end of line. */
-    String answer() throws IOException, InterruptedException {
-        String answer = answers.poll(PATIENCE, TimeUnit.SECONDS);
+    String readAnswer() throws IOException, InterruptedException {
+        String answer = answers.poll(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (answer == null || answer.isEmpty()) {
-            throw gone();
+            throw processError();
         }
         return answer;
     }
 
-    private IOException gone() {
-        String why = "";
+    private IOException processError() {
+        String logText = "";
         try {
-            why = Files.size(log) < 1 << 16 ? Files.readString(log).strip() : "see its log";
+            logText = Files.size(log) < 1 << 16 ? Files.readString(log).strip() : "see its log";
         } catch (IOException e) {
             // There is none.
         }
-        return new IOException(name + (lives() ? " does not answer" : " has ended") + ": " + why);
+        return new IOException(
+                name + (isAlive() ? " does not answer" : " has ended") + ": " + logText);
     }
 
     /** Ends it as SIGKILL does, and waits for its end. */
     void kill() throws InterruptedException {
-        ending = true;
+        ended = true;
         process.destroyForcibly().waitFor();
     }
 
     /** Whether it ended although nobody ended it. */
-    boolean failed() {
-        return !ending && !process.isAlive();
+    boolean endedUnexpectedly() {
+        return !ended && !process.isAlive();
     }
 
     /** For a run that ends: does not wait. */
-    void end() {
-        ending = true;
+    void destroy() {
+        ended = true;
         process.destroyForcibly();
     }
 }
--- a/src/main/java/cottonlock/lab/scale/ControlStandIn.java
+++ b/src/main/java/cottonlock/lab/scale/ControlStandIn.java
@@ -34,25 +34,25 @@
      * Nanoseconds between empty lines of a watch at rest, as the machines that it stands for send
      * them.
      */
-    private static final long BEAT = 2_000_000_000L;
+    private static final long HEARTBEAT_NANOS = 2_000_000_000L;
 
-    private static final long SECOND = 1_000_000_000L;
-    private static final int BACKLOG = 4_096;
-    private static final byte[] HEAD =
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final int ACCEPT_BACKLOG = 4_096;
+    private static final byte[] RESPONSE_HEAD =
             ascii("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     private static final byte[] EMPTY_LINE = chunk("\n");
 
     /** Changes of the list: what one batch told, as the watches got it. */
-    private record Told(long seq, List<String> ids) {}
+    private record ListChange(long seq, List<String> ids) {}
 
     /** What passed of one role within the second. */
     private static final class Traffic {
-        long in;
-        long out;
+        long bytesIn;
+        long bytesOut;
         long calls;
-        long lines;
-        long whole;
-        long worst;
+        long linesOut;
+        long completeLists;
+        long maxConnectionBytes;
     }
 
     private final class Connection implements Loop.Ready {
@@ -63,9 +63,9 @@
         SelectionKey key;
 
         /** Bytes out within the second that has this number. */
-        long second;
+        long countedSecond;
 
-        long bytes;
+        long bytesInSecond;
 
         Connection(SocketChannel channel, Traffic traffic) throws IOException {
             this.channel = channel;
@@ -83,7 +83,7 @@
                     write();
                 }
             } catch (IOException e) {
-                end();
+                close();
             }
         }
 
@@ -91,47 +91,47 @@
             buffer.clear();
             int n = channel.read(buffer);
             if (n < 0) {
-                end();
+                close();
                 return;
             }
-            traffic.in += n;
+            traffic.bytesIn += n;
             for (int i = 0; i < n; i++) {
                 request.append((char) buffer.get(i));
             }
             if (request.indexOf("\r\n\r\n") >= 0) {
                 traffic.calls++;
-                waiting.add(this);
+                waitingCalls.add(this);
                 answerNext();
             } else if (request.length() > buffer.capacity()) {
-                end();
+                close();
             }
         }
 
         /** The call's turn has come. */
-        void answer() {
+        void answerCall() {
             int at = request.indexOf("index=");
             int stop = request.indexOf(" ", Math.max(0, at));
             if (!request.toString().startsWith("GET /catalog/members?stream=1")
                     || at < 0
                     || stop < 0) {
-                end();
+                close();
                 return;
             }
             long since = Long.parseLong(request.substring(at + 6, stop));
             request.setLength(0);
-            send(HEAD);
-            if (since < from || since > seq) {
-                traffic.whole++;
-                say(whole());
+            send(RESPONSE_HEAD);
+            if (since < baseSeq || since > seq) {
+                traffic.completeLists++;
+                sendListLine(completeList());
             } else {
-                say(chunk(list(false, since)));
+                sendListLine(chunk(listJson(false, since)));
             }
-            watching.add(this);
+            watchers.add(this);
         }
 
         /** Sends a line of the list. */
-        void say(byte[] line) {
-            traffic.lines++;
+        void sendListLine(byte[] line) {
+            traffic.linesOut++;
             send(line);
         }
 
@@ -140,14 +140,14 @@
             try {
                 write();
             } catch (IOException e) {
-                end();
+                close();
             }
         }
 
         private void write() throws IOException {
             while (!unsent.isEmpty()) {
                 long n = channel.write(unsent.peek());
-                count(n);
+                countSent(n);
                 if (unsent.peek().hasRemaining()) {
                     key.interestOps(SelectionKey.OP_READ | SelectionKey.OP_WRITE);
                     return;
@@ -157,18 +157,18 @@
             key.interestOps(SelectionKey.OP_READ);
         }
 
-        private void count(long n) {
-            traffic.out += n;
-            long now = System.nanoTime() / SECOND;
-            bytes = now == second ? bytes + n : n;
-            second = now;
-            traffic.worst = Math.max(traffic.worst, bytes);
+        private void countSent(long n) {
+            traffic.bytesOut += n;
+            long now = System.nanoTime() / NANOS_PER_SECOND;
+            bytesInSecond = now == countedSecond ? bytesInSecond + n : n;
+            countedSecond = now;
+            traffic.maxConnectionBytes = Math.max(traffic.maxConnectionBytes, bytesInSecond);
         }
 
-        void end() {
+        void close() {
             key.cancel();
-            watching.remove(this);
-            waiting.remove(this);
+            watchers.remove(this);
+            waitingCalls.remove(this);
             try {
                 channel.close();
             } catch (IOException e) {
@@ -181,41 +181,42 @@
     private final ByteBuffer buffer = ByteBuffer.allocate(16 << 10);
 
     /** Nanoseconds between two calls that are answered. */
-    private final long apart;
+    private final long answerIntervalNanos;
 
     private final Map<String, String> entries = new LinkedHashMap<>();
-    private final Deque<Told> changes = new ArrayDeque<>();
-    private final Set<Connection> watching = new LinkedHashSet<>();
-    private final Deque<Connection> waiting = new ArrayDeque<>();
-    private final Map<String, Traffic> roles = new LinkedHashMap<>();
-    private final Map<String, String> gathered = new LinkedHashMap<>();
+    private final Deque<ListChange> changes = new ArrayDeque<>();
+    private final Set<Connection> watchers = new LinkedHashSet<>();
+    private final Deque<Connection> waitingCalls = new ArrayDeque<>();
+    private final Map<String, Traffic> trafficByRole = new LinkedHashMap<>();
+    private final Map<String, String> pendingEntries = new LinkedHashMap<>();
     private long seq;
-    private long from;
-    private byte[] whole;
-    private long nextAnswer;
-    private boolean answering;
+    private long baseSeq;
+    private byte[] completeListLine;
+    private long nextAnswerAt;
+    private boolean answerScheduled;
 
     private ControlStandIn(double callsASecond) {
-        apart = (long) (SECOND / callsASecond);
+        answerIntervalNanos = (long) (NANOS_PER_SECOND / callsASecond);
     }
 
     /** The process; its argument: calls a second. */
     public static void main(String[] args) throws IOException {
         ControlStandIn machine = new ControlStandIn(Double.parseDouble(args[0]));
-        Thread reader = new Thread(machine::follow, "orders");
+        Thread reader = new Thread(machine::readOrders, "orders");
         reader.setDaemon(true);
         reader.start();
-        machine.loop.after(BEAT, machine::beat);
-        machine.loop.after(SECOND - System.nanoTime() % SECOND, machine::tell);
+        machine.loop.after(HEARTBEAT_NANOS, machine::sendHeartbeats);
+        machine.loop.after(
+                NANOS_PER_SECOND - System.nanoTime() % NANOS_PER_SECOND, machine::reportSecond);
         machine.loop.run();
     }
 
-    private void follow() {
+    private void readOrders() {
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.ISO_8859_1))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String order = line;
-                loop.post(() -> carryOut(order));
+                loop.post(() -> execute(order));
             }
         } catch (IOException e) {
             // The run is gone, and this process ends with it.
@@ -223,57 +224,57 @@
         Runtime.getRuntime().halt(0);
     }
 
-    private void carryOut(String order) {
+    private void execute(String order) {
         String[] words = order.split(" ", 4);
         switch (words[0]) {
             case "entry" -> {
                 seq = Long.parseLong(words[1]);
-                gathered.put(words[2], words[3]);
+                pendingEntries.put(words[2], words[3]);
             }
-            case "push" -> push();
+            case "push" -> pushPending();
             case "from" -> {
-                push();
+                pushPending();
                 seq = Long.parseLong(words[1]);
-                from = seq;
+                baseSeq = seq;
                 changes.clear();
-                whole = null;
+                completeListLine = null;
             }
-            case "open" -> open(words[1], words[2]);
+            case "open" -> listen(words[1], words[2]);
             default -> throw new IllegalArgumentException(order);
         }
     }
 
-    private void push() {
-        if (gathered.isEmpty()) {
+    private void pushPending() {
+        if (pendingEntries.isEmpty()) {
             return;
         }
-        entries.putAll(gathered);
-        changes.add(new Told(seq, List.copyOf(gathered.keySet())));
-        byte[] line = chunk(text(false, gathered.values()));
-        List.copyOf(watching).forEach(connection -> connection.say(line));
+        entries.putAll(pendingEntries);
+        changes.add(new ListChange(seq, List.copyOf(pendingEntries.keySet())));
+        byte[] line = chunk(formatList(false, pendingEntries.values()));
+        List.copyOf(watchers).forEach(connection -> connection.sendListLine(line));
         // What left is told once, and is no part of whole lists.
         entries.values().removeIf(json -> json.contains("\"health\":\"left\""));
-        gathered.clear();
-        whole = null;
+        pendingEntries.clear();
+        completeListLine = null;
     }
 
     /** The list, or what changed since. */
-    private String list(boolean all, long since) {
+    private String listJson(boolean all, long since) {
         if (all) {
-            return text(true, entries.values());
+            return formatList(true, entries.values());
         }
         Set<String> ids = new LinkedHashSet<>();
         changes.stream().filter(c -> c.seq > since).forEach(c -> ids.addAll(c.ids));
-        List<String> told = new ArrayList<>();
+        List<String> changedEntries = new ArrayList<>();
         for (String id : ids) {
-            told.add(
+            changedEntries.add(
                     entries.getOrDefault(
                             id, "{\"host\":\"" + id + "\",\"dial\":\"\",\"health\":\"left\"}"));
         }
-        return text(false, told);
+        return formatList(false, changedEntries);
     }
 
-    private String text(boolean all, Iterable<String> hosts) {
+    private String formatList(boolean all, Iterable<String> hosts) {
         return "{\"seq\":"
                 + seq
                 + ",\"whole\":"
@@ -283,34 +284,34 @@
                 + "]}\n";
     }
 
-    private byte[] whole() {
-        if (whole == null) {
-            whole = chunk(list(true, 0));
+    private byte[] completeList() {
+        if (completeListLine == null) {
+            completeListLine = chunk(listJson(true, 0));
         }
-        return whole;
+        return completeListLine;
     }
 
     private void answerNext() {
-        if (answering || waiting.isEmpty()) {
+        if (answerScheduled || waitingCalls.isEmpty()) {
             return;
         }
-        answering = true;
+        answerScheduled = true;
         loop.at(
-                Math.max(loop.now(), nextAnswer),
+                Math.max(loop.now(), nextAnswerAt),
                 () -> {
-                    answering = false;
-                    nextAnswer = loop.now() + apart;
-                    Connection next = waiting.poll();
+                    answerScheduled = false;
+                    nextAnswerAt = loop.now() + answerIntervalNanos;
+                    Connection next = waitingCalls.poll();
                     if (next != null) {
-                        next.answer();
+                        next.answerCall();
                     }
                     answerNext();
                 });
     }
 
-    private void open(String role, String address) {
+    private void listen(String role, String address) {
         int colon = address.lastIndexOf(':');
-        Traffic traffic = roles.computeIfAbsent(role, r -> new Traffic());
+        Traffic traffic = trafficByRole.computeIfAbsent(role, r -> new Traffic());
         try {
             ServerSocketChannel server = ServerSocketChannel.open();
             server.setOption(java.net.StandardSocketOptions.SO_REUSEADDR, true);
@@ -318,7 +319,7 @@
                     new InetSocketAddress(
                             address.substring(0, colon),
                             Integer.parseInt(address.substring(colon + 1))),
-                    BACKLOG);
+                    ACCEPT_BACKLOG);
             loop.register(
                     server,
                     SelectionKey.OP_ACCEPT,
@@ -334,29 +335,43 @@
         }
     }
 
-    private void beat() {
-        List.copyOf(watching).forEach(connection -> connection.send(EMPTY_LINE));
-        loop.after(BEAT, this::beat);
+    private void sendHeartbeats() {
+        List.copyOf(watchers).forEach(connection -> connection.send(EMPTY_LINE));
+        loop.after(HEARTBEAT_NANOS, this::sendHeartbeats);
     }
 
     /** What passed within the second that has just ended. */
-    private void tell() {
-        long second = System.nanoTime() / SECOND - 1;
-        roles.forEach(
+    private void reportSecond() {
+        long second = System.nanoTime() / NANOS_PER_SECOND - 1;
+        trafficByRole.forEach(
                 (role, t) -> {
                     System.out.println(
-                            "second " + second + " " + role + " " + t.in + " " + t.out + " "
-                                    + t.calls + " " + t.lines + " " + t.whole + " " + t.worst);
-                    t.in = 0;
-                    t.out = 0;
+                            "second "
+                                    + second
+                                    + " "
+                                    + role
+                                    + " "
+                                    + t.bytesIn
+                                    + " "
+                                    + t.bytesOut
+                                    + " "
+                                    + t.calls
+                                    + " "
+                                    + t.linesOut
+                                    + " "
+                                    + t.completeLists
+                                    + " "
+                                    + t.maxConnectionBytes);
+                    t.bytesIn = 0;
+                    t.bytesOut = 0;
                     t.calls = 0;
-                    t.lines = 0;
-                    t.whole = 0;
-                    t.worst = 0;
+                    t.linesOut = 0;
+                    t.completeLists = 0;
+                    t.maxConnectionBytes = 0;
                 });
         System.out.println("late " + second + " " + loop.late().getValueAtPercentile(99.9));
         loop.late().reset();
-        loop.after(SECOND - System.nanoTime() % SECOND, this::tell);
+        loop.after(NANOS_PER_SECOND - System.nanoTime() % NANOS_PER_SECOND, this::reportSecond);
     }
 
     private static byte[] chunk(String line) {
--- a/src/main/java/cottonlock/lab/scale/ProxyMeasure.java
+++ b/src/main/java/cottonlock/lab/scale/ProxyMeasure.java
@@ -29,25 +29,25 @@
      * Milliseconds of lateness above which a start's time says more of the machine than of the
      * start.
      */
-    private static final double LATE_LIMIT = 200;
+    private static final double MAX_LATE_MILLIS = 200;
 
     /** Milliseconds: the list is read and compiling is over; then it is watched at rest. */
-    private static final long SETTLE = 3_000;
+    private static final long SETTLE_MILLIS = 3_000;
 
-    private static final long REST = 6_000;
+    private static final long IDLE_MILLIS = 6_000;
 
     /** Milliseconds of calls before they count, and while they do. */
-    private static final long WARM = 6_000;
+    private static final long WARM_UP_MILLIS = 6_000;
 
-    private static final long COUNT = 8_000;
-    private static final long START = 30_000;
-    private static final long BEAT = 2_000;
+    private static final long MEASURE_MILLIS = 8_000;
+    private static final long START_TIMEOUT_MILLIS = 30_000;
+    private static final long HEARTBEAT_MILLIS = 2_000;
 
     /** The kernel counts processor time in hundredths of a second. */
-    private static final double TICKS = 100;
+    private static final double CPU_TICKS_PER_SECOND = 100;
 
     /** It tells memory in units of 1,024 bytes. */
-    private static final double KB = 1_024;
+    private static final double KB_PER_MB = 1_024;
 
     /** The platform's memory for a proxy and its sockets, as deploy/jvm.options is made for. */
     private static final int MEMORY_MB = 128;
@@ -56,13 +56,13 @@
 
     private final int entries;
     private final long seed;
-    private final double rate;
+    private final double callsPerSecond;
 
     /** Rate: calls a second. */
-    ProxyMeasure(int entries, long seed, double rate) {
+    ProxyMeasure(int entries, long seed, double callsPerSecond) {
         this.entries = entries;
         this.seed = seed;
-        this.rate = rate;
+        this.callsPerSecond = callsPerSecond;
     }
 
     /** Plays it and writes the result; returns its verdict. */
@@ -71,41 +71,50 @@
         Path folder = Files.createTempDirectory("cottonlock-proxy");
         Process process = null;
         try (ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
-                Calls calls = new Calls(seed, rate);
+                Calls calls = new Calls(seed, callsPerSecond);
                 Lateness lateness = new Lateness()) {
-            String list = list(calls.port());
-            long[] onWire = new long[1];
-            Thread told = new Thread(() -> serve(discovery, list, onWire), "discovery");
-            told.setDaemon(true);
-            told.start();
+            String list = listJson(calls.port());
+            long[] wireBytes = new long[1];
+            Thread discoveryThread =
+                    new Thread(() -> serveList(discovery, list, wireBytes), "discovery");
+            discoveryThread.setDaemon(true);
+            discoveryThread.start();
             int port = freePort();
             Path file = folder.resolve("proxy.json");
             Files.writeString(file, configuration(port, discovery.getLocalPort(), list));
-            ProcessBuilder builder = new ProcessBuilder(command());
+            ProcessBuilder builder = new ProcessBuilder(serveCommand());
             builder.environment().put("EDGE_CONFIG", file.toString());
             builder.environment().remove("COTTONLOCK_OPERATOR");
             builder.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile());
-            long before = System.nanoTime();
+            long startedAt = System.nanoTime();
             process = builder.start();
-            double first = firstAnswer(process, port, before, folder.resolve("log"));
-            Thread.sleep(SETTLE);
-            double ticks = ticks(process);
+            double firstOkMillis = awaitFirstOk(process, port, startedAt, folder.resolve("log"));
+            Thread.sleep(SETTLE_MILLIS);
+            double ticks = cpuTicks(process);
             long from = System.nanoTime();
-            Thread.sleep(REST);
-            double share = (ticks(process) - ticks) / TICKS / ((System.nanoTime() - from) / 1e9);
-            double resting = status(process, "VmRSS") / KB;
-            long idle = status(process, "Threads");
+            Thread.sleep(IDLE_MILLIS);
+            double idleCpuShare =
+                    (cpuTicks(process) - ticks)
+                            / CPU_TICKS_PER_SECOND
+                            / ((System.nanoTime() - from) / 1e9);
+            double idleRssMb = statusValue(process, "VmRSS") / KB_PER_MB;
+            long idleThreads = statusValue(process, "Threads");
             calls.start(port);
-            Thread.sleep(WARM);
+            Thread.sleep(WARM_UP_MILLIS);
             calls.reset();
-            ticks = ticks(process);
+            ticks = cpuTicks(process);
             from = System.nanoTime();
-            Thread.sleep(COUNT);
-            double busy = (ticks(process) - ticks) / TICKS / ((System.nanoTime() - from) / 1e9);
+            Thread.sleep(MEASURE_MILLIS);
+            double busyCpuShare =
+                    (cpuTicks(process) - ticks)
+                            / CPU_TICKS_PER_SECOND
+                            / ((System.nanoTime() - from) / 1e9);
             calls.stop();
             lateness.stop();
             String verdict =
-                    lateness.usual() > LATE_LIMIT ? "none" : calls.served() == 0 ? "fail" : "pass";
+                    lateness.usual() > MAX_LATE_MILLIS
+                            ? "none"
+                            : calls.served() == 0 ? "fail" : "pass";
             try (JsonGenerator json =
                     new JsonFactory().createGenerator(Files.newBufferedWriter(result))) {
                 json.useDefaultPrettyPrinter();
@@ -118,19 +127,21 @@
                 lateness.machine(json);
                 json.writeStringField("verdict", verdict);
                 json.writeObjectFieldStart("figures");
-                json.writeNumberField("first_200_ms", Math.round(first * 10) / 10.0);
-                json.writeNumberField("rss_mb", Math.round(resting * 10) / 10.0);
-                json.writeNumberField("threads", idle);
-                json.writeNumberField("cpu_rest_share", Math.round(share * 10_000) / 10_000.0);
-                json.writeNumberField("list_bytes", onWire[0]);
+                json.writeNumberField("first_200_ms", Math.round(firstOkMillis * 10) / 10.0);
+                json.writeNumberField("rss_mb", Math.round(idleRssMb * 10) / 10.0);
+                json.writeNumberField("threads", idleThreads);
+                json.writeNumberField(
+                        "cpu_rest_share", Math.round(idleCpuShare * 10_000) / 10_000.0);
+                json.writeNumberField("list_bytes", wireBytes[0]);
                 json.writeNumberField("config_bytes", Files.size(file));
                 json.writeEndObject();
                 json.writeObjectFieldStart("calls");
-                json.writeNumberField("rate_s", Math.round(rate * 10) / 10.0);
+                json.writeNumberField("rate_s", Math.round(callsPerSecond * 10) / 10.0);
                 json.writeNumberField(
-                        "rss_mb", Math.round(status(process, "VmRSS") / KB * 10) / 10.0);
-                json.writeNumberField("threads", status(process, "Threads"));
-                json.writeNumberField("cpu_share", Math.round(busy * 10_000) / 10_000.0);
+                        "rss_mb",
+                        Math.round(statusValue(process, "VmRSS") / KB_PER_MB * 10) / 10.0);
+                json.writeNumberField("threads", statusValue(process, "Threads"));
+                json.writeNumberField("cpu_share", Math.round(busyCpuShare * 10_000) / 10_000.0);
                 calls.write(json);
                 json.writeEndObject();
                 json.writeEndObject();
@@ -148,7 +159,7 @@
     }
 
     /** As deploy/balancer.toml starts it, from the jar and the folder that this is called in. */
-    private static List<String> command() throws IOException {
+    private static List<String> serveCommand() throws IOException {
         Path options = Path.of("deploy", "jvm.options");
         Path jar = Path.of("target", "cottonlock.jar");
         if (!Files.isRegularFile(options) || !Files.isRegularFile(jar)) {
@@ -165,7 +176,7 @@
     }
 
     /** A whole list as discovery tells it: names, places and addresses of the usual length. */
-    private String list(int port) {
+    private String listJson(int port) {
         SplittableRandom random = new SplittableRandom(seed);
         List<String> hosts = new ArrayList<>();
         for (int i = 0; i < entries; i++) {
@@ -234,17 +245,17 @@
     }
 
     /** The stand-in of discovery: the whole list, then an empty line every two seconds. */
-    private static void serve(ServerSocket socket, String list, long[] onWire) {
+    private static void serveList(ServerSocket socket, String list, long[] wireBytes) {
         while (!socket.isClosed()) {
             try (Socket watch = socket.accept()) {
                 InputStream in = watch.getInputStream();
-                int ends = 0;
-                while (ends < 4) {
+                int lineEnds = 0;
+                while (lineEnds < 4) {
                     int b = in.read();
                     if (b < 0) {
                         break;
                     }
-                    ends = b == '\r' || b == '\n' ? ends + 1 : 0;
+                    lineEnds = b == '\r' || b == '\n' ? lineEnds + 1 : 0;
                 }
                 OutputStream out = watch.getOutputStream();
                 byte[] body = (list + "\n").getBytes(StandardCharsets.UTF_8);
@@ -256,9 +267,9 @@
                 out.write(head);
                 out.write(body);
                 out.write("\r\n".getBytes(StandardCharsets.ISO_8859_1));
-                onWire[0] = (long) head.length + body.length + 2;
+                wireBytes[0] = (long) head.length + body.length + 2;
                 while (!socket.isClosed()) {
-                    Thread.sleep(BEAT);
+                    Thread.sleep(HEARTBEAT_MILLIS);
                     out.write("1\r\n\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
                 }
             } catch (IOException e) {
@@ -270,36 +281,37 @@
     }
 
     /** Milliseconds from the start of the process to its first 200 of /_health. */
-    private static double firstAnswer(Process process, int port, long before, Path log)
+    private static double awaitFirstOk(Process process, int port, long startedAt, Path log)
             throws IOException, InterruptedException {
-        byte[] ask =
+        byte[] request =
                 "GET /_health HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n"
                         .getBytes(StandardCharsets.ISO_8859_1);
         while (true) {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                socket.setSoTimeout((int) START);
-                socket.getOutputStream().write(ask);
+                socket.setSoTimeout((int) START_TIMEOUT_MILLIS);
+                socket.getOutputStream().write(request);
                 if (new String(socket.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
                         .equals("HTTP/1.1 200")) {
-                    return (System.nanoTime() - before) / 1e6;
+                    return (System.nanoTime() - startedAt) / 1e6;
                 }
             } catch (IOException e) {
                 // It does not listen yet.
             }
-            if (!process.isAlive() || System.nanoTime() - before > START * 1_000_000) {
+            if (!process.isAlive()
+                    || System.nanoTime() - startedAt > START_TIMEOUT_MILLIS * 1_000_000) {
                 throw new IOException("the proxy did not start: " + Files.readString(log).strip());
             }
             Thread.sleep(1);
         }
     }
 
-    private static double ticks(Process process) throws IOException {
+    private static double cpuTicks(Process process) throws IOException {
         String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
         return Long.parseLong(fields[11]) + Long.parseLong(fields[12]);
     }
 
-    private static long status(Process process, String key) throws IOException {
+    private static long statusValue(Process process, String key) throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
             if (line.startsWith(key + ":")) {
                 return Long.parseLong(line.replaceAll("[^0-9]", ""));
--- a/src/main/java/cottonlock/lab/scale/RealHost.java
+++ b/src/main/java/cottonlock/lab/scale/RealProxy.java
@@ -19,22 +19,22 @@
  * A proxy as deploy/balancer.toml starts it, and a thread that asks it as operators do what it
  * holds, while a change is under way.
  */
-final class RealHost {
+final class RealProxy {
     /**
      * Milliseconds for a process to serve, to answer a call, between two calls, and to end by
      * itself.
      */
-    private static final long START = 60_000;
+    private static final long START_TIMEOUT_MILLIS = 60_000;
 
-    private static final int CALL = 2_000;
-    private static final long BETWEEN = 100;
-    private static final long LEAVE = 6_000;
+    private static final int CALL_TIMEOUT_MILLIS = 2_000;
+    private static final long POLL_INTERVAL_MILLIS = 100;
+    private static final long STOP_TIMEOUT_MILLIS = 6_000;
 
     /** Characters of its log, the last ones, that are told when it could not be started. */
-    private static final int LOG = 600;
+    private static final int MAX_LOG_CHARS = 600;
 
     /** A change that is waited for: an id that is to be listed, or not to be. */
-    private record Awaited(String id, boolean listed) {}
+    private record ExpectedEntry(String id, boolean listed) {}
 
     final int number;
     private final String name;
@@ -43,29 +43,29 @@
     private final int port;
     private final String discovery;
     private final List<String> zones;
-    private final String operator;
+    private final String operatorToml;
     private final long seed;
-    private final Map<Long, Awaited> awaited = new ConcurrentHashMap<>();
-    private final Map<Long, Long> heldAt = new ConcurrentHashMap<>();
+    private final Map<Long, ExpectedEntry> expectedEntries = new ConcurrentHashMap<>();
+    private final Map<Long, Long> heldAtByVersion = new ConcurrentHashMap<>();
 
     /** How many files it is to have taken, by number of the change, and when it had. */
-    private final Map<Long, Long> files = new ConcurrentHashMap<>();
+    private final Map<Long, Long> pendingReloads = new ConcurrentHashMap<>();
 
-    private final Map<Long, Long> takenAt = new ConcurrentHashMap<>();
+    private final Map<Long, Long> reloadedAtByChange = new ConcurrentHashMap<>();
     private volatile Process process;
-    private volatile long taken;
+    private volatile long reloadCount;
 
     /** The number of the file that it is to have, and whether the process that lives has served. */
-    private long wanted;
+    private long requestedChange;
 
-    private boolean serves;
+    private boolean serving;
     private volatile boolean ended;
-    private int starts;
+    private int startCount;
 
     /**
      * Operator: the operator's file; null: none. Operators call it one port above where it listens.
      */
-    RealHost(
+    RealProxy(
             int number,
             String name,
             Path folder,
@@ -73,7 +73,7 @@
             int port,
             String discovery,
             List<String> zones,
-            String operator,
+            String operatorToml,
             long seed) {
         this.number = number;
         this.name = name;
@@ -82,11 +82,11 @@
         this.port = port;
         this.discovery = discovery;
         this.zones = zones;
-        this.operator = operator;
+        this.operatorToml = operatorToml;
         this.seed = seed;
     }
 
-    boolean lives() {
+    boolean isAlive() {
         Process now = process;
         return now != null && now.isAlive();
     }
@@ -101,21 +101,23 @@
         Path file = folder.resolve(name + ".json");
         long read;
         synchronized (this) {
-            read = wanted;
+            read = requestedChange;
             Files.writeString(file, configuration(read));
         }
-        ProcessBuilder builder = new ProcessBuilder(ServeCommand.of(operator != null, List.of()));
+        ProcessBuilder builder =
+                new ProcessBuilder(ServeCommand.of(operatorToml != null, List.of()));
         builder.environment().put("EDGE_CONFIG", file.toString());
         builder.environment().remove("COTTONLOCK_OPERATOR");
-        if (operator != null) {
+        if (operatorToml != null) {
             Path asked = folder.resolve(name + ".toml");
-            Files.writeString(asked, operator);
+            Files.writeString(asked, operatorToml);
             builder.environment().put("COTTONLOCK_OPERATOR", asked.toString());
         }
         builder.environment()
                 .put(
                         "TMPDIR",
-                        Files.createDirectories(folder.resolve(name + "." + starts++)).toString());
+                        Files.createDirectories(folder.resolve(name + "." + startCount++))
+                                .toString());
         Path log = folder.resolve(name + ".log");
         builder.redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
@@ -127,9 +129,9 @@
             started = builder.start();
             process = started;
         }
-        taken = 0;
-        long until = System.nanoTime() + START * 1_000_000;
-        while (!"ACK\n".equals(call("HEALTH"))) {
+        reloadCount = 0;
+        long until = System.nanoTime() + START_TIMEOUT_MILLIS * 1_000_000;
+        while (!"ACK\n".equals(callManagement("HEALTH"))) {
             if (process != started) {
                 // It has been ended on purpose before it served.
                 return;
@@ -139,21 +141,23 @@
                 throw new IOException(
                         name
                                 + (started.isAlive() ? " does not serve: " : " has ended: ")
-                                + told.substring(Math.max(0, told.length() - LOG)));
+                                + told.substring(Math.max(0, told.length() - MAX_LOG_CHARS)));
             }
             Thread.sleep(20);
         }
         synchronized (this) {
             if (process == started) {
-                serves = true;
-                files.keySet()
+                serving = true;
+                pendingReloads
+                        .keySet()
                         .removeIf(
                                 change ->
                                         change <= read
-                                                && takenAt.putIfAbsent(change, System.nanoTime())
+                                                && reloadedAtByChange.putIfAbsent(
+                                                                change, System.nanoTime())
                                                         == null);
-                if (wanted > read) {
-                    hangUp();
+                if (requestedChange > read) {
+                    sendHangup();
                 }
             }
         }
@@ -194,14 +198,14 @@
 
     /** A change of the list is waited for from now on. */
     void await(long version, String id, boolean listed) {
-        awaited.put(version, new Awaited(id, listed));
+        expectedEntries.put(version, new ExpectedEntry(id, listed));
     }
 
     /** When it was first seen to hold that change; -1: it was not. */
     long heldAt(long version) {
         // Whoever holds a later one holds it too, though its id may have left again before it was
         // asked for.
-        return heldAt.entrySet().stream()
+        return heldAtByVersion.entrySet().stream()
                 .filter(e -> e.getKey() >= version)
                 .mapToLong(Map.Entry::getValue)
                 .min()
@@ -212,55 +216,56 @@
      * Writes its file anew and tells it by SIGHUP: a process that does not serve yet, once it does.
      */
     synchronized void reload(long change) throws IOException {
-        wanted = change;
+        requestedChange = change;
         Files.writeString(folder.resolve(name + ".json"), configuration(change));
-        files.put(change, 0L);
-        if (serves && lives()) {
-            hangUp();
+        pendingReloads.put(change, 0L);
+        if (serving && isAlive()) {
+            sendHangup();
         }
     }
 
     /**
      * Before the program has a handler for it, SIGHUP ends a JVM: seen in a restart amid a change.
      */
-    private void hangUp() throws IOException {
-        files.replaceAll((change, count) -> taken + 1);
+    private void sendHangup() throws IOException {
+        pendingReloads.replaceAll((change, count) -> reloadCount + 1);
         new ProcessBuilder("kill", "-HUP", Long.toString(pid())).start();
     }
 
     /** When it was first seen to have taken that file; -1: it was not. */
-    long takenAt(long change) {
-        return takenAt.getOrDefault(change, -1L);
+    long reloadedAt(long change) {
+        return reloadedAtByChange.getOrDefault(change, -1L);
     }
 
     /** Asks, while something is waited for, until the process is ended for good. */
-    void follow() {
+    void pollUntilEnded() {
         try {
             while (!ended) {
-                Thread.sleep(BETWEEN);
-                for (Map.Entry<Long, Awaited> one : awaited.entrySet()) {
+                Thread.sleep(POLL_INTERVAL_MILLIS);
+                for (Map.Entry<Long, ExpectedEntry> one : expectedEntries.entrySet()) {
                     // Takes back what nobody has taken out: changes nothing, and tells whether it
                     // is listed.
-                    String answer = lives() ? call("ONLINE " + one.getValue().id) : null;
+                    String answer =
+                            isAlive() ? callManagement("ONLINE " + one.getValue().id) : null;
                     if (answer != null && answer.equals("ACK\n") == one.getValue().listed) {
-                        heldAt.put(one.getKey(), System.nanoTime());
-                        awaited.keySet().removeIf(version -> version <= one.getKey());
+                        heldAtByVersion.put(one.getKey(), System.nanoTime());
+                        expectedEntries.keySet().removeIf(version -> version <= one.getKey());
                     }
                 }
-                if (!files.isEmpty() && lives()) {
-                    String figures = call("DUMP");
+                if (!pendingReloads.isEmpty() && isAlive()) {
+                    String figures = callManagement("DUMP");
                     long now =
                             figures == null || !figures.contains("\"reconfig_ok\":")
                                     ? -1
                                     : Long.parseLong(
                                             figures.replaceAll(
                                                     "(?s).*\"reconfig_ok\":([0-9]+).*", "$1"));
-                    files.forEach(
+                    pendingReloads.forEach(
                             (change, count) -> {
                                 if (count > 0 && now >= count) {
-                                    takenAt.put(change, System.nanoTime());
-                                    files.remove(change);
-                                    taken = now;
+                                    reloadedAtByChange.put(change, System.nanoTime());
+                                    pendingReloads.remove(change);
+                                    reloadCount = now;
                                 }
                             });
                 }
@@ -271,17 +276,17 @@
     }
 
     /** How many members its view holds that may live; -1 where it does not tell. */
-    int alive() {
-        String members = call("MEMBERS");
+    int aliveMembers() {
+        String members = callManagement("MEMBERS");
         return members == null || !members.contains(" alive=")
                 ? -1
                 : Integer.parseInt(members.replaceAll("(?s).*? alive=([0-9]+).*", "$1"));
     }
 
-    private String call(String line) {
+    private String callManagement(String line) {
         try (Socket socket = new Socket()) {
-            socket.connect(new InetSocketAddress(ip, port + 1), CALL);
-            socket.setSoTimeout(CALL);
+            socket.connect(new InetSocketAddress(ip, port + 1), CALL_TIMEOUT_MILLIS);
+            socket.setSoTimeout(CALL_TIMEOUT_MILLIS);
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.ISO_8859_1));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         } catch (IOException e) {
@@ -289,34 +294,34 @@
         }
     }
 
-    private synchronized Process gone() {
+    private synchronized Process detachProcess() {
         Process now = process;
         process = null;
-        serves = false;
+        serving = false;
         return now;
     }
 
     /** Ends it as SIGKILL does. */
     void kill() throws InterruptedException {
-        Process now = gone();
+        Process now = detachProcess();
         if (now != null) {
             now.destroyForcibly().waitFor();
         }
     }
 
     /** Ends it as SIGTERM does. */
-    void term() throws InterruptedException {
-        Process now = gone();
+    void terminate() throws InterruptedException {
+        Process now = detachProcess();
         if (now != null) {
             now.destroy();
-            if (!now.waitFor(LEAVE, TimeUnit.MILLISECONDS)) {
+            if (!now.waitFor(STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
                 now.destroyForcibly().waitFor();
             }
         }
     }
 
     /** For a run that ends: does not wait, and nothing starts after it. */
-    synchronized void end() {
+    synchronized void destroy() {
         ended = true;
         Process now = process;
         if (now != null) {
--- a/src/main/java/cottonlock/lab/scale/ReloadChannel.java
+++ b/src/main/java/cottonlock/lab/scale/ReloadChannel.java
@@ -9,11 +9,11 @@
  * itself.
  */
 final class ReloadChannel implements ConfigurationChannel {
-    private final Map<Integer, RealHost> hosts;
+    private final Map<Integer, RealProxy> proxies;
     private long sentAt;
 
-    ReloadChannel(Map<Integer, RealHost> hosts) {
-        this.hosts = hosts;
+    ReloadChannel(Map<Integer, RealProxy> proxies) {
+        this.proxies = proxies;
     }
 
     @Override
@@ -24,8 +24,8 @@
     @Override
     public void send(long number) throws IOException {
         sentAt = System.nanoTime();
-        for (RealHost host : hosts.values()) {
-            if (host.lives()) {
+        for (RealProxy host : proxies.values()) {
+            if (host.isAlive()) {
                 host.reload(number);
             }
         }
@@ -38,7 +38,7 @@
     @Override
     public Map<Integer, Long> inForceAt(long number) {
         Map<Integer, Long> times = new TreeMap<>();
-        hosts.forEach((proxy, host) -> times.put(proxy, host.takenAt(number)));
+        proxies.forEach((proxy, host) -> times.put(proxy, host.reloadedAt(number)));
         return times;
     }
 }
--- a/src/main/java/cottonlock/lab/scale/ScaleEvent.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleEvent.java
@@ -10,42 +10,42 @@
     final String name;
 
     /** Seconds of the shared clock. */
-    final long from;
+    final long fromSecond;
 
-    long to;
+    long toSecond;
     final List<Change> changes = new ArrayList<>();
 
     /** What else is told of it. */
     final Map<String, Double> figures = new LinkedHashMap<>();
 
-    ScaleEvent(String name, long from) {
+    ScaleEvent(String name, long fromSecond) {
         this.name = name;
-        this.from = from;
-        this.to = from;
+        this.fromSecond = fromSecond;
+        this.toSecond = fromSecond;
     }
 
     /** Whether it was played to its end; of one that was not, nothing is told. */
-    boolean whole() {
-        return to > from;
+    boolean completed() {
+        return toSecond > fromSecond;
     }
 
     /**
      * The worst of its changes, milliseconds; -1 where one was not in force at so many, or none was
      * made.
      */
-    double worstMs(double part) {
+    double worstInForceMillis(double fraction) {
         double worst = -1;
         for (Change change : changes) {
-            double ms = change.ms(part);
-            if (ms < 0) {
+            double millis = change.inForceMillis(fraction);
+            if (millis < 0) {
                 return -1;
             }
-            worst = Math.max(worst, ms);
+            worst = Math.max(worst, millis);
         }
         return worst;
     }
 
-    int missing() {
+    int missingCount() {
         return changes.stream().mapToInt(c -> c.missing).sum();
     }
 }
--- a/src/main/java/cottonlock/lab/scale/ScaleFile.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleFile.java
@@ -18,8 +18,8 @@
     static final List<String> EVENTS =
             List.of("ordinary", "rack", "zone", "regions", "control_killed", "control_restarted");
 
-    private static final String NAME = "[A-Za-z0-9._-]{1,40}";
-    private static final double SECOND = 1e9;
+    private static final String NAME_PATTERN = "[A-Za-z0-9._-]{1,40}";
+    private static final double NANOS_PER_SECOND = 1e9;
 
     /** The proxies: how many, how many of them real, and how they are laid out. */
     record Fleet(int size, int real, int perJvm, int regions, int zones, int racks, int services) {}
@@ -28,18 +28,18 @@
      * The machines of control: calls a second of each; time until another takes a dead one's
      * address.
      */
-    record Control(int machines, double calls, long takeover) {}
+    record Control(int machines, double callsPerSecond, long takeoverNanos) {}
 
     /** An ordinary day, of which a part is played within a time. */
-    record Day(int changes, int restarts, int failures, double part, long over) {
+    record Day(int changes, int restarts, int failures, double playedFraction, long durationNanos) {
         /** How many of so many a day are played: one at least where there are any. */
-        int played(int aDay) {
-            return aDay == 0 ? 0 : (int) Math.max(1, Math.round(aDay * part));
+        int playedCount(int aDay) {
+            return aDay == 0 ? 0 : (int) Math.max(1, Math.round(aDay * playedFraction));
         }
     }
 
     /** What must hold; infinite where nothing is said. */
-    record Expect(double inForceMs, double cpuShare, double rssMb, double bytes) {}
+    record Expect(double inForceMs, double cpuShare, double rssMb, double bytesPerSecond) {}
 
     final String name;
     final String about;
@@ -50,14 +50,14 @@
     final List<String> events;
 
     /** Nanoseconds: until all hold the list, and for a change to be in force, at most. */
-    final long settle;
+    final long settleTimeoutNanos;
 
-    final long patience;
+    final long changeTimeoutNanos;
 
     /** Nanoseconds that something stays lost, and of quiet after each event. */
-    final long lost;
+    final long outageNanos;
 
-    final long quiet;
+    final long quietNanos;
     final double lateLimitMs;
 
     /** Parts of the machine's memory, and processes, at most. */
@@ -96,12 +96,12 @@
     }
 
     /** Whether a TOML file is one of these, by what only they have. */
-    static boolean isOne(Path file) throws InvalidConfigurationException {
+    static boolean isScaleFile(Path file) throws InvalidConfigurationException {
         return ConfigurationDocument.toml(file).has("fleet");
     }
 
     private ScaleFile(Fields top, String stem, Path file) {
-        name = top.matching("name", stem, NAME, "a short name");
+        name = top.matching("name", stem, NAME_PATTERN, "a short name");
         about = top.text("about", "");
         seed = (long) top.number("seed", 1, 0, 1L << 53);
         Fields f = top.table("fleet");
@@ -143,10 +143,10 @@
         if (!EVENTS.containsAll(events) || new HashSet<>(events).size() < events.size()) {
             top.addFault("events", "expected some of " + String.join(", ", EVENTS) + ", each once");
         }
-        settle = seconds(top, "settle_s", 60);
-        patience = seconds(top, "patience_s", 20);
-        lost = seconds(top, "lost_s", 5);
-        quiet = seconds(top, "quiet_s", 2);
+        settleTimeoutNanos = seconds(top, "settle_s", 60);
+        changeTimeoutNanos = seconds(top, "patience_s", 20);
+        outageNanos = seconds(top, "lost_s", 5);
+        quietNanos = seconds(top, "quiet_s", 2);
         lateLimitMs = top.number("late_limit_ms", 500, 1, 60_000);
         Fields bounds = top.table("bounds");
         processes = bounds.integer("processes", 200, 2, 200);
@@ -177,8 +177,8 @@
         return f.has(key) ? f.number(key, Double.NaN, 0, 1e12) : Double.POSITIVE_INFINITY;
     }
 
-    private static long seconds(Fields f, String key, double otherwise) {
-        return (long) (SECOND * f.number(key, otherwise, 0.1, 600));
+    private static long seconds(Fields f, String key, double defaultSeconds) {
+        return (long) (NANOS_PER_SECOND * f.number(key, defaultSeconds, 0.1, 600));
     }
 
     /** Names of the zones, as the settings have them. */
--- a/src/main/java/cottonlock/lab/scale/ScaleLab.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleLab.java
@@ -11,10 +11,10 @@
  * (docs/lab.md).
  */
 public final class ScaleLab {
-    private static final int UNUSABLE = 2;
+    private static final int UNUSABLE_STATUS = 2;
 
     /** Milliseconds that an interrupted run has to write its report. */
-    private static final long REPORT = 5_000;
+    private static final long REPORT_TIMEOUT_MILLIS = 5_000;
 
     private final PrintStream out;
     private final PrintStream err;
@@ -32,7 +32,7 @@
 
     /** Whether a TOML file is one of a scale run. */
     public static boolean isScaleFile(Path file) throws InvalidConfigurationException {
-        return ScaleFile.isOne(file);
+        return ScaleFile.isScaleFile(file);
     }
 
     /**
@@ -47,12 +47,12 @@
             StringBuilder command = new StringBuilder("lab scale ").append(file);
             command.append(seed == null ? "" : " --seed " + seed);
             sets.forEach(set -> command.append(" --set ").append(set));
-            ScaleReport report = play(run, command.toString());
+            ScaleReport report = runInterruptibly(run, command.toString());
             if (folder != null) {
                 report.write(folder);
             }
-            report.broken().forEach(out::println);
-            out.println(report.line());
+            report.brokenBounds().forEach(out::println);
+            out.println(report.verdictLine());
             return switch (report.verdict()) {
                 case PASS -> 0;
                 case FAIL -> 1;
@@ -63,27 +63,27 @@
         } catch (IOException | RuntimeException e) {
             err.println(file + ": " + e);
         }
-        return UNUSABLE;
+        return UNUSABLE_STATUS;
     }
 
-    private ScaleReport play(ScaleRun run, String command) throws IOException {
+    private ScaleReport runInterruptibly(ScaleRun run, String command) throws IOException {
         Thread main = Thread.currentThread();
         boolean[] interrupted = new boolean[1];
         Thread hook =
                 new Thread(
                         () -> {
                             interrupted[0] = true;
-                            run.end();
+                            run.stop();
                             main.interrupt();
                             try {
-                                main.join(REPORT);
+                                main.join(REPORT_TIMEOUT_MILLIS);
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
                         });
         Runtime.getRuntime().addShutdownHook(hook);
         try {
-            run.play();
+            run.run();
         } catch (IOException | RuntimeException e) {
             if (!interrupted[0]) {
                 throw e;
--- a/src/main/java/cottonlock/lab/scale/ScaleReport.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleReport.java
@@ -25,9 +25,9 @@
         NONE
     }
 
-    private static final Map<String, String> ROLES =
+    private static final Map<String, String> REPORTED_ROLES =
             Map.of(
-                    ScaleRun.HOLLOW,
+                    ScaleRun.SIMULATED,
                     "hollow_proxy",
                     ScaleRun.REAL,
                     "real_proxy",
@@ -44,14 +44,14 @@
     private final String command;
 
     /** Seconds of the shared clock: of the timeline behind the start, and of its ordinary part. */
-    private final long from;
+    private final long fromSecond;
 
-    private final long to;
-    private final long ordinaryFrom;
-    private final long ordinaryTo;
-    private final double lateMs;
-    private final double lateP999;
-    private final List<String> broken = new ArrayList<>();
+    private final long toSecond;
+    private final long ordinaryFromSecond;
+    private final long ordinaryToSecond;
+    private final double worstLateMillis;
+    private final double lateP999Millis;
+    private final List<String> brokenBounds = new ArrayList<>();
     private final Verdict verdict;
 
     ScaleReport(ScaleRun run, boolean interrupted, String command) {
@@ -59,94 +59,104 @@
         this.file = run.file();
         this.interrupted = interrupted;
         this.command = command;
-        events = run.events().stream().filter(ScaleEvent::whole).toList();
+        events = run.events().stream().filter(ScaleEvent::completed).toList();
         ScaleEvent ordinary =
                 events.stream().filter(e -> e.name.equals("ordinary")).findFirst().orElse(null);
-        from = events.isEmpty() ? 0 : events.get(0).to;
-        to = events.isEmpty() ? 0 : events.get(events.size() - 1).to;
-        ordinaryFrom = ordinary == null ? from : ordinary.from;
-        ordinaryTo = ordinary == null ? to : ordinary.to;
-        lateMs = Math.max(run.watcher() == null ? 0 : run.watcher().worstMs(), run.controlLateMs());
-        lateP999 = run.watcher() == null ? 0 : run.watcher().percentileMs(99.9);
-        verdict = judge();
+        fromSecond = events.isEmpty() ? 0 : events.get(0).toSecond;
+        toSecond = events.isEmpty() ? 0 : events.get(events.size() - 1).toSecond;
+        ordinaryFromSecond = ordinary == null ? fromSecond : ordinary.fromSecond;
+        ordinaryToSecond = ordinary == null ? toSecond : ordinary.toSecond;
+        worstLateMillis =
+                Math.max(run.watcher() == null ? 0 : run.watcher().worstMs(), run.controlLateMs());
+        lateP999Millis = run.watcher() == null ? 0 : run.watcher().percentileMs(99.9);
+        verdict = computeVerdict();
     }
 
-    private Verdict judge() {
+    private Verdict computeVerdict() {
         for (ScaleEvent event : events) {
-            if (event.missing() > 0) {
-                broken.add(
+            if (event.missingCount() > 0) {
+                brokenBounds.add(
                         event.name
                                 + ": "
-                                + event.missing()
+                                + event.missingCount()
                                 + " times a change was not in force within "
-                                + file.patience / 1_000_000
+                                + file.changeTimeoutNanos / 1_000_000
                                 + " ms");
-            } else if (event.changes.stream().anyMatch(c -> c.early > 0)) {
-                broken.add(event.name + ": a change came to proxies that were cut off from it");
+            } else if (event.changes.stream().anyMatch(c -> c.earlyCount > 0)) {
+                brokenBounds.add(
+                        event.name + ": a change came to proxies that were cut off from it");
             } else if (!event.name.equals("start")) {
-                bound(
+                checkBound(
                         event.name + ": in force at all after ms",
-                        event.worstMs(1),
+                        event.worstInForceMillis(1),
                         file.expect.inForceMs());
             }
         }
-        bound(
+        checkBound(
                 "cpu_share of a hollow proxy, mean",
-                mean(ScaleRun.HOLLOW, What.CPU),
+                meanPerInstance(ScaleRun.SIMULATED, What.CPU),
                 file.expect.cpuShare());
-        bound("rss_mb of a hollow proxy", resident(ScaleRun.HOLLOW), file.expect.rssMb());
-        bound("bytes_s of a hollow proxy, mean of the greater way", bytes(), file.expect.bytes());
-        if (interrupted || lateMs > file.lateLimitMs) {
+        checkBound(
+                "rss_mb of a hollow proxy",
+                worstResidentMb(ScaleRun.SIMULATED),
+                file.expect.rssMb());
+        checkBound(
+                "bytes_s of a hollow proxy, mean of the greater way",
+                meanBytesPerSecond(),
+                file.expect.bytesPerSecond());
+        if (interrupted || worstLateMillis > file.lateLimitMs) {
             return Verdict.NONE;
         }
-        return broken.isEmpty() ? Verdict.PASS : Verdict.FAIL;
+        return brokenBounds.isEmpty() ? Verdict.PASS : Verdict.FAIL;
     }
 
-    private void bound(String what, double found, double most) {
+    private void checkBound(String what, double found, double most) {
         if (found > most) {
-            broken.add(
+            brokenBounds.add(
                     String.format(
                             Locale.ROOT, "%s: expected %s at most, found %.3f", what, most, found));
         }
     }
 
-    private double bytes() {
+    private double meanBytesPerSecond() {
         return Math.max(
-                mean(ScaleRun.HOLLOW, What.BYTES_IN), mean(ScaleRun.HOLLOW, What.BYTES_OUT));
+                meanPerInstance(ScaleRun.SIMULATED, What.BYTES_IN),
+                meanPerInstance(ScaleRun.SIMULATED, What.BYTES_OUT));
     }
 
     /** For one of the role: over the ordinary part, a second. */
-    private double mean(String role, What what) {
-        return run.samples().mean(role, ordinaryFrom, ordinaryTo, what)
-                / Math.max(1, run.count(role));
+    private double meanPerInstance(String role, What what) {
+        return run.samples().mean(role, ordinaryFromSecond, ordinaryToSecond, what)
+                / Math.max(1, run.roleSize(role));
     }
 
     /** For one of the role in the mean: the worst second of the timeline. */
-    private double worst(String role, What what) {
-        return run.samples().worst(role, from, to, what) / Math.max(1, run.count(role));
+    private double worstPerInstance(String role, What what) {
+        return run.samples().worst(role, fromSecond, toSecond, what)
+                / Math.max(1, run.roleSize(role));
     }
 
-    private double resident(String role) {
-        return worst(role, What.RESIDENT_MB);
+    private double worstResidentMb(String role) {
+        return worstPerInstance(role, What.RESIDENT_MB);
     }
 
     Verdict verdict() {
         return verdict;
     }
 
-    List<String> broken() {
-        return broken;
+    List<String> brokenBounds() {
+        return brokenBounds;
     }
 
     /** The last line of standard output. */
-    String line() {
+    String verdictLine() {
         double inForce =
                 events.stream()
                         .filter(e -> !e.name.equals("start"))
-                        .mapToDouble(e -> e.worstMs(1))
+                        .mapToDouble(e -> e.worstInForceMillis(1))
                         .max()
                         .orElse(0);
-        int missing = events.stream().mapToInt(ScaleEvent::missing).sum();
+        int missing = events.stream().mapToInt(ScaleEvent::missingCount).sum();
         return String.format(
                 Locale.ROOT,
                 "verdict: %s size=%d real=%d hollow=%d seed=%d in_force_ms=%.0f missing=%d"
@@ -155,17 +165,17 @@
                 verdict.name().toLowerCase(Locale.ROOT),
                 file.fleet.size(),
                 file.fleet.real(),
-                run.count(ScaleRun.HOLLOW),
+                run.roleSize(ScaleRun.SIMULATED),
                 file.seed,
                 inForce,
                 missing,
-                mean(ScaleRun.HOLLOW, What.CPU),
-                resident(ScaleRun.HOLLOW),
-                mean(ScaleRun.HOLLOW, What.BYTES_IN),
-                mean(ScaleRun.HOLLOW, What.BYTES_OUT),
-                run.samples().worst(ScaleRun.CONTROL, from, to, What.CALLS),
-                run.viewsShare,
-                lateMs);
+                meanPerInstance(ScaleRun.SIMULATED, What.CPU),
+                worstResidentMb(ScaleRun.SIMULATED),
+                meanPerInstance(ScaleRun.SIMULATED, What.BYTES_IN),
+                meanPerInstance(ScaleRun.SIMULATED, What.BYTES_OUT),
+                run.samples().worst(ScaleRun.CONTROL, fromSecond, toSecond, What.CALLS),
+                run.viewShare,
+                worstLateMillis);
     }
 
     /** Writes scale-SIZE-SEED.json and .html into a folder. */
@@ -176,46 +186,46 @@
                 new JsonFactory()
                         .createGenerator(Files.newBufferedWriter(folder.resolve(name + ".json")))) {
             json.useDefaultPrettyPrinter();
-            json(json);
+            writeJson(json);
         }
-        Files.writeString(folder.resolve(name + ".html"), page());
+        Files.writeString(folder.resolve(name + ".html"), htmlPage());
     }
 
-    private void json(JsonGenerator json) throws IOException {
+    private void writeJson(JsonGenerator json) throws IOException {
         json.writeStartObject();
         json.writeStringField("kind", "scale");
         json.writeNumberField("size", file.fleet.size());
         json.writeNumberField("real", file.fleet.real());
-        json.writeNumberField("hollow", run.count(ScaleRun.HOLLOW));
+        json.writeNumberField("hollow", run.roleSize(ScaleRun.SIMULATED));
         json.writeNumberField("seed", file.seed);
         json.writeNumberField("regions", file.fleet.regions());
         json.writeNumberField("zones", file.fleet.zones());
         json.writeNumberField("services", file.fleet.services());
         json.writeStringField("file", file.name);
         json.writeStringField("command", command);
-        json.writeStringField("commit", commit());
+        json.writeStringField("commit", gitCommit());
         json.writeObjectFieldStart("machine");
         json.writeNumberField("cores", Runtime.getRuntime().availableProcessors());
         json.writeNumberField("memory_mb", Bounds.machineMb());
-        number(json, "late_ms_p999", lateP999);
-        number(json, "late_ms_worst", lateMs);
-        number(json, "late_limit_ms", file.lateLimitMs);
-        number(json, "estimated_mb", run.bounds().memoryMb);
+        writeNumber(json, "late_ms_p999", lateP999Millis);
+        writeNumber(json, "late_ms_worst", worstLateMillis);
+        writeNumber(json, "late_limit_ms", file.lateLimitMs);
+        writeNumber(json, "estimated_mb", run.bounds().memoryMb);
         json.writeNumberField("processes", run.bounds().processes);
         json.writeEndObject();
         json.writeStringField("verdict", verdict.name().toLowerCase(Locale.ROOT));
         json.writeBooleanField("interrupted", interrupted);
         json.writeArrayFieldStart("broken");
-        for (String line : broken) {
+        for (String line : brokenBounds) {
             json.writeString(line);
         }
         json.writeEndArray();
         json.writeObjectFieldStart("roles");
-        for (String role : List.of(ScaleRun.HOLLOW, ScaleRun.REAL, ScaleRun.CONTROL)) {
-            if (run.count(role) > 0) {
-                json.writeObjectFieldStart(ROLES.get(role));
+        for (String role : List.of(ScaleRun.SIMULATED, ScaleRun.REAL, ScaleRun.CONTROL)) {
+            if (run.roleSize(role) > 0) {
+                json.writeObjectFieldStart(REPORTED_ROLES.get(role));
                 for (Map.Entry<String, Double> figure : figures(role).entrySet()) {
-                    number(json, figure.getKey(), figure.getValue());
+                    writeNumber(json, figure.getKey(), figure.getValue());
                 }
                 json.writeEndObject();
             }
@@ -223,74 +233,88 @@
         json.writeEndObject();
         json.writeObjectFieldStart("events");
         for (ScaleEvent event : events) {
-            event(json, event);
+            writeEvent(json, event);
         }
         json.writeEndObject();
         json.writeObjectFieldStart("lists");
-        json.writeNumberField("whole_bytes", run.wholeBytes);
+        json.writeNumberField("whole_bytes", run.completeListBytes);
         json.writeNumberField("entries", file.fleet.size());
         json.writeEndObject();
         json.writeObjectFieldStart("members");
         json.writeBooleanField("enabled", file.membership != null);
-        number(json, "lists_settled_s", run.listSettled);
-        number(json, "views_settled_s", run.viewsSettled);
-        number(json, "views_share", run.viewsShare);
+        writeNumber(json, "lists_settled_s", run.listSettledSeconds);
+        writeNumber(json, "views_settled_s", run.viewsSettledSeconds);
+        writeNumber(json, "views_share", run.viewShare);
         json.writeEndObject();
         json.writeEndObject();
     }
 
     private Map<String, Double> figures(String role) {
         Map<String, Double> figures = new LinkedHashMap<>();
-        figures.put("cpu_share_mean", mean(role, What.CPU));
-        figures.put("cpu_share_worst", worst(role, What.CPU));
-        figures.put("rss_mb", resident(role));
+        figures.put("cpu_share_mean", meanPerInstance(role, What.CPU));
+        figures.put("cpu_share_worst", worstPerInstance(role, What.CPU));
+        figures.put("rss_mb", worstResidentMb(role));
         for (What what :
                 List.of(What.BYTES_IN, What.BYTES_OUT, What.MESSAGES_IN, What.MESSAGES_OUT)) {
             String name = what.name().toLowerCase(Locale.ROOT) + "_s_";
-            figures.put(name + "mean", mean(role, what));
-            figures.put(name + "worst", worst(role, what));
+            figures.put(name + "mean", meanPerInstance(role, what));
+            figures.put(name + "worst", worstPerInstance(role, what));
         }
         if (role.equals(ScaleRun.CONTROL)) {
-            figures.put("calls_s_worst", run.samples().worst(role, from, to, What.CALLS));
-        } else if (role.equals(ScaleRun.HOLLOW) && file.membership != null) {
+            figures.put(
+                    "calls_s_worst", run.samples().worst(role, fromSecond, toSecond, What.CALLS));
+        } else if (role.equals(ScaleRun.SIMULATED) && file.membership != null) {
             figures.put(
                     "datagram_bytes_out_s_worst_one",
-                    run.samples().worst(role, from, to, What.WORST_OUT));
+                    run.samples().worst(role, fromSecond, toSecond, What.WORST_OUT));
         }
         return figures;
     }
 
-    private void event(JsonGenerator json, ScaleEvent event) throws IOException {
+    private void writeEvent(JsonGenerator json, ScaleEvent event) throws IOException {
         json.writeObjectFieldStart(event.name);
-        number(json, "in_force_ms_50", event.worstMs(0.5));
-        number(json, "in_force_ms_99", event.worstMs(0.99));
-        number(json, "in_force_ms_all", event.worstMs(1));
-        json.writeNumberField("missing", event.missing());
-        number(
+        writeNumber(json, "in_force_ms_50", event.worstInForceMillis(0.5));
+        writeNumber(json, "in_force_ms_99", event.worstInForceMillis(0.99));
+        writeNumber(json, "in_force_ms_all", event.worstInForceMillis(1));
+        json.writeNumberField("missing", event.missingCount());
+        writeNumber(
                 json,
                 "bytes_in_s_worst",
-                run.samples().worst(ScaleRun.HOLLOW, event.from, event.to, What.BYTES_IN)
-                        / Math.max(1, run.count(ScaleRun.HOLLOW)));
-        number(
+                run.samples()
+                                .worst(
+                                        ScaleRun.SIMULATED,
+                                        event.fromSecond,
+                                        event.toSecond,
+                                        What.BYTES_IN)
+                        / Math.max(1, run.roleSize(ScaleRun.SIMULATED)));
+        writeNumber(
                 json,
                 "cpu_share_worst",
-                run.samples().worst(ScaleRun.HOLLOW, event.from, event.to, What.CPU)
-                        / Math.max(1, run.count(ScaleRun.HOLLOW)));
-        number(
+                run.samples().worst(ScaleRun.SIMULATED, event.fromSecond, event.toSecond, What.CPU)
+                        / Math.max(1, run.roleSize(ScaleRun.SIMULATED)));
+        writeNumber(
                 json,
                 "calls_s_worst",
-                run.samples().worst(ScaleRun.CONTROL, event.from, event.to, What.CALLS));
+                run.samples()
+                        .worst(ScaleRun.CONTROL, event.fromSecond, event.toSecond, What.CALLS));
         json.writeNumberField(
                 "whole_lists",
-                (long) run.samples().sum(ScaleRun.CONTROL, event.from, event.to, What.WHOLE_LISTS));
+                (long)
+                        run.samples()
+                                .sum(
+                                        ScaleRun.CONTROL,
+                                        event.fromSecond,
+                                        event.toSecond,
+                                        What.WHOLE_LISTS));
         for (Map.Entry<String, Double> figure : event.figures.entrySet()) {
-            number(json, figure.getKey(), figure.getValue());
+            writeNumber(json, figure.getKey(), figure.getValue());
         }
         json.writeEndObject();
     }
 
     /** A negative one is not there: it was not measured, or never came about. */
-    private static void number(JsonGenerator json, String name, double value) throws IOException {
+    private static void writeNumber(JsonGenerator json, String name, double value)
+            throws IOException {
         if (value >= 0) {
             json.writeFieldName(name);
             json.writeRawValue(
@@ -301,7 +325,7 @@
     }
 
     /** The short name of the sources' commit; empty where that is not known. */
-    private static String commit() throws IOException {
+    private static String gitCommit() throws IOException {
         Process git = null;
         try {
             git =
@@ -314,14 +338,20 @@
         }
     }
 
-    private String page() {
-        int seconds = (int) Math.max(1, to - start());
+    private String htmlPage() {
+        int seconds = (int) Math.max(1, toSecond - firstSecond());
         double[] xs = new double[seconds];
         for (int i = 0; i < seconds; i++) {
             xs[i] = i;
         }
         List<Chart.Mark> marks = new ArrayList<>();
-        events.forEach(e -> marks.add(new Chart.Mark(e.from - start(), e.to - start(), e.name)));
+        events.forEach(
+                e ->
+                        marks.add(
+                                new Chart.Mark(
+                                        e.fromSecond - firstSecond(),
+                                        e.toSecond - firstSecond(),
+                                        e.name)));
         String word = verdict.name().toLowerCase(Locale.ROOT);
         StringBuilder page =
                 new StringBuilder(Page.HEAD)
@@ -338,9 +368,9 @@
                         .append("</span></h1>\n<p>")
                         .append(Chart.text(file.about))
                         .append("</p>\n<p><small>")
-                        .append(Chart.text(line()))
+                        .append(Chart.text(verdictLine()))
                         .append("</small></p>\n");
-        broken.forEach(
+        brokenBounds.forEach(
                 line -> page.append("<p class=\"bad\">").append(Chart.text(line)).append("</p>\n"));
         page.append(
                 "<table><tr><th>event</th><th class=\"n\">changes</th><th class=\"n\">at half,"
@@ -355,30 +385,32 @@
                                     + " class=\"n\">%d</td></tr>\n",
                             e.name,
                             e.changes.size(),
-                            e.worstMs(0.5),
-                            e.worstMs(0.99),
-                            e.worstMs(1),
-                            e.missing()));
+                            e.worstInForceMillis(0.5),
+                            e.worstInForceMillis(0.99),
+                            e.worstInForceMillis(1),
+                            e.missingCount()));
         }
         page.append("</table>\n");
-        chart(page, xs, marks, "processor", "part of a core for each", What.CPU);
-        chart(page, xs, marks, "resident memory", "MB for each", What.RESIDENT_MB);
-        chart(page, xs, marks, "bytes in", "a second for each", What.BYTES_IN);
-        chart(page, xs, marks, "bytes out", "a second for each", What.BYTES_OUT);
-        chart(page, xs, marks, "messages in", "a second for each", What.MESSAGES_IN);
+        addChart(page, xs, marks, "processor", "part of a core for each", What.CPU);
+        addChart(page, xs, marks, "resident memory", "MB for each", What.RESIDENT_MB);
+        addChart(page, xs, marks, "bytes in", "a second for each", What.BYTES_IN);
+        addChart(page, xs, marks, "bytes out", "a second for each", What.BYTES_OUT);
+        addChart(page, xs, marks, "messages in", "a second for each", What.MESSAGES_IN);
         page.append(
                 new Chart(xs, "calls of control", "a second, all machines", "s", marks)
-                        .line("calls", values(xs, ScaleRun.CONTROL, What.CALLS, 1))
-                        .line("whole lists", values(xs, ScaleRun.CONTROL, What.WHOLE_LISTS, 1))
+                        .line("calls", seriesValues(xs, ScaleRun.CONTROL, What.CALLS, 1))
+                        .line(
+                                "whole lists",
+                                seriesValues(xs, ScaleRun.CONTROL, What.WHOLE_LISTS, 1))
                         .svg());
         return page.append("</body></html>\n").toString();
     }
 
-    private long start() {
-        return events.isEmpty() ? 0 : events.get(0).from;
+    private long firstSecond() {
+        return events.isEmpty() ? 0 : events.get(0).fromSecond;
     }
 
-    private void chart(
+    private void addChart(
             StringBuilder page,
             double[] xs,
             List<Chart.Mark> marks,
@@ -386,18 +418,18 @@
             String unit,
             What what) {
         Chart chart = new Chart(xs, title, unit, "s", marks);
-        for (String role : List.of(ScaleRun.HOLLOW, ScaleRun.REAL)) {
-            if (run.count(role) > 0) {
-                chart.line(role + " proxies", values(xs, role, what, run.count(role)));
+        for (String role : List.of(ScaleRun.SIMULATED, ScaleRun.REAL)) {
+            if (run.roleSize(role) > 0) {
+                chart.line(role + " proxies", seriesValues(xs, role, what, run.roleSize(role)));
             }
         }
         page.append(chart.svg());
     }
 
-    private double[] values(double[] xs, String role, What what, int among) {
+    private double[] seriesValues(double[] xs, String role, What what, int roleSize) {
         double[] values = new double[xs.length];
         for (int i = 0; i < xs.length; i++) {
-            values[i] = run.samples().at(role, start() + i, what) / among;
+            values[i] = run.samples().at(role, firstSecond() + i, what) / roleSize;
         }
         return values;
     }
--- a/src/main/java/cottonlock/lab/scale/ScaleRun.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleRun.java
@@ -26,66 +26,66 @@
 
 /** One scale run: builds the fleet, plays the timeline, and ends all. */
 final class ScaleRun {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     /** Threads that start and end real proxies: each start takes half a core for half a second. */
-    private static final int STARTERS = 6;
+    private static final int STARTER_THREADS = 6;
 
     /** Milliseconds between two questions whether a change is in force. */
-    private static final long BETWEEN = 100;
+    private static final long POLL_INTERVAL_MILLIS = 100;
 
     /** Addresses at which the others may be found, at most. */
-    private static final int SEEDS = 8;
+    private static final int MAX_SEEDS = 8;
 
     /** Views of each process that are looked at. */
-    private static final int VIEWS = 5;
+    private static final int VIEWS_PER_PROCESS = 5;
 
-    private static final List<String> NEWS = List.of("second", "late");
-    static final String HOLLOW = "hollow";
+    private static final List<String> REPORT_PREFIXES = List.of("second", "late");
+    static final String SIMULATED = "hollow";
     static final String REAL = "real";
     static final String CONTROL = "control";
 
     private final ScaleFile file;
     private final Bounds bounds;
     private final Topology topology;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final Samples samples = new Samples();
     private final List<ScaleEvent> events = new ArrayList<>();
-    private final List<Child> hosts = new CopyOnWriteArrayList<>();
-    private final Map<Integer, Child> hostOf = new HashMap<>();
-    private final Map<Integer, RealHost> real = new ConcurrentSkipListMap<>();
+    private final List<ChildProcess> proxyHosts = new CopyOnWriteArrayList<>();
+    private final Map<Integer, ChildProcess> hostByProxy = new HashMap<>();
+    private final Map<Integer, RealProxy> realProxies = new ConcurrentSkipListMap<>();
 
     /** By number; null while it is dead. */
-    private final Child[] control;
+    private final ChildProcess[] controlMachines;
 
     /** The list: each proxy's backend, by id. */
     private final Map<String, String> entries = new LinkedHashMap<>();
 
-    private final int[] replaced;
-    private final Set<Integer> dead = new HashSet<>();
+    private final int[] replacements;
+    private final Set<Integer> stoppedProxies = new HashSet<>();
 
     /** Machines of control whose changes are kept back, and the orders that wait for them. */
-    private final Map<Integer, List<String>> keptBack = new TreeMap<>();
+    private final Map<Integer, List<String>> withheldOrders = new TreeMap<>();
 
-    private final ExecutorService starters = Executors.newFixedThreadPool(STARTERS);
+    private final ExecutorService startExecutor = Executors.newFixedThreadPool(STARTER_THREADS);
     private final Consumer<String> progress;
 
     /** The last second of which each process has told what it counted. */
-    private final Map<String, Long> toldUpTo = new ConcurrentHashMap<>();
+    private final Map<String, Long> lastReportedSecond = new ConcurrentHashMap<>();
 
     private Path folder;
     private Watcher watcher;
     private long version;
-    private long begun;
-    private volatile long controlLate;
+    private long startedAt;
+    private volatile long controlLateMicros;
     private volatile boolean ended;
 
     /** Seconds until all held the list, and until views agreed as far as they did. */
-    double listSettled = -1;
+    double listSettledSeconds = -1;
 
-    double viewsSettled = -1;
-    double viewsShare = -1;
-    long wholeBytes;
+    double viewsSettledSeconds = -1;
+    double viewShare = -1;
+    long completeListBytes;
 
     /** Builds it; throws, before anything starts, what it would take too much of. */
     ScaleRun(ScaleFile file, Consumer<String> progress) throws InvalidConfigurationException {
@@ -93,9 +93,9 @@
         this.progress = progress;
         this.bounds = new Bounds(file);
         this.topology = new Topology(file.fleet, file.control.machines());
-        this.chance = new SplittableRandom(file.seed);
-        this.control = new Child[file.control.machines()];
-        this.replaced = new int[file.fleet.size()];
+        this.random = new SplittableRandom(file.seed);
+        this.controlMachines = new ChildProcess[file.control.machines()];
+        this.replacements = new int[file.fleet.size()];
     }
 
     ScaleFile file() {
@@ -119,57 +119,59 @@
     }
 
     double controlLateMs() {
-        return controlLate / 1_000.0;
+        return controlLateMicros / 1_000.0;
     }
 
-    int count(String role) {
+    int roleSize(String role) {
         return role.equals(REAL)
-                ? real.size()
-                : role.equals(HOLLOW) ? file.fleet.size() - real.size() : control.length;
+                ? realProxies.size()
+                : role.equals(SIMULATED)
+                        ? file.fleet.size() - realProxies.size()
+                        : controlMachines.length;
     }
 
     /** Plays it; when this returns or throws, nothing of it is left. */
-    void play() throws IOException, InterruptedException {
+    void run() throws IOException, InterruptedException {
         try {
             folder = Files.createTempDirectory("cottonlock-scale");
             watcher = new Watcher(ServeCommand.code());
-            Thread sampler = new Thread(this::sample, "sampler");
+            Thread sampler = new Thread(this::sampleProcesses, "sampler");
             sampler.setDaemon(true);
             sampler.start();
-            ScaleEvent start = begin("start");
-            build();
-            settle(start);
+            ScaleEvent start = beginEvent("start");
+            buildFleet();
+            awaitSettled(start);
             watcher.reset();
-            controlLate = 0;
+            controlLateMicros = 0;
             for (String event : ScaleFile.EVENTS) {
                 if (file.events.contains(event)) {
-                    play(event);
+                    runEvent(event);
                 }
             }
         } finally {
-            end();
-            remove();
+            stop();
+            deleteFolder();
         }
     }
 
     // How it is built
 
-    private void build() throws IOException, InterruptedException {
+    private void buildFleet() throws IOException, InterruptedException {
         for (int i = 0; i < file.fleet.size(); i++) {
-            entries.put(topology.backend(i, 0), entry(i, "active"));
+            entries.put(topology.backend(i, 0), entryJson(i, "active"));
         }
         version = entries.size();
-        wholeBytes = String.join(",", entries.values()).length();
-        progress.accept("control: " + control.length + " machines");
-        for (int m = 0; m < control.length; m++) {
-            startControl(m);
+        completeListBytes = String.join(",", entries.values()).length();
+        progress.accept("control: " + controlMachines.length + " machines");
+        for (int m = 0; m < controlMachines.length; m++) {
+            startControlMachine(m);
         }
-        for (int m = 0; m < control.length; m++) {
-            open(m, m);
+        for (int m = 0; m < controlMachines.length; m++) {
+            openControlAddresses(m, m);
         }
         String operator = null;
         Path operatorFile = folder.resolve("operator.toml");
-        List<String> seeds = seeds();
+        List<String> seeds = seedAddresses();
         if (file.membership != null) {
             operator = "[membership]\nenabled = true\n" + file.membershipToml;
             Files.writeString(operatorFile, operator);
@@ -186,45 +188,50 @@
                                     + "\"\nseeds = [\""
                                     + String.join("\", \"", seeds)
                                     + "\"]\n";
-            real.put(
+            realProxies.put(
                     i,
-                    new RealHost(
+                    new RealProxy(
                             i,
                             topology.name(i),
                             folder,
                             topology.ip(i),
                             bounds.port,
-                            discovery(i),
+                            discoveryAddress(i),
                             file.zoneNames(),
                             own,
                             file.seed + i));
         }
-        buildHosts(operatorFile, seeds);
+        startProxyHosts(operatorFile, seeds);
         // First, for a machine on which thousands join at once takes minutes to start a process.
-        progress.accept("real proxies: " + real.size());
+        progress.accept("real proxies: " + realProxies.size());
         List<Future<?>> starts = new ArrayList<>();
-        for (RealHost host : real.values()) {
-            host.await(version, topology.backend(host.number, 0), true);
+        for (RealProxy proxy : realProxies.values()) {
+            proxy.await(version, topology.backend(proxy.number, 0), true);
             starts.add(
-                    starters.submit(
+                    startExecutor.submit(
                             () -> {
-                                host.start();
+                                proxy.start();
                                 return null;
                             }));
-            Thread thread = new Thread(null, host::follow, "follow", 256 << 10);
+            Thread thread = new Thread(null, proxy::pollUntilEnded, "follow", 256 << 10);
             thread.setDaemon(true);
             thread.start();
         }
-        await(starts);
-        begun = System.nanoTime();
-        progress.accept("hollow proxies: " + hostOf.size() + " in " + hosts.size() + " processes");
-        for (Child host : hosts) {
-            host.tell("start");
+        awaitAll(starts);
+        startedAt = System.nanoTime();
+        progress.accept(
+                "hollow proxies: "
+                        + hostByProxy.size()
+                        + " in "
+                        + proxyHosts.size()
+                        + " processes");
+        for (ChildProcess host : proxyHosts) {
+            host.send("start");
             host.flush();
         }
     }
 
-    private static void await(List<Future<?>> futures) throws IOException, InterruptedException {
+    private static void awaitAll(List<Future<?>> futures) throws IOException, InterruptedException {
         for (Future<?> future : futures) {
             try {
                 future.get();
@@ -234,7 +241,7 @@
         }
     }
 
-    private void buildHosts(Path operatorFile, List<String> seeds) throws IOException {
+    private void startProxyHosts(Path operatorFile, List<String> seeds) throws IOException {
         List<Integer> hollow = new ArrayList<>();
         for (int i = 0; i < file.fleet.size(); i++) {
             if (!topology.isReal(i)) {
@@ -246,19 +253,20 @@
             if (file.membership != null) {
                 args.add(operatorFile.toString());
             }
-            Child host = child("hollow" + h, bounds.hollowHeapMb, HollowHost.class, args);
-            hosts.add(host);
-            host.tell("zones " + String.join(" ", file.zoneNames()));
+            ChildProcess host =
+                    startChild("hollow" + h, bounds.hollowHeapMb, SimulatedProxyHost.class, args);
+            proxyHosts.add(host);
+            host.send("zones " + String.join(" ", file.zoneNames()));
             if (!topology.real().isEmpty()) {
-                host.tell(
+                host.send(
                         "real "
                                 + String.join(
                                         " ", topology.real().stream().map(topology::ip).toList()));
             }
-            host.tell("seeds " + String.join(" ", seeds));
+            host.send("seeds " + String.join(" ", seeds));
             for (int k = h; k < hollow.size(); k += bounds.hosts) {
                 int i = hollow.get(k);
-                host.tell(
+                host.send(
                         "new "
                                 + i
                                 + " "
@@ -268,38 +276,38 @@
                                 + ":"
                                 + bounds.port
                                 + " "
-                                + discovery(i));
-                hostOf.put(i, host);
+                                + discoveryAddress(i));
+                hostByProxy.put(i, host);
             }
             host.flush();
         }
     }
 
-    private Child child(String name, int heapMb, Class<?> main, List<String> args)
+    private ChildProcess startChild(String name, int heapMb, Class<?> main, List<String> args)
             throws IOException {
-        synchronized (starters) {
+        synchronized (startExecutor) {
             if (ended) {
                 throw new IOException("ended early");
             }
-            return new Child(
+            return new ChildProcess(
                     name,
                     folder,
                     heapMb,
                     main,
                     args,
-                    NEWS,
+                    REPORT_PREFIXES,
                     words -> {
-                        news(words);
-                        toldUpTo.put(name, Long.parseLong(words[1]));
+                        onReport(words);
+                        lastReportedSecond.put(name, Long.parseLong(words[1]));
                     });
         }
     }
 
-    private List<String> seeds() {
+    private List<String> seedAddresses() {
         List<String> seeds = new ArrayList<>();
-        for (int k = 0; k < SEEDS; k++) {
+        for (int k = 0; k < MAX_SEEDS; k++) {
             // Of hollow ones alone: their sockets are there before any process serves.
-            int i = k * file.fleet.size() / SEEDS;
+            int i = k * file.fleet.size() / MAX_SEEDS;
             while (topology.isReal(i) && i < file.fleet.size() - 1) {
                 i++;
             }
@@ -311,17 +319,17 @@
         return seeds;
     }
 
-    private String discovery(int proxy) {
+    private String discoveryAddress(int proxy) {
         return topology.controlIp(topology.control(proxy), topology.isReal(proxy))
                 + ":"
                 + (bounds.port + 2);
     }
 
     /** One line of the list: the backend beside a proxy. */
-    private String entry(int proxy, String health) {
-        long born = replaced[proxy] == 0 ? 0 : System.currentTimeMillis();
+    private String entryJson(int proxy, String health) {
+        long born = replacements[proxy] == 0 ? 0 : System.currentTimeMillis();
         return "{\"host\":\""
-                + topology.backend(proxy, replaced[proxy])
+                + topology.backend(proxy, replacements[proxy])
                 + "\",\"dial\":\""
                 + topology.ip(proxy)
                 + ":"
@@ -337,33 +345,34 @@
                 + "}";
     }
 
-    private void startControl(int machine) throws IOException {
-        Child process =
-                child(
+    private void startControlMachine(int machine) throws IOException {
+        ChildProcess process =
+                startChild(
                         "control" + machine,
                         bounds.controlHeapMb,
                         ControlStandIn.class,
-                        List.of(Double.toString(file.control.calls())));
+                        List.of(Double.toString(file.control.callsPerSecond())));
         for (Map.Entry<String, String> entry : entries.entrySet()) {
-            process.tell("entry " + version + " " + entry.getKey() + " " + entry.getValue());
+            process.send("entry " + version + " " + entry.getKey() + " " + entry.getValue());
         }
-        process.tell("from " + version);
+        process.send("from " + version);
         process.flush();
-        control[machine] = process;
+        controlMachines[machine] = process;
     }
 
     /** A machine listens at the addresses of one, its own or those that it takes over. */
-    private void open(int machine, int addresses) throws IOException, InterruptedException {
+    private void openControlAddresses(int machine, int addresses)
+            throws IOException, InterruptedException {
         for (boolean byReal : new boolean[] {false, true}) {
-            control[machine].tell(
+            controlMachines[machine].send(
                     "open "
-                            + (byReal ? REAL : HOLLOW)
+                            + (byReal ? REAL : SIMULATED)
                             + " "
                             + topology.controlIp(addresses, byReal)
                             + ":"
                             + (bounds.port + 2));
-            control[machine].flush();
-            String answer = control[machine].answer();
+            controlMachines[machine].flush();
+            String answer = controlMachines[machine].readAnswer();
             if (!answer.startsWith("opened")) {
                 throw new IOException(answer);
             }
@@ -372,10 +381,10 @@
 
     // What it is told
 
-    private void news(String[] words) {
+    private void onReport(String[] words) {
         long second = Long.parseLong(words[1]);
         if (words[0].equals("late")) {
-            controlLate = Math.max(controlLate, Long.parseLong(words[2]));
+            controlLateMicros = Math.max(controlLateMicros, Long.parseLong(words[2]));
             return;
         }
         double[] n = new double[words.length - 3];
@@ -403,15 +412,15 @@
         samples.add(CONTROL, second, What.WHOLE_LISTS, n[4]);
     }
 
-    private void sample() {
+    private void sampleProcesses() {
         Map<Long, Long> before = new HashMap<>();
         long beforeAt = 0;
         try {
             while (!ended) {
                 long now = System.nanoTime();
-                Thread.sleep((SECOND - now % SECOND) / 1_000_000 + 1);
+                Thread.sleep((NANOS_PER_SECOND - now % NANOS_PER_SECOND) / 1_000_000 + 1);
                 long at = System.nanoTime();
-                long second = at / SECOND - 1;
+                long second = at / NANOS_PER_SECOND - 1;
                 double span = (at - beforeAt) / 1e9;
                 for (Map.Entry<String, List<Long>> role : pids().entrySet()) {
                     for (long pid : role.getValue()) {
@@ -440,10 +449,12 @@
 
     private Map<String, List<Long>> pids() {
         Map<String, List<Long>> pids = new TreeMap<>();
-        pids.put(HOLLOW, hosts.stream().map(Child::pid).toList());
-        pids.put(REAL, real.values().stream().map(RealHost::pid).filter(pid -> pid > 0).toList());
+        pids.put(SIMULATED, proxyHosts.stream().map(ChildProcess::pid).toList());
+        pids.put(
+                REAL,
+                realProxies.values().stream().map(RealProxy::pid).filter(pid -> pid > 0).toList());
         List<Long> machines = new ArrayList<>();
-        for (Child machine : control) {
+        for (ChildProcess machine : controlMachines) {
             if (machine != null) {
                 machines.add(machine.pid());
             }
@@ -454,29 +465,31 @@
 
     // What is asked
 
-    private String[] ask(Child host, String order) throws IOException, InterruptedException {
-        host.tell(order);
+    private String[] query(ChildProcess host, String order)
+            throws IOException, InterruptedException {
+        host.send(order);
         host.flush();
-        return host.answer().split(" ");
+        return host.readAnswer().split(" ");
     }
 
     /**
      * Waits until all that live hold a version, if that is within the time; returns whether they
      * do.
      */
-    private boolean awaitHeld(long wanted, long patience) throws IOException, InterruptedException {
-        long until = System.nanoTime() + patience;
+    private boolean awaitVersion(long wanted, long timeoutNanos)
+            throws IOException, InterruptedException {
+        long until = System.nanoTime() + timeoutNanos;
         while (true) {
             int living = 0;
             int held = 0;
-            for (Child host : hosts) {
-                String[] answer = ask(host, "held " + wanted);
+            for (ChildProcess host : proxyHosts) {
+                String[] answer = query(host, "held " + wanted);
                 living += Integer.parseInt(answer[2]);
                 held += Integer.parseInt(answer[3]);
             }
-            for (RealHost host : real.values()) {
-                living += host.lives() ? 1 : 0;
-                held += host.lives() && host.heldAt(wanted) >= 0 ? 1 : 0;
+            for (RealProxy proxy : realProxies.values()) {
+                living += proxy.isAlive() ? 1 : 0;
+                held += proxy.isAlive() && proxy.heldAt(wanted) >= 0 ? 1 : 0;
             }
             if (held == living) {
                 return true;
@@ -485,88 +498,92 @@
                 progress.accept("  " + held + " of " + living + " hold it");
                 return false;
             }
-            Thread.sleep(BETWEEN);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
     }
 
     /**
      * Asks everybody when a change was in force; whom: those that count, and those that were late.
      */
-    private void measure(Change change, Set<Integer> late)
+    private void recordInForce(Change change, Set<Integer> late)
             throws IOException, InterruptedException {
-        for (Child host : hosts) {
-            String[] answer = ask(host, "times " + change.version);
+        for (ChildProcess host : proxyHosts) {
+            String[] answer = query(host, "times " + change.version);
             for (int i = 2; i < answer.length; i++) {
                 int colon = answer[i].indexOf(':');
                 int proxy = Integer.parseInt(answer[i].substring(0, colon));
-                change.inForce(
+                change.recordInForce(
                         Long.parseLong(answer[i].substring(colon + 1)), late.contains(proxy));
             }
         }
-        for (RealHost host : real.values()) {
-            if (host.lives()) {
-                change.inForce(host.heldAt(change.version), late.contains(host.number));
+        for (RealProxy proxy : realProxies.values()) {
+            if (proxy.isAlive()) {
+                change.recordInForce(proxy.heldAt(change.version), late.contains(proxy.number));
             }
         }
     }
 
-    private void settle(ScaleEvent start) throws IOException, InterruptedException {
-        Change first = new Change(version, begun);
+    private void awaitSettled(ScaleEvent start) throws IOException, InterruptedException {
+        Change first = new Change(version, startedAt);
         start.changes.add(first);
         progress.accept("until all hold the list of " + entries.size());
-        boolean all = awaitHeld(version, file.settle);
-        measure(first, Set.of());
-        listSettled = all ? first.ms(1) / 1_000 : -1;
+        boolean all = awaitVersion(version, file.settleTimeoutNanos);
+        recordInForce(first, Set.of());
+        listSettledSeconds = all ? first.inForceMillis(1) / 1_000 : -1;
         if (file.membership != null) {
             progress.accept("until views agree");
-            long until = begun + file.settle;
+            long until = startedAt + file.settleTimeoutNanos;
             do {
-                viewsShare = viewsShare();
-                Thread.sleep(10 * BETWEEN);
-            } while (viewsShare < 1 && System.nanoTime() < until);
-            viewsSettled = viewsShare >= 1 ? (System.nanoTime() - begun) / 1e9 : -1;
+                viewShare = minViewShare();
+                Thread.sleep(10 * POLL_INTERVAL_MILLIS);
+            } while (viewShare < 1 && System.nanoTime() < until);
+            viewsSettledSeconds = viewShare >= 1 ? (System.nanoTime() - startedAt) / 1e9 : -1;
             progress.accept(
                     String.format(
-                            java.util.Locale.ROOT, "  views hold %.3f of the fleet", viewsShare));
+                            java.util.Locale.ROOT, "  views hold %.3f of the fleet", viewShare));
         }
-        finish(start);
+        finishEvent(start);
     }
 
     /** The smallest part of the living that any of the views looked at holds. */
-    private double viewsShare() throws IOException, InterruptedException {
+    private double minViewShare() throws IOException, InterruptedException {
         int least = Integer.MAX_VALUE;
-        for (Child host : hosts) {
-            String[] answer = ask(host, "views " + VIEWS);
+        for (ChildProcess host : proxyHosts) {
+            String[] answer = query(host, "views " + VIEWS_PER_PROCESS);
             for (int i = 1; i < answer.length; i++) {
                 least = Math.min(least, Integer.parseInt(answer[i]));
             }
         }
-        for (RealHost host : real.values()) {
-            least = Math.min(least, host.lives() ? Math.max(0, host.alive()) : least);
+        for (RealProxy proxy : realProxies.values()) {
+            least = Math.min(least, proxy.isAlive() ? Math.max(0, proxy.aliveMembers()) : least);
         }
-        return Math.min(1, least / (double) (file.fleet.size() - dead.size()));
+        return Math.min(1, least / (double) (file.fleet.size() - stoppedProxies.size()));
     }
 
     // What is played
 
-    private ScaleEvent begin(String name) {
-        ScaleEvent event = new ScaleEvent(name, System.nanoTime() / SECOND);
+    private ScaleEvent beginEvent(String name) {
+        ScaleEvent event = new ScaleEvent(name, System.nanoTime() / NANOS_PER_SECOND);
         events.add(event);
         progress.accept(name);
         return event;
     }
 
-    private void finish(ScaleEvent event) throws InterruptedException, IOException {
-        for (Child host : hosts) {
-            if (host.failed()) {
+    private void finishEvent(ScaleEvent event) throws InterruptedException, IOException {
+        for (ChildProcess host : proxyHosts) {
+            if (host.endedUnexpectedly()) {
                 throw new IOException(host.name + " has ended");
             }
         }
         // To the end of a second: what is counted by seconds is then of one event alone.
-        long until = System.nanoTime() + file.quiet;
-        sleepUntil(until + SECOND - until % SECOND + BETWEEN * 1_000_000);
-        event.to = System.nanoTime() / SECOND;
-        awaitTold(event.to - 1);
+        long until = System.nanoTime() + file.quietNanos;
+        sleepUntil(
+                until
+                        + NANOS_PER_SECOND
+                        - until % NANOS_PER_SECOND
+                        + POLL_INTERVAL_MILLIS * 1_000_000);
+        event.toSecond = System.nanoTime() / NANOS_PER_SECOND;
+        awaitReports(event.toSecond - 1);
         progress.accept(
                 String.format(
                         java.util.Locale.ROOT,
@@ -574,49 +591,53 @@
                                 + " all after %.0f; %d missing",
                         event.name,
                         event.changes.size(),
-                        event.worstMs(0.5),
-                        event.worstMs(0.99),
-                        event.worstMs(1),
-                        event.missing()));
+                        event.worstInForceMillis(0.5),
+                        event.worstInForceMillis(0.99),
+                        event.worstInForceMillis(1),
+                        event.missingCount()));
     }
 
     /** A process that is short of its core tells late what it has counted. */
-    private void awaitTold(long second) throws InterruptedException {
-        List<Child> tellers = new ArrayList<>(hosts);
-        for (Child machine : control) {
+    private void awaitReports(long second) throws InterruptedException {
+        List<ChildProcess> reporters = new ArrayList<>(proxyHosts);
+        for (ChildProcess machine : controlMachines) {
             if (machine != null) {
-                tellers.add(machine);
+                reporters.add(machine);
             }
         }
-        long until = System.nanoTime() + file.patience;
-        while (tellers.stream().anyMatch(c -> toldUpTo.getOrDefault(c.name, 0L) < second)
+        long until = System.nanoTime() + file.changeTimeoutNanos;
+        while (reporters.stream()
+                        .anyMatch(c -> lastReportedSecond.getOrDefault(c.name, 0L) < second)
                 && System.nanoTime() < until) {
-            Thread.sleep(BETWEEN / 4);
+            Thread.sleep(POLL_INTERVAL_MILLIS / 4);
         }
     }
 
-    private void play(String name) throws IOException, InterruptedException {
-        ScaleEvent event = begin(name);
+    private void runEvent(String name) throws IOException, InterruptedException {
+        ScaleEvent event = beginEvent(name);
         switch (name) {
-            case "ordinary" -> ordinary(event);
-            case "rack" -> lose(event, lost(i -> topology.rack(i) == 1), Set.of());
+            case "ordinary" -> runOrdinaryDay(event);
+            case "rack" -> runOutage(event, proxiesWhere(i -> topology.rack(i) == 1), Set.of());
             case "zone" -> {
                 Set<Integer> machines = new HashSet<>();
-                for (int m = 0; m < control.length; m++) {
+                for (int m = 0; m < controlMachines.length; m++) {
                     if (topology.controlZone(m) == file.fleet.zones() - 1) {
                         machines.add(m);
                     }
                 }
-                lose(event, lost(i -> topology.zone(i) == file.fleet.zones() - 1), machines);
+                runOutage(
+                        event,
+                        proxiesWhere(i -> topology.zone(i) == file.fleet.zones() - 1),
+                        machines);
             }
-            case "regions" -> regions(event);
-            case "control_killed" -> controlKilled(event);
-            default -> controlRestarted(event);
+            case "regions" -> runRegionPartition(event);
+            case "control_killed" -> runControlKilled(event);
+            default -> runControlRestarted(event);
         }
-        finish(event);
+        finishEvent(event);
     }
 
-    private Set<Integer> lost(java.util.function.IntPredicate which) {
+    private Set<Integer> proxiesWhere(java.util.function.IntPredicate which) {
         Set<Integer> lost = new HashSet<>();
         for (int i = 0; i < file.fleet.size(); i++) {
             if (which.test(i)) {
@@ -627,7 +648,7 @@
     }
 
     /** Tells control that entries are others now; what left is in there too. */
-    private Change change(Map<String, String> changed) throws IOException {
+    private Change applyChange(Map<String, String> changed) throws IOException {
         version++;
         Change change = new Change(version, System.nanoTime());
         List<String> orders = new ArrayList<>();
@@ -641,41 +662,41 @@
                     }
                 });
         orders.add("push");
-        for (int m = 0; m < control.length; m++) {
-            if (keptBack.containsKey(m)) {
-                keptBack.get(m).addAll(orders);
-            } else if (control[m] != null) {
-                tell(control[m], orders);
+        for (int m = 0; m < controlMachines.length; m++) {
+            if (withheldOrders.containsKey(m)) {
+                withheldOrders.get(m).addAll(orders);
+            } else if (controlMachines[m] != null) {
+                sendOrders(controlMachines[m], orders);
             }
         }
         return change;
     }
 
-    private static void tell(Child machine, List<String> orders) throws IOException {
+    private static void sendOrders(ChildProcess machine, List<String> orders) throws IOException {
         for (String order : orders) {
-            machine.tell(order);
+            machine.send(order);
         }
         machine.flush();
     }
 
     /** A backend is replaced by another: the old one leaves the list as the new one comes. */
-    private Change replace(ScaleEvent event, int proxy) throws IOException {
+    private Change replaceBackend(ScaleEvent event, int proxy) throws IOException {
         Map<String, String> changed = new LinkedHashMap<>();
-        String old = topology.backend(proxy, replaced[proxy]);
-        changed.put(old, entry(proxy, "left"));
-        replaced[proxy]++;
-        String id = topology.backend(proxy, replaced[proxy]);
-        changed.put(id, entry(proxy, "active"));
-        real.values().forEach(host -> host.await(version + 1, id, true));
-        Change change = change(changed);
+        String old = topology.backend(proxy, replacements[proxy]);
+        changed.put(old, entryJson(proxy, "left"));
+        replacements[proxy]++;
+        String id = topology.backend(proxy, replacements[proxy]);
+        changed.put(id, entryJson(proxy, "active"));
+        realProxies.values().forEach(running -> running.await(version + 1, id, true));
+        Change change = applyChange(changed);
         event.changes.add(change);
         return change;
     }
 
-    private int draw() {
-        int proxy = chance.nextInt(file.fleet.size());
-        while (dead.contains(proxy)) {
-            proxy = chance.nextInt(file.fleet.size());
+    private int randomRunningProxy() {
+        int proxy = random.nextInt(file.fleet.size());
+        while (stoppedProxies.contains(proxy)) {
+            proxy = random.nextInt(file.fleet.size());
         }
         return proxy;
     }
@@ -684,47 +705,47 @@
      * Part of a day: changes of the list, restarts, failures, and one change of the files of real
      * ones.
      */
-    private void ordinary(ScaleEvent event) throws IOException, InterruptedException {
-        List<Integer> acts = new ArrayList<>();
-        int changes = file.day.played(file.day.changes());
-        int restarts = file.day.played(file.day.restarts());
-        int failures = file.day.played(file.day.failures());
+    private void runOrdinaryDay(ScaleEvent event) throws IOException, InterruptedException {
+        List<Integer> actions = new ArrayList<>();
+        int changes = file.day.playedCount(file.day.changes());
+        int restarts = file.day.playedCount(file.day.restarts());
+        int failures = file.day.playedCount(file.day.failures());
         for (int k = 0; k < changes + restarts + failures; k++) {
-            acts.add(
-                    chance.nextInt(acts.size() + 1),
+            actions.add(
+                    random.nextInt(actions.size() + 1),
                     k < changes ? 0 : k < changes + restarts ? 1 : 2);
         }
-        ConfigurationChannel files = real.isEmpty() ? null : new ReloadChannel(real);
+        ConfigurationChannel files = realProxies.isEmpty() ? null : new ReloadChannel(realProxies);
         long from = System.nanoTime();
-        List<Future<?>> back = new ArrayList<>();
-        for (int k = 0; k < acts.size(); k++) {
-            sleepUntil(from + file.day.over() * k / acts.size());
-            if (acts.get(k) == 0) {
-                replace(event, draw());
+        List<Future<?>> pendingStarts = new ArrayList<>();
+        for (int k = 0; k < actions.size(); k++) {
+            sleepUntil(from + file.day.durationNanos() * k / actions.size());
+            if (actions.get(k) == 0) {
+                replaceBackend(event, randomRunningProxy());
             } else {
-                int proxy = draw();
-                dead.add(proxy);
-                stop(proxy, acts.get(k) == 1);
-                replace(event, proxy);
-                start(proxy, back);
-                dead.remove(proxy);
-            }
-            if (files != null && k == acts.size() / 2) {
+                int proxy = randomRunningProxy();
+                stoppedProxies.add(proxy);
+                stopProxy(proxy, actions.get(k) == 1);
+                replaceBackend(event, proxy);
+                startProxy(proxy, pendingStarts);
+                stoppedProxies.remove(proxy);
+            }
+            if (files != null && k == actions.size() / 2) {
                 files.send(1);
             }
         }
-        sleepUntil(from + file.day.over());
-        await(back);
-        awaitHeld(version, file.patience);
-        measureAll(event, Set.of());
+        sleepUntil(from + file.day.durationNanos());
+        awaitAll(pendingStarts);
+        awaitVersion(version, file.changeTimeoutNanos);
+        recordAllInForce(event, Set.of());
         event.figures.put("changes", (double) changes);
         event.figures.put("restarts", (double) restarts);
         event.figures.put("failures", (double) failures);
-        event.figures.put("seconds", file.day.over() / 1e9);
+        event.figures.put("seconds", file.day.durationNanos() / 1e9);
         if (files != null) {
             Change taken = new Change(1, ((ReloadChannel) files).sentAt());
-            files.inForceAt(1).values().forEach(at -> taken.inForce(at, false));
-            event.figures.put("reload_in_force_ms_all", taken.ms(1));
+            files.inForceAt(1).values().forEach(at -> taken.recordInForce(at, false));
+            event.figures.put("reload_in_force_ms_all", taken.inForceMillis(1));
         }
     }
 
@@ -732,99 +753,99 @@
         Thread.sleep(Math.max(0, (at - System.nanoTime()) / 1_000_000));
     }
 
-    private void measureAll(ScaleEvent event, Set<Integer> late)
+    private void recordAllInForce(ScaleEvent event, Set<Integer> late)
             throws IOException, InterruptedException {
         for (Change change : event.changes) {
-            measure(change, late);
+            recordInForce(change, late);
         }
     }
 
-    private void stop(int proxy, boolean planned) throws IOException, InterruptedException {
+    private void stopProxy(int proxy, boolean planned) throws IOException, InterruptedException {
         if (topology.isReal(proxy)) {
             if (planned) {
-                real.get(proxy).term();
+                realProxies.get(proxy).terminate();
             } else {
-                real.get(proxy).kill();
+                realProxies.get(proxy).kill();
             }
         } else {
-            hostOf.get(proxy).tell("kill " + proxy);
-            hostOf.get(proxy).flush();
+            hostByProxy.get(proxy).send("kill " + proxy);
+            hostByProxy.get(proxy).flush();
         }
     }
 
-    private void start(int proxy, List<Future<?>> starts) throws IOException {
+    private void startProxy(int proxy, List<Future<?>> starts) throws IOException {
         if (topology.isReal(proxy)) {
             starts.add(
-                    starters.submit(
+                    startExecutor.submit(
                             () -> {
-                                real.get(proxy).start();
+                                realProxies.get(proxy).start();
                                 return null;
                             }));
         } else {
-            hostOf.get(proxy).tell("start " + proxy);
-            hostOf.get(proxy).flush();
+            hostByProxy.get(proxy).send("start " + proxy);
+            hostByProxy.get(proxy).flush();
         }
     }
 
     /**
      * Proxies, their backends and machines of control are lost together, and come back together.
      */
-    private void lose(ScaleEvent event, Set<Integer> proxies, Set<Integer> machines)
+    private void runOutage(ScaleEvent event, Set<Integer> proxies, Set<Integer> machines)
             throws IOException, InterruptedException {
         event.figures.put("proxies", (double) proxies.size());
-        dead.addAll(proxies);
+        stoppedProxies.addAll(proxies);
         for (int m : machines) {
-            control[m].kill();
-            control[m] = null;
+            controlMachines[m].kill();
+            controlMachines[m] = null;
         }
         for (int proxy : proxies) {
-            stop(proxy, false);
+            stopProxy(proxy, false);
         }
-        Change gone = batch(proxies, "left");
+        Change gone = changeEntries(proxies, "left");
         event.changes.add(gone);
-        awaitHeld(version, file.patience);
-        measure(gone, Set.of());
-        sleepUntil(gone.at + file.lost);
+        awaitVersion(version, file.changeTimeoutNanos);
+        recordInForce(gone, Set.of());
+        sleepUntil(gone.sentAt + file.outageNanos);
         for (int m : machines) {
-            startControl(m);
-            open(m, m);
+            startControlMachine(m);
+            openControlAddresses(m, m);
         }
         List<Future<?>> starts = new ArrayList<>();
         for (int proxy : proxies) {
-            replaced[proxy]++;
-            start(proxy, starts);
-        }
-        Change back = batch(proxies, "active");
-        dead.removeAll(proxies);
-        await(starts);
-        awaitHeld(version, file.patience);
-        measure(back, Set.of());
+            replacements[proxy]++;
+            startProxy(proxy, starts);
+        }
+        Change back = changeEntries(proxies, "active");
+        stoppedProxies.removeAll(proxies);
+        awaitAll(starts);
+        awaitVersion(version, file.changeTimeoutNanos);
+        recordInForce(back, Set.of());
         event.changes.add(back);
-        event.figures.put("gone_in_force_ms_all", gone.ms(1));
-        event.figures.put("back_in_force_ms_all", back.ms(1));
+        event.figures.put("gone_in_force_ms_all", gone.inForceMillis(1));
+        event.figures.put("back_in_force_ms_all", back.inForceMillis(1));
     }
 
-    private Change batch(Set<Integer> proxies, String health) throws IOException {
+    private Change changeEntries(Set<Integer> proxies, String health) throws IOException {
         Map<String, String> changed = new LinkedHashMap<>();
         String first = null;
         for (int proxy : new java.util.TreeSet<>(proxies)) {
-            String id = topology.backend(proxy, replaced[proxy]);
-            changed.put(id, entry(proxy, health));
+            String id = topology.backend(proxy, replacements[proxy]);
+            changed.put(id, entryJson(proxy, health));
             first = first == null ? id : first;
         }
         if (first != null) {
-            for (RealHost host : real.values()) {
-                host.await(version + 1, first, health.equals("active"));
+            for (RealProxy proxy : realProxies.values()) {
+                proxy.await(version + 1, first, health.equals("active"));
             }
         }
-        return change(changed);
+        return applyChange(changed);
     }
 
     /**
      * The regions do not reach one another; a change made in the first comes to the others when
      * healed.
      */
-    private void regions(ScaleEvent event) throws IOException, InterruptedException {
+    private void runRegionPartition(ScaleEvent event) throws IOException, InterruptedException {
         List<StringBuilder> groups = new ArrayList<>();
         for (int z = 0; z < file.fleet.zones(); z++) {
             int region = topology.region(z);
@@ -833,31 +854,31 @@
             }
             groups.get(region).append(groups.get(region).length() == 0 ? "" : ",").append(z);
         }
-        cut("cut " + String.join(" ", groups));
-        for (int m = 0; m < control.length; m++) {
+        sendPartition("cut " + String.join(" ", groups));
+        for (int m = 0; m < controlMachines.length; m++) {
             if (topology.controlRegion(m) != 0) {
-                keptBack.put(m, new ArrayList<>());
+                withheldOrders.put(m, new ArrayList<>());
             }
         }
-        Change apart = replace(event, draw());
-        sleepUntil(apart.at + file.lost);
-        cut("cut");
+        Change apart = replaceBackend(event, randomRunningProxy());
+        sleepUntil(apart.sentAt + file.outageNanos);
+        sendPartition("cut");
         apart.reachableAt = System.nanoTime();
-        for (Map.Entry<Integer, List<String>> one : keptBack.entrySet()) {
-            tell(control[one.getKey()], one.getValue());
+        for (Map.Entry<Integer, List<String>> one : withheldOrders.entrySet()) {
+            sendOrders(controlMachines[one.getKey()], one.getValue());
         }
-        keptBack.clear();
-        Change healed = replace(event, draw());
-        awaitHeld(version, file.patience);
-        measure(apart, lost(i -> topology.controlRegion(topology.control(i)) != 0));
-        measure(healed, Set.of());
-        event.figures.put("through_cut", (double) apart.early);
-        event.figures.put("apart_s", file.lost / 1e9);
+        withheldOrders.clear();
+        Change healed = replaceBackend(event, randomRunningProxy());
+        awaitVersion(version, file.changeTimeoutNanos);
+        recordInForce(apart, proxiesWhere(i -> topology.controlRegion(topology.control(i)) != 0));
+        recordInForce(healed, Set.of());
+        event.figures.put("through_cut", (double) apart.earlyCount);
+        event.figures.put("apart_s", file.outageNanos / 1e9);
     }
 
-    private void cut(String order) throws IOException {
-        for (Child host : hosts) {
-            host.tell(order);
+    private void sendPartition(String order) throws IOException {
+        for (ChildProcess host : proxyHosts) {
+            host.send(order);
             host.flush();
         }
     }
@@ -866,71 +887,72 @@
      * A third of the machines of control are killed; others take over their addresses after a
      * while.
      */
-    private void controlKilled(ScaleEvent event) throws IOException, InterruptedException {
+    private void runControlKilled(ScaleEvent event) throws IOException, InterruptedException {
         List<Integer> killed = new ArrayList<>();
         for (int m = 0;
-                m < control.length && killed.size() < Math.max(1, control.length / 3);
+                m < controlMachines.length
+                        && killed.size() < Math.max(1, controlMachines.length / 3);
                 m += 3) {
-            control[m].kill();
-            control[m] = null;
+            controlMachines[m].kill();
+            controlMachines[m] = null;
             killed.add(m);
         }
         event.figures.put("machines", (double) killed.size());
-        Change while0 = replace(event, draw());
-        sleepUntil(while0.at + file.control.takeover());
+        Change duringOutage = replaceBackend(event, randomRunningProxy());
+        sleepUntil(duringOutage.sentAt + file.control.takeoverNanos());
         for (int m : killed) {
             int by = m;
-            while (control[by] == null) {
-                by = (by + 1) % control.length;
+            while (controlMachines[by] == null) {
+                by = (by + 1) % controlMachines.length;
             }
-            open(by, m);
+            openControlAddresses(by, m);
         }
-        Change after = replace(event, draw());
-        awaitHeld(version, file.patience);
-        measure(while0, Set.of());
-        measure(after, Set.of());
+        Change after = replaceBackend(event, randomRunningProxy());
+        awaitVersion(version, file.changeTimeoutNanos);
+        recordInForce(duringOutage, Set.of());
+        recordInForce(after, Set.of());
         // The dead machines come back with no address: they are told from the next restart of all
         // on.
-        event.figures.put("takeover_s", file.control.takeover() / 1e9);
+        event.figures.put("takeover_s", file.control.takeoverNanos() / 1e9);
     }
 
     /** All machines of control end at once, and begin anew: none knows what changed before. */
-    private void controlRestarted(ScaleEvent event) throws IOException, InterruptedException {
-        for (int m = 0; m < control.length; m++) {
-            if (control[m] != null) {
-                control[m].kill();
-                control[m] = null;
+    private void runControlRestarted(ScaleEvent event) throws IOException, InterruptedException {
+        for (int m = 0; m < controlMachines.length; m++) {
+            if (controlMachines[m] != null) {
+                controlMachines[m].kill();
+                controlMachines[m] = null;
             }
         }
         long ended = System.nanoTime();
-        sleepUntil(ended + file.control.takeover());
-        for (int m = 0; m < control.length; m++) {
-            startControl(m);
+        sleepUntil(ended + file.control.takeoverNanos());
+        for (int m = 0; m < controlMachines.length; m++) {
+            startControlMachine(m);
         }
         // What changed meanwhile is known to none of the proxies, so each is told the whole list.
-        Change change = replace(event, draw());
-        for (int m = 0; m < control.length; m++) {
-            tell(control[m], List.of("from " + version));
-            open(m, m);
+        Change change = replaceBackend(event, randomRunningProxy());
+        for (int m = 0; m < controlMachines.length; m++) {
+            sendOrders(controlMachines[m], List.of("from " + version));
+            openControlAddresses(m, m);
         }
-        awaitHeld(version, file.patience);
-        measure(change, Set.of());
-        event.figures.put("down_s", (change.at - ended) / 1e9);
+        awaitVersion(version, file.changeTimeoutNanos);
+        recordInForce(change, Set.of());
+        event.figures.put("down_s", (change.sentAt - ended) / 1e9);
     }
 
     // How it ends
 
     /** From any thread: ends all processes at once, and what is played fails then. */
-    void end() {
-        synchronized (starters) {
+    void stop() {
+        synchronized (startExecutor) {
             ended = true;
         }
-        starters.shutdownNow();
-        real.values().forEach(RealHost::end);
-        List.copyOf(hosts).forEach(Child::end);
-        for (Child machine : control) {
+        startExecutor.shutdownNow();
+        realProxies.values().forEach(RealProxy::destroy);
+        List.copyOf(proxyHosts).forEach(ChildProcess::destroy);
+        for (ChildProcess machine : controlMachines) {
             if (machine != null) {
-                machine.end();
+                machine.destroy();
             }
         }
         if (watcher != null) {
@@ -938,7 +960,7 @@
         }
     }
 
-    private void remove() {
+    private void deleteFolder() {
         if (folder == null) {
             return;
         }
--- a/src/main/java/cottonlock/lab/scale/HollowHost.java
+++ b/src/main/java/cottonlock/lab/scale/SimulatedProxyHost.java
@@ -34,42 +34,44 @@
  * <p>The run tells it by lines on its standard input, and it answers {@code held}, {@code times}
  * and {@code views} with one line each. It ends with its input.
  */
-final class HollowHost {
-    private static final long SECOND = 1_000_000_000L;
+final class SimulatedProxyHost {
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     /** Bytes of a thread's stack, as threads of {@code serve} have them. */
-    private static final long STACK = 192 << 10;
+    private static final long THREAD_STACK_BYTES = 192 << 10;
 
     /** Versions whose time is kept for each proxy. */
-    private static final int KEPT = 1_024;
+    private static final int KEPT_VERSIONS = 1_024;
 
     /** One hollow proxy. */
-    private final class Proxy implements DiscoveryClient.Listener {
+    private final class SimulatedProxy implements DiscoveryClient.Listener {
         final String name;
         final InetSocketAddress address;
         final InetSocketAddress discovery;
         final CountedSocket.Traffic traffic = new CountedSocket.Traffic();
-        private final long[] versions = new long[KEPT];
-        private final long[] times = new long[KEPT];
-        private int told;
-        private DiscoveryClient part;
-        private MembershipService members;
+        private final long[] versions = new long[KEPT_VERSIONS];
+        private final long[] times = new long[KEPT_VERSIONS];
+        private int appliedCount;
+        private DiscoveryClient discoveryClient;
+        private MembershipService membership;
 
-        Proxy(String name, InetSocketAddress address, InetSocketAddress discovery) {
+        SimulatedProxy(String name, InetSocketAddress address, InetSocketAddress discovery) {
             this.name = name;
             this.address = address;
             this.discovery = discovery;
         }
 
         void start() throws IOException {
-            part = new DiscoveryClient(discovery, zones, random.split(), this);
-            part.start();
-            if (rules != null) {
-                DatagramSocket socket = new CountedSocket(address, cuts, traffic, real, realOnes);
-                MembershipConfig plan = new MembershipConfig("", "", seeds, "", "", rules);
-                members =
+            discoveryClient = new DiscoveryClient(discovery, zones, random.split(), this);
+            discoveryClient.start();
+            if (protocolConfig != null) {
+                DatagramSocket socket =
+                        new CountedSocket(address, cuts, traffic, realTraffic, realAddresses);
+                MembershipConfig membershipConfig =
+                        new MembershipConfig("", "", seeds, "", "", protocolConfig);
+                membership =
                         new MembershipService(
-                                plan,
+                                membershipConfig,
                                 socket,
                                 new LocalMember(
                                         name,
@@ -79,12 +81,12 @@
                                         System.currentTimeMillis()),
                                 random.split(),
                                 new MembershipHost(
-                                        HollowHost::tenths,
-                                        HollowHost::tenths,
+                                        SimulatedProxyHost::currentTick,
+                                        SimulatedProxyHost::currentTick,
                                         null,
                                         (from, bytes, length) -> {},
                                         line -> {}));
-                Thread thread = new Thread(null, members, "members", STACK);
+                Thread thread = new Thread(null, membership, "members", THREAD_STACK_BYTES);
                 thread.setDaemon(true);
                 thread.start();
             }
@@ -92,19 +94,19 @@
 
         /** As a killed process ends: nobody is told. */
         void kill() {
-            part.close();
-            part = null;
-            if (members != null) {
-                members.close();
-                members = null;
+            discoveryClient.close();
+            discoveryClient = null;
+            if (membership != null) {
+                membership.close();
+                membership = null;
             }
         }
 
         @Override
         public synchronized void listApplied(long version, boolean complete, int size) {
-            versions[told % KEPT] = version;
-            times[told % KEPT] = System.nanoTime();
-            told++;
+            versions[appliedCount % KEPT_VERSIONS] = version;
+            times[appliedCount % KEPT_VERSIONS] = System.nanoTime();
+            appliedCount++;
         }
 
         @Override
@@ -115,30 +117,31 @@
         /** When it first held that version or a later one; -1: it does not. */
         synchronized long heldAt(long version) {
             long first = -1;
-            for (int i = Math.max(0, told - KEPT); i < told; i++) {
-                if (versions[i % KEPT] >= version && (first < 0 || times[i % KEPT] < first)) {
-                    first = times[i % KEPT];
+            for (int i = Math.max(0, appliedCount - KEPT_VERSIONS); i < appliedCount; i++) {
+                if (versions[i % KEPT_VERSIONS] >= version
+                        && (first < 0 || times[i % KEPT_VERSIONS] < first)) {
+                    first = times[i % KEPT_VERSIONS];
                 }
             }
             return first;
         }
     }
 
-    private final Map<Integer, Proxy> proxies = new ConcurrentSkipListMap<>();
+    private final Map<Integer, SimulatedProxy> proxies = new ConcurrentSkipListMap<>();
     private final CountedSocket.Cuts cuts = new CountedSocket.Cuts();
-    private final CountedSocket.Traffic real = new CountedSocket.Traffic();
-    private final Set<InetAddress> realOnes = new HashSet<>();
+    private final CountedSocket.Traffic realTraffic = new CountedSocket.Traffic();
+    private final Set<InetAddress> realAddresses = new HashSet<>();
     private final List<String> zones = new ArrayList<>();
     private final List<String> seeds = new ArrayList<>();
-    private final MembershipProtocolConfig rules;
+    private final MembershipProtocolConfig protocolConfig;
     private final SplittableRandom random;
 
-    private HollowHost(MembershipProtocolConfig rules, long seed) {
-        this.rules = rules;
+    private SimulatedProxyHost(MembershipProtocolConfig protocolConfig, long seed) {
+        this.protocolConfig = protocolConfig;
         this.random = new SplittableRandom(seed);
     }
 
-    private static long tenths() {
+    private static long currentTick() {
         return System.nanoTime() / 100_000;
     }
 
@@ -148,17 +151,17 @@
      */
     public static void main(String[] args) throws IOException, InvalidConfigurationException {
         java.util.logging.Logger.getLogger("cottonlock").setLevel(java.util.logging.Level.OFF);
-        HollowHost host =
-                new HollowHost(
+        SimulatedProxyHost host =
+                new SimulatedProxyHost(
                         args.length > 1 ? MembershipTable.readProtocol(Path.of(args[1])) : null,
                         Long.parseLong(args[0]));
-        Thread teller = new Thread(host::tell, "teller");
-        teller.setDaemon(true);
-        teller.start();
+        Thread reporter = new Thread(host::reportEachSecond, "teller");
+        reporter.setDaemon(true);
+        reporter.start();
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.ISO_8859_1))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                host.carryOut(line.split(" "));
+                host.execute(line.split(" "));
             }
         } catch (IOException | RuntimeException e) {
             // Standard error is this process's log, which the run shows when the process has ended.
@@ -168,41 +171,44 @@
         }
     }
 
-    private void carryOut(String[] order) throws IOException {
+    private void execute(String[] order) throws IOException {
         switch (order[0]) {
             case "zones" -> zones.addAll(List.of(order).subList(1, order.length));
             case "seeds" -> seeds.addAll(List.of(order).subList(1, order.length));
             case "real" -> {
                 for (int i = 1; i < order.length; i++) {
-                    realOnes.add(InetAddress.getByName(order[i]));
+                    realAddresses.add(InetAddress.getByName(order[i]));
                 }
             }
             case "new" ->
                     proxies.put(
                             Integer.parseInt(order[1]),
-                            new Proxy(order[2], address(order[3]), address(order[4])));
+                            new SimulatedProxy(
+                                    order[2], parseAddress(order[3]), parseAddress(order[4])));
             case "start" -> {
-                for (Proxy proxy : named(order)) {
+                for (SimulatedProxy proxy : selectProxies(order)) {
                     proxy.start();
                 }
             }
-            case "kill" -> named(order).forEach(Proxy::kill);
-            case "cut" -> cuts.set(between(order));
+            case "kill" -> selectProxies(order).forEach(SimulatedProxy::kill);
+            case "cut" -> cuts.set(partitionMatrix(order));
             case "held" -> {
                 long version = Long.parseLong(order[1]);
                 System.out.println(
                         "held "
                                 + order[1]
                                 + " "
-                                + living().size()
+                                + runningProxies().size()
                                 + " "
-                                + living().stream().filter(p -> p.heldAt(version) >= 0).count());
+                                + runningProxies().stream()
+                                        .filter(p -> p.heldAt(version) >= 0)
+                                        .count());
             }
             case "times" -> {
                 StringBuilder line = new StringBuilder("times ").append(order[1]);
                 proxies.forEach(
                         (number, proxy) -> {
-                            if (proxy.part != null) {
+                            if (proxy.discoveryClient != null) {
                                 line.append(' ')
                                         .append(number)
                                         .append(':')
@@ -214,10 +220,10 @@
             case "views" -> {
                 StringBuilder line = new StringBuilder("views");
                 int every = Math.max(1, proxies.size() / Integer.parseInt(order[1]));
-                List<Proxy> asked = living();
-                for (int i = 0; i < asked.size(); i += every) {
-                    if (asked.get(i).members != null) {
-                        MembershipView view = asked.get(i).members.view();
+                List<SimulatedProxy> running = runningProxies();
+                for (int i = 0; i < running.size(); i += every) {
+                    if (running.get(i).membership != null) {
+                        MembershipView view = running.get(i).membership.view();
                         line.append(' ').append(view.liveCount());
                     }
                 }
@@ -227,16 +233,16 @@
         }
     }
 
-    private List<Proxy> living() {
-        return proxies.values().stream().filter(p -> p.part != null).toList();
+    private List<SimulatedProxy> runningProxies() {
+        return proxies.values().stream().filter(p -> p.discoveryClient != null).toList();
     }
 
     /** The proxies whose numbers follow; all where none does. */
-    private List<Proxy> named(String[] order) {
+    private List<SimulatedProxy> selectProxies(String[] order) {
         if (order.length == 1) {
             return List.copyOf(proxies.values());
         }
-        List<Proxy> named = new ArrayList<>();
+        List<SimulatedProxy> named = new ArrayList<>();
         for (int i = 1; i < order.length; i++) {
             named.add(proxies.get(Integer.parseInt(order[i])));
         }
@@ -246,7 +252,7 @@
     /**
      * Zones in groups, each a word of numbers joined by commas, that are cut off from one another.
      */
-    private boolean[][] between(String[] groups) {
+    private boolean[][] partitionMatrix(String[] groups) {
         boolean[][] cut = new boolean[zones.size()][zones.size()];
         int[] group = new int[zones.size()];
         for (int g = 1; g < groups.length; g++) {
@@ -262,7 +268,7 @@
         return cut;
     }
 
-    private static InetSocketAddress address(String text) {
+    private static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(
                 text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
@@ -271,31 +277,33 @@
     /**
      * Each second, what passed: of all hollow proxies, of the one that sent most, and of real ones.
      */
-    private void tell() {
+    private void reportEachSecond() {
         try {
             while (true) {
                 // One more: a nap of whole milliseconds must not end before the second does.
-                Thread.sleep((SECOND - System.nanoTime() % SECOND) / 1_000_000 + 1);
-                long second = System.nanoTime() / SECOND - 1;
-                long[] all = new long[4];
-                long most = 0;
-                for (Proxy proxy : List.copyOf(proxies.values())) {
+                Thread.sleep(
+                        (NANOS_PER_SECOND - System.nanoTime() % NANOS_PER_SECOND) / 1_000_000 + 1);
+                long second = System.nanoTime() / NANOS_PER_SECOND - 1;
+                long[] totals = new long[4];
+                long maxBytesOut = 0;
+                for (SimulatedProxy proxy : List.copyOf(proxies.values())) {
                     long[] own = proxy.traffic.take();
-                    for (int i = 0; i < all.length; i++) {
-                        all[i] += own[i];
+                    for (int i = 0; i < totals.length; i++) {
+                        totals[i] += own[i];
                     }
-                    most = Math.max(most, own[1]);
+                    maxBytesOut = Math.max(maxBytesOut, own[1]);
                 }
-                long[] seen = real.take();
-                System.out.println("second " + second + " hollow " + words(all) + " " + most);
-                System.out.println("second " + second + " real " + words(seen) + " 0");
+                long[] seen = realTraffic.take();
+                System.out.println(
+                        "second " + second + " hollow " + join(totals) + " " + maxBytesOut);
+                System.out.println("second " + second + " real " + join(seen) + " 0");
             }
         } catch (InterruptedException e) {
             // The process ends.
         }
     }
 
-    private static String words(long[] numbers) {
+    private static String join(long[] numbers) {
         StringBuilder line = new StringBuilder();
         for (long number : numbers) {
             line.append(line.length() == 0 ? "" : " ").append(number);
--- a/src/test/java/cottonlock/lab/scale/HollowHostTest.java
+++ b/src/test/java/cottonlock/lab/scale/SimulatedProxyHostTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.Example;
 
 /** A process of simulated proxies, told what to do as a scale run tells it. */
-class HollowHostTest {
+class SimulatedProxyHostTest {
     private static final int PROXIES = 4;
     private static final int RESTARTS = 400;
 
@@ -29,7 +29,7 @@
                                 ServeCommand.java(),
                                 "-cp",
                                 System.getProperty("java.class.path"),
-                                HollowHost.class.getName(),
+                                SimulatedProxyHost.class.getName(),
                                 "1",
                                 Path.of("deploy", "operator.example.toml").toString())
                         .redirectError(log)
