--- a/src/main/java/cottonlock/lab/scale/Change.java
+++ b/src/main/java/cottonlock/lab/scale/Change.java
@@ -4,24 +4,30 @@
 import java.util.Collections;
 import java.util.List;
 
-/** One change of the list, and when it was in force at each proxy. */
+/**
+ * A change of the endpoint list or of the configuration, and how long it took to be in force at
+ * each proxy.
+ */
 final class Change {
     final long version;
 
-    /** Nanoseconds, by the clock that all processes share, when control was told. */
+    /**
+     * When the change was sent ({@link System#nanoTime}, which all processes of a machine share).
+     */
     final long sentAt;
 
     /**
-     * For some, it could not come before then: those that were cut off, or not there; 0: nobody.
+     * Earliest time at which the change could reach the proxies that were cut off; 0 if none was.
      */
     long reachableAt;
 
-    /** Nanoseconds that it took, one for each proxy that has it, and how many have not. */
+    /** Delay until the change was in force, one value for each proxy that holds it. */
     final List<Long> delaysNanos = new ArrayList<>();
 
+    /** Number of proxies that do not hold the change. */
     int missing;
 
-    /** How many had it before it could come to them. */
+    /** Number of cut-off proxies that held the change before it could reach them. */
     int earlyCount;
 
     Change(long version, long sentAt) {
@@ -38,7 +44,10 @@
         }
     }
 
-    /** Milliseconds until in force at a part of all; -1 where it never was at so many. */
+    /**
+     * Returns the milliseconds until the change was in force at a fraction of the proxies; -1 if it
+     * never was at that many.
+     */
     double inForceMillis(double fraction) {
         int all = delaysNanos.size() + missing;
         int index = (int) Math.ceil(fraction * all) - 1;
--- a/src/main/java/cottonlock/lab/scale/ChildProcess.java
+++ b/src/main/java/cottonlock/lab/scale/ChildProcess.java
@@ -14,11 +14,12 @@
 import java.util.function.Consumer;
 
 /**
- * A process of the run's that takes orders by lines and answers by lines. It ends when its input
- * does, so none is left when the run itself is killed.
+ * A child process of the run that reads orders from its standard input and writes answers and
+ * reports to its standard output, one per line. It exits at the end of its input, so none is left
+ * when the run itself is killed.
  */
 final class ChildProcess {
-    /** Seconds for an answer, on a machine with no core to spare. */
+    /** Time limit for an answer, long enough for a machine with no core to spare. */
     private static final long ANSWER_TIMEOUT_SECONDS = 60;
 
     final String name;
@@ -29,8 +30,8 @@
     private volatile boolean ended;
 
     /**
-     * Starts one; lines that begin with one of the words of news go to whom, on a thread of their
-     * own.
+     * Starts the process. Lines that begin with one of {@code reportPrefixes} go to {@code
+     * reportListener}, on the reader thread; all other lines are answers.
      */
     ChildProcess(
             String name,
@@ -79,7 +80,7 @@
                                     }
                                 }
                             } catch (IOException e) {
-                                // It has been ended.
+                                // The process has ended.
                             }
                             answers.add("");
                         },
@@ -118,7 +119,10 @@
         }
     }
 
-    /** The next answer, without its end of line. */
+    /**
+     * Returns the next answer without its line end; throws if none arrives in time or the process
+     * has ended.
+     */
     String readAnswer() throws IOException, InterruptedException {
         String answer = answers.poll(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (answer == null || answer.isEmpty()) {
@@ -132,24 +136,24 @@
         try {
             logText = Files.size(log) < 1 << 16 ? Files.readString(log).strip() : "see its log";
         } catch (IOException e) {
-            // There is none.
+            // There is no log.
         }
         return new IOException(
                 name + (isAlive() ? " does not answer" : " has ended") + ": " + logText);
     }
 
-    /** Ends it as SIGKILL does, and waits for its end. */
+    /** Kills the process (SIGKILL) and waits for its end. */
     void kill() throws InterruptedException {
         ended = true;
         process.destroyForcibly().waitFor();
     }
 
-    /** Whether it ended although nobody ended it. */
+    /** Returns whether the process ended although the run did not end it. */
     boolean endedUnexpectedly() {
         return !ended && !process.isAlive();
     }
 
-    /** For a run that ends: does not wait. */
+    /** Kills the process without waiting, at the end of a run. */
     void destroy() {
         ended = true;
         process.destroyForcibly();
--- a/src/main/java/cottonlock/lab/scale/ConfigurationChannel.java
+++ b/src/main/java/cottonlock/lab/scale/ConfigurationChannel.java
@@ -3,20 +3,19 @@
 import java.io.IOException;
 import java.util.Map;
 
-/**
- * A way by which a change of configuration comes to proxies, and what is known of where it is in
- * force.
- */
+/** Sends configuration changes to proxies and reports where they are in force. */
 interface ConfigurationChannel {
-    /** Its name in reports. */
+    /** Returns the name of the channel in reports. */
     String name();
 
-    /** Sends a change, of that number from 1 on, to all that it reaches. */
+    /**
+     * Sends the change with this number, counted from 1, to all proxies that the channel reaches.
+     */
     void send(long number) throws IOException;
 
     /**
-     * By proxy, when the change of that number was in force first ({@link System#nanoTime}, which
-     * all processes of a machine share); -1: it is not.
+     * Returns, by proxy, when the change was first in force ({@link System#nanoTime}, which all
+     * processes of a machine share); -1 if it is not.
      */
     Map<Integer, Long> inForceAt(long number);
 }
--- a/src/main/java/cottonlock/lab/scale/ControlStandIn.java
+++ b/src/main/java/cottonlock/lab/scale/ControlStandIn.java
@@ -20,19 +20,20 @@
 import java.util.Set;
 
 /**
- * The stand-in of one machine of control, a process of its own: it tells the list whole and as a
- * watch, takes so many calls a second and lets the others wait their turn, and counts bytes and
- * messages each way for each role. What changed before it started it does not know: whoever held an
- * older list is told the whole.
+ * Simulates one control machine in a process of its own. It serves the endpoint list, first
+ * complete and then as a watch, limits the rate of answered calls and queues the others, and counts
+ * bytes and messages in each direction for each role. It has no history from before its start: a
+ * caller that holds an older list gets the complete one.
  *
- * <p>The run tells it by lines on its standard input: {@code entry SEQ ID JSON}, {@code push} (what
- * came since goes to all watches), {@code from SEQ} (what was told is as of then, nothing older is
- * known), {@code open ROLE ADDRESS}. It ends with its input.
+ * <p>The run sends it orders as lines on its standard input: {@code entry SEQ ID JSON} queues a
+ * changed entry, {@code push} sends the queued entries to all watchers, {@code from SEQ} sets the
+ * current version and forgets all older changes, {@code open ROLE ADDRESS} listens at an address.
+ * The process exits at the end of its input.
  */
 final class ControlStandIn {
     /**
-     * Nanoseconds between empty lines of a watch at rest, as the machines that it stands for send
-     * them.
+     * Nanoseconds between the empty lines that keep a watch alive, the interval of real control
+     * machines.
      */
     private static final long HEARTBEAT_NANOS = 2_000_000_000L;
 
@@ -42,10 +43,10 @@
             ascii("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     private static final byte[] EMPTY_LINE = chunk("\n");
 
-    /** Changes of the list: what one batch told, as the watches got it. */
+    /** A batch of changed entries, by id, and the version at which it was sent. */
     private record ListChange(long seq, List<String> ids) {}
 
-    /** What passed of one role within the second. */
+    /** Traffic with the proxies of one role since the last report. */
     private static final class Traffic {
         long bytesIn;
         long bytesOut;
@@ -62,7 +63,7 @@
         final Deque<ByteBuffer> unsent = new ArrayDeque<>();
         SelectionKey key;
 
-        /** Bytes out within the second that has this number. */
+        /** The second, of {@link System#nanoTime}, that bytesInSecond belongs to. */
         long countedSecond;
 
         long bytesInSecond;
@@ -107,7 +108,10 @@
             }
         }
 
-        /** The call's turn has come. */
+        /**
+         * Answers the queued call: sends the changes since the version that it names, or the
+         * complete list, and adds the connection to the watchers.
+         */
         void answerCall() {
             int at = request.indexOf("index=");
             int stop = request.indexOf(" ", Math.max(0, at));
@@ -129,7 +133,7 @@
             watchers.add(this);
         }
 
-        /** Sends a line of the list. */
+        /** Sends a line with list entries. */
         void sendListLine(byte[] line) {
             traffic.linesOut++;
             send(line);
@@ -172,7 +176,7 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                // It is closed all the same.
+                // Nothing to do: the connection is already out of use.
             }
         }
     }
@@ -180,7 +184,7 @@
     private final Loop loop = new Loop();
     private final ByteBuffer buffer = ByteBuffer.allocate(16 << 10);
 
-    /** Nanoseconds between two calls that are answered. */
+    /** Minimum time between two answered calls, in nanoseconds. */
     private final long answerIntervalNanos;
 
     private final Map<String, String> entries = new LinkedHashMap<>();
@@ -199,7 +203,10 @@
         answerIntervalNanos = (long) (NANOS_PER_SECOND / callsASecond);
     }
 
-    /** The process; its argument: calls a second. */
+    /**
+     * Runs one simulated control machine; the argument is the number of calls that it answers per
+     * second.
+     */
     public static void main(String[] args) throws IOException {
         ControlStandIn machine = new ControlStandIn(Double.parseDouble(args[0]));
         Thread reader = new Thread(machine::readOrders, "orders");
@@ -219,7 +226,7 @@
                 loop.post(() -> execute(order));
             }
         } catch (IOException e) {
-            // The run is gone, and this process ends with it.
+            // The process of the run has ended; this one exits too.
         }
         Runtime.getRuntime().halt(0);
     }
@@ -252,13 +259,13 @@
         changes.add(new ListChange(seq, List.copyOf(pendingEntries.keySet())));
         byte[] line = chunk(formatList(false, pendingEntries.values()));
         List.copyOf(watchers).forEach(connection -> connection.sendListLine(line));
-        // What left is told once, and is no part of whole lists.
+        // An entry that left the list is sent once and is not part of complete lists.
         entries.values().removeIf(json -> json.contains("\"health\":\"left\""));
         pendingEntries.clear();
         completeListLine = null;
     }
 
-    /** The list, or what changed since. */
+    /** Returns the complete list, or the entries changed since a version, as JSON. */
     private String listJson(boolean all, long since) {
         if (all) {
             return formatList(true, entries.values());
@@ -340,7 +347,7 @@
         loop.after(HEARTBEAT_NANOS, this::sendHeartbeats);
     }
 
-    /** What passed within the second that has just ended. */
+    /** Prints the traffic of each role in the second that just ended, and how late tasks ran. */
     private void reportSecond() {
         long second = System.nanoTime() / NANOS_PER_SECOND - 1;
         trafficByRole.forEach(
--- a/src/main/java/cottonlock/lab/scale/ProxyMeasure.java
+++ b/src/main/java/cottonlock/lab/scale/ProxyMeasure.java
@@ -17,26 +17,29 @@
 import java.util.SplittableRandom;
 
 /**
- * What one process of {@code serve} costs against the number of backends in its list: memory,
- * threads, the time of its start, its processor time, and the bytes of a whole list on the wire.
- * First nothing is sent through it: what is measured is the list alone. Then calls come at an even
- * chance at the operators' rate, and what they cost is measured too. Discovery is a stand-in that
- * tells the whole list once and then beats as the real one does; {@link Calls} stands in for
+ * Measures what one {@code serve} process costs as a function of the number of backends in its
+ * list: memory, threads, start time, processor time, and the bytes of a complete list on the wire.
+ * First no calls are sent through it, to measure the list alone. Then calls arrive at random times
+ * at the rate of the operators' design, and their cost is measured too. Discovery is simulated: it
+ * sends the complete list once and then heartbeats as the real one does; {@link Calls} simulates
  * backends and clients.
  */
 final class ProxyMeasure {
     /**
-     * Milliseconds of lateness above which a start's time says more of the machine than of the
-     * start.
+     * Limit of the measured lateness, in milliseconds: above it, the start time reflects the
+     * machine rather than the proxy.
      */
     private static final double MAX_LATE_MILLIS = 200;
 
-    /** Milliseconds: the list is read and compiling is over; then it is watched at rest. */
+    /**
+     * Time for the proxy to read the list and to finish compiling; after it, the idle proxy is
+     * measured.
+     */
     private static final long SETTLE_MILLIS = 3_000;
 
     private static final long IDLE_MILLIS = 6_000;
 
-    /** Milliseconds of calls before they count, and while they do. */
+    /** Time with calls before the measurement, and during it. */
     private static final long WARM_UP_MILLIS = 6_000;
 
     private static final long MEASURE_MILLIS = 8_000;
@@ -46,10 +49,10 @@
     /** The kernel counts processor time in hundredths of a second. */
     private static final double CPU_TICKS_PER_SECOND = 100;
 
-    /** It tells memory in units of 1,024 bytes. */
+    /** The kernel reports memory in units of 1,024 bytes. */
     private static final double KB_PER_MB = 1_024;
 
-    /** The platform's memory for a proxy and its sockets, as deploy/jvm.options is made for. */
+    /** Memory and sockets that the platform gives a proxy, which deploy/jvm.options is made for. */
     private static final int MEMORY_MB = 128;
 
     private static final int SOCKETS = 1_024;
@@ -58,14 +61,14 @@
     private final long seed;
     private final double callsPerSecond;
 
-    /** Rate: calls a second. */
+    /** Creates a measurement; nothing is started yet. */
     ProxyMeasure(int entries, long seed, double callsPerSecond) {
         this.entries = entries;
         this.seed = seed;
         this.callsPerSecond = callsPerSecond;
     }
 
-    /** Plays it and writes the result; returns its verdict. */
+    /** Runs the measurement and writes the result; returns the verdict. */
     String play(Path result, String command, String commit)
             throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("cottonlock-proxy");
@@ -158,7 +161,10 @@
         }
     }
 
-    /** As deploy/balancer.toml starts it, from the jar and the folder that this is called in. */
+    /**
+     * Returns the command of deploy/balancer.toml, with the jar and the options below the current
+     * folder.
+     */
     private static List<String> serveCommand() throws IOException {
         Path options = Path.of("deploy", "jvm.options");
         Path jar = Path.of("target", "cottonlock.jar");
@@ -175,7 +181,10 @@
                 "serve");
     }
 
-    /** A whole list as discovery tells it: names, places and addresses of the usual length. */
+    /**
+     * Returns a complete list as discovery sends it, with names, places and addresses of typical
+     * length.
+     */
     private String listJson(int port) {
         SplittableRandom random = new SplittableRandom(seed);
         List<String> hosts = new ArrayList<>();
@@ -244,7 +253,7 @@
         }
     }
 
-    /** The stand-in of discovery: the whole list, then an empty line every two seconds. */
+    /** Simulates discovery: sends the complete list, then an empty line every two seconds. */
     private static void serveList(ServerSocket socket, String list, long[] wireBytes) {
         while (!socket.isClosed()) {
             try (Socket watch = socket.accept()) {
@@ -273,14 +282,17 @@
                     out.write("1\r\n\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
                 }
             } catch (IOException e) {
-                // The proxy ended its watch, or the measure is over: the loop tells which.
+                // The proxy closed its watch, or the measurement is over; the loop condition tells
+                // which.
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    /** Milliseconds from the start of the process to its first 200 of /_health. */
+    /**
+     * Returns the milliseconds from the start of the process to its first 200 response to /_health.
+     */
     private static double awaitFirstOk(Process process, int port, long startedAt, Path log)
             throws IOException, InterruptedException {
         byte[] request =
@@ -295,7 +307,7 @@
                     return (System.nanoTime() - startedAt) / 1e6;
                 }
             } catch (IOException e) {
-                // It does not listen yet.
+                // The proxy does not listen yet.
             }
             if (!process.isAlive()
                     || System.nanoTime() - startedAt > START_TIMEOUT_MILLIS * 1_000_000) {
--- a/src/main/java/cottonlock/lab/scale/RealProxy.java
+++ b/src/main/java/cottonlock/lab/scale/RealProxy.java
@@ -16,24 +16,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A proxy as deploy/balancer.toml starts it, and a thread that asks it as operators do what it
- * holds, while a change is under way.
+ * A {@code serve} process started as deploy/balancer.toml starts it, with a thread that polls its
+ * management interface while a change is pending.
  */
 final class RealProxy {
-    /**
-     * Milliseconds for a process to serve, to answer a call, between two calls, and to end by
-     * itself.
-     */
+    /** Time limit for the process to start serving. */
     private static final long START_TIMEOUT_MILLIS = 60_000;
 
     private static final int CALL_TIMEOUT_MILLIS = 2_000;
     private static final long POLL_INTERVAL_MILLIS = 100;
     private static final long STOP_TIMEOUT_MILLIS = 6_000;
 
-    /** Characters of its log, the last ones, that are told when it could not be started. */
+    /**
+     * Number of characters from the end of the log that the error quotes when the process fails to
+     * start.
+     */
     private static final int MAX_LOG_CHARS = 600;
 
-    /** A change that is waited for: an id that is to be listed, or not to be. */
+    /** A pending change: a backend id that must be listed, or must no longer be listed. */
     private record ExpectedEntry(String id, boolean listed) {}
 
     final int number;
@@ -48,22 +48,29 @@
     private final Map<Long, ExpectedEntry> expectedEntries = new ConcurrentHashMap<>();
     private final Map<Long, Long> heldAtByVersion = new ConcurrentHashMap<>();
 
-    /** How many files it is to have taken, by number of the change, and when it had. */
+    /**
+     * Pending reloads by change number: the number of successful reloads at which the change is in
+     * force; 0 while no SIGHUP was sent for it.
+     */
     private final Map<Long, Long> pendingReloads = new ConcurrentHashMap<>();
 
     private final Map<Long, Long> reloadedAtByChange = new ConcurrentHashMap<>();
     private volatile Process process;
     private volatile long reloadCount;
 
-    /** The number of the file that it is to have, and whether the process that lives has served. */
+    /** Number of the latest configuration change written to the file. */
     private long requestedChange;
 
+    /** Whether the current process serves requests. */
     private boolean serving;
+
     private volatile boolean ended;
     private int startCount;
 
     /**
-     * Operator: the operator's file; null: none. Operators call it one port above where it listens.
+     * The management interface listens one port above {@code port}.
+     *
+     * @param operatorToml content of the operator file; null for none
      */
     RealProxy(
             int number,
@@ -96,7 +103,7 @@
         return now == null ? -1 : now.pid();
     }
 
-    /** Starts it, and waits until it serves. */
+    /** Starts the process and waits until its management interface reports that it serves. */
     void start() throws IOException, InterruptedException {
         Path file = folder.resolve(name + ".json");
         long read;
@@ -133,15 +140,15 @@
         long until = System.nanoTime() + START_TIMEOUT_MILLIS * 1_000_000;
         while (!"ACK\n".equals(callManagement("HEALTH"))) {
             if (process != started) {
-                // It has been ended on purpose before it served.
+                // The process was stopped on purpose before it served.
                 return;
             }
             if (!started.isAlive() || System.nanoTime() > until) {
-                String told = Files.readString(log).strip();
+                String logText = Files.readString(log).strip();
                 throw new IOException(
                         name
                                 + (started.isAlive() ? " does not serve: " : " has ended: ")
-                                + told.substring(Math.max(0, told.length() - MAX_LOG_CHARS)));
+                                + logText.substring(Math.max(0, logText.length() - MAX_LOG_CHARS)));
             }
             Thread.sleep(20);
         }
@@ -182,7 +189,7 @@
             json.writeArrayFieldStart("Categories");
             json.writeStartObject();
             json.writeStringField("Name", "call");
-            // A changed time is what a change of configuration is here.
+            // Configuration changes differ only in this value.
             json.writeNumberField("DueTime", 500_000 + change);
             json.writeNumberField("Expiry", 2_000_000);
             json.writeEndObject();
@@ -196,15 +203,15 @@
         return text.toString();
     }
 
-    /** A change of the list is waited for from now on. */
+    /** Starts polling for a change of the endpoint list. */
     void await(long version, String id, boolean listed) {
         expectedEntries.put(version, new ExpectedEntry(id, listed));
     }
 
-    /** When it was first seen to hold that change; -1: it was not. */
+    /** Returns when it was first observed to hold that version or a later one; -1 if it was not. */
     long heldAt(long version) {
-        // Whoever holds a later one holds it too, though its id may have left again before it was
-        // asked for.
+        // A later version includes the change, even if the id that was polled for has left the
+        // list again since.
         return heldAtByVersion.entrySet().stream()
                 .filter(e -> e.getKey() >= version)
                 .mapToLong(Map.Entry::getValue)
@@ -213,7 +220,8 @@
     }
 
     /**
-     * Writes its file anew and tells it by SIGHUP: a process that does not serve yet, once it does.
+     * Writes the configuration file again and sends SIGHUP; if the process does not serve yet,
+     * {@link #start} sends the signal once it does.
      */
     synchronized void reload(long change) throws IOException {
         requestedChange = change;
@@ -225,31 +233,35 @@
     }
 
     /**
-     * Before the program has a handler for it, SIGHUP ends a JVM: seen in a restart amid a change.
+     * Sends SIGHUP; call it only once the process serves. Before the program installs its handler,
+     * SIGHUP ends the JVM, which happened when a restart coincided with a change.
      */
     private void sendHangup() throws IOException {
         pendingReloads.replaceAll((change, count) -> reloadCount + 1);
         new ProcessBuilder("kill", "-HUP", Long.toString(pid())).start();
     }
 
-    /** When it was first seen to have taken that file; -1: it was not. */
+    /**
+     * Returns when it was first observed to have loaded that configuration change; -1 if it was
+     * not.
+     */
     long reloadedAt(long change) {
         return reloadedAtByChange.getOrDefault(change, -1L);
     }
 
-    /** Asks, while something is waited for, until the process is ended for good. */
+    /** Polls for pending changes until {@link #destroy} is called. */
     void pollUntilEnded() {
         try {
             while (!ended) {
                 Thread.sleep(POLL_INTERVAL_MILLIS);
-                for (Map.Entry<Long, ExpectedEntry> one : expectedEntries.entrySet()) {
-                    // Takes back what nobody has taken out: changes nothing, and tells whether it
-                    // is listed.
+                for (Map.Entry<Long, ExpectedEntry> expected : expectedEntries.entrySet()) {
+                    // ONLINE undoes a manual ejection. No backend is ejected here, so it changes
+                    // nothing, and the answer tells whether the backend is listed.
                     String answer =
-                            isAlive() ? callManagement("ONLINE " + one.getValue().id) : null;
-                    if (answer != null && answer.equals("ACK\n") == one.getValue().listed) {
-                        heldAtByVersion.put(one.getKey(), System.nanoTime());
-                        expectedEntries.keySet().removeIf(version -> version <= one.getKey());
+                            isAlive() ? callManagement("ONLINE " + expected.getValue().id) : null;
+                    if (answer != null && answer.equals("ACK\n") == expected.getValue().listed) {
+                        heldAtByVersion.put(expected.getKey(), System.nanoTime());
+                        expectedEntries.keySet().removeIf(version -> version <= expected.getKey());
                     }
                 }
                 if (!pendingReloads.isEmpty() && isAlive()) {
@@ -271,11 +283,11 @@
                 }
             }
         } catch (InterruptedException e) {
-            // The run is over.
+            // The run has ended.
         }
     }
 
-    /** How many members its view holds that may live; -1 where it does not tell. */
+    /** Returns the number of members alive in its view; -1 if it does not report one. */
     int aliveMembers() {
         String members = callManagement("MEMBERS");
         return members == null || !members.contains(" alive=")
@@ -301,7 +313,7 @@
         return now;
     }
 
-    /** Ends it as SIGKILL does. */
+    /** Kills the process (SIGKILL) and waits for its end. */
     void kill() throws InterruptedException {
         Process now = detachProcess();
         if (now != null) {
@@ -309,7 +321,7 @@
         }
     }
 
-    /** Ends it as SIGTERM does. */
+    /** Stops the process (SIGTERM), and kills it if it does not exit in time. */
     void terminate() throws InterruptedException {
         Process now = detachProcess();
         if (now != null) {
@@ -320,7 +332,7 @@
         }
     }
 
-    /** For a run that ends: does not wait, and nothing starts after it. */
+    /** Kills the process without waiting and prevents further starts, at the end of a run. */
     synchronized void destroy() {
         ended = true;
         Process now = process;
--- a/src/main/java/cottonlock/lab/scale/ReloadChannel.java
+++ b/src/main/java/cottonlock/lab/scale/ReloadChannel.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 
 /**
- * A file for each real proxy, read again by SIGHUP: nothing carries it to them, the run writes it
- * itself.
+ * Writes the configuration file of each real proxy and makes it reload the file by SIGHUP. No
+ * transport is involved: the run writes the files itself.
  */
 final class ReloadChannel implements ConfigurationChannel {
     private final Map<Integer, RealProxy> proxies;
--- a/src/main/java/cottonlock/lab/scale/ScaleEvent.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleEvent.java
@@ -5,17 +5,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** One part of the timeline as it was played. */
+/** One event of the timeline and what was measured of it. */
 final class ScaleEvent {
     final String name;
 
-    /** Seconds of the shared clock. */
+    /** First second, in seconds of {@link System#nanoTime}, which all processes share. */
     final long fromSecond;
 
+    /** Second after the last one; the same as fromSecond until the event has ended. */
     long toSecond;
+
     final List<Change> changes = new ArrayList<>();
 
-    /** What else is told of it. */
+    /** Further figures for the report, by field name. */
     final Map<String, Double> figures = new LinkedHashMap<>();
 
     ScaleEvent(String name, long fromSecond) {
@@ -24,14 +26,14 @@
         this.toSecond = fromSecond;
     }
 
-    /** Whether it was played to its end; of one that was not, nothing is told. */
+    /** Returns whether the event ran to its end; one that did not is left out of the report. */
     boolean completed() {
         return toSecond > fromSecond;
     }
 
     /**
-     * The worst of its changes, milliseconds; -1 where one was not in force at so many, or none was
-     * made.
+     * Returns the longest time in milliseconds until one of its changes was in force at a fraction
+     * of the proxies; -1 if one never was at that many, or if there was no change.
      */
     double worstInForceMillis(double fraction) {
         double worst = -1;
--- a/src/main/java/cottonlock/lab/scale/ScaleFile.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleFile.java
@@ -14,31 +14,34 @@
 
 /** A scale run as read from its file; docs/lab.md lists every key with unit, range and default. */
 final class ScaleFile {
-    /** Every part of the timeline, in the order in which they are played. */
+    /** All events of the timeline, in the order in which they run. */
     static final List<String> EVENTS =
             List.of("ordinary", "rack", "zone", "regions", "control_killed", "control_restarted");
 
     private static final String NAME_PATTERN = "[A-Za-z0-9._-]{1,40}";
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** The proxies: how many, how many of them real, and how they are laid out. */
+    /** The proxies: their number, how many are real processes, and how they are laid out. */
     record Fleet(int size, int real, int perJvm, int regions, int zones, int racks, int services) {}
 
     /**
-     * The machines of control: calls a second of each; time until another takes a dead one's
-     * address.
+     * The control machines: their number, the calls per second that each answers, and the time
+     * until another machine takes over the address of a dead one.
      */
     record Control(int machines, double callsPerSecond, long takeoverNanos) {}
 
-    /** An ordinary day, of which a part is played within a time. */
+    /** The changes of an ordinary day, of which a fraction is played within a duration. */
     record Day(int changes, int restarts, int failures, double playedFraction, long durationNanos) {
-        /** How many of so many a day are played: one at least where there are any. */
+        /**
+         * Returns how many of {@code aDay} occurrences per day are played: at least one if there
+         * are any.
+         */
         int playedCount(int aDay) {
             return aDay == 0 ? 0 : (int) Math.max(1, Math.round(aDay * playedFraction));
         }
     }
 
-    /** What must hold; infinite where nothing is said. */
+    /** The bounds of the verdict; infinite if the file sets none. */
     record Expect(double inForceMs, double cpuShare, double rssMb, double bytesPerSecond) {}
 
     final String name;
@@ -49,31 +52,35 @@
     final Day day;
     final List<String> events;
 
-    /** Nanoseconds: until all hold the list, and for a change to be in force, at most. */
+    /** Time limit for all proxies to hold the first list, in nanoseconds. */
     final long settleTimeoutNanos;
 
+    /** Time limit for a change to be in force, in nanoseconds. */
     final long changeTimeoutNanos;
 
-    /** Nanoseconds that something stays lost, and of quiet after each event. */
+    /** Duration of an outage, in nanoseconds. */
     final long outageNanos;
 
+    /** Quiet time after each event, in nanoseconds. */
     final long quietNanos;
+
     final double lateLimitMs;
 
-    /** Parts of the machine's memory, and processes, at most. */
+    /** Maximum number of processes. */
     final int processes;
 
+    /** Maximum memory of the run, in megabytes. */
     final int memoryMb;
 
-    /** Null: the proxies don't know one another. */
+    /** Settings of the membership protocol; null if membership is off. */
     final MembershipProtocolConfig membership;
 
-    /** The table of the operator's file. */
+    /** The membership table for the operator file, without the keys that the run sets itself. */
     final String membershipToml;
 
     final Expect expect;
 
-    /** Reads a file with some of its values set anew; a seed of null is the file's. */
+    /** Reads a file with some of its values overridden; a null seed keeps that of the file. */
     static ScaleFile read(Path file, List<String> sets, Long seed)
             throws InvalidConfigurationException {
         ConfigurationDocument doc = ConfigurationDocument.toml(file);
@@ -84,7 +91,8 @@
             doc.set("seed=" + seed);
         }
         if (!doc.has("membership") || !Fields.of(doc).table("membership").has("enabled")) {
-            // Unlike in service it is on here: it is a part of what control costs.
+            // Unlike in production, membership is on by default: it is part of the cost of the
+            // control plane.
             doc.set("membership.enabled=true");
         }
         Fields top = Fields.of(doc);
@@ -95,7 +103,7 @@
         return read;
     }
 
-    /** Whether a TOML file is one of these, by what only they have. */
+    /** Returns whether a TOML file describes a scale run: only those have the key {@code fleet}. */
     static boolean isScaleFile(Path file) throws InvalidConfigurationException {
         return ConfigurationDocument.toml(file).has("fleet");
     }
@@ -153,7 +161,7 @@
         memoryMb = bounds.integer("memory_mb", Integer.MAX_VALUE, 64, Integer.MAX_VALUE);
         Fields m = top.table("membership");
         membershipToml = m.toToml(Set.of("enabled", "listen", "advertise", "seeds"));
-        // The process's own reader, so that a file means here what it means in service.
+        // Uses the production reader, so that the table means the same here as in production.
         MembershipConfig plan = MembershipTable.read(m, file);
         membership = plan == null ? null : plan.protocol();
         if (membership != null && membership.maxMembers() < fleet.size) {
@@ -181,7 +189,7 @@
         return (long) (NANOS_PER_SECOND * f.number(key, defaultSeconds, 0.1, 600));
     }
 
-    /** Names of the zones, as the settings have them. */
+    /** Returns the names of the zones, as in the settings. */
     List<String> zoneNames() {
         List<String> names = new ArrayList<>();
         for (int z = 0; z < fleet.zones; z++) {
--- a/src/main/java/cottonlock/lab/scale/ScaleLab.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleLab.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * What the command line and the tests use of scale runs; the exit status is as the lab's
- * (docs/lab.md).
+ * Entry points of scale runs for the command line and the tests; docs/lab.md lists the exit
+ * statuses.
  */
 public final class ScaleLab {
     private static final int UNUSABLE_STATUS = 2;
@@ -19,27 +19,27 @@
     private final PrintStream out;
     private final PrintStream err;
 
-    /** Verdicts go to out; progress and faults to err. */
+    /** Prints verdicts to {@code out}, progress and errors to {@code err}. */
     public ScaleLab(PrintStream out, PrintStream err) {
         this.out = out;
         this.err = err;
     }
 
-    /** Checks a file without playing it; throws what is wrong. */
+    /** Checks a file without running it; throws if it is invalid. */
     public static void check(Path file) throws InvalidConfigurationException {
         ScaleFile.read(file, List.of(), null);
     }
 
-    /** Whether a TOML file is one of a scale run. */
+    /** Returns whether a TOML file describes a scale run. */
     public static boolean isScaleFile(Path file) throws InvalidConfigurationException {
         return ScaleFile.isScaleFile(file);
     }
 
     /**
-     * Plays one, and prints the verdict as the last line.
+     * Runs a scale file and prints the verdict as the last line.
      *
-     * @param seed null for the file's own
-     * @param folder where the report goes; null for nowhere
+     * @param seed null for the seed of the file
+     * @param folder where the report is written; null for none
      */
     public int run(Path file, Long seed, List<String> sets, Path folder) {
         try {
@@ -89,13 +89,13 @@
                 throw e;
             }
         } catch (InterruptedException e) {
-            // It was ended early: what is known is told, without a verdict.
+            // The run was interrupted: the report holds the results so far, without a verdict.
             interrupted[0] = true;
         } finally {
             try {
                 Runtime.getRuntime().removeShutdownHook(hook);
             } catch (IllegalStateException e) {
-                err.println("ended early");
+                err.println("scale run interrupted");
             }
         }
         return new ScaleReport(run, interrupted[0], command);
--- a/src/main/java/cottonlock/lab/scale/ScaleReport.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleReport.java
@@ -16,9 +16,9 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What a run came to: the verdict, a line for people and programs, a JSON object and a page. */
+/** The result of a run: its verdict, the verdict line, a JSON object and an HTML page. */
 final class ScaleReport {
-    /** What a run showed; none where the machine was late or the run was ended. */
+    /** The verdict of a run; none if the machine ran late or the run was interrupted. */
     enum Verdict {
         PASS,
         FAIL,
@@ -37,13 +37,16 @@
     private final ScaleRun run;
     private final ScaleFile file;
 
-    /** Those that were played to their end. */
+    /** The events that ran to their end. */
     private final List<ScaleEvent> events;
 
     private final boolean interrupted;
     private final String command;
 
-    /** Seconds of the shared clock: of the timeline behind the start, and of its ordinary part. */
+    /**
+     * Seconds of {@link System#nanoTime}, ends exclusive: the timeline after the start event, and
+     * the ordinary event.
+     */
     private final long fromSecond;
 
     private final long toSecond;
@@ -124,13 +127,16 @@
                 meanPerInstance(ScaleRun.SIMULATED, What.BYTES_OUT));
     }
 
-    /** For one of the role: over the ordinary part, a second. */
+    /** Returns the mean per second and instance of the role during the ordinary event. */
     private double meanPerInstance(String role, What what) {
         return run.samples().mean(role, ordinaryFromSecond, ordinaryToSecond, what)
                 / Math.max(1, run.roleSize(role));
     }
 
-    /** For one of the role in the mean: the worst second of the timeline. */
+    /**
+     * Returns the value of the worst second of the timeline, divided by the number of instances of
+     * the role.
+     */
     private double worstPerInstance(String role, What what) {
         return run.samples().worst(role, fromSecond, toSecond, what)
                 / Math.max(1, run.roleSize(role));
@@ -148,7 +154,7 @@
         return brokenBounds;
     }
 
-    /** The last line of standard output. */
+    /** Returns the last line of standard output. */
     String verdictLine() {
         double inForce =
                 events.stream()
@@ -312,7 +318,9 @@
         json.writeEndObject();
     }
 
-    /** A negative one is not there: it was not measured, or never came about. */
+    /**
+     * Writes a number; a negative one is left out, since it was not measured or was never reached.
+     */
     private static void writeNumber(JsonGenerator json, String name, double value)
             throws IOException {
         if (value >= 0) {
@@ -324,7 +332,7 @@
         }
     }
 
-    /** The short name of the sources' commit; empty where that is not known. */
+    /** Returns the short id of the commit of the sources; empty if it is not known. */
     private static String gitCommit() throws IOException {
         Process git = null;
         try {
--- a/src/main/java/cottonlock/lab/scale/ScaleRun.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleRun.java
@@ -24,20 +24,20 @@
 import java.util.concurrent.Future;
 import java.util.function.Consumer;
 
-/** One scale run: builds the fleet, plays the timeline, and ends all. */
+/** One scale run: starts the fleet, runs the timeline and ends all processes. */
 final class ScaleRun {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    /** Threads that start and end real proxies: each start takes half a core for half a second. */
+    /** Threads that start real proxies: each start takes half a core for half a second. */
     private static final int STARTER_THREADS = 6;
 
-    /** Milliseconds between two questions whether a change is in force. */
+    /** Milliseconds between two queries whether a change is in force. */
     private static final long POLL_INTERVAL_MILLIS = 100;
 
-    /** Addresses at which the others may be found, at most. */
+    /** Maximum number of membership seeds. */
     private static final int MAX_SEEDS = 8;
 
-    /** Views of each process that are looked at. */
+    /** Number of membership views that are sampled in each process of simulated proxies. */
     private static final int VIEWS_PER_PROCESS = 5;
 
     private static final List<String> REPORT_PREFIXES = List.of("second", "late");
@@ -55,22 +55,22 @@
     private final Map<Integer, ChildProcess> hostByProxy = new HashMap<>();
     private final Map<Integer, RealProxy> realProxies = new ConcurrentSkipListMap<>();
 
-    /** By number; null while it is dead. */
+    /** By machine number; null while the machine is down. */
     private final ChildProcess[] controlMachines;
 
-    /** The list: each proxy's backend, by id. */
+    /** The endpoint list: the JSON entry of each proxy's backend, by id. */
     private final Map<String, String> entries = new LinkedHashMap<>();
 
     private final int[] replacements;
     private final Set<Integer> stoppedProxies = new HashSet<>();
 
-    /** Machines of control whose changes are kept back, and the orders that wait for them. */
+    /** Orders withheld from control machines that are cut off, by machine number. */
     private final Map<Integer, List<String>> withheldOrders = new TreeMap<>();
 
     private final ExecutorService startExecutor = Executors.newFixedThreadPool(STARTER_THREADS);
     private final Consumer<String> progress;
 
-    /** The last second of which each process has told what it counted. */
+    /** The last second that each child process has reported, by process name. */
     private final Map<String, Long> lastReportedSecond = new ConcurrentHashMap<>();
 
     private Path folder;
@@ -80,14 +80,19 @@
     private volatile long controlLateMicros;
     private volatile boolean ended;
 
-    /** Seconds until all held the list, and until views agreed as far as they did. */
+    /** Seconds until all proxies held the list; -1 if they did not in time. */
     double listSettledSeconds = -1;
 
+    /** Seconds until the membership views were complete; -1 if they were not in time. */
     double viewsSettledSeconds = -1;
+
+    /** Smallest share of the running proxies in a sampled view; -1 if not measured. */
     double viewShare = -1;
+
+    /** Size of all list entries joined by commas. */
     long completeListBytes;
 
-    /** Builds it; throws, before anything starts, what it would take too much of. */
+    /** Prepares a run; throws, before anything starts, if it would take too much of the machine. */
     ScaleRun(ScaleFile file, Consumer<String> progress) throws InvalidConfigurationException {
         this.file = file;
         this.progress = progress;
@@ -130,7 +135,10 @@
                         : controlMachines.length;
     }
 
-    /** Plays it; when this returns or throws, nothing of it is left. */
+    /**
+     * Runs the timeline; when this returns or throws, its processes are ended and its files
+     * removed.
+     */
     void run() throws IOException, InterruptedException {
         try {
             folder = Files.createTempDirectory("cottonlock-scale");
@@ -154,7 +162,7 @@
         }
     }
 
-    // How it is built
+    // Starting the fleet
 
     private void buildFleet() throws IOException, InterruptedException {
         for (int i = 0; i < file.fleet.size(); i++) {
@@ -202,7 +210,8 @@
                             file.seed + i));
         }
         startProxyHosts(operatorFile, seeds);
-        // First, for a machine on which thousands join at once takes minutes to start a process.
+        // Before the simulated proxies: while thousands of them join at once, the machine takes
+        // minutes to start a process.
         progress.accept("real proxies: " + realProxies.size());
         List<Future<?>> starts = new ArrayList<>();
         for (RealProxy proxy : realProxies.values()) {
@@ -220,7 +229,7 @@
         awaitAll(starts);
         startedAt = System.nanoTime();
         progress.accept(
-                "hollow proxies: "
+                "simulated proxies: "
                         + hostByProxy.size()
                         + " in "
                         + proxyHosts.size()
@@ -242,10 +251,10 @@
     }
 
     private void startProxyHosts(Path operatorFile, List<String> seeds) throws IOException {
-        List<Integer> hollow = new ArrayList<>();
+        List<Integer> simulated = new ArrayList<>();
         for (int i = 0; i < file.fleet.size(); i++) {
             if (!topology.isReal(i)) {
-                hollow.add(i);
+                simulated.add(i);
             }
         }
         for (int h = 0; h < bounds.hosts; h++) {
@@ -264,8 +273,8 @@
                                         " ", topology.real().stream().map(topology::ip).toList()));
             }
             host.send("seeds " + String.join(" ", seeds));
-            for (int k = h; k < hollow.size(); k += bounds.hosts) {
-                int i = hollow.get(k);
+            for (int k = h; k < simulated.size(); k += bounds.hosts) {
+                int i = simulated.get(k);
                 host.send(
                         "new "
                                 + i
@@ -287,7 +296,7 @@
             throws IOException {
         synchronized (startExecutor) {
             if (ended) {
-                throw new IOException("ended early");
+                throw new IOException("the scale run was stopped");
             }
             return new ChildProcess(
                     name,
@@ -306,7 +315,7 @@
     private List<String> seedAddresses() {
         List<String> seeds = new ArrayList<>();
         for (int k = 0; k < MAX_SEEDS; k++) {
-            // Of hollow ones alone: their sockets are there before any process serves.
+            // Only simulated proxies are seeds; they all start together, after the real ones.
             int i = k * file.fleet.size() / MAX_SEEDS;
             while (topology.isReal(i) && i < file.fleet.size() - 1) {
                 i++;
@@ -325,7 +334,7 @@
                 + (bounds.port + 2);
     }
 
-    /** One line of the list: the backend beside a proxy. */
+    /** Returns the list entry of the backend beside a proxy, as JSON. */
     private String entryJson(int proxy, String health) {
         long born = replacements[proxy] == 0 ? 0 : System.currentTimeMillis();
         return "{\"host\":\""
@@ -360,7 +369,10 @@
         controlMachines[machine] = process;
     }
 
-    /** A machine listens at the addresses of one, its own or those that it takes over. */
+    /**
+     * Makes a control machine listen at the addresses of a machine: its own, or those that it takes
+     * over.
+     */
     private void openControlAddresses(int machine, int addresses)
             throws IOException, InterruptedException {
         for (boolean byReal : new boolean[] {false, true}) {
@@ -379,7 +391,7 @@
         }
     }
 
-    // What it is told
+    // Reports of the child processes
 
     private void onReport(String[] words) {
         long second = Long.parseLong(words[1]);
@@ -443,7 +455,7 @@
                 beforeAt = at;
             }
         } catch (InterruptedException e) {
-            // The run is over.
+            // The run has ended.
         }
     }
 
@@ -463,7 +475,7 @@
         return pids;
     }
 
-    // What is asked
+    // Queries
 
     private String[] query(ChildProcess host, String order)
             throws IOException, InterruptedException {
@@ -473,8 +485,8 @@
     }
 
     /**
-     * Waits until all that live hold a version, if that is within the time; returns whether they
-     * do.
+     * Waits until all running proxies hold a version, or until the time is over; returns whether
+     * they do.
      */
     private boolean awaitVersion(long wanted, long timeoutNanos)
             throws IOException, InterruptedException {
@@ -495,7 +507,7 @@
                 return true;
             }
             if (System.nanoTime() > until) {
-                progress.accept("  " + held + " of " + living + " hold it");
+                progress.accept("  " + held + " of " + living + " proxies hold the version");
                 return false;
             }
             Thread.sleep(POLL_INTERVAL_MILLIS);
@@ -503,7 +515,9 @@
     }
 
     /**
-     * Asks everybody when a change was in force; whom: those that count, and those that were late.
+     * Asks all running proxies when a change was in force and records the times.
+     *
+     * @param late the proxies that were cut off when the change was sent
      */
     private void recordInForce(Change change, Set<Integer> late)
             throws IOException, InterruptedException {
@@ -526,12 +540,12 @@
     private void awaitSettled(ScaleEvent start) throws IOException, InterruptedException {
         Change first = new Change(version, startedAt);
         start.changes.add(first);
-        progress.accept("until all hold the list of " + entries.size());
+        progress.accept("waiting until all proxies hold the list; entries: " + entries.size());
         boolean all = awaitVersion(version, file.settleTimeoutNanos);
         recordInForce(first, Set.of());
         listSettledSeconds = all ? first.inForceMillis(1) / 1_000 : -1;
         if (file.membership != null) {
-            progress.accept("until views agree");
+            progress.accept("waiting until the membership views are complete");
             long until = startedAt + file.settleTimeoutNanos;
             do {
                 viewShare = minViewShare();
@@ -545,7 +559,10 @@
         finishEvent(start);
     }
 
-    /** The smallest part of the living that any of the views looked at holds. */
+    /**
+     * Returns the smallest share of the running proxies that any of the sampled views shows as
+     * alive.
+     */
     private double minViewShare() throws IOException, InterruptedException {
         int least = Integer.MAX_VALUE;
         for (ChildProcess host : proxyHosts) {
@@ -560,7 +577,7 @@
         return Math.min(1, least / (double) (file.fleet.size() - stoppedProxies.size()));
     }
 
-    // What is played
+    // Events of the timeline
 
     private ScaleEvent beginEvent(String name) {
         ScaleEvent event = new ScaleEvent(name, System.nanoTime() / NANOS_PER_SECOND);
@@ -572,10 +589,10 @@
     private void finishEvent(ScaleEvent event) throws InterruptedException, IOException {
         for (ChildProcess host : proxyHosts) {
             if (host.endedUnexpectedly()) {
-                throw new IOException(host.name + " has ended");
+                throw new IOException(host.name + " ended unexpectedly");
             }
         }
-        // To the end of a second: what is counted by seconds is then of one event alone.
+        // Waits for the end of a second, so that counts by second belong to one event only.
         long until = System.nanoTime() + file.quietNanos;
         sleepUntil(
                 until
@@ -597,7 +614,10 @@
                         event.missingCount()));
     }
 
-    /** A process that is short of its core tells late what it has counted. */
+    /**
+     * Waits until all child processes have reported a second: one that is short of processor time
+     * reports late.
+     */
     private void awaitReports(long second) throws InterruptedException {
         List<ChildProcess> reporters = new ArrayList<>(proxyHosts);
         for (ChildProcess machine : controlMachines) {
@@ -647,7 +667,10 @@
         return lost;
     }
 
-    /** Tells control that entries are others now; what left is in there too. */
+    /**
+     * Sends changed entries to the control machines; those whose health is {@code left} are removed
+     * from the list.
+     */
     private Change applyChange(Map<String, String> changed) throws IOException {
         version++;
         Change change = new Change(version, System.nanoTime());
@@ -679,7 +702,10 @@
         machine.flush();
     }
 
-    /** A backend is replaced by another: the old one leaves the list as the new one comes. */
+    /**
+     * Replaces the backend beside a proxy: the old one leaves the list in the same change in which
+     * the new one joins it.
+     */
     private Change replaceBackend(ScaleEvent event, int proxy) throws IOException {
         Map<String, String> changed = new LinkedHashMap<>();
         String old = topology.backend(proxy, replacements[proxy]);
@@ -702,8 +728,8 @@
     }
 
     /**
-     * Part of a day: changes of the list, restarts, failures, and one change of the files of real
-     * ones.
+     * Runs a part of an ordinary day: list changes, planned restarts, failures, and one
+     * configuration reload of the real proxies.
      */
     private void runOrdinaryDay(ScaleEvent event) throws IOException, InterruptedException {
         List<Integer> actions = new ArrayList<>();
@@ -788,7 +814,8 @@
     }
 
     /**
-     * Proxies, their backends and machines of control are lost together, and come back together.
+     * Stops proxies, their backends and control machines together, and starts them together after
+     * the outage.
      */
     private void runOutage(ScaleEvent event, Set<Integer> proxies, Set<Integer> machines)
             throws IOException, InterruptedException {
@@ -842,8 +869,8 @@
     }
 
     /**
-     * The regions do not reach one another; a change made in the first comes to the others when
-     * healed.
+     * Cuts the regions off from one another. A change made in the first region reaches the others
+     * once the partition has healed.
      */
     private void runRegionPartition(ScaleEvent event) throws IOException, InterruptedException {
         List<StringBuilder> groups = new ArrayList<>();
@@ -884,8 +911,8 @@
     }
 
     /**
-     * A third of the machines of control are killed; others take over their addresses after a
-     * while.
+     * Kills a third of the control machines; others take over their addresses after the takeover
+     * time.
      */
     private void runControlKilled(ScaleEvent event) throws IOException, InterruptedException {
         List<Integer> killed = new ArrayList<>();
@@ -911,12 +938,11 @@
         awaitVersion(version, file.changeTimeoutNanos);
         recordInForce(duringOutage, Set.of());
         recordInForce(after, Set.of());
-        // The dead machines come back with no address: they are told from the next restart of all
-        // on.
+        // The killed machines stay down until all control machines are restarted.
         event.figures.put("takeover_s", file.control.takeoverNanos() / 1e9);
     }
 
-    /** All machines of control end at once, and begin anew: none knows what changed before. */
+    /** Ends all control machines at once and starts them again without any history of changes. */
     private void runControlRestarted(ScaleEvent event) throws IOException, InterruptedException {
         for (int m = 0; m < controlMachines.length; m++) {
             if (controlMachines[m] != null) {
@@ -929,7 +955,8 @@
         for (int m = 0; m < controlMachines.length; m++) {
             startControlMachine(m);
         }
-        // What changed meanwhile is known to none of the proxies, so each is told the whole list.
+        // No proxy holds this change, and the machines have no history, so each proxy gets the
+        // complete list.
         Change change = replaceBackend(event, randomRunningProxy());
         for (int m = 0; m < controlMachines.length; m++) {
             sendOrders(controlMachines[m], List.of("from " + version));
@@ -940,9 +967,12 @@
         event.figures.put("down_s", (change.sentAt - ended) / 1e9);
     }
 
-    // How it ends
+    // Ending the run
 
-    /** From any thread: ends all processes at once, and what is played fails then. */
+    /**
+     * Ends all processes at once; the event that is running fails then. May be called from any
+     * thread.
+     */
     void stop() {
         synchronized (startExecutor) {
             ended = true;
@@ -969,7 +999,7 @@
                 Files.deleteIfExists(file);
             }
         } catch (IOException | java.io.UncheckedIOException e) {
-            // What is left of it lies in the system's folder for such files.
+            // Files that remain are in the temporary folder of the system.
         }
     }
 }
--- a/src/main/java/cottonlock/lab/scale/SimulatedProxyHost.java
+++ b/src/main/java/cottonlock/lab/scale/SimulatedProxyHost.java
@@ -27,23 +27,23 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 
 /**
- * A process of many hollow proxies. Each has the control part alone, by the classes that serve,
- * with sockets and threads of its own: the list's watch and the list that it tells, and what it
- * knows of the others.
+ * A process that runs many simulated proxies without a data path. Each runs only the control-plane
+ * part, with the production classes and with its own sockets and threads: a discovery client that
+ * watches the endpoint list and, if configured, a membership service.
  *
- * <p>The run tells it by lines on its standard input, and it answers {@code held}, {@code times}
- * and {@code views} with one line each. It ends with its input.
+ * <p>The run sends it orders as lines on its standard input; it answers {@code held}, {@code times}
+ * and {@code views} with one line each. The process exits at the end of its input.
  */
 final class SimulatedProxyHost {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    /** Bytes of a thread's stack, as threads of {@code serve} have them. */
+    /** Stack size of a thread in bytes, the same as for threads of {@code serve}. */
     private static final long THREAD_STACK_BYTES = 192 << 10;
 
-    /** Versions whose time is kept for each proxy. */
+    /** Number of recent list versions whose time each proxy keeps. */
     private static final int KEPT_VERSIONS = 1_024;
 
-    /** One hollow proxy. */
+    /** A proxy with control-plane connections but no data path. */
     private final class SimulatedProxy implements DiscoveryClient.Listener {
         final String name;
         final InetSocketAddress address;
@@ -92,7 +92,7 @@
             }
         }
 
-        /** As a killed process ends: nobody is told. */
+        /** Ends the proxy as a killed process ends, without notifying the other members. */
         void kill() {
             discoveryClient.close();
             discoveryClient = null;
@@ -111,10 +111,13 @@
 
         @Override
         public void watchLost() {
-            // It watches again by itself.
+            // The discovery client reconnects by itself.
         }
 
-        /** When it first held that version or a later one; -1: it does not. */
+        /**
+         * Returns when it first held that version or a later one ({@link System#nanoTime}); -1 if
+         * it does not.
+         */
         synchronized long heldAt(long version) {
             long first = -1;
             for (int i = Math.max(0, appliedCount - KEPT_VERSIONS); i < appliedCount; i++) {
@@ -146,8 +149,8 @@
     }
 
     /**
-     * The process; its arguments: a seed, and the operator's file where the proxies know one
-     * another.
+     * Runs the process. Arguments: a seed and, if membership is on, the operator file with the
+     * protocol settings.
      */
     public static void main(String[] args) throws IOException, InvalidConfigurationException {
         java.util.logging.Logger.getLogger("cottonlock").setLevel(java.util.logging.Level.OFF);
@@ -237,7 +240,7 @@
         return proxies.values().stream().filter(p -> p.discoveryClient != null).toList();
     }
 
-    /** The proxies whose numbers follow; all where none does. */
+    /** Returns the proxies whose numbers follow the name of the order; all if none follows. */
     private List<SimulatedProxy> selectProxies(String[] order) {
         if (order.length == 1) {
             return List.copyOf(proxies.values());
@@ -250,7 +253,9 @@
     }
 
     /**
-     * Zones in groups, each a word of numbers joined by commas, that are cut off from one another.
+     * Returns which zones are cut off from each other. The words after the name of the order are
+     * the groups, each the numbers of its zones joined by commas; without groups, nothing is cut
+     * off.
      */
     private boolean[][] partitionMatrix(String[] groups) {
         boolean[][] cut = new boolean[zones.size()][zones.size()];
@@ -275,12 +280,14 @@
     }
 
     /**
-     * Each second, what passed: of all hollow proxies, of the one that sent most, and of real ones.
+     * Prints the traffic of each second: of all simulated proxies, with the bytes of the one that
+     * sent most, and of real proxies as the simulated ones see it.
      */
     private void reportEachSecond() {
         try {
             while (true) {
-                // One more: a nap of whole milliseconds must not end before the second does.
+                // One millisecond more: a sleep of whole milliseconds must not end before the
+                // second does.
                 Thread.sleep(
                         (NANOS_PER_SECOND - System.nanoTime() % NANOS_PER_SECOND) / 1_000_000 + 1);
                 long second = System.nanoTime() / NANOS_PER_SECOND - 1;
@@ -299,7 +306,7 @@
                 System.out.println("second " + second + " real " + join(seen) + " 0");
             }
         } catch (InterruptedException e) {
-            // The process ends.
+            // The process exits.
         }
     }
 
--- a/src/main/java/cottonlock/lab/scale/package-info.java
+++ b/src/main/java/cottonlock/lab/scale/package-info.java
@@ -1,11 +1,10 @@
 /**
- * Plays the control of a fleet at its size: real {@code serve} processes beside hollow ones, which
- * have the control part alone, on real sockets of loopback, with stand-ins of the machines that
- * tell them the list. It counts what control costs each role and how long a change takes until it
- * is in force.
+ * Runs the control plane of a fleet at its full size: real {@code serve} processes together with
+ * simulated proxies, which have the control-plane part but no data path, on loopback sockets, with
+ * simulated control machines that serve the endpoint list. It measures what the control plane costs
+ * each role and how long a change takes until it is in force.
  *
- * <p>It uses the lab's loop, charts and its process that measures lateness, so it stands beside
- * {@link cottonlock.lab} and above its parts; the lab itself knows nothing of it. docs/lab.md says
- * more.
+ * <p>It uses the event loop, the charts and the lateness watcher of {@link cottonlock.lab}, which
+ * itself does not depend on this package. See docs/lab.md.
  */
 package cottonlock.lab.scale;
