--- a/src/test/java/cottonlock/lab/scale/ScaleTest.java
+++ b/src/test/java/cottonlock/lab/scale/ScaleTest.java
@@ -24,9 +24,9 @@
 import net.jqwik.api.Example;
 
 /**
- * The scale run in the small: real and hollow proxies, control's stand-ins and all parts of the
- * timeline. Verdicts rest on what was in force, with seconds to spare for what takes tenths; a
- * machine that was late has none, and is asked again.
+ * A small scale run with real and simulated proxies, simulated control machines and all events of
+ * the timeline. The bounds leave seconds for changes that take tenths of a second; a run on a
+ * machine that was late has no verdict and is repeated.
  */
 class ScaleTest {
     private static final Path SHORT = Path.of("scenarios", "scale-short.toml");
@@ -54,13 +54,13 @@
     }
 
     @Example
-    void eachPartOfTheTimelineIsInForceAndNoProcessIsLeft() throws Exception {
+    void changesOfEachEventComeIntoForceAndNoProcessIsLeft() throws Exception {
         Set<Long> before = children();
         Path folder = Files.createTempDirectory("scale");
         assertEquals(0, run(folder), out + " " + err);
-        Set<Long> left = children();
-        left.removeAll(before);
-        assertEquals(Set.of(), left, "processes are left");
+        Set<Long> remaining = children();
+        remaining.removeAll(before);
+        assertEquals(Set.of(), remaining, "processes are left");
         String json = Files.readString(folder.resolve("scale-63-1.json"));
         for (String key :
                 List.of(
@@ -78,12 +78,13 @@
             assertTrue(json.contains(key), key + " in " + json);
         }
         for (String event : ScaleFile.EVENTS) {
-            String told = json.substring(json.indexOf("\"" + event + "\" : {"));
-            told = told.substring(0, told.indexOf('}'));
+            String object = json.substring(json.indexOf("\"" + event + "\" : {"));
+            object = object.substring(0, object.indexOf('}'));
             assertTrue(
-                    told.contains("\"in_force_ms_all\"") && told.contains("\"missing\" : 0"), told);
+                    object.contains("\"in_force_ms_all\"") && object.contains("\"missing\" : 0"),
+                    object);
         }
-        // Who starts anew, and whoever asks a machine that knows nothing older, is told the whole
+        // A proxy that restarts, or that calls a control machine without history, gets the complete
         // list.
         assertTrue(figure(json, "zone", "whole_lists") > 0, json);
         assertTrue(figure(json, "control_restarted", "whole_lists") >= 63, json);
@@ -93,20 +94,20 @@
     }
 
     private static double figure(String json, String event, String key) {
-        String told = json.substring(json.indexOf("\"" + event + "\" : {"));
-        told = told.substring(told.indexOf("\"" + key + "\" : ") + key.length() + 5);
+        String object = json.substring(json.indexOf("\"" + event + "\" : {"));
+        object = object.substring(object.indexOf("\"" + key + "\" : ") + key.length() + 5);
         return Double.parseDouble(
-                told.substring(0, told.indexOf(told.contains(",") ? ',' : '\n'))
+                object.substring(0, object.indexOf(object.contains(",") ? ',' : '\n'))
                         .strip()
                         .split("[\n ]", 0)[0]);
     }
 
     /**
-     * A change that can't come in time must fail the run: who watches a dead machine waits for
-     * another.
+     * Guards against a run that passes although a change exceeded its bound: proxies that watched a
+     * killed machine get the change only after the takeover, later than the bound.
      */
     @Example
-    void aChangeThatIsLateBreaksItsBound() {
+    void changeSlowerThanItsBoundFailsTheRun() {
         assertEquals(
                 1,
                 run(
@@ -136,10 +137,11 @@
     }
 
     /**
-     * Datagrams between zones that are apart are lost on both sides, and come again when healed.
+     * Datagrams between zones that are cut off are lost at sender and receiver, and arrive again
+     * once the partition has healed.
      */
     @Example
-    void apartACutIsACut() throws Exception {
+    void datagramsBetweenZonesThatAreCutOffAreLost() throws Exception {
         CountedSocket.Cuts cuts = new CountedSocket.Cuts();
         CountedSocket.Traffic one = new CountedSocket.Traffic();
         CountedSocket.Traffic other = new CountedSocket.Traffic();
@@ -156,9 +158,9 @@
             assertEquals(
                     List.of(5L, 9L),
                     List.of(other.take()[0], one.take()[1]),
-                    "sent twice, come once");
-            // What is not hollow does not cut by itself: its datagram waits, and is lost where it
-            // is read.
+                    "sent twice, received once");
+            // A real proxy's socket does not drop datagrams: this one is queued at the receiver,
+            // which drops it when it reads.
             plain.send(packet("lost", a));
             cuts.set(new boolean[][] {{false, true}, {true, false}});
             a.setSoTimeout(300);
@@ -187,7 +189,7 @@
     }
 
     @Example
-    void whatWouldTakeTooMuchIsRefusedInOneLineBeforeAnythingStarts() {
+    void runBeyondItsLimitsIsRefusedInOneLineBeforeAnyProcessStarts() {
         Set<Long> before = children();
         for (String[] bound :
                 new String[][] {
@@ -209,7 +211,7 @@
     }
 
     @Example
-    void filesAreCheckedAndFaultsAreNamed() throws Exception {
+    void invalidFilesAreRejectedWithTheFaultNamed() throws Exception {
         ScaleLab.check(SHORT);
         ScaleLab.check(Path.of("scenarios", "scale-fleet.toml"));
         assertTrue(ScaleLab.isScaleFile(SHORT));
@@ -240,7 +242,7 @@
         }
     }
 
-    /** Ctrl-C in the middle of a run: no process is left, real ones neither. */
+    /** Ctrl-C during a run ends all of its processes, those of real proxies included. */
     @Example
     void anInterruptedRunLeavesNoProcess() throws Exception {
         Path folder = Files.createTempDirectory("scale");
@@ -265,8 +267,8 @@
                         .redirectOutput(folder.resolve("told").toFile())
                         .start();
         try {
-            // 4 machines of control, 2 processes of hollow proxies, 3 real ones, and one that
-            // measures.
+            // 4 control machines, 2 processes of simulated proxies, 3 real proxies, and the process
+            // that measures lateness.
             List<ProcessHandle> started = List.of();
             long until = System.nanoTime() + 60_000_000_000L;
             while (started.size() < 10 && System.nanoTime() < until) {
@@ -290,11 +292,11 @@
     }
 
     /**
-     * The same layout in every run; each proxy's control is of its region, and real ones are of
-     * one.
+     * Each proxy uses a control machine of its own region, its zone can be read off its address,
+     * and all real proxies are in the first region.
      */
     @Example
-    void proxiesAskControlOfTheirRegion() {
+    void proxiesUseControlMachinesOfTheirRegion() {
         for (int machines : new int[] {2, 3, 17}) {
             Topology t = new Topology(new ScaleFile.Fleet(300, 24, 200, 2, 7, 4, 460), machines);
             Set<String> addresses = new TreeSet<>();
--- a/src/test/java/cottonlock/lab/scale/SimulatedProxyHostTest.java
+++ b/src/test/java/cottonlock/lab/scale/SimulatedProxyHostTest.java
@@ -15,7 +15,7 @@
 import java.nio.file.Path;
 import net.jqwik.api.Example;
 
-/** A process of simulated proxies, told what to do as a scale run tells it. */
+/** A process of simulated proxies that gets the orders of a scale run on its standard input. */
 class SimulatedProxyHostTest {
     private static final int PROXIES = 4;
     private static final int RESTARTS = 400;
