--- a/src/main/java/cottonlock/lab/scale/ScaleReport.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleReport.java
@@ -113,11 +113,15 @@
         return brokenBounds.isEmpty() ? Verdict.PASS : Verdict.FAIL;
     }
 
-    private void checkBound(String what, double found, double most) {
-        if (found > most) {
+    private void checkBound(String what, double found, double limit) {
+        if (found > limit) {
             brokenBounds.add(
                     String.format(
-                            Locale.ROOT, "%s: expected %s at most, found %.3f", what, most, found));
+                            Locale.ROOT,
+                            "%s: expected %s at most, found %.3f",
+                            what,
+                            limit,
+                            found));
         }
     }
 
--- a/src/main/java/cottonlock/lab/scale/ScaleRun.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleRun.java
@@ -492,22 +492,22 @@
             throws IOException, InterruptedException {
         long until = System.nanoTime() + timeoutNanos;
         while (true) {
-            int living = 0;
-            int held = 0;
+            int running = 0;
+            int holding = 0;
             for (ChildProcess host : proxyHosts) {
                 String[] answer = query(host, "held " + wanted);
-                living += Integer.parseInt(answer[2]);
-                held += Integer.parseInt(answer[3]);
+                running += Integer.parseInt(answer[2]);
+                holding += Integer.parseInt(answer[3]);
             }
             for (RealProxy proxy : realProxies.values()) {
-                living += proxy.isAlive() ? 1 : 0;
-                held += proxy.isAlive() && proxy.heldAt(wanted) >= 0 ? 1 : 0;
+                running += proxy.isAlive() ? 1 : 0;
+                holding += proxy.isAlive() && proxy.heldAt(wanted) >= 0 ? 1 : 0;
             }
-            if (held == living) {
+            if (holding == running) {
                 return true;
             }
             if (System.nanoTime() > until) {
-                progress.accept("  " + held + " of " + living + " proxies hold the version");
+                progress.accept("  " + holding + " of " + running + " proxies hold the version");
                 return false;
             }
             Thread.sleep(POLL_INTERVAL_MILLIS);
@@ -517,9 +517,9 @@
     /**
      * Asks all running proxies when a change was in force and records the times.
      *
-     * @param late the proxies that were cut off when the change was sent
+     * @param cutOff the proxies that were cut off when the change was sent
      */
-    private void recordInForce(Change change, Set<Integer> late)
+    private void recordInForce(Change change, Set<Integer> cutOff)
             throws IOException, InterruptedException {
         for (ChildProcess host : proxyHosts) {
             String[] answer = query(host, "times " + change.version);
@@ -527,12 +527,12 @@
                 int colon = answer[i].indexOf(':');
                 int proxy = Integer.parseInt(answer[i].substring(0, colon));
                 change.recordInForce(
-                        Long.parseLong(answer[i].substring(colon + 1)), late.contains(proxy));
+                        Long.parseLong(answer[i].substring(colon + 1)), cutOff.contains(proxy));
             }
         }
         for (RealProxy proxy : realProxies.values()) {
             if (proxy.isAlive()) {
-                change.recordInForce(proxy.heldAt(change.version), late.contains(proxy.number));
+                change.recordInForce(proxy.heldAt(change.version), cutOff.contains(proxy.number));
             }
         }
     }
@@ -657,14 +657,14 @@
         finishEvent(event);
     }
 
-    private Set<Integer> proxiesWhere(java.util.function.IntPredicate which) {
-        Set<Integer> lost = new HashSet<>();
+    private Set<Integer> proxiesWhere(java.util.function.IntPredicate condition) {
+        Set<Integer> matching = new HashSet<>();
         for (int i = 0; i < file.fleet.size(); i++) {
-            if (which.test(i)) {
-                lost.add(i);
+            if (condition.test(i)) {
+                matching.add(i);
             }
         }
-        return lost;
+        return matching;
     }
 
     /**
@@ -769,9 +769,9 @@
         event.figures.put("failures", (double) failures);
         event.figures.put("seconds", file.day.durationNanos() / 1e9);
         if (files != null) {
-            Change taken = new Change(1, ((ReloadChannel) files).sentAt());
-            files.inForceAt(1).values().forEach(at -> taken.recordInForce(at, false));
-            event.figures.put("reload_in_force_ms_all", taken.inForceMillis(1));
+            Change reload = new Change(1, ((ReloadChannel) files).sentAt());
+            files.inForceAt(1).values().forEach(at -> reload.recordInForce(at, false));
+            event.figures.put("reload_in_force_ms_all", reload.inForceMillis(1));
         }
     }
 
@@ -779,10 +779,10 @@
         Thread.sleep(Math.max(0, (at - System.nanoTime()) / 1_000_000));
     }
 
-    private void recordAllInForce(ScaleEvent event, Set<Integer> late)
+    private void recordAllInForce(ScaleEvent event, Set<Integer> cutOff)
             throws IOException, InterruptedException {
         for (Change change : event.changes) {
-            recordInForce(change, late);
+            recordInForce(change, cutOff);
         }
     }
 
@@ -828,11 +828,11 @@
         for (int proxy : proxies) {
             stopProxy(proxy, false);
         }
-        Change gone = changeEntries(proxies, "left");
-        event.changes.add(gone);
+        Change removal = changeEntries(proxies, "left");
+        event.changes.add(removal);
         awaitVersion(version, file.changeTimeoutNanos);
-        recordInForce(gone, Set.of());
-        sleepUntil(gone.sentAt + file.outageNanos);
+        recordInForce(removal, Set.of());
+        sleepUntil(removal.sentAt + file.outageNanos);
         for (int m : machines) {
             startControlMachine(m);
             openControlAddresses(m, m);
@@ -842,14 +842,14 @@
             replacements[proxy]++;
             startProxy(proxy, starts);
         }
-        Change back = changeEntries(proxies, "active");
+        Change restoration = changeEntries(proxies, "active");
         stoppedProxies.removeAll(proxies);
         awaitAll(starts);
         awaitVersion(version, file.changeTimeoutNanos);
-        recordInForce(back, Set.of());
-        event.changes.add(back);
-        event.figures.put("gone_in_force_ms_all", gone.inForceMillis(1));
-        event.figures.put("back_in_force_ms_all", back.inForceMillis(1));
+        recordInForce(restoration, Set.of());
+        event.changes.add(restoration);
+        event.figures.put("gone_in_force_ms_all", removal.inForceMillis(1));
+        event.figures.put("back_in_force_ms_all", restoration.inForceMillis(1));
     }
 
     private Change changeEntries(Set<Integer> proxies, String health) throws IOException {
@@ -887,19 +887,21 @@
                 withheldOrders.put(m, new ArrayList<>());
             }
         }
-        Change apart = replaceBackend(event, randomRunningProxy());
-        sleepUntil(apart.sentAt + file.outageNanos);
+        Change duringPartition = replaceBackend(event, randomRunningProxy());
+        sleepUntil(duringPartition.sentAt + file.outageNanos);
         sendPartition("cut");
-        apart.reachableAt = System.nanoTime();
-        for (Map.Entry<Integer, List<String>> one : withheldOrders.entrySet()) {
-            sendOrders(controlMachines[one.getKey()], one.getValue());
+        duringPartition.reachableAt = System.nanoTime();
+        for (Map.Entry<Integer, List<String>> withheld : withheldOrders.entrySet()) {
+            sendOrders(controlMachines[withheld.getKey()], withheld.getValue());
         }
         withheldOrders.clear();
-        Change healed = replaceBackend(event, randomRunningProxy());
+        Change afterHealing = replaceBackend(event, randomRunningProxy());
         awaitVersion(version, file.changeTimeoutNanos);
-        recordInForce(apart, proxiesWhere(i -> topology.controlRegion(topology.control(i)) != 0));
-        recordInForce(healed, Set.of());
-        event.figures.put("through_cut", (double) apart.earlyCount);
+        recordInForce(
+                duringPartition,
+                proxiesWhere(i -> topology.controlRegion(topology.control(i)) != 0));
+        recordInForce(afterHealing, Set.of());
+        event.figures.put("through_cut", (double) duringPartition.earlyCount);
         event.figures.put("apart_s", file.outageNanos / 1e9);
     }
 
@@ -934,10 +936,10 @@
             }
             openControlAddresses(by, m);
         }
-        Change after = replaceBackend(event, randomRunningProxy());
+        Change afterTakeover = replaceBackend(event, randomRunningProxy());
         awaitVersion(version, file.changeTimeoutNanos);
         recordInForce(duringOutage, Set.of());
-        recordInForce(after, Set.of());
+        recordInForce(afterTakeover, Set.of());
         // The killed machines stay down until all control machines are restarted.
         event.figures.put("takeover_s", file.control.takeoverNanos() / 1e9);
     }
