--- a/src/main/java/cottonlock/lab/scale/RealHost.java
+++ b/src/main/java/cottonlock/lab/scale/RealProxy.java
@@ -16,25 +16,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A proxy as deploy/balancer.toml starts it, and a thread that asks it as operators do what it
- * holds, while a change is under way.
+ * A {@code serve} process started as deploy/balancer.toml starts it, with a thread that polls its
+ * management interface while a change is pending.
  */
-final class RealHost {
-    /**
-     * Milliseconds for a process to serve, to answer a call, between two calls, and to end by
-     * itself.
-     */
-    private static final long START = 60_000;
+final class RealProxy {
+    /** Time limit for the process to start serving. */
+    private static final long START_TIMEOUT_MILLIS = 60_000;
 
-    private static final int CALL = 2_000;
-    private static final long BETWEEN = 100;
-    private static final long LEAVE = 6_000;
+    private static final int CALL_TIMEOUT_MILLIS = 2_000;
+    private static final long POLL_INTERVAL_MILLIS = 100;
+    private static final long STOP_TIMEOUT_MILLIS = 6_000;
 
-    /** Characters of its log, the last ones, that are told when it could not be started. */
-    private static final int LOG = 600;
+    /**
+     * Number of characters from the end of the log that the error quotes when the process fails to
+     * start.
+     */
+    private static final int MAX_LOG_CHARS = 600;
 
-    /** A change that is waited for: an id that is to be listed, or not to be. */
-    private record Awaited(String id, boolean listed) {}
+    /** A pending change: a backend id that must be listed, or must no longer be listed. */
+    private record ExpectedEntry(String id, boolean listed) {}
 
     final int number;
     private final String name;
@@ -43,29 +43,36 @@
     private final int port;
     private final String discovery;
     private final List<String> zones;
-    private final String operator;
+    private final String operatorToml;
     private final long seed;
-    private final Map<Long, Awaited> awaited = new ConcurrentHashMap<>();
-    private final Map<Long, Long> heldAt = new ConcurrentHashMap<>();
+    private final Map<Long, ExpectedEntry> expectedEntries = new ConcurrentHashMap<>();
+    private final Map<Long, Long> heldAtByVersion = new ConcurrentHashMap<>();
 
-    /** How many files it is to have taken, by number of the change, and when it had. */
-    private final Map<Long, Long> files = new ConcurrentHashMap<>();
+    /**
+     * Pending reloads by change number: the number of successful reloads at which the change is in
+     * force; 0 while no SIGHUP was sent for it.
+     */
+    private final Map<Long, Long> pendingReloads = new ConcurrentHashMap<>();
 
-    private final Map<Long, Long> takenAt = new ConcurrentHashMap<>();
+    private final Map<Long, Long> reloadedAtByChange = new ConcurrentHashMap<>();
     private volatile Process process;
-    private volatile long taken;
+    private volatile long reloadCount;
+
+    /** Number of the latest configuration change written to the file. */
+    private long requestedChange;
 
-    /** The number of the file that it is to have, and whether the process that lives has served. */
-    private long wanted;
+    /** Whether the current process serves requests. */
+    private boolean serving;
 
-    private boolean serves;
     private volatile boolean ended;
-    private int starts;
+    private int startCount;
 
     /**
-     * Operator: the operator's file; null: none. Operators call it one port above where it listens.
+     * The management interface listens one port above {@code port}.
+     *
+     * @param operatorToml content of the operator file; null for none
      */
-    RealHost(
+    RealProxy(
             int number,
             String name,
             Path folder,
@@ -73,7 +80,7 @@
             int port,
             String discovery,
             List<String> zones,
-            String operator,
+            String operatorToml,
             long seed) {
         this.number = number;
         this.name = name;
@@ -82,11 +89,11 @@
         this.port = port;
         this.discovery = discovery;
         this.zones = zones;
-        this.operator = operator;
+        this.operatorToml = operatorToml;
         this.seed = seed;
     }
 
-    boolean lives() {
+    boolean isAlive() {
         Process now = process;
         return now != null && now.isAlive();
     }
@@ -96,26 +103,28 @@
         return now == null ? -1 : now.pid();
     }
 
-    /** Starts it, and waits until it serves. */
+    /** Starts the process and waits until its management interface reports that it serves. */
     void start() throws IOException, InterruptedException {
         Path file = folder.resolve(name + ".json");
         long read;
         synchronized (this) {
-            read = wanted;
+            read = requestedChange;
             Files.writeString(file, configuration(read));
         }
-        ProcessBuilder builder = new ProcessBuilder(ServeCommand.of(operator != null, List.of()));
+        ProcessBuilder builder =
+                new ProcessBuilder(ServeCommand.of(operatorToml != null, List.of()));
         builder.environment().put("EDGE_CONFIG", file.toString());
         builder.environment().remove("COTTONLOCK_OPERATOR");
-        if (operator != null) {
+        if (operatorToml != null) {
             Path asked = folder.resolve(name + ".toml");
-            Files.writeString(asked, operator);
+            Files.writeString(asked, operatorToml);
             builder.environment().put("COTTONLOCK_OPERATOR", asked.toString());
         }
         builder.environment()
                 .put(
                         "TMPDIR",
-                        Files.createDirectories(folder.resolve(name + "." + starts++)).toString());
+                        Files.createDirectories(folder.resolve(name + "." + startCount++))
+                                .toString());
         Path log = folder.resolve(name + ".log");
         builder.redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
@@ -127,33 +136,35 @@
             started = builder.start();
             process = started;
         }
-        taken = 0;
-        long until = System.nanoTime() + START * 1_000_000;
-        while (!"ACK\n".equals(call("HEALTH"))) {
+        reloadCount = 0;
+        long until = System.nanoTime() + START_TIMEOUT_MILLIS * 1_000_000;
+        while (!"ACK\n".equals(callManagement("HEALTH"))) {
             if (process != started) {
-                // It has been ended on purpose before it served.
+                // The process was stopped on purpose before it served.
                 return;
             }
             if (!started.isAlive() || System.nanoTime() > until) {
-                String told = Files.readString(log).strip();
+                String logText = Files.readString(log).strip();
                 throw new IOException(
                         name
                                 + (started.isAlive() ? " does not serve: " : " has ended: ")
-                                + told.substring(Math.max(0, told.length() - LOG)));
+                                + logText.substring(Math.max(0, logText.length() - MAX_LOG_CHARS)));
             }
             Thread.sleep(20);
         }
         synchronized (this) {
             if (process == started) {
-                serves = true;
-                files.keySet()
+                serving = true;
+                pendingReloads
+                        .keySet()
                         .removeIf(
                                 change ->
                                         change <= read
-                                                && takenAt.putIfAbsent(change, System.nanoTime())
+                                                && reloadedAtByChange.putIfAbsent(
+                                                                change, System.nanoTime())
                                                         == null);
-                if (wanted > read) {
-                    hangUp();
+                if (requestedChange > read) {
+                    sendHangup();
                 }
             }
         }
@@ -178,7 +189,7 @@
             json.writeArrayFieldStart("Categories");
             json.writeStartObject();
             json.writeStringField("Name", "call");
-            // A changed time is what a change of configuration is here.
+            // Configuration changes differ only in this value.
             json.writeNumberField("DueTime", 500_000 + change);
             json.writeNumberField("Expiry", 2_000_000);
             json.writeEndObject();
@@ -192,16 +203,16 @@
         return text.toString();
     }
 
-    /** A change of the list is waited for from now on. */
+    /** Starts polling for a change of the endpoint list. */
     void await(long version, String id, boolean listed) {
-        awaited.put(version, new Awaited(id, listed));
+        expectedEntries.put(version, new ExpectedEntry(id, listed));
     }
 
-    /** When it was first seen to hold that change; -1: it was not. */
+    /** Returns when it was first observed to hold that version or a later one; -1 if it was not. */
     long heldAt(long version) {
-        // Whoever holds a later one holds it too, though its id may have left again before it was
-        // asked for.
-        return heldAt.entrySet().stream()
+        // A later version includes the change, even if the id that was polled for has left the
+        // list again since.
+        return heldAtByVersion.entrySet().stream()
                 .filter(e -> e.getKey() >= version)
                 .mapToLong(Map.Entry::getValue)
                 .min()
@@ -209,79 +220,85 @@
     }
 
     /**
-     * Writes its file anew and tells it by SIGHUP: a process that does not serve yet, once it does.
+     * Writes the configuration file again and sends SIGHUP; if the process does not serve yet,
+     * {@link #start} sends the signal once it does.
      */
     synchronized void reload(long change) throws IOException {
-        wanted = change;
+        requestedChange = change;
         Files.writeString(folder.resolve(name + ".json"), configuration(change));
-        files.put(change, 0L);
-        if (serves && lives()) {
-            hangUp();
+        pendingReloads.put(change, 0L);
+        if (serving && isAlive()) {
+            sendHangup();
         }
     }
 
     /**
-     * Before the program has a handler for it, SIGHUP ends a JVM: seen in a restart amid a change.
+     * Sends SIGHUP; call it only once the process serves. Before the program installs its handler,
+     * SIGHUP ends the JVM, which happened when a restart coincided with a change.
      */
-    private void hangUp() throws IOException {
-        files.replaceAll((change, count) -> taken + 1);
+    private void sendHangup() throws IOException {
+        pendingReloads.replaceAll((change, count) -> reloadCount + 1);
         new ProcessBuilder("kill", "-HUP", Long.toString(pid())).start();
     }
 
-    /** When it was first seen to have taken that file; -1: it was not. */
-    long takenAt(long change) {
-        return takenAt.getOrDefault(change, -1L);
+    /**
+     * Returns when it was first observed to have loaded that configuration change; -1 if it was
+     * not.
+     */
+    long reloadedAt(long change) {
+        return reloadedAtByChange.getOrDefault(change, -1L);
     }
 
-    /** Asks, while something is waited for, until the process is ended for good. */
-    void follow() {
+    /** Polls for pending changes until {@link #destroy} is called. */
+    void pollUntilEnded() {
         try {
             while (!ended) {
-                Thread.sleep(BETWEEN);
-                for (Map.Entry<Long, Awaited> one : awaited.entrySet()) {
-                    // Takes back what nobody has taken out: changes nothing, and tells whether it
-                    // is listed.
-                    String answer = lives() ? call("ONLINE " + one.getValue().id) : null;
-                    if (answer != null && answer.equals("ACK\n") == one.getValue().listed) {
-                        heldAt.put(one.getKey(), System.nanoTime());
-                        awaited.keySet().removeIf(version -> version <= one.getKey());
+                Thread.sleep(POLL_INTERVAL_MILLIS);
+                for (Map.Entry<Long, ExpectedEntry> expected : expectedEntries.entrySet()) {
+                    // ONLINE undoes a manual ejection. No backend is ejected here, so it changes
+                    // nothing, and the answer tells whether the backend is listed.
+                    String answer =
+                            isAlive() ? callManagement("ONLINE " + expected.getValue().id) : null;
+                    if (answer != null && answer.equals("ACK\n") == expected.getValue().listed) {
+                        heldAtByVersion.put(expected.getKey(), System.nanoTime());
+                        expectedEntries.keySet().removeIf(version -> version <= expected.getKey());
                     }
                 }
-                if (!files.isEmpty() && lives()) {
-                    String figures = call("DUMP");
+                if (!pendingReloads.isEmpty() && isAlive()) {
+                    String figures = callManagement("DUMP");
                     long now =
                             figures == null || !figures.contains("\"reconfig_ok\":")
                                     ? -1
                                     : Long.parseLong(
                                             figures.replaceAll(
                                                     "(?s).*\"reconfig_ok\":([0-9]+).*", "$1"));
-                    files.forEach(
+                    pendingReloads.forEach(
                             (change, count) -> {
                                 if (count > 0 && now >= count) {
-                                    takenAt.put(change, System.nanoTime());
-                                    files.remove(change);
-                                    taken = now;
+                                    reloadedAtByChange.put(change, System.nanoTime());
+                                    pendingReloads.remove(change);
+                                    reloadCount = now;
                                 }
                             });
                 }
             }
         } catch (InterruptedException e) {
-            // The run is over.
+            // The run has ended.
         }
     }
 
-    /** How many members its view holds that may live; -1 where it does not tell. */
-    int alive() {
-        String members = call("MEMBERS");
+    /** Returns the number of members alive in its view; -1 if it does not report one. */
+    int aliveMembers() {
+        String members = callManagement("MEMBERS");
         return members == null || !members.contains(" alive=")
                 ? -1
                 : Integer.parseInt(members.replaceAll("(?s).*? alive=([0-9]+).*", "$1"));
     }
 
-    private String call(String line) {
+    private String callManagement(String line) {
         try (Socket socket = new Socket()) {
-            socket.connect(new InetSocketAddress(ip, port + 1), CALL);
-            socket.setSoTimeout(CALL);
+            socket.connect(new InetSocketAddress(ip, port + 1), CALL_TIMEOUT_MILLIS);
+            socket.setSoTimeout(CALL_TIMEOUT_MILLIS);
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.ISO_8859_1));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         } catch (IOException e) {
@@ -289,34 +306,34 @@
         }
     }
 
-    private synchronized Process gone() {
+    private synchronized Process detachProcess() {
         Process now = process;
         process = null;
-        serves = false;
+        serving = false;
         return now;
     }
 
-    /** Ends it as SIGKILL does. */
+    /** Kills the process (SIGKILL) and waits for its end. */
     void kill() throws InterruptedException {
-        Process now = gone();
+        Process now = detachProcess();
         if (now != null) {
             now.destroyForcibly().waitFor();
         }
     }
 
-    /** Ends it as SIGTERM does. */
-    void term() throws InterruptedException {
-        Process now = gone();
+    /** Stops the process (SIGTERM), and kills it if it does not exit in time. */
+    void terminate() throws InterruptedException {
+        Process now = detachProcess();
         if (now != null) {
             now.destroy();
-            if (!now.waitFor(LEAVE, TimeUnit.MILLISECONDS)) {
+            if (!now.waitFor(STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
                 now.destroyForcibly().waitFor();
             }
         }
     }
 
-    /** For a run that ends: does not wait, and nothing starts after it. */
-    synchronized void end() {
+    /** Kills the process without waiting and prevents further starts, at the end of a run. */
+    synchronized void destroy() {
         ended = true;
         Process now = process;
         if (now != null) {
--- a/src/main/java/cottonlock/lab/scale/ReloadChannel.java
+++ b/src/main/java/cottonlock/lab/scale/ReloadChannel.java
@@ -5,15 +5,15 @@
 import java.util.TreeMap;
 
 /**
- * A file for each real proxy, read again by SIGHUP: nothing carries it to them, the run writes it
- * itself.
+ * Writes the configuration file of each real proxy and makes it reload the file by SIGHUP. No
+ * transport is involved: the run writes the files itself.
  */
 final class ReloadChannel implements ConfigurationChannel {
-    private final Map<Integer, RealHost> hosts;
+    private final Map<Integer, RealProxy> proxies;
     private long sentAt;
 
-    ReloadChannel(Map<Integer, RealHost> hosts) {
-        this.hosts = hosts;
+    ReloadChannel(Map<Integer, RealProxy> proxies) {
+        this.proxies = proxies;
     }
 
     @Override
@@ -24,8 +24,8 @@
     @Override
     public void send(long number) throws IOException {
         sentAt = System.nanoTime();
-        for (RealHost host : hosts.values()) {
-            if (host.lives()) {
+        for (RealProxy host : proxies.values()) {
+            if (host.isAlive()) {
                 host.reload(number);
             }
         }
@@ -38,7 +38,7 @@
     @Override
     public Map<Integer, Long> inForceAt(long number) {
         Map<Integer, Long> times = new TreeMap<>();
-        hosts.forEach((proxy, host) -> times.put(proxy, host.takenAt(number)));
+        proxies.forEach((proxy, host) -> times.put(proxy, host.reloadedAt(number)));
         return times;
     }
 }
--- a/src/test/java/cottonlock/lab/scale/HollowHostTest.java
+++ b/src/test/java/cottonlock/lab/scale/SimulatedProxyHostTest.java
@@ -15,8 +15,8 @@
 import java.nio.file.Path;
 import net.jqwik.api.Example;
 
-/** A process of simulated proxies, told what to do as a scale run tells it. */
-class HollowHostTest {
+/** A process of simulated proxies that gets the orders of a scale run on its standard input. */
+class SimulatedProxyHostTest {
     private static final int PROXIES = 4;
     private static final int RESTARTS = 400;
 
@@ -29,7 +29,7 @@
                                 ServeCommand.java(),
                                 "-cp",
                                 System.getProperty("java.class.path"),
-                                HollowHost.class.getName(),
+                                SimulatedProxyHost.class.getName(),
                                 "1",
                                 Path.of("deploy", "operator.example.toml").toString())
                         .redirectError(log)
