--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -73,7 +73,7 @@
     final String id;
     final String room;
     final Path path;
-    final List<Door> doors = new ArrayList<>();
+    final List<Listener> doors = new ArrayList<>();
     private final int tier;
     private final Loop loop;
     private final Ledger ledger;
@@ -140,8 +140,8 @@
     }
 
     /** A door for a proxy, before the run begins. */
-    Door door(ByteBuffer buffer, int proxy) throws IOException {
-        Door door = new Door(loop, buffer, this, path, proxy, this);
+    Listener door(ByteBuffer buffer, int proxy) throws IOException {
+        Listener door = new Listener(loop, buffer, this, path, proxy, this);
         doors.add(door);
         return door;
     }
@@ -175,7 +175,7 @@
         running.clear();
         held.clear();
         paused = false;
-        for (Door door : doors) {
+        for (Listener door : doors) {
             door.shut();
             door.resetAll();
         }
@@ -189,7 +189,7 @@
         life = Life.UP;
         startedAt = loop.now();
         model.start(startedAt);
-        for (Door door : doors) {
+        for (Listener door : doors) {
             if (path.cut) {
                 door.wallUp();
             } else {
@@ -204,7 +204,7 @@
         if (life != Life.UP) {
             return;
         }
-        for (Door door : doors) {
+        for (Listener door : doors) {
             if (off) {
                 door.wallUp();
             } else {
@@ -276,7 +276,7 @@
         job.until = now + 1_000_000L * (patience == null ? 60_000 : Long.parseLong(patience));
         job.callsLeft = plan.calls();
         series.received(id, now);
-        int proxy = ((Door) job.conn.of).proxy;
+        int proxy = ((Listener) job.conn.of).proxy;
         ledger.received(job.firstByte, now, job.id, id, proxy);
         if (sabotage.equals("resend") && random.nextInt(20) == 0) {
             // As if the proxy had sent it twice: here and, by a doubt, to somebody else.
@@ -434,7 +434,7 @@
 
     @Override
     public void ended(Conn conn, boolean byReset) {
-        ((Door) conn.of).conns.remove(conn);
+        ((Listener) conn.of).conns.remove(conn);
         State state = conns.remove(conn);
         if (state != null && state.job != null && model.drop(state.job)) {
             state.job = null;
--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -52,7 +52,7 @@
     private static final class Watch {
         final int proxy;
         final Map<String, InetSocketAddress> dials = new LinkedHashMap<>();
-        Door door;
+        Listener door;
         final Set<Conn> watching = new LinkedHashSet<>();
 
         /** For a plain proxy, which has no socket to discovery: it is told at the same moments. */
@@ -112,7 +112,7 @@
     void serve(int proxy, Map<String, InetSocketAddress> dials) throws IOException {
         Watch watch = new Watch(proxy);
         watch.dials.putAll(dials);
-        watch.door = new Door(loop, buffer, this, path, proxy, watch);
+        watch.door = new Listener(loop, buffer, this, path, proxy, watch);
         watches.put(proxy, watch);
     }
 
@@ -332,7 +332,7 @@
                 watch.watching.clear();
                 watch.door.shut();
                 watch.door.resetAll();
-                watch.door = new Door(loop, buffer, this, path, watch.proxy, watch);
+                watch.door = new Listener(loop, buffer, this, path, watch.proxy, watch);
             }
         }
     }
@@ -364,7 +364,7 @@
     }
 
     private void asked(Conn conn, HttpIn.Message message) {
-        Watch watch = (Watch) ((Door) conn.of).of;
+        Watch watch = (Watch) ((Listener) conn.of).of;
         String target = message.start().get(1);
         if (conn.isOver() || down) {
             return;
@@ -402,7 +402,7 @@
     @Override
     public void ended(Conn conn, boolean byReset) {
         asking.remove(conn);
-        Door door = (Door) conn.of;
+        Listener door = (Listener) conn.of;
         door.conns.remove(conn);
         Watch watch = (Watch) door.of;
         if (watch.watching.remove(conn)) {
--- a/src/main/java/cottonlock/lab/Door.java
+++ b/src/main/java/cottonlock/lab/Listener.java
@@ -18,7 +18,7 @@
  * who connects. It can be open, shut (connects are refused, as by a process that has died) or
  * walled up (connects never come up, as with a machine that is cut off).
  */
-final class Door implements Loop.Ready {
+final class Listener implements Loop.Ready {
     /** As many as a burst brings while the loop is busy elsewhere. */
     private static final int BACKLOG = 256;
 
@@ -41,7 +41,7 @@
     /** Whom it belongs to. */
     final Object of;
 
-    Door(Loop loop, ByteBuffer buffer, Conn.Owner owner, Path path, int proxy, Object of)
+    Listener(Loop loop, ByteBuffer buffer, Conn.Owner owner, Path path, int proxy, Object of)
             throws IOException {
         this.loop = loop;
         this.buffer = buffer;
@@ -75,7 +75,7 @@
     void shut() {
         close(server);
         server = null;
-        fillers.forEach(Door::close);
+        fillers.forEach(Listener::close);
         fillers.clear();
     }
 
--- a/src/main/java/cottonlock/lab/PlainProxy.java
+++ b/src/main/java/cottonlock/lab/PlainProxy.java
@@ -128,7 +128,7 @@
     private final long connectTimeout;
     private final SplittableRandom random;
     private final Map<Backend, InetSocketAddress> dials;
-    private final Door door;
+    private final Listener door;
     private final Map<Conn, HttpIn> reading = new HashMap<>();
     private final Map<Conn, Item> items = new HashMap<>();
     private final Map<Backend, Deque<Link>> resting = new HashMap<>();
@@ -154,7 +154,7 @@
         this.connectTimeout = connectTimeout;
         this.random = random;
         this.dials = dials;
-        this.door = new Door(loop, buffer, this, new Path(null), number, this);
+        this.door = new Listener(loop, buffer, this, new Path(null), number, this);
     }
 
     InetSocketAddress address() {
--- a/src/test/java/cottonlock/lab/LabTest.java
+++ b/src/test/java/cottonlock/lab/LabTest.java
@@ -265,8 +265,8 @@
                     @Override
                     public void ended(Conn conn, boolean byReset) {}
                 };
-        Door door =
-                new Door(loop, Conn.sharedBuffer(), owner, new cottonlock.lab.Path(null), 0, null);
+        Listener door =
+                new Listener(loop, Conn.sharedBuffer(), owner, new cottonlock.lab.Path(null), 0, null);
         Thread thread =
                 new Thread(
                         () -> {
@@ -304,7 +304,7 @@
         loop.close();
     }
 
-    private static boolean comesUp(Door door) throws IOException {
+    private static boolean comesUp(Listener door) throws IOException {
         try (java.net.Socket socket = new java.net.Socket()) {
             socket.connect(door.address(), 300);
             return true;
