--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -1057,7 +1057,7 @@
     }
 
     private void crowd(Node node, long end, int connections) {
-        Crowd crowd = new Crowd(loop, buffer, () -> node.serving ? node.host.address() : null);
+        IdleConnections crowd = new IdleConnections(loop, buffer, () -> node.serving ? node.host.address() : null);
         crowd.gather(connections);
         loop.at(end, crowd::disperse);
     }
--- a/src/main/java/cottonlock/lab/Crowd.java
+++ b/src/main/java/cottonlock/lab/IdleConnections.java
@@ -11,7 +11,7 @@
  * Idle connections that fill a proxy's descriptors: each asks for its health once and stays, and is
  * opened again when the proxy ends it. Lives on the loop's thread.
  */
-final class Crowd implements Conn.Owner {
+final class IdleConnections implements Conn.Owner {
     /** Nanoseconds after which a connection that has ended is opened again. */
     private static final long REOPEN_AFTER = 100_000_000L;
 
@@ -25,7 +25,7 @@
     private boolean over;
 
     /** The address is null while the proxy does not serve. */
-    Crowd(Loop loop, ByteBuffer buffer, Supplier<InetSocketAddress> address) {
+    IdleConnections(Loop loop, ByteBuffer buffer, Supplier<InetSocketAddress> address) {
         this.loop = loop;
         this.buffer = buffer;
         this.address = address;
