--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -72,7 +72,7 @@
 
     final String id;
     final String room;
-    final Path path;
+    final NetworkPath path;
     final List<Listener> doors = new ArrayList<>();
     private final int tier;
     private final Loop loop;
@@ -127,7 +127,7 @@
         this.marks = marks;
         this.random = random;
         this.sabotage = sabotage;
-        this.path = new Path(random.split());
+        this.path = new NetworkPath(random.split());
         this.model =
                 new BackendModel<>(
                         plan.cores(),
--- a/src/main/java/cottonlock/lab/Conn.java
+++ b/src/main/java/cottonlock/lab/Conn.java
@@ -33,7 +33,7 @@
     private final Loop loop;
     private final SocketChannel channel;
     private final Owner owner;
-    private final Path path;
+    private final NetworkPath path;
     private final ByteBuffer buffer;
     private final Deque<ByteBuffer> out = new ArrayDeque<>();
     private SelectionKey key;
@@ -54,7 +54,7 @@
      */
     long cameAt;
 
-    private Conn(Loop loop, SocketChannel channel, Owner owner, Path path, ByteBuffer buffer) {
+    private Conn(Loop loop, SocketChannel channel, Owner owner, NetworkPath path, ByteBuffer buffer) {
         this.loop = loop;
         this.channel = channel;
         this.owner = owner;
@@ -68,7 +68,7 @@
 
     /** A connection that a stand-in has accepted. */
     static Conn accepted(
-            Loop loop, SocketChannel channel, Owner owner, Path path, ByteBuffer buffer)
+            Loop loop, SocketChannel channel, Owner owner, NetworkPath path, ByteBuffer buffer)
             throws IOException {
         Conn conn = new Conn(loop, channel, owner, path, buffer);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -86,7 +86,7 @@
             // which it
             // tells.
         }
-        Conn conn = new Conn(loop, channel, owner, new Path(null), buffer);
+        Conn conn = new Conn(loop, channel, owner, new NetworkPath(null), buffer);
         if (channel == null) {
             loop.after(0, () -> conn.end(true));
             return conn;
@@ -178,11 +178,11 @@
 
     /** Writes an answer as the network passes it on. */
     void answer(byte[] whole) {
-        Path.Passage passage = path.answer(whole);
+        NetworkPath.Passage passage = path.answer(whole);
         long wait = 0;
         for (byte[] piece : passage.pieces()) {
             write(piece, wait);
-            wait += Path.BETWEEN;
+            wait += NetworkPath.BETWEEN;
         }
         if (passage.thenReset()) {
             loop.at(Math.max(outFree, loop.now() + wait), this::reset);
--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -81,7 +81,7 @@
 
     private final Map<Integer, Watch> watches = new LinkedHashMap<>();
     private final Map<Conn, HttpIn> asking = new LinkedHashMap<>();
-    private final Path path = new Path(null);
+    private final NetworkPath path = new NetworkPath(null);
     private long version = 1;
     private boolean down;
     private boolean stale;
--- a/src/main/java/cottonlock/lab/Listener.java
+++ b/src/main/java/cottonlock/lab/Listener.java
@@ -28,7 +28,7 @@
     private final Loop loop;
     private final ByteBuffer buffer;
     private final Conn.Owner owner;
-    private final Path path;
+    private final NetworkPath path;
 
     /** Which proxy's it is. */
     final int proxy;
@@ -41,7 +41,7 @@
     /** Whom it belongs to. */
     final Object of;
 
-    Listener(Loop loop, ByteBuffer buffer, Conn.Owner owner, Path path, int proxy, Object of)
+    Listener(Loop loop, ByteBuffer buffer, Conn.Owner owner, NetworkPath path, int proxy, Object of)
             throws IOException {
         this.loop = loop;
         this.buffer = buffer;
--- a/src/main/java/cottonlock/lab/Path.java
+++ b/src/main/java/cottonlock/lab/NetworkPath.java
@@ -8,7 +8,7 @@
  * The network between the proxies and one backend: what it does to what goes over it just now.
  * Faults set and reset its fields; each may come several times over, the last one set counts.
  */
-final class Path {
+final class NetworkPath {
     /**
      * Nanoseconds between two pieces of a split write: more than a proxy needs to read the first.
      */
@@ -34,7 +34,7 @@
 
     private final SplittableRandom random;
 
-    Path(SplittableRandom random) {
+    NetworkPath(SplittableRandom random) {
         this.random = random;
     }
 
--- a/src/main/java/cottonlock/lab/PlainProxy.java
+++ b/src/main/java/cottonlock/lab/PlainProxy.java
@@ -154,7 +154,7 @@
         this.connectTimeout = connectTimeout;
         this.random = random;
         this.dials = dials;
-        this.door = new Listener(loop, buffer, this, new Path(null), number, this);
+        this.door = new Listener(loop, buffer, this, new NetworkPath(null), number, this);
     }
 
     InetSocketAddress address() {
