--- a/src/test/java/cottonlock/lab/LabTest.java
+++ b/src/test/java/cottonlock/lab/LabTest.java
@@ -266,7 +266,7 @@
                     public void ended(Conn conn, boolean byReset) {}
                 };
         Listener door =
-                new Listener(loop, Conn.sharedBuffer(), owner, new cottonlock.lab.Path(null), 0, null);
+                new Listener(loop, Conn.sharedBuffer(), owner, new NetworkPath(null), 0, null);
         Thread thread =
                 new Thread(
                         () -> {
