--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -16,7 +16,7 @@
  * The stand-in of one backend: a door for each proxy, a model of what it can do, and calls to the
  * next tier through a proxy of its own.
  */
-final class Backend implements Conn.Owner {
+final class Backend implements Connection.Owner {
     private static final byte[] NOTHING = new byte[0];
 
     /** Its life as a process. */
@@ -28,7 +28,7 @@
 
     /** One request from its first byte to its answer. */
     private static final class Job {
-        final Conn conn;
+        final Connection conn;
         final long firstByte;
         String id;
         String key;
@@ -39,7 +39,7 @@
         int callsLeft;
         Loop.Timer timer;
 
-        Job(Conn conn, long firstByte) {
+        Job(Connection conn, long firstByte) {
             this.conn = conn;
             this.firstByte = firstByte;
         }
@@ -84,7 +84,7 @@
     private final Map<String, Marks> marks;
     private final SplittableRandom random;
     private final String sabotage;
-    private final Map<Conn, State> conns = new HashMap<>();
+    private final Map<Connection, State> conns = new HashMap<>();
     private final Set<Job> running = new HashSet<>();
 
     /** How it reaches the next tier; null in the last. */
@@ -215,7 +215,7 @@
     }
 
     @Override
-    public void up(Conn conn) {
+    public void up(Connection conn) {
         if (conns.size() >= plan.connections()) {
             conn.reset();
             return;
@@ -224,7 +224,7 @@
     }
 
     @Override
-    public void came(Conn conn, byte[] bytes, int length) {
+    public void came(Connection conn, byte[] bytes, int length) {
         State state = conns.get(conn);
         if (state == null) {
             return;
@@ -433,7 +433,7 @@
     }
 
     @Override
-    public void ended(Conn conn, boolean byReset) {
+    public void ended(Connection conn, boolean byReset) {
         ((Listener) conn.of).conns.remove(conn);
         State state = conns.remove(conn);
         if (state != null && state.job != null && model.drop(state.job)) {
--- a/src/main/java/cottonlock/lab/Caller.java
+++ b/src/main/java/cottonlock/lab/Caller.java
@@ -19,7 +19,7 @@
  * proxy closed between requests: the request goes once more on a new one (PROTOCOL, Callers to
  * proxies).
  */
-final class Caller implements Conn.Owner {
+final class Caller implements Connection.Owner {
     /**
      * How long an answer is waited for beyond the patience, so that late ones are seen as late: in
      * ns.
@@ -126,8 +126,8 @@
     private final Supplier<InetSocketAddress> address;
     private final String sabotage;
     private final SplittableRandom chance;
-    private final Deque<Conn> resting = new ArrayDeque<>();
-    private final Set<Conn> busy = new HashSet<>();
+    private final Deque<Connection> resting = new ArrayDeque<>();
+    private final Set<Connection> busy = new HashSet<>();
 
     /** When the proxy was told to end, and until when its front sends it new connections. */
     private long termAt;
@@ -169,7 +169,7 @@
                         keep,
                         leaveIn < 0 ? Long.MAX_VALUE : now + leaveIn,
                         then);
-        Conn conn = resting.pollLast();
+        Connection conn = resting.pollLast();
         if (conn != null) {
             call.reused = true;
             start(conn, call);
@@ -184,7 +184,7 @@
             loop.after(0, () -> call.then.accept(new Result(End.NOT_TAKEN, 0)));
             return;
         }
-        Conn conn = Conn.open(loop, to, this, buffer);
+        Connection conn = Connection.open(loop, to, this, buffer);
         call.openedAt = loop.now();
         call.up = false;
         conn.of = call;
@@ -193,7 +193,7 @@
     }
 
     @Override
-    public void up(Conn conn) {
+    public void up(Connection conn) {
         if (conn.of instanceof Call call) {
             call.timer.cancel();
             call.up = true;
@@ -201,7 +201,7 @@
         }
     }
 
-    private void start(Conn conn, Call call) {
+    private void start(Connection conn, Call call) {
         conn.of = call;
         busy.add(conn);
         byte[] bytes = call.request.bytes(call.until - loop.now());
@@ -216,7 +216,7 @@
     }
 
     /** Writes one piece of a long request; the others follow. */
-    private void upload(Conn conn, Call call, byte[] bytes, int piece, long between) {
+    private void upload(Connection conn, Call call, byte[] bytes, int piece, long between) {
         if (conn.isOver() || conn.of != call || call.written) {
             return;
         }
@@ -233,7 +233,7 @@
     }
 
     /** Its last byte is being written: from now on an answer is owed. */
-    private void sent(Conn conn, Call call) {
+    private void sent(Connection conn, Call call) {
         if (!call.again) {
             ledger.sent(
                     call.request.id(),
@@ -263,7 +263,7 @@
     }
 
     @Override
-    public void came(Conn conn, byte[] bytes, int length) {
+    public void came(Connection conn, byte[] bytes, int length) {
         if (!(conn.of instanceof Call call)) {
             // Nothing was asked for on it; a later answer would be taken for another's.
             conn.reset();
@@ -283,7 +283,7 @@
         }
     }
 
-    private void answered(Conn conn, Call call, HttpIn.Message message) {
+    private void answered(Connection conn, Call call, HttpIn.Message message) {
         long now = loop.now();
         if (!call.written) {
             // An answer before the request has come whole is its final one.
@@ -320,7 +320,7 @@
                 call.keep && !message.closes() && call.in.atRest());
     }
 
-    private void finish(Conn conn, Call call, Result result, boolean keep) {
+    private void finish(Connection conn, Call call, Result result, boolean keep) {
         call.timer.cancel();
         busy.remove(conn);
         conn.of = null;
@@ -333,7 +333,7 @@
     }
 
     @Override
-    public void ended(Conn conn, boolean byReset) {
+    public void ended(Connection conn, boolean byReset) {
         resting.remove(conn);
         busy.remove(conn);
         if (!(conn.of instanceof Call call)) {
@@ -398,7 +398,7 @@
 
     /** Ends all connections. */
     void close() {
-        for (Conn conn : Set.copyOf(busy)) {
+        for (Connection conn : Set.copyOf(busy)) {
             if (conn.of instanceof Call call) {
                 if (call.timer != null) {
                     call.timer.cancel();
@@ -407,6 +407,6 @@
             }
             conn.reset();
         }
-        java.util.List.copyOf(resting).forEach(Conn::reset);
+        java.util.List.copyOf(resting).forEach(Connection::reset);
     }
 }
--- a/src/main/java/cottonlock/lab/Conn.java
+++ b/src/main/java/cottonlock/lab/Connection.java
@@ -14,17 +14,17 @@
  * One connection of a stand-in, with the network it goes over. It owns its channel and closes it in
  * one place; {@link Owner#ended} comes exactly once.
  */
-final class Conn implements Loop.Ready {
+final class Connection implements Loop.Ready {
     /** Whom a connection tells what happens on it. */
     interface Owner {
         /** It has come up; for connections that the stand-in opened. */
-        default void up(Conn conn) {}
+        default void up(Connection conn) {}
 
         /** Bytes have come through the network. */
-        void came(Conn conn, byte[] bytes, int length);
+        void came(Connection conn, byte[] bytes, int length);
 
         /** It is over: by the other side, or from here. */
-        void ended(Conn conn, boolean byReset);
+        void ended(Connection conn, boolean byReset);
     }
 
     /** Shared by all connections of a loop: only one is read at a time. */
@@ -54,7 +54,7 @@
      */
     long cameAt;
 
-    private Conn(Loop loop, SocketChannel channel, Owner owner, NetworkPath path, ByteBuffer buffer) {
+    private Connection(Loop loop, SocketChannel channel, Owner owner, NetworkPath path, ByteBuffer buffer) {
         this.loop = loop;
         this.channel = channel;
         this.owner = owner;
@@ -67,17 +67,17 @@
     }
 
     /** A connection that a stand-in has accepted. */
-    static Conn accepted(
+    static Connection accepted(
             Loop loop, SocketChannel channel, Owner owner, NetworkPath path, ByteBuffer buffer)
             throws IOException {
-        Conn conn = new Conn(loop, channel, owner, path, buffer);
+        Connection conn = new Connection(loop, channel, owner, path, buffer);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         conn.key = loop.register(channel, SelectionKey.OP_READ, conn);
         return conn;
     }
 
     /** Opens a connection; what becomes of it the owner hears later, never during this call. */
-    static Conn open(Loop loop, InetSocketAddress to, Owner owner, ByteBuffer buffer) {
+    static Connection open(Loop loop, InetSocketAddress to, Owner owner, ByteBuffer buffer) {
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open();
@@ -86,7 +86,7 @@
             // which it
             // tells.
         }
-        Conn conn = new Conn(loop, channel, owner, new NetworkPath(null), buffer);
+        Connection conn = new Connection(loop, channel, owner, new NetworkPath(null), buffer);
         if (channel == null) {
             loop.after(0, () -> conn.end(true));
             return conn;
--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -19,7 +19,7 @@
  * watch, at an address of its own for each proxy. It can be down, slow, stale or elsewhere. It
  * tells the ledger when a proxy was told that a backend leaves.
  */
-final class Discovery implements Conn.Owner {
+final class Discovery implements Connection.Owner {
     /** Nanoseconds between empty lines of a watch at rest (PROTOCOL, Discovery). */
     private static final long BEAT = 2_000_000_000L;
 
@@ -53,7 +53,7 @@
         final int proxy;
         final Map<String, InetSocketAddress> dials = new LinkedHashMap<>();
         Listener door;
-        final Set<Conn> watching = new LinkedHashSet<>();
+        final Set<Connection> watching = new LinkedHashSet<>();
 
         /** For a plain proxy, which has no socket to discovery: it is told at the same moments. */
         Consumer<List<Backend>> plain;
@@ -80,7 +80,7 @@
     private final TreeMap<Long, Line> changed = new TreeMap<>();
 
     private final Map<Integer, Watch> watches = new LinkedHashMap<>();
-    private final Map<Conn, HttpIn> asking = new LinkedHashMap<>();
+    private final Map<Connection, HttpIn> asking = new LinkedHashMap<>();
     private final NetworkPath path = new NetworkPath(null);
     private long version = 1;
     private boolean down;
@@ -310,7 +310,7 @@
         if (!keepBack) {
             lines.values().forEach(this::show);
             for (Watch watch : watches.values()) {
-                List.copyOf(watch.watching).forEach(Conn::reset);
+                List.copyOf(watch.watching).forEach(Connection::reset);
                 if (watch.plain != null) {
                     watch.plain.accept(active());
                     note(watch);
@@ -338,12 +338,12 @@
     }
 
     @Override
-    public void up(Conn conn) {
+    public void up(Connection conn) {
         asking.put(conn, new HttpIn());
     }
 
     @Override
-    public void came(Conn conn, byte[] bytes, int length) {
+    public void came(Connection conn, byte[] bytes, int length) {
         HttpIn in = asking.get(conn);
         if (in == null) {
             return;
@@ -363,7 +363,7 @@
         }
     }
 
-    private void asked(Conn conn, HttpIn.Message message) {
+    private void asked(Connection conn, HttpIn.Message message) {
         Watch watch = (Watch) ((Listener) conn.of).of;
         String target = message.start().get(1);
         if (conn.isOver() || down) {
@@ -400,7 +400,7 @@
     }
 
     @Override
-    public void ended(Conn conn, boolean byReset) {
+    public void ended(Connection conn, boolean byReset) {
         asking.remove(conn);
         Listener door = (Listener) conn.of;
         door.conns.remove(conn);
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -101,7 +101,7 @@
 
     private final Scenario scenario;
     private final Loop loop = new Loop();
-    private final ByteBuffer buffer = Conn.sharedBuffer();
+    private final ByteBuffer buffer = Connection.sharedBuffer();
     private final Ledger ledger;
     private final Series series;
     private final List<Discovery> discoveries = new ArrayList<>();
--- a/src/main/java/cottonlock/lab/IdleConnections.java
+++ b/src/main/java/cottonlock/lab/IdleConnections.java
@@ -11,7 +11,7 @@
  * Idle connections that fill a proxy's descriptors: each asks for its health once and stays, and is
  * opened again when the proxy ends it. Lives on the loop's thread.
  */
-final class IdleConnections implements Conn.Owner {
+final class IdleConnections implements Connection.Owner {
     /** Nanoseconds after which a connection that has ended is opened again. */
     private static final long REOPEN_AFTER = 100_000_000L;
 
@@ -21,7 +21,7 @@
     private final Loop loop;
     private final ByteBuffer buffer;
     private final Supplier<InetSocketAddress> address;
-    private final Set<Conn> conns = new HashSet<>();
+    private final Set<Connection> conns = new HashSet<>();
     private boolean over;
 
     /** The address is null while the proxy does not serve. */
@@ -41,7 +41,7 @@
     /** Ends all connections for good. */
     void disperse() {
         over = true;
-        Set.copyOf(conns).forEach(Conn::reset);
+        Set.copyOf(conns).forEach(Connection::reset);
     }
 
     private void open() {
@@ -52,22 +52,22 @@
         if (to == null) {
             loop.after(REOPEN_AFTER, this::open);
         } else {
-            conns.add(Conn.open(loop, to, this, buffer));
+            conns.add(Connection.open(loop, to, this, buffer));
         }
     }
 
     @Override
-    public void up(Conn conn) {
+    public void up(Connection conn) {
         conn.write(HEALTH_REQUEST);
     }
 
     @Override
-    public void came(Conn conn, byte[] bytes, int length) {
+    public void came(Connection conn, byte[] bytes, int length) {
         // Answers about the proxy's health are of no interest.
     }
 
     @Override
-    public void ended(Conn conn, boolean byReset) {
+    public void ended(Connection conn, boolean byReset) {
         conns.remove(conn);
         loop.after(REOPEN_AFTER, this::open);
     }
--- a/src/main/java/cottonlock/lab/Listener.java
+++ b/src/main/java/cottonlock/lab/Listener.java
@@ -27,7 +27,7 @@
 
     private final Loop loop;
     private final ByteBuffer buffer;
-    private final Conn.Owner owner;
+    private final Connection.Owner owner;
     private final NetworkPath path;
 
     /** Which proxy's it is. */
@@ -35,13 +35,13 @@
 
     private ServerSocketChannel server;
     private final List<SocketChannel> fillers = new ArrayList<>();
-    final Set<Conn> conns = new LinkedHashSet<>();
+    final Set<Connection> conns = new LinkedHashSet<>();
     private InetSocketAddress address;
 
     /** Whom it belongs to. */
     final Object of;
 
-    Listener(Loop loop, ByteBuffer buffer, Conn.Owner owner, NetworkPath path, int proxy, Object of)
+    Listener(Loop loop, ByteBuffer buffer, Connection.Owner owner, NetworkPath path, int proxy, Object of)
             throws IOException {
         this.loop = loop;
         this.buffer = buffer;
@@ -104,7 +104,7 @@
     @Override
     public void ready(SelectionKey key) throws IOException {
         for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
-            Conn conn = Conn.accepted(loop, channel, owner, path, buffer);
+            Connection conn = Connection.accepted(loop, channel, owner, path, buffer);
             conn.of = this;
             conns.add(conn);
             owner.up(conn);
@@ -116,7 +116,7 @@
 
     /** Ends all open connections by a reset. */
     void resetAll() {
-        List.copyOf(conns).forEach(Conn::reset);
+        List.copyOf(conns).forEach(Connection::reset);
         conns.clear();
     }
 }
--- a/src/main/java/cottonlock/lab/PlainProxy.java
+++ b/src/main/java/cottonlock/lab/PlainProxy.java
@@ -17,13 +17,13 @@
  * sends again only what provably never ran, and knows nothing of lanes, quotas, doubt or cold
  * starts. It shows what the decisions of the real one are worth; no command serves with it.
  */
-final class PlainProxy implements Conn.Owner {
+final class PlainProxy implements Connection.Owner {
     /** Nanoseconds before the expiry at which it gives up: the way back. */
     private static final long RESERVE = 10_000_000L;
 
     /** One request. */
     private static final class Item {
-        final Conn client;
+        final Connection client;
         final HttpIn.Message message;
         final long until;
         final List<Backend> tried = new ArrayList<>();
@@ -31,7 +31,7 @@
         Link link;
         boolean over;
 
-        Item(Conn client, HttpIn.Message message, long until) {
+        Item(Connection client, HttpIn.Message message, long until) {
             this.client = client;
             this.message = message;
             this.until = until;
@@ -39,10 +39,10 @@
     }
 
     /** A connection to a backend and the request on it. */
-    private final class Link implements Conn.Owner {
+    private final class Link implements Connection.Owner {
         final Backend to;
         final HttpIn in = new HttpIn();
-        Conn conn;
+        Connection conn;
         Item item;
         boolean written;
         Loop.Timer connecting;
@@ -72,7 +72,7 @@
         }
 
         @Override
-        public void up(Conn c) {
+        public void up(Connection c) {
             connecting.cancel();
             if (item != null) {
                 write();
@@ -80,7 +80,7 @@
         }
 
         @Override
-        public void came(Conn c, byte[] bytes, int length) {
+        public void came(Connection c, byte[] bytes, int length) {
             in.add(bytes, length);
             try {
                 HttpIn.Message answer = in.next();
@@ -102,7 +102,7 @@
         }
 
         @Override
-        public void ended(Conn c, boolean byReset) {
+        public void ended(Connection c, boolean byReset) {
             resting.getOrDefault(to, new ArrayDeque<>()).remove(this);
             Item broken = item;
             item = null;
@@ -129,8 +129,8 @@
     private final SplittableRandom random;
     private final Map<Backend, InetSocketAddress> dials;
     private final Listener door;
-    private final Map<Conn, HttpIn> reading = new HashMap<>();
-    private final Map<Conn, Item> items = new HashMap<>();
+    private final Map<Connection, HttpIn> reading = new HashMap<>();
+    private final Map<Connection, Item> items = new HashMap<>();
     private final Map<Backend, Deque<Link>> resting = new HashMap<>();
     private final Map<Backend, Integer> out = new HashMap<>();
     private List<Backend> active = List.of();
@@ -166,12 +166,12 @@
     }
 
     @Override
-    public void up(Conn conn) {
+    public void up(Connection conn) {
         reading.put(conn, new HttpIn());
     }
 
     @Override
-    public void came(Conn conn, byte[] bytes, int length) {
+    public void came(Connection conn, byte[] bytes, int length) {
         HttpIn in = reading.get(conn);
         in.add(bytes, length);
         try {
@@ -215,7 +215,7 @@
         }
         Link link = new Link(to, item);
         item.link = link;
-        link.conn = Conn.open(loop, dials.get(to), link, buffer);
+        link.conn = Connection.open(loop, dials.get(to), link, buffer);
         link.connecting = loop.after(connectTimeout, link.conn::reset);
     }
 
@@ -275,7 +275,7 @@
     }
 
     @Override
-    public void ended(Conn conn, boolean byReset) {
+    public void ended(Connection conn, boolean byReset) {
         reading.remove(conn);
         door.conns.remove(conn);
         Item item = items.get(conn);
--- a/src/test/java/cottonlock/lab/LabTest.java
+++ b/src/test/java/cottonlock/lab/LabTest.java
@@ -255,18 +255,18 @@
     @Example
     void aWalledUpDoorLetsNobodyInAndAnOpenOneAgain() throws Exception {
         Loop loop = new Loop();
-        Conn.Owner owner =
-                new Conn.Owner() {
+        Connection.Owner owner =
+                new Connection.Owner() {
                     @Override
-                    public void came(Conn conn, byte[] bytes, int length) {
+                    public void came(Connection conn, byte[] bytes, int length) {
                         conn.write(java.util.Arrays.copyOf(bytes, length));
                     }
 
                     @Override
-                    public void ended(Conn conn, boolean byReset) {}
+                    public void ended(Connection conn, boolean byReset) {}
                 };
         Listener door =
-                new Listener(loop, Conn.sharedBuffer(), owner, new NetworkPath(null), 0, null);
+                new Listener(loop, Connection.sharedBuffer(), owner, new NetworkPath(null), 0, null);
         Thread thread =
                 new Thread(
                         () -> {
