--- a/src/main/java/cottonlock/lab/PlainProxy.java
+++ b/src/main/java/cottonlock/lab/BaselineProxy.java
@@ -17,7 +17,7 @@
  * sends again only what provably never ran, and knows nothing of lanes, quotas, doubt or cold
  * starts. It shows what the decisions of the real one are worth; no command serves with it.
  */
-final class PlainProxy implements Connection.Owner {
+final class BaselineProxy implements Connection.Owner {
     /** Nanoseconds before the expiry at which it gives up: the way back. */
     private static final long RESERVE = 10_000_000L;
 
@@ -136,7 +136,7 @@
     private List<Backend> active = List.of();
     private int turn;
 
-    PlainProxy(
+    BaselineProxy(
             Loop loop,
             ByteBuffer buffer,
             int number,
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -295,8 +295,8 @@
             return nodes.get(number);
         }
         if (!scenario.proxies.policy().equals("lanes")) {
-            PlainProxy plain =
-                    new PlainProxy(
+            BaselineProxy plain =
+                    new BaselineProxy(
                             loop,
                             buffer,
                             number,
