--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -88,7 +88,7 @@
     private final Set<Job> running = new HashSet<>();
 
     /** How it reaches the next tier; null in the last. */
-    Caller next;
+    ProxyClient next;
 
     /** Told when it falls or is killed, so that its own proxy goes with it. */
     Runnable died = () -> {};
@@ -357,7 +357,7 @@
         String chain = job.key + "/" + job.callsLeft;
         job.callsLeft--;
         next.send(
-                new Caller.Request(
+                new ProxyClient.Request(
                         inner,
                         job.key == null ? inner : chain,
                         chain,
@@ -372,7 +372,7 @@
                     if (!running.contains(job)) {
                         return;
                     }
-                    if (result.end() != Caller.End.FINISHED) {
+                    if (result.end() != ProxyClient.End.FINISHED) {
                         finish(job, 500);
                         running.remove(job);
                     } else if (job.callsLeft > 0) {
--- a/src/main/java/cottonlock/lab/Clients.java
+++ b/src/main/java/cottonlock/lab/Clients.java
@@ -21,7 +21,7 @@
     private final Scenario.ClientPlan plan;
     private final List<String> tenants;
     private final List<Scenario.CategoryPlan> categories;
-    private final List<Caller> callers;
+    private final List<ProxyClient> callers;
 
     /**
      * The room of each proxy, and since when the front knows that it is gone; -1 while it serves.
@@ -42,7 +42,7 @@
             Scenario.ClientPlan plan,
             List<String> tenants,
             List<Scenario.CategoryPlan> categories,
-            List<Caller> callers,
+            List<ProxyClient> callers,
             int[] rooms) {
         this.loop = loop;
         this.series = series;
@@ -123,7 +123,7 @@
         long patience = due + category.expiry() - now;
         int proxy = pick(a.room(), chance);
         if (patience < 2_000_000 || proxy < 0 || tries >= TRIES) {
-            over(a, Caller.End.NOT_TAKEN, from);
+            over(a, ProxyClient.End.NOT_TAKEN, from);
             return;
         }
         // Which send this is: an id is new with each (PROTOCOL).
@@ -140,7 +140,7 @@
         retried += retries > 0 && tries == 0 ? 1 : 0;
         callers.get(proxy)
                 .send(
-                        new Caller.Request(
+                        new ProxyClient.Request(
                                 id,
                                 key,
                                 key,
@@ -152,7 +152,7 @@
                         chance.nextDouble() < plan.keep(),
                         leaveIn,
                         result -> {
-                            if (result.end() == Caller.End.NOT_TAKEN) {
+                            if (result.end() == ProxyClient.End.NOT_TAKEN) {
                                 // Nobody has it: the front tries the next proxy.
                                 sent--;
                                 send(a, number, tries + 1, retries, key, due, from, chance);
@@ -164,7 +164,7 @@
 
     private void ended(
             Arrivals.Arrival a,
-            Caller.Result result,
+            ProxyClient.Result result,
             int number,
             int retries,
             String key,
@@ -184,7 +184,7 @@
             case WRITTEN_OFF -> series.count(Series.Count.WRITTEN_OFF, now - from);
             default -> series.count(Series.Count.NO_ANSWER, now - from);
         }
-        boolean again = retries < plan.retries() && result.end() == Caller.End.DEFERRED;
+        boolean again = retries < plan.retries() && result.end() == ProxyClient.End.DEFERRED;
         long wait = Math.max(result.comeBack(), PAUSE + (long) (chance.nextDouble() * PAUSE));
         if (again && now + wait < due + categories.get(a.category()).expiry() && !ended) {
             loop.after(wait, () -> send(a, number, 0, retries + 1, key, due, from, chance));
@@ -193,19 +193,19 @@
         }
     }
 
-    private void over(Arrivals.Arrival a, Caller.End end, long from) {
+    private void over(Arrivals.Arrival a, ProxyClient.End end, long from) {
         open--;
         Scenario.CategoryPlan category = categories.get(a.category());
-        if (end == Caller.End.LEFT) {
+        if (end == ProxyClient.End.LEFT) {
             // Who left on purpose was owed nothing.
             return;
         }
-        if (end == Caller.End.NOT_TAKEN) {
+        if (end == ProxyClient.End.NOT_TAKEN) {
             series.count(Series.Count.NO_ANSWER, loop.now() - from);
         }
         boolean late = loop.now() - from - a.at() > category.due();
         double earned =
-                end != Caller.End.FINISHED
+                end != ProxyClient.End.FINISHED
                         ? 0
                         : category.credit() * (late ? category.lateCredit() : 1);
         series.credit(a.tenant(), a.at(), category.credit(), earned);
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -83,7 +83,7 @@
     private static final class Node {
         final int number;
         final Host host;
-        final Caller caller;
+        final ProxyClient caller;
         volatile boolean serving;
 
         /** Of the first tier, whose proxies clients call. */
@@ -91,7 +91,7 @@
 
         long starts;
 
-        Node(int number, Host host, Caller caller, boolean first) {
+        Node(int number, Host host, ProxyClient caller, boolean first) {
             this.number = number;
             this.host = host;
             this.caller = caller;
@@ -199,7 +199,7 @@
             watch = new MembersWatch();
             watcher = new Watcher(ServeCommand.code());
         }
-        List<Caller> callers = new ArrayList<>();
+        List<ProxyClient> callers = new ArrayList<>();
         int[] rooms = new int[scenario.proxies.count()];
         for (int p = 0; p < rooms.length; p++) {
             rooms[p] = p % scenario.rooms.size();
@@ -283,7 +283,7 @@
                     new Node(
                             number,
                             null,
-                            new Caller(
+                            new ProxyClient(
                                     loop,
                                     ledger,
                                     buffer,
@@ -310,7 +310,7 @@
                     new Node(
                             number,
                             null,
-                            new Caller(
+                            new ProxyClient(
                                     loop,
                                     ledger,
                                     buffer,
@@ -360,7 +360,7 @@
                     new Node(
                             number,
                             host,
-                            new Caller(
+                            new ProxyClient(
                                     loop,
                                     ledger,
                                     buffer,
--- a/src/main/java/cottonlock/lab/Caller.java
+++ b/src/main/java/cottonlock/lab/ProxyClient.java
@@ -19,7 +19,7 @@
  * proxy closed between requests: the request goes once more on a new one (PROTOCOL, Callers to
  * proxies).
  */
-final class Caller implements Connection.Owner {
+final class ProxyClient implements Connection.Owner {
     /**
      * How long an answer is waited for beyond the patience, so that late ones are seen as late: in
      * ns.
@@ -137,7 +137,7 @@
     /** The proxy is being killed: what it owes is excused, as long as it has not started again. */
     private boolean dying;
 
-    Caller(
+    ProxyClient(
             Loop loop,
             Ledger ledger,
             ByteBuffer buffer,
