--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -50,7 +50,7 @@
      * answer.
      */
     private static final class State {
-        final HttpIn in = new HttpIn();
+        final HttpMessageParser in = new HttpMessageParser();
         long firstByte = -1;
         Job job;
     }
@@ -246,19 +246,19 @@
         }
         state.in.add(bytes, length);
         try {
-            HttpIn.Message message = state.in.next();
+            HttpMessageParser.Message message = state.in.next();
             if (message != null) {
                 Job job = new Job(conn, state.firstByte);
                 state.firstByte = -1;
                 state.job = job;
                 request(job, message);
             }
-        } catch (HttpIn.Unreadable e) {
+        } catch (HttpMessageParser.Unreadable e) {
             conn.reset();
         }
     }
 
-    private void request(Job job, HttpIn.Message message) {
+    private void request(Job job, HttpMessageParser.Message message) {
         long now = loop.now();
         job.id = message.field("x-request-id");
         job.key = message.field("idempotency-key");
@@ -429,7 +429,7 @@
                             + ",util="
                             + Math.round(100.0 * model.busy() / model.cores()) / 100.0;
         }
-        job.conn.answer(HttpIn.answer(status, name, value, body));
+        job.conn.answer(HttpMessageParser.answer(status, name, value, body));
     }
 
     @Override
--- a/src/main/java/cottonlock/lab/BaselineProxy.java
+++ b/src/main/java/cottonlock/lab/BaselineProxy.java
@@ -24,14 +24,14 @@
     /** One request. */
     private static final class Item {
         final Connection client;
-        final HttpIn.Message message;
+        final HttpMessageParser.Message message;
         final long until;
         final List<Backend> tried = new ArrayList<>();
         Loop.Timer timer;
         Link link;
         boolean over;
 
-        Item(Connection client, HttpIn.Message message, long until) {
+        Item(Connection client, HttpMessageParser.Message message, long until) {
             this.client = client;
             this.message = message;
             this.until = until;
@@ -41,7 +41,7 @@
     /** A connection to a backend and the request on it. */
     private final class Link implements Connection.Owner {
         final Backend to;
-        final HttpIn in = new HttpIn();
+        final HttpMessageParser in = new HttpMessageParser();
         Connection conn;
         Item item;
         boolean written;
@@ -53,7 +53,7 @@
         }
 
         void write() {
-            HttpIn.Message m = item.message;
+            HttpMessageParser.Message m = item.message;
             StringBuilder head = new StringBuilder(String.join(" ", m.start())).append("\r\n");
             m.fields()
                     .forEach(
@@ -83,7 +83,7 @@
         public void came(Connection c, byte[] bytes, int length) {
             in.add(bytes, length);
             try {
-                HttpIn.Message answer = in.next();
+                HttpMessageParser.Message answer = in.next();
                 if (answer == null) {
                     return;
                 }
@@ -96,7 +96,7 @@
                 }
                 resting.computeIfAbsent(to, b -> new ArrayDeque<>()).addLast(this);
                 back(done, answer);
-            } catch (HttpIn.Unreadable e) {
+            } catch (HttpMessageParser.Unreadable e) {
                 c.reset();
             }
         }
@@ -129,7 +129,7 @@
     private final SplittableRandom random;
     private final Map<Backend, InetSocketAddress> dials;
     private final Listener door;
-    private final Map<Connection, HttpIn> reading = new HashMap<>();
+    private final Map<Connection, HttpMessageParser> reading = new HashMap<>();
     private final Map<Connection, Item> items = new HashMap<>();
     private final Map<Backend, Deque<Link>> resting = new HashMap<>();
     private final Map<Backend, Integer> out = new HashMap<>();
@@ -167,15 +167,15 @@
 
     @Override
     public void up(Connection conn) {
-        reading.put(conn, new HttpIn());
+        reading.put(conn, new HttpMessageParser());
     }
 
     @Override
     public void came(Connection conn, byte[] bytes, int length) {
-        HttpIn in = reading.get(conn);
+        HttpMessageParser in = reading.get(conn);
         in.add(bytes, length);
         try {
-            HttpIn.Message m = in.next();
+            HttpMessageParser.Message m = in.next();
             if (m == null) {
                 return;
             }
@@ -185,7 +185,7 @@
             items.put(conn, item);
             item.timer = loop.at(until, () -> give(item, 502));
             attempt(item);
-        } catch (HttpIn.Unreadable e) {
+        } catch (HttpMessageParser.Unreadable e) {
             conn.reset();
         }
     }
@@ -236,7 +236,7 @@
         }
     }
 
-    private void back(Item item, HttpIn.Message answer) {
+    private void back(Item item, HttpMessageParser.Message answer) {
         if (item.over) {
             return;
         }
@@ -244,7 +244,7 @@
         switch (answer.start().get(1)) {
             case "200" -> {
                 over(item);
-                item.client.write(HttpIn.answer(200, null, null, answer.body()));
+                item.client.write(HttpMessageParser.answer(200, null, null, answer.body()));
             }
             case "503", "504" -> {
                 if (answer.field("x-not-processed") != null) {
@@ -265,7 +265,7 @@
         if (item.link != null && item.link.item == item) {
             item.link.conn.reset();
         }
-        item.client.write(HttpIn.answer(status, null, null, new byte[0]));
+        item.client.write(HttpMessageParser.answer(status, null, null, new byte[0]));
     }
 
     private void over(Item item) {
--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -80,7 +80,7 @@
     private final TreeMap<Long, Line> changed = new TreeMap<>();
 
     private final Map<Integer, Watch> watches = new LinkedHashMap<>();
-    private final Map<Connection, HttpIn> asking = new LinkedHashMap<>();
+    private final Map<Connection, HttpMessageParser> asking = new LinkedHashMap<>();
     private final NetworkPath path = new NetworkPath(null);
     private long version = 1;
     private boolean down;
@@ -339,44 +339,44 @@
 
     @Override
     public void up(Connection conn) {
-        asking.put(conn, new HttpIn());
+        asking.put(conn, new HttpMessageParser());
     }
 
     @Override
     public void came(Connection conn, byte[] bytes, int length) {
-        HttpIn in = asking.get(conn);
+        HttpMessageParser in = asking.get(conn);
         if (in == null) {
             return;
         }
         in.add(bytes, length);
         try {
-            for (HttpIn.Message m = in.next(); m != null; m = in.next()) {
-                HttpIn.Message message = m;
+            for (HttpMessageParser.Message m = in.next(); m != null; m = in.next()) {
+                HttpMessageParser.Message message = m;
                 if (slow > 0) {
                     loop.after(slow, () -> asked(conn, message));
                 } else {
                     asked(conn, message);
                 }
             }
-        } catch (HttpIn.Unreadable e) {
+        } catch (HttpMessageParser.Unreadable e) {
             conn.reset();
         }
     }
 
-    private void asked(Connection conn, HttpIn.Message message) {
+    private void asked(Connection conn, HttpMessageParser.Message message) {
         Watch watch = (Watch) ((Listener) conn.of).of;
         String target = message.start().get(1);
         if (conn.isOver() || down) {
             return;
         }
         if (!target.startsWith("/catalog/members")) {
-            conn.write(HttpIn.answer(404, null, null, new byte[0]));
+            conn.write(HttpMessageParser.answer(404, null, null, new byte[0]));
             return;
         }
         watch.askedAt = loop.now();
         if (!target.contains("stream=1")) {
             conn.write(
-                    HttpIn.answer(
+                    HttpMessageParser.answer(
                             200,
                             null,
                             null,
--- a/src/main/java/cottonlock/lab/HttpIn.java
+++ b/src/main/java/cottonlock/lab/HttpMessageParser.java
@@ -12,7 +12,7 @@
  * proxies and the stand-ins write: heads, and bodies with a Content-Length; anything else is a
  * fault of who wrote it.
  */
-final class HttpIn {
+final class HttpMessageParser {
     /** Bytes of a head and of a body, at most: beyond them something is wrong. */
     private static final int LONGEST_HEAD = 16 << 10;
 
--- a/src/main/java/cottonlock/lab/ProxyClient.java
+++ b/src/main/java/cottonlock/lab/ProxyClient.java
@@ -108,7 +108,7 @@
 
         boolean up;
         Loop.Timer timer;
-        HttpIn in = new HttpIn();
+        HttpMessageParser in = new HttpMessageParser();
 
         Call(Request request, long until, boolean keep, long leaveAt, Consumer<Result> then) {
             this.request = request;
@@ -272,18 +272,18 @@
         call.begun = true;
         call.in.add(bytes, length);
         try {
-            HttpIn.Message message = call.in.next();
+            HttpMessageParser.Message message = call.in.next();
             if (message != null) {
                 answered(conn, call, message);
             }
-        } catch (HttpIn.Unreadable e) {
+        } catch (HttpMessageParser.Unreadable e) {
             ledger.unanswered(
                     loop.now(), call.request.id(), "its answer can't be read: " + e.getMessage());
             finish(conn, call, new Result(End.NO_ANSWER, 0), false);
         }
     }
 
-    private void answered(Connection conn, Call call, HttpIn.Message message) {
+    private void answered(Connection conn, Call call, HttpMessageParser.Message message) {
         long now = loop.now();
         if (!call.written) {
             // An answer before the request has come whole is its final one.
--- a/src/test/java/cottonlock/lab/ScenarioTest.java
+++ b/src/test/java/cottonlock/lab/ScenarioTest.java
@@ -220,17 +220,17 @@
             String body = "\r\n\r\n".repeat(random.nextInt(3)) + "x".repeat(random.nextInt(50));
             bodies.add(body);
             bytes.write(
-                    HttpIn.answer(
+                    HttpMessageParser.answer(
                             200, random.nextBoolean() ? "A" : null, "b", body.getBytes(UTF_8)));
         }
-        HttpIn in = new HttpIn();
+        HttpMessageParser in = new HttpMessageParser();
         List<String> read = new ArrayList<>();
         byte[] all = bytes.toByteArray();
         for (int from = 0; from < all.length; ) {
             int to = Math.min(all.length, from + 1 + random.nextInt(40));
             byte[] piece = java.util.Arrays.copyOfRange(all, from, to);
             in.add(piece, piece.length);
-            for (HttpIn.Message m = in.next(); m != null; m = in.next()) {
+            for (HttpMessageParser.Message m = in.next(); m != null; m = in.next()) {
                 read.add(new String(m.body(), UTF_8));
             }
             from = to;
