--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -114,7 +114,7 @@
     private final java.nio.file.Path folder;
 
     /** Where the proxies of the first tier know one another; null where they don't. */
-    private PeerNet net;
+    private PeerNetwork net;
 
     private MembersJudge judge;
     private MembersWatch watch;
@@ -190,7 +190,7 @@
             }
         }
         if (scenario.knowing != null) {
-            net = new PeerNet(loop, scenario.seed, scenario.proxies.count());
+            net = new PeerNetwork(loop, scenario.seed, scenario.proxies.count());
             List<String> names = new ArrayList<>();
             for (int p = 0; p < scenario.proxies.count(); p++) {
                 names.add("n" + p);
--- a/src/main/java/cottonlock/lab/PeerNet.java
+++ b/src/main/java/cottonlock/lab/PeerNetwork.java
@@ -20,7 +20,7 @@
  * can be cut or spoilt, and what passed is known without asking anybody. Lives on the loop's
  * thread.
  */
-final class PeerNet {
+final class PeerNetwork {
     private static final long SECOND = 1_000_000_000L;
 
     /** Datagrams kept to be sent again as a forger would. */
@@ -90,7 +90,7 @@
     private long seen;
     private long forged;
 
-    PeerNet(Loop loop, long seed, int proxies) throws IOException {
+    PeerNetwork(Loop loop, long seed, int proxies) throws IOException {
         this.loop = loop;
         this.paths = new PeerPaths(seed, proxies);
         this.chance = new SplittableRandom(seed ^ 0x5eed);
