--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -37,7 +37,7 @@
         double work;
         long until;
         int callsLeft;
-        Loop.Timer timer;
+        EventLoop.Timer timer;
 
         Job(Connection conn, long firstByte) {
             this.conn = conn;
@@ -75,7 +75,7 @@
     final NetworkPath path;
     final List<Listener> doors = new ArrayList<>();
     private final int tier;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Ledger ledger;
     private final Series series;
     private final BackendModel<Job> model;
@@ -107,7 +107,7 @@
             String id,
             int tier,
             String room,
-            Loop loop,
+            EventLoop loop,
             Ledger ledger,
             Series series,
             Scenario.Tier plan,
--- a/src/main/java/cottonlock/lab/BaselineProxy.java
+++ b/src/main/java/cottonlock/lab/BaselineProxy.java
@@ -27,7 +27,7 @@
         final HttpMessageParser.Message message;
         final long until;
         final List<Backend> tried = new ArrayList<>();
-        Loop.Timer timer;
+        EventLoop.Timer timer;
         Link link;
         boolean over;
 
@@ -45,7 +45,7 @@
         Connection conn;
         Item item;
         boolean written;
-        Loop.Timer connecting;
+        EventLoop.Timer connecting;
 
         Link(Backend to, Item item) {
             this.to = to;
@@ -120,7 +120,7 @@
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final ByteBuffer buffer;
     private final int number;
     private final String policy;
@@ -137,7 +137,7 @@
     private int turn;
 
     BaselineProxy(
-            Loop loop,
+            EventLoop loop,
             ByteBuffer buffer,
             int number,
             String policy,
--- a/src/main/java/cottonlock/lab/Clients.java
+++ b/src/main/java/cottonlock/lab/Clients.java
@@ -16,7 +16,7 @@
     /** Nanoseconds before a client sends again when it was given no come-back time, at least. */
     private static final long PAUSE = 50_000_000L;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Series series;
     private final Scenario.ClientPlan plan;
     private final List<String> tenants;
@@ -37,7 +37,7 @@
     private boolean ended;
 
     Clients(
-            Loop loop,
+            EventLoop loop,
             Series series,
             Scenario.ClientPlan plan,
             List<String> tenants,
--- a/src/main/java/cottonlock/lab/Connection.java
+++ b/src/main/java/cottonlock/lab/Connection.java
@@ -14,7 +14,7 @@
  * One connection of a stand-in, with the network it goes over. It owns its channel and closes it in
  * one place; {@link Owner#ended} comes exactly once.
  */
-final class Connection implements Loop.Ready {
+final class Connection implements EventLoop.Ready {
     /** Whom a connection tells what happens on it. */
     interface Owner {
         /** It has come up; for connections that the stand-in opened. */
@@ -30,7 +30,7 @@
     /** Shared by all connections of a loop: only one is read at a time. */
     private static final int READ = 64 << 10;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final SocketChannel channel;
     private final Owner owner;
     private final NetworkPath path;
@@ -54,7 +54,7 @@
      */
     long cameAt;
 
-    private Connection(Loop loop, SocketChannel channel, Owner owner, NetworkPath path, ByteBuffer buffer) {
+    private Connection(EventLoop loop, SocketChannel channel, Owner owner, NetworkPath path, ByteBuffer buffer) {
         this.loop = loop;
         this.channel = channel;
         this.owner = owner;
@@ -68,7 +68,7 @@
 
     /** A connection that a stand-in has accepted. */
     static Connection accepted(
-            Loop loop, SocketChannel channel, Owner owner, NetworkPath path, ByteBuffer buffer)
+            EventLoop loop, SocketChannel channel, Owner owner, NetworkPath path, ByteBuffer buffer)
             throws IOException {
         Connection conn = new Connection(loop, channel, owner, path, buffer);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -77,7 +77,7 @@
     }
 
     /** Opens a connection; what becomes of it the owner hears later, never during this call. */
-    static Connection open(Loop loop, InetSocketAddress to, Owner owner, ByteBuffer buffer) {
+    static Connection open(EventLoop loop, InetSocketAddress to, Owner owner, ByteBuffer buffer) {
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open();
--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -65,7 +65,7 @@
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Ledger ledger;
     private final ByteBuffer buffer;
     private final long askWithin;
@@ -89,7 +89,7 @@
     private long slow;
 
     Discovery(
-            Loop loop,
+            EventLoop loop,
             Ledger ledger,
             ByteBuffer buffer,
             long askWithin,
--- a/src/main/java/cottonlock/lab/Loop.java
+++ b/src/main/java/cottonlock/lab/EventLoop.java
@@ -17,7 +17,7 @@
  * run on a machine that can't keep up must give no verdict. Times are nanoseconds since the loop
  * was made.
  */
-public final class Loop {
+public final class EventLoop {
     /** Microseconds: what is later is as bad as this. */
     private static final long LATEST = 60_000_000;
 
@@ -62,7 +62,7 @@
     private long orders;
     private volatile boolean stopped;
 
-    public Loop() {
+    public EventLoop() {
         try {
             selector = Selector.open();
         } catch (IOException e) {
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -100,7 +100,7 @@
     }
 
     private final Scenario scenario;
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final ByteBuffer buffer = Connection.sharedBuffer();
     private final Ledger ledger;
     private final Series series;
--- a/src/main/java/cottonlock/lab/IdleConnections.java
+++ b/src/main/java/cottonlock/lab/IdleConnections.java
@@ -18,14 +18,14 @@
     private static final byte[] HEALTH_REQUEST =
             "GET /_health HTTP/1.1\r\nHost: lab\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final ByteBuffer buffer;
     private final Supplier<InetSocketAddress> address;
     private final Set<Connection> conns = new HashSet<>();
     private boolean over;
 
     /** The address is null while the proxy does not serve. */
-    IdleConnections(Loop loop, ByteBuffer buffer, Supplier<InetSocketAddress> address) {
+    IdleConnections(EventLoop loop, ByteBuffer buffer, Supplier<InetSocketAddress> address) {
         this.loop = loop;
         this.buffer = buffer;
         this.address = address;
--- a/src/main/java/cottonlock/lab/Listener.java
+++ b/src/main/java/cottonlock/lab/Listener.java
@@ -18,14 +18,14 @@
  * who connects. It can be open, shut (connects are refused, as by a process that has died) or
  * walled up (connects never come up, as with a machine that is cut off).
  */
-final class Listener implements Loop.Ready {
+final class Listener implements EventLoop.Ready {
     /** As many as a burst brings while the loop is busy elsewhere. */
     private static final int BACKLOG = 256;
 
     /** Connections that fill the queue of a walled-up door of backlog one, with one to spare. */
     private static final int FILLERS = 3;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final ByteBuffer buffer;
     private final Connection.Owner owner;
     private final NetworkPath path;
@@ -41,7 +41,7 @@
     /** Whom it belongs to. */
     final Object of;
 
-    Listener(Loop loop, ByteBuffer buffer, Connection.Owner owner, NetworkPath path, int proxy, Object of)
+    Listener(EventLoop loop, ByteBuffer buffer, Connection.Owner owner, NetworkPath path, int proxy, Object of)
             throws IOException {
         this.loop = loop;
         this.buffer = buffer;
--- a/src/main/java/cottonlock/lab/PeerNetwork.java
+++ b/src/main/java/cottonlock/lab/PeerNetwork.java
@@ -29,7 +29,7 @@
     private static final int LONGEST = 2_048;
 
     /** One proxy's address, and what came from it within the last second. */
-    private final class Place implements Loop.Ready {
+    private final class Place implements EventLoop.Ready {
         final int number;
         final DatagramChannel channel;
         final InetSocketAddress address;
@@ -80,7 +80,7 @@
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final ByteBuffer buffer = ByteBuffer.allocate(LONGEST);
     private final List<Place> places = new ArrayList<>();
     private final Map<Integer, Integer> byReal = new HashMap<>();
@@ -90,7 +90,7 @@
     private long seen;
     private long forged;
 
-    PeerNetwork(Loop loop, long seed, int proxies) throws IOException {
+    PeerNetwork(EventLoop loop, long seed, int proxies) throws IOException {
         this.loop = loop;
         this.paths = new PeerPaths(seed, proxies);
         this.chance = new SplittableRandom(seed ^ 0x5eed);
--- a/src/main/java/cottonlock/lab/ProxyClient.java
+++ b/src/main/java/cottonlock/lab/ProxyClient.java
@@ -107,7 +107,7 @@
         long openedAt;
 
         boolean up;
-        Loop.Timer timer;
+        EventLoop.Timer timer;
         HttpMessageParser in = new HttpMessageParser();
 
         Call(Request request, long until, boolean keep, long leaveAt, Consumer<Result> then) {
@@ -119,7 +119,7 @@
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Ledger ledger;
     private final ByteBuffer buffer;
     private final int proxy;
@@ -138,7 +138,7 @@
     private boolean dying;
 
     ProxyClient(
-            Loop loop,
+            EventLoop loop,
             Ledger ledger,
             ByteBuffer buffer,
             int proxy,
--- a/src/main/java/cottonlock/lab/scale/ControlStandIn.java
+++ b/src/main/java/cottonlock/lab/scale/ControlStandIn.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.scale;
 
-import cottonlock.lab.Loop;
+import cottonlock.lab.EventLoop;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -55,7 +55,7 @@
         long worst;
     }
 
-    private final class Connection implements Loop.Ready {
+    private final class Connection implements EventLoop.Ready {
         final SocketChannel channel;
         final Traffic traffic;
         final StringBuilder request = new StringBuilder();
@@ -177,7 +177,7 @@
         }
     }
 
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final ByteBuffer buffer = ByteBuffer.allocate(16 << 10);
 
     /** Nanoseconds between two calls that are answered. */
--- a/src/test/java/cottonlock/lab/LabTest.java
+++ b/src/test/java/cottonlock/lab/LabTest.java
@@ -254,7 +254,7 @@
      */
     @Example
     void aWalledUpDoorLetsNobodyInAndAnOpenOneAgain() throws Exception {
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         Connection.Owner owner =
                 new Connection.Owner() {
                     @Override
