--- a/src/main/java/cottonlock/lab/ControlMachine.java
+++ b/src/main/java/cottonlock/lab/ControlServer.java
@@ -20,7 +20,7 @@
  * has it. It can be killed, lie behind, be overloaded, tell half a version and break off in the
  * middle of a line.
  */
-public final class ControlMachine implements AutoCloseable {
+public final class ControlServer implements AutoCloseable {
     private static final long BEAT = 2_000;
 
     /** What it tells besides the truth. */
@@ -71,7 +71,7 @@
     /**
      * Listens on a port of loopback that is free. Calls beyond so many in a second are turned away.
      */
-    public ControlMachine(int callsPerSecond) throws IOException {
+    public ControlServer(int callsPerSecond) throws IOException {
         this.callsPerSecond = callsPerSecond;
         start();
         Thread beat = new Thread(this::beat, "control beat");
--- a/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
+++ b/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.lab.ControlMachine;
-import cottonlock.lab.ControlMachine.Trouble;
+import cottonlock.lab.ControlServer;
+import cottonlock.lab.ControlServer.Trouble;
 import cottonlock.proxy.control.ConfigurationVersionDigest;
 import cottonlock.proxy.control.ProxyConfiguration;
 import cottonlock.proxy.http.BufferPool;
@@ -31,7 +31,7 @@
 class RolloutProcessesTest extends ProxyFixture {
     private static final long PROMISED = 10_000_000_000L;
 
-    private final List<ControlMachine> control = new ArrayList<>();
+    private final List<ControlServer> control = new ArrayList<>();
     private final List<Instance> instances = new ArrayList<>();
     private String base;
     private String content;
@@ -163,7 +163,7 @@
     private StandIn start(int machines, int processes) throws Exception {
         StandIn backend = new StandIn(request -> OK);
         for (int i = 0; i < machines; i++) {
-            ControlMachine machine = new ControlMachine(200);
+            ControlServer machine = new ControlServer(200);
             control.add(machine);
             open.add(machine);
         }
@@ -215,7 +215,7 @@
         control.get(0).kill();
         publish(2, named("thrice"));
         allHold(2);
-        for (ControlMachine c : control) {
+        for (ControlServer c : control) {
             c.kill();
         }
         Instance first = instances.get(0);
@@ -235,7 +235,7 @@
                 second.figure("configuration_version"),
                 "off: nothing is kept, the file is back");
         assertEquals(404, second.status("thrice"));
-        for (ControlMachine c : control) {
+        for (ControlServer c : control) {
             c.start();
         }
         publish(3, named("fourth"));
@@ -253,7 +253,7 @@
         allHold(2);
         inTime(() -> control.get(2).watches() == 3, "all watch the one that knows");
         // Restored from an old copy, control tells a lower number: nobody goes back.
-        ControlMachine old = control.get(2);
+        ControlServer old = control.get(2);
         old.kill();
         for (Instance i : instances) {
             inTime(() -> !i.figure("configuration_ahead_ms").equals("-1"), "told to a pager");
@@ -306,7 +306,7 @@
 
     private Path file;
 
-    private void startHere(Path folder, ControlMachine... machines) throws IOException {
+    private void startHere(Path folder, ControlServer... machines) throws IOException {
         StandIn backend = new StandIn(request -> OK);
         file = config(configuration(backend).replace("{\"listen\"", "{\"name\":\"p\",\"listen\""));
         String text = Files.readString(file);
@@ -318,7 +318,7 @@
                 ConfigurationVersionDigest.ofBase(
                         ProxyConfiguration.settings((JsonObject) JsonReader.read(content)));
         List<String> addresses = new ArrayList<>();
-        for (ControlMachine m : machines) {
+        for (ControlServer m : machines) {
             addresses.add(m.address());
             open.add(m);
         }
@@ -342,7 +342,7 @@
 
     @Example
     void whatControlToldStaysInForceOverTheFile() throws Exception {
-        ControlMachine machine = new ControlMachine(200);
+        ControlServer machine = new ControlServer(200);
         startHere(Files.createTempDirectory("rollout"), machine);
         Files.writeString(file, Files.readString(file).replace("\"once\"", "\"byfile\""));
         proxy.reload();
@@ -362,8 +362,8 @@
 
     @Example
     void controlThatIsOverloadedIsAskedAgainInTime() throws Exception {
-        ControlMachine one = new ControlMachine(200);
-        ControlMachine other = new ControlMachine(200);
+        ControlServer one = new ControlServer(200);
+        ControlServer other = new ControlServer(200);
         one.trouble(Trouble.OVERLOADED);
         other.trouble(Trouble.OVERLOADED);
         startHere(null, one, other);
@@ -380,13 +380,13 @@
     @Example
     void aVersionThatEndsProcessesIsNotTriedForEver() throws Exception {
         Path folder = Files.createTempDirectory("rollout");
-        ControlMachine machine = new ControlMachine(200);
+        ControlServer machine = new ControlServer(200);
         startHere(folder, machine);
         String poison = named("poison");
         Path kept = folder.resolve("cottonlock-p-127.0.0.1_0.configuration");
         Files.writeString(
                 kept,
-                "cottonlock configuration 1\ntries 1." + ControlMachine.digest(poison) + " 3\n");
+                "cottonlock configuration 1\ntries 1." + ControlServer.digest(poison) + " 3\n");
         machine.publish("s", 1, base, poison);
         inTime(() -> Files.readString(kept).contains(" 4"), "marked again");
         assertEquals(404, status(call(request("poison", "1", "", "body"))));
--- a/src/test/java/cottonlock/proxy/control/ConfigurationVersionParserTest.java
+++ b/src/test/java/cottonlock/proxy/control/ConfigurationVersionParserTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.lab.ControlMachine;
+import cottonlock.lab.ControlServer;
 import cottonlock.proxy.io.JsonReader;
 import cottonlock.proxy.io.JsonValue.JsonObject;
 import cottonlock.setup.InvalidSettingsException;
@@ -43,13 +43,13 @@
     }
 
     private static String line(String settings) {
-        return line(43, ControlMachine.digest(settings), base(SETTINGS), settings);
+        return line(43, ControlServer.digest(settings), base(SETTINGS), settings);
     }
 
     @Example
     void aWholeVersionIsRead() {
         ConfigurationVersionMessage line = ConfigurationVersionParser.parse(line(SETTINGS));
-        assertEquals("43." + ControlMachine.digest(SETTINGS), line.version().toString());
+        assertEquals("43." + ControlServer.digest(SETTINGS), line.version().toString());
         assertEquals(3, validated(line, base(SETTINGS)).count("Limits.MaxHandOffs", 0));
         ConfigurationVersionMessage number =
                 ConfigurationVersionParser.parse("{\"seq\":43,\"digest\":\"00000000000000ff\"}");
@@ -128,7 +128,7 @@
         String others = SETTINGS.replace("\"z\"", "\"z\",\"y\"");
         ConfigurationVersionMessage onOthers =
                 ConfigurationVersionParser.parse(
-                        line(43, ControlMachine.digest(others), base(others), others));
+                        line(43, ControlServer.digest(others), base(others), others));
         InvalidSettingsException fault =
                 assertThrows(
                         InvalidSettingsException.class, () -> validated(onOthers, base(SETTINGS)));
--- a/src/test/java/cottonlock/proxy/control/StoredFilesTest.java
+++ b/src/test/java/cottonlock/proxy/control/StoredFilesTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cottonlock.decision.api.Endpoint;
-import cottonlock.lab.ControlMachine;
+import cottonlock.lab.ControlServer;
 import cottonlock.proxy.concurrent.TickClock;
 import cottonlock.proxy.io.JsonReader;
 import cottonlock.proxy.io.JsonValue.JsonObject;
@@ -180,7 +180,7 @@
                         throw new IllegalStateException(e);
                     }
                 };
-        try (ControlMachine control = new ControlMachine(200)) {
+        try (ControlServer control = new ControlServer(200)) {
             control.publish("s", 43, BASE, CHANGED_SETTINGS);
             RolloutActor first = actor(folder, List.of(control.address()), takeIn);
             first.begin();
@@ -203,7 +203,7 @@
                 folder("cottonlock-p.configuration", "cottonlock-p.configuration-attempt-at-44");
         Path file = folder.resolve("cottonlock-p.configuration");
         List<String> whileTaken = new ArrayList<>();
-        try (ControlMachine control = new ControlMachine(200)) {
+        try (ControlServer control = new ControlServer(200)) {
             control.publish("s", 44, BASE, SETTINGS);
             RolloutActor actor =
                     actor(
