--- a/src/main/java/cottonlock/lab/Connection.java
+++ b/src/main/java/cottonlock/lab/Connection.java
@@ -14,7 +14,7 @@
  * One connection of a stand-in, with the network it goes over. It owns its channel and closes it in
  * one place; {@link Owner#ended} comes exactly once.
  */
-final class Connection implements EventLoop.Ready {
+final class Connection implements EventLoop.ReadyHandler {
     /** Whom a connection tells what happens on it. */
     interface Owner {
         /** It has come up; for connections that the stand-in opened. */
@@ -111,7 +111,7 @@
     }
 
     @Override
-    public void ready(SelectionKey ready) {
+    public void onReady(SelectionKey ready) {
         try {
             if (ready.isConnectable()) {
                 channel.finishConnect();
--- a/src/main/java/cottonlock/lab/EventLoop.java
+++ b/src/main/java/cottonlock/lab/EventLoop.java
@@ -19,13 +19,13 @@
  */
 public final class EventLoop {
     /** Microseconds: what is later is as bad as this. */
-    private static final long LATEST = 60_000_000;
+    private static final long MAX_LATENESS_MICROS = 60_000_000;
 
     /**
      * Sockets served before the tasks that are due get a turn: with more, arrivals waited behind
      * bursts.
      */
-    private static final int TURN = 64;
+    private static final int SOCKETS_PER_TURN = 64;
 
     /** A task with its time; a cancelled one stays in the heap until then. */
     public static final class Timer implements Comparable<Timer> {
@@ -50,16 +50,16 @@
     }
 
     /** Whom a socket that is ready is told to. */
-    public interface Ready {
-        void ready(SelectionKey key) throws IOException;
+    public interface ReadyHandler {
+        void onReady(SelectionKey key) throws IOException;
     }
 
     private final Selector selector;
-    private final long from = System.nanoTime();
+    private final long startNanos = System.nanoTime();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
-    private final Histogram late = new Histogram(LATEST, 3);
-    private long orders;
+    private final Queue<Runnable> postedTasks = new ConcurrentLinkedQueue<>();
+    private final Histogram lateness = new Histogram(MAX_LATENESS_MICROS, 3);
+    private long nextOrder;
     private volatile boolean stopped;
 
     public EventLoop() {
@@ -71,12 +71,12 @@
     }
 
     public long now() {
-        return System.nanoTime() - from;
+        return System.nanoTime() - startNanos;
     }
 
     /** Runs a task at a time; one whose time has passed runs next. */
     public Timer at(long time, Runnable task) {
-        Timer timer = new Timer(time, orders++, task);
+        Timer timer = new Timer(time, nextOrder++, task);
         timers.add(timer);
         return timer;
     }
@@ -87,20 +87,20 @@
 
     /** From any thread. */
     public void post(Runnable task) {
-        posted.add(task);
+        postedTasks.add(task);
         selector.wakeup();
     }
 
-    public SelectionKey register(SelectableChannel channel, int ops, Ready whom)
+    public SelectionKey register(SelectableChannel channel, int ops, ReadyHandler handler)
             throws IOException {
         channel.configureBlocking(false);
-        return channel.register(selector, ops, whom);
+        return channel.register(selector, ops, handler);
     }
 
     /**
      * Lets go of channels that were closed: until then their addresses can't be listened on again.
      */
-    void letGo() throws IOException {
+    void deregisterClosed() throws IOException {
         selector.selectNow();
     }
 
@@ -119,7 +119,7 @@
         while (!stopped) {
             Timer next = timers.peek();
             long wait = next == null ? 1_000_000_000L : next.at - now();
-            if (wait <= 0 || !posted.isEmpty()) {
+            if (wait <= 0 || !postedTasks.isEmpty()) {
                 selector.selectNow();
             } else {
                 // A selector waits whole milliseconds; the rest is waited for in short naps below.
@@ -132,13 +132,13 @@
             for (SelectionKey key : ready) {
                 // What waits in a socket is late too: a loop that only kept its tasks in time
                 // looked sound.
-                late.recordValue(Math.min(LATEST, (now() - selected) / 1_000));
-                serve(key);
-                if (++served % TURN == 0) {
+                lateness.recordValue(Math.min(MAX_LATENESS_MICROS, (now() - selected) / 1_000));
+                handleReady(key);
+                if (++served % SOCKETS_PER_TURN == 0) {
                     runDue();
                 }
             }
-            for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
+            for (Runnable task = postedTasks.poll(); task != null; task = postedTasks.poll()) {
                 task.run();
             }
             runDue();
@@ -152,7 +152,7 @@
                 next = timers.peek()) {
             timers.poll();
             if (next.task != null) {
-                late.recordValue(Math.min(LATEST, (now - next.at) / 1_000));
+                lateness.recordValue(Math.min(MAX_LATENESS_MICROS, (now - next.at) / 1_000));
                 next.task.run();
             }
         }
@@ -166,10 +166,10 @@
         }
     }
 
-    private static void serve(SelectionKey key) {
+    private static void handleReady(SelectionKey key) {
         if (key.isValid()) {
             try {
-                ((Ready) key.attachment()).ready(key);
+                ((ReadyHandler) key.attachment()).onReady(key);
             } catch (IOException e) {
                 // The owner of a socket handles what befalls it; this one is gone.
                 key.cancel();
@@ -178,8 +178,8 @@
     }
 
     /** Microseconds by which tasks ran late. */
-    public Histogram late() {
-        return late;
+    public Histogram lateness() {
+        return lateness;
     }
 
     public void close() {
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -521,7 +521,7 @@
         loop.at(
                 from,
                 () -> {
-                    loop.late().reset();
+                    loop.lateness().reset();
                     if (watcher != null) {
                         watcher.reset();
                     }
@@ -1098,7 +1098,7 @@
         f.put("unanswered", (double) ledger.diedWithProxy());
         f.put("retried", (double) clients.retried());
         f.put("sends_per_item", ledger.sends() / Math.max(1.0, (double) clients.sent()));
-        f.put("behind_ms", loop.late().getValueAtPercentile(99.9) / 1_000.0);
+        f.put("behind_ms", loop.lateness().getValueAtPercentile(99.9) / 1_000.0);
         if (judge != null) {
             judge.figures(loop.now(), f);
             f.put("peer_bytes_s", (double) net.worstSecond());
@@ -1150,6 +1150,6 @@
 
     /** By how much tasks of the stand-ins ran late, in microseconds. */
     org.HdrHistogram.Histogram late() {
-        return loop.late();
+        return loop.lateness();
     }
 }
--- a/src/main/java/cottonlock/lab/Listener.java
+++ b/src/main/java/cottonlock/lab/Listener.java
@@ -18,7 +18,7 @@
  * who connects. It can be open, shut (connects are refused, as by a process that has died) or
  * walled up (connects never come up, as with a machine that is cut off).
  */
-final class Listener implements EventLoop.Ready {
+final class Listener implements EventLoop.ReadyHandler {
     /** As many as a burst brings while the loop is busy elsewhere. */
     private static final int BACKLOG = 256;
 
@@ -64,7 +64,7 @@
     }
 
     private void listen(int backlog) throws IOException {
-        loop.letGo();
+        loop.deregisterClosed();
         server = ServerSocketChannel.open();
         server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         server.bind(address, backlog);
@@ -102,7 +102,7 @@
     }
 
     @Override
-    public void ready(SelectionKey key) throws IOException {
+    public void onReady(SelectionKey key) throws IOException {
         for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
             Connection conn = Connection.accepted(loop, channel, owner, path, buffer);
             conn.of = this;
--- a/src/main/java/cottonlock/lab/PeerNetwork.java
+++ b/src/main/java/cottonlock/lab/PeerNetwork.java
@@ -29,7 +29,7 @@
     private static final int LONGEST = 2_048;
 
     /** One proxy's address, and what came from it within the last second. */
-    private final class Place implements EventLoop.Ready {
+    private final class Place implements EventLoop.ReadyHandler {
         final int number;
         final DatagramChannel channel;
         final InetSocketAddress address;
@@ -48,7 +48,7 @@
         }
 
         @Override
-        public void ready(SelectionKey key) throws IOException {
+        public void onReady(SelectionKey key) throws IOException {
             while (true) {
                 buffer.clear();
                 InetSocketAddress from = (InetSocketAddress) channel.receive(buffer);
--- a/src/main/java/cottonlock/lab/scale/ControlStandIn.java
+++ b/src/main/java/cottonlock/lab/scale/ControlStandIn.java
@@ -55,7 +55,7 @@
         long worst;
     }
 
-    private final class Connection implements EventLoop.Ready {
+    private final class Connection implements EventLoop.ReadyHandler {
         final SocketChannel channel;
         final Traffic traffic;
         final StringBuilder request = new StringBuilder();
@@ -74,7 +74,7 @@
         }
 
         @Override
-        public void ready(SelectionKey ready) {
+        public void onReady(SelectionKey ready) {
             try {
                 if (ready.isReadable()) {
                     read();
@@ -354,8 +354,8 @@
                     t.whole = 0;
                     t.worst = 0;
                 });
-        System.out.println("late " + second + " " + loop.late().getValueAtPercentile(99.9));
-        loop.late().reset();
+        System.out.println("late " + second + " " + loop.lateness().getValueAtPercentile(99.9));
+        loop.lateness().reset();
         loop.after(SECOND - System.nanoTime() % SECOND, this::tell);
     }
 
