--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -215,7 +215,7 @@
     }
 
     @Override
-    public void up(Connection conn) {
+    public void onConnected(Connection conn) {
         if (conns.size() >= plan.connections()) {
             conn.reset();
             return;
@@ -224,25 +224,25 @@
     }
 
     @Override
-    public void came(Connection conn, byte[] bytes, int length) {
+    public void onBytes(Connection conn, byte[] bytes, int length) {
         State state = conns.get(conn);
         if (state == null) {
             return;
         }
         if (paused) {
             byte[] copy = Arrays.copyOf(bytes, length);
-            long at = conn.cameAt;
+            long at = conn.receivedAt;
             held.add(
                     () -> {
-                        conn.cameAt = at;
-                        came(conn, copy, copy.length);
+                        conn.receivedAt = at;
+                        onBytes(conn, copy, copy.length);
                     });
             return;
         }
         if (state.firstByte < 0) {
             // When it left the proxy: what this stand-in or its network holds back is not the
             // proxy's doing.
-            state.firstByte = conn.cameAt;
+            state.firstByte = conn.receivedAt;
         }
         state.in.add(bytes, length);
         try {
@@ -276,7 +276,7 @@
         job.until = now + 1_000_000L * (patience == null ? 60_000 : Long.parseLong(patience));
         job.callsLeft = plan.calls();
         series.received(id, now);
-        int proxy = ((Listener) job.conn.of).proxy;
+        int proxy = ((Listener) job.conn.attachment).proxy;
         ledger.received(job.firstByte, now, job.id, id, proxy);
         if (sabotage.equals("resend") && random.nextInt(20) == 0) {
             // As if the proxy had sent it twice: here and, by a doubt, to somebody else.
@@ -404,7 +404,7 @@
 
     private void freeCore() {
         Job waiting = model.next();
-        while (waiting != null && waiting.conn.isOver()) {
+        while (waiting != null && waiting.conn.isClosed()) {
             waiting = model.next();
         }
         if (waiting != null) {
@@ -429,12 +429,12 @@
                             + ",util="
                             + Math.round(100.0 * model.busy() / model.cores()) / 100.0;
         }
-        job.conn.answer(HttpMessageParser.answer(status, name, value, body));
+        job.conn.writeResponse(HttpMessageParser.answer(status, name, value, body));
     }
 
     @Override
-    public void ended(Connection conn, boolean byReset) {
-        ((Listener) conn.of).conns.remove(conn);
+    public void onClosed(Connection conn, boolean byReset) {
+        ((Listener) conn.attachment).conns.remove(conn);
         State state = conns.remove(conn);
         if (state != null && state.job != null && model.drop(state.job)) {
             state.job = null;
--- a/src/main/java/cottonlock/lab/BaselineProxy.java
+++ b/src/main/java/cottonlock/lab/BaselineProxy.java
@@ -72,7 +72,7 @@
         }
 
         @Override
-        public void up(Connection c) {
+        public void onConnected(Connection c) {
             connecting.cancel();
             if (item != null) {
                 write();
@@ -80,7 +80,7 @@
         }
 
         @Override
-        public void came(Connection c, byte[] bytes, int length) {
+        public void onBytes(Connection c, byte[] bytes, int length) {
             in.add(bytes, length);
             try {
                 HttpMessageParser.Message answer = in.next();
@@ -102,7 +102,7 @@
         }
 
         @Override
-        public void ended(Connection c, boolean byReset) {
+        public void onClosed(Connection c, boolean byReset) {
             resting.getOrDefault(to, new ArrayDeque<>()).remove(this);
             Item broken = item;
             item = null;
@@ -166,12 +166,12 @@
     }
 
     @Override
-    public void up(Connection conn) {
+    public void onConnected(Connection conn) {
         reading.put(conn, new HttpMessageParser());
     }
 
     @Override
-    public void came(Connection conn, byte[] bytes, int length) {
+    public void onBytes(Connection conn, byte[] bytes, int length) {
         HttpMessageParser in = reading.get(conn);
         in.add(bytes, length);
         try {
@@ -206,7 +206,7 @@
         out.merge(to, 1, Integer::sum);
         Deque<Link> kept = resting.getOrDefault(to, new ArrayDeque<>());
         for (Link link = kept.pollLast(); link != null; link = kept.pollLast()) {
-            if (!link.conn.isOver()) {
+            if (!link.conn.isClosed()) {
                 link.item = item;
                 item.link = link;
                 link.write();
@@ -275,7 +275,7 @@
     }
 
     @Override
-    public void ended(Connection conn, boolean byReset) {
+    public void onClosed(Connection conn, boolean byReset) {
         reading.remove(conn);
         door.conns.remove(conn);
         Item item = items.get(conn);
--- a/src/main/java/cottonlock/lab/Connection.java
+++ b/src/main/java/cottonlock/lab/Connection.java
@@ -18,41 +18,41 @@
     /** Whom a connection tells what happens on it. */
     interface Owner {
         /** It has come up; for connections that the stand-in opened. */
-        default void up(Connection conn) {}
+        default void onConnected(Connection conn) {}
 
         /** Bytes have come through the network. */
-        void came(Connection conn, byte[] bytes, int length);
+        void onBytes(Connection conn, byte[] bytes, int length);
 
         /** It is over: by the other side, or from here. */
-        void ended(Connection conn, boolean byReset);
+        void onClosed(Connection conn, boolean byReset);
     }
 
     /** Shared by all connections of a loop: only one is read at a time. */
-    private static final int READ = 64 << 10;
+    private static final int READ_BUFFER_BYTES = 64 << 10;
 
     private final EventLoop loop;
     private final SocketChannel channel;
     private final Owner owner;
     private final NetworkPath path;
     private final ByteBuffer buffer;
-    private final Deque<ByteBuffer> out = new ArrayDeque<>();
+    private final Deque<ByteBuffer> writeQueue = new ArrayDeque<>();
     private SelectionKey key;
-    private boolean closeAfterOut;
-    private boolean ended;
+    private boolean closeAfterWrites;
+    private boolean closed;
 
     /** When the last bytes under way get through, each way: what is delayed stays in order. */
-    private long inFree;
+    private long lastDeliveryIn;
 
-    private long outFree;
+    private long lastDeliveryOut;
 
     /** What its owner knows it by. */
-    Object of;
+    Object attachment;
 
     /**
      * When the bytes that its owner is given left the other side: before the network's delay, if
      * there is one.
      */
-    long cameAt;
+    long receivedAt;
 
     private Connection(EventLoop loop, SocketChannel channel, Owner owner, NetworkPath path, ByteBuffer buffer) {
         this.loop = loop;
@@ -63,11 +63,11 @@
     }
 
     static ByteBuffer sharedBuffer() {
-        return ByteBuffer.allocate(READ);
+        return ByteBuffer.allocate(READ_BUFFER_BYTES);
     }
 
     /** A connection that a stand-in has accepted. */
-    static Connection accepted(
+    static Connection fromAccepted(
             EventLoop loop, SocketChannel channel, Owner owner, NetworkPath path, ByteBuffer buffer)
             throws IOException {
         Connection conn = new Connection(loop, channel, owner, path, buffer);
@@ -88,25 +88,25 @@
         }
         Connection conn = new Connection(loop, channel, owner, new NetworkPath(null), buffer);
         if (channel == null) {
-            loop.after(0, () -> conn.end(true));
+            loop.after(0, () -> conn.closeChannel(true));
             return conn;
         }
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             conn.key = loop.register(channel, SelectionKey.OP_CONNECT, conn);
             if (channel.connect(to)) {
-                loop.after(0, conn::isUp);
+                loop.after(0, conn::onConnectFinished);
             }
         } catch (IOException e) {
-            loop.after(0, () -> conn.end(true));
+            loop.after(0, () -> conn.closeChannel(true));
         }
         return conn;
     }
 
-    private void isUp() {
-        if (!ended) {
+    private void onConnectFinished() {
+        if (!closed) {
             key.interestOps(SelectionKey.OP_READ);
-            owner.up(this);
+            owner.onConnected(this);
         }
     }
 
@@ -115,16 +115,16 @@
         try {
             if (ready.isConnectable()) {
                 channel.finishConnect();
-                isUp();
+                onConnectFinished();
             }
-            if (!ended && ready.isValid() && ready.isWritable()) {
+            if (!closed && ready.isValid() && ready.isWritable()) {
                 flush();
             }
-            if (!ended && ready.isValid() && ready.isReadable()) {
+            if (!closed && ready.isValid() && ready.isReadable()) {
                 read();
             }
         } catch (IOException e) {
-            end(true);
+            closeChannel(true);
         }
     }
 
@@ -140,10 +140,10 @@
         }
         if (n < 0) {
             if (path.plain()) {
-                end(false);
+                closeChannel(false);
             } else {
-                inFree = Math.max(inFree, loop.now() + path.delay);
-                loop.at(inFree, () -> end(false));
+                lastDeliveryIn = Math.max(lastDeliveryIn, loop.now() + path.delay);
+                loop.at(lastDeliveryIn, () -> closeChannel(false));
                 key.interestOps(0);
             }
             return;
@@ -151,22 +151,22 @@
         if (n == 0) {
             return;
         }
-        long read = loop.now();
-        if (path.plain() && inFree <= read) {
-            cameAt = read;
+        long readAt = loop.now();
+        if (path.plain() && lastDeliveryIn <= readAt) {
+            receivedAt = readAt;
             assert buffer.arrayOffset() == 0;
-            owner.came(this, buffer.array(), n);
+            owner.onBytes(this, buffer.array(), n);
             return;
         }
         byte[] bytes =
                 Arrays.copyOfRange(buffer.array(), buffer.arrayOffset(), buffer.arrayOffset() + n);
-        inFree = Math.max(inFree, loop.now() + path.delay) + path.takes(n);
+        lastDeliveryIn = Math.max(lastDeliveryIn, loop.now() + path.delay) + path.takes(n);
         loop.at(
-                inFree,
+                lastDeliveryIn,
                 () -> {
-                    if (!ended && !path.cut) {
-                        cameAt = read;
-                        owner.came(this, bytes, bytes.length);
+                    if (!closed && !path.cut) {
+                        receivedAt = readAt;
+                        owner.onBytes(this, bytes, bytes.length);
                     }
                 });
     }
@@ -177,7 +177,7 @@
     }
 
     /** Writes an answer as the network passes it on. */
-    void answer(byte[] whole) {
+    void writeResponse(byte[] whole) {
         NetworkPath.Passage passage = path.answer(whole);
         long wait = 0;
         for (byte[] piece : passage.pieces()) {
@@ -185,87 +185,87 @@
             wait += NetworkPath.BETWEEN;
         }
         if (passage.thenReset()) {
-            loop.at(Math.max(outFree, loop.now() + wait), this::reset);
+            loop.at(Math.max(lastDeliveryOut, loop.now() + wait), this::reset);
         }
     }
 
     private void write(byte[] bytes, long wait) {
-        if (ended || path.cut) {
+        if (closed || path.cut) {
             return;
         }
         long now = loop.now();
-        if (wait == 0 && path.plain() && outFree <= now) {
-            out.add(ByteBuffer.wrap(bytes));
-            push();
+        if (wait == 0 && path.plain() && lastDeliveryOut <= now) {
+            writeQueue.add(ByteBuffer.wrap(bytes));
+            flushOrClose();
             return;
         }
-        outFree = Math.max(outFree, now + path.delay + wait) + path.takes(bytes.length);
+        lastDeliveryOut = Math.max(lastDeliveryOut, now + path.delay + wait) + path.takes(bytes.length);
         loop.at(
-                outFree,
+                lastDeliveryOut,
                 () -> {
-                    if (!ended && !path.cut) {
-                        out.add(ByteBuffer.wrap(bytes));
-                        push();
+                    if (!closed && !path.cut) {
+                        writeQueue.add(ByteBuffer.wrap(bytes));
+                        flushOrClose();
                     }
                 });
     }
 
-    private void push() {
+    private void flushOrClose() {
         try {
             flush();
         } catch (IOException e) {
-            end(true);
+            closeChannel(true);
         }
     }
 
     private void flush() throws IOException {
-        while (!out.isEmpty()) {
-            channel.write(out.peek());
-            if (out.peek().hasRemaining()) {
+        while (!writeQueue.isEmpty()) {
+            channel.write(writeQueue.peek());
+            if (writeQueue.peek().hasRemaining()) {
                 key.interestOps(SelectionKey.OP_READ | SelectionKey.OP_WRITE);
                 return;
             }
-            out.poll();
+            writeQueue.poll();
         }
-        if (closeAfterOut) {
-            end(false);
+        if (closeAfterWrites) {
+            closeChannel(false);
         } else if (key.isValid() && key.interestOps() != 0) {
             key.interestOps(SelectionKey.OP_READ);
         }
     }
 
-    boolean isOver() {
-        return ended;
+    boolean isClosed() {
+        return closed;
     }
 
     /** Ends it with a FIN, after what is written has gone out. */
     void close() {
-        closeAfterOut = true;
-        if (out.isEmpty() && outFree <= loop.now()) {
-            end(false);
-        } else if (outFree > loop.now()) {
-            loop.at(outFree + 1, this::push);
+        closeAfterWrites = true;
+        if (writeQueue.isEmpty() && lastDeliveryOut <= loop.now()) {
+            closeChannel(false);
+        } else if (lastDeliveryOut > loop.now()) {
+            loop.at(lastDeliveryOut + 1, this::flushOrClose);
         }
     }
 
     /** Ends it with an RST at once. */
     void reset() {
-        if (!ended && channel != null) {
+        if (!closed && channel != null) {
             try {
                 channel.setOption(StandardSocketOptions.SO_LINGER, 0);
             } catch (IOException e) {
                 // It ends with a FIN then.
             }
-            end(true);
+            closeChannel(true);
         }
     }
 
     /** The one place where the channel is closed. */
-    private void end(boolean byReset) {
-        if (ended) {
+    private void closeChannel(boolean byReset) {
+        if (closed) {
             return;
         }
-        ended = true;
+        closed = true;
         try {
             if (channel != null) {
                 channel.close();
@@ -273,6 +273,6 @@
         } catch (IOException e) {
             // It is closed all the same.
         }
-        owner.ended(this, byReset);
+        owner.onClosed(this, byReset);
     }
 }
--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -338,12 +338,12 @@
     }
 
     @Override
-    public void up(Connection conn) {
+    public void onConnected(Connection conn) {
         asking.put(conn, new HttpMessageParser());
     }
 
     @Override
-    public void came(Connection conn, byte[] bytes, int length) {
+    public void onBytes(Connection conn, byte[] bytes, int length) {
         HttpMessageParser in = asking.get(conn);
         if (in == null) {
             return;
@@ -364,9 +364,9 @@
     }
 
     private void asked(Connection conn, HttpMessageParser.Message message) {
-        Watch watch = (Watch) ((Listener) conn.of).of;
+        Watch watch = (Watch) ((Listener) conn.attachment).of;
         String target = message.start().get(1);
-        if (conn.isOver() || down) {
+        if (conn.isClosed() || down) {
             return;
         }
         if (!target.startsWith("/catalog/members")) {
@@ -400,9 +400,9 @@
     }
 
     @Override
-    public void ended(Connection conn, boolean byReset) {
+    public void onClosed(Connection conn, boolean byReset) {
         asking.remove(conn);
-        Listener door = (Listener) conn.of;
+        Listener door = (Listener) conn.attachment;
         door.conns.remove(conn);
         Watch watch = (Watch) door.of;
         if (watch.watching.remove(conn)) {
--- a/src/main/java/cottonlock/lab/IdleConnections.java
+++ b/src/main/java/cottonlock/lab/IdleConnections.java
@@ -57,17 +57,17 @@
     }
 
     @Override
-    public void up(Connection conn) {
+    public void onConnected(Connection conn) {
         conn.write(HEALTH_REQUEST);
     }
 
     @Override
-    public void came(Connection conn, byte[] bytes, int length) {
+    public void onBytes(Connection conn, byte[] bytes, int length) {
         // Answers about the proxy's health are of no interest.
     }
 
     @Override
-    public void ended(Connection conn, boolean byReset) {
+    public void onClosed(Connection conn, boolean byReset) {
         conns.remove(conn);
         loop.after(REOPEN_AFTER, this::open);
     }
--- a/src/main/java/cottonlock/lab/Listener.java
+++ b/src/main/java/cottonlock/lab/Listener.java
@@ -104,10 +104,10 @@
     @Override
     public void onReady(SelectionKey key) throws IOException {
         for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
-            Connection conn = Connection.accepted(loop, channel, owner, path, buffer);
-            conn.of = this;
+            Connection conn = Connection.fromAccepted(loop, channel, owner, path, buffer);
+            conn.attachment = this;
             conns.add(conn);
-            owner.up(conn);
+            owner.onConnected(conn);
             if (server == null) {
                 return;
             }
--- a/src/main/java/cottonlock/lab/ProxyClient.java
+++ b/src/main/java/cottonlock/lab/ProxyClient.java
@@ -187,14 +187,14 @@
         Connection conn = Connection.open(loop, to, this, buffer);
         call.openedAt = loop.now();
         call.up = false;
-        conn.of = call;
+        conn.attachment = call;
         busy.add(conn);
         call.timer = loop.at(Math.min(call.until, loop.now() + CONNECT), conn::reset);
     }
 
     @Override
-    public void up(Connection conn) {
-        if (conn.of instanceof Call call) {
+    public void onConnected(Connection conn) {
+        if (conn.attachment instanceof Call call) {
             call.timer.cancel();
             call.up = true;
             start(conn, call);
@@ -202,7 +202,7 @@
     }
 
     private void start(Connection conn, Call call) {
-        conn.of = call;
+        conn.attachment = call;
         busy.add(conn);
         byte[] bytes = call.request.bytes(call.until - loop.now());
         long upload = call.request.category().upload();
@@ -217,7 +217,7 @@
 
     /** Writes one piece of a long request; the others follow. */
     private void upload(Connection conn, Call call, byte[] bytes, int piece, long between) {
-        if (conn.isOver() || conn.of != call || call.written) {
+        if (conn.isClosed() || conn.attachment != call || call.written) {
             return;
         }
         int from = (int) ((long) bytes.length * piece / UPLOAD_PIECES);
@@ -263,8 +263,8 @@
     }
 
     @Override
-    public void came(Connection conn, byte[] bytes, int length) {
-        if (!(conn.of instanceof Call call)) {
+    public void onBytes(Connection conn, byte[] bytes, int length) {
+        if (!(conn.attachment instanceof Call call)) {
             // Nothing was asked for on it; a later answer would be taken for another's.
             conn.reset();
             return;
@@ -323,8 +323,8 @@
     private void finish(Connection conn, Call call, Result result, boolean keep) {
         call.timer.cancel();
         busy.remove(conn);
-        conn.of = null;
-        if (keep && !conn.isOver()) {
+        conn.attachment = null;
+        if (keep && !conn.isClosed()) {
             resting.addLast(conn);
         } else {
             conn.close();
@@ -333,13 +333,13 @@
     }
 
     @Override
-    public void ended(Connection conn, boolean byReset) {
+    public void onClosed(Connection conn, boolean byReset) {
         resting.remove(conn);
         busy.remove(conn);
-        if (!(conn.of instanceof Call call)) {
+        if (!(conn.attachment instanceof Call call)) {
             return;
         }
-        conn.of = null;
+        conn.attachment = null;
         if (call.timer != null) {
             call.timer.cancel();
         }
@@ -399,11 +399,11 @@
     /** Ends all connections. */
     void close() {
         for (Connection conn : Set.copyOf(busy)) {
-            if (conn.of instanceof Call call) {
+            if (conn.attachment instanceof Call call) {
                 if (call.timer != null) {
                     call.timer.cancel();
                 }
-                conn.of = null;
+                conn.attachment = null;
             }
             conn.reset();
         }
--- a/src/test/java/cottonlock/lab/LabTest.java
+++ b/src/test/java/cottonlock/lab/LabTest.java
@@ -258,12 +258,12 @@
         Connection.Owner owner =
                 new Connection.Owner() {
                     @Override
-                    public void came(Connection conn, byte[] bytes, int length) {
+                    public void onBytes(Connection conn, byte[] bytes, int length) {
                         conn.write(java.util.Arrays.copyOf(bytes, length));
                     }
 
                     @Override
-                    public void ended(Connection conn, boolean byReset) {}
+                    public void onClosed(Connection conn, boolean byReset) {}
                 };
         Listener door =
                 new Listener(loop, Connection.sharedBuffer(), owner, new NetworkPath(null), 0, null);
