--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -73,7 +73,7 @@
     final String id;
     final String room;
     final NetworkPath path;
-    final List<Listener> doors = new ArrayList<>();
+    final List<Listener> listeners = new ArrayList<>();
     private final int tier;
     private final EventLoop loop;
     private final Ledger ledger;
@@ -140,10 +140,10 @@
     }
 
     /** A door for a proxy, before the run begins. */
-    Listener door(ByteBuffer buffer, int proxy) throws IOException {
-        Listener door = new Listener(loop, buffer, this, path, proxy, this);
-        doors.add(door);
-        return door;
+    Listener addListener(ByteBuffer buffer, int proxy) throws IOException {
+        Listener listener = new Listener(loop, buffer, this, path, proxy, this);
+        listeners.add(listener);
+        return listener;
     }
 
     void slow(double factor) {
@@ -175,9 +175,9 @@
         running.clear();
         held.clear();
         paused = false;
-        for (Listener door : doors) {
-            door.shut();
-            door.resetAll();
+        for (Listener listener : listeners) {
+            listener.stopListening();
+            listener.resetConnections();
         }
         conns.clear();
         model.start(loop.now());
@@ -189,11 +189,11 @@
         life = Life.UP;
         startedAt = loop.now();
         model.start(startedAt);
-        for (Listener door : doors) {
+        for (Listener listener : listeners) {
             if (path.cut) {
-                door.wallUp();
+                listener.blackhole();
             } else {
-                door.open();
+                listener.startListening();
             }
         }
     }
@@ -204,12 +204,12 @@
         if (life != Life.UP) {
             return;
         }
-        for (Listener door : doors) {
+        for (Listener listener : listeners) {
             if (off) {
-                door.wallUp();
+                listener.blackhole();
             } else {
-                door.resetAll();
-                door.open();
+                listener.resetConnections();
+                listener.startListening();
             }
         }
     }
@@ -434,7 +434,7 @@
 
     @Override
     public void onClosed(Connection conn, boolean byReset) {
-        ((Listener) conn.attachment).conns.remove(conn);
+        ((Listener) conn.attachment).connections.remove(conn);
         State state = conns.remove(conn);
         if (state != null && state.job != null && model.drop(state.job)) {
             state.job = null;
--- a/src/main/java/cottonlock/lab/BaselineProxy.java
+++ b/src/main/java/cottonlock/lab/BaselineProxy.java
@@ -128,7 +128,7 @@
     private final long connectTimeout;
     private final SplittableRandom random;
     private final Map<Backend, InetSocketAddress> dials;
-    private final Listener door;
+    private final Listener listener;
     private final Map<Connection, HttpMessageParser> reading = new HashMap<>();
     private final Map<Connection, Item> items = new HashMap<>();
     private final Map<Backend, Deque<Link>> resting = new HashMap<>();
@@ -154,11 +154,11 @@
         this.connectTimeout = connectTimeout;
         this.random = random;
         this.dials = dials;
-        this.door = new Listener(loop, buffer, this, new NetworkPath(null), number, this);
+        this.listener = new Listener(loop, buffer, this, new NetworkPath(null), number, this);
     }
 
     InetSocketAddress address() {
-        return door.address();
+        return listener.address();
     }
 
     void list(List<Backend> now) {
@@ -277,7 +277,7 @@
     @Override
     public void onClosed(Connection conn, boolean byReset) {
         reading.remove(conn);
-        door.conns.remove(conn);
+        listener.connections.remove(conn);
         Item item = items.get(conn);
         if (item != null) {
             over(item);
--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -52,7 +52,7 @@
     private static final class Watch {
         final int proxy;
         final Map<String, InetSocketAddress> dials = new LinkedHashMap<>();
-        Listener door;
+        Listener listener;
         final Set<Connection> watching = new LinkedHashSet<>();
 
         /** For a plain proxy, which has no socket to discovery: it is told at the same moments. */
@@ -112,7 +112,7 @@
     void serve(int proxy, Map<String, InetSocketAddress> dials) throws IOException {
         Watch watch = new Watch(proxy);
         watch.dials.putAll(dials);
-        watch.door = new Listener(loop, buffer, this, path, proxy, watch);
+        watch.listener = new Listener(loop, buffer, this, path, proxy, watch);
         watches.put(proxy, watch);
     }
 
@@ -124,7 +124,7 @@
     }
 
     InetSocketAddress address(int proxy) {
-        return watches.get(proxy).door.address();
+        return watches.get(proxy).listener.address();
     }
 
     private List<Backend> active() {
@@ -286,13 +286,13 @@
     void down(boolean off) throws IOException {
         down = off;
         for (Watch watch : watches.values()) {
-            if (watch.door != null) {
+            if (watch.listener != null) {
                 watch.watching.clear();
                 if (off) {
-                    watch.door.shut();
-                    watch.door.resetAll();
+                    watch.listener.stopListening();
+                    watch.listener.resetConnections();
                 } else {
-                    watch.door.open();
+                    watch.listener.startListening();
                     watch.askedAt = loop.now();
                 }
             }
@@ -328,11 +328,11 @@
     /** It is at new addresses from now on; the old ones refuse. */
     void move() throws IOException {
         for (Watch watch : watches.values()) {
-            if (watch.door != null) {
+            if (watch.listener != null) {
                 watch.watching.clear();
-                watch.door.shut();
-                watch.door.resetAll();
-                watch.door = new Listener(loop, buffer, this, path, watch.proxy, watch);
+                watch.listener.stopListening();
+                watch.listener.resetConnections();
+                watch.listener = new Listener(loop, buffer, this, path, watch.proxy, watch);
             }
         }
     }
@@ -364,7 +364,7 @@
     }
 
     private void asked(Connection conn, HttpMessageParser.Message message) {
-        Watch watch = (Watch) ((Listener) conn.attachment).of;
+        Watch watch = (Watch) ((Listener) conn.attachment).attachment;
         String target = message.start().get(1);
         if (conn.isClosed() || down) {
             return;
@@ -402,9 +402,9 @@
     @Override
     public void onClosed(Connection conn, boolean byReset) {
         asking.remove(conn);
-        Listener door = (Listener) conn.attachment;
-        door.conns.remove(conn);
-        Watch watch = (Watch) door.of;
+        Listener listener = (Listener) conn.attachment;
+        listener.connections.remove(conn);
+        Watch watch = (Watch) listener.attachment;
         if (watch.watching.remove(conn)) {
             // It was looked after until now.
             watch.askedAt = loop.now();
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -269,7 +269,7 @@
         Map<Backend, InetSocketAddress> plainDials = new HashMap<>();
         for (Backend backend : backends.values()) {
             if (backend.id.startsWith("t" + tier + "b")) {
-                InetSocketAddress dial = backend.door(buffer, number).address();
+                InetSocketAddress dial = backend.addListener(buffer, number).address();
                 dials.put(backend.id, dial);
                 plainDials.put(backend, dial);
             }
--- a/src/main/java/cottonlock/lab/Listener.java
+++ b/src/main/java/cottonlock/lab/Listener.java
@@ -23,7 +23,7 @@
     private static final int BACKLOG = 256;
 
     /** Connections that fill the queue of a walled-up door of backlog one, with one to spare. */
-    private static final int FILLERS = 3;
+    private static final int QUEUE_FILLERS = 3;
 
     private final EventLoop loop;
     private final ByteBuffer buffer;
@@ -34,36 +34,36 @@
     final int proxy;
 
     private ServerSocketChannel server;
-    private final List<SocketChannel> fillers = new ArrayList<>();
-    final Set<Connection> conns = new LinkedHashSet<>();
+    private final List<SocketChannel> queueFillers = new ArrayList<>();
+    final Set<Connection> connections = new LinkedHashSet<>();
     private InetSocketAddress address;
 
     /** Whom it belongs to. */
-    final Object of;
+    final Object attachment;
 
-    Listener(EventLoop loop, ByteBuffer buffer, Connection.Owner owner, NetworkPath path, int proxy, Object of)
+    Listener(EventLoop loop, ByteBuffer buffer, Connection.Owner owner, NetworkPath path, int proxy, Object attachment)
             throws IOException {
         this.loop = loop;
         this.buffer = buffer;
         this.owner = owner;
         this.path = path;
         this.proxy = proxy;
-        this.of = of;
+        this.attachment = attachment;
         this.address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        open();
+        startListening();
     }
 
     InetSocketAddress address() {
         return address;
     }
 
-    void open() throws IOException {
-        shut();
-        listen(BACKLOG);
+    void startListening() throws IOException {
+        stopListening();
+        bind(BACKLOG);
         loop.register(server, SelectionKey.OP_ACCEPT, this);
     }
 
-    private void listen(int backlog) throws IOException {
+    private void bind(int backlog) throws IOException {
         loop.deregisterClosed();
         server = ServerSocketChannel.open();
         server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -72,22 +72,22 @@
     }
 
     /** New connections are refused; those that are open stay. */
-    void shut() {
+    void stopListening() {
         close(server);
         server = null;
-        fillers.forEach(Listener::close);
-        fillers.clear();
+        queueFillers.forEach(Listener::close);
+        queueFillers.clear();
     }
 
     /** New connections never come up: the queue of those that nobody accepts is full. */
-    void wallUp() throws IOException {
-        shut();
-        listen(1);
-        for (int i = 0; i < FILLERS; i++) {
+    void blackhole() throws IOException {
+        stopListening();
+        bind(1);
+        for (int i = 0; i < QUEUE_FILLERS; i++) {
             SocketChannel filler = SocketChannel.open();
             filler.configureBlocking(false);
             filler.connect(address);
-            fillers.add(filler);
+            queueFillers.add(filler);
         }
     }
 
@@ -106,7 +106,7 @@
         for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
             Connection conn = Connection.fromAccepted(loop, channel, owner, path, buffer);
             conn.attachment = this;
-            conns.add(conn);
+            connections.add(conn);
             owner.onConnected(conn);
             if (server == null) {
                 return;
@@ -115,8 +115,8 @@
     }
 
     /** Ends all open connections by a reset. */
-    void resetAll() {
-        List.copyOf(conns).forEach(Connection::reset);
-        conns.clear();
+    void resetConnections() {
+        List.copyOf(connections).forEach(Connection::reset);
+        connections.clear();
     }
 }
--- a/src/test/java/cottonlock/lab/LabTest.java
+++ b/src/test/java/cottonlock/lab/LabTest.java
@@ -265,7 +265,7 @@
                     @Override
                     public void onClosed(Connection conn, boolean byReset) {}
                 };
-        Listener door =
+        Listener listener =
                 new Listener(loop, Connection.sharedBuffer(), owner, new NetworkPath(null), 0, null);
         Thread thread =
                 new Thread(
@@ -277,36 +277,36 @@
                             }
                         });
         thread.start();
-        assertTrue(comesUp(door));
+        assertTrue(comesUp(listener));
         loop.post(
                 () -> {
                     try {
-                        door.wallUp();
+                        listener.blackhole();
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
                 });
         Thread.sleep(100);
-        assertTrue(!comesUp(door), "nobody answers the door");
+        assertTrue(!comesUp(listener), "nobody answers the door");
         loop.post(
                 () -> {
                     try {
-                        door.open();
+                        listener.startListening();
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
                 });
         Thread.sleep(100);
-        assertTrue(comesUp(door));
+        assertTrue(comesUp(listener));
         loop.stop();
         thread.join();
-        door.shut();
+        listener.stopListening();
         loop.close();
     }
 
-    private static boolean comesUp(Listener door) throws IOException {
+    private static boolean comesUp(Listener listener) throws IOException {
         try (java.net.Socket socket = new java.net.Socket()) {
-            socket.connect(door.address(), 300);
+            socket.connect(listener.address(), 300);
             return true;
         } catch (java.net.SocketTimeoutException e) {
             return false;
