--- a/src/main/java/cottonlock/lab/Connection.java
+++ b/src/main/java/cottonlock/lab/Connection.java
@@ -139,10 +139,10 @@
             return;
         }
         if (n < 0) {
-            if (path.plain()) {
+            if (path.isUnrestricted()) {
                 closeChannel(false);
             } else {
-                lastDeliveryIn = Math.max(lastDeliveryIn, loop.now() + path.delay);
+                lastDeliveryIn = Math.max(lastDeliveryIn, loop.now() + path.delayNanos);
                 loop.at(lastDeliveryIn, () -> closeChannel(false));
                 key.interestOps(0);
             }
@@ -152,7 +152,7 @@
             return;
         }
         long readAt = loop.now();
-        if (path.plain() && lastDeliveryIn <= readAt) {
+        if (path.isUnrestricted() && lastDeliveryIn <= readAt) {
             receivedAt = readAt;
             assert buffer.arrayOffset() == 0;
             owner.onBytes(this, buffer.array(), n);
@@ -160,7 +160,7 @@
         }
         byte[] bytes =
                 Arrays.copyOfRange(buffer.array(), buffer.arrayOffset(), buffer.arrayOffset() + n);
-        lastDeliveryIn = Math.max(lastDeliveryIn, loop.now() + path.delay) + path.takes(n);
+        lastDeliveryIn = Math.max(lastDeliveryIn, loop.now() + path.delayNanos) + path.transferNanos(n);
         loop.at(
                 lastDeliveryIn,
                 () -> {
@@ -178,13 +178,13 @@
 
     /** Writes an answer as the network passes it on. */
     void writeResponse(byte[] whole) {
-        NetworkPath.Passage passage = path.answer(whole);
+        NetworkPath.Transmission transmission = path.transmit(whole);
         long wait = 0;
-        for (byte[] piece : passage.pieces()) {
+        for (byte[] piece : transmission.pieces()) {
             write(piece, wait);
-            wait += NetworkPath.BETWEEN;
+            wait += NetworkPath.SPLIT_PAUSE_NANOS;
         }
-        if (passage.thenReset()) {
+        if (transmission.thenReset()) {
             loop.at(Math.max(lastDeliveryOut, loop.now() + wait), this::reset);
         }
     }
@@ -194,12 +194,12 @@
             return;
         }
         long now = loop.now();
-        if (wait == 0 && path.plain() && lastDeliveryOut <= now) {
+        if (wait == 0 && path.isUnrestricted() && lastDeliveryOut <= now) {
             writeQueue.add(ByteBuffer.wrap(bytes));
             flushOrClose();
             return;
         }
-        lastDeliveryOut = Math.max(lastDeliveryOut, now + path.delay + wait) + path.takes(bytes.length);
+        lastDeliveryOut = Math.max(lastDeliveryOut, now + path.delayNanos + wait) + path.transferNanos(bytes.length);
         loop.at(
                 lastDeliveryOut,
                 () -> {
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -647,8 +647,8 @@
                                 b ->
                                         during(
                                                 end,
-                                                () -> b.path.delay = (long) (entry.amount() * 1e6),
-                                                () -> b.path.delay = 0));
+                                                () -> b.path.delayNanos = (long) (entry.amount() * 1e6),
+                                                () -> b.path.delayNanos = 0));
                 case "throttle" ->
                         hit.forEach(
                                 b ->
@@ -663,22 +663,22 @@
                                 b ->
                                         during(
                                                 end,
-                                                () -> b.path.resets = entry.amount(),
-                                                () -> b.path.resets = 0));
+                                                () -> b.path.resetProbability = entry.amount(),
+                                                () -> b.path.resetProbability = 0));
                 case "splits" ->
                         hit.forEach(
                                 b ->
                                         during(
                                                 end,
-                                                () -> b.path.splits = entry.amount(),
-                                                () -> b.path.splits = 0));
+                                                () -> b.path.splitProbability = entry.amount(),
+                                                () -> b.path.splitProbability = 0));
                 case "garble" ->
                         hit.forEach(
                                 b ->
                                         during(
                                                 end,
-                                                () -> b.path.garbles = entry.amount(),
-                                                () -> b.path.garbles = 0));
+                                                () -> b.path.corruptionProbability = entry.amount(),
+                                                () -> b.path.corruptionProbability = 0));
                 case "cut" ->
                         hit.forEach(b -> during(end, () -> cut(b, true), () -> cut(b, false)));
                 case "crash" -> hit.forEach(b -> during(end, () -> b.die(false), () -> restart(b)));
--- a/src/main/java/cottonlock/lab/NetworkPath.java
+++ b/src/main/java/cottonlock/lab/NetworkPath.java
@@ -12,10 +12,10 @@
     /**
      * Nanoseconds between two pieces of a split write: more than a proxy needs to read the first.
      */
-    static final long BETWEEN = 300_000;
+    static final long SPLIT_PAUSE_NANOS = 300_000;
 
     /** Nanoseconds that everything takes longer, each way. */
-    long delay;
+    long delayNanos;
 
     /** Bytes a second each way on each connection; 0 for no limit. */
     long bytesPerSecond;
@@ -24,13 +24,13 @@
     boolean cut;
 
     /** The chance that an answer is cut off at a random byte by a reset. */
-    double resets;
+    double resetProbability;
 
     /** The chance that an answer is written in pieces, at random bytes. */
-    double splits;
+    double splitProbability;
 
     /** The chance that one byte of an answer's head is changed. */
-    double garbles;
+    double corruptionProbability;
 
     private final SplittableRandom random;
 
@@ -39,22 +39,22 @@
     }
 
     /** What becomes of one answer on its way to the proxy. */
-    record Passage(List<byte[]> pieces, boolean thenReset) {}
+    record Transmission(List<byte[]> pieces, boolean thenReset) {}
 
-    Passage answer(byte[] whole) {
+    Transmission transmit(byte[] whole) {
         byte[] bytes = whole;
-        if (garbles > 0 && random.nextDouble() < garbles) {
+        if (corruptionProbability > 0 && random.nextDouble() < corruptionProbability) {
             bytes = whole.clone();
             // The status line and the names of fields: a changed body would pass for a right one
             // anywhere.
-            int at = random.nextInt(Math.min(bytes.length, 24));
-            bytes[at] = (byte) (bytes[at] ^ 1 << random.nextInt(7));
+            int position = random.nextInt(Math.min(bytes.length, 24));
+            bytes[position] = (byte) (bytes[position] ^ 1 << random.nextInt(7));
         }
-        if (resets > 0 && random.nextDouble() < resets) {
+        if (resetProbability > 0 && random.nextDouble() < resetProbability) {
             byte[] part = java.util.Arrays.copyOf(bytes, random.nextInt(bytes.length));
-            return new Passage(List.of(part), true);
+            return new Transmission(List.of(part), true);
         }
-        if (splits > 0 && random.nextDouble() < splits && bytes.length > 3) {
+        if (splitProbability > 0 && random.nextDouble() < splitProbability && bytes.length > 3) {
             List<byte[]> pieces = new ArrayList<>();
             int from = 0;
             while (from < bytes.length && pieces.size() < 4) {
@@ -65,18 +65,18 @@
             if (from < bytes.length) {
                 pieces.add(java.util.Arrays.copyOfRange(bytes, from, bytes.length));
             }
-            return new Passage(pieces, false);
+            return new Transmission(pieces, false);
         }
-        return new Passage(List.of(bytes), false);
+        return new Transmission(List.of(bytes), false);
     }
 
     /** Nanoseconds that so many bytes take. */
-    long takes(int bytes) {
+    long transferNanos(int bytes) {
         return bytesPerSecond <= 0 ? 0 : bytes * 1_000_000_000L / bytesPerSecond;
     }
 
     /** Whether bytes pass at once, so that nothing needs to be queued. */
-    boolean plain() {
-        return delay == 0 && bytesPerSecond == 0 && !cut;
+    boolean isUnrestricted() {
+        return delayNanos == 0 && bytesPerSecond == 0 && !cut;
     }
 }
