--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -1057,9 +1057,9 @@
     }
 
     private void crowd(Node node, long end, int connections) {
-        IdleConnections crowd = new IdleConnections(loop, buffer, () -> node.serving ? node.host.address() : null);
-        crowd.gather(connections);
-        loop.at(end, crowd::disperse);
+        IdleConnections idle = new IdleConnections(loop, buffer, () -> node.serving ? node.host.address() : null);
+        idle.openAll(connections);
+        loop.at(end, idle::closeAll);
     }
 
     private void back(Node node) {
--- a/src/main/java/cottonlock/lab/IdleConnections.java
+++ b/src/main/java/cottonlock/lab/IdleConnections.java
@@ -21,8 +21,8 @@
     private final EventLoop loop;
     private final ByteBuffer buffer;
     private final Supplier<InetSocketAddress> address;
-    private final Set<Connection> conns = new HashSet<>();
-    private boolean over;
+    private final Set<Connection> connections = new HashSet<>();
+    private boolean closed;
 
     /** The address is null while the proxy does not serve. */
     IdleConnections(EventLoop loop, ByteBuffer buffer, Supplier<InetSocketAddress> address) {
@@ -32,27 +32,27 @@
     }
 
     /** Opens so many connections. */
-    void gather(int count) {
+    void openAll(int count) {
         for (int i = 0; i < count; i++) {
             open();
         }
     }
 
     /** Ends all connections for good. */
-    void disperse() {
-        over = true;
-        Set.copyOf(conns).forEach(Connection::reset);
+    void closeAll() {
+        closed = true;
+        Set.copyOf(connections).forEach(Connection::reset);
     }
 
     private void open() {
-        if (over) {
+        if (closed) {
             return;
         }
         InetSocketAddress to = address.get();
         if (to == null) {
             loop.after(REOPEN_AFTER, this::open);
         } else {
-            conns.add(Connection.open(loop, to, this, buffer));
+            connections.add(Connection.open(loop, to, this, buffer));
         }
     }
 
@@ -68,7 +68,7 @@
 
     @Override
     public void onClosed(Connection conn, boolean byReset) {
-        conns.remove(conn);
+        connections.remove(conn);
         loop.after(REOPEN_AFTER, this::open);
     }
 }
