--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -397,7 +397,7 @@
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
             real = (InetSocketAddress) free.getLocalSocketAddress();
         }
-        net.listens(number, real);
+        net.setProxyAddress(number, real);
         return new ProxyConfig.Talk(text(host.calledAt()), text(real), peers, number);
     }
 
@@ -956,12 +956,12 @@
         PeerPaths paths = net.paths();
         double amount = begins ? entry.amount() : 0;
         switch (entry.kind()) {
-            case "peer-loss" -> paths.loss(from, to, amount);
-            case "peer-double" -> paths.twice(from, to, amount);
-            case "peer-garble" -> paths.garble(from, to, amount);
-            case "peer-delay" -> paths.delay(from, to, (long) (amount * 1e6));
+            case "peer-loss" -> paths.setLoss(from, to, amount);
+            case "peer-double" -> paths.setDuplication(from, to, amount);
+            case "peer-garble" -> paths.setCorruption(from, to, amount);
+            case "peer-delay" -> paths.setMaxDelay(from, to, (long) (amount * 1e6));
             default -> {
-                paths.cut(from, to, begins);
+                paths.setCut(from, to, begins);
                 judge.way(from, to, !paths.isCut(from, to));
             }
         }
@@ -1101,8 +1101,8 @@
         f.put("behind_ms", loop.lateness().getValueAtPercentile(99.9) / 1_000.0);
         if (judge != null) {
             judge.figures(loop.now(), f);
-            f.put("peer_bytes_s", (double) net.worstSecond());
-            f.put("peer_mean_s", net.mean(loop.now()));
+            f.put("peer_bytes_s", (double) net.maxBytesPerSecond());
+            f.put("peer_mean_s", net.meanBytesPerSecond(loop.now()));
             f.put("watch_ms", watcher.worstMs());
         }
         return f;
--- a/src/main/java/cottonlock/lab/PeerNetwork.java
+++ b/src/main/java/cottonlock/lab/PeerNetwork.java
@@ -21,25 +21,25 @@
  * thread.
  */
 final class PeerNetwork {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     /** Datagrams kept to be sent again as a forger would. */
-    private static final int KEPT = 256;
+    private static final int MAX_RECORDED_DATAGRAMS = 256;
 
-    private static final int LONGEST = 2_048;
+    private static final int MAX_DATAGRAM_BYTES = 2_048;
 
     /** One proxy's address, and what came from it within the last second. */
-    private final class Place implements EventLoop.ReadyHandler {
+    private final class Endpoint implements EventLoop.ReadyHandler {
         final int number;
         final DatagramChannel channel;
         final InetSocketAddress address;
-        InetSocketAddress real;
-        private final Deque<long[]> sent = new ArrayDeque<>();
-        private long bytes;
-        long worst;
-        long total;
+        InetSocketAddress proxyAddress;
+        private final Deque<long[]> sentInLastSecond = new ArrayDeque<>();
+        private long bytesInLastSecond;
+        long maxBytesInSecond;
+        long totalBytes;
 
-        Place(int number) throws IOException {
+        Endpoint(int number) throws IOException {
             this.number = number;
             channel = DatagramChannel.open();
             channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -55,59 +55,59 @@
                 if (from == null) {
                     return;
                 }
-                Integer sender = byReal.get(from.getPort());
+                Integer sender = proxyByPort.get(from.getPort());
                 if (sender != null) {
                     byte[] datagram = new byte[buffer.flip().remaining()];
                     buffer.get(datagram);
-                    places.get(sender).count(datagram.length);
-                    keep(datagram);
-                    for (PeerPaths.Copy copy : paths.pass(sender, number, datagram)) {
-                        loop.after(copy.after(), () -> deliver(sender, number, copy.bytes()));
+                    endpoints.get(sender).recordSent(datagram.length);
+                    record(datagram);
+                    for (PeerPaths.Copy copy : paths.transmit(sender, number, datagram)) {
+                        loop.after(copy.delayNanos(), () -> deliver(sender, number, copy.bytes()));
                     }
                 }
             }
         }
 
-        private void count(int length) {
+        private void recordSent(int length) {
             long now = loop.now();
-            sent.add(new long[] {now, length});
-            bytes += length;
-            total += length;
-            while (sent.peek()[0] <= now - SECOND) {
-                bytes -= sent.poll()[1];
+            sentInLastSecond.add(new long[] {now, length});
+            bytesInLastSecond += length;
+            totalBytes += length;
+            while (sentInLastSecond.peek()[0] <= now - NANOS_PER_SECOND) {
+                bytesInLastSecond -= sentInLastSecond.poll()[1];
             }
-            worst = Math.max(worst, bytes);
+            maxBytesInSecond = Math.max(maxBytesInSecond, bytesInLastSecond);
         }
     }
 
     private final EventLoop loop;
-    private final ByteBuffer buffer = ByteBuffer.allocate(LONGEST);
-    private final List<Place> places = new ArrayList<>();
-    private final Map<Integer, Integer> byReal = new HashMap<>();
+    private final ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
+    private final List<Endpoint> endpoints = new ArrayList<>();
+    private final Map<Integer, Integer> proxyByPort = new HashMap<>();
     private final PeerPaths paths;
-    private final SplittableRandom chance;
-    private final List<byte[]> kept = new ArrayList<>();
-    private long seen;
-    private long forged;
+    private final SplittableRandom random;
+    private final List<byte[]> recorded = new ArrayList<>();
+    private long datagramsSeen;
+    private long forgedCount;
 
     PeerNetwork(EventLoop loop, long seed, int proxies) throws IOException {
         this.loop = loop;
         this.paths = new PeerPaths(seed, proxies);
-        this.chance = new SplittableRandom(seed ^ 0x5eed);
+        this.random = new SplittableRandom(seed ^ 0x5eed);
         for (int p = 0; p < proxies; p++) {
-            places.add(new Place(p));
+            endpoints.add(new Endpoint(p));
         }
     }
 
     /** The address by which the others know a proxy. */
     InetSocketAddress address(int proxy) {
-        return places.get(proxy).address;
+        return endpoints.get(proxy).address;
     }
 
     /** Where a proxy really listens. */
-    void listens(int proxy, InetSocketAddress real) {
-        places.get(proxy).real = real;
-        byReal.put(real.getPort(), proxy);
+    void setProxyAddress(int proxy, InetSocketAddress proxyAddress) {
+        endpoints.get(proxy).proxyAddress = proxyAddress;
+        proxyByPort.put(proxyAddress.getPort(), proxy);
     }
 
     PeerPaths paths() {
@@ -119,22 +119,22 @@
             return;
         }
         try {
-            places.get(from).channel.send(ByteBuffer.wrap(datagram), places.get(to).real);
+            endpoints.get(from).channel.send(ByteBuffer.wrap(datagram), endpoints.get(to).proxyAddress);
         } catch (IOException e) {
             // Nobody listens there just now: it is lost.
         }
     }
 
-    private void keep(byte[] datagram) {
-        seen++;
-        if (kept.size() < KEPT) {
-            kept.add(datagram);
+    private void record(byte[] datagram) {
+        datagramsSeen++;
+        if (recorded.size() < MAX_RECORDED_DATAGRAMS) {
+            recorded.add(datagram);
         } else {
             // Any that was ever sent is as likely to be there: old ones come back from former
             // lives.
-            long at = chance.nextLong(seen);
-            if (at < KEPT) {
-                kept.set((int) at, datagram);
+            long index = random.nextLong(datagramsSeen);
+            if (index < MAX_RECORDED_DATAGRAMS) {
+                recorded.set((int) index, datagram);
             }
         }
     }
@@ -143,48 +143,48 @@
      * Sends what nobody of the fleet has sent: old datagrams, changed ones, and bytes of any kind.
      */
     void forge() {
-        int from = chance.nextInt(places.size());
-        int to = chance.nextInt(places.size());
+        int from = random.nextInt(endpoints.size());
+        int to = random.nextInt(endpoints.size());
         byte[] datagram;
-        if (kept.isEmpty() || chance.nextInt(4) == 0) {
-            datagram = new byte[chance.nextInt(300)];
+        if (recorded.isEmpty() || random.nextInt(4) == 0) {
+            datagram = new byte[random.nextInt(300)];
             for (int i = 0; i < datagram.length; i++) {
-                datagram[i] = (byte) chance.nextInt(256);
+                datagram[i] = (byte) random.nextInt(256);
             }
-            if (datagram.length > 0 && chance.nextBoolean()) {
+            if (datagram.length > 0 && random.nextBoolean()) {
                 datagram[0] = (byte) 0xfb;
             }
         } else {
-            datagram = kept.get(chance.nextInt(kept.size())).clone();
-            for (int changes = chance.nextInt(4); changes > 0; changes--) {
-                datagram[chance.nextInt(datagram.length)] ^= (byte) (1 << chance.nextInt(8));
+            datagram = recorded.get(random.nextInt(recorded.size())).clone();
+            for (int changes = random.nextInt(4); changes > 0; changes--) {
+                datagram[random.nextInt(datagram.length)] ^= (byte) (1 << random.nextInt(8));
             }
         }
-        forged++;
+        forgedCount++;
         deliver(from, to, datagram);
     }
 
     /** The most bytes that any proxy sent within a second. */
-    long worstSecond() {
-        return places.stream().mapToLong(p -> p.worst).max().orElse(0);
+    long maxBytesPerSecond() {
+        return endpoints.stream().mapToLong(p -> p.maxBytesInSecond).max().orElse(0);
     }
 
     /** Bytes a second that one proxy sent over so many nanoseconds, in the mean. */
-    double mean(long nanos) {
-        return places.stream().mapToLong(p -> p.total).sum()
+    double meanBytesPerSecond(long nanos) {
+        return endpoints.stream().mapToLong(p -> p.totalBytes).sum()
                 * 1e9
                 / Math.max(1, nanos)
-                / places.size();
+                / endpoints.size();
     }
 
     long forgeries() {
-        return forged;
+        return forgedCount;
     }
 
     void close() {
-        for (Place place : places) {
+        for (Endpoint endpoint : endpoints) {
             try {
-                place.channel.close();
+                endpoint.channel.close();
             } catch (IOException e) {
                 // It is closed all the same.
             }
--- a/src/main/java/cottonlock/lab/PeerPaths.java
+++ b/src/main/java/cottonlock/lab/PeerPaths.java
@@ -14,30 +14,30 @@
 final class PeerPaths {
 
     /** One way of one pair. */
-    private static final class Way {
-        final SplittableRandom chance;
+    private static final class DirectedPath {
+        final SplittableRandom random;
 
         /** By how many faults it is cut. */
-        int cuts;
+        int activeCuts;
 
-        double loss;
-        double twice;
-        double garble;
-        long delay;
+        double lossProbability;
+        double duplicationProbability;
+        double corruptionProbability;
+        long maxDelayNanos;
 
-        Way(SplittableRandom chance) {
-            this.chance = chance;
+        DirectedPath(SplittableRandom random) {
+            this.random = random;
         }
     }
 
     /** A copy of a datagram that gets through, so many nanoseconds later. */
     static final class Copy {
         private final byte[] bytes;
-        private final long after;
+        private final long delayNanos;
 
-        Copy(byte[] bytes, long after) {
+        Copy(byte[] bytes, long delayNanos) {
             this.bytes = bytes;
-            this.after = after;
+            this.delayNanos = delayNanos;
         }
 
         /** The datagram's bytes, shared with its other copies. */
@@ -46,68 +46,68 @@
         }
 
         /** Nanoseconds until it arrives. */
-        long after() {
-            return after;
+        long delayNanos() {
+            return delayNanos;
         }
     }
 
-    private final Way[][] ways;
+    private final DirectedPath[][] paths;
 
     PeerPaths(long seed, int proxies) {
-        ways = new Way[proxies][proxies];
+        paths = new DirectedPath[proxies][proxies];
         for (int from = 0; from < proxies; from++) {
             for (int to = 0; to < proxies; to++) {
-                ways[from][to] =
-                        new Way(new SplittableRandom(seed * 1_000_003 + from * 4_099L + to));
+                paths[from][to] =
+                        new DirectedPath(new SplittableRandom(seed * 1_000_003 + from * 4_099L + to));
             }
         }
     }
 
-    void cut(int from, int to, boolean off) {
-        ways[from][to].cuts += off ? 1 : -1;
+    void setCut(int from, int to, boolean off) {
+        paths[from][to].activeCuts += off ? 1 : -1;
     }
 
     boolean isCut(int from, int to) {
-        return ways[from][to].cuts > 0;
+        return paths[from][to].activeCuts > 0;
     }
 
-    void loss(int from, int to, double part) {
-        ways[from][to].loss = part;
+    void setLoss(int from, int to, double probability) {
+        paths[from][to].lossProbability = probability;
     }
 
-    void twice(int from, int to, double part) {
-        ways[from][to].twice = part;
+    void setDuplication(int from, int to, double probability) {
+        paths[from][to].duplicationProbability = probability;
     }
 
-    void garble(int from, int to, double part) {
-        ways[from][to].garble = part;
+    void setCorruption(int from, int to, double probability) {
+        paths[from][to].corruptionProbability = probability;
     }
 
     /**
      * Each datagram takes longer, by a time drawn evenly up to this: so they overtake one another.
      */
-    void delay(int from, int to, long most) {
-        ways[from][to].delay = most;
+    void setMaxDelay(int from, int to, long nanos) {
+        paths[from][to].maxDelayNanos = nanos;
     }
 
     /** What becomes of a datagram. */
-    List<Copy> pass(int from, int to, byte[] datagram) {
-        Way way = ways[from][to];
+    List<Copy> transmit(int from, int to, byte[] datagram) {
+        DirectedPath path = paths[from][to];
         List<Copy> copies = new ArrayList<>();
-        if (way.cuts > 0) {
+        if (path.activeCuts > 0) {
             return copies;
         }
-        int times = way.twice > 0 && way.chance.nextDouble() < way.twice ? 2 : 1;
-        for (int i = 0; i < times; i++) {
-            if (way.loss > 0 && way.chance.nextDouble() < way.loss) {
+        int copyCount = path.duplicationProbability > 0 && path.random.nextDouble() < path.duplicationProbability ? 2 : 1;
+        for (int i = 0; i < copyCount; i++) {
+            if (path.lossProbability > 0 && path.random.nextDouble() < path.lossProbability) {
                 continue;
             }
             byte[] bytes = datagram;
-            if (way.garble > 0 && datagram.length > 0 && way.chance.nextDouble() < way.garble) {
+            if (path.corruptionProbability > 0 && datagram.length > 0 && path.random.nextDouble() < path.corruptionProbability) {
                 bytes = datagram.clone();
-                bytes[way.chance.nextInt(bytes.length)] ^= (byte) (1 << way.chance.nextInt(8));
+                bytes[path.random.nextInt(bytes.length)] ^= (byte) (1 << path.random.nextInt(8));
             }
-            copies.add(new Copy(bytes, way.delay > 0 ? way.chance.nextLong(way.delay) : 0));
+            copies.add(new Copy(bytes, path.maxDelayNanos > 0 ? path.random.nextLong(path.maxDelayNanos) : 0));
         }
         return copies;
     }
