--- a/src/main/java/cottonlock/lab/ControlServer.java
+++ b/src/main/java/cottonlock/lab/ControlServer.java
@@ -21,24 +21,24 @@
  * middle of a line.
  */
 public final class ControlServer implements AutoCloseable {
-    private static final long BEAT = 2_000;
+    private static final long HEARTBEAT_MILLIS = 2_000;
 
     /** What it tells besides the truth. */
-    public enum Trouble {
+    public enum Fault {
         NONE,
-        BEHIND,
+        STALE,
         OVERLOADED,
-        HALF,
-        BROKEN_OFF
+        HALF_SETTINGS,
+        TRUNCATED_LINE
     }
 
-    private record Told(long seq, String digest, String base, String settings) {
-        String number() {
+    private record Version(long seq, String digest, String base, String settings) {
+        String versionLine() {
             return "{\"seq\":" + seq + ",\"digest\":\"" + digest + "\"}";
         }
 
-        String whole(boolean half) {
-            String content = half ? settings.substring(0, settings.length() / 2) : settings;
+        String fullLine(boolean truncated) {
+            String content = truncated ? settings.substring(0, settings.length() / 2) : settings;
             return "{\"seq\":"
                     + seq
                     + ",\"whole\":true,\"digest\":\""
@@ -50,7 +50,7 @@
                     + "\"}";
         }
 
-        boolean outweighs(long otherSeq, String otherDigest) {
+        boolean isNewerThan(long otherSeq, String otherDigest) {
             return seq != otherSeq ? seq > otherSeq : digest.compareTo(otherDigest) > 0;
         }
     }
@@ -58,15 +58,15 @@
     private record Watch(Socket socket, String service) {}
 
     private final int callsPerSecond;
-    private final Map<String, Told> held = new LinkedHashMap<>();
+    private final Map<String, Version> versions = new LinkedHashMap<>();
     private final List<Watch> watches = new ArrayList<>();
-    private final List<Socket> open = new ArrayList<>();
+    private final List<Socket> openSockets = new ArrayList<>();
     private ServerSocket server;
     private int port;
-    private Trouble trouble = Trouble.NONE;
-    private long second;
-    private int inSecond;
-    private int worst;
+    private Fault fault = Fault.NONE;
+    private long currentSecond;
+    private int callsInSecond;
+    private int maxCallsInSecond;
 
     /**
      * Listens on a port of loopback that is free. Calls beyond so many in a second are turned away.
@@ -74,21 +74,21 @@
     public ControlServer(int callsPerSecond) throws IOException {
         this.callsPerSecond = callsPerSecond;
         start();
-        Thread beat = new Thread(this::beat, "control beat");
-        beat.setDaemon(true);
-        beat.start();
+        Thread heartbeat = new Thread(this::sendHeartbeats, "control beat");
+        heartbeat.setDaemon(true);
+        heartbeat.start();
     }
 
     /** Starts again after {@link #kill}, at the same address and with what it had been told. */
     public synchronized void start() throws IOException {
-        ServerSocket mine = new ServerSocket();
-        mine.setReuseAddress(true);
-        mine.bind(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), port), 512);
-        server = mine;
-        port = mine.getLocalPort();
-        Thread accepts = new Thread(() -> accept(mine), "control");
-        accepts.setDaemon(true);
-        accepts.start();
+        ServerSocket listening = new ServerSocket();
+        listening.setReuseAddress(true);
+        listening.bind(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), port), 512);
+        server = listening;
+        port = listening.getLocalPort();
+        Thread acceptor = new Thread(() -> accept(listening), "control");
+        acceptor.setDaemon(true);
+        acceptor.start();
     }
 
     public synchronized String address() {
@@ -101,24 +101,24 @@
     }
 
     /** The most calls that came in any second. */
-    public synchronized int worstSecond() {
-        return worst;
+    public synchronized int maxCallsPerSecond() {
+        return maxCallsInSecond;
     }
 
-    public synchronized void trouble(Trouble which) {
-        trouble = which;
+    public synchronized void setFault(Fault newFault) {
+        fault = newFault;
     }
 
     /** A version is published; one that is not above what is held changes nothing. */
     public synchronized void publish(String service, long seq, String base, String settings) {
-        Told told = new Told(seq, digest(settings), base, settings);
-        Told before = held.get(service);
-        if (trouble != Trouble.BEHIND
-                && (before == null || told.outweighs(before.seq, before.digest))) {
-            held.put(service, told);
+        Version version = new Version(seq, digest(settings), base, settings);
+        Version previous = versions.get(service);
+        if (fault != Fault.STALE
+                && (previous == null || version.isNewerThan(previous.seq, previous.digest))) {
+            versions.put(service, version);
             for (Watch watch : List.copyOf(watches)) {
                 if (watch.service.equals(service)) {
-                    tell(watch, told);
+                    sendVersion(watch, version);
                 }
             }
         }
@@ -140,9 +140,9 @@
         try {
             while (true) {
                 Socket socket = on.accept();
-                Thread serves = new Thread(() -> serve(socket), "control call");
-                serves.setDaemon(true);
-                serves.start();
+                Thread handler = new Thread(() -> serve(socket), "control call");
+                handler.setDaemon(true);
+                handler.start();
             }
         } catch (IOException e) {
             // It has been killed.
@@ -163,7 +163,7 @@
                 // Nothing in the head matters here.
             }
             synchronized (this) {
-                open.add(socket);
+                openSockets.add(socket);
                 answer(socket, start == null ? "" : start.split(" ", 0)[1]);
             }
         } catch (IOException | ArrayIndexOutOfBoundsException e) {
@@ -173,16 +173,16 @@
 
     private void answer(Socket socket, String target) throws IOException {
         long now = System.nanoTime() / 1_000_000_000L;
-        inSecond = now == second ? inSecond + 1 : 1;
-        second = now;
-        worst = Math.max(worst, inSecond);
-        Told told = held.get(parameter(target, "service"));
-        if (trouble == Trouble.OVERLOADED || inSecond > callsPerSecond) {
+        callsInSecond = now == currentSecond ? callsInSecond + 1 : 1;
+        currentSecond = now;
+        maxCallsInSecond = Math.max(maxCallsInSecond, callsInSecond);
+        Version version = versions.get(parameter(target, "service"));
+        if (fault == Fault.OVERLOADED || callsInSecond > callsPerSecond) {
             write(socket, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
             close(socket);
         } else if (target.startsWith("/catalog/configuration/version?")) {
             String body =
-                    (told == null ? "{\"seq\":0,\"digest\":\"0000000000000000\"}" : told.number())
+                    (version == null ? "{\"seq\":0,\"digest\":\"0000000000000000\"}" : version.versionLine())
                             + "\n";
             write(
                     socket,
@@ -193,12 +193,12 @@
             Watch watch = new Watch(socket, parameter(target, "service"));
             watches.add(watch);
             long index = Long.parseLong("0" + parameter(target, "index"));
-            if (told == null) {
-                chunk(socket, "{\"seq\":0,\"digest\":\"0000000000000000\"}\n");
-            } else if (told.outweighs(index, parameter(target, "digest"))) {
-                tell(watch, told);
+            if (version == null) {
+                writeChunk(socket, "{\"seq\":0,\"digest\":\"0000000000000000\"}\n");
+            } else if (version.isNewerThan(index, parameter(target, "digest"))) {
+                sendVersion(watch, version);
             } else {
-                chunk(socket, told.number() + "\n");
+                writeChunk(socket, version.versionLine() + "\n");
             }
         } else {
             write(socket, "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n");
@@ -215,27 +215,27 @@
         return "";
     }
 
-    private void tell(Watch watch, Told told) {
+    private void sendVersion(Watch watch, Version version) {
         try {
-            String line = told.whole(trouble == Trouble.HALF);
-            if (trouble == Trouble.BROKEN_OFF) {
-                chunk(watch.socket, line.substring(0, line.length() / 2));
+            String line = version.fullLine(fault == Fault.HALF_SETTINGS);
+            if (fault == Fault.TRUNCATED_LINE) {
+                writeChunk(watch.socket, line.substring(0, line.length() / 2));
                 watch.socket.setSoLinger(true, 0);
-                end(watch);
+                closeWatch(watch);
             } else {
-                chunk(watch.socket, line + "\n");
+                writeChunk(watch.socket, line + "\n");
             }
         } catch (IOException e) {
-            end(watch);
+            closeWatch(watch);
         }
     }
 
-    private void end(Watch watch) {
+    private void closeWatch(Watch watch) {
         watches.remove(watch);
         close(watch.socket);
     }
 
-    private static void chunk(Socket socket, String text) throws IOException {
+    private static void writeChunk(Socket socket, String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         write(socket, Integer.toHexString(bytes.length) + "\r\n" + text + "\r\n");
     }
@@ -251,20 +251,20 @@
             // It is closed all the same.
         }
         synchronized (this) {
-            open.remove(socket);
+            openSockets.remove(socket);
         }
     }
 
-    private void beat() {
+    private void sendHeartbeats() {
         try {
             while (true) {
-                Thread.sleep(BEAT);
+                Thread.sleep(HEARTBEAT_MILLIS);
                 synchronized (this) {
                     for (Watch watch : List.copyOf(watches)) {
                         try {
-                            chunk(watch.socket, "\n");
+                            writeChunk(watch.socket, "\n");
                         } catch (IOException e) {
-                            end(watch);
+                            closeWatch(watch);
                         }
                     }
                 }
@@ -278,7 +278,7 @@
     public synchronized void kill() throws IOException {
         server.close();
         watches.clear();
-        List.copyOf(open).forEach(this::close);
+        List.copyOf(openSockets).forEach(this::close);
     }
 
     @Override
--- a/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
+++ b/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cottonlock.lab.ControlServer;
-import cottonlock.lab.ControlServer.Trouble;
+import cottonlock.lab.ControlServer.Fault;
 import cottonlock.proxy.control.ConfigurationVersionDigest;
 import cottonlock.proxy.control.ProxyConfiguration;
 import cottonlock.proxy.http.BufferPool;
@@ -247,8 +247,8 @@
         start(3, 3);
         publish(1, named("twice"));
         allHold(1);
-        control.get(0).trouble(Trouble.BEHIND);
-        control.get(1).trouble(Trouble.BEHIND);
+        control.get(0).setFault(Fault.STALE);
+        control.get(1).setFault(Fault.STALE);
         publish(2, named("thrice"));
         allHold(2);
         inTime(() -> control.get(2).watches() == 3, "all watch the one that knows");
@@ -281,8 +281,8 @@
         allHold(3);
         assertEquals(200, instances.get(0).status("twice"));
         // Two of three tell no whole version: it comes from the third.
-        control.get(0).trouble(Trouble.HALF);
-        control.get(1).trouble(Trouble.BROKEN_OFF);
+        control.get(0).setFault(Fault.HALF_SETTINGS);
+        control.get(1).setFault(Fault.TRUNCATED_LINE);
         publish(4, named("fourth"));
         allHold(4);
         for (Instance i : instances) {
@@ -290,7 +290,7 @@
             assertEquals("1", i.figure("configuration_refused_count"), "half a version is none");
         }
         // Another base: tenants need new processes, and all say so.
-        control.forEach(c -> c.trouble(Trouble.NONE));
+        control.forEach(c -> c.setFault(Fault.NONE));
         String others = named("fifth").replace("\"acme\"", "\"amce\"");
         String othersBase =
                 ConfigurationVersionDigest.ofBase(
@@ -364,16 +364,16 @@
     void controlThatIsOverloadedIsAskedAgainInTime() throws Exception {
         ControlServer one = new ControlServer(200);
         ControlServer other = new ControlServer(200);
-        one.trouble(Trouble.OVERLOADED);
-        other.trouble(Trouble.OVERLOADED);
+        one.setFault(Fault.OVERLOADED);
+        other.setFault(Fault.OVERLOADED);
         startHere(null, one, other);
-        inTime(() -> one.worstSecond() > 0 && other.worstSecond() > 0, "both are called");
-        other.trouble(Trouble.NONE);
+        inTime(() -> one.maxCallsPerSecond() > 0 && other.maxCallsPerSecond() > 0, "both are called");
+        other.setFault(Fault.NONE);
         other.publish("s", 1, base, named("twice"));
         inTime(
                 () -> status(call(request("twice", "n" + System.nanoTime(), "", "body"))) == 200,
                 "in force");
-        assertTrue(one.worstSecond() <= 4 && other.worstSecond() <= 4, "calls are paced");
+        assertTrue(one.maxCallsPerSecond() <= 4 && other.maxCallsPerSecond() <= 4, "calls are paced");
     }
 
     /** A version whose taking in has ended three processes is not tried by a fourth. */
