--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -253,7 +253,7 @@
                 state.job = job;
                 request(job, message);
             }
-        } catch (HttpMessageParser.Unreadable e) {
+        } catch (HttpMessageParser.MalformedMessageException e) {
             conn.reset();
         }
     }
@@ -263,7 +263,7 @@
         job.id = message.field("x-request-id");
         job.key = message.field("idempotency-key");
         job.tenant = message.field("x-tenant-id");
-        String target = message.start().get(1);
+        String target = message.startLine().get(1);
         int mark = target.indexOf("?w=");
         job.category = mark < 0 ? null : categories.get(target.substring(1, mark));
         if (job.id == null || job.category == null) {
@@ -429,7 +429,7 @@
                             + ",util="
                             + Math.round(100.0 * model.busy() / model.cores()) / 100.0;
         }
-        job.conn.writeResponse(HttpMessageParser.answer(status, name, value, body));
+        job.conn.writeResponse(HttpMessageParser.encodeResponse(status, name, value, body));
     }
 
     @Override
--- a/src/main/java/cottonlock/lab/BaselineProxy.java
+++ b/src/main/java/cottonlock/lab/BaselineProxy.java
@@ -54,7 +54,7 @@
 
         void write() {
             HttpMessageParser.Message m = item.message;
-            StringBuilder head = new StringBuilder(String.join(" ", m.start())).append("\r\n");
+            StringBuilder head = new StringBuilder(String.join(" ", m.startLine())).append("\r\n");
             m.fields()
                     .forEach(
                             (name, value) -> {
@@ -96,7 +96,7 @@
                 }
                 resting.computeIfAbsent(to, b -> new ArrayDeque<>()).addLast(this);
                 back(done, answer);
-            } catch (HttpMessageParser.Unreadable e) {
+            } catch (HttpMessageParser.MalformedMessageException e) {
                 c.reset();
             }
         }
@@ -185,13 +185,13 @@
             items.put(conn, item);
             item.timer = loop.at(until, () -> give(item, 502));
             attempt(item);
-        } catch (HttpMessageParser.Unreadable e) {
+        } catch (HttpMessageParser.MalformedMessageException e) {
             conn.reset();
         }
     }
 
     private static boolean safe(Item item) {
-        return item.message.start().get(0).equals("GET");
+        return item.message.startLine().get(0).equals("GET");
     }
 
     private void attempt(Item item) {
@@ -241,10 +241,10 @@
             return;
         }
         item.link = null;
-        switch (answer.start().get(1)) {
+        switch (answer.startLine().get(1)) {
             case "200" -> {
                 over(item);
-                item.client.write(HttpMessageParser.answer(200, null, null, answer.body()));
+                item.client.write(HttpMessageParser.encodeResponse(200, null, null, answer.body()));
             }
             case "503", "504" -> {
                 if (answer.field("x-not-processed") != null) {
@@ -265,7 +265,7 @@
         if (item.link != null && item.link.item == item) {
             item.link.conn.reset();
         }
-        item.client.write(HttpMessageParser.answer(status, null, null, new byte[0]));
+        item.client.write(HttpMessageParser.encodeResponse(status, null, null, new byte[0]));
     }
 
     private void over(Item item) {
--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -358,25 +358,25 @@
                     asked(conn, message);
                 }
             }
-        } catch (HttpMessageParser.Unreadable e) {
+        } catch (HttpMessageParser.MalformedMessageException e) {
             conn.reset();
         }
     }
 
     private void asked(Connection conn, HttpMessageParser.Message message) {
         Watch watch = (Watch) ((Listener) conn.attachment).attachment;
-        String target = message.start().get(1);
+        String target = message.startLine().get(1);
         if (conn.isClosed() || down) {
             return;
         }
         if (!target.startsWith("/catalog/members")) {
-            conn.write(HttpMessageParser.answer(404, null, null, new byte[0]));
+            conn.write(HttpMessageParser.encodeResponse(404, null, null, new byte[0]));
             return;
         }
         watch.askedAt = loop.now();
         if (!target.contains("stream=1")) {
             conn.write(
-                    HttpMessageParser.answer(
+                    HttpMessageParser.encodeResponse(
                             200,
                             null,
                             null,
--- a/src/main/java/cottonlock/lab/HttpMessageParser.java
+++ b/src/main/java/cottonlock/lab/HttpMessageParser.java
@@ -14,25 +14,25 @@
  */
 final class HttpMessageParser {
     /** Bytes of a head and of a body, at most: beyond them something is wrong. */
-    private static final int LONGEST_HEAD = 16 << 10;
+    private static final int MAX_HEAD_BYTES = 16 << 10;
 
-    private static final int LONGEST_BODY = 4 << 20;
+    private static final int MAX_BODY_BYTES = 4 << 20;
 
     /** One message; names of fields are in small letters. */
     static final class Message {
-        private final List<String> start;
+        private final List<String> startLine;
         private final Map<String, String> fields;
         private final byte[] body;
 
-        Message(List<String> start, Map<String, String> fields, byte[] body) {
-            this.start = start;
+        Message(List<String> startLine, Map<String, String> fields, byte[] body) {
+            this.startLine = startLine;
             this.fields = fields;
             this.body = body;
         }
 
         /** The words of the first line: at most three. */
-        List<String> start() {
-            return start;
+        List<String> startLine() {
+            return startLine;
         }
 
         Map<String, String> fields() {
@@ -48,84 +48,84 @@
             return fields.get(name);
         }
 
-        boolean closes() {
+        boolean closesConnection() {
             return "close".equalsIgnoreCase(fields.get("connection"));
         }
     }
 
     /** Bytes that are no such message. */
-    static final class Unreadable extends Exception {
+    static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Unreadable(String fault) {
+        MalformedMessageException(String fault) {
             super(fault);
         }
     }
 
     private final ByteArrayOutputStream head = new ByteArrayOutputStream(512);
-    private int matched;
-    private String[] start;
+    private int terminatorBytes;
+    private String[] startLine;
     private Map<String, String> fields;
     private byte[] body;
-    private int filled;
+    private int bodyBytesRead;
     private byte[] pending = new byte[0];
-    private int from;
+    private int pendingStart;
 
     /** Hands over bytes; {@link #next} takes the messages out. */
     void add(byte[] bytes, int length) {
-        byte[] joined = new byte[pending.length - from + length];
-        System.arraycopy(pending, from, joined, 0, pending.length - from);
-        System.arraycopy(bytes, 0, joined, pending.length - from, length);
+        byte[] joined = new byte[pending.length - pendingStart + length];
+        System.arraycopy(pending, pendingStart, joined, 0, pending.length - pendingStart);
+        System.arraycopy(bytes, 0, joined, pending.length - pendingStart, length);
         pending = joined;
-        from = 0;
+        pendingStart = 0;
     }
 
     /** Whether nothing of a further message has come. */
-    boolean atRest() {
-        return body == null && head.size() == 0 && from == pending.length;
+    boolean isIdle() {
+        return body == null && head.size() == 0 && pendingStart == pending.length;
     }
 
     /** The next whole message, or null while it has not come whole. */
-    Message next() throws Unreadable {
-        while (body == null && from < pending.length) {
-            byte b = pending[from++];
+    Message next() throws MalformedMessageException {
+        while (body == null && pendingStart < pending.length) {
+            byte b = pending[pendingStart++];
             head.write(b);
-            matched = b == (matched % 2 == 0 ? '\r' : '\n') ? matched + 1 : b == '\r' ? 1 : 0;
-            if (matched == 4) {
+            terminatorBytes = b == (terminatorBytes % 2 == 0 ? '\r' : '\n') ? terminatorBytes + 1 : b == '\r' ? 1 : 0;
+            if (terminatorBytes == 4) {
                 readHead();
-            } else if (head.size() > LONGEST_HEAD) {
-                throw new Unreadable("a head of more than " + LONGEST_HEAD + " bytes");
+            } else if (head.size() > MAX_HEAD_BYTES) {
+                throw new MalformedMessageException("a head of more than " + MAX_HEAD_BYTES + " bytes");
             }
         }
         if (body == null) {
             return null;
         }
-        int n = Math.min(body.length - filled, pending.length - from);
-        System.arraycopy(pending, from, body, filled, n);
-        from += n;
-        filled += n;
-        if (filled < body.length) {
+        int n = Math.min(body.length - bodyBytesRead, pending.length - pendingStart);
+        System.arraycopy(pending, pendingStart, body, bodyBytesRead, n);
+        pendingStart += n;
+        bodyBytesRead += n;
+        if (bodyBytesRead < body.length) {
             return null;
         }
-        Message message = new Message(List.of(start), fields, body);
+        Message message = new Message(List.of(startLine), fields, body);
         body = null;
-        filled = 0;
+        bodyBytesRead = 0;
         return message;
     }
 
-    private void readHead() throws Unreadable {
+    private void readHead() throws MalformedMessageException {
         String[] lines = head.toString(StandardCharsets.ISO_8859_1).split("\r\n", 0);
         head.reset();
-        matched = 0;
-        start = lines[0].split(" ", 3);
-        if (start.length < 2 || (start.length < 3 && !start[0].startsWith("HTTP/"))) {
-            throw new Unreadable("no start of a message: " + lines[0]);
+        terminatorBytes = 0;
+        startLine = lines[0].split(" ", 3);
+        if (startLine.length < 2 || (startLine.length < 3 && !startLine[0].startsWith("HTTP/"))) {
+            throw new MalformedMessageException("no start of a message: " + lines[0]);
         }
         fields = new LinkedHashMap<>();
         for (int i = 1; i < lines.length; i++) {
             int colon = lines[i].indexOf(':');
             if (colon <= 0) {
-                throw new Unreadable("no field: " + lines[i]);
+                throw new MalformedMessageException("no field: " + lines[i]);
             }
             fields.put(
                     lines[i].substring(0, colon).toLowerCase(Locale.ROOT),
@@ -133,15 +133,15 @@
         }
         String length = fields.getOrDefault("content-length", "0");
         if (!length.matches("[0-9]{1,7}")
-                || Integer.parseInt(length) > LONGEST_BODY
+                || Integer.parseInt(length) > MAX_BODY_BYTES
                 || fields.containsKey("transfer-encoding")) {
-            throw new Unreadable("a body whose length can't be told");
+            throw new MalformedMessageException("a body whose length can't be told");
         }
         body = new byte[Integer.parseInt(length)];
     }
 
     /** The bytes of an answer; a name of null leaves that field out. */
-    static byte[] answer(int status, String name, String value, byte[] body) {
+    static byte[] encodeResponse(int status, String name, String value, byte[] body) {
         String head =
                 "HTTP/1.1 "
                         + status
--- a/src/main/java/cottonlock/lab/ProxyClient.java
+++ b/src/main/java/cottonlock/lab/ProxyClient.java
@@ -276,7 +276,7 @@
             if (message != null) {
                 answered(conn, call, message);
             }
-        } catch (HttpMessageParser.Unreadable e) {
+        } catch (HttpMessageParser.MalformedMessageException e) {
             ledger.unanswered(
                     loop.now(), call.request.id(), "its answer can't be read: " + e.getMessage());
             finish(conn, call, new Result(End.NO_ANSWER, 0), false);
@@ -300,7 +300,7 @@
         int body =
                 Arrays.hashCode(message.body())
                         + (sabotage.equals("wrong-answer") && chance.nextInt(200) == 0 ? 1 : 0);
-        String status = message.start().get(1);
+        String status = message.startLine().get(1);
         End end =
                 status.equals("200")
                         ? End.FINISHED
@@ -317,7 +317,7 @@
                 conn,
                 call,
                 new Result(end, comeBack),
-                call.keep && !message.closes() && call.in.atRest());
+                call.keep && !message.closesConnection() && call.in.isIdle());
     }
 
     private void finish(Connection conn, Call call, Result result, boolean keep) {
--- a/src/test/java/cottonlock/lab/ScenarioTest.java
+++ b/src/test/java/cottonlock/lab/ScenarioTest.java
@@ -220,23 +220,23 @@
             String body = "\r\n\r\n".repeat(random.nextInt(3)) + "x".repeat(random.nextInt(50));
             bodies.add(body);
             bytes.write(
-                    HttpMessageParser.answer(
+                    HttpMessageParser.encodeResponse(
                             200, random.nextBoolean() ? "A" : null, "b", body.getBytes(UTF_8)));
         }
-        HttpMessageParser in = new HttpMessageParser();
+        HttpMessageParser parser = new HttpMessageParser();
         List<String> read = new ArrayList<>();
         byte[] all = bytes.toByteArray();
         for (int from = 0; from < all.length; ) {
             int to = Math.min(all.length, from + 1 + random.nextInt(40));
             byte[] piece = java.util.Arrays.copyOfRange(all, from, to);
-            in.add(piece, piece.length);
-            for (HttpMessageParser.Message m = in.next(); m != null; m = in.next()) {
+            parser.add(piece, piece.length);
+            for (HttpMessageParser.Message m = parser.next(); m != null; m = parser.next()) {
                 read.add(new String(m.body(), UTF_8));
             }
             from = to;
         }
         assertEquals(bodies, read);
-        assertTrue(in.atRest());
+        assertTrue(parser.isIdle());
     }
 
     /** A file of any bytes gives a scenario or says what is wrong, and nothing else. */
