--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -147,7 +147,7 @@
     }
 
     void slow(double factor) {
-        model.slow = factor;
+        model.slowdown = factor;
     }
 
     /**
@@ -283,14 +283,14 @@
             ledger.received(job.firstByte, now, job.id, id, proxy);
             ledger.effect(now, job.id, job.category.repeat(), "elsewhere");
         }
-        if (model.pushedOver(now, job.work)) {
+        if (model.isOverloadedCold(now, job.work)) {
             ledger.fell(now, id);
             die(true);
             return;
         }
-        switch (model.take(job)) {
-            case BEGINS -> begin(job);
-            case WAITS -> {}
+        switch (model.admit(job)) {
+            case STARTED -> begin(job);
+            case QUEUED -> {}
             default -> {
                 series.refused(id, now);
                 answer(job, 503, "X-Not-Processed", NOTHING);
@@ -321,7 +321,7 @@
         if (fresh) {
             ledger.effect(now, job.id, job.category.repeat(), room);
         }
-        long takes = fresh ? model.time(now, job.work) : 0;
+        long takes = fresh ? model.serviceNanos(now, job.work) : 0;
         job.timer = loop.after(takes, () -> worked(job));
     }
 
@@ -403,9 +403,9 @@
     }
 
     private void freeCore() {
-        Job waiting = model.next();
+        Job waiting = model.onCoreFree();
         while (waiting != null && waiting.conn.isClosed()) {
-            waiting = model.next();
+            waiting = model.onCoreFree();
         }
         if (waiting != null) {
             begin(waiting);
@@ -423,9 +423,9 @@
             name = "X-Server-Load";
             value =
                     "inflight="
-                            + (model.busy() + model.waiting())
+                            + (model.busy() + model.queued())
                             + ",queue="
-                            + model.waiting()
+                            + model.queued()
                             + ",util="
                             + Math.round(100.0 * model.busy() / model.cores()) / 100.0;
         }
@@ -436,7 +436,7 @@
     public void onClosed(Connection conn, boolean byReset) {
         ((Listener) conn.attachment).connections.remove(conn);
         State state = conns.remove(conn);
-        if (state != null && state.job != null && model.drop(state.job)) {
+        if (state != null && state.job != null && model.removeQueued(state.job)) {
             state.job = null;
         }
     }
--- a/src/main/java/cottonlock/lab/BackendModel.java
+++ b/src/main/java/cottonlock/lab/BackendModel.java
@@ -14,59 +14,59 @@
 @Deterministic
 final class BackendModel<J> {
     /** What becomes of a job that comes. */
-    enum Taken {
-        BEGINS,
-        WAITS,
-        FULL
+    enum Admission {
+        STARTED,
+        QUEUED,
+        REJECTED
     }
 
-    private record Offer(long at, double work) {}
+    private record OfferedWork(long timeNanos, double work) {}
 
     private final int cores;
     private final double speed;
-    private final int queue;
+    private final int queueLimit;
     private final double coldShare;
-    private final long cold;
-    private final double fallMultiple;
-    private final long fall;
-    private final Deque<J> waiting = new ArrayDeque<>();
-    private final Deque<Offer> offers = new ArrayDeque<>();
-    private double offered;
+    private final long coldNanos;
+    private final double overloadFactor;
+    private final long overloadWindowNanos;
+    private final Deque<J> queuedJobs = new ArrayDeque<>();
+    private final Deque<OfferedWork> recentWork = new ArrayDeque<>();
+    private double recentWorkSum;
     private int busy;
-    private long started = Long.MIN_VALUE / 2;
+    private long startedAt = Long.MIN_VALUE / 2;
 
     /** How many times slower than usual it works just now. */
-    double slow = 1;
+    double slowdown = 1;
 
     BackendModel(
             int cores,
             double speed,
-            int queue,
+            int queueLimit,
             double coldShare,
-            long cold,
-            double fallMultiple,
-            long fall) {
+            long coldNanos,
+            double overloadFactor,
+            long overloadWindowNanos) {
         this.cores = cores;
         this.speed = speed;
-        this.queue = queue;
+        this.queueLimit = queueLimit;
         this.coldShare = coldShare;
-        this.cold = cold;
-        this.fallMultiple = fallMultiple;
-        this.fall = fall;
+        this.coldNanos = coldNanos;
+        this.overloadFactor = overloadFactor;
+        this.overloadWindowNanos = overloadWindowNanos;
     }
 
     /** A new process, cold and idle. */
     void start(long now) {
-        started = now;
-        waiting.clear();
-        offers.clear();
-        offered = 0;
+        startedAt = now;
+        queuedJobs.clear();
+        recentWork.clear();
+        recentWorkSum = 0;
         busy = 0;
     }
 
     /** The part of its capacity that it has: the cold share at the start, growing evenly to 1. */
-    double warmth(long now) {
-        return now - started >= cold ? 1 : coldShare + (1 - coldShare) * (now - started) / cold;
+    double capacityShare(long now) {
+        return now - startedAt >= coldNanos ? 1 : coldShare + (1 - coldShare) * (now - startedAt) / coldNanos;
     }
 
     /**
@@ -74,39 +74,39 @@
      * in the last {@code fall}, while it was cold, more came than the multiple of what it can do at
      * this moment.
      */
-    boolean pushedOver(long now, double work) {
-        if (now - started >= cold) {
+    boolean isOverloadedCold(long now, double work) {
+        if (now - startedAt >= coldNanos) {
             return false;
         }
-        offers.add(new Offer(now, work));
-        offered += work;
-        while (offers.peek().at <= now - fall) {
-            offered -= offers.poll().work;
+        recentWork.add(new OfferedWork(now, work));
+        recentWorkSum += work;
+        while (recentWork.peek().timeNanos <= now - overloadWindowNanos) {
+            recentWorkSum -= recentWork.poll().work;
         }
-        return offered > fallMultiple * cores * speed * warmth(now) * fall;
+        return recentWorkSum > overloadFactor * cores * speed * capacityShare(now) * overloadWindowNanos;
     }
 
     /** Takes a job, puts it in the queue, or turns it away. */
-    Taken take(J job) {
+    Admission admit(J job) {
         if (busy < cores) {
             busy++;
-            return Taken.BEGINS;
+            return Admission.STARTED;
         }
-        if (waiting.size() >= queue) {
-            return Taken.FULL;
+        if (queuedJobs.size() >= queueLimit) {
+            return Admission.REJECTED;
         }
-        waiting.add(job);
-        return Taken.WAITS;
+        queuedJobs.add(job);
+        return Admission.QUEUED;
     }
 
     /** How long a core needs for so much work that it begins now. */
-    long time(long now, double work) {
-        return (long) (work * slow / (speed * warmth(now)));
+    long serviceNanos(long now, double work) {
+        return (long) (work * slowdown / (speed * capacityShare(now)));
     }
 
     /** A core has become free; the job that it begins next, or null. */
-    J next() {
-        J job = waiting.poll();
+    J onCoreFree() {
+        J job = queuedJobs.poll();
         if (job == null) {
             busy--;
         }
@@ -114,16 +114,16 @@
     }
 
     /** Takes a job out of the queue whose sender has gone. */
-    boolean drop(J job) {
-        return waiting.remove(job);
+    boolean removeQueued(J job) {
+        return queuedJobs.remove(job);
     }
 
     int busy() {
         return busy;
     }
 
-    int waiting() {
-        return waiting.size();
+    int queued() {
+        return queuedJobs.size();
     }
 
     int cores() {
--- a/src/test/java/cottonlock/lab/LedgerTest.java
+++ b/src/test/java/cottonlock/lab/LedgerTest.java
@@ -140,7 +140,7 @@
         for (int job = 0; job < 200; job++) {
             if (random.nextBoolean() && !running.isEmpty()) {
                 running.remove(random.nextInt(running.size()));
-                Integer next = model.next();
+                Integer next = model.onCoreFree();
                 assertEquals(
                         waiting.isEmpty() ? null : waiting.remove(0),
                         next,
@@ -149,9 +149,9 @@
                     running.add(next);
                 }
             }
-            switch (model.take(job)) {
-                case BEGINS -> running.add(job);
-                case WAITS -> waiting.add(job);
+            switch (model.admit(job)) {
+                case STARTED -> running.add(job);
+                case QUEUED -> waiting.add(job);
                 default -> assertTrue(running.size() == cores && waiting.size() == queue);
             }
             assertTrue(running.size() <= cores && waiting.size() <= queue);
@@ -162,15 +162,15 @@
     @Example
     void aColdBackendFallsWhenPushedBeyondItsMultipleAndAWarmOneNever() {
         BackendModel<Integer> model = new BackendModel<>(2, 1, 10, 0.5, 10_000, 3, 1_000);
-        assertFalse(model.pushedOver(0, 1e9), "long ago started: warm");
+        assertFalse(model.isOverloadedCold(0, 1e9), "long ago started: warm");
         model.start(100_000);
-        assertEquals(0.5, model.warmth(100_000));
-        assertEquals(0.75, model.warmth(105_000));
+        assertEquals(0.5, model.capacityShare(100_000));
+        assertEquals(0.75, model.capacityShare(105_000));
         // Two cores at half for 1,000, three times over: 3,000 of work is the most, give or take
         // the warming.
         int sent = 0;
         long now = 100_000;
-        while (!model.pushedOver(now, 100)) {
+        while (!model.isOverloadedCold(now, 100)) {
             sent += 100;
             now += 10;
         }
@@ -178,7 +178,7 @@
         model.start(200_000);
         for (int i = 0; i < 1_000; i++) {
             assertFalse(
-                    model.pushedOver(200_000 + i * 40, 100), "two and a half times what it can do");
+                    model.isOverloadedCold(200_000 + i * 40, 100), "two and a half times what it can do");
         }
     }
 }
