--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -17,13 +17,13 @@
  * next tier through a proxy of its own.
  */
 final class Backend implements Connection.Owner {
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
     /** Its life as a process. */
-    enum Life {
+    enum ProcessState {
         UP,
         DOWN,
-        FALLEN
+        OVERLOADED
     }
 
     /** One request from its first byte to its answer. */
@@ -35,7 +35,7 @@
         String tenant;
         Scenario.CategoryPlan category;
         double work;
-        long until;
+        long deadline;
         int callsLeft;
         EventLoop.Timer timer;
 
@@ -49,23 +49,23 @@
      * What a connection holds: what has come of a message, and the request that waits for its
      * answer.
      */
-    private static final class State {
-        final HttpMessageParser in = new HttpMessageParser();
+    private static final class ConnectionState {
+        final HttpMessageParser parser = new HttpMessageParser();
         long firstByte = -1;
         Job job;
     }
 
     /** The marks of repeats that the backends of one group remember together. */
-    static final class Marks {
-        private final Map<String, Long> until = new HashMap<>();
+    static final class SeenKeys {
+        private final Map<String, Long> expiryByKey = new HashMap<>();
 
         /** True the first time within the window. */
-        boolean isNew(String key, long now, long window) {
-            Long known = until.get(key);
-            if (known != null && now < known) {
+        boolean addIfNew(String key, long now, long window) {
+            Long knownUntil = expiryByKey.get(key);
+            if (knownUntil != null && now < knownUntil) {
                 return false;
             }
-            until.put(key, now + window);
+            expiryByKey.put(key, now + window);
             return true;
         }
     }
@@ -81,27 +81,27 @@
     private final BackendModel<Job> model;
     private final Scenario.Tier plan;
     private final Map<String, Scenario.CategoryPlan> categories;
-    private final Map<String, Marks> marks;
+    private final Map<String, SeenKeys> seenKeys;
     private final SplittableRandom random;
     private final String sabotage;
-    private final Map<Connection, State> conns = new HashMap<>();
+    private final Map<Connection, ConnectionState> connections = new HashMap<>();
     private final Set<Job> running = new HashSet<>();
 
     /** How it reaches the next tier; null in the last. */
-    ProxyClient next;
+    ProxyClient nextTier;
 
     /** Told when it falls or is killed, so that its own proxy goes with it. */
-    Runnable died = () -> {};
+    Runnable onProcessEnd = () -> {};
 
-    Life life = Life.UP;
+    ProcessState processState = ProcessState.UP;
 
     /** When it last started, on the loop's clock; 0 for long ago. */
     long startedAt;
 
-    double errors;
+    double errorProbability;
     boolean paused;
-    private final List<Runnable> held = new ArrayList<>();
-    private int calls;
+    private final List<Runnable> deferredTasks = new ArrayList<>();
+    private int callCount;
 
     Backend(
             String id,
@@ -113,7 +113,7 @@
             Scenario.Tier plan,
             Scenario.Rules rules,
             Map<String, Scenario.CategoryPlan> categories,
-            Map<String, Marks> marks,
+            Map<String, SeenKeys> seenKeys,
             SplittableRandom random,
             String sabotage) {
         this.id = id;
@@ -124,7 +124,7 @@
         this.series = series;
         this.plan = plan;
         this.categories = categories;
-        this.marks = marks;
+        this.seenKeys = seenKeys;
         this.random = random;
         this.sabotage = sabotage;
         this.path = new NetworkPath(random.split());
@@ -146,7 +146,7 @@
         return listener;
     }
 
-    void slow(double factor) {
+    void setSlowdown(double factor) {
         model.slowdown = factor;
     }
 
@@ -154,18 +154,18 @@
      * The process stands still, as in a long collection: its sockets stay, nothing is read or
      * answered.
      */
-    void pause(boolean stands) {
-        paused = stands;
-        if (!stands) {
-            List<Runnable> tasks = List.copyOf(held);
-            held.clear();
+    void setPaused(boolean value) {
+        paused = value;
+        if (!value) {
+            List<Runnable> tasks = List.copyOf(deferredTasks);
+            deferredTasks.clear();
             tasks.forEach(Runnable::run);
         }
     }
 
     /** The process dies: its connections are reset, new ones refused, and what it did is gone. */
-    void die(boolean fell) {
-        life = fell ? Life.FALLEN : Life.DOWN;
+    void endProcess(boolean overloaded) {
+        processState = overloaded ? ProcessState.OVERLOADED : ProcessState.DOWN;
         running.forEach(
                 job -> {
                     if (job.timer != null) {
@@ -173,20 +173,20 @@
                     }
                 });
         running.clear();
-        held.clear();
+        deferredTasks.clear();
         paused = false;
         for (Listener listener : listeners) {
             listener.stopListening();
             listener.resetConnections();
         }
-        conns.clear();
+        connections.clear();
         model.start(loop.now());
-        died.run();
+        onProcessEnd.run();
     }
 
     /** A new process at the same address, cold. */
     void restart() throws IOException {
-        life = Life.UP;
+        processState = ProcessState.UP;
         startedAt = loop.now();
         model.start(startedAt);
         for (Listener listener : listeners) {
@@ -199,9 +199,9 @@
     }
 
     /** The network to it is cut silently, or comes back: then what was open is reset. */
-    void cut(boolean off) throws IOException {
+    void setCutOff(boolean off) throws IOException {
         path.cut = off;
-        if (life != Life.UP) {
+        if (processState != ProcessState.UP) {
             return;
         }
         for (Listener listener : listeners) {
@@ -216,23 +216,23 @@
 
     @Override
     public void onConnected(Connection conn) {
-        if (conns.size() >= plan.connections()) {
+        if (connections.size() >= plan.connections()) {
             conn.reset();
             return;
         }
-        conns.put(conn, new State());
+        connections.put(conn, new ConnectionState());
     }
 
     @Override
     public void onBytes(Connection conn, byte[] bytes, int length) {
-        State state = conns.get(conn);
+        ConnectionState state = connections.get(conn);
         if (state == null) {
             return;
         }
         if (paused) {
             byte[] copy = Arrays.copyOf(bytes, length);
             long at = conn.receivedAt;
-            held.add(
+            deferredTasks.add(
                     () -> {
                         conn.receivedAt = at;
                         onBytes(conn, copy, copy.length);
@@ -244,36 +244,36 @@
             // proxy's doing.
             state.firstByte = conn.receivedAt;
         }
-        state.in.add(bytes, length);
+        state.parser.add(bytes, length);
         try {
-            HttpMessageParser.Message message = state.in.next();
+            HttpMessageParser.Message message = state.parser.next();
             if (message != null) {
                 Job job = new Job(conn, state.firstByte);
                 state.firstByte = -1;
                 state.job = job;
-                request(job, message);
+                handleRequest(job, message);
             }
         } catch (HttpMessageParser.MalformedMessageException e) {
             conn.reset();
         }
     }
 
-    private void request(Job job, HttpMessageParser.Message message) {
+    private void handleRequest(Job job, HttpMessageParser.Message message) {
         long now = loop.now();
         job.id = message.field("x-request-id");
         job.key = message.field("idempotency-key");
         job.tenant = message.field("x-tenant-id");
         String target = message.startLine().get(1);
-        int mark = target.indexOf("?w=");
-        job.category = mark < 0 ? null : categories.get(target.substring(1, mark));
+        int workParameter = target.indexOf("?w=");
+        job.category = workParameter < 0 ? null : categories.get(target.substring(1, workParameter));
         if (job.id == null || job.category == null) {
             // No proxy that passes on what it was given sends this.
-            answer(job, 404, null, NOTHING);
+            sendResponse(job, 404, null, EMPTY_BODY);
             return;
         }
-        job.work = 1_000.0 * Long.parseLong(target.substring(mark + 3));
-        String patience = message.field("x-timeout-ms");
-        job.until = now + 1_000_000L * (patience == null ? 60_000 : Long.parseLong(patience));
+        job.work = 1_000.0 * Long.parseLong(target.substring(workParameter + 3));
+        String timeout = message.field("x-timeout-ms");
+        job.deadline = now + 1_000_000L * (timeout == null ? 60_000 : Long.parseLong(timeout));
         job.callsLeft = plan.calls();
         series.received(id, now);
         int proxy = ((Listener) job.conn.attachment).proxy;
@@ -285,85 +285,85 @@
         }
         if (model.isOverloadedCold(now, job.work)) {
             ledger.fell(now, id);
-            die(true);
+            endProcess(true);
             return;
         }
         switch (model.admit(job)) {
-            case STARTED -> begin(job);
+            case STARTED -> startJob(job);
             case QUEUED -> {}
             default -> {
                 series.refused(id, now);
-                answer(job, 503, "X-Not-Processed", NOTHING);
+                sendResponse(job, 503, "X-Not-Processed", EMPTY_BODY);
             }
         }
     }
 
-    private void begin(Job job) {
+    private void startJob(Job job) {
         long now = loop.now();
         running.add(job);
-        if (now >= job.until) {
+        if (now >= job.deadline) {
             // Nobody waits for it any more: not begun, it has had no effect.
             job.timer =
                     loop.after(
                             0,
                             () -> {
-                                answer(job, 503, "X-Not-Processed", NOTHING);
-                                over(job);
+                                sendResponse(job, 503, "X-Not-Processed", EMPTY_BODY);
+                                releaseCore(job);
                             });
             return;
         }
-        boolean fresh =
+        boolean firstTime =
                 !job.category.repeat().equals("keyed")
-                        || marks.computeIfAbsent(
+                        || seenKeys.computeIfAbsent(
                                         job.category.scope().equals("room") ? room : "",
-                                        r -> new Marks())
-                                .isNew(tier + " " + job.key, now, job.category.window());
-        if (fresh) {
+                                        zone -> new SeenKeys())
+                                .addIfNew(tier + " " + job.key, now, job.category.window());
+        if (firstTime) {
             ledger.effect(now, job.id, job.category.repeat(), room);
         }
-        long takes = fresh ? model.serviceNanos(now, job.work) : 0;
-        job.timer = loop.after(takes, () -> worked(job));
+        long workNanos = firstTime ? model.serviceNanos(now, job.work) : 0;
+        job.timer = loop.after(workNanos, () -> onWorkDone(job));
     }
 
-    private void worked(Job job) {
+    private void onWorkDone(Job job) {
         if (paused) {
-            held.add(() -> worked(job));
+            deferredTasks.add(() -> onWorkDone(job));
             return;
         }
         // The core is free while the next tier works.
-        if (job.callsLeft > 0 && next != null) {
-            freeCore();
-            call(job);
+        if (job.callsLeft > 0 && nextTier != null) {
+            startQueuedJob();
+            callNextTier(job);
         } else {
-            boolean fails = errors > 0 && random.nextDouble() < errors;
-            finish(job, fails ? 500 : 200);
-            over(job);
+            boolean fails = errorProbability > 0 && random.nextDouble() < errorProbability;
+            respond(job, fails ? 500 : 200);
+            releaseCore(job);
         }
     }
 
-    private void call(Job job) {
-        long left = job.until - loop.now();
-        if (left <= 1_000_000 || life != Life.UP) {
-            finish(job, 500);
+    private void callNextTier(Job job) {
+        long remaining = job.deadline - loop.now();
+        if (remaining <= 1_000_000 || processState != ProcessState.UP) {
+            respond(job, 500);
             running.remove(job);
             return;
         }
-        String inner =
+        String callId =
                 id
                         + "-"
-                        + Long.toString(++calls, 36)
+                        + Long.toString(++callCount, 36)
                         + "-"
                         + Long.toString(random.nextLong() >>> 32, 36);
-        String chain = job.key + "/" + job.callsLeft;
+        String callKey = job.key + "/" + job.callsLeft;
         job.callsLeft--;
-        next.send(
+        nextTier.send(
                 new ProxyClient.Request(
-                        inner,
-                        job.key == null ? inner : chain,
-                        chain,
+                        callId,
+                        job.key == null ? callId : callKey,
+                        callKey,
                         job.category,
                         job.tenant,
-                        left,
+                        remaining,
                         false,
                         job.work),
                 true,
@@ -373,47 +373,47 @@
                         return;
                     }
                     if (result.end() != ProxyClient.End.FINISHED) {
-                        finish(job, 500);
+                        respond(job, 500);
                         running.remove(job);
                     } else if (job.callsLeft > 0) {
-                        call(job);
+                        callNextTier(job);
                     } else {
-                        finish(job, 200);
+                        respond(job, 200);
                         running.remove(job);
                     }
                 });
     }
 
-    private void finish(Job job, int status) {
+    private void respond(Job job, int status) {
         if (status == 200) {
             byte[] body =
                     (job.id + " " + job.category.name()).getBytes(StandardCharsets.ISO_8859_1);
             ledger.made(job.id, Arrays.hashCode(body));
             series.done(id, loop.now());
-            answer(job, 200, null, body);
+            sendResponse(job, 200, null, body);
         } else {
-            answer(job, status, null, NOTHING);
+            sendResponse(job, status, null, EMPTY_BODY);
         }
     }
 
-    private void over(Job job) {
+    private void releaseCore(Job job) {
         if (running.remove(job)) {
-            freeCore();
+            startQueuedJob();
         }
     }
 
-    private void freeCore() {
+    private void startQueuedJob() {
         Job waiting = model.onCoreFree();
         while (waiting != null && waiting.conn.isClosed()) {
             waiting = model.onCoreFree();
         }
         if (waiting != null) {
-            begin(waiting);
+            startJob(waiting);
         }
     }
 
-    private void answer(Job job, int status, String name, byte[] body) {
-        State state = conns.get(job.conn);
+    private void sendResponse(Job job, int status, String name, byte[] body) {
+        ConnectionState state = connections.get(job.conn);
         if (state == null || state.job != job) {
             return;
         }
@@ -435,7 +435,7 @@
     @Override
     public void onClosed(Connection conn, boolean byReset) {
         ((Listener) conn.attachment).connections.remove(conn);
-        State state = conns.remove(conn);
+        ConnectionState state = connections.remove(conn);
         if (state != null && state.job != null && model.removeQueued(state.job)) {
             state.job = null;
         }
@@ -443,6 +443,6 @@
 
     /** Whether its process runs. */
     boolean isUp() {
-        return life == Life.UP;
+        return processState == ProcessState.UP;
     }
 }
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -169,7 +169,7 @@
                             scenario.rules.askWithin(),
                             scenario.sabotage,
                             wallStart));
-            Map<String, Backend.Marks> marks = new HashMap<>();
+            Map<String, Backend.SeenKeys> seenKeys = new HashMap<>();
             for (int b = 0; b < plan.backends(); b++) {
                 Backend backend =
                         new Backend(
@@ -182,7 +182,7 @@
                                 plan,
                                 scenario.rules,
                                 categories,
-                                marks,
+                                seenKeys,
                                 chance.split(),
                                 scenario.sabotage);
                 backends.put(backend.id, backend);
@@ -210,8 +210,8 @@
             for (int b = 0; b < before; b++) {
                 Backend backend = backends.get(Scenario.backend(t - 1, b));
                 Node node = node(t, before, chance.split());
-                backend.next = node.caller;
-                backend.died = () -> kill(node);
+                backend.nextTier = node.caller;
+                backend.onProcessEnd = () -> kill(node);
                 ownProxies.put(backend.id, node);
             }
         }
@@ -601,8 +601,8 @@
         }
         nodes.forEach(node -> node.caller.close());
         for (Backend backend : backends.values()) {
-            backend.died = () -> {};
-            backend.die(false);
+            backend.onProcessEnd = () -> {};
+            backend.endProcess(false);
         }
         loop.close();
         try (java.util.stream.Stream<java.nio.file.Path> files = Files.walk(folder)) {
@@ -632,16 +632,16 @@
             switch (entry.kind()) {
                 case "slow" ->
                         hit.forEach(
-                                b -> during(end, () -> b.slow(entry.amount()), () -> b.slow(1)));
+                                b -> during(end, () -> b.setSlowdown(entry.amount()), () -> b.setSlowdown(1)));
                 case "errors" ->
                         hit.forEach(
                                 b ->
                                         during(
                                                 end,
-                                                () -> b.errors = entry.amount(),
-                                                () -> b.errors = 0));
+                                                () -> b.errorProbability = entry.amount(),
+                                                () -> b.errorProbability = 0));
                 case "pause" ->
-                        hit.forEach(b -> during(end, () -> b.pause(true), () -> b.pause(false)));
+                        hit.forEach(b -> during(end, () -> b.setPaused(true), () -> b.setPaused(false)));
                 case "delay" ->
                         hit.forEach(
                                 b ->
@@ -681,7 +681,7 @@
                                                 () -> b.path.corruptionProbability = 0));
                 case "cut" ->
                         hit.forEach(b -> during(end, () -> cut(b, true), () -> cut(b, false)));
-                case "crash" -> hit.forEach(b -> during(end, () -> b.die(false), () -> restart(b)));
+                case "crash" -> hit.forEach(b -> during(end, () -> b.endProcess(false), () -> restart(b)));
                 case "drain" -> hit.forEach(b -> drain(b, entry));
                 case "proxy-kill" -> proxyKill(nodes.get(entry.proxy()), end);
                 case "proxy-term" -> proxyTerm(nodes.get(entry.proxy()), entry.length());
@@ -761,11 +761,11 @@
     }
 
     private void cut(Backend backend, boolean off) {
-        quietly(() -> backend.cut(off));
+        quietly(() -> backend.setCutOff(off));
     }
 
     private void restart(Backend backend) {
-        if (backend.life != Backend.Life.DOWN) {
+        if (backend.processState != Backend.ProcessState.DOWN) {
             return;
         }
         Node own = ownProxies.get(backend.id);
@@ -810,8 +810,8 @@
                 left,
                 () -> {
                     discovery.set(backend, Discovery.Health.LEFT);
-                    if (backend.life == Backend.Life.UP) {
-                        backend.die(false);
+                    if (backend.processState == Backend.ProcessState.UP) {
+                        backend.endProcess(false);
                     }
                 });
         loop.at(Math.max(loop.now() + entry.length(), left + GONE), () -> restart(backend));
