--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -372,7 +372,7 @@
                     if (!running.contains(job)) {
                         return;
                     }
-                    if (result.end() != ProxyClient.End.FINISHED) {
+                    if (result.outcome() != ProxyClient.Outcome.COMPLETED) {
                         respond(job, 500);
                         running.remove(job);
                     } else if (job.callsLeft > 0) {
--- a/src/main/java/cottonlock/lab/Clients.java
+++ b/src/main/java/cottonlock/lab/Clients.java
@@ -123,7 +123,7 @@
         long patience = due + category.expiry() - now;
         int proxy = pick(a.room(), chance);
         if (patience < 2_000_000 || proxy < 0 || tries >= TRIES) {
-            over(a, ProxyClient.End.NOT_TAKEN, from);
+            over(a, ProxyClient.Outcome.NOT_SENT, from);
             return;
         }
         // Which send this is: an id is new with each (PROTOCOL).
@@ -152,7 +152,7 @@
                         chance.nextDouble() < plan.keep(),
                         leaveIn,
                         result -> {
-                            if (result.end() == ProxyClient.End.NOT_TAKEN) {
+                            if (result.outcome() == ProxyClient.Outcome.NOT_SENT) {
                                 // Nobody has it: the front tries the next proxy.
                                 sent--;
                                 send(a, number, tries + 1, retries, key, due, from, chance);
@@ -172,40 +172,40 @@
             long from,
             SplittableRandom chance) {
         long now = loop.now();
-        switch (result.end()) {
-            case FINISHED -> {
+        switch (result.outcome()) {
+            case COMPLETED -> {
                 series.count(Series.Count.FINISHED, now - from);
                 if (now - due > categories.get(a.category()).due()) {
                     series.count(Series.Count.LATE, now - from);
                 }
                 series.finished(a.category(), a.at(), now - from);
             }
-            case DEFERRED -> series.count(Series.Count.DEFERRED, now - from);
-            case WRITTEN_OFF -> series.count(Series.Count.WRITTEN_OFF, now - from);
+            case REJECTED -> series.count(Series.Count.DEFERRED, now - from);
+            case FAILED -> series.count(Series.Count.WRITTEN_OFF, now - from);
             default -> series.count(Series.Count.NO_ANSWER, now - from);
         }
-        boolean again = retries < plan.retries() && result.end() == ProxyClient.End.DEFERRED;
+        boolean again = retries < plan.retries() && result.outcome() == ProxyClient.Outcome.REJECTED;
         long wait = Math.max(result.comeBack(), PAUSE + (long) (chance.nextDouble() * PAUSE));
         if (again && now + wait < due + categories.get(a.category()).expiry() && !ended) {
             loop.after(wait, () -> send(a, number, 0, retries + 1, key, due, from, chance));
         } else {
-            over(a, result.end(), from);
+            over(a, result.outcome(), from);
         }
     }
 
-    private void over(Arrivals.Arrival a, ProxyClient.End end, long from) {
+    private void over(Arrivals.Arrival a, ProxyClient.Outcome end, long from) {
         open--;
         Scenario.CategoryPlan category = categories.get(a.category());
-        if (end == ProxyClient.End.LEFT) {
+        if (end == ProxyClient.Outcome.CANCELLED) {
             // Who left on purpose was owed nothing.
             return;
         }
-        if (end == ProxyClient.End.NOT_TAKEN) {
+        if (end == ProxyClient.Outcome.NOT_SENT) {
             series.count(Series.Count.NO_ANSWER, loop.now() - from);
         }
         boolean late = loop.now() - from - a.at() > category.due();
         double earned =
-                end != ProxyClient.End.FINISHED
+                end != ProxyClient.Outcome.COMPLETED
                         ? 0
                         : category.credit() * (late ? category.lateCredit() : 1);
         series.credit(a.tenant(), a.at(), category.credit(), earned);
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -83,7 +83,7 @@
     private static final class Node {
         final int number;
         final Host host;
-        final ProxyClient caller;
+        final ProxyClient client;
         volatile boolean serving;
 
         /** Of the first tier, whose proxies clients call. */
@@ -91,10 +91,10 @@
 
         long starts;
 
-        Node(int number, Host host, ProxyClient caller, boolean first) {
+        Node(int number, Host host, ProxyClient client, boolean first) {
             this.number = number;
             this.host = host;
-            this.caller = caller;
+            this.client = client;
             this.first = first;
         }
     }
@@ -199,18 +199,18 @@
             watch = new MembersWatch();
             watcher = new Watcher(ServeCommand.code());
         }
-        List<ProxyClient> callers = new ArrayList<>();
+        List<ProxyClient> proxyClients = new ArrayList<>();
         int[] rooms = new int[scenario.proxies.count()];
         for (int p = 0; p < rooms.length; p++) {
             rooms[p] = p % scenario.rooms.size();
-            callers.add(node(0, rooms.length, chance.split()).caller);
+            proxyClients.add(node(0, rooms.length, chance.split()).client);
         }
         for (int t = 1; t < scenario.tiers.size(); t++) {
             int before = scenario.tiers.get(t - 1).backends();
             for (int b = 0; b < before; b++) {
                 Backend backend = backends.get(Scenario.backend(t - 1, b));
                 Node node = node(t, before, chance.split());
-                backend.nextTier = node.caller;
+                backend.nextTier = node.client;
                 backend.onProcessEnd = () -> kill(node);
                 ownProxies.put(backend.id, node);
             }
@@ -222,7 +222,7 @@
                         scenario.clients,
                         scenario.tenants.stream().map(Scenario.TenantPlan::name).toList(),
                         scenario.categories,
-                        callers,
+                        proxyClients,
                         rooms);
     }
 
@@ -599,7 +599,7 @@
                 node.host.end();
             }
         }
-        nodes.forEach(node -> node.caller.close());
+        nodes.forEach(node -> node.client.close());
         for (Backend backend : backends.values()) {
             backend.onProcessEnd = () -> {};
             backend.endProcess(false);
@@ -783,7 +783,7 @@
                                 });
         if (own == null || own.host == null) {
             if (own != null) {
-                own.caller.dying(false);
+                own.client.setProxyUnavailable(false);
                 own.serving = true;
             }
             up.run();
@@ -793,7 +793,7 @@
                         start(own);
                         loop.post(
                                 () -> {
-                                    own.caller.dying(false);
+                                    own.client.setProxyUnavailable(false);
                                     up.run();
                                 });
                         return null;
@@ -859,7 +859,7 @@
     }
 
     private void stands(Node node, boolean still) {
-        node.caller.dying(still);
+        node.client.setProxyUnavailable(still);
         if (still) {
             clients.gone(node.number, loop.now() + scenario.clients.notice());
         } else {
@@ -973,7 +973,7 @@
         if (judge != null && node.first) {
             judge.down(node.number, loop.now());
         }
-        node.caller.dying(true);
+        node.client.setProxyUnavailable(true);
         ledger.startedAnew(node.number);
         if (node.host != null) {
             runInBackground(
@@ -1023,7 +1023,7 @@
                     node.host.end(
                             series,
                             killAfterMillis(),
-                            () -> loop.post(() -> node.caller.leaves(FRONT_AFTER_TERM)));
+                            () -> loop.post(() -> node.client.onProxyTerminating(FRONT_AFTER_TERM)));
                     loop.post(
                             () -> {
                                 node.serving = false;
@@ -1038,7 +1038,7 @@
         runInBackground(
                 () -> {
                     start(node);
-                    loop.post(node.caller::restarted);
+                    loop.post(node.client::onProxyRestarted);
                     if (series.againWhenReady()) {
                         proxyRestart(node, SignalSeries.TERM, away);
                     }
@@ -1068,7 +1068,7 @@
                     start(node);
                     loop.post(
                             () -> {
-                                node.caller.dying(false);
+                                node.client.setProxyUnavailable(false);
                                 clients.back(node.number);
                             });
                     return null;
--- a/src/main/java/cottonlock/lab/ProxyClient.java
+++ b/src/main/java/cottonlock/lab/ProxyClient.java
@@ -24,29 +24,29 @@
      * How long an answer is waited for beyond the patience, so that late ones are seen as late: in
      * ns.
      */
-    private static final long BEYOND = 500_000_000L;
+    private static final long LATE_RESPONSE_WAIT_NANOS = 500_000_000L;
 
     /**
      * Nanoseconds for a connection to come up: on one machine it does at once, or the proxy is
      * stuck.
      */
-    private static final long CONNECT = 1_000_000_000L;
+    private static final long CONNECT_TIMEOUT_NANOS = 1_000_000_000L;
 
     /** Pieces in which a request is written whose body takes its time. */
     private static final int UPLOAD_PIECES = 10;
 
     /** What came of it. */
-    enum End {
-        FINISHED,
-        DEFERRED,
-        WRITTEN_OFF,
-        NO_ANSWER,
-        NOT_TAKEN,
-        LEFT
+    enum Outcome {
+        COMPLETED,
+        REJECTED,
+        FAILED,
+        NO_RESPONSE,
+        NOT_SENT,
+        CANCELLED
     }
 
     /** An answer; the come-back time is in nanoseconds, 0 where there was none. */
-    record Result(End end, long comeBack) {}
+    record Result(Outcome outcome, long retryAfterNanos) {}
 
     /** A request as it is written on the wire. */
     record Request(
@@ -55,10 +55,10 @@
             String key,
             Scenario.CategoryPlan category,
             String tenant,
-            long patience,
+            long timeoutNanos,
             boolean retried,
             double work) {
-        byte[] bytes(long left) {
+        byte[] encode(long remainingNanos) {
             boolean get = category.repeat().equals("safe");
             int bodyBytes = category.bodyBytes();
             String text =
@@ -73,7 +73,7 @@
                             + "\r\nX-Tenant-Id: "
                             + tenant
                             + "\r\nX-Timeout-Ms: "
-                            + Math.max(1, left / 1_000_000)
+                            + Math.max(1, remainingNanos / 1_000_000)
                             + (retried ? "\r\nX-Retried: 1" : "")
                             + (category.repeat().equals("keyed")
                                     ? "\r\nIdempotency-Key: " + key
@@ -91,31 +91,31 @@
     /** One request on its way on one connection. */
     private static final class Call {
         final Request request;
-        final Consumer<Result> then;
+        final Consumer<Result> onResult;
 
         /** When its answer is due; with a slow upload, from its last byte on. */
-        long until;
+        long deadline;
 
-        final boolean keep;
-        final long leaveAt;
+        final boolean keepAlive;
+        final long cancelAt;
         boolean reused;
-        boolean again;
+        boolean resent;
         boolean written;
-        boolean begun;
+        boolean responseStarted;
 
         /** When its connection was opened for it, and whether that came up. */
         long openedAt;
 
-        boolean up;
+        boolean connected;
         EventLoop.Timer timer;
-        HttpMessageParser in = new HttpMessageParser();
+        HttpMessageParser parser = new HttpMessageParser();
 
-        Call(Request request, long until, boolean keep, long leaveAt, Consumer<Result> then) {
+        Call(Request request, long deadline, boolean keepAlive, long cancelAt, Consumer<Result> onResult) {
             this.request = request;
-            this.until = until;
-            this.keep = keep;
-            this.leaveAt = leaveAt;
-            this.then = then;
+            this.deadline = deadline;
+            this.keepAlive = keepAlive;
+            this.cancelAt = cancelAt;
+            this.onResult = onResult;
         }
     }
 
@@ -125,17 +125,17 @@
     private final int proxy;
     private final Supplier<InetSocketAddress> address;
     private final String sabotage;
-    private final SplittableRandom chance;
-    private final Deque<Connection> resting = new ArrayDeque<>();
+    private final SplittableRandom random;
+    private final Deque<Connection> idle = new ArrayDeque<>();
     private final Set<Connection> busy = new HashSet<>();
 
     /** When the proxy was told to end, and until when its front sends it new connections. */
-    private long termAt;
+    private long terminatedAt;
 
-    private long openUntil = Long.MAX_VALUE;
+    private long newConnectionsUntil = Long.MAX_VALUE;
 
     /** The proxy is being killed: what it owes is excused, as long as it has not started again. */
-    private boolean dying;
+    private boolean proxyUnavailable;
 
     ProxyClient(
             EventLoop loop,
@@ -144,14 +144,14 @@
             int proxy,
             Supplier<InetSocketAddress> address,
             String sabotage,
-            SplittableRandom chance) {
+            SplittableRandom random) {
         this.loop = loop;
         this.ledger = ledger;
         this.buffer = buffer;
         this.proxy = proxy;
         this.address = address;
         this.sabotage = sabotage;
-        this.chance = chance;
+        this.random = random;
     }
 
     /**
@@ -160,54 +160,54 @@
      * @param keep whether the connection is used again
      * @param leaveIn nanoseconds after which the client leaves; negative for never
      */
-    void send(Request request, boolean keep, long leaveIn, Consumer<Result> then) {
+    void send(Request request, boolean keepAlive, long cancelAfter, Consumer<Result> onResult) {
         long now = loop.now();
         Call call =
                 new Call(
                         request,
-                        now + request.patience(),
-                        keep,
-                        leaveIn < 0 ? Long.MAX_VALUE : now + leaveIn,
-                        then);
-        Connection conn = resting.pollLast();
+                        now + request.timeoutNanos(),
+                        keepAlive,
+                        cancelAfter < 0 ? Long.MAX_VALUE : now + cancelAfter,
+                        onResult);
+        Connection conn = idle.pollLast();
         if (conn != null) {
             call.reused = true;
-            start(conn, call);
+            startCall(conn, call);
         } else {
             open(call);
         }
     }
 
     private void open(Call call) {
-        InetSocketAddress to = loop.now() > openUntil ? null : address.get();
+        InetSocketAddress to = loop.now() > newConnectionsUntil ? null : address.get();
         if (to == null) {
-            loop.after(0, () -> call.then.accept(new Result(End.NOT_TAKEN, 0)));
+            loop.after(0, () -> call.onResult.accept(new Result(Outcome.NOT_SENT, 0)));
             return;
         }
         Connection conn = Connection.open(loop, to, this, buffer);
         call.openedAt = loop.now();
-        call.up = false;
+        call.connected = false;
         conn.attachment = call;
         busy.add(conn);
-        call.timer = loop.at(Math.min(call.until, loop.now() + CONNECT), conn::reset);
+        call.timer = loop.at(Math.min(call.deadline, loop.now() + CONNECT_TIMEOUT_NANOS), conn::reset);
     }
 
     @Override
     public void onConnected(Connection conn) {
         if (conn.attachment instanceof Call call) {
             call.timer.cancel();
-            call.up = true;
-            start(conn, call);
+            call.connected = true;
+            startCall(conn, call);
         }
     }
 
-    private void start(Connection conn, Call call) {
+    private void startCall(Connection conn, Call call) {
         conn.attachment = call;
         busy.add(conn);
-        byte[] bytes = call.request.bytes(call.until - loop.now());
+        byte[] bytes = call.request.encode(call.deadline - loop.now());
         long upload = call.request.category().upload();
         if (upload == 0) {
-            sent(conn, call);
+            recordSent(conn, call);
             conn.write(bytes);
         } else {
             call.timer = null;
@@ -216,7 +216,7 @@
     }
 
     /** Writes one piece of a long request; the others follow. */
-    private void upload(Connection conn, Call call, byte[] bytes, int piece, long between) {
+    private void upload(Connection conn, Call call, byte[] bytes, int piece, long pauseNanos) {
         if (conn.isClosed() || conn.attachment != call || call.written) {
             return;
         }
@@ -224,40 +224,40 @@
         int to = (int) ((long) bytes.length * (piece + 1) / UPLOAD_PIECES);
         boolean lastPiece = piece == UPLOAD_PIECES - 1;
         if (lastPiece) {
-            call.until = loop.now() + call.request.patience();
-            sent(conn, call);
+            call.deadline = loop.now() + call.request.timeoutNanos();
+            recordSent(conn, call);
         } else {
-            loop.after(between, () -> upload(conn, call, bytes, piece + 1, between));
+            loop.after(pauseNanos, () -> upload(conn, call, bytes, piece + 1, pauseNanos));
         }
         conn.write(Arrays.copyOfRange(bytes, from, to));
     }
 
     /** Its last byte is being written: from now on an answer is owed. */
-    private void sent(Connection conn, Call call) {
-        if (!call.again) {
+    private void recordSent(Connection conn, Call call) {
+        if (!call.resent) {
             ledger.sent(
                     call.request.id(),
                     call.request.chain(),
                     call.request.category().name(),
                     proxy,
-                    call.until);
+                    call.deadline);
         }
         call.written = true;
-        long leave = Math.min(call.until + BEYOND, call.leaveAt);
+        long endAt = Math.min(call.deadline + LATE_RESPONSE_WAIT_NANOS, call.cancelAt);
         call.timer =
                 loop.at(
-                        leave,
+                        endAt,
                         () -> {
-                            boolean left = call.leaveAt < call.until;
-                            if (left) {
+                            boolean cancelled = call.cancelAt < call.deadline;
+                            if (cancelled) {
                                 ledger.excused(loop.now(), call.request.id(), false);
                             } else {
-                                noAnswer(call, "no answer came before its expiry");
+                                recordNoResponse(call, "no answer came before its expiry");
                             }
-                            finish(
+                            finishCall(
                                     conn,
                                     call,
-                                    new Result(left ? End.LEFT : End.NO_ANSWER, 0),
+                                    new Result(cancelled ? Outcome.CANCELLED : Outcome.NO_RESPONSE, 0),
                                     false);
                         });
     }
@@ -269,72 +269,72 @@
             conn.reset();
             return;
         }
-        call.begun = true;
-        call.in.add(bytes, length);
+        call.responseStarted = true;
+        call.parser.add(bytes, length);
         try {
-            HttpMessageParser.Message message = call.in.next();
+            HttpMessageParser.Message message = call.parser.next();
             if (message != null) {
-                answered(conn, call, message);
+                onResponse(conn, call, message);
             }
         } catch (HttpMessageParser.MalformedMessageException e) {
             ledger.unanswered(
                     loop.now(), call.request.id(), "its answer can't be read: " + e.getMessage());
-            finish(conn, call, new Result(End.NO_ANSWER, 0), false);
+            finishCall(conn, call, new Result(Outcome.NO_RESPONSE, 0), false);
         }
     }
 
-    private void answered(Connection conn, Call call, HttpMessageParser.Message message) {
+    private void onResponse(Connection conn, Call call, HttpMessageParser.Message message) {
         long now = loop.now();
         if (!call.written) {
             // An answer before the request has come whole is its final one.
-            sent(conn, call);
+            recordSent(conn, call);
         }
-        if (sabotage.equals("drop-answer") && chance.nextInt(200) == 0) {
+        if (sabotage.equals("drop-answer") && random.nextInt(200) == 0) {
             ledger.unanswered(now, call.request.id(), "its connection ended with no whole answer");
-            finish(conn, call, new Result(End.NO_ANSWER, 0), false);
+            finishCall(conn, call, new Result(Outcome.NO_RESPONSE, 0), false);
             return;
         }
-        if (sabotage.equals("answer-late") && chance.nextInt(200) == 0) {
-            now = call.until + 200_000_000L;
+        if (sabotage.equals("answer-late") && random.nextInt(200) == 0) {
+            now = call.deadline + 200_000_000L;
         }
         int body =
                 Arrays.hashCode(message.body())
-                        + (sabotage.equals("wrong-answer") && chance.nextInt(200) == 0 ? 1 : 0);
+                        + (sabotage.equals("wrong-answer") && random.nextInt(200) == 0 ? 1 : 0);
         String status = message.startLine().get(1);
-        End end =
+        Outcome outcome =
                 status.equals("200")
-                        ? End.FINISHED
+                        ? Outcome.COMPLETED
                         : status.equals("503") || status.equals("429")
-                                ? End.DEFERRED
-                                : End.WRITTEN_OFF;
-        ledger.answered(now, call.request.id(), end == End.FINISHED, body);
-        long comeBack = 0;
+                                ? Outcome.REJECTED
+                                : Outcome.FAILED;
+        ledger.answered(now, call.request.id(), outcome == Outcome.COMPLETED, body);
+        long retryAfterNanos = 0;
         String after = message.field("retry-after");
         if (after != null && after.matches("[0-9]{1,6}(\\.[0-9]{1,6})?")) {
-            comeBack = (long) (1e9 * Double.parseDouble(after));
+            retryAfterNanos = (long) (1e9 * Double.parseDouble(after));
         }
-        finish(
+        finishCall(
                 conn,
                 call,
-                new Result(end, comeBack),
-                call.keep && !message.closesConnection() && call.in.isIdle());
+                new Result(outcome, retryAfterNanos),
+                call.keepAlive && !message.closesConnection() && call.parser.isIdle());
     }
 
-    private void finish(Connection conn, Call call, Result result, boolean keep) {
+    private void finishCall(Connection conn, Call call, Result result, boolean keepAlive) {
         call.timer.cancel();
         busy.remove(conn);
         conn.attachment = null;
-        if (keep && !conn.isClosed()) {
-            resting.addLast(conn);
+        if (keepAlive && !conn.isClosed()) {
+            idle.addLast(conn);
         } else {
             conn.close();
         }
-        call.then.accept(result);
+        call.onResult.accept(result);
     }
 
     @Override
     public void onClosed(Connection conn, boolean byReset) {
-        resting.remove(conn);
+        idle.remove(conn);
         busy.remove(conn);
         if (!(conn.attachment instanceof Call call)) {
             return;
@@ -344,7 +344,7 @@
             call.timer.cancel();
         }
         if (!call.written) {
-            if (!call.up && termAt > 0 && call.openedAt <= openUntil) {
+            if (!call.connected && terminatedAt > 0 && call.openedAt <= newConnectionsUntil) {
                 ledger.refused(
                         loop.now(),
                         proxy,
@@ -354,42 +354,42 @@
                                         + " ms",
                                 call.request.id(),
                                 call.reused ? " on a kept connection" : "",
-                                (call.openedAt - termAt) / 1e6,
+                                (call.openedAt - terminatedAt) / 1e6,
                                 byReset ? "failed" : "ended",
                                 (loop.now() - call.openedAt) / 1e6,
-                                (call.until - loop.now()) / 1e6));
+                                (call.deadline - loop.now()) / 1e6));
             }
-            call.then.accept(new Result(End.NOT_TAKEN, 0));
-        } else if (call.reused && !call.begun && !call.again && loop.now() < call.until) {
-            call.again = true;
+            call.onResult.accept(new Result(Outcome.NOT_SENT, 0));
+        } else if (call.reused && !call.responseStarted && !call.resent && loop.now() < call.deadline) {
+            call.resent = true;
             call.reused = false;
             call.written = false;
             open(call);
         } else {
-            noAnswer(call, "its connection ended with no whole answer");
-            call.then.accept(new Result(End.NO_ANSWER, 0));
+            recordNoResponse(call, "its connection ended with no whole answer");
+            call.onResult.accept(new Result(Outcome.NO_RESPONSE, 0));
         }
     }
 
     /** The proxy is about to be told to end; its front sends new connections for a while. */
-    void leaves(long forNanos) {
-        termAt = loop.now();
-        openUntil = termAt + forNanos;
+    void onProxyTerminating(long forNanos) {
+        terminatedAt = loop.now();
+        newConnectionsUntil = terminatedAt + forNanos;
     }
 
     /** Another process of the proxy serves. */
-    void restarted() {
-        termAt = 0;
-        openUntil = Long.MAX_VALUE;
+    void onProxyRestarted() {
+        terminatedAt = 0;
+        newConnectionsUntil = Long.MAX_VALUE;
     }
 
     /** The proxy is about to be killed, or serves again. */
-    void dying(boolean dies) {
-        dying = dies;
+    void setProxyUnavailable(boolean value) {
+        proxyUnavailable = value;
     }
 
-    private void noAnswer(Call call, String how) {
-        if (dying) {
+    private void recordNoResponse(Call call, String how) {
+        if (proxyUnavailable) {
             ledger.excused(loop.now(), call.request.id(), true);
         } else {
             ledger.unanswered(loop.now(), call.request.id(), how);
@@ -407,6 +407,6 @@
             }
             conn.reset();
         }
-        java.util.List.copyOf(resting).forEach(Connection::reset);
+        java.util.List.copyOf(idle).forEach(Connection::reset);
     }
 }
