--- a/src/main/java/cottonlock/lab/Arrivals.java
+++ b/src/main/java/cottonlock/lab/Arrivals.java
@@ -15,7 +15,7 @@
 @Deterministic
 final class Arrivals {
     /** The largest work, as a multiple of the mean: one draw must not decide a run. */
-    private static final double MOST = 20;
+    private static final double MAX_WORK_FACTOR = 20;
 
     /**
      * One request that is due to be sent.
@@ -25,19 +25,19 @@
      * @param leaves the part of its patience after which its client leaves; 1 and more for never
      */
     record Arrival(
-            long at, int tenant, int category, int room, double work, long draw, double leaves) {
+            long atNanos, int tenant, int category, int zone, double work, long clientSeed, double cancelFraction) {
         String line(int number) {
             return String.format(
                     Locale.ROOT,
                     "%d\t%.3f\t%d\t%d\t%d\t%.3f\t%016x\t%.4f",
                     number,
-                    at / 1e6,
+                    atNanos / 1e6,
                     tenant,
                     category,
-                    room,
+                    zone,
                     work / 1e6,
-                    draw,
-                    leaves);
+                    clientSeed,
+                    cancelFraction);
         }
     }
 
@@ -46,21 +46,21 @@
     static List<Arrival> draw(
             long seed,
             long length,
-            int rooms,
+            int zones,
             List<Scenario.TenantPlan> tenants,
             List<Scenario.CategoryPlan> categories,
             Scenario.ClientPlan clients,
             List<Scenario.Burst> bursts) {
         SplittableRandom root = new SplittableRandom(seed);
         List<Arrival> all = new ArrayList<>();
-        double rates = tenants.stream().mapToDouble(Scenario.TenantPlan::rate).sum();
-        SplittableRandom whose = root.split();
+        double totalRate = tenants.stream().mapToDouble(Scenario.TenantPlan::rate).sum();
+        SplittableRandom traceRandom = root.split();
         for (int t = 0; t < tenants.size(); t++) {
             SplittableRandom random = root.split();
             if (!clients.arrivals().equals("trace")) {
                 double rate = tenants.get(t).rate() / 1e9;
                 String name = tenants.get(t).name();
-                double most =
+                double maxFactor =
                         Math.max(
                                 1,
                                 bursts.stream().mapToDouble(Scenario.Burst::times).max().orElse(1));
@@ -68,80 +68,80 @@
                 // Drawn at the highest rate and thinned out: an arrival before a burst is the same
                 // without
                 // it.
-                double at = 0;
+                double atNanos = 0;
                 while (rate > 0) {
-                    at += even ? 1 / rate / most : -Math.log(1 - random.nextDouble()) / rate / most;
-                    if (at >= length) {
+                    atNanos += even ? 1 / rate / maxFactor : -Math.log(1 - random.nextDouble()) / rate / maxFactor;
+                    if (atNanos >= length) {
                         break;
                     }
-                    double keep = random.nextDouble();
-                    Arrival arrival = one((long) at, t, rooms, categories, clients, random);
-                    if (keep * most < times(bursts, name, (long) at)) {
+                    double thinning = random.nextDouble();
+                    Arrival arrival = drawArrival((long) atNanos, t, zones, categories, clients, random);
+                    if (thinning * maxFactor < rateFactor(bursts, name, (long) atNanos)) {
                         all.add(arrival);
                     }
                 }
             }
         }
         if (clients.arrivals().equals("trace")) {
-            for (long at : clients.trace()) {
-                double place = whose.nextDouble() * rates;
+            for (long atNanos : clients.trace()) {
+                double point = traceRandom.nextDouble() * totalRate;
                 int t = 0;
-                while (t < tenants.size() - 1 && place >= tenants.get(t).rate()) {
-                    place -= tenants.get(t).rate();
+                while (t < tenants.size() - 1 && point >= tenants.get(t).rate()) {
+                    point -= tenants.get(t).rate();
                     t++;
                 }
-                Arrival arrival = one(at, t, rooms, categories, clients, whose);
-                if (at < length) {
+                Arrival arrival = drawArrival(atNanos, t, zones, categories, clients, traceRandom);
+                if (atNanos < length) {
                     all.add(arrival);
                 }
             }
         }
-        all.sort(Comparator.comparingLong(Arrival::at).thenComparingInt(Arrival::tenant));
+        all.sort(Comparator.comparingLong(Arrival::atNanos).thenComparingInt(Arrival::tenant));
         return all;
     }
 
-    private static double times(List<Scenario.Burst> bursts, String tenant, long at) {
-        double times = 1;
+    private static double rateFactor(List<Scenario.Burst> bursts, String tenant, long atNanos) {
+        double factor = 1;
         for (Scenario.Burst b : bursts) {
-            if (at >= b.at()
-                    && at < b.at() + b.length()
+            if (atNanos >= b.at()
+                    && atNanos < b.at() + b.length()
                     && (b.tenant().isEmpty() || b.tenant().equals(tenant))) {
-                times = b.times();
+                factor = b.times();
             }
         }
-        return times;
+        return factor;
     }
 
-    private static Arrival one(
-            long at,
+    private static Arrival drawArrival(
+            long atNanos,
             int tenant,
-            int rooms,
+            int zones,
             List<Scenario.CategoryPlan> categories,
             Scenario.ClientPlan clients,
             SplittableRandom random) {
-        double weights = categories.stream().mapToDouble(Scenario.CategoryPlan::weight).sum();
-        double place = random.nextDouble() * weights;
+        double totalWeight = categories.stream().mapToDouble(Scenario.CategoryPlan::weight).sum();
+        double point = random.nextDouble() * totalWeight;
         int c = 0;
-        while (c < categories.size() - 1 && place >= categories.get(c).weight()) {
-            place -= categories.get(c).weight();
+        while (c < categories.size() - 1 && point >= categories.get(c).weight()) {
+            point -= categories.get(c).weight();
             c++;
         }
         double spread = categories.get(c).spread();
         // Log-normal with the given mean, whatever the spread is.
-        double factor = Math.exp(spread * gauss(random) - spread * spread / 2);
-        double leaves = random.nextDouble() < clients.leave() ? random.nextDouble() : 2;
+        double factor = Math.exp(spread * gaussian(random) - spread * spread / 2);
+        double cancelFraction = random.nextDouble() < clients.leave() ? random.nextDouble() : 2;
         return new Arrival(
-                at,
+                atNanos,
                 tenant,
                 c,
-                random.nextInt(rooms),
-                categories.get(c).work() * Math.min(MOST, factor),
+                random.nextInt(zones),
+                categories.get(c).work() * Math.min(MAX_WORK_FACTOR, factor),
                 random.nextLong(),
-                leaves);
+                cancelFraction);
     }
 
-    private static double gauss(SplittableRandom random) {
-        double far = Math.sqrt(-2 * Math.log(1 - random.nextDouble()));
-        return far * Math.cos(2 * Math.PI * random.nextDouble());
+    private static double gaussian(SplittableRandom random) {
+        double radius = Math.sqrt(-2 * Math.log(1 - random.nextDouble()));
+        return radius * Math.cos(2 * Math.PI * random.nextDouble());
     }
 }
--- a/src/main/java/cottonlock/lab/Clients.java
+++ b/src/main/java/cottonlock/lab/Clients.java
@@ -65,7 +65,7 @@
         if (nextArrival < arrivals.size() && !ended) {
             Arrivals.Arrival a = arrivals.get(nextArrival);
             loop.at(
-                    from + a.at(),
+                    from + a.atNanos(),
                     () -> {
                         int number = nextArrival++;
                         next(from);
@@ -102,10 +102,10 @@
 
     private void arrive(Arrivals.Arrival a, int number, long from) {
         open++;
-        series.count(Series.Count.DUE, a.at());
-        SplittableRandom chance = new SplittableRandom(a.draw());
-        String key = Long.toHexString(a.draw()) + Integer.toHexString(number);
-        send(a, number, 0, 0, key, from + a.at(), from, chance);
+        series.count(Series.Count.DUE, a.atNanos());
+        SplittableRandom chance = new SplittableRandom(a.clientSeed());
+        String key = Long.toHexString(a.clientSeed()) + Integer.toHexString(number);
+        send(a, number, 0, 0, key, from + a.atNanos(), from, chance);
     }
 
     /** One send of a request: the first, or a client's retry of it. */
@@ -121,7 +121,7 @@
         Scenario.CategoryPlan category = categories.get(a.category());
         long now = loop.now();
         long patience = due + category.expiry() - now;
-        int proxy = pick(a.room(), chance);
+        int proxy = pick(a.zone(), chance);
         if (patience < 2_000_000 || proxy < 0 || tries >= TRIES) {
             over(a, ProxyClient.Outcome.NOT_SENT, from);
             return;
@@ -135,7 +135,7 @@
                         + tries
                         + "-"
                         + Long.toString(chance.nextLong() >>> 24, 36);
-        long leaveIn = a.leaves() < 1 && retries == 0 ? (long) (a.leaves() * patience) : -1;
+        long leaveIn = a.cancelFraction() < 1 && retries == 0 ? (long) (a.cancelFraction() * patience) : -1;
         sent++;
         retried += retries > 0 && tries == 0 ? 1 : 0;
         callers.get(proxy)
@@ -178,7 +178,7 @@
                 if (now - due > categories.get(a.category()).due()) {
                     series.count(Series.Count.LATE, now - from);
                 }
-                series.finished(a.category(), a.at(), now - from);
+                series.finished(a.category(), a.atNanos(), now - from);
             }
             case REJECTED -> series.count(Series.Count.DEFERRED, now - from);
             case FAILED -> series.count(Series.Count.WRITTEN_OFF, now - from);
@@ -203,12 +203,12 @@
         if (end == ProxyClient.Outcome.NOT_SENT) {
             series.count(Series.Count.NO_ANSWER, loop.now() - from);
         }
-        boolean late = loop.now() - from - a.at() > category.due();
+        boolean late = loop.now() - from - a.atNanos() > category.due();
         double earned =
                 end != ProxyClient.Outcome.COMPLETED
                         ? 0
                         : category.credit() * (late ? category.lateCredit() : 1);
-        series.credit(a.tenant(), a.at(), category.credit(), earned);
+        series.credit(a.tenant(), a.atNanos(), category.credit(), earned);
     }
 
     /** A proxy of the room that the front takes for alive; of all, where the room has none. */
--- a/src/test/java/cottonlock/lab/ScenarioTest.java
+++ b/src/test/java/cottonlock/lab/ScenarioTest.java
@@ -187,8 +187,8 @@
                         9L);
         List<Arrivals.Arrival> all =
                 Arrivals.draw(9, s.length, 2, s.tenants, s.categories, s.clients, s.bursts);
-        long calm = all.stream().filter(a -> a.at() < 50e9).count();
-        long burst = all.stream().filter(a -> a.at() >= 50e9 && a.at() < 75e9).count();
+        long calm = all.stream().filter(a -> a.atNanos() < 50e9).count();
+        long burst = all.stream().filter(a -> a.atNanos() >= 50e9 && a.atNanos() < 75e9).count();
         // Poisson: five spreads each way.
         assertTrue(
                 Math.abs(calm - 5_000) < 5 * Math.sqrt(5_000), calm + " in 50 s at 100 a second");
@@ -206,7 +206,7 @@
         assertEquals(
                 List.of(1_000_000L, 2_500_000L, 1_999_000_000L),
                 Arrivals.draw(9, s.length, 2, s.tenants, s.categories, s.clients, s.bursts).stream()
-                        .map(Arrivals.Arrival::at)
+                        .map(Arrivals.Arrival::atNanos)
                         .toList());
     }
 
