--- a/src/main/java/cottonlock/lab/Clients.java
+++ b/src/main/java/cottonlock/lab/Clients.java
@@ -11,30 +11,30 @@
  */
 final class Clients {
     /** Proxies that are tried for one send when connections don't come up. */
-    private static final int TRIES = 3;
+    private static final int MAX_PROXIES_TRIED = 3;
 
     /** Nanoseconds before a client sends again when it was given no come-back time, at least. */
-    private static final long PAUSE = 50_000_000L;
+    private static final long MIN_RETRY_DELAY_NANOS = 50_000_000L;
 
     private final EventLoop loop;
     private final Series series;
     private final Scenario.ClientPlan plan;
     private final List<String> tenants;
     private final List<Scenario.CategoryPlan> categories;
-    private final List<ProxyClient> callers;
+    private final List<ProxyClient> proxyClients;
 
     /**
      * The room of each proxy, and since when the front knows that it is gone; -1 while it serves.
      */
-    private final int[] rooms;
+    private final int[] zones;
 
-    private final long[] goneSince;
+    private final long[] unavailableFrom;
     private List<Arrivals.Arrival> arrivals = List.of();
     private int nextArrival;
-    private int open;
+    private int pending;
     private long retried;
     private long sent;
-    private boolean ended;
+    private boolean stopped;
 
     Clients(
             EventLoop loop,
@@ -42,45 +42,45 @@
             Scenario.ClientPlan plan,
             List<String> tenants,
             List<Scenario.CategoryPlan> categories,
-            List<ProxyClient> callers,
-            int[] rooms) {
+            List<ProxyClient> proxyClients,
+            int[] zones) {
         this.loop = loop;
         this.series = series;
         this.plan = plan;
         this.tenants = tenants;
         this.categories = categories;
-        this.callers = callers;
-        this.rooms = rooms;
-        this.goneSince = new long[callers.size()];
-        java.util.Arrays.fill(goneSince, -1);
+        this.proxyClients = proxyClients;
+        this.zones = zones;
+        this.unavailableFrom = new long[proxyClients.size()];
+        java.util.Arrays.fill(unavailableFrom, -1);
     }
 
     /** Sends the schedule from a time on. */
-    void start(List<Arrivals.Arrival> schedule, long from) {
+    void start(List<Arrivals.Arrival> schedule, long scheduleStart) {
         arrivals = schedule;
-        next(from);
+        scheduleNext(scheduleStart);
     }
 
-    private void next(long from) {
-        if (nextArrival < arrivals.size() && !ended) {
-            Arrivals.Arrival a = arrivals.get(nextArrival);
+    private void scheduleNext(long scheduleStart) {
+        if (nextArrival < arrivals.size() && !stopped) {
+            Arrivals.Arrival arrival = arrivals.get(nextArrival);
             loop.at(
-                    from + a.atNanos(),
+                    scheduleStart + arrival.atNanos(),
                     () -> {
                         int number = nextArrival++;
-                        next(from);
-                        arrive(a, number, from);
+                        scheduleNext(scheduleStart);
+                        startRequest(arrival, number, scheduleStart);
                     });
         }
     }
 
     /** Nothing further is sent. */
-    void end() {
-        ended = true;
+    void stop() {
+        stopped = true;
     }
 
-    boolean allOver() {
-        return open == 0 && (ended || nextArrival >= arrivals.size());
+    boolean isDone() {
+        return pending == 0 && (stopped || nextArrival >= arrivals.size());
     }
 
     long sent() {
@@ -92,38 +92,38 @@
     }
 
     /** A proxy has died or left; the front notices a while later. */
-    void gone(int proxy, long noticedAt) {
-        goneSince[proxy] = noticedAt;
+    void markUnavailable(int proxy, long noticedAt) {
+        unavailableFrom[proxy] = noticedAt;
     }
 
-    void back(int proxy) {
-        goneSince[proxy] = -1;
+    void markAvailable(int proxy) {
+        unavailableFrom[proxy] = -1;
     }
 
-    private void arrive(Arrivals.Arrival a, int number, long from) {
-        open++;
-        series.count(Series.Count.DUE, a.atNanos());
-        SplittableRandom chance = new SplittableRandom(a.clientSeed());
-        String key = Long.toHexString(a.clientSeed()) + Integer.toHexString(number);
-        send(a, number, 0, 0, key, from + a.atNanos(), from, chance);
+    private void startRequest(Arrivals.Arrival arrival, int number, long scheduleStart) {
+        pending++;
+        series.count(Series.Count.DUE, arrival.atNanos());
+        SplittableRandom random = new SplittableRandom(arrival.clientSeed());
+        String idempotencyKey = Long.toHexString(arrival.clientSeed()) + Integer.toHexString(number);
+        send(arrival, number, 0, 0, idempotencyKey, scheduleStart + arrival.atNanos(), scheduleStart, random);
     }
 
     /** One send of a request: the first, or a client's retry of it. */
     private void send(
-            Arrivals.Arrival a,
+            Arrivals.Arrival arrival,
             int number,
-            int tries,
+            int proxiesTried,
             int retries,
-            String key,
-            long due,
-            long from,
-            SplittableRandom chance) {
-        Scenario.CategoryPlan category = categories.get(a.category());
+            String idempotencyKey,
+            long arrivedAt,
+            long scheduleStart,
+            SplittableRandom random) {
+        Scenario.CategoryPlan category = categories.get(arrival.category());
         long now = loop.now();
-        long patience = due + category.expiry() - now;
-        int proxy = pick(a.zone(), chance);
-        if (patience < 2_000_000 || proxy < 0 || tries >= TRIES) {
-            over(a, ProxyClient.Outcome.NOT_SENT, from);
+        long timeout = arrivedAt + category.expiry() - now;
+        int proxy = pickProxy(arrival.zone(), random);
+        if (timeout < 2_000_000 || proxy < 0 || proxiesTried >= MAX_PROXIES_TRIED) {
+            recordOutcome(arrival, ProxyClient.Outcome.NOT_SENT, scheduleStart);
             return;
         }
         // Which send this is: an id is new with each (PROTOCOL).
@@ -132,98 +132,98 @@
                         + "-"
                         + retries
                         + "-"
-                        + tries
+                        + proxiesTried
                         + "-"
-                        + Long.toString(chance.nextLong() >>> 24, 36);
-        long leaveIn = a.cancelFraction() < 1 && retries == 0 ? (long) (a.cancelFraction() * patience) : -1;
+                        + Long.toString(random.nextLong() >>> 24, 36);
+        long cancelAfter = arrival.cancelFraction() < 1 && retries == 0 ? (long) (arrival.cancelFraction() * timeout) : -1;
         sent++;
-        retried += retries > 0 && tries == 0 ? 1 : 0;
-        callers.get(proxy)
+        retried += retries > 0 && proxiesTried == 0 ? 1 : 0;
+        proxyClients.get(proxy)
                 .send(
                         new ProxyClient.Request(
                                 id,
-                                key,
-                                key,
+                                idempotencyKey,
+                                idempotencyKey,
                                 category,
-                                tenants.get(a.tenant()),
-                                patience,
+                                tenants.get(arrival.tenant()),
+                                timeout,
                                 retries > 0,
-                                a.work()),
-                        chance.nextDouble() < plan.keep(),
-                        leaveIn,
+                                arrival.work()),
+                        random.nextDouble() < plan.keep(),
+                        cancelAfter,
                         result -> {
                             if (result.outcome() == ProxyClient.Outcome.NOT_SENT) {
                                 // Nobody has it: the front tries the next proxy.
                                 sent--;
-                                send(a, number, tries + 1, retries, key, due, from, chance);
+                                send(arrival, number, proxiesTried + 1, retries, idempotencyKey, arrivedAt, scheduleStart, random);
                             } else {
-                                ended(a, result, number, retries, key, due, from, chance);
+                                onResult(arrival, result, number, retries, idempotencyKey, arrivedAt, scheduleStart, random);
                             }
                         });
     }
 
-    private void ended(
-            Arrivals.Arrival a,
+    private void onResult(
+            Arrivals.Arrival arrival,
             ProxyClient.Result result,
             int number,
             int retries,
-            String key,
-            long due,
-            long from,
-            SplittableRandom chance) {
+            String idempotencyKey,
+            long arrivedAt,
+            long scheduleStart,
+            SplittableRandom random) {
         long now = loop.now();
         switch (result.outcome()) {
             case COMPLETED -> {
-                series.count(Series.Count.FINISHED, now - from);
-                if (now - due > categories.get(a.category()).due()) {
-                    series.count(Series.Count.LATE, now - from);
+                series.count(Series.Count.FINISHED, now - scheduleStart);
+                if (now - arrivedAt > categories.get(arrival.category()).due()) {
+                    series.count(Series.Count.LATE, now - scheduleStart);
                 }
-                series.finished(a.category(), a.atNanos(), now - from);
+                series.finished(arrival.category(), arrival.atNanos(), now - scheduleStart);
             }
-            case REJECTED -> series.count(Series.Count.DEFERRED, now - from);
-            case FAILED -> series.count(Series.Count.WRITTEN_OFF, now - from);
-            default -> series.count(Series.Count.NO_ANSWER, now - from);
+            case REJECTED -> series.count(Series.Count.DEFERRED, now - scheduleStart);
+            case FAILED -> series.count(Series.Count.WRITTEN_OFF, now - scheduleStart);
+            default -> series.count(Series.Count.NO_ANSWER, now - scheduleStart);
         }
-        boolean again = retries < plan.retries() && result.outcome() == ProxyClient.Outcome.REJECTED;
-        long wait = Math.max(result.comeBack(), PAUSE + (long) (chance.nextDouble() * PAUSE));
-        if (again && now + wait < due + categories.get(a.category()).expiry() && !ended) {
-            loop.after(wait, () -> send(a, number, 0, retries + 1, key, due, from, chance));
+        boolean retry = retries < plan.retries() && result.outcome() == ProxyClient.Outcome.REJECTED;
+        long delay = Math.max(result.comeBack(), MIN_RETRY_DELAY_NANOS + (long) (random.nextDouble() * MIN_RETRY_DELAY_NANOS));
+        if (retry && now + delay < arrivedAt + categories.get(arrival.category()).expiry() && !stopped) {
+            loop.after(delay, () -> send(arrival, number, 0, retries + 1, idempotencyKey, arrivedAt, scheduleStart, random));
         } else {
-            over(a, result.outcome(), from);
+            recordOutcome(arrival, result.outcome(), scheduleStart);
         }
     }
 
-    private void over(Arrivals.Arrival a, ProxyClient.Outcome end, long from) {
-        open--;
-        Scenario.CategoryPlan category = categories.get(a.category());
-        if (end == ProxyClient.Outcome.CANCELLED) {
+    private void recordOutcome(Arrivals.Arrival arrival, ProxyClient.Outcome outcome, long scheduleStart) {
+        pending--;
+        Scenario.CategoryPlan category = categories.get(arrival.category());
+        if (outcome == ProxyClient.Outcome.CANCELLED) {
             // Who left on purpose was owed nothing.
             return;
         }
-        if (end == ProxyClient.Outcome.NOT_SENT) {
-            series.count(Series.Count.NO_ANSWER, loop.now() - from);
+        if (outcome == ProxyClient.Outcome.NOT_SENT) {
+            series.count(Series.Count.NO_ANSWER, loop.now() - scheduleStart);
         }
-        boolean late = loop.now() - from - a.atNanos() > category.due();
+        boolean late = loop.now() - scheduleStart - arrival.atNanos() > category.due();
         double earned =
-                end != ProxyClient.Outcome.COMPLETED
+                outcome != ProxyClient.Outcome.COMPLETED
                         ? 0
                         : category.credit() * (late ? category.lateCredit() : 1);
-        series.credit(a.tenant(), a.atNanos(), category.credit(), earned);
+        series.credit(arrival.tenant(), arrival.atNanos(), category.credit(), earned);
     }
 
     /** A proxy of the room that the front takes for alive; of all, where the room has none. */
-    private int pick(int room, SplittableRandom chance) {
+    private int pickProxy(int zone, SplittableRandom random) {
         List<Integer> alive = new ArrayList<>();
-        List<Integer> near = new ArrayList<>();
-        for (int p = 0; p < rooms.length; p++) {
-            if (goneSince[p] < 0 || loop.now() < goneSince[p]) {
+        List<Integer> sameZone = new ArrayList<>();
+        for (int p = 0; p < zones.length; p++) {
+            if (unavailableFrom[p] < 0 || loop.now() < unavailableFrom[p]) {
                 alive.add(p);
-                if (rooms[p] == room) {
-                    near.add(p);
+                if (zones[p] == zone) {
+                    sameZone.add(p);
                 }
             }
         }
-        List<Integer> choice = near.isEmpty() ? alive : near;
-        return choice.isEmpty() ? -1 : choice.get(chance.nextInt(choice.size()));
+        List<Integer> candidates = sameZone.isEmpty() ? alive : sameZone;
+        return candidates.isEmpty() ? -1 : candidates.get(random.nextInt(candidates.size()));
     }
 }
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -570,7 +570,7 @@
                         .mapToLong(Scenario.CategoryPlan::expiry)
                         .max()
                         .orElse(0);
-        if (clients.allOver() || loop.now() > from + scenario.length + longest + 1_000_000_000L) {
+        if (clients.isDone() || loop.now() > from + scenario.length + longest + 1_000_000_000L) {
             finish();
         } else {
             loop.after(20_000_000L, this::awaitLast);
@@ -578,7 +578,7 @@
     }
 
     private void finish() {
-        clients.end();
+        clients.stop();
         loop.stop();
     }
 
@@ -861,10 +861,10 @@
     private void stands(Node node, boolean still) {
         node.client.setProxyUnavailable(still);
         if (still) {
-            clients.gone(node.number, loop.now() + scenario.clients.notice());
+            clients.markUnavailable(node.number, loop.now() + scenario.clients.notice());
         } else {
             ledger.stoppedUntil(node.number, loop.now());
-            clients.back(node.number);
+            clients.markAvailable(node.number);
         }
         if (judge != null && node.first) {
             if (still) {
@@ -986,15 +986,15 @@
 
     private void proxyKill(Node node, long end) {
         kill(node);
-        clients.gone(node.number, loop.now() + scenario.clients.notice());
+        clients.markUnavailable(node.number, loop.now() + scenario.clients.notice());
         loop.at(end, () -> back(node));
     }
 
     private void proxyTerm(Node node, long away) {
-        clients.gone(node.number, loop.now() + FRONT_AFTER_TERM);
+        clients.markUnavailable(node.number, loop.now() + FRONT_AFTER_TERM);
         if (node.host == null) {
             // A baseline has no process: it is only left out by the front.
-            loop.after(away, () -> clients.back(node.number));
+            loop.after(away, () -> clients.markAvailable(node.number));
             return;
         }
         runInBackground(
@@ -1069,7 +1069,7 @@
                     loop.post(
                             () -> {
                                 node.client.setProxyUnavailable(false);
-                                clients.back(node.number);
+                                clients.markAvailable(node.number);
                             });
                     return null;
                 });
