--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -21,7 +21,7 @@
  */
 final class Discovery implements Connection.Owner {
     /** Nanoseconds between empty lines of a watch at rest (PROTOCOL, Discovery). */
-    private static final long BEAT = 2_000_000_000L;
+    private static final long HEARTBEAT_NANOS = 2_000_000_000L;
 
     /** What the list says of a backend. */
     enum Health {
@@ -31,19 +31,19 @@
     }
 
     /** One line of the list. */
-    private static final class Line {
+    private static final class Entry {
         final Backend backend;
 
         /** What is so, and what the list says: they differ while it is stale. */
         Health health = Health.ACTIVE;
 
-        Health shown = Health.ACTIVE;
+        Health published = Health.ACTIVE;
         long version;
 
         /** Its process has started anew since it was shown: its start is told again. */
         boolean restarted;
 
-        Line(Backend backend) {
+        Entry(Backend backend) {
             this.backend = backend;
         }
     }
@@ -51,14 +51,14 @@
     /** One proxy's watch, or its absence. */
     private static final class Watch {
         final int proxy;
-        final Map<String, InetSocketAddress> dials = new LinkedHashMap<>();
+        final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
         Listener listener;
-        final Set<Connection> watching = new LinkedHashSet<>();
+        final Set<Connection> streams = new LinkedHashSet<>();
 
         /** For a plain proxy, which has no socket to discovery: it is told at the same moments. */
-        Consumer<List<Backend>> plain;
+        Consumer<List<Backend>> baselineUpdates;
 
-        long askedAt;
+        long lastContactAt;
 
         Watch(int proxy) {
             this.proxy = proxy;
@@ -68,59 +68,59 @@
     private final EventLoop loop;
     private final Ledger ledger;
     private final ByteBuffer buffer;
-    private final long askWithin;
+    private final long maxContactGapNanos;
     private final String sabotage;
     private final long wallStart;
-    private final Map<String, Line> lines = new LinkedHashMap<>();
+    private final Map<String, Entry> entries = new LinkedHashMap<>();
 
     /**
      * The lines that have ever changed, by the version of their last change: a change looks at no
      * other.
      */
-    private final TreeMap<Long, Line> changed = new TreeMap<>();
+    private final TreeMap<Long, Entry> changedEntries = new TreeMap<>();
 
     private final Map<Integer, Watch> watches = new LinkedHashMap<>();
-    private final Map<Connection, HttpMessageParser> asking = new LinkedHashMap<>();
+    private final Map<Connection, HttpMessageParser> parsers = new LinkedHashMap<>();
     private final NetworkPath path = new NetworkPath(null);
     private long version = 1;
     private boolean down;
     private boolean stale;
     private boolean silent;
-    private long slow;
+    private long delayNanos;
 
     Discovery(
             EventLoop loop,
             Ledger ledger,
             ByteBuffer buffer,
-            long askWithin,
+            long maxContactGapNanos,
             String sabotage,
             long wallStart) {
         this.loop = loop;
         this.ledger = ledger;
         this.buffer = buffer;
-        this.askWithin = askWithin;
+        this.maxContactGapNanos = maxContactGapNanos;
         this.sabotage = sabotage;
         this.wallStart = wallStart;
-        loop.after(BEAT, this::beat);
+        loop.after(HEARTBEAT_NANOS, this::sendHeartbeats);
     }
 
     void add(Backend backend) {
-        lines.put(backend.id, new Line(backend));
+        entries.put(backend.id, new Entry(backend));
     }
 
     /** A proxy that will ask, with the addresses that it is told. */
-    void serve(int proxy, Map<String, InetSocketAddress> dials) throws IOException {
+    void addProxy(int proxy, Map<String, InetSocketAddress> addresses) throws IOException {
         Watch watch = new Watch(proxy);
-        watch.dials.putAll(dials);
+        watch.addresses.putAll(addresses);
         watch.listener = new Listener(loop, buffer, this, path, proxy, watch);
         watches.put(proxy, watch);
     }
 
-    void servePlain(int proxy, Consumer<List<Backend>> told) {
+    void addBaselineProxy(int proxy, Consumer<List<Backend>> recipient) {
         Watch watch = new Watch(proxy);
-        watch.plain = told;
+        watch.baselineUpdates = recipient;
         watches.put(proxy, watch);
-        told.accept(active());
+        recipient.accept(active());
     }
 
     InetSocketAddress address(int proxy) {
@@ -129,84 +129,84 @@
 
     private List<Backend> active() {
         List<Backend> active = new ArrayList<>();
-        lines.values().stream()
-                .filter(l -> l.shown == Health.ACTIVE)
-                .forEach(l -> active.add(l.backend));
+        entries.values().stream()
+                .filter(entry -> entry.published == Health.ACTIVE)
+                .forEach(entry -> active.add(entry.backend));
         return active;
     }
 
     /** The whole list as a proxy gets it. */
-    String whole(int proxy) {
+    String fullListJson(int proxy) {
         return json(proxy, true, 0);
     }
 
-    private String json(int proxy, boolean whole, long since) {
+    private String json(int proxy, boolean full, long since) {
         StringBuilder hosts = new StringBuilder();
         Watch watch = watches.get(proxy);
-        for (Line l : whole ? lines.values() : since(since)) {
-            if (!whole || l.shown != Health.LEFT) {
-                Backend b = l.backend;
-                InetSocketAddress dial = watch.dials.get(b.id);
-                boolean hides = sabotage.equals("ignore-drain");
-                boolean hidesStart = sabotage.equals("hide-cold");
-                long born =
-                        b.startedAt == 0 || hidesStart ? 0 : wallStart + b.startedAt / 1_000_000;
+        for (Entry entry : full ? entries.values() : changedSince(since)) {
+            if (!full || entry.published != Health.LEFT) {
+                Backend b = entry.backend;
+                InetSocketAddress address = watch.addresses.get(b.id);
+                boolean hideDrain = sabotage.equals("ignore-drain");
+                boolean hideStart = sabotage.equals("hide-cold");
+                long startedAtMillis =
+                        b.startedAt == 0 || hideStart ? 0 : wallStart + b.startedAt / 1_000_000;
                 hosts.append(hosts.length() == 0 ? "" : ",")
                         .append("{\"host\":\"")
                         .append(b.id)
                         .append("\",\"dial\":\"")
-                        .append(dial.getAddress().getHostAddress())
+                        .append(address.getAddress().getHostAddress())
                         .append(':')
-                        .append(dial.getPort())
+                        .append(address.getPort())
                         .append("\",\"site\":\"")
                         .append(b.room)
                         .append("\",\"class\":\"std\",\"block\":0,\"health\":\"")
                         .append(
-                                (hides ? Health.ACTIVE : l.shown)
+                                (hideDrain ? Health.ACTIVE : entry.published)
                                         .name()
                                         .toLowerCase(java.util.Locale.ROOT))
                         .append("\",\"share\":1.0,\"born_ms\":")
-                        .append(born)
+                        .append(startedAtMillis)
                         .append('}');
             }
         }
-        return "{\"seq\":" + version + ",\"whole\":" + whole + ",\"hosts\":[" + hosts + "]}";
+        return "{\"seq\":" + version + ",\"whole\":" + full + ",\"hosts\":[" + hosts + "]}";
     }
 
-    private Collection<Line> since(long version) {
-        return changed.tailMap(version, false).values();
+    private Collection<Entry> changedSince(long version) {
+        return changedEntries.tailMap(version, false).values();
     }
 
     /** The state of a backend changes. */
-    void set(Backend backend, Health health) {
-        Line line = lines.get(backend.id);
-        line.health = health;
+    void setHealth(Backend backend, Health health) {
+        Entry entry = entries.get(backend.id);
+        entry.health = health;
         if (stale) {
             return;
         }
-        show(line);
+        publish(entry);
         for (Watch watch : watches.values()) {
-            if (watch.plain != null || !watch.watching.isEmpty()) {
-                tell(watch);
+            if (watch.baselineUpdates != null || !watch.streams.isEmpty()) {
+                sendUpdate(watch);
             } else {
-                remind(watch);
+                scheduleAssumedUpdate(watch);
             }
         }
     }
 
     /** A backend's process has started anew: the list tells when. */
-    void restarted(Backend backend) {
-        lines.get(backend.id).restarted = true;
-        set(backend, Health.ACTIVE);
+    void onBackendRestarted(Backend backend) {
+        entries.get(backend.id).restarted = true;
+        setHealth(backend, Health.ACTIVE);
     }
 
-    private void show(Line line) {
-        if (line.shown != line.health || line.restarted) {
-            line.shown = line.health;
-            line.restarted = false;
-            changed.remove(line.version);
-            line.version = ++version;
-            changed.put(version, line);
+    private void publish(Entry entry) {
+        if (entry.published != entry.health || entry.restarted) {
+            entry.published = entry.health;
+            entry.restarted = false;
+            changedEntries.remove(entry.version);
+            entry.version = ++version;
+            changedEntries.put(version, entry);
         }
     }
 
@@ -214,56 +214,56 @@
      * Who neither watches nor asks for too long counts as told all the same; a call that fails is
      * asking.
      */
-    private void remind(Watch watch) {
+    private void scheduleAssumedUpdate(Watch watch) {
         loop.at(
-                Math.max(loop.now(), watch.askedAt + askWithin),
+                Math.max(loop.now(), watch.lastContactAt + maxContactGapNanos),
                 () -> {
-                    if (!watch.watching.isEmpty()) {
+                    if (!watch.streams.isEmpty()) {
                         return;
                     }
-                    if (down || loop.now() - watch.askedAt < askWithin) {
-                        watch.askedAt = down ? loop.now() : watch.askedAt;
-                        remind(watch);
+                    if (down || loop.now() - watch.lastContactAt < maxContactGapNanos) {
+                        watch.lastContactAt = down ? loop.now() : watch.lastContactAt;
+                        scheduleAssumedUpdate(watch);
                     } else {
-                        note(watch);
+                        recordTold(watch);
                     }
                 });
     }
 
-    private void tell(Watch watch) {
+    private void sendUpdate(Watch watch) {
         long since = version - 1;
-        Runnable telling =
+        Runnable update =
                 () -> {
-                    if (watch.plain != null) {
+                    if (watch.baselineUpdates != null) {
                         if (!sabotage.equals("ignore-drain")) {
-                            watch.plain.accept(active());
+                            watch.baselineUpdates.accept(active());
                         }
                     } else {
-                        String line = json(watch.proxy, false, since);
-                        watch.watching.forEach(conn -> conn.write(chunk(line + "\n")));
+                        String entry = json(watch.proxy, false, since);
+                        watch.streams.forEach(conn -> conn.write(chunk(entry + "\n")));
                     }
                     // The others were noted when they were told: with all of them, a thousand
                     // backends that change in
                     // turn made the loop late.
-                    note(watch, since(since));
+                    recordTold(watch, changedSince(since));
                 };
-        if (slow > 0) {
-            loop.after(slow, telling);
+        if (delayNanos > 0) {
+            loop.after(delayNanos, update);
         } else {
-            telling.run();
+            update.run();
         }
     }
 
-    private void note(Watch watch) {
-        note(watch, lines.values());
+    private void recordTold(Watch watch) {
+        recordTold(watch, entries.values());
     }
 
-    private void note(Watch watch, Collection<Line> told) {
-        for (Line l : told) {
-            if (l.shown == Health.ACTIVE) {
-                ledger.toldBack(watch.proxy, l.backend.id);
+    private void recordTold(Watch watch, Collection<Entry> recipient) {
+        for (Entry entry : recipient) {
+            if (entry.published == Health.ACTIVE) {
+                ledger.toldBack(watch.proxy, entry.backend.id);
             } else {
-                ledger.told(loop.now(), watch.proxy, l.backend.id);
+                ledger.told(loop.now(), watch.proxy, entry.backend.id);
             }
         }
     }
@@ -273,63 +273,63 @@
                 .getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private void beat() {
+    private void sendHeartbeats() {
         for (Watch watch : watches.values()) {
             if (!silent) {
-                watch.watching.forEach(conn -> conn.write(chunk("\n")));
+                watch.streams.forEach(conn -> conn.write(chunk("\n")));
             }
         }
-        loop.after(BEAT, this::beat);
+        loop.after(HEARTBEAT_NANOS, this::sendHeartbeats);
     }
 
     /** Down: watches end, calls are reset, new connections refused. */
-    void down(boolean off) throws IOException {
-        down = off;
+    void setDown(boolean value) throws IOException {
+        down = value;
         for (Watch watch : watches.values()) {
             if (watch.listener != null) {
-                watch.watching.clear();
-                if (off) {
+                watch.streams.clear();
+                if (value) {
                     watch.listener.stopListening();
                     watch.listener.resetConnections();
                 } else {
                     watch.listener.startListening();
-                    watch.askedAt = loop.now();
+                    watch.lastContactAt = loop.now();
                 }
             }
         }
     }
 
     /** Every call and every line takes so much longer. */
-    void slow(long nanos) {
-        slow = nanos;
+    void setDelay(long nanos) {
+        delayNanos = nanos;
     }
 
     /** Stale: changes are kept back; at the end all is told. */
-    void stale(boolean keepBack) {
-        stale = keepBack;
-        if (!keepBack) {
-            lines.values().forEach(this::show);
+    void setStale(boolean value) {
+        stale = value;
+        if (!value) {
+            entries.values().forEach(this::publish);
             for (Watch watch : watches.values()) {
-                List.copyOf(watch.watching).forEach(Connection::reset);
-                if (watch.plain != null) {
-                    watch.plain.accept(active());
-                    note(watch);
+                List.copyOf(watch.streams).forEach(Connection::reset);
+                if (watch.baselineUpdates != null) {
+                    watch.baselineUpdates.accept(active());
+                    recordTold(watch);
                 }
             }
         }
     }
 
     /** Silent: nothing is said on a watch, and changes are kept back; at the end all is told. */
-    void silent(boolean saysNothing) {
-        silent = saysNothing;
-        stale(saysNothing);
+    void setSilent(boolean value) {
+        silent = value;
+        setStale(value);
     }
 
     /** It is at new addresses from now on; the old ones refuse. */
-    void move() throws IOException {
+    void moveToNewAddresses() throws IOException {
         for (Watch watch : watches.values()) {
             if (watch.listener != null) {
-                watch.watching.clear();
+                watch.streams.clear();
                 watch.listener.stopListening();
                 watch.listener.resetConnections();
                 watch.listener = new Listener(loop, buffer, this, path, watch.proxy, watch);
@@ -339,12 +339,12 @@
 
     @Override
     public void onConnected(Connection conn) {
-        asking.put(conn, new HttpMessageParser());
+        parsers.put(conn, new HttpMessageParser());
     }
 
     @Override
     public void onBytes(Connection conn, byte[] bytes, int length) {
-        HttpMessageParser in = asking.get(conn);
+        HttpMessageParser in = parsers.get(conn);
         if (in == null) {
             return;
         }
@@ -352,10 +352,10 @@
         try {
             for (HttpMessageParser.Message m = in.next(); m != null; m = in.next()) {
                 HttpMessageParser.Message message = m;
-                if (slow > 0) {
-                    loop.after(slow, () -> asked(conn, message));
+                if (delayNanos > 0) {
+                    loop.after(delayNanos, () -> handleRequest(conn, message));
                 } else {
-                    asked(conn, message);
+                    handleRequest(conn, message);
                 }
             }
         } catch (HttpMessageParser.MalformedMessageException e) {
@@ -363,7 +363,7 @@
         }
     }
 
-    private void asked(Connection conn, HttpMessageParser.Message message) {
+    private void handleRequest(Connection conn, HttpMessageParser.Message message) {
         Watch watch = (Watch) ((Listener) conn.attachment).attachment;
         String target = message.startLine().get(1);
         if (conn.isClosed() || down) {
@@ -373,27 +373,27 @@
             conn.write(HttpMessageParser.encodeResponse(404, null, null, new byte[0]));
             return;
         }
-        watch.askedAt = loop.now();
+        watch.lastContactAt = loop.now();
         if (!target.contains("stream=1")) {
             conn.write(
                     HttpMessageParser.encodeResponse(
                             200,
                             null,
                             null,
-                            whole(watch.proxy).getBytes(StandardCharsets.ISO_8859_1)));
+                            fullListJson(watch.proxy).getBytes(StandardCharsets.ISO_8859_1)));
         } else {
-            long since = index(target);
-            boolean whole = since <= 0 || since > version;
+            long since = parseIndex(target);
+            boolean full = since <= 0 || since > version;
             conn.write(
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                             .getBytes(StandardCharsets.ISO_8859_1));
-            conn.write(chunk(json(watch.proxy, whole, since) + "\n"));
-            watch.watching.add(conn);
+            conn.write(chunk(json(watch.proxy, full, since) + "\n"));
+            watch.streams.add(conn);
         }
-        note(watch);
+        recordTold(watch);
     }
 
-    private static long index(String target) {
+    private static long parseIndex(String target) {
         int at = target.indexOf("index=");
         String digits = at < 0 ? "" : target.substring(at + 6).replaceAll("[^0-9].*", "");
         return digits.isEmpty() ? 0 : Long.parseLong(digits);
@@ -401,13 +401,13 @@
 
     @Override
     public void onClosed(Connection conn, boolean byReset) {
-        asking.remove(conn);
+        parsers.remove(conn);
         Listener listener = (Listener) conn.attachment;
         listener.connections.remove(conn);
         Watch watch = (Watch) listener.attachment;
-        if (watch.watching.remove(conn)) {
+        if (watch.streams.remove(conn)) {
             // It was looked after until now.
-            watch.askedAt = loop.now();
+            watch.lastContactAt = loop.now();
         }
     }
 }
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -305,7 +305,7 @@
                             scenario.proxies.connectTimeout(),
                             chance.split(),
                             plainDials);
-            discovery.servePlain(number, plain::list);
+            discovery.addBaselineProxy(number, plain::list);
             self[0] =
                     new Node(
                             number,
@@ -320,7 +320,7 @@
                                     chance.split()),
                             tier == 0);
         } else {
-            discovery.serve(number, dials);
+            discovery.addProxy(number, dials);
             long seed = chance.nextLong();
             Host[] at = new Host[1];
             ProxyConfig.Talk[] talk = new ProxyConfig.Talk[1];
@@ -336,7 +336,7 @@
                                             text(at[0].address()),
                                             text(discovery.address(number)),
                                             seed + start,
-                                            discovery.whole(number),
+                                            discovery.fullListJson(number),
                                             tier,
                                             fleet,
                                             scenario.proxies,
@@ -713,20 +713,20 @@
         for (Discovery discovery : discoveries) {
             switch (entry.kind()) {
                 case "discovery-down" -> {
-                    discovery.down(true);
-                    loop.at(end, () -> quietly(() -> discovery.down(false)));
+                    discovery.setDown(true);
+                    loop.at(end, () -> quietly(() -> discovery.setDown(false)));
                 }
                 case "discovery-slow" ->
                         during(
                                 end,
-                                () -> discovery.slow((long) (entry.amount() * 1e6)),
-                                () -> discovery.slow(0));
+                                () -> discovery.setDelay((long) (entry.amount() * 1e6)),
+                                () -> discovery.setDelay(0));
                 case "discovery-silent" ->
-                        during(end, () -> discovery.silent(true), () -> discovery.silent(false));
+                        during(end, () -> discovery.setSilent(true), () -> discovery.setSilent(false));
                 case "discovery-stale" ->
-                        during(end, () -> discovery.stale(true), () -> discovery.stale(false));
+                        during(end, () -> discovery.setStale(true), () -> discovery.setStale(false));
                 default -> {
-                    discovery.move();
+                    discovery.moveToNewAddresses();
                     nodes.stream()
                             .filter(n -> n.host != null && n.serving)
                             .forEach(
@@ -779,7 +779,7 @@
                                                     Integer.parseInt(
                                                             backend.id.substring(
                                                                     1, backend.id.indexOf('b'))))
-                                            .restarted(backend);
+                                            .onBackendRestarted(backend);
                                 });
         if (own == null || own.host == null) {
             if (own != null) {
@@ -804,12 +804,12 @@
     private void drain(Backend backend, Timeline.Entry entry) {
         Discovery discovery =
                 discoveries.get(Integer.parseInt(backend.id.substring(1, backend.id.indexOf('b'))));
-        discovery.set(backend, Discovery.Health.LEAVING);
+        discovery.setHealth(backend, Discovery.Health.LEAVING);
         long left = loop.now() + (long) entry.amount();
         loop.at(
                 left,
                 () -> {
-                    discovery.set(backend, Discovery.Health.LEFT);
+                    discovery.setHealth(backend, Discovery.Health.LEFT);
                     if (backend.processState == Backend.ProcessState.UP) {
                         backend.endProcess(false);
                     }
