--- a/src/main/java/cottonlock/lab/BaselineProxy.java
+++ b/src/main/java/cottonlock/lab/BaselineProxy.java
@@ -19,41 +19,41 @@
  */
 final class BaselineProxy implements Connection.Owner {
     /** Nanoseconds before the expiry at which it gives up: the way back. */
-    private static final long RESERVE = 10_000_000L;
+    private static final long RESPONSE_RESERVE_NANOS = 10_000_000L;
 
     /** One request. */
-    private static final class Item {
+    private static final class ClientRequest {
         final Connection client;
         final HttpMessageParser.Message message;
-        final long until;
+        final long deadline;
         final List<Backend> tried = new ArrayList<>();
         EventLoop.Timer timer;
-        Link link;
-        boolean over;
+        BackendConnection connection;
+        boolean finished;
 
-        Item(Connection client, HttpMessageParser.Message message, long until) {
+        ClientRequest(Connection client, HttpMessageParser.Message message, long deadline) {
             this.client = client;
             this.message = message;
-            this.until = until;
+            this.deadline = deadline;
         }
     }
 
     /** A connection to a backend and the request on it. */
-    private final class Link implements Connection.Owner {
-        final Backend to;
-        final HttpMessageParser in = new HttpMessageParser();
+    private final class BackendConnection implements Connection.Owner {
+        final Backend backend;
+        final HttpMessageParser parser = new HttpMessageParser();
         Connection conn;
-        Item item;
+        ClientRequest request;
         boolean written;
-        EventLoop.Timer connecting;
+        EventLoop.Timer connectTimer;
 
-        Link(Backend to, Item item) {
-            this.to = to;
-            this.item = item;
+        BackendConnection(Backend backend, ClientRequest request) {
+            this.backend = backend;
+            this.request = request;
         }
 
         void write() {
-            HttpMessageParser.Message m = item.message;
+            HttpMessageParser.Message m = request.message;
             StringBuilder head = new StringBuilder(String.join(" ", m.startLine())).append("\r\n");
             m.fields()
                     .forEach(
@@ -62,8 +62,8 @@
                                     head.append(name).append(": ").append(value).append("\r\n");
                                 }
                             });
-            long left = Math.max(1, (item.until - loop.now()) / 1_000_000);
-            head.append("X-Timeout-Ms: ").append(left).append("\r\n\r\n");
+            long remaining = Math.max(1, (request.deadline - loop.now()) / 1_000_000);
+            head.append("X-Timeout-Ms: ").append(remaining).append("\r\n\r\n");
             byte[] bytes = head.toString().getBytes(StandardCharsets.ISO_8859_1);
             byte[] whole = java.util.Arrays.copyOf(bytes, bytes.length + m.body().length);
             System.arraycopy(m.body(), 0, whole, bytes.length, m.body().length);
@@ -73,29 +73,29 @@
 
         @Override
         public void onConnected(Connection c) {
-            connecting.cancel();
-            if (item != null) {
+            connectTimer.cancel();
+            if (request != null) {
                 write();
             }
         }
 
         @Override
         public void onBytes(Connection c, byte[] bytes, int length) {
-            in.add(bytes, length);
+            parser.add(bytes, length);
             try {
-                HttpMessageParser.Message answer = in.next();
+                HttpMessageParser.Message answer = parser.next();
                 if (answer == null) {
                     return;
                 }
-                Item done = item;
-                item = null;
-                out.merge(to, -1, Integer::sum);
+                ClientRequest done = request;
+                request = null;
+                inFlight.merge(backend, -1, Integer::sum);
                 if (done == null) {
                     c.reset();
                     return;
                 }
-                resting.computeIfAbsent(to, b -> new ArrayDeque<>()).addLast(this);
-                back(done, answer);
+                idle.computeIfAbsent(backend, b -> new ArrayDeque<>()).addLast(this);
+                onBackendResponse(done, answer);
             } catch (HttpMessageParser.MalformedMessageException e) {
                 c.reset();
             }
@@ -103,17 +103,17 @@
 
         @Override
         public void onClosed(Connection c, boolean byReset) {
-            resting.getOrDefault(to, new ArrayDeque<>()).remove(this);
-            Item broken = item;
-            item = null;
-            connecting.cancel();
-            if (broken != null) {
-                out.merge(to, -1, Integer::sum);
-                if (!broken.over) {
+            idle.getOrDefault(backend, new ArrayDeque<>()).remove(this);
+            ClientRequest interrupted = request;
+            request = null;
+            connectTimer.cancel();
+            if (interrupted != null) {
+                inFlight.merge(backend, -1, Integer::sum);
+                if (!interrupted.finished) {
                     if (written) {
-                        give(broken, safe(broken) ? 503 : 502);
+                        respond(interrupted, isSafe(interrupted) ? 503 : 502);
                     } else {
-                        attempt(broken);
+                        attempt(interrupted);
                     }
                 }
             }
@@ -122,167 +122,167 @@
 
     private final EventLoop loop;
     private final ByteBuffer buffer;
-    private final int number;
+    private final int proxyNumber;
     private final String policy;
-    private final int most;
+    private final int maxAttempts;
     private final long connectTimeout;
     private final SplittableRandom random;
-    private final Map<Backend, InetSocketAddress> dials;
+    private final Map<Backend, InetSocketAddress> addresses;
     private final Listener listener;
-    private final Map<Connection, HttpMessageParser> reading = new HashMap<>();
-    private final Map<Connection, Item> items = new HashMap<>();
-    private final Map<Backend, Deque<Link>> resting = new HashMap<>();
-    private final Map<Backend, Integer> out = new HashMap<>();
+    private final Map<Connection, HttpMessageParser> parsers = new HashMap<>();
+    private final Map<Connection, ClientRequest> requests = new HashMap<>();
+    private final Map<Backend, Deque<BackendConnection>> idle = new HashMap<>();
+    private final Map<Backend, Integer> inFlight = new HashMap<>();
     private List<Backend> active = List.of();
-    private int turn;
+    private int nextIndex;
 
     BaselineProxy(
             EventLoop loop,
             ByteBuffer buffer,
-            int number,
+            int proxyNumber,
             String policy,
-            int most,
+            int maxAttempts,
             long connectTimeout,
             SplittableRandom random,
-            Map<Backend, InetSocketAddress> dials)
+            Map<Backend, InetSocketAddress> addresses)
             throws IOException {
         this.loop = loop;
         this.buffer = buffer;
-        this.number = number;
+        this.proxyNumber = proxyNumber;
         this.policy = policy;
-        this.most = most;
+        this.maxAttempts = maxAttempts;
         this.connectTimeout = connectTimeout;
         this.random = random;
-        this.dials = dials;
-        this.listener = new Listener(loop, buffer, this, new NetworkPath(null), number, this);
+        this.addresses = addresses;
+        this.listener = new Listener(loop, buffer, this, new NetworkPath(null), proxyNumber, this);
     }
 
     InetSocketAddress address() {
         return listener.address();
     }
 
-    void list(List<Backend> now) {
+    void setActive(List<Backend> now) {
         active = now;
     }
 
     @Override
     public void onConnected(Connection conn) {
-        reading.put(conn, new HttpMessageParser());
+        parsers.put(conn, new HttpMessageParser());
     }
 
     @Override
     public void onBytes(Connection conn, byte[] bytes, int length) {
-        HttpMessageParser in = reading.get(conn);
-        in.add(bytes, length);
+        HttpMessageParser parser = parsers.get(conn);
+        parser.add(bytes, length);
         try {
-            HttpMessageParser.Message m = in.next();
+            HttpMessageParser.Message m = parser.next();
             if (m == null) {
                 return;
             }
-            long until =
-                    loop.now() + 1_000_000L * Long.parseLong(m.field("x-timeout-ms")) - RESERVE;
-            Item item = new Item(conn, m, until);
-            items.put(conn, item);
-            item.timer = loop.at(until, () -> give(item, 502));
-            attempt(item);
+            long deadline =
+                    loop.now() + 1_000_000L * Long.parseLong(m.field("x-timeout-ms")) - RESPONSE_RESERVE_NANOS;
+            ClientRequest request = new ClientRequest(conn, m, deadline);
+            requests.put(conn, request);
+            request.timer = loop.at(deadline, () -> respond(request, 502));
+            attempt(request);
         } catch (HttpMessageParser.MalformedMessageException e) {
             conn.reset();
         }
     }
 
-    private static boolean safe(Item item) {
-        return item.message.startLine().get(0).equals("GET");
+    private static boolean isSafe(ClientRequest request) {
+        return request.message.startLine().get(0).equals("GET");
     }
 
-    private void attempt(Item item) {
-        List<Backend> left = new ArrayList<>(active);
-        left.removeAll(item.tried);
-        if (left.isEmpty() || item.tried.size() >= most) {
-            give(item, 503);
+    private void attempt(ClientRequest request) {
+        List<Backend> candidates = new ArrayList<>(active);
+        candidates.removeAll(request.tried);
+        if (candidates.isEmpty() || request.tried.size() >= maxAttempts) {
+            respond(request, 503);
             return;
         }
-        Backend to = pick(left);
-        item.tried.add(to);
-        out.merge(to, 1, Integer::sum);
-        Deque<Link> kept = resting.getOrDefault(to, new ArrayDeque<>());
-        for (Link link = kept.pollLast(); link != null; link = kept.pollLast()) {
-            if (!link.conn.isClosed()) {
-                link.item = item;
-                item.link = link;
-                link.write();
+        Backend backend = pick(candidates);
+        request.tried.add(backend);
+        inFlight.merge(backend, 1, Integer::sum);
+        Deque<BackendConnection> idleToBackend = idle.getOrDefault(backend, new ArrayDeque<>());
+        for (BackendConnection connection = idleToBackend.pollLast(); connection != null; connection = idleToBackend.pollLast()) {
+            if (!connection.conn.isClosed()) {
+                connection.request = request;
+                request.connection = connection;
+                connection.write();
                 return;
             }
         }
-        Link link = new Link(to, item);
-        item.link = link;
-        link.conn = Connection.open(loop, dials.get(to), link, buffer);
-        link.connecting = loop.after(connectTimeout, link.conn::reset);
+        BackendConnection connection = new BackendConnection(backend, request);
+        request.connection = connection;
+        connection.conn = Connection.open(loop, addresses.get(backend), connection, buffer);
+        connection.connectTimer = loop.after(connectTimeout, connection.conn::reset);
     }
 
-    private Backend pick(List<Backend> left) {
+    private Backend pick(List<Backend> candidates) {
         switch (policy) {
             case "least" -> {
-                int least = left.stream().mapToInt(b -> out.getOrDefault(b, 0)).min().orElse(0);
+                int least = candidates.stream().mapToInt(b -> inFlight.getOrDefault(b, 0)).min().orElse(0);
                 List<Backend> idle =
-                        left.stream().filter(b -> out.getOrDefault(b, 0) == least).toList();
+                        candidates.stream().filter(b -> inFlight.getOrDefault(b, 0) == least).toList();
                 return idle.get(random.nextInt(idle.size()));
             }
             case "round" -> {
-                return left.get(Math.floorMod(turn++ + number, left.size()));
+                return candidates.get(Math.floorMod(nextIndex++ + proxyNumber, candidates.size()));
             }
             default -> {
-                return left.get(random.nextInt(left.size()));
+                return candidates.get(random.nextInt(candidates.size()));
             }
         }
     }
 
-    private void back(Item item, HttpMessageParser.Message answer) {
-        if (item.over) {
+    private void onBackendResponse(ClientRequest request, HttpMessageParser.Message answer) {
+        if (request.finished) {
             return;
         }
-        item.link = null;
+        request.connection = null;
         switch (answer.startLine().get(1)) {
             case "200" -> {
-                over(item);
-                item.client.write(HttpMessageParser.encodeResponse(200, null, null, answer.body()));
+                finish(request);
+                request.client.write(HttpMessageParser.encodeResponse(200, null, null, answer.body()));
             }
             case "503", "504" -> {
                 if (answer.field("x-not-processed") != null) {
-                    attempt(item);
+                    attempt(request);
                 } else {
-                    give(item, safe(item) ? 503 : 502);
+                    respond(request, isSafe(request) ? 503 : 502);
                 }
             }
-            default -> give(item, safe(item) ? 503 : 502);
+            default -> respond(request, isSafe(request) ? 503 : 502);
         }
     }
 
-    private void give(Item item, int status) {
-        if (item.over) {
+    private void respond(ClientRequest request, int status) {
+        if (request.finished) {
             return;
         }
-        over(item);
-        if (item.link != null && item.link.item == item) {
-            item.link.conn.reset();
+        finish(request);
+        if (request.connection != null && request.connection.request == request) {
+            request.connection.conn.reset();
         }
-        item.client.write(HttpMessageParser.encodeResponse(status, null, null, new byte[0]));
+        request.client.write(HttpMessageParser.encodeResponse(status, null, null, new byte[0]));
     }
 
-    private void over(Item item) {
-        item.over = true;
-        item.timer.cancel();
-        items.remove(item.client);
+    private void finish(ClientRequest request) {
+        request.finished = true;
+        request.timer.cancel();
+        requests.remove(request.client);
     }
 
     @Override
     public void onClosed(Connection conn, boolean byReset) {
-        reading.remove(conn);
+        parsers.remove(conn);
         listener.connections.remove(conn);
-        Item item = items.get(conn);
-        if (item != null) {
-            over(item);
-            if (item.link != null && item.link.item == item) {
-                item.link.conn.reset();
+        ClientRequest request = requests.get(conn);
+        if (request != null) {
+            finish(request);
+            if (request.connection != null && request.connection.request == request) {
+                request.connection.conn.reset();
             }
         }
     }
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -295,7 +295,7 @@
             return nodes.get(number);
         }
         if (!scenario.proxies.policy().equals("lanes")) {
-            BaselineProxy plain =
+            BaselineProxy baseline =
                     new BaselineProxy(
                             loop,
                             buffer,
@@ -305,7 +305,7 @@
                             scenario.proxies.connectTimeout(),
                             chance.split(),
                             plainDials);
-            discovery.addBaselineProxy(number, plain::list);
+            discovery.addBaselineProxy(number, baseline::setActive);
             self[0] =
                     new Node(
                             number,
@@ -315,7 +315,7 @@
                                     ledger,
                                     buffer,
                                     number,
-                                    () -> self[0].serving ? plain.address() : null,
+                                    () -> self[0].serving ? baseline.address() : null,
                                     scenario.sabotage,
                                     chance.split()),
                             tier == 0);
