--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -71,7 +71,7 @@
     }
 
     final String id;
-    final String room;
+    final String zone;
     final NetworkPath path;
     final List<Listener> listeners = new ArrayList<>();
     private final int tier;
@@ -106,7 +106,7 @@
     Backend(
             String id,
             int tier,
-            String room,
+            String zone,
             EventLoop loop,
             Ledger ledger,
             Series series,
@@ -118,7 +118,7 @@
             String sabotage) {
         this.id = id;
         this.tier = tier;
-        this.room = room;
+        this.zone = zone;
         this.loop = loop;
         this.ledger = ledger;
         this.series = series;
@@ -315,11 +315,11 @@
         boolean firstTime =
                 !job.category.repeat().equals("keyed")
                         || seenKeys.computeIfAbsent(
-                                        job.category.scope().equals("room") ? room : "",
+                                        job.category.scope().equals("room") ? zone : "",
                                         zone -> new SeenKeys())
                                 .addIfNew(tier + " " + job.key, now, job.category.window());
         if (firstTime) {
-            ledger.effect(now, job.id, job.category.repeat(), room);
+            ledger.effect(now, job.id, job.category.repeat(), zone);
         }
         long workNanos = firstTime ? model.serviceNanos(now, job.work) : 0;
         job.timer = loop.after(workNanos, () -> onWorkDone(job));
--- a/src/main/java/cottonlock/lab/BaselineProxy.java
+++ b/src/main/java/cottonlock/lab/BaselineProxy.java
@@ -53,9 +53,9 @@
         }
 
         void write() {
-            HttpMessageParser.Message m = request.message;
-            StringBuilder head = new StringBuilder(String.join(" ", m.startLine())).append("\r\n");
-            m.fields()
+            HttpMessageParser.Message message = request.message;
+            StringBuilder head = new StringBuilder(String.join(" ", message.startLine())).append("\r\n");
+            message.fields()
                     .forEach(
                             (name, value) -> {
                                 if (!name.equals("x-timeout-ms") && !name.equals("connection")) {
@@ -65,8 +65,8 @@
             long remaining = Math.max(1, (request.deadline - loop.now()) / 1_000_000);
             head.append("X-Timeout-Ms: ").append(remaining).append("\r\n\r\n");
             byte[] bytes = head.toString().getBytes(StandardCharsets.ISO_8859_1);
-            byte[] whole = java.util.Arrays.copyOf(bytes, bytes.length + m.body().length);
-            System.arraycopy(m.body(), 0, whole, bytes.length, m.body().length);
+            byte[] whole = java.util.Arrays.copyOf(bytes, bytes.length + message.body().length);
+            System.arraycopy(message.body(), 0, whole, bytes.length, message.body().length);
             written = true;
             conn.write(whole);
         }
@@ -83,8 +83,8 @@
         public void onBytes(Connection c, byte[] bytes, int length) {
             parser.add(bytes, length);
             try {
-                HttpMessageParser.Message answer = parser.next();
-                if (answer == null) {
+                HttpMessageParser.Message response = parser.next();
+                if (response == null) {
                     return;
                 }
                 ClientRequest done = request;
@@ -95,7 +95,7 @@
                     return;
                 }
                 idle.computeIfAbsent(backend, b -> new ArrayDeque<>()).addLast(this);
-                onBackendResponse(done, answer);
+                onBackendResponse(done, response);
             } catch (HttpMessageParser.MalformedMessageException e) {
                 c.reset();
             }
@@ -161,7 +161,7 @@
         return listener.address();
     }
 
-    void setActive(List<Backend> now) {
+    void setActiveBackends(List<Backend> now) {
         active = now;
     }
 
@@ -175,13 +175,13 @@
         HttpMessageParser parser = parsers.get(conn);
         parser.add(bytes, length);
         try {
-            HttpMessageParser.Message m = parser.next();
-            if (m == null) {
+            HttpMessageParser.Message message = parser.next();
+            if (message == null) {
                 return;
             }
             long deadline =
-                    loop.now() + 1_000_000L * Long.parseLong(m.field("x-timeout-ms")) - RESPONSE_RESERVE_NANOS;
-            ClientRequest request = new ClientRequest(conn, m, deadline);
+                    loop.now() + 1_000_000L * Long.parseLong(message.field("x-timeout-ms")) - RESPONSE_RESERVE_NANOS;
+            ClientRequest request = new ClientRequest(conn, message, deadline);
             requests.put(conn, request);
             request.timer = loop.at(deadline, () -> respond(request, 502));
             attempt(request);
@@ -223,9 +223,9 @@
         switch (policy) {
             case "least" -> {
                 int least = candidates.stream().mapToInt(b -> inFlight.getOrDefault(b, 0)).min().orElse(0);
-                List<Backend> idle =
+                List<Backend> leastLoaded =
                         candidates.stream().filter(b -> inFlight.getOrDefault(b, 0) == least).toList();
-                return idle.get(random.nextInt(idle.size()));
+                return leastLoaded.get(random.nextInt(leastLoaded.size()));
             }
             case "round" -> {
                 return candidates.get(Math.floorMod(nextIndex++ + proxyNumber, candidates.size()));
@@ -236,18 +236,18 @@
         }
     }
 
-    private void onBackendResponse(ClientRequest request, HttpMessageParser.Message answer) {
+    private void onBackendResponse(ClientRequest request, HttpMessageParser.Message response) {
         if (request.finished) {
             return;
         }
         request.connection = null;
-        switch (answer.startLine().get(1)) {
+        switch (response.startLine().get(1)) {
             case "200" -> {
                 finish(request);
-                request.client.write(HttpMessageParser.encodeResponse(200, null, null, answer.body()));
+                request.client.write(HttpMessageParser.encodeResponse(200, null, null, response.body()));
             }
             case "503", "504" -> {
-                if (answer.field("x-not-processed") != null) {
+                if (response.field("x-not-processed") != null) {
                     attempt(request);
                 } else {
                     respond(request, isSafe(request) ? 503 : 502);
--- a/src/main/java/cottonlock/lab/Clients.java
+++ b/src/main/java/cottonlock/lab/Clients.java
@@ -185,7 +185,7 @@
             default -> series.count(Series.Count.NO_ANSWER, now - scheduleStart);
         }
         boolean retry = retries < plan.retries() && result.outcome() == ProxyClient.Outcome.REJECTED;
-        long delay = Math.max(result.comeBack(), MIN_RETRY_DELAY_NANOS + (long) (random.nextDouble() * MIN_RETRY_DELAY_NANOS));
+        long delay = Math.max(result.retryAfterNanos(), MIN_RETRY_DELAY_NANOS + (long) (random.nextDouble() * MIN_RETRY_DELAY_NANOS));
         if (retry && now + delay < arrivedAt + categories.get(arrival.category()).expiry() && !stopped) {
             loop.after(delay, () -> send(arrival, number, 0, retries + 1, idempotencyKey, arrivedAt, scheduleStart, random));
         } else {
@@ -215,11 +215,11 @@
     private int pickProxy(int zone, SplittableRandom random) {
         List<Integer> alive = new ArrayList<>();
         List<Integer> sameZone = new ArrayList<>();
-        for (int p = 0; p < zones.length; p++) {
-            if (unavailableFrom[p] < 0 || loop.now() < unavailableFrom[p]) {
-                alive.add(p);
-                if (zones[p] == zone) {
-                    sameZone.add(p);
+        for (int proxy = 0; proxy < zones.length; proxy++) {
+            if (unavailableFrom[proxy] < 0 || loop.now() < unavailableFrom[proxy]) {
+                alive.add(proxy);
+                if (zones[proxy] == zone) {
+                    sameZone.add(proxy);
                 }
             }
         }
--- a/src/main/java/cottonlock/lab/Connection.java
+++ b/src/main/java/cottonlock/lab/Connection.java
@@ -177,29 +177,29 @@
     }
 
     /** Writes an answer as the network passes it on. */
-    void writeResponse(byte[] whole) {
-        NetworkPath.Transmission transmission = path.transmit(whole);
-        long wait = 0;
+    void writeResponse(byte[] response) {
+        NetworkPath.Transmission transmission = path.transmit(response);
+        long delayNanos = 0;
         for (byte[] piece : transmission.pieces()) {
-            write(piece, wait);
-            wait += NetworkPath.SPLIT_PAUSE_NANOS;
+            write(piece, delayNanos);
+            delayNanos += NetworkPath.SPLIT_PAUSE_NANOS;
         }
         if (transmission.thenReset()) {
-            loop.at(Math.max(lastDeliveryOut, loop.now() + wait), this::reset);
+            loop.at(Math.max(lastDeliveryOut, loop.now() + delayNanos), this::reset);
         }
     }
 
-    private void write(byte[] bytes, long wait) {
+    private void write(byte[] bytes, long delayNanos) {
         if (closed || path.cut) {
             return;
         }
         long now = loop.now();
-        if (wait == 0 && path.isUnrestricted() && lastDeliveryOut <= now) {
+        if (delayNanos == 0 && path.isUnrestricted() && lastDeliveryOut <= now) {
             writeQueue.add(ByteBuffer.wrap(bytes));
             flushOrClose();
             return;
         }
-        lastDeliveryOut = Math.max(lastDeliveryOut, now + path.delayNanos + wait) + path.transferNanos(bytes.length);
+        lastDeliveryOut = Math.max(lastDeliveryOut, now + path.delayNanos + delayNanos) + path.transferNanos(bytes.length);
         loop.at(
                 lastDeliveryOut,
                 () -> {
--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -120,14 +120,14 @@
         Watch watch = new Watch(proxy);
         watch.baselineUpdates = recipient;
         watches.put(proxy, watch);
-        recipient.accept(active());
+        recipient.accept(activeBackends());
     }
 
     InetSocketAddress address(int proxy) {
         return watches.get(proxy).listener.address();
     }
 
-    private List<Backend> active() {
+    private List<Backend> activeBackends() {
         List<Backend> active = new ArrayList<>();
         entries.values().stream()
                 .filter(entry -> entry.published == Health.ACTIVE)
@@ -145,21 +145,21 @@
         Watch watch = watches.get(proxy);
         for (Entry entry : full ? entries.values() : changedSince(since)) {
             if (!full || entry.published != Health.LEFT) {
-                Backend b = entry.backend;
-                InetSocketAddress address = watch.addresses.get(b.id);
+                Backend backend = entry.backend;
+                InetSocketAddress address = watch.addresses.get(backend.id);
                 boolean hideDrain = sabotage.equals("ignore-drain");
                 boolean hideStart = sabotage.equals("hide-cold");
                 long startedAtMillis =
-                        b.startedAt == 0 || hideStart ? 0 : wallStart + b.startedAt / 1_000_000;
+                        backend.startedAt == 0 || hideStart ? 0 : wallStart + backend.startedAt / 1_000_000;
                 hosts.append(hosts.length() == 0 ? "" : ",")
                         .append("{\"host\":\"")
-                        .append(b.id)
+                        .append(backend.id)
                         .append("\",\"dial\":\"")
                         .append(address.getAddress().getHostAddress())
                         .append(':')
                         .append(address.getPort())
                         .append("\",\"site\":\"")
-                        .append(b.room)
+                        .append(backend.zone)
                         .append("\",\"class\":\"std\",\"block\":0,\"health\":\"")
                         .append(
                                 (hideDrain ? Health.ACTIVE : entry.published)
@@ -236,11 +236,11 @@
                 () -> {
                     if (watch.baselineUpdates != null) {
                         if (!sabotage.equals("ignore-drain")) {
-                            watch.baselineUpdates.accept(active());
+                            watch.baselineUpdates.accept(activeBackends());
                         }
                     } else {
-                        String entry = json(watch.proxy, false, since);
-                        watch.streams.forEach(conn -> conn.write(chunk(entry + "\n")));
+                        String line = json(watch.proxy, false, since);
+                        watch.streams.forEach(conn -> conn.write(encodeChunk(line + "\n")));
                     }
                     // The others were noted when they were told: with all of them, a thousand
                     // backends that change in
@@ -268,7 +268,7 @@
         }
     }
 
-    private static byte[] chunk(String text) {
+    private static byte[] encodeChunk(String text) {
         return (Integer.toHexString(text.length()) + "\r\n" + text + "\r\n")
                 .getBytes(StandardCharsets.ISO_8859_1);
     }
@@ -276,7 +276,7 @@
     private void sendHeartbeats() {
         for (Watch watch : watches.values()) {
             if (!silent) {
-                watch.streams.forEach(conn -> conn.write(chunk("\n")));
+                watch.streams.forEach(conn -> conn.write(encodeChunk("\n")));
             }
         }
         loop.after(HEARTBEAT_NANOS, this::sendHeartbeats);
@@ -312,7 +312,7 @@
             for (Watch watch : watches.values()) {
                 List.copyOf(watch.streams).forEach(Connection::reset);
                 if (watch.baselineUpdates != null) {
-                    watch.baselineUpdates.accept(active());
+                    watch.baselineUpdates.accept(activeBackends());
                     recordTold(watch);
                 }
             }
@@ -344,13 +344,13 @@
 
     @Override
     public void onBytes(Connection conn, byte[] bytes, int length) {
-        HttpMessageParser in = parsers.get(conn);
-        if (in == null) {
+        HttpMessageParser parser = parsers.get(conn);
+        if (parser == null) {
             return;
         }
-        in.add(bytes, length);
+        parser.add(bytes, length);
         try {
-            for (HttpMessageParser.Message m = in.next(); m != null; m = in.next()) {
+            for (HttpMessageParser.Message m = parser.next(); m != null; m = parser.next()) {
                 HttpMessageParser.Message message = m;
                 if (delayNanos > 0) {
                     loop.after(delayNanos, () -> handleRequest(conn, message));
@@ -387,15 +387,15 @@
             conn.write(
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                             .getBytes(StandardCharsets.ISO_8859_1));
-            conn.write(chunk(json(watch.proxy, full, since) + "\n"));
+            conn.write(encodeChunk(json(watch.proxy, full, since) + "\n"));
             watch.streams.add(conn);
         }
         recordTold(watch);
     }
 
     private static long parseIndex(String target) {
-        int at = target.indexOf("index=");
-        String digits = at < 0 ? "" : target.substring(at + 6).replaceAll("[^0-9].*", "");
+        int parameter = target.indexOf("index=");
+        String digits = parameter < 0 ? "" : target.substring(parameter + 6).replaceAll("[^0-9].*", "");
         return digits.isEmpty() ? 0 : Long.parseLong(digits);
     }
 
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -305,7 +305,7 @@
                             scenario.proxies.connectTimeout(),
                             chance.split(),
                             plainDials);
-            discovery.addBaselineProxy(number, baseline::setActive);
+            discovery.addBaselineProxy(number, baseline::setActiveBackends);
             self[0] =
                     new Node(
                             number,
--- a/src/main/java/cottonlock/lab/NetworkPath.java
+++ b/src/main/java/cottonlock/lab/NetworkPath.java
@@ -41,10 +41,10 @@
     /** What becomes of one answer on its way to the proxy. */
     record Transmission(List<byte[]> pieces, boolean thenReset) {}
 
-    Transmission transmit(byte[] whole) {
-        byte[] bytes = whole;
+    Transmission transmit(byte[] response) {
+        byte[] bytes = response;
         if (corruptionProbability > 0 && random.nextDouble() < corruptionProbability) {
-            bytes = whole.clone();
+            bytes = response.clone();
             // The status line and the names of fields: a changed body would pass for a right one
             // anywhere.
             int position = random.nextInt(Math.min(bytes.length, 24));
--- a/src/main/java/cottonlock/lab/PeerNetwork.java
+++ b/src/main/java/cottonlock/lab/PeerNetwork.java
@@ -60,7 +60,7 @@
                     byte[] datagram = new byte[buffer.flip().remaining()];
                     buffer.get(datagram);
                     endpoints.get(sender).recordSent(datagram.length);
-                    record(datagram);
+                    recordDatagram(datagram);
                     for (PeerPaths.Copy copy : paths.transmit(sender, number, datagram)) {
                         loop.after(copy.delayNanos(), () -> deliver(sender, number, copy.bytes()));
                     }
@@ -125,7 +125,7 @@
         }
     }
 
-    private void record(byte[] datagram) {
+    private void recordDatagram(byte[] datagram) {
         datagramsSeen++;
         if (recorded.size() < MAX_RECORDED_DATAGRAMS) {
             recorded.add(datagram);
