--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -632,7 +632,11 @@
             switch (entry.kind()) {
                 case "slow" ->
                         hit.forEach(
-                                b -> during(end, () -> b.setSlowdown(entry.amount()), () -> b.setSlowdown(1)));
+                                b ->
+                                        during(
+                                                end,
+                                                () -> b.setSlowdown(entry.amount()),
+                                                () -> b.setSlowdown(1)));
                 case "errors" ->
                         hit.forEach(
                                 b ->
@@ -641,13 +645,20 @@
                                                 () -> b.errorProbability = entry.amount(),
                                                 () -> b.errorProbability = 0));
                 case "pause" ->
-                        hit.forEach(b -> during(end, () -> b.setPaused(true), () -> b.setPaused(false)));
+                        hit.forEach(
+                                b ->
+                                        during(
+                                                end,
+                                                () -> b.setPaused(true),
+                                                () -> b.setPaused(false)));
                 case "delay" ->
                         hit.forEach(
                                 b ->
                                         during(
                                                 end,
-                                                () -> b.path.delayNanos = (long) (entry.amount() * 1e6),
+                                                () ->
+                                                        b.path.delayNanos =
+                                                                (long) (entry.amount() * 1e6),
                                                 () -> b.path.delayNanos = 0));
                 case "throttle" ->
                         hit.forEach(
@@ -681,7 +692,8 @@
                                                 () -> b.path.corruptionProbability = 0));
                 case "cut" ->
                         hit.forEach(b -> during(end, () -> cut(b, true), () -> cut(b, false)));
-                case "crash" -> hit.forEach(b -> during(end, () -> b.endProcess(false), () -> restart(b)));
+                case "crash" ->
+                        hit.forEach(b -> during(end, () -> b.endProcess(false), () -> restart(b)));
                 case "drain" -> hit.forEach(b -> drain(b, entry));
                 case "proxy-kill" -> proxyKill(nodes.get(entry.proxy()), end);
                 case "proxy-term" -> proxyTerm(nodes.get(entry.proxy()), entry.length());
@@ -722,9 +734,15 @@
                                 () -> discovery.setDelay((long) (entry.amount() * 1e6)),
                                 () -> discovery.setDelay(0));
                 case "discovery-silent" ->
-                        during(end, () -> discovery.setSilent(true), () -> discovery.setSilent(false));
+                        during(
+                                end,
+                                () -> discovery.setSilent(true),
+                                () -> discovery.setSilent(false));
                 case "discovery-stale" ->
-                        during(end, () -> discovery.setStale(true), () -> discovery.setStale(false));
+                        during(
+                                end,
+                                () -> discovery.setStale(true),
+                                () -> discovery.setStale(false));
                 default -> {
                     discovery.moveToNewAddresses();
                     nodes.stream()
@@ -1023,7 +1041,11 @@
                     node.host.end(
                             series,
                             killAfterMillis(),
-                            () -> loop.post(() -> node.client.onProxyTerminating(FRONT_AFTER_TERM)));
+                            () ->
+                                    loop.post(
+                                            () ->
+                                                    node.client.onProxyTerminating(
+                                                            FRONT_AFTER_TERM)));
                     loop.post(
                             () -> {
                                 node.serving = false;
@@ -1057,7 +1079,8 @@
     }
 
     private void crowd(Node node, long end, int connections) {
-        IdleConnections idle = new IdleConnections(loop, buffer, () -> node.serving ? node.host.address() : null);
+        IdleConnections idle =
+                new IdleConnections(loop, buffer, () -> node.serving ? node.host.address() : null);
         idle.openAll(connections);
         loop.at(end, idle::closeAll);
     }
--- a/src/main/java/cottonlock/lab/package-info.java
+++ b/src/main/java/cottonlock/lab/package-info.java
@@ -3,8 +3,8 @@
  * network, a ledger of every byte they see, and reports. Used by tests and the command line, never
  * by {@code serve}.
  *
- * <p>All stand-ins live on one thread, a {@link cottonlock.lab.EventLoop}, and so need no locks; what
- * they decide stands in classes free of I/O, marked {@link cottonlock.core.Deterministic}.
+ * <p>All stand-ins live on one thread, a {@link cottonlock.lab.EventLoop}, and so need no locks;
+ * what they decide stands in classes free of I/O, marked {@link cottonlock.core.Deterministic}.
  * docs/lab.md says why.
  */
 package cottonlock.lab;
--- a/src/test/java/cottonlock/lab/LabTest.java
+++ b/src/test/java/cottonlock/lab/LabTest.java
@@ -266,7 +266,8 @@
                     public void onClosed(Connection conn, boolean byReset) {}
                 };
         Listener listener =
-                new Listener(loop, Connection.sharedBuffer(), owner, new NetworkPath(null), 0, null);
+                new Listener(
+                        loop, Connection.sharedBuffer(), owner, new NetworkPath(null), 0, null);
         Thread thread =
                 new Thread(
                         () -> {
--- a/src/test/java/cottonlock/lab/LedgerTest.java
+++ b/src/test/java/cottonlock/lab/LedgerTest.java
@@ -178,7 +178,8 @@
         model.start(200_000);
         for (int i = 0; i < 1_000; i++) {
             assertFalse(
-                    model.isOverloadedCold(200_000 + i * 40, 100), "two and a half times what it can do");
+                    model.isOverloadedCold(200_000 + i * 40, 100),
+                    "two and a half times what it can do");
         }
     }
 }
--- a/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
+++ b/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
@@ -367,13 +367,16 @@
         one.setFault(Fault.OVERLOADED);
         other.setFault(Fault.OVERLOADED);
         startHere(null, one, other);
-        inTime(() -> one.maxCallsPerSecond() > 0 && other.maxCallsPerSecond() > 0, "both are called");
+        inTime(
+                () -> one.maxCallsPerSecond() > 0 && other.maxCallsPerSecond() > 0,
+                "both are called");
         other.setFault(Fault.NONE);
         other.publish("s", 1, base, named("twice"));
         inTime(
                 () -> status(call(request("twice", "n" + System.nanoTime(), "", "body"))) == 200,
                 "in force");
-        assertTrue(one.maxCallsPerSecond() <= 4 && other.maxCallsPerSecond() <= 4, "calls are paced");
+        assertTrue(
+                one.maxCallsPerSecond() <= 4 && other.maxCallsPerSecond() <= 4, "calls are paced");
     }
 
     /** A version whose taking in has ended three processes is not tried by a fourth. */
