--- a/src/main/java/cottonlock/lab/Arrivals.java
+++ b/src/main/java/cottonlock/lab/Arrivals.java
@@ -8,24 +8,34 @@
 import java.util.SplittableRandom;
 
 /**
- * The schedule of a run: when which request comes, drawn from the seed alone before the run begins,
- * so that two runs of one seed are given the same. Each tenant draws from a generator of its own: a
- * change of one tenant's rate moves no arrival of another's.
+ * The schedule of a run: the arrival time and content of each request. It is drawn from the seed
+ * alone before the run begins, so that two runs with one seed get the same schedule. Each tenant
+ * has a random generator of its own, so a change of one tenant's rate moves no arrival of another
+ * tenant.
  */
 @Deterministic
 final class Arrivals {
-    /** The largest work, as a multiple of the mean: one draw must not decide a run. */
+    /**
+     * The largest work of a request as a multiple of the mean, so that one draw can't decide a run.
+     */
     private static final double MAX_WORK_FACTOR = 20;
 
     /**
-     * One request that is due to be sent.
+     * One request of the schedule.
      *
      * @param work core nanoseconds at speed 1
-     * @param draw for everything else that its client decides by chance
-     * @param leaves the part of its patience after which its client leaves; 1 and more for never
+     * @param clientSeed seeds all other random choices of the client
+     * @param cancelFraction the fraction of its timeout after which the client disconnects; never
+     *     if 1 or more
      */
     record Arrival(
-            long atNanos, int tenant, int category, int zone, double work, long clientSeed, double cancelFraction) {
+            long atNanos,
+            int tenant,
+            int category,
+            int zone,
+            double work,
+            long clientSeed,
+            double cancelFraction) {
         String line(int number) {
             return String.format(
                     Locale.ROOT,
@@ -65,17 +75,20 @@
                                 1,
                                 bursts.stream().mapToDouble(Scenario.Burst::times).max().orElse(1));
                 boolean even = clients.arrivals().equals("even");
-                // Drawn at the highest rate and thinned out: an arrival before a burst is the same
-                // without
-                // it.
+                // Arrivals are drawn at the highest rate and thinned out, so that arrivals before a
+                // burst are the same as without it.
                 double atNanos = 0;
                 while (rate > 0) {
-                    atNanos += even ? 1 / rate / maxFactor : -Math.log(1 - random.nextDouble()) / rate / maxFactor;
+                    atNanos +=
+                            even
+                                    ? 1 / rate / maxFactor
+                                    : -Math.log(1 - random.nextDouble()) / rate / maxFactor;
                     if (atNanos >= length) {
                         break;
                     }
                     double thinning = random.nextDouble();
-                    Arrival arrival = drawArrival((long) atNanos, t, zones, categories, clients, random);
+                    Arrival arrival =
+                            drawArrival((long) atNanos, t, zones, categories, clients, random);
                     if (thinning * maxFactor < rateFactor(bursts, name, (long) atNanos)) {
                         all.add(arrival);
                     }
@@ -127,7 +140,7 @@
             c++;
         }
         double spread = categories.get(c).spread();
-        // Log-normal with the given mean, whatever the spread is.
+        // Log-normal with the given mean, independent of the spread.
         double factor = Math.exp(spread * gaussian(random) - spread * spread / 2);
         double cancelFraction = random.nextDouble() < clients.leave() ? random.nextDouble() : 2;
         return new Arrival(
--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -13,20 +13,20 @@
 import java.util.SplittableRandom;
 
 /**
- * The stand-in of one backend: a door for each proxy, a model of what it can do, and calls to the
- * next tier through a proxy of its own.
+ * A simulated backend: a listener for each proxy, a model of its capacity, and calls to the next
+ * tier through a proxy of its own.
  */
 final class Backend implements Connection.Owner {
     private static final byte[] EMPTY_BODY = new byte[0];
 
-    /** Its life as a process. */
+    /** The state of the backend's process. An overloaded one has crashed and isn't restarted. */
     enum ProcessState {
         UP,
         DOWN,
         OVERLOADED
     }
 
-    /** One request from its first byte to its answer. */
+    /** One request, from its first byte to its response. */
     private static final class Job {
         final Connection conn;
         final long firstByte;
@@ -46,8 +46,8 @@
     }
 
     /**
-     * What a connection holds: what has come of a message, and the request that waits for its
-     * answer.
+     * The state of a connection: the parser of its requests, and the request that awaits its
+     * response.
      */
     private static final class ConnectionState {
         final HttpMessageParser parser = new HttpMessageParser();
@@ -55,11 +55,11 @@
         Job job;
     }
 
-    /** The marks of repeats that the backends of one group remember together. */
+    /** The idempotency keys that the backends of one scope remember together. */
     static final class SeenKeys {
         private final Map<String, Long> expiryByKey = new HashMap<>();
 
-        /** True the first time within the window. */
+        /** Returns true if the key wasn't seen within the window, and remembers it. */
         boolean addIfNew(String key, long now, long window) {
             Long knownUntil = expiryByKey.get(key);
             if (knownUntil != null && now < knownUntil) {
@@ -87,15 +87,15 @@
     private final Map<Connection, ConnectionState> connections = new HashMap<>();
     private final Set<Job> running = new HashSet<>();
 
-    /** How it reaches the next tier; null in the last. */
+    /** The client of the proxy to the next tier; null in the last tier. */
     ProxyClient nextTier;
 
-    /** Told when it falls or is killed, so that its own proxy goes with it. */
+    /** Called when the process ends, so that the backend's own proxy ends with it. */
     Runnable onProcessEnd = () -> {};
 
     ProcessState processState = ProcessState.UP;
 
-    /** When it last started, on the loop's clock; 0 for long ago. */
+    /** When the process last started, by the loop's clock; 0 if it started before the run. */
     long startedAt;
 
     double errorProbability;
@@ -139,7 +139,7 @@
                         rules.fall());
     }
 
-    /** A door for a proxy, before the run begins. */
+    /** Opens a listener for a proxy, before the run begins. */
     Listener addListener(ByteBuffer buffer, int proxy) throws IOException {
         Listener listener = new Listener(loop, buffer, this, path, proxy, this);
         listeners.add(listener);
@@ -151,8 +151,8 @@
     }
 
     /**
-     * The process stands still, as in a long collection: its sockets stay, nothing is read or
-     * answered.
+     * Pauses or resumes the process, as in a long garbage collection: its sockets stay open, but
+     * nothing is read or answered.
      */
     void setPaused(boolean value) {
         paused = value;
@@ -163,7 +163,10 @@
         }
     }
 
-    /** The process dies: its connections are reset, new ones refused, and what it did is gone. */
+    /**
+     * Ends the process: open connections are reset, new ones are refused, and jobs in progress are
+     * lost.
+     */
     void endProcess(boolean overloaded) {
         processState = overloaded ? ProcessState.OVERLOADED : ProcessState.DOWN;
         running.forEach(
@@ -184,7 +187,7 @@
         onProcessEnd.run();
     }
 
-    /** A new process at the same address, cold. */
+    /** Starts a new, cold process at the same address. */
     void restart() throws IOException {
         processState = ProcessState.UP;
         startedAt = loop.now();
@@ -198,7 +201,10 @@
         }
     }
 
-    /** The network to it is cut silently, or comes back: then what was open is reset. */
+    /**
+     * Cuts the network to the backend silently, or restores it: connections opened before are then
+     * reset.
+     */
     void setCutOff(boolean off) throws IOException {
         path.cut = off;
         if (processState != ProcessState.UP) {
@@ -240,8 +246,8 @@
             return;
         }
         if (state.firstByte < 0) {
-            // When it left the proxy: what this stand-in or its network holds back is not the
-            // proxy's doing.
+            // The time at which the bytes left the proxy: delays by this stand-in or its network
+            // aren't the proxy's doing.
             state.firstByte = conn.receivedAt;
         }
         state.parser.add(bytes, length);
@@ -265,9 +271,10 @@
         job.tenant = message.field("x-tenant-id");
         String target = message.startLine().get(1);
         int workParameter = target.indexOf("?w=");
-        job.category = workParameter < 0 ? null : categories.get(target.substring(1, workParameter));
+        job.category =
+                workParameter < 0 ? null : categories.get(target.substring(1, workParameter));
         if (job.id == null || job.category == null) {
-            // No proxy that passes on what it was given sends this.
+            // A proxy that forwards requests unchanged never sends this.
             sendResponse(job, 404, null, EMPTY_BODY);
             return;
         }
@@ -279,7 +286,7 @@
         int proxy = ((Listener) job.conn.attachment).proxy;
         ledger.received(job.firstByte, now, job.id, id, proxy);
         if (sabotage.equals("resend") && random.nextInt(20) == 0) {
-            // As if the proxy had sent it twice: here and, by a doubt, to somebody else.
+            // Simulates a proxy that sends the request twice, here and to another backend.
             ledger.received(job.firstByte, now, job.id, id, proxy);
             ledger.effect(now, job.id, job.category.repeat(), "elsewhere");
         }
@@ -302,7 +309,7 @@
         long now = loop.now();
         running.add(job);
         if (now >= job.deadline) {
-            // Nobody waits for it any more: not begun, it has had no effect.
+            // The deadline has passed: the job hasn't started, so it has had no effect.
             job.timer =
                     loop.after(
                             0,
@@ -330,7 +337,7 @@
             deferredTasks.add(() -> onWorkDone(job));
             return;
         }
-        // The core is free while the next tier works.
+        // The core is free while the next tier processes the calls.
         if (job.callsLeft > 0 && nextTier != null) {
             startQueuedJob();
             callNextTier(job);
@@ -441,7 +448,6 @@
         }
     }
 
-    /** Whether its process runs. */
     boolean isUp() {
         return processState == ProcessState.UP;
     }
--- a/src/main/java/cottonlock/lab/BackendModel.java
+++ b/src/main/java/cottonlock/lab/BackendModel.java
@@ -5,15 +5,15 @@
 import java.util.Deque;
 
 /**
- * What a backend can do, in time that it is given: cores, a queue, a cold start that warms, and a
- * fall when it is pushed too far while cold. Times are nanoseconds; work is core nanoseconds at
- * speed 1.
+ * A model of a backend's capacity: cores, a queue, a cold start during which the capacity grows,
+ * and a crash if the backend is overloaded while cold. The caller supplies the time. Times are
+ * nanoseconds; work is core nanoseconds at speed 1.
  *
  * @param <J> a job
  */
 @Deterministic
 final class BackendModel<J> {
-    /** What becomes of a job that comes. */
+    /** What happens to a new job. */
     enum Admission {
         STARTED,
         QUEUED,
@@ -35,7 +35,7 @@
     private int busy;
     private long startedAt = Long.MIN_VALUE / 2;
 
-    /** How many times slower than usual it works just now. */
+    /** The factor by which work takes longer than usual. */
     double slowdown = 1;
 
     BackendModel(
@@ -55,7 +55,7 @@
         this.overloadWindowNanos = overloadWindowNanos;
     }
 
-    /** A new process, cold and idle. */
+    /** Resets the model to a new process, cold and idle. */
     void start(long now) {
         startedAt = now;
         queuedJobs.clear();
@@ -64,15 +64,20 @@
         busy = 0;
     }
 
-    /** The part of its capacity that it has: the cold share at the start, growing evenly to 1. */
+    /**
+     * The fraction of the full capacity that is available: the cold share at the start, growing
+     * linearly to 1.
+     */
     double capacityShare(long now) {
-        return now - startedAt >= coldNanos ? 1 : coldShare + (1 - coldShare) * (now - startedAt) / coldNanos;
+        return now - startedAt >= coldNanos
+                ? 1
+                : coldShare + (1 - coldShare) * (now - startedAt) / coldNanos;
     }
 
     /**
-     * Notes work that was sent to it, whether or not it can take it; true when that pushes it over:
-     * in the last {@code fall}, while it was cold, more came than the multiple of what it can do at
-     * this moment.
+     * Records work that was sent to the backend, whether or not it can take it. Returns true if
+     * this overloads a cold backend: the work received within the overload window exceeds the
+     * overload factor times what the backend can do at its present capacity.
      */
     boolean isOverloadedCold(long now, double work) {
         if (now - startedAt >= coldNanos) {
@@ -83,10 +88,11 @@
         while (recentWork.peek().timeNanos <= now - overloadWindowNanos) {
             recentWorkSum -= recentWork.poll().work;
         }
-        return recentWorkSum > overloadFactor * cores * speed * capacityShare(now) * overloadWindowNanos;
+        return recentWorkSum
+                > overloadFactor * cores * speed * capacityShare(now) * overloadWindowNanos;
     }
 
-    /** Takes a job, puts it in the queue, or turns it away. */
+    /** Starts a job, queues it, or rejects it. */
     Admission admit(J job) {
         if (busy < cores) {
             busy++;
@@ -99,12 +105,12 @@
         return Admission.QUEUED;
     }
 
-    /** How long a core needs for so much work that it begins now. */
+    /** The time that a core needs for work that starts now. */
     long serviceNanos(long now, double work) {
         return (long) (work * slowdown / (speed * capacityShare(now)));
     }
 
-    /** A core has become free; the job that it begins next, or null. */
+    /** Called when a core becomes free. Returns the queued job that it starts next, or null. */
     J onCoreFree() {
         J job = queuedJobs.poll();
         if (job == null) {
@@ -113,7 +119,7 @@
         return job;
     }
 
-    /** Takes a job out of the queue whose sender has gone. */
+    /** Removes a job from the queue after its sender has disconnected. */
     boolean removeQueued(J job) {
         return queuedJobs.remove(job);
     }
--- a/src/main/java/cottonlock/lab/BaselineProxy.java
+++ b/src/main/java/cottonlock/lab/BaselineProxy.java
@@ -13,15 +13,16 @@
 import java.util.SplittableRandom;
 
 /**
- * A baseline: a proxy that picks a backend from those that the list calls active by a plain policy,
- * sends again only what provably never ran, and knows nothing of lanes, quotas, doubt or cold
- * starts. It shows what the decisions of the real one are worth; no command serves with it.
+ * A baseline to compare with: a proxy that picks one of the backends listed as active by a simple
+ * policy, retries only requests that provably weren't processed, and has no lanes, quotas,
+ * uncertain outcomes or handling of cold starts. It shows what the decisions of the real proxy are
+ * worth; no command serves with it.
  */
 final class BaselineProxy implements Connection.Owner {
-    /** Nanoseconds before the expiry at which it gives up: the way back. */
+    /** How long before the deadline it gives up, in nanoseconds, to leave time for the response. */
     private static final long RESPONSE_RESERVE_NANOS = 10_000_000L;
 
-    /** One request. */
+    /** A request of a client. */
     private static final class ClientRequest {
         final Connection client;
         final HttpMessageParser.Message message;
@@ -38,7 +39,7 @@
         }
     }
 
-    /** A connection to a backend and the request on it. */
+    /** A connection to a backend with the request in progress on it. */
     private final class BackendConnection implements Connection.Owner {
         final Backend backend;
         final HttpMessageParser parser = new HttpMessageParser();
@@ -54,7 +55,8 @@
 
         void write() {
             HttpMessageParser.Message message = request.message;
-            StringBuilder head = new StringBuilder(String.join(" ", message.startLine())).append("\r\n");
+            StringBuilder head =
+                    new StringBuilder(String.join(" ", message.startLine())).append("\r\n");
             message.fields()
                     .forEach(
                             (name, value) -> {
@@ -180,7 +182,9 @@
                 return;
             }
             long deadline =
-                    loop.now() + 1_000_000L * Long.parseLong(message.field("x-timeout-ms")) - RESPONSE_RESERVE_NANOS;
+                    loop.now()
+                            + 1_000_000L * Long.parseLong(message.field("x-timeout-ms"))
+                            - RESPONSE_RESERVE_NANOS;
             ClientRequest request = new ClientRequest(conn, message, deadline);
             requests.put(conn, request);
             request.timer = loop.at(deadline, () -> respond(request, 502));
@@ -205,7 +209,9 @@
         request.tried.add(backend);
         inFlight.merge(backend, 1, Integer::sum);
         Deque<BackendConnection> idleToBackend = idle.getOrDefault(backend, new ArrayDeque<>());
-        for (BackendConnection connection = idleToBackend.pollLast(); connection != null; connection = idleToBackend.pollLast()) {
+        for (BackendConnection connection = idleToBackend.pollLast();
+                connection != null;
+                connection = idleToBackend.pollLast()) {
             if (!connection.conn.isClosed()) {
                 connection.request = request;
                 request.connection = connection;
@@ -222,9 +228,15 @@
     private Backend pick(List<Backend> candidates) {
         switch (policy) {
             case "least" -> {
-                int least = candidates.stream().mapToInt(b -> inFlight.getOrDefault(b, 0)).min().orElse(0);
+                int least =
+                        candidates.stream()
+                                .mapToInt(b -> inFlight.getOrDefault(b, 0))
+                                .min()
+                                .orElse(0);
                 List<Backend> leastLoaded =
-                        candidates.stream().filter(b -> inFlight.getOrDefault(b, 0) == least).toList();
+                        candidates.stream()
+                                .filter(b -> inFlight.getOrDefault(b, 0) == least)
+                                .toList();
                 return leastLoaded.get(random.nextInt(leastLoaded.size()));
             }
             case "round" -> {
@@ -244,7 +256,8 @@
         switch (response.startLine().get(1)) {
             case "200" -> {
                 finish(request);
-                request.client.write(HttpMessageParser.encodeResponse(200, null, null, response.body()));
+                request.client.write(
+                        HttpMessageParser.encodeResponse(200, null, null, response.body()));
             }
             case "503", "504" -> {
                 if (response.field("x-not-processed") != null) {
--- a/src/main/java/cottonlock/lab/Clients.java
+++ b/src/main/java/cottonlock/lab/Clients.java
@@ -5,15 +5,18 @@
 import java.util.SplittableRandom;
 
 /**
- * The clients and the front that deals their connections out among the proxies of their room.
- * Arrivals are open loop: they come when the schedule has them, whatever became of those before.
- * Latency counts from then.
+ * The clients, and the front-end balancer that distributes their connections among the proxies of
+ * their zone. Arrivals are open loop: requests are sent at their scheduled times, independent of
+ * the outcome of earlier ones. Latency counts from the scheduled time.
  */
 final class Clients {
-    /** Proxies that are tried for one send when connections don't come up. */
+    /** How many proxies are tried for one send when connections can't be established. */
     private static final int MAX_PROXIES_TRIED = 3;
 
-    /** Nanoseconds before a client sends again when it was given no come-back time, at least. */
+    /**
+     * The shortest delay before a client's retry, in nanoseconds. A random time of up to as much is
+     * added; a longer Retry-After takes precedence.
+     */
     private static final long MIN_RETRY_DELAY_NANOS = 50_000_000L;
 
     private final EventLoop loop;
@@ -24,7 +27,8 @@
     private final List<ProxyClient> proxyClients;
 
     /**
-     * The room of each proxy, and since when the front knows that it is gone; -1 while it serves.
+     * The zone of each proxy, and the time from which the front-end balancer knows that it is
+     * unavailable; -1 while it serves.
      */
     private final int[] zones;
 
@@ -55,7 +59,7 @@
         java.util.Arrays.fill(unavailableFrom, -1);
     }
 
-    /** Sends the schedule from a time on. */
+    /** Starts sending the schedule, whose times count from {@code scheduleStart}. */
     void start(List<Arrivals.Arrival> schedule, long scheduleStart) {
         arrivals = schedule;
         scheduleNext(scheduleStart);
@@ -74,7 +78,7 @@
         }
     }
 
-    /** Nothing further is sent. */
+    /** Stops sending. */
     void stop() {
         stopped = true;
     }
@@ -91,7 +95,7 @@
         return retried;
     }
 
-    /** A proxy has died or left; the front notices a while later. */
+    /** Marks a proxy as unavailable; the front-end balancer notices it at the given time. */
     void markUnavailable(int proxy, long noticedAt) {
         unavailableFrom[proxy] = noticedAt;
     }
@@ -104,11 +108,20 @@
         pending++;
         series.count(Series.Count.DUE, arrival.atNanos());
         SplittableRandom random = new SplittableRandom(arrival.clientSeed());
-        String idempotencyKey = Long.toHexString(arrival.clientSeed()) + Integer.toHexString(number);
-        send(arrival, number, 0, 0, idempotencyKey, scheduleStart + arrival.atNanos(), scheduleStart, random);
+        String idempotencyKey =
+                Long.toHexString(arrival.clientSeed()) + Integer.toHexString(number);
+        send(
+                arrival,
+                number,
+                0,
+                0,
+                idempotencyKey,
+                scheduleStart + arrival.atNanos(),
+                scheduleStart,
+                random);
     }
 
-    /** One send of a request: the first, or a client's retry of it. */
+    /** Sends a request: its first send, or a client's retry. */
     private void send(
             Arrivals.Arrival arrival,
             int number,
@@ -126,7 +139,7 @@
             recordOutcome(arrival, ProxyClient.Outcome.NOT_SENT, scheduleStart);
             return;
         }
-        // Which send this is: an id is new with each (PROTOCOL).
+        // Each send has a new id (PROTOCOL).
         String id =
                 Integer.toString(number, 36)
                         + "-"
@@ -135,10 +148,14 @@
                         + proxiesTried
                         + "-"
                         + Long.toString(random.nextLong() >>> 24, 36);
-        long cancelAfter = arrival.cancelFraction() < 1 && retries == 0 ? (long) (arrival.cancelFraction() * timeout) : -1;
+        long cancelAfter =
+                arrival.cancelFraction() < 1 && retries == 0
+                        ? (long) (arrival.cancelFraction() * timeout)
+                        : -1;
         sent++;
         retried += retries > 0 && proxiesTried == 0 ? 1 : 0;
-        proxyClients.get(proxy)
+        proxyClients
+                .get(proxy)
                 .send(
                         new ProxyClient.Request(
                                 id,
@@ -153,11 +170,28 @@
                         cancelAfter,
                         result -> {
                             if (result.outcome() == ProxyClient.Outcome.NOT_SENT) {
-                                // Nobody has it: the front tries the next proxy.
+                                // The request wasn't sent: the front-end balancer tries another
+                                // proxy.
                                 sent--;
-                                send(arrival, number, proxiesTried + 1, retries, idempotencyKey, arrivedAt, scheduleStart, random);
+                                send(
+                                        arrival,
+                                        number,
+                                        proxiesTried + 1,
+                                        retries,
+                                        idempotencyKey,
+                                        arrivedAt,
+                                        scheduleStart,
+                                        random);
                             } else {
-                                onResult(arrival, result, number, retries, idempotencyKey, arrivedAt, scheduleStart, random);
+                                onResult(
+                                        arrival,
+                                        result,
+                                        number,
+                                        retries,
+                                        idempotencyKey,
+                                        arrivedAt,
+                                        scheduleStart,
+                                        random);
                             }
                         });
     }
@@ -184,20 +218,39 @@
             case FAILED -> series.count(Series.Count.WRITTEN_OFF, now - scheduleStart);
             default -> series.count(Series.Count.NO_ANSWER, now - scheduleStart);
         }
-        boolean retry = retries < plan.retries() && result.outcome() == ProxyClient.Outcome.REJECTED;
-        long delay = Math.max(result.retryAfterNanos(), MIN_RETRY_DELAY_NANOS + (long) (random.nextDouble() * MIN_RETRY_DELAY_NANOS));
-        if (retry && now + delay < arrivedAt + categories.get(arrival.category()).expiry() && !stopped) {
-            loop.after(delay, () -> send(arrival, number, 0, retries + 1, idempotencyKey, arrivedAt, scheduleStart, random));
+        boolean retry =
+                retries < plan.retries() && result.outcome() == ProxyClient.Outcome.REJECTED;
+        long delay =
+                Math.max(
+                        result.retryAfterNanos(),
+                        MIN_RETRY_DELAY_NANOS
+                                + (long) (random.nextDouble() * MIN_RETRY_DELAY_NANOS));
+        if (retry
+                && now + delay < arrivedAt + categories.get(arrival.category()).expiry()
+                && !stopped) {
+            loop.after(
+                    delay,
+                    () ->
+                            send(
+                                    arrival,
+                                    number,
+                                    0,
+                                    retries + 1,
+                                    idempotencyKey,
+                                    arrivedAt,
+                                    scheduleStart,
+                                    random));
         } else {
             recordOutcome(arrival, result.outcome(), scheduleStart);
         }
     }
 
-    private void recordOutcome(Arrivals.Arrival arrival, ProxyClient.Outcome outcome, long scheduleStart) {
+    private void recordOutcome(
+            Arrivals.Arrival arrival, ProxyClient.Outcome outcome, long scheduleStart) {
         pending--;
         Scenario.CategoryPlan category = categories.get(arrival.category());
         if (outcome == ProxyClient.Outcome.CANCELLED) {
-            // Who left on purpose was owed nothing.
+            // No response is owed to a client that has disconnected by itself.
             return;
         }
         if (outcome == ProxyClient.Outcome.NOT_SENT) {
@@ -211,7 +264,10 @@
         series.credit(arrival.tenant(), arrival.atNanos(), category.credit(), earned);
     }
 
-    /** A proxy of the room that the front takes for alive; of all, where the room has none. */
+    /**
+     * Picks a proxy of the zone that the front-end balancer believes available, or any available
+     * one if the zone has none; -1 if there is none.
+     */
     private int pickProxy(int zone, SplittableRandom random) {
         List<Integer> alive = new ArrayList<>();
         List<Integer> sameZone = new ArrayList<>();
--- a/src/main/java/cottonlock/lab/Connection.java
+++ b/src/main/java/cottonlock/lab/Connection.java
@@ -11,23 +11,23 @@
 import java.util.Deque;
 
 /**
- * One connection of a stand-in, with the network it goes over. It owns its channel and closes it in
- * one place; {@link Owner#ended} comes exactly once.
+ * One connection of a stand-in, with the simulated network that it goes through. It owns its
+ * channel and closes it in one place; {@link Owner#onClosed} is called exactly once.
  */
 final class Connection implements EventLoop.ReadyHandler {
-    /** Whom a connection tells what happens on it. */
+    /** Receives the events of a connection. */
     interface Owner {
-        /** It has come up; for connections that the stand-in opened. */
+        /** The connection is established, opened by the stand-in or accepted by its listener. */
         default void onConnected(Connection conn) {}
 
-        /** Bytes have come through the network. */
+        /** Bytes have arrived through the network. */
         void onBytes(Connection conn, byte[] bytes, int length);
 
-        /** It is over: by the other side, or from here. */
+        /** The connection has ended, closed by the peer or from this side. */
         void onClosed(Connection conn, boolean byReset);
     }
 
-    /** Shared by all connections of a loop: only one is read at a time. */
+    /** The size of the buffer shared by all connections of a loop: only one is read at a time. */
     private static final int READ_BUFFER_BYTES = 64 << 10;
 
     private final EventLoop loop;
@@ -40,21 +40,28 @@
     private boolean closeAfterWrites;
     private boolean closed;
 
-    /** When the last bytes under way get through, each way: what is delayed stays in order. */
+    /**
+     * When the last delayed bytes are delivered, in each direction: delayed bytes stay in order.
+     */
     private long lastDeliveryIn;
 
     private long lastDeliveryOut;
 
-    /** What its owner knows it by. */
+    /** An object attached by the owner. */
     Object attachment;
 
     /**
-     * When the bytes that its owner is given left the other side: before the network's delay, if
-     * there is one.
+     * When the bytes passed to the owner were read from the socket, before the delay of the
+     * simulated network.
      */
     long receivedAt;
 
-    private Connection(EventLoop loop, SocketChannel channel, Owner owner, NetworkPath path, ByteBuffer buffer) {
+    private Connection(
+            EventLoop loop,
+            SocketChannel channel,
+            Owner owner,
+            NetworkPath path,
+            ByteBuffer buffer) {
         this.loop = loop;
         this.channel = channel;
         this.owner = owner;
@@ -66,7 +73,7 @@
         return ByteBuffer.allocate(READ_BUFFER_BYTES);
     }
 
-    /** A connection that a stand-in has accepted. */
+    /** Wraps a connection that a stand-in has accepted. */
     static Connection fromAccepted(
             EventLoop loop, SocketChannel channel, Owner owner, NetworkPath path, ByteBuffer buffer)
             throws IOException {
@@ -76,15 +83,14 @@
         return conn;
     }
 
-    /** Opens a connection; what becomes of it the owner hears later, never during this call. */
+    /** Opens a connection; the owner is told of the result later, never during this call. */
     static Connection open(EventLoop loop, InetSocketAddress to, Owner owner, ByteBuffer buffer) {
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open();
         } catch (IOException e) {
-            // No more descriptors: it never comes up. A run that gets here has fallen far behind,
-            // which it
-            // tells.
+            // No file descriptors are left: the connection is never established. A run that gets
+            // here has fallen far behind, and reports that.
         }
         Connection conn = new Connection(loop, channel, owner, new NetworkPath(null), buffer);
         if (channel == null) {
@@ -132,7 +138,7 @@
         buffer.clear();
         int n = channel.read(buffer);
         if (path.cut) {
-            // The other side has sent it, and the network has dropped it, its end included.
+            // The peer has sent this, but the network is cut and drops it, the FIN included.
             if (n < 0) {
                 key.interestOps(0);
             }
@@ -160,7 +166,8 @@
         }
         byte[] bytes =
                 Arrays.copyOfRange(buffer.array(), buffer.arrayOffset(), buffer.arrayOffset() + n);
-        lastDeliveryIn = Math.max(lastDeliveryIn, loop.now() + path.delayNanos) + path.transferNanos(n);
+        lastDeliveryIn =
+                Math.max(lastDeliveryIn, loop.now() + path.delayNanos) + path.transferNanos(n);
         loop.at(
                 lastDeliveryIn,
                 () -> {
@@ -171,12 +178,12 @@
                 });
     }
 
-    /** Writes bytes as one piece. */
+    /** Writes bytes in one piece. */
     void write(byte[] bytes) {
         write(bytes, 0);
     }
 
-    /** Writes an answer as the network passes it on. */
+    /** Writes a response with the faults of the simulated network. */
     void writeResponse(byte[] response) {
         NetworkPath.Transmission transmission = path.transmit(response);
         long delayNanos = 0;
@@ -199,7 +206,9 @@
             flushOrClose();
             return;
         }
-        lastDeliveryOut = Math.max(lastDeliveryOut, now + path.delayNanos + delayNanos) + path.transferNanos(bytes.length);
+        lastDeliveryOut =
+                Math.max(lastDeliveryOut, now + path.delayNanos + delayNanos)
+                        + path.transferNanos(bytes.length);
         loop.at(
                 lastDeliveryOut,
                 () -> {
@@ -238,7 +247,7 @@
         return closed;
     }
 
-    /** Ends it with a FIN, after what is written has gone out. */
+    /** Closes the connection with a FIN after all queued bytes are written. */
     void close() {
         closeAfterWrites = true;
         if (writeQueue.isEmpty() && lastDeliveryOut <= loop.now()) {
@@ -248,19 +257,19 @@
         }
     }
 
-    /** Ends it with an RST at once. */
+    /** Closes the connection with an RST at once. */
     void reset() {
         if (!closed && channel != null) {
             try {
                 channel.setOption(StandardSocketOptions.SO_LINGER, 0);
             } catch (IOException e) {
-                // It ends with a FIN then.
+                // The connection is then closed with a FIN.
             }
             closeChannel(true);
         }
     }
 
-    /** The one place where the channel is closed. */
+    /** Closes the channel; it is closed in no other place. */
     private void closeChannel(boolean byReset) {
         if (closed) {
             return;
@@ -271,7 +280,7 @@
                 channel.close();
             }
         } catch (IOException e) {
-            // It is closed all the same.
+            // The channel is closed anyway.
         }
         owner.onClosed(this, byReset);
     }
--- a/src/main/java/cottonlock/lab/ControlServer.java
+++ b/src/main/java/cottonlock/lab/ControlServer.java
@@ -16,14 +16,14 @@
 import java.util.Map;
 
 /**
- * The stand-in of a control machine: it tells the versions of services' settings as docs/rollout.md
- * has it. It can be killed, lie behind, be overloaded, tell half a version and break off in the
- * middle of a line.
+ * A simulated control server: it serves versions of the settings of services as described in
+ * docs/rollout.md. It can be killed, serve stale data, reject calls as overloaded, send half of the
+ * settings, or end a stream in the middle of a line.
  */
 public final class ControlServer implements AutoCloseable {
     private static final long HEARTBEAT_MILLIS = 2_000;
 
-    /** What it tells besides the truth. */
+    /** The fault that the server simulates. */
     public enum Fault {
         NONE,
         STALE,
@@ -69,7 +69,8 @@
     private int maxCallsInSecond;
 
     /**
-     * Listens on a port of loopback that is free. Calls beyond so many in a second are turned away.
+     * Listens on a free port of loopback. Calls beyond {@code callsPerSecond} in one second are
+     * rejected.
      */
     public ControlServer(int callsPerSecond) throws IOException {
         this.callsPerSecond = callsPerSecond;
@@ -79,7 +80,10 @@
         heartbeat.start();
     }
 
-    /** Starts again after {@link #kill}, at the same address and with what it had been told. */
+    /**
+     * Starts the server, or starts it again after {@link #kill} at the same address with the
+     * versions published before.
+     */
     public synchronized void start() throws IOException {
         ServerSocket listening = new ServerSocket();
         listening.setReuseAddress(true);
@@ -95,12 +99,12 @@
         return "127.0.0.1:" + port;
     }
 
-    /** How many watches stand. */
+    /** The number of open watches. */
     public synchronized int watches() {
         return watches.size();
     }
 
-    /** The most calls that came in any second. */
+    /** The largest number of calls received in any second. */
     public synchronized int maxCallsPerSecond() {
         return maxCallsInSecond;
     }
@@ -109,7 +113,7 @@
         fault = newFault;
     }
 
-    /** A version is published; one that is not above what is held changes nothing. */
+    /** Publishes a version; one that isn't newer than the stored one changes nothing. */
     public synchronized void publish(String service, long seq, String base, String settings) {
         Version version = new Version(seq, digest(settings), base, settings);
         Version previous = versions.get(service);
@@ -145,7 +149,7 @@
                 handler.start();
             }
         } catch (IOException e) {
-            // It has been killed.
+            // The server was killed.
         }
     }
 
@@ -160,7 +164,7 @@
             for (String line = in.readLine();
                     line != null && !line.isEmpty();
                     line = in.readLine()) {
-                // Nothing in the head matters here.
+                // The request's header fields don't matter here.
             }
             synchronized (this) {
                 openSockets.add(socket);
@@ -182,7 +186,9 @@
             close(socket);
         } else if (target.startsWith("/catalog/configuration/version?")) {
             String body =
-                    (version == null ? "{\"seq\":0,\"digest\":\"0000000000000000\"}" : version.versionLine())
+                    (version == null
+                                    ? "{\"seq\":0,\"digest\":\"0000000000000000\"}"
+                                    : version.versionLine())
                             + "\n";
             write(
                     socket,
@@ -248,7 +254,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // It is closed all the same.
+            // The socket is closed anyway.
         }
         synchronized (this) {
             openSockets.remove(socket);
@@ -270,11 +276,11 @@
                 }
             }
         } catch (InterruptedException e) {
-            // Nobody needs it any more.
+            // Interrupted: the heartbeats end.
         }
     }
 
-    /** It dies: calls are refused, and watches end. */
+    /** Kills the server: calls are refused, and watches end. */
     public synchronized void kill() throws IOException {
         server.close();
         watches.clear();
--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -15,32 +15,36 @@
 import java.util.function.Consumer;
 
 /**
- * The stand-in of discovery for one tier: the list of its backends with versions, whole and as a
- * watch, at an address of its own for each proxy. It can be down, slow, stale or elsewhere. It
- * tells the ledger when a proxy was told that a backend leaves.
+ * A simulated discovery service for one tier: a versioned list of its backends, served as a
+ * complete list and as a watch, at a separate address for each proxy. It can be down, slow, stale,
+ * silent or moved to new addresses. It reports to the ledger when a proxy was told that a backend
+ * drains or is gone.
  */
 final class Discovery implements Connection.Owner {
-    /** Nanoseconds between empty lines of a watch at rest (PROTOCOL, Discovery). */
+    /** The interval of empty lines on an idle watch, in nanoseconds (PROTOCOL, Discovery). */
     private static final long HEARTBEAT_NANOS = 2_000_000_000L;
 
-    /** What the list says of a backend. */
+    /** The state of a backend in the list. */
     enum Health {
         ACTIVE,
         LEAVING,
         LEFT
     }
 
-    /** One line of the list. */
+    /** One backend of the list. */
     private static final class Entry {
         final Backend backend;
 
-        /** What is so, and what the list says: they differ while it is stale. */
+        /** The actual state and the published one: they differ while the list is stale. */
         Health health = Health.ACTIVE;
 
         Health published = Health.ACTIVE;
         long version;
 
-        /** Its process has started anew since it was shown: its start is told again. */
+        /**
+         * The process has restarted since the last publication, so its start time must be published
+         * again.
+         */
         boolean restarted;
 
         Entry(Backend backend) {
@@ -48,14 +52,17 @@
         }
     }
 
-    /** One proxy's watch, or its absence. */
+    /** The open watches of one proxy, if it has any. */
     private static final class Watch {
         final int proxy;
         final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
         Listener listener;
         final Set<Connection> streams = new LinkedHashSet<>();
 
-        /** For a plain proxy, which has no socket to discovery: it is told at the same moments. */
+        /**
+         * For a baseline proxy, which has no connection to discovery: it gets its updates by this
+         * callback at the same times.
+         */
         Consumer<List<Backend>> baselineUpdates;
 
         long lastContactAt;
@@ -74,8 +81,8 @@
     private final Map<String, Entry> entries = new LinkedHashMap<>();
 
     /**
-     * The lines that have ever changed, by the version of their last change: a change looks at no
-     * other.
+     * The entries that have changed since the start, by the version of their last change, so that
+     * an update looks only at these.
      */
     private final TreeMap<Long, Entry> changedEntries = new TreeMap<>();
 
@@ -108,7 +115,7 @@
         entries.put(backend.id, new Entry(backend));
     }
 
-    /** A proxy that will ask, with the addresses that it is told. */
+    /** Adds a proxy that will call, with the addresses of the backends that its list shows. */
     void addProxy(int proxy, Map<String, InetSocketAddress> addresses) throws IOException {
         Watch watch = new Watch(proxy);
         watch.addresses.putAll(addresses);
@@ -135,7 +142,7 @@
         return active;
     }
 
-    /** The whole list as a proxy gets it. */
+    /** The complete list that a proxy gets. */
     String fullListJson(int proxy) {
         return json(proxy, true, 0);
     }
@@ -150,7 +157,9 @@
                 boolean hideDrain = sabotage.equals("ignore-drain");
                 boolean hideStart = sabotage.equals("hide-cold");
                 long startedAtMillis =
-                        backend.startedAt == 0 || hideStart ? 0 : wallStart + backend.startedAt / 1_000_000;
+                        backend.startedAt == 0 || hideStart
+                                ? 0
+                                : wallStart + backend.startedAt / 1_000_000;
                 hosts.append(hosts.length() == 0 ? "" : ",")
                         .append("{\"host\":\"")
                         .append(backend.id)
@@ -177,7 +186,7 @@
         return changedEntries.tailMap(version, false).values();
     }
 
-    /** The state of a backend changes. */
+    /** Changes the state of a backend. */
     void setHealth(Backend backend, Health health) {
         Entry entry = entries.get(backend.id);
         entry.health = health;
@@ -194,7 +203,7 @@
         }
     }
 
-    /** A backend's process has started anew: the list tells when. */
+    /** Records a restart of a backend's process, so that the list shows its new start time. */
     void onBackendRestarted(Backend backend) {
         entries.get(backend.id).restarted = true;
         setHealth(backend, Health.ACTIVE);
@@ -211,8 +220,8 @@
     }
 
     /**
-     * Who neither watches nor asks for too long counts as told all the same; a call that fails is
-     * asking.
+     * Records a proxy as told that has had no watch and made no call for {@code
+     * maxContactGapNanos}. A call that fails because discovery is down counts as a call.
      */
     private void scheduleAssumedUpdate(Watch watch) {
         loop.at(
@@ -242,9 +251,9 @@
                         String line = json(watch.proxy, false, since);
                         watch.streams.forEach(conn -> conn.write(encodeChunk(line + "\n")));
                     }
-                    // The others were noted when they were told: with all of them, a thousand
-                    // backends that change in
-                    // turn made the loop late.
+                    // Records only the entries of this update, as the others were recorded earlier:
+                    // recording all of them made the loop late when a thousand backends changed in
+                    // turn.
                     recordTold(watch, changedSince(since));
                 };
         if (delayNanos > 0) {
@@ -282,7 +291,10 @@
         loop.after(HEARTBEAT_NANOS, this::sendHeartbeats);
     }
 
-    /** Down: watches end, calls are reset, new connections refused. */
+    /**
+     * Takes discovery down or up again. While it is down, watches end, calls are reset and new
+     * connections are refused.
+     */
     void setDown(boolean value) throws IOException {
         down = value;
         for (Watch watch : watches.values()) {
@@ -299,12 +311,12 @@
         }
     }
 
-    /** Every call and every line takes so much longer. */
+    /** Delays every response and every update by this time. */
     void setDelay(long nanos) {
         delayNanos = nanos;
     }
 
-    /** Stale: changes are kept back; at the end all is told. */
+    /** Keeps changes back while true; when it ends, all changes are published. */
     void setStale(boolean value) {
         stale = value;
         if (!value) {
@@ -319,13 +331,16 @@
         }
     }
 
-    /** Silent: nothing is said on a watch, and changes are kept back; at the end all is told. */
+    /**
+     * While true, sends no heartbeats on watches and keeps changes back; when it ends, all changes
+     * are published.
+     */
     void setSilent(boolean value) {
         silent = value;
         setStale(value);
     }
 
-    /** It is at new addresses from now on; the old ones refuse. */
+    /** Moves discovery to new addresses; connections to the old ones are refused. */
     void moveToNewAddresses() throws IOException {
         for (Watch watch : watches.values()) {
             if (watch.listener != null) {
@@ -395,7 +410,8 @@
 
     private static long parseIndex(String target) {
         int parameter = target.indexOf("index=");
-        String digits = parameter < 0 ? "" : target.substring(parameter + 6).replaceAll("[^0-9].*", "");
+        String digits =
+                parameter < 0 ? "" : target.substring(parameter + 6).replaceAll("[^0-9].*", "");
         return digits.isEmpty() ? 0 : Long.parseLong(digits);
     }
 
@@ -406,7 +422,7 @@
         listener.connections.remove(conn);
         Watch watch = (Watch) listener.attachment;
         if (watch.streams.remove(conn)) {
-            // It was looked after until now.
+            // The proxy was in contact until its watch ended.
             watch.lastContactAt = loop.now();
         }
     }
--- a/src/main/java/cottonlock/lab/EventLoop.java
+++ b/src/main/java/cottonlock/lab/EventLoop.java
@@ -12,22 +12,23 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * One thread on which all stand-ins of a run live: sockets that are ready, tasks whose time has
- * come, and tasks from other threads, in this order. It keeps account of how late tasks ran, for a
- * run on a machine that can't keep up must give no verdict. Times are nanoseconds since the loop
- * was made.
+ * The event loop that runs all stand-ins of a run on one thread. Each pass handles ready sockets,
+ * tasks posted by other threads, and tasks that are due; due tasks also run after every {@link
+ * #SOCKETS_PER_TURN} sockets. It measures how late sockets and tasks are handled, because a run on
+ * a machine that can't keep up must give no verdict. Times are nanoseconds since the loop was
+ * created.
  */
 public final class EventLoop {
-    /** Microseconds: what is later is as bad as this. */
+    /** The largest lateness recorded, in microseconds; a larger one is recorded as this. */
     private static final long MAX_LATENESS_MICROS = 60_000_000;
 
     /**
-     * Sockets served before the tasks that are due get a turn: with more, arrivals waited behind
+     * The number of sockets handled before due tasks get a turn: with more, arrivals waited behind
      * bursts.
      */
     private static final int SOCKETS_PER_TURN = 64;
 
-    /** A task with its time; a cancelled one stays in the heap until then. */
+    /** A scheduled task; a cancelled one stays in the heap until its time. */
     public static final class Timer implements Comparable<Timer> {
         private final long at;
         private final long order;
@@ -49,7 +50,7 @@
         }
     }
 
-    /** Whom a socket that is ready is told to. */
+    /** Handles a socket that is ready. */
     public interface ReadyHandler {
         void onReady(SelectionKey key) throws IOException;
     }
@@ -66,7 +67,7 @@
         try {
             selector = Selector.open();
         } catch (IOException e) {
-            throw new UncheckedIOException("no selector can be had", e);
+            throw new UncheckedIOException("cannot open a selector", e);
         }
     }
 
@@ -74,7 +75,7 @@
         return System.nanoTime() - startNanos;
     }
 
-    /** Runs a task at a time; one whose time has passed runs next. */
+    /** Schedules a task; one whose time has passed runs next. */
     public Timer at(long time, Runnable task) {
         Timer timer = new Timer(time, nextOrder++, task);
         timers.add(timer);
@@ -85,7 +86,7 @@
         return at(now() + nanos, task);
     }
 
-    /** From any thread. */
+    /** Runs a task on the loop; callable from any thread. */
     public void post(Runnable task) {
         postedTasks.add(task);
         selector.wakeup();
@@ -98,13 +99,14 @@
     }
 
     /**
-     * Lets go of channels that were closed: until then their addresses can't be listened on again.
+     * Deregisters closed channels from the selector: until then their addresses can't be bound
+     * again.
      */
     void deregisterClosed() throws IOException {
         selector.selectNow();
     }
 
-    /** From any thread: {@link #run} returns soon. */
+    /** Makes {@link #run} return soon; callable from any thread. */
     public void stop() {
         stopped = true;
         selector.wakeup();
@@ -114,7 +116,7 @@
         return stopped;
     }
 
-    /** Runs until it is stopped; then the sockets are closed by whoever owns them. */
+    /** Runs until it is stopped; the owners of the sockets close them afterwards. */
     public void run() throws IOException {
         while (!stopped) {
             Timer next = timers.peek();
@@ -122,7 +124,7 @@
             if (wait <= 0 || !postedTasks.isEmpty()) {
                 selector.selectNow();
             } else {
-                // A selector waits whole milliseconds; the rest is waited for in short naps below.
+                // A selector waits whole milliseconds; short parks in select() cover the rest.
                 select(wait);
             }
             long selected = now();
@@ -130,8 +132,8 @@
             selector.selectedKeys().clear();
             int served = 0;
             for (SelectionKey key : ready) {
-                // What waits in a socket is late too: a loop that only kept its tasks in time
-                // looked sound.
+                // Ready sockets count as well: a loop that only ran its tasks on time looked
+                // healthy while sockets waited.
                 lateness.recordValue(Math.min(MAX_LATENESS_MICROS, (now() - selected) / 1_000));
                 handleReady(key);
                 if (++served % SOCKETS_PER_TURN == 0) {
@@ -171,13 +173,13 @@
             try {
                 ((ReadyHandler) key.attachment()).onReady(key);
             } catch (IOException e) {
-                // The owner of a socket handles what befalls it; this one is gone.
+                // The owner of a socket handles its errors; this socket is no longer usable.
                 key.cancel();
             }
         }
     }
 
-    /** Microseconds by which tasks ran late. */
+    /** The lateness of tasks and ready sockets, in microseconds. */
     public Histogram lateness() {
         return lateness;
     }
@@ -186,7 +188,7 @@
         try {
             selector.close();
         } catch (IOException e) {
-            // It is closed all the same.
+            // The selector is closed anyway.
         }
     }
 }
--- a/src/main/java/cottonlock/lab/HttpMessageParser.java
+++ b/src/main/java/cottonlock/lab/HttpMessageParser.java
@@ -8,17 +8,17 @@
 import java.util.Map;
 
 /**
- * Takes HTTP/1.1 messages (RFC 9112) out of bytes as they come, in any pieces. It knows what the
- * proxies and the stand-ins write: heads, and bodies with a Content-Length; anything else is a
- * fault of who wrote it.
+ * Parses HTTP/1.1 messages (RFC 9112) from bytes that arrive in any pieces. It supports what the
+ * proxies and the stand-ins write: heads, and bodies with a Content-Length. Anything else is a
+ * fault of the sender.
  */
 final class HttpMessageParser {
-    /** Bytes of a head and of a body, at most: beyond them something is wrong. */
+    /** The largest head and body accepted, in bytes: a larger one is a fault. */
     private static final int MAX_HEAD_BYTES = 16 << 10;
 
     private static final int MAX_BODY_BYTES = 4 << 20;
 
-    /** One message; names of fields are in small letters. */
+    /** One message; the names of its fields are in lower case. */
     static final class Message {
         private final List<String> startLine;
         private final Map<String, String> fields;
@@ -30,7 +30,7 @@
             this.body = body;
         }
 
-        /** The words of the first line: at most three. */
+        /** The parts of the start line, three at most. */
         List<String> startLine() {
             return startLine;
         }
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Bytes that are no such message. */
+    /** The bytes aren't a message that this parser supports. */
     static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -71,7 +71,7 @@
     private byte[] pending = new byte[0];
     private int pendingStart;
 
-    /** Hands over bytes; {@link #next} takes the messages out. */
+    /** Adds bytes; {@link #next} returns the messages in them. */
     void add(byte[] bytes, int length) {
         byte[] joined = new byte[pending.length - pendingStart + length];
         System.arraycopy(pending, pendingStart, joined, 0, pending.length - pendingStart);
@@ -80,21 +80,25 @@
         pendingStart = 0;
     }
 
-    /** Whether nothing of a further message has come. */
+    /** Whether no byte of a further message has arrived. */
     boolean isIdle() {
         return body == null && head.size() == 0 && pendingStart == pending.length;
     }
 
-    /** The next whole message, or null while it has not come whole. */
+    /** Returns the next complete message, or null if none is complete. */
     Message next() throws MalformedMessageException {
         while (body == null && pendingStart < pending.length) {
             byte b = pending[pendingStart++];
             head.write(b);
-            terminatorBytes = b == (terminatorBytes % 2 == 0 ? '\r' : '\n') ? terminatorBytes + 1 : b == '\r' ? 1 : 0;
+            terminatorBytes =
+                    b == (terminatorBytes % 2 == 0 ? '\r' : '\n')
+                            ? terminatorBytes + 1
+                            : b == '\r' ? 1 : 0;
             if (terminatorBytes == 4) {
                 readHead();
             } else if (head.size() > MAX_HEAD_BYTES) {
-                throw new MalformedMessageException("a head of more than " + MAX_HEAD_BYTES + " bytes");
+                throw new MalformedMessageException(
+                        "a head of more than " + MAX_HEAD_BYTES + " bytes");
             }
         }
         if (body == null) {
@@ -140,7 +144,7 @@
         body = new byte[Integer.parseInt(length)];
     }
 
-    /** The bytes of an answer; a name of null leaves that field out. */
+    /** Encodes a response; with a null name it has no extra field. */
     static byte[] encodeResponse(int status, String name, String value, byte[] body) {
         String head =
                 "HTTP/1.1 "
--- a/src/main/java/cottonlock/lab/IdleConnections.java
+++ b/src/main/java/cottonlock/lab/IdleConnections.java
@@ -8,11 +8,11 @@
 import java.util.function.Supplier;
 
 /**
- * Idle connections that fill a proxy's descriptors: each asks for its health once and stays, and is
- * opened again when the proxy ends it. Lives on the loop's thread.
+ * Idle connections that use up a proxy's file descriptors. Each sends one health request and then
+ * stays open; whenever it ends, it is opened again. Runs on the loop's thread.
  */
 final class IdleConnections implements Connection.Owner {
-    /** Nanoseconds after which a connection that has ended is opened again. */
+    /** The delay before a closed connection is opened again, in nanoseconds. */
     private static final long REOPEN_AFTER = 100_000_000L;
 
     private static final byte[] HEALTH_REQUEST =
@@ -24,21 +24,21 @@
     private final Set<Connection> connections = new HashSet<>();
     private boolean closed;
 
-    /** The address is null while the proxy does not serve. */
+    /** Creates it without connections; the address is null while the proxy doesn't serve. */
     IdleConnections(EventLoop loop, ByteBuffer buffer, Supplier<InetSocketAddress> address) {
         this.loop = loop;
         this.buffer = buffer;
         this.address = address;
     }
 
-    /** Opens so many connections. */
+    /** Opens this number of connections. */
     void openAll(int count) {
         for (int i = 0; i < count; i++) {
             open();
         }
     }
 
-    /** Ends all connections for good. */
+    /** Resets all connections and opens no more. */
     void closeAll() {
         closed = true;
         Set.copyOf(connections).forEach(Connection::reset);
@@ -63,7 +63,7 @@
 
     @Override
     public void onBytes(Connection conn, byte[] bytes, int length) {
-        // Answers about the proxy's health are of no interest.
+        // The health responses don't matter here.
     }
 
     @Override
--- a/src/main/java/cottonlock/lab/Listener.java
+++ b/src/main/java/cottonlock/lab/Listener.java
@@ -14,15 +14,18 @@
 import java.util.Set;
 
 /**
- * A listening socket on loopback of which one proxy alone knows the address: so a stand-in knows
- * who connects. It can be open, shut (connects are refused, as by a process that has died) or
- * walled up (connects never come up, as with a machine that is cut off).
+ * A listening socket on loopback whose address only one proxy knows, so that a stand-in knows which
+ * proxy connects. It can be listening, closed (connections are refused, as after a process has
+ * died) or a blackhole (connections are never established, as with a host that is cut off).
  */
 final class Listener implements EventLoop.ReadyHandler {
-    /** As many as a burst brings while the loop is busy elsewhere. */
+    /** Enough for the connections of a burst while the loop is busy elsewhere. */
     private static final int BACKLOG = 256;
 
-    /** Connections that fill the queue of a walled-up door of backlog one, with one to spare. */
+    /**
+     * The number of connections that fill the accept queue of a blackhole with a backlog of one,
+     * with one to spare.
+     */
     private static final int QUEUE_FILLERS = 3;
 
     private final EventLoop loop;
@@ -30,7 +33,7 @@
     private final Connection.Owner owner;
     private final NetworkPath path;
 
-    /** Which proxy's it is. */
+    /** The proxy that connects here. */
     final int proxy;
 
     private ServerSocketChannel server;
@@ -38,10 +41,16 @@
     final Set<Connection> connections = new LinkedHashSet<>();
     private InetSocketAddress address;
 
-    /** Whom it belongs to. */
+    /** An object attached by the stand-in that owns the listener. */
     final Object attachment;
 
-    Listener(EventLoop loop, ByteBuffer buffer, Connection.Owner owner, NetworkPath path, int proxy, Object attachment)
+    Listener(
+            EventLoop loop,
+            ByteBuffer buffer,
+            Connection.Owner owner,
+            NetworkPath path,
+            int proxy,
+            Object attachment)
             throws IOException {
         this.loop = loop;
         this.buffer = buffer;
@@ -71,7 +80,7 @@
         address = (InetSocketAddress) server.getLocalAddress();
     }
 
-    /** New connections are refused; those that are open stay. */
+    /** Closes the listening socket: new connections are refused, and open ones stay. */
     void stopListening() {
         close(server);
         server = null;
@@ -79,7 +88,10 @@
         queueFillers.clear();
     }
 
-    /** New connections never come up: the queue of those that nobody accepts is full. */
+    /**
+     * Makes the listener a blackhole: new connections are never established, because the accept
+     * queue is full.
+     */
     void blackhole() throws IOException {
         stopListening();
         bind(1);
@@ -97,7 +109,7 @@
                 socket.close();
             }
         } catch (IOException e) {
-            // It is closed all the same.
+            // The socket is closed anyway.
         }
     }
 
@@ -114,7 +126,7 @@
         }
     }
 
-    /** Ends all open connections by a reset. */
+    /** Resets all open connections. */
     void resetConnections() {
         List.copyOf(connections).forEach(Connection::reset);
         connections.clear();
--- a/src/main/java/cottonlock/lab/NetworkPath.java
+++ b/src/main/java/cottonlock/lab/NetworkPath.java
@@ -5,31 +5,34 @@
 import java.util.SplittableRandom;
 
 /**
- * The network between the proxies and one backend: what it does to what goes over it just now.
- * Faults set and reset its fields; each may come several times over, the last one set counts.
+ * The simulated network between the proxies and one backend, with its present faults. Faults set
+ * and reset its fields; if one kind of fault is set several times, the last one counts.
  */
 final class NetworkPath {
     /**
-     * Nanoseconds between two pieces of a split write: more than a proxy needs to read the first.
+     * The pause between two pieces of a split response, in nanoseconds: longer than a proxy needs
+     * to read the first piece.
      */
     static final long SPLIT_PAUSE_NANOS = 300_000;
 
-    /** Nanoseconds that everything takes longer, each way. */
+    /** The added delay in each direction, in nanoseconds. */
     long delayNanos;
 
-    /** Bytes a second each way on each connection; 0 for no limit. */
+    /** The bandwidth in bytes per second, in each direction of each connection; 0 for no limit. */
     long bytesPerSecond;
 
-    /** Nothing passes, nothing is told: no FIN, no RST, and no new connection comes up. */
+    /**
+     * The network drops everything silently: no FIN, no RST, and no new connection is established.
+     */
     boolean cut;
 
-    /** The chance that an answer is cut off at a random byte by a reset. */
+    /** The probability that a response is cut off at a random byte by a reset. */
     double resetProbability;
 
-    /** The chance that an answer is written in pieces, at random bytes. */
+    /** The probability that a response is written in pieces, split at random bytes. */
     double splitProbability;
 
-    /** The chance that one byte of an answer's head is changed. */
+    /** The probability that one bit among the first 24 bytes of a response is changed. */
     double corruptionProbability;
 
     private final SplittableRandom random;
@@ -38,15 +41,15 @@
         this.random = random;
     }
 
-    /** What becomes of one answer on its way to the proxy. */
+    /** How a response is transmitted to the proxy. */
     record Transmission(List<byte[]> pieces, boolean thenReset) {}
 
     Transmission transmit(byte[] response) {
         byte[] bytes = response;
         if (corruptionProbability > 0 && random.nextDouble() < corruptionProbability) {
             bytes = response.clone();
-            // The status line and the names of fields: a changed body would pass for a right one
-            // anywhere.
+            // Only the first bytes, mostly the status line: a changed body would pass for a correct
+            // one anywhere.
             int position = random.nextInt(Math.min(bytes.length, 24));
             bytes[position] = (byte) (bytes[position] ^ 1 << random.nextInt(7));
         }
@@ -70,12 +73,12 @@
         return new Transmission(List.of(bytes), false);
     }
 
-    /** Nanoseconds that so many bytes take. */
+    /** The time that this number of bytes takes at the bandwidth limit, in nanoseconds. */
     long transferNanos(int bytes) {
         return bytesPerSecond <= 0 ? 0 : bytes * 1_000_000_000L / bytesPerSecond;
     }
 
-    /** Whether bytes pass at once, so that nothing needs to be queued. */
+    /** Whether bytes pass without delay, so that none need to be queued. */
     boolean isUnrestricted() {
         return delayNanos == 0 && bytesPerSecond == 0 && !cut;
     }
--- a/src/main/java/cottonlock/lab/PeerNetwork.java
+++ b/src/main/java/cottonlock/lab/PeerNetwork.java
@@ -15,20 +15,20 @@
 import java.util.SplittableRandom;
 
 /**
- * Stands between the proxies of a tier: each is known to the others by an address of the lab's,
- * where what is sent to it comes, and from where what it sends goes on. So each way of each pair
- * can be cut or spoilt, and what passed is known without asking anybody. Lives on the loop's
- * thread.
+ * The simulated network between the proxies of a tier. The other proxies know each proxy by an
+ * address of the lab: datagrams to it arrive there, and its own datagrams are forwarded from there.
+ * So each direction of each pair can be cut or disturbed, and the traffic is measured without
+ * asking the proxies. Runs on the loop's thread.
  */
 final class PeerNetwork {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    /** Datagrams kept to be sent again as a forger would. */
+    /** The number of datagrams recorded for forged copies. */
     private static final int MAX_RECORDED_DATAGRAMS = 256;
 
     private static final int MAX_DATAGRAM_BYTES = 2_048;
 
-    /** One proxy's address, and what came from it within the last second. */
+    /** One proxy's address in the lab, and the traffic that the proxy sent. */
     private final class Endpoint implements EventLoop.ReadyHandler {
         final int number;
         final DatagramChannel channel;
@@ -99,12 +99,12 @@
         }
     }
 
-    /** The address by which the others know a proxy. */
+    /** The address by which the other proxies know this one. */
     InetSocketAddress address(int proxy) {
         return endpoints.get(proxy).address;
     }
 
-    /** Where a proxy really listens. */
+    /** Sets the address on which a proxy really listens. */
     void setProxyAddress(int proxy, InetSocketAddress proxyAddress) {
         endpoints.get(proxy).proxyAddress = proxyAddress;
         proxyByPort.put(proxyAddress.getPort(), proxy);
@@ -119,9 +119,12 @@
             return;
         }
         try {
-            endpoints.get(from).channel.send(ByteBuffer.wrap(datagram), endpoints.get(to).proxyAddress);
+            endpoints
+                    .get(from)
+                    .channel
+                    .send(ByteBuffer.wrap(datagram), endpoints.get(to).proxyAddress);
         } catch (IOException e) {
-            // Nobody listens there just now: it is lost.
+            // No socket listens there at the moment: the datagram is lost.
         }
     }
 
@@ -130,8 +133,8 @@
         if (recorded.size() < MAX_RECORDED_DATAGRAMS) {
             recorded.add(datagram);
         } else {
-            // Any that was ever sent is as likely to be there: old ones come back from former
-            // lives.
+            // Reservoir sampling: each datagram sent so far is equally likely to be kept, so old
+            // ones from earlier processes are sent again.
             long index = random.nextLong(datagramsSeen);
             if (index < MAX_RECORDED_DATAGRAMS) {
                 recorded.set((int) index, datagram);
@@ -140,7 +143,7 @@
     }
 
     /**
-     * Sends what nobody of the fleet has sent: old datagrams, changed ones, and bytes of any kind.
+     * Sends a datagram that no proxy has sent now: a recorded one, a changed one, or random bytes.
      */
     void forge() {
         int from = random.nextInt(endpoints.size());
@@ -164,12 +167,12 @@
         deliver(from, to, datagram);
     }
 
-    /** The most bytes that any proxy sent within a second. */
+    /** The largest number of bytes that any proxy sent within a second. */
     long maxBytesPerSecond() {
         return endpoints.stream().mapToLong(p -> p.maxBytesInSecond).max().orElse(0);
     }
 
-    /** Bytes a second that one proxy sent over so many nanoseconds, in the mean. */
+    /** The mean number of bytes per second that one proxy sent over this time. */
     double meanBytesPerSecond(long nanos) {
         return endpoints.stream().mapToLong(p -> p.totalBytes).sum()
                 * 1e9
@@ -186,7 +189,7 @@
             try {
                 endpoint.channel.close();
             } catch (IOException e) {
-                // It is closed all the same.
+                // The channel is closed anyway.
             }
         }
     }
--- a/src/main/java/cottonlock/lab/PeerPaths.java
+++ b/src/main/java/cottonlock/lab/PeerPaths.java
@@ -6,18 +6,18 @@
 import java.util.SplittableRandom;
 
 /**
- * The network between proxies: what it does to datagrams on each ordered pair just now. A pair's
- * chance comes from the seed and the pair alone. Faults set and reset its values; the last one set
- * counts.
+ * The faults of the network between proxies, for datagrams of each ordered pair. The random
+ * generator of a pair depends on the seed and the pair alone. Faults set and reset the values; the
+ * last one set counts.
  */
 @Deterministic
 final class PeerPaths {
 
-    /** One way of one pair. */
+    /** One direction of one pair. */
     private static final class DirectedPath {
         final SplittableRandom random;
 
-        /** By how many faults it is cut. */
+        /** The number of faults that cut it at present. */
         int activeCuts;
 
         double lossProbability;
@@ -30,7 +30,7 @@
         }
     }
 
-    /** A copy of a datagram that gets through, so many nanoseconds later. */
+    /** A copy of a datagram that is delivered after a delay. */
     static final class Copy {
         private final byte[] bytes;
         private final long delayNanos;
@@ -45,7 +45,7 @@
             return bytes;
         }
 
-        /** Nanoseconds until it arrives. */
+        /** The delay until it is delivered, in nanoseconds. */
         long delayNanos() {
             return delayNanos;
         }
@@ -58,7 +58,8 @@
         for (int from = 0; from < proxies; from++) {
             for (int to = 0; to < proxies; to++) {
                 paths[from][to] =
-                        new DirectedPath(new SplittableRandom(seed * 1_000_003 + from * 4_099L + to));
+                        new DirectedPath(
+                                new SplittableRandom(seed * 1_000_003 + from * 4_099L + to));
             }
         }
     }
@@ -84,30 +85,40 @@
     }
 
     /**
-     * Each datagram takes longer, by a time drawn evenly up to this: so they overtake one another.
+     * Delays each datagram by a random time below this, evenly distributed, so that datagrams
+     * overtake one another.
      */
     void setMaxDelay(int from, int to, long nanos) {
         paths[from][to].maxDelayNanos = nanos;
     }
 
-    /** What becomes of a datagram. */
+    /** The copies of a datagram that are delivered; none if it is lost. */
     List<Copy> transmit(int from, int to, byte[] datagram) {
         DirectedPath path = paths[from][to];
         List<Copy> copies = new ArrayList<>();
         if (path.activeCuts > 0) {
             return copies;
         }
-        int copyCount = path.duplicationProbability > 0 && path.random.nextDouble() < path.duplicationProbability ? 2 : 1;
+        int copyCount =
+                path.duplicationProbability > 0
+                                && path.random.nextDouble() < path.duplicationProbability
+                        ? 2
+                        : 1;
         for (int i = 0; i < copyCount; i++) {
             if (path.lossProbability > 0 && path.random.nextDouble() < path.lossProbability) {
                 continue;
             }
             byte[] bytes = datagram;
-            if (path.corruptionProbability > 0 && datagram.length > 0 && path.random.nextDouble() < path.corruptionProbability) {
+            if (path.corruptionProbability > 0
+                    && datagram.length > 0
+                    && path.random.nextDouble() < path.corruptionProbability) {
                 bytes = datagram.clone();
                 bytes[path.random.nextInt(bytes.length)] ^= (byte) (1 << path.random.nextInt(8));
             }
-            copies.add(new Copy(bytes, path.maxDelayNanos > 0 ? path.random.nextLong(path.maxDelayNanos) : 0));
+            copies.add(
+                    new Copy(
+                            bytes,
+                            path.maxDelayNanos > 0 ? path.random.nextLong(path.maxDelayNanos) : 0));
         }
         return copies;
     }
--- a/src/main/java/cottonlock/lab/ProxyClient.java
+++ b/src/main/java/cottonlock/lab/ProxyClient.java
@@ -14,28 +14,28 @@
 import java.util.function.Supplier;
 
 /**
- * Brings requests to one proxy, one at a time on each connection, and tells the ledger. A
- * connection that ends before its answer begins, having been used before, is taken for one that the
- * proxy closed between requests: the request goes once more on a new one (PROTOCOL, Callers to
+ * Sends requests to one proxy, one at a time on each connection, and reports them to the ledger. If
+ * a connection that was used before ends before its response begins, the proxy is assumed to have
+ * closed it between requests: the request is sent once more on a new one (PROTOCOL, Callers to
  * proxies).
  */
 final class ProxyClient implements Connection.Owner {
     /**
-     * How long an answer is waited for beyond the patience, so that late ones are seen as late: in
-     * ns.
+     * How long to wait for a response after the deadline, in nanoseconds, so that a late response
+     * is seen as late.
      */
     private static final long LATE_RESPONSE_WAIT_NANOS = 500_000_000L;
 
     /**
-     * Nanoseconds for a connection to come up: on one machine it does at once, or the proxy is
-     * stuck.
+     * The timeout for opening a connection, in nanoseconds: on one machine it opens at once, or the
+     * proxy is stuck.
      */
     private static final long CONNECT_TIMEOUT_NANOS = 1_000_000_000L;
 
-    /** Pieces in which a request is written whose body takes its time. */
+    /** The number of pieces in which the bytes of a slow upload are written. */
     private static final int UPLOAD_PIECES = 10;
 
-    /** What came of it. */
+    /** The outcome of a request. */
     enum Outcome {
         COMPLETED,
         REJECTED,
@@ -45,10 +45,12 @@
         CANCELLED
     }
 
-    /** An answer; the come-back time is in nanoseconds, 0 where there was none. */
+    /**
+     * The outcome of a request, with the Retry-After time in nanoseconds, or 0 if there is none.
+     */
     record Result(Outcome outcome, long retryAfterNanos) {}
 
-    /** A request as it is written on the wire. */
+    /** A request as it is sent on the wire. */
     record Request(
             String id,
             String chain,
@@ -88,12 +90,12 @@
         }
     }
 
-    /** One request on its way on one connection. */
+    /** One request in progress on one connection. */
     private static final class Call {
         final Request request;
         final Consumer<Result> onResult;
 
-        /** When its answer is due; with a slow upload, from its last byte on. */
+        /** When the response is due; for a slow upload, counted from its last byte. */
         long deadline;
 
         final boolean keepAlive;
@@ -103,14 +105,19 @@
         boolean written;
         boolean responseStarted;
 
-        /** When its connection was opened for it, and whether that came up. */
+        /** When a connection was opened for the request, and whether it was established. */
         long openedAt;
 
         boolean connected;
         EventLoop.Timer timer;
         HttpMessageParser parser = new HttpMessageParser();
 
-        Call(Request request, long deadline, boolean keepAlive, long cancelAt, Consumer<Result> onResult) {
+        Call(
+                Request request,
+                long deadline,
+                boolean keepAlive,
+                long cancelAt,
+                Consumer<Result> onResult) {
             this.request = request;
             this.deadline = deadline;
             this.keepAlive = keepAlive;
@@ -129,12 +136,15 @@
     private final Deque<Connection> idle = new ArrayDeque<>();
     private final Set<Connection> busy = new HashSet<>();
 
-    /** When the proxy was told to end, and until when its front sends it new connections. */
+    /**
+     * When the proxy was signalled to end, and until when the front-end balancer sends it new
+     * connections.
+     */
     private long terminatedAt;
 
     private long newConnectionsUntil = Long.MAX_VALUE;
 
-    /** The proxy is being killed: what it owes is excused, as long as it has not started again. */
+    /** The proxy is killed or stopped: missing responses are excused until it serves again. */
     private boolean proxyUnavailable;
 
     ProxyClient(
@@ -155,10 +165,10 @@
     }
 
     /**
-     * Sends a request; the result comes later, once.
+     * Sends a request; the result is reported later, exactly once.
      *
-     * @param keep whether the connection is used again
-     * @param leaveIn nanoseconds after which the client leaves; negative for never
+     * @param keepAlive whether the connection is reused
+     * @param cancelAfter nanoseconds after which the client disconnects; negative for never
      */
     void send(Request request, boolean keepAlive, long cancelAfter, Consumer<Result> onResult) {
         long now = loop.now();
@@ -189,7 +199,8 @@
         call.connected = false;
         conn.attachment = call;
         busy.add(conn);
-        call.timer = loop.at(Math.min(call.deadline, loop.now() + CONNECT_TIMEOUT_NANOS), conn::reset);
+        call.timer =
+                loop.at(Math.min(call.deadline, loop.now() + CONNECT_TIMEOUT_NANOS), conn::reset);
     }
 
     @Override
@@ -215,7 +226,7 @@
         }
     }
 
-    /** Writes one piece of a long request; the others follow. */
+    /** Writes one piece of a slow upload and schedules the next. */
     private void upload(Connection conn, Call call, byte[] bytes, int piece, long pauseNanos) {
         if (conn.isClosed() || conn.attachment != call || call.written) {
             return;
@@ -232,7 +243,7 @@
         conn.write(Arrays.copyOfRange(bytes, from, to));
     }
 
-    /** Its last byte is being written: from now on an answer is owed. */
+    /** Reports that the last byte is being written: from now on a response is owed. */
     private void recordSent(Connection conn, Call call) {
         if (!call.resent) {
             ledger.sent(
@@ -257,7 +268,8 @@
                             finishCall(
                                     conn,
                                     call,
-                                    new Result(cancelled ? Outcome.CANCELLED : Outcome.NO_RESPONSE, 0),
+                                    new Result(
+                                            cancelled ? Outcome.CANCELLED : Outcome.NO_RESPONSE, 0),
                                     false);
                         });
     }
@@ -265,7 +277,7 @@
     @Override
     public void onBytes(Connection conn, byte[] bytes, int length) {
         if (!(conn.attachment instanceof Call call)) {
-            // Nothing was asked for on it; a later answer would be taken for another's.
+            // No request is open: a later response would be taken for that of another request.
             conn.reset();
             return;
         }
@@ -286,7 +298,7 @@
     private void onResponse(Connection conn, Call call, HttpMessageParser.Message message) {
         long now = loop.now();
         if (!call.written) {
-            // An answer before the request has come whole is its final one.
+            // A response that comes before the request is complete is its final one.
             recordSent(conn, call);
         }
         if (sabotage.equals("drop-answer") && random.nextInt(200) == 0) {
@@ -360,7 +372,10 @@
                                 (call.deadline - loop.now()) / 1e6));
             }
             call.onResult.accept(new Result(Outcome.NOT_SENT, 0));
-        } else if (call.reused && !call.responseStarted && !call.resent && loop.now() < call.deadline) {
+        } else if (call.reused
+                && !call.responseStarted
+                && !call.resent
+                && loop.now() < call.deadline) {
             call.resent = true;
             call.reused = false;
             call.written = false;
@@ -371,19 +386,22 @@
         }
     }
 
-    /** The proxy is about to be told to end; its front sends new connections for a while. */
+    /**
+     * Called before the proxy is signalled to end; the front-end balancer sends it new connections
+     * for this time.
+     */
     void onProxyTerminating(long forNanos) {
         terminatedAt = loop.now();
         newConnectionsUntil = terminatedAt + forNanos;
     }
 
-    /** Another process of the proxy serves. */
+    /** Called when another process of the proxy serves. */
     void onProxyRestarted() {
         terminatedAt = 0;
         newConnectionsUntil = Long.MAX_VALUE;
     }
 
-    /** The proxy is about to be killed, or serves again. */
+    /** Marks the proxy as killed or stopped, or as serving again. */
     void setProxyUnavailable(boolean value) {
         proxyUnavailable = value;
     }
@@ -396,7 +414,7 @@
         }
     }
 
-    /** Ends all connections. */
+    /** Resets all connections. */
     void close() {
         for (Connection conn : Set.copyOf(busy)) {
             if (conn.attachment instanceof Call call) {
