--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -323,7 +323,7 @@
                 !job.category.repeat().equals("keyed")
                         || seenKeys.computeIfAbsent(
                                         job.category.scope().equals("room") ? zone : "",
-                                        zone -> new SeenKeys())
+                                        scope -> new SeenKeys())
                                 .addIfNew(tier + " " + job.key, now, job.category.window());
         if (firstTime) {
             ledger.effect(now, job.id, job.category.repeat(), zone);
--- a/src/main/java/cottonlock/lab/EventLoop.java
+++ b/src/main/java/cottonlock/lab/EventLoop.java
@@ -30,12 +30,12 @@
 
     /** A scheduled task; a cancelled one stays in the heap until its time. */
     public static final class Timer implements Comparable<Timer> {
-        private final long at;
+        private final long dueAt;
         private final long order;
         private Runnable task;
 
-        Timer(long at, long order, Runnable task) {
-            this.at = at;
+        Timer(long dueAt, long order, Runnable task) {
+            this.dueAt = dueAt;
             this.order = order;
             this.task = task;
         }
@@ -46,7 +46,9 @@
 
         @Override
         public int compareTo(Timer other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+            return dueAt != other.dueAt
+                    ? Long.compare(dueAt, other.dueAt)
+                    : Long.compare(order, other.order);
         }
     }
 
@@ -120,7 +122,7 @@
     public void run() throws IOException {
         while (!stopped) {
             Timer next = timers.peek();
-            long wait = next == null ? 1_000_000_000L : next.at - now();
+            long wait = next == null ? 1_000_000_000L : next.dueAt - now();
             if (wait <= 0 || !postedTasks.isEmpty()) {
                 selector.selectNow();
             } else {
@@ -150,11 +152,11 @@
     private void runDue() {
         long now = now();
         for (Timer next = timers.peek();
-                next != null && next.at <= now && !stopped;
+                next != null && next.dueAt <= now && !stopped;
                 next = timers.peek()) {
             timers.poll();
             if (next.task != null) {
-                lateness.recordValue(Math.min(MAX_LATENESS_MICROS, (now - next.at) / 1_000));
+                lateness.recordValue(Math.min(MAX_LATENESS_MICROS, (now - next.dueAt) / 1_000));
                 next.task.run();
             }
         }
--- a/src/main/java/cottonlock/lab/HttpMessageParser.java
+++ b/src/main/java/cottonlock/lab/HttpMessageParser.java
@@ -145,14 +145,14 @@
     }
 
     /** Encodes a response; with a null name it has no extra field. */
-    static byte[] encodeResponse(int status, String name, String value, byte[] body) {
+    static byte[] encodeResponse(int status, String fieldName, String fieldValue, byte[] body) {
         String head =
                 "HTTP/1.1 "
                         + status
                         + " "
                         + (status == 200 ? "OK" : "No")
                         + "\r\n"
-                        + (name == null ? "" : name + ": " + value + "\r\n")
+                        + (fieldName == null ? "" : fieldName + ": " + fieldValue + "\r\n")
                         + "Content-Length: "
                         + body.length
                         + "\r\n\r\n";
