--- a/src/main/java/cottonlock/lab/Connection.java
+++ b/src/main/java/cottonlock/lab/Connection.java
@@ -83,7 +83,7 @@
         return conn;
     }
 
-    /** Opens a connection; the owner is told of the result later, never during this call. */
+    /** Opens a connection; the owner is notified of the result later, never during this call. */
     static Connection open(EventLoop loop, InetSocketAddress to, Owner owner, ByteBuffer buffer) {
         SocketChannel channel = null;
         try {
--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -17,8 +17,8 @@
 /**
  * A simulated discovery service for one tier: a versioned list of its backends, served as a
  * complete list and as a watch, at a separate address for each proxy. It can be down, slow, stale,
- * silent or moved to new addresses. It reports to the ledger when a proxy was told that a backend
- * drains or is gone.
+ * silent or moved to new addresses. It reports to the ledger when a proxy was notified that a
+ * backend drains or is gone.
  */
 final class Discovery implements Connection.Owner {
     /** The interval of empty lines on an idle watch, in nanoseconds (PROTOCOL, Discovery). */
@@ -220,7 +220,7 @@
     }
 
     /**
-     * Records a proxy as told that has had no watch and made no call for {@code
+     * Records a proxy as notified that has had no watch and made no call for {@code
      * maxContactGapNanos}. A call that fails because discovery is down counts as a call.
      */
     private void scheduleAssumedUpdate(Watch watch) {
@@ -234,7 +234,7 @@
                         watch.lastContactAt = down ? loop.now() : watch.lastContactAt;
                         scheduleAssumedUpdate(watch);
                     } else {
-                        recordTold(watch);
+                        recordNotified(watch);
                     }
                 });
     }
@@ -254,7 +254,7 @@
                     // Records only the entries of this update, as the others were recorded earlier:
                     // recording all of them made the loop late when a thousand backends changed in
                     // turn.
-                    recordTold(watch, changedSince(since));
+                    recordNotified(watch, changedSince(since));
                 };
         if (delayNanos > 0) {
             loop.after(delayNanos, update);
@@ -263,11 +263,11 @@
         }
     }
 
-    private void recordTold(Watch watch) {
-        recordTold(watch, entries.values());
+    private void recordNotified(Watch watch) {
+        recordNotified(watch, entries.values());
     }
 
-    private void recordTold(Watch watch, Collection<Entry> recipient) {
+    private void recordNotified(Watch watch, Collection<Entry> recipient) {
         for (Entry entry : recipient) {
             if (entry.published == Health.ACTIVE) {
                 ledger.toldBack(watch.proxy, entry.backend.id);
@@ -325,7 +325,7 @@
                 List.copyOf(watch.streams).forEach(Connection::reset);
                 if (watch.baselineUpdates != null) {
                     watch.baselineUpdates.accept(activeBackends());
-                    recordTold(watch);
+                    recordNotified(watch);
                 }
             }
         }
@@ -405,7 +405,7 @@
             conn.write(encodeChunk(json(watch.proxy, full, since) + "\n"));
             watch.streams.add(conn);
         }
-        recordTold(watch);
+        recordNotified(watch);
     }
 
     private static long parseIndex(String target) {
