--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -13,121 +13,121 @@
 import java.util.SplittableRandom;
 
 /**
- * The stand-in of one backend: a door for each proxy, a model of what it can do, and calls to the
- * next tier through a proxy of its own.
+ * A simulated backend: a listener for each proxy, a model of its capacity, and calls to the next
+ * tier through a proxy of its own.
  */
-final class Backend implements Conn.Owner {
-    private static final byte[] NOTHING = new byte[0];
+final class Backend implements Connection.Owner {
+    private static final byte[] EMPTY_BODY = new byte[0];
 
-    /** Its life as a process. */
-    enum Life {
+    /** The state of the backend's process. An overloaded one has crashed and isn't restarted. */
+    enum ProcessState {
         UP,
         DOWN,
-        FALLEN
+        OVERLOADED
     }
 
-    /** One request from its first byte to its answer. */
+    /** One request, from its first byte to its response. */
     private static final class Job {
-        final Conn conn;
+        final Connection conn;
         final long firstByte;
         String id;
         String key;
         String tenant;
         Scenario.CategoryPlan category;
         double work;
-        long until;
+        long deadline;
         int callsLeft;
-        Loop.Timer timer;
+        EventLoop.Timer timer;
 
-        Job(Conn conn, long firstByte) {
+        Job(Connection conn, long firstByte) {
             this.conn = conn;
             this.firstByte = firstByte;
         }
     }
 
     /**
-     * What a connection holds: what has come of a message, and the request that waits for its
-     * answer.
+     * The state of a connection: the parser of its requests, and the request that awaits its
+     * response.
      */
-    private static final class State {
-        final HttpIn in = new HttpIn();
+    private static final class ConnectionState {
+        final HttpMessageParser parser = new HttpMessageParser();
         long firstByte = -1;
         Job job;
     }
 
-    /** The marks of repeats that the backends of one group remember together. */
-    static final class Marks {
-        private final Map<String, Long> until = new HashMap<>();
+    /** The idempotency keys that the backends of one scope remember together. */
+    static final class SeenKeys {
+        private final Map<String, Long> expiryByKey = new HashMap<>();
 
-        /** True the first time within the window. */
-        boolean isNew(String key, long now, long window) {
-            Long known = until.get(key);
-            if (known != null && now < known) {
+        /** Returns true if the key wasn't seen within the window, and remembers it. */
+        boolean addIfNew(String key, long now, long window) {
+            Long knownUntil = expiryByKey.get(key);
+            if (knownUntil != null && now < knownUntil) {
                 return false;
             }
-            until.put(key, now + window);
+            expiryByKey.put(key, now + window);
             return true;
         }
     }
 
     final String id;
-    final String room;
-    final Path path;
-    final List<Door> doors = new ArrayList<>();
+    final String zone;
+    final NetworkPath path;
+    final List<Listener> listeners = new ArrayList<>();
     private final int tier;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Ledger ledger;
     private final Series series;
     private final BackendModel<Job> model;
     private final Scenario.Tier plan;
     private final Map<String, Scenario.CategoryPlan> categories;
-    private final Map<String, Marks> marks;
+    private final Map<String, SeenKeys> seenKeys;
     private final SplittableRandom random;
     private final String sabotage;
-    private final Map<Conn, State> conns = new HashMap<>();
+    private final Map<Connection, ConnectionState> connections = new HashMap<>();
     private final Set<Job> running = new HashSet<>();
 
-    /** How it reaches the next tier; null in the last. */
-    Caller next;
+    /** The client of the proxy to the next tier; null in the last tier. */
+    ProxyClient nextTier;
 
-    /** Told when it falls or is killed, so that its own proxy goes with it. */
-    Runnable died = () -> {};
+    /** Called when the process ends, so that the backend's own proxy ends with it. */
+    Runnable onProcessEnd = () -> {};
 
-    Life life = Life.UP;
+    ProcessState processState = ProcessState.UP;
 
-    /** When it last started, on the loop's clock; 0 for long ago. */
+    /** When the process last started, by the loop's clock; 0 if it started before the run. */
     long startedAt;
 
-    double errors;
+    double errorProbability;
     boolean paused;
-    private final List<Runnable> held = new ArrayList<>();
-    private int calls;
+    private final List<Runnable> deferredTasks = new ArrayList<>();
+    private int callCount;
 
     Backend(
             String id,
             int tier,
-            String room,
-            Loop loop,
+            String zone,
+            EventLoop loop,
             Ledger ledger,
             Series series,
             Scenario.Tier plan,
             Scenario.Rules rules,
             Map<String, Scenario.CategoryPlan> categories,
-            Map<String, Marks> marks,
+            Map<String, SeenKeys> seenKeys,
             SplittableRandom random,
             String sabotage) {
         this.id = id;
         this.tier = tier;
-        this.room = room;
+        this.zone = zone;
         this.loop = loop;
         this.ledger = ledger;
         this.series = series;
         this.plan = plan;
         this.categories = categories;
-        this.marks = marks;
+        this.seenKeys = seenKeys;
         this.random = random;
         this.sabotage = sabotage;
-        this.path = new Path(random.split());
+        this.path = new NetworkPath(random.split());
         this.model =
                 new BackendModel<>(
                         plan.cores(),
@@ -139,33 +139,36 @@
                         rules.fall());
     }
 
-    /** A door for a proxy, before the run begins. */
-    Door door(ByteBuffer buffer, int proxy) throws IOException {
-        Door door = new Door(loop, buffer, this, path, proxy, this);
-        doors.add(door);
-        return door;
+    /** Opens a listener for a proxy, before the run begins. */
+    Listener addListener(ByteBuffer buffer, int proxy) throws IOException {
+        Listener listener = new Listener(loop, buffer, this, path, proxy, this);
+        listeners.add(listener);
+        return listener;
     }
 
-    void slow(double factor) {
-        model.slow = factor;
+    void setSlowdown(double factor) {
+        model.slowdown = factor;
     }
 
     /**
-     * The process stands still, as in a long collection: its sockets stay, nothing is read or
-     * answered.
+     * Pauses or resumes the process, as in a long garbage collection: its sockets stay open, but
+     * nothing is read or answered.
      */
-    void pause(boolean stands) {
-        paused = stands;
-        if (!stands) {
-            List<Runnable> tasks = List.copyOf(held);
-            held.clear();
+    void setPaused(boolean value) {
+        paused = value;
+        if (!value) {
+            List<Runnable> tasks = List.copyOf(deferredTasks);
+            deferredTasks.clear();
             tasks.forEach(Runnable::run);
         }
     }
 
-    /** The process dies: its connections are reset, new ones refused, and what it did is gone. */
-    void die(boolean fell) {
-        life = fell ? Life.FALLEN : Life.DOWN;
+    /**
+     * Ends the process: open connections are reset, new ones are refused, and jobs in progress are
+     * lost.
+     */
+    void endProcess(boolean overloaded) {
+        processState = overloaded ? ProcessState.OVERLOADED : ProcessState.DOWN;
         running.forEach(
                 job -> {
                     if (job.timer != null) {
@@ -173,197 +176,201 @@
                     }
                 });
         running.clear();
-        held.clear();
+        deferredTasks.clear();
         paused = false;
-        for (Door door : doors) {
-            door.shut();
-            door.resetAll();
+        for (Listener listener : listeners) {
+            listener.stopListening();
+            listener.resetConnections();
         }
-        conns.clear();
+        connections.clear();
         model.start(loop.now());
-        died.run();
+        onProcessEnd.run();
     }
 
-    /** A new process at the same address, cold. */
+    /** Starts a new, cold process at the same address. */
     void restart() throws IOException {
-        life = Life.UP;
+        processState = ProcessState.UP;
         startedAt = loop.now();
         model.start(startedAt);
-        for (Door door : doors) {
+        for (Listener listener : listeners) {
             if (path.cut) {
-                door.wallUp();
+                listener.blackhole();
             } else {
-                door.open();
+                listener.startListening();
             }
         }
     }
 
-    /** The network to it is cut silently, or comes back: then what was open is reset. */
-    void cut(boolean off) throws IOException {
+    /**
+     * Cuts the network to the backend silently, or restores it: connections opened before are then
+     * reset.
+     */
+    void setCutOff(boolean off) throws IOException {
         path.cut = off;
-        if (life != Life.UP) {
+        if (processState != ProcessState.UP) {
             return;
         }
-        for (Door door : doors) {
+        for (Listener listener : listeners) {
             if (off) {
-                door.wallUp();
+                listener.blackhole();
             } else {
-                door.resetAll();
-                door.open();
+                listener.resetConnections();
+                listener.startListening();
             }
         }
     }
 
     @Override
-    public void up(Conn conn) {
-        if (conns.size() >= plan.connections()) {
+    public void onConnected(Connection conn) {
+        if (connections.size() >= plan.connections()) {
             conn.reset();
             return;
         }
-        conns.put(conn, new State());
+        connections.put(conn, new ConnectionState());
     }
 
     @Override
-    public void came(Conn conn, byte[] bytes, int length) {
-        State state = conns.get(conn);
+    public void onBytes(Connection conn, byte[] bytes, int length) {
+        ConnectionState state = connections.get(conn);
         if (state == null) {
             return;
         }
         if (paused) {
             byte[] copy = Arrays.copyOf(bytes, length);
-            long at = conn.cameAt;
-            held.add(
+            long at = conn.receivedAt;
+            deferredTasks.add(
                     () -> {
-                        conn.cameAt = at;
-                        came(conn, copy, copy.length);
+                        conn.receivedAt = at;
+                        onBytes(conn, copy, copy.length);
                     });
             return;
         }
         if (state.firstByte < 0) {
-            // When it left the proxy: what this stand-in or its network holds back is not the
-            // proxy's doing.
-            state.firstByte = conn.cameAt;
+            // The time at which the bytes left the proxy: delays by this stand-in or its network
+            // aren't the proxy's doing.
+            state.firstByte = conn.receivedAt;
         }
-        state.in.add(bytes, length);
+        state.parser.add(bytes, length);
         try {
-            HttpIn.Message message = state.in.next();
+            HttpMessageParser.Message message = state.parser.next();
             if (message != null) {
                 Job job = new Job(conn, state.firstByte);
                 state.firstByte = -1;
                 state.job = job;
-                request(job, message);
+                handleRequest(job, message);
             }
-        } catch (HttpIn.Unreadable e) {
+        } catch (HttpMessageParser.MalformedMessageException e) {
             conn.reset();
         }
     }
 
-    private void request(Job job, HttpIn.Message message) {
+    private void handleRequest(Job job, HttpMessageParser.Message message) {
         long now = loop.now();
         job.id = message.field("x-request-id");
         job.key = message.field("idempotency-key");
         job.tenant = message.field("x-tenant-id");
-        String target = message.start().get(1);
-        int mark = target.indexOf("?w=");
-        job.category = mark < 0 ? null : categories.get(target.substring(1, mark));
+        String target = message.startLine().get(1);
+        int workParameter = target.indexOf("?w=");
+        job.category =
+                workParameter < 0 ? null : categories.get(target.substring(1, workParameter));
         if (job.id == null || job.category == null) {
-            // No proxy that passes on what it was given sends this.
-            answer(job, 404, null, NOTHING);
+            // A proxy that forwards requests unchanged never sends this.
+            sendResponse(job, 404, null, EMPTY_BODY);
             return;
         }
-        job.work = 1_000.0 * Long.parseLong(target.substring(mark + 3));
-        String patience = message.field("x-timeout-ms");
-        job.until = now + 1_000_000L * (patience == null ? 60_000 : Long.parseLong(patience));
+        job.work = 1_000.0 * Long.parseLong(target.substring(workParameter + 3));
+        String timeout = message.field("x-timeout-ms");
+        job.deadline = now + 1_000_000L * (timeout == null ? 60_000 : Long.parseLong(timeout));
         job.callsLeft = plan.calls();
         series.received(id, now);
-        int proxy = ((Door) job.conn.of).proxy;
+        int proxy = ((Listener) job.conn.attachment).proxy;
         ledger.received(job.firstByte, now, job.id, id, proxy);
         if (sabotage.equals("resend") && random.nextInt(20) == 0) {
-            // As if the proxy had sent it twice: here and, by a doubt, to somebody else.
+            // Simulates a proxy that sends the request twice, here and to another backend.
             ledger.received(job.firstByte, now, job.id, id, proxy);
             ledger.effect(now, job.id, job.category.repeat(), "elsewhere");
         }
-        if (model.pushedOver(now, job.work)) {
+        if (model.isOverloadedCold(now, job.work)) {
             ledger.fell(now, id);
-            die(true);
+            endProcess(true);
             return;
         }
-        switch (model.take(job)) {
-            case BEGINS -> begin(job);
-            case WAITS -> {}
+        switch (model.admit(job)) {
+            case STARTED -> startJob(job);
+            case QUEUED -> {}
             default -> {
                 series.refused(id, now);
-                answer(job, 503, "X-Not-Processed", NOTHING);
+                sendResponse(job, 503, "X-Not-Processed", EMPTY_BODY);
             }
         }
     }
 
-    private void begin(Job job) {
+    private void startJob(Job job) {
         long now = loop.now();
         running.add(job);
-        if (now >= job.until) {
-            // Nobody waits for it any more: not begun, it has had no effect.
+        if (now >= job.deadline) {
+            // The deadline has passed: the job hasn't started, so it has had no effect.
             job.timer =
                     loop.after(
                             0,
                             () -> {
-                                answer(job, 503, "X-Not-Processed", NOTHING);
-                                over(job);
+                                sendResponse(job, 503, "X-Not-Processed", EMPTY_BODY);
+                                releaseCore(job);
                             });
             return;
         }
-        boolean fresh =
+        boolean firstTime =
                 !job.category.repeat().equals("keyed")
-                        || marks.computeIfAbsent(
-                                        job.category.scope().equals("room") ? room : "",
-                                        r -> new Marks())
-                                .isNew(tier + " " + job.key, now, job.category.window());
-        if (fresh) {
-            ledger.effect(now, job.id, job.category.repeat(), room);
+                        || seenKeys.computeIfAbsent(
+                                        job.category.scope().equals("room") ? zone : "",
+                                        scope -> new SeenKeys())
+                                .addIfNew(tier + " " + job.key, now, job.category.window());
+        if (firstTime) {
+            ledger.effect(now, job.id, job.category.repeat(), zone);
         }
-        long takes = fresh ? model.time(now, job.work) : 0;
-        job.timer = loop.after(takes, () -> worked(job));
+        long workNanos = firstTime ? model.serviceNanos(now, job.work) : 0;
+        job.timer = loop.after(workNanos, () -> onWorkDone(job));
     }
 
-    private void worked(Job job) {
+    private void onWorkDone(Job job) {
         if (paused) {
-            held.add(() -> worked(job));
+            deferredTasks.add(() -> onWorkDone(job));
             return;
         }
-        // The core is free while the next tier works.
-        if (job.callsLeft > 0 && next != null) {
-            freeCore();
-            call(job);
+        // The core is free while the next tier processes the calls.
+        if (job.callsLeft > 0 && nextTier != null) {
+            startQueuedJob();
+            callNextTier(job);
         } else {
-            boolean fails = errors > 0 && random.nextDouble() < errors;
-            finish(job, fails ? 500 : 200);
-            over(job);
+            boolean fails = errorProbability > 0 && random.nextDouble() < errorProbability;
+            respond(job, fails ? 500 : 200);
+            releaseCore(job);
         }
     }
 
-    private void call(Job job) {
-        long left = job.until - loop.now();
-        if (left <= 1_000_000 || life != Life.UP) {
-            finish(job, 500);
+    private void callNextTier(Job job) {
+        long remaining = job.deadline - loop.now();
+        if (remaining <= 1_000_000 || processState != ProcessState.UP) {
+            respond(job, 500);
             running.remove(job);
             return;
         }
-        String inner =
+        String callId =
                 id
                         + "-"
-                        + Long.toString(++calls, 36)
+                        + Long.toString(++callCount, 36)
                         + "-"
                         + Long.toString(random.nextLong() >>> 32, 36);
-        String chain = job.key + "/" + job.callsLeft;
+        String callKey = job.key + "/" + job.callsLeft;
         job.callsLeft--;
-        next.send(
-                new Caller.Request(
-                        inner,
-                        job.key == null ? inner : chain,
-                        chain,
+        nextTier.send(
+                new ProxyClient.Request(
+                        callId,
+                        job.key == null ? callId : callKey,
+                        callKey,
                         job.category,
                         job.tenant,
-                        left,
+                        remaining,
                         false,
                         job.work),
                 true,
@@ -372,48 +379,48 @@
                     if (!running.contains(job)) {
                         return;
                     }
-                    if (result.end() != Caller.End.FINISHED) {
-                        finish(job, 500);
+                    if (result.outcome() != ProxyClient.Outcome.COMPLETED) {
+                        respond(job, 500);
                         running.remove(job);
                     } else if (job.callsLeft > 0) {
-                        call(job);
+                        callNextTier(job);
                     } else {
-                        finish(job, 200);
+                        respond(job, 200);
                         running.remove(job);
                     }
                 });
     }
 
-    private void finish(Job job, int status) {
+    private void respond(Job job, int status) {
         if (status == 200) {
             byte[] body =
                     (job.id + " " + job.category.name()).getBytes(StandardCharsets.ISO_8859_1);
             ledger.made(job.id, Arrays.hashCode(body));
             series.done(id, loop.now());
-            answer(job, 200, null, body);
+            sendResponse(job, 200, null, body);
         } else {
-            answer(job, status, null, NOTHING);
+            sendResponse(job, status, null, EMPTY_BODY);
         }
     }
 
-    private void over(Job job) {
+    private void releaseCore(Job job) {
         if (running.remove(job)) {
-            freeCore();
+            startQueuedJob();
         }
     }
 
-    private void freeCore() {
-        Job waiting = model.next();
-        while (waiting != null && waiting.conn.isOver()) {
-            waiting = model.next();
+    private void startQueuedJob() {
+        Job waiting = model.onCoreFree();
+        while (waiting != null && waiting.conn.isClosed()) {
+            waiting = model.onCoreFree();
         }
         if (waiting != null) {
-            begin(waiting);
+            startJob(waiting);
         }
     }
 
-    private void answer(Job job, int status, String name, byte[] body) {
-        State state = conns.get(job.conn);
+    private void sendResponse(Job job, int status, String name, byte[] body) {
+        ConnectionState state = connections.get(job.conn);
         if (state == null || state.job != job) {
             return;
         }
@@ -423,26 +430,25 @@
             name = "X-Server-Load";
             value =
                     "inflight="
-                            + (model.busy() + model.waiting())
+                            + (model.busy() + model.queued())
                             + ",queue="
-                            + model.waiting()
+                            + model.queued()
                             + ",util="
                             + Math.round(100.0 * model.busy() / model.cores()) / 100.0;
         }
-        job.conn.answer(HttpIn.answer(status, name, value, body));
+        job.conn.writeResponse(HttpMessageParser.encodeResponse(status, name, value, body));
     }
 
     @Override
-    public void ended(Conn conn, boolean byReset) {
-        ((Door) conn.of).conns.remove(conn);
-        State state = conns.remove(conn);
-        if (state != null && state.job != null && model.drop(state.job)) {
+    public void onClosed(Connection conn, boolean byReset) {
+        ((Listener) conn.attachment).connections.remove(conn);
+        ConnectionState state = connections.remove(conn);
+        if (state != null && state.job != null && model.removeQueued(state.job)) {
             state.job = null;
         }
     }
 
-    /** Whether its process runs. */
     boolean isUp() {
-        return life == Life.UP;
+        return processState == ProcessState.UP;
     }
 }
--- a/src/main/java/cottonlock/lab/Clients.java
+++ b/src/main/java/cottonlock/lab/Clients.java
@@ -5,82 +5,86 @@
 import java.util.SplittableRandom;
 
 /**
- * The clients and the front that deals their connections out among the proxies of their room.
- * Arrivals are open loop: they come when the schedule has them, whatever became of those before.
- * Latency counts from then.
+ * The clients, and the front-end balancer that distributes their connections among the proxies of
+ * their zone. Arrivals are open loop: requests are sent at their scheduled times, independent of
+ * the outcome of earlier ones. Latency counts from the scheduled time.
  */
 final class Clients {
-    /** Proxies that are tried for one send when connections don't come up. */
-    private static final int TRIES = 3;
+    /** How many proxies are tried for one send when connections can't be established. */
+    private static final int MAX_PROXIES_TRIED = 3;
 
-    /** Nanoseconds before a client sends again when it was given no come-back time, at least. */
-    private static final long PAUSE = 50_000_000L;
+    /**
+     * The shortest delay before a client's retry, in nanoseconds. A random time of up to as much is
+     * added; a longer Retry-After takes precedence.
+     */
+    private static final long MIN_RETRY_DELAY_NANOS = 50_000_000L;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Series series;
     private final Scenario.ClientPlan plan;
     private final List<String> tenants;
     private final List<Scenario.CategoryPlan> categories;
-    private final List<Caller> callers;
+    private final List<ProxyClient> proxyClients;
 
     /**
-     * The room of each proxy, and since when the front knows that it is gone; -1 while it serves.
+     * The zone of each proxy, and the time from which the front-end balancer knows that it is
+     * unavailable; -1 while it serves.
      */
-    private final int[] rooms;
+    private final int[] zones;
 
-    private final long[] goneSince;
+    private final long[] unavailableFrom;
     private List<Arrivals.Arrival> arrivals = List.of();
     private int nextArrival;
-    private int open;
+    private int pending;
     private long retried;
     private long sent;
-    private boolean ended;
+    private boolean stopped;
 
     Clients(
-            Loop loop,
+            EventLoop loop,
             Series series,
             Scenario.ClientPlan plan,
             List<String> tenants,
             List<Scenario.CategoryPlan> categories,
-            List<Caller> callers,
-            int[] rooms) {
+            List<ProxyClient> proxyClients,
+            int[] zones) {
         this.loop = loop;
         this.series = series;
         this.plan = plan;
         this.tenants = tenants;
         this.categories = categories;
-        this.callers = callers;
-        this.rooms = rooms;
-        this.goneSince = new long[callers.size()];
-        java.util.Arrays.fill(goneSince, -1);
+        this.proxyClients = proxyClients;
+        this.zones = zones;
+        this.unavailableFrom = new long[proxyClients.size()];
+        java.util.Arrays.fill(unavailableFrom, -1);
     }
 
-    /** Sends the schedule from a time on. */
-    void start(List<Arrivals.Arrival> schedule, long from) {
+    /** Starts sending the schedule, whose times count from {@code scheduleStart}. */
+    void start(List<Arrivals.Arrival> schedule, long scheduleStart) {
         arrivals = schedule;
-        next(from);
+        scheduleNext(scheduleStart);
     }
 
-    private void next(long from) {
-        if (nextArrival < arrivals.size() && !ended) {
-            Arrivals.Arrival a = arrivals.get(nextArrival);
+    private void scheduleNext(long scheduleStart) {
+        if (nextArrival < arrivals.size() && !stopped) {
+            Arrivals.Arrival arrival = arrivals.get(nextArrival);
             loop.at(
-                    from + a.at(),
+                    scheduleStart + arrival.atNanos(),
                     () -> {
                         int number = nextArrival++;
-                        next(from);
-                        arrive(a, number, from);
+                        scheduleNext(scheduleStart);
+                        startRequest(arrival, number, scheduleStart);
                     });
         }
     }
 
-    /** Nothing further is sent. */
-    void end() {
-        ended = true;
+    /** Stops sending. */
+    void stop() {
+        stopped = true;
     }
 
-    boolean allOver() {
-        return open == 0 && (ended || nextArrival >= arrivals.size());
+    boolean isDone() {
+        return pending == 0 && (stopped || nextArrival >= arrivals.size());
     }
 
     long sent() {
@@ -91,139 +95,191 @@
         return retried;
     }
 
-    /** A proxy has died or left; the front notices a while later. */
-    void gone(int proxy, long noticedAt) {
-        goneSince[proxy] = noticedAt;
+    /** Marks a proxy as unavailable; the front-end balancer notices it at the given time. */
+    void markUnavailable(int proxy, long noticedAt) {
+        unavailableFrom[proxy] = noticedAt;
     }
 
-    void back(int proxy) {
-        goneSince[proxy] = -1;
+    void markAvailable(int proxy) {
+        unavailableFrom[proxy] = -1;
     }
 
-    private void arrive(Arrivals.Arrival a, int number, long from) {
-        open++;
-        series.count(Series.Count.DUE, a.at());
-        SplittableRandom chance = new SplittableRandom(a.draw());
-        String key = Long.toHexString(a.draw()) + Integer.toHexString(number);
-        send(a, number, 0, 0, key, from + a.at(), from, chance);
+    private void startRequest(Arrivals.Arrival arrival, int number, long scheduleStart) {
+        pending++;
+        series.count(Series.Count.DUE, arrival.atNanos());
+        SplittableRandom random = new SplittableRandom(arrival.clientSeed());
+        String idempotencyKey =
+                Long.toHexString(arrival.clientSeed()) + Integer.toHexString(number);
+        send(
+                arrival,
+                number,
+                0,
+                0,
+                idempotencyKey,
+                scheduleStart + arrival.atNanos(),
+                scheduleStart,
+                random);
     }
 
-    /** One send of a request: the first, or a client's retry of it. */
+    /** Sends a request: its first send, or a client's retry. */
     private void send(
-            Arrivals.Arrival a,
+            Arrivals.Arrival arrival,
             int number,
-            int tries,
+            int proxiesTried,
             int retries,
-            String key,
-            long due,
-            long from,
-            SplittableRandom chance) {
-        Scenario.CategoryPlan category = categories.get(a.category());
+            String idempotencyKey,
+            long arrivedAt,
+            long scheduleStart,
+            SplittableRandom random) {
+        Scenario.CategoryPlan category = categories.get(arrival.category());
         long now = loop.now();
-        long patience = due + category.expiry() - now;
-        int proxy = pick(a.room(), chance);
-        if (patience < 2_000_000 || proxy < 0 || tries >= TRIES) {
-            over(a, Caller.End.NOT_TAKEN, from);
+        long timeout = arrivedAt + category.expiry() - now;
+        int proxy = pickProxy(arrival.zone(), random);
+        if (timeout < 2_000_000 || proxy < 0 || proxiesTried >= MAX_PROXIES_TRIED) {
+            recordOutcome(arrival, ProxyClient.Outcome.NOT_SENT, scheduleStart);
             return;
         }
-        // Which send this is: an id is new with each (PROTOCOL).
+        // Each send has a new id (PROTOCOL).
         String id =
                 Integer.toString(number, 36)
                         + "-"
                         + retries
                         + "-"
-                        + tries
+                        + proxiesTried
                         + "-"
-                        + Long.toString(chance.nextLong() >>> 24, 36);
-        long leaveIn = a.leaves() < 1 && retries == 0 ? (long) (a.leaves() * patience) : -1;
+                        + Long.toString(random.nextLong() >>> 24, 36);
+        long cancelAfter =
+                arrival.cancelFraction() < 1 && retries == 0
+                        ? (long) (arrival.cancelFraction() * timeout)
+                        : -1;
         sent++;
-        retried += retries > 0 && tries == 0 ? 1 : 0;
-        callers.get(proxy)
+        retried += retries > 0 && proxiesTried == 0 ? 1 : 0;
+        proxyClients
+                .get(proxy)
                 .send(
-                        new Caller.Request(
+                        new ProxyClient.Request(
                                 id,
-                                key,
-                                key,
+                                idempotencyKey,
+                                idempotencyKey,
                                 category,
-                                tenants.get(a.tenant()),
-                                patience,
+                                tenants.get(arrival.tenant()),
+                                timeout,
                                 retries > 0,
-                                a.work()),
-                        chance.nextDouble() < plan.keep(),
-                        leaveIn,
+                                arrival.work()),
+                        random.nextDouble() < plan.keep(),
+                        cancelAfter,
                         result -> {
-                            if (result.end() == Caller.End.NOT_TAKEN) {
-                                // Nobody has it: the front tries the next proxy.
+                            if (result.outcome() == ProxyClient.Outcome.NOT_SENT) {
+                                // The request wasn't sent: the front-end balancer tries another
+                                // proxy.
                                 sent--;
-                                send(a, number, tries + 1, retries, key, due, from, chance);
+                                send(
+                                        arrival,
+                                        number,
+                                        proxiesTried + 1,
+                                        retries,
+                                        idempotencyKey,
+                                        arrivedAt,
+                                        scheduleStart,
+                                        random);
                             } else {
-                                ended(a, result, number, retries, key, due, from, chance);
+                                onResult(
+                                        arrival,
+                                        result,
+                                        number,
+                                        retries,
+                                        idempotencyKey,
+                                        arrivedAt,
+                                        scheduleStart,
+                                        random);
                             }
                         });
     }
 
-    private void ended(
-            Arrivals.Arrival a,
-            Caller.Result result,
+    private void onResult(
+            Arrivals.Arrival arrival,
+            ProxyClient.Result result,
             int number,
             int retries,
-            String key,
-            long due,
-            long from,
-            SplittableRandom chance) {
+            String idempotencyKey,
+            long arrivedAt,
+            long scheduleStart,
+            SplittableRandom random) {
         long now = loop.now();
-        switch (result.end()) {
-            case FINISHED -> {
-                series.count(Series.Count.FINISHED, now - from);
-                if (now - due > categories.get(a.category()).due()) {
-                    series.count(Series.Count.LATE, now - from);
+        switch (result.outcome()) {
+            case COMPLETED -> {
+                series.count(Series.Count.FINISHED, now - scheduleStart);
+                if (now - arrivedAt > categories.get(arrival.category()).due()) {
+                    series.count(Series.Count.LATE, now - scheduleStart);
                 }
-                series.finished(a.category(), a.at(), now - from);
+                series.finished(arrival.category(), arrival.atNanos(), now - scheduleStart);
             }
-            case DEFERRED -> series.count(Series.Count.DEFERRED, now - from);
-            case WRITTEN_OFF -> series.count(Series.Count.WRITTEN_OFF, now - from);
-            default -> series.count(Series.Count.NO_ANSWER, now - from);
+            case REJECTED -> series.count(Series.Count.DEFERRED, now - scheduleStart);
+            case FAILED -> series.count(Series.Count.WRITTEN_OFF, now - scheduleStart);
+            default -> series.count(Series.Count.NO_ANSWER, now - scheduleStart);
         }
-        boolean again = retries < plan.retries() && result.end() == Caller.End.DEFERRED;
-        long wait = Math.max(result.comeBack(), PAUSE + (long) (chance.nextDouble() * PAUSE));
-        if (again && now + wait < due + categories.get(a.category()).expiry() && !ended) {
-            loop.after(wait, () -> send(a, number, 0, retries + 1, key, due, from, chance));
+        boolean retry =
+                retries < plan.retries() && result.outcome() == ProxyClient.Outcome.REJECTED;
+        long delay =
+                Math.max(
+                        result.retryAfterNanos(),
+                        MIN_RETRY_DELAY_NANOS
+                                + (long) (random.nextDouble() * MIN_RETRY_DELAY_NANOS));
+        if (retry
+                && now + delay < arrivedAt + categories.get(arrival.category()).expiry()
+                && !stopped) {
+            loop.after(
+                    delay,
+                    () ->
+                            send(
+                                    arrival,
+                                    number,
+                                    0,
+                                    retries + 1,
+                                    idempotencyKey,
+                                    arrivedAt,
+                                    scheduleStart,
+                                    random));
         } else {
-            over(a, result.end(), from);
+            recordOutcome(arrival, result.outcome(), scheduleStart);
         }
     }
 
-    private void over(Arrivals.Arrival a, Caller.End end, long from) {
-        open--;
-        Scenario.CategoryPlan category = categories.get(a.category());
-        if (end == Caller.End.LEFT) {
-            // Who left on purpose was owed nothing.
+    private void recordOutcome(
+            Arrivals.Arrival arrival, ProxyClient.Outcome outcome, long scheduleStart) {
+        pending--;
+        Scenario.CategoryPlan category = categories.get(arrival.category());
+        if (outcome == ProxyClient.Outcome.CANCELLED) {
+            // No response is owed to a client that has disconnected by itself.
             return;
         }
-        if (end == Caller.End.NOT_TAKEN) {
-            series.count(Series.Count.NO_ANSWER, loop.now() - from);
+        if (outcome == ProxyClient.Outcome.NOT_SENT) {
+            series.count(Series.Count.NO_ANSWER, loop.now() - scheduleStart);
         }
-        boolean late = loop.now() - from - a.at() > category.due();
+        boolean late = loop.now() - scheduleStart - arrival.atNanos() > category.due();
         double earned =
-                end != Caller.End.FINISHED
+                outcome != ProxyClient.Outcome.COMPLETED
                         ? 0
                         : category.credit() * (late ? category.lateCredit() : 1);
-        series.credit(a.tenant(), a.at(), category.credit(), earned);
+        series.credit(arrival.tenant(), arrival.atNanos(), category.credit(), earned);
     }
 
-    /** A proxy of the room that the front takes for alive; of all, where the room has none. */
-    private int pick(int room, SplittableRandom chance) {
+    /**
+     * Picks a proxy of the zone that the front-end balancer believes available, or any available
+     * one if the zone has none; -1 if there is none.
+     */
+    private int pickProxy(int zone, SplittableRandom random) {
         List<Integer> alive = new ArrayList<>();
-        List<Integer> near = new ArrayList<>();
-        for (int p = 0; p < rooms.length; p++) {
-            if (goneSince[p] < 0 || loop.now() < goneSince[p]) {
-                alive.add(p);
-                if (rooms[p] == room) {
-                    near.add(p);
+        List<Integer> sameZone = new ArrayList<>();
+        for (int proxy = 0; proxy < zones.length; proxy++) {
+            if (unavailableFrom[proxy] < 0 || loop.now() < unavailableFrom[proxy]) {
+                alive.add(proxy);
+                if (zones[proxy] == zone) {
+                    sameZone.add(proxy);
                 }
             }
         }
-        List<Integer> choice = near.isEmpty() ? alive : near;
-        return choice.isEmpty() ? -1 : choice.get(chance.nextInt(choice.size()));
+        List<Integer> candidates = sameZone.isEmpty() ? alive : sameZone;
+        return candidates.isEmpty() ? -1 : candidates.get(random.nextInt(candidates.size()));
     }
 }
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -88,7 +88,7 @@
     private static final class Node {
         final int number;
         final Host host;
-        final Caller caller;
+        final ProxyClient client;
         volatile boolean serving;
 
         /** Whether it is in the first tier, whose proxies the clients call. */
@@ -96,17 +96,17 @@
 
         long starts;
 
-        Node(int number, Host host, Caller caller, boolean firstTier) {
+        Node(int number, Host host, ProxyClient client, boolean firstTier) {
             this.number = number;
             this.host = host;
-            this.caller = caller;
+            this.client = client;
             this.firstTier = firstTier;
         }
     }
 
     private final Scenario scenario;
-    private final Loop loop = new Loop();
-    private final ByteBuffer buffer = Conn.sharedBuffer();
+    private final EventLoop loop = new EventLoop();
+    private final ByteBuffer buffer = Connection.sharedBuffer();
     private final Ledger ledger;
     private final Series series;
     private final List<Discovery> discoveries = new ArrayList<>();
@@ -119,7 +119,7 @@
     private final java.nio.file.Path folder;
 
     /** Network between the proxies of the first tier; null without membership. */
-    private PeerNet peerNet;
+    private PeerNetwork peerNet;
 
     private MembersJudge judge;
     private MembersWatch watch;
@@ -174,7 +174,7 @@
                             scenario.rules.askWithin(),
                             scenario.sabotage,
                             wallStart));
-            Map<String, Backend.Marks> marks = new HashMap<>();
+            Map<String, Backend.SeenKeys> seenKeys = new HashMap<>();
             for (int b = 0; b < plan.backends(); b++) {
                 Backend backend =
                         new Backend(
@@ -187,7 +187,7 @@
                                 plan,
                                 scenario.rules,
                                 categories,
-                                marks,
+                                seenKeys,
                                 rng.split(),
                                 scenario.sabotage);
                 backends.put(backend.id, backend);
@@ -195,7 +195,7 @@
             }
         }
         if (scenario.membership != null) {
-            peerNet = new PeerNet(loop, scenario.seed, scenario.proxies.count());
+            peerNet = new PeerNetwork(loop, scenario.seed, scenario.proxies.count());
             List<String> names = new ArrayList<>();
             for (int p = 0; p < scenario.proxies.count(); p++) {
                 names.add("n" + p);
@@ -204,19 +204,19 @@
             watch = new MembersWatch();
             watcher = new Watcher(ServeCommand.code());
         }
-        List<Caller> callers = new ArrayList<>();
+        List<ProxyClient> proxyClients = new ArrayList<>();
         int[] zones = new int[scenario.proxies.count()];
         for (int p = 0; p < zones.length; p++) {
             zones[p] = p % scenario.zones.size();
-            callers.add(addNode(0, zones.length, rng.split()).caller);
+            proxyClients.add(addNode(0, zones.length, rng.split()).client);
         }
         for (int t = 1; t < scenario.tiers.size(); t++) {
             int callingBackends = scenario.tiers.get(t - 1).backends();
             for (int b = 0; b < callingBackends; b++) {
                 Backend backend = backends.get(Scenario.backendId(t - 1, b));
                 Node node = addNode(t, callingBackends, rng.split());
-                backend.next = node.caller;
-                backend.died = () -> kill(node);
+                backend.nextTier = node.client;
+                backend.onProcessEnd = () -> kill(node);
                 ownProxies.put(backend.id, node);
             }
         }
@@ -227,7 +227,7 @@
                         scenario.clients,
                         scenario.tenants.stream().map(Scenario.TenantPlan::name).toList(),
                         scenario.categories,
-                        callers,
+                        proxyClients,
                         zones);
     }
 
@@ -276,7 +276,7 @@
         Map<Backend, InetSocketAddress> plainBackendAddresses = new HashMap<>();
         for (Backend backend : backends.values()) {
             if (backend.id.startsWith("t" + tier + "b")) {
-                InetSocketAddress address = backend.door(buffer, number).address();
+                InetSocketAddress address = backend.addListener(buffer, number).address();
                 backendAddresses.put(backend.id, address);
                 plainBackendAddresses.put(backend, address);
             }
@@ -290,7 +290,7 @@
                     new Node(
                             number,
                             null,
-                            new Caller(
+                            new ProxyClient(
                                     loop,
                                     ledger,
                                     buffer,
@@ -302,8 +302,8 @@
             return nodes.get(number);
         }
         if (!scenario.proxies.policy().equals("lanes")) {
-            PlainProxy plain =
-                    new PlainProxy(
+            BaselineProxy baseline =
+                    new BaselineProxy(
                             loop,
                             buffer,
                             number,
@@ -312,22 +312,22 @@
                             scenario.proxies.connectTimeout(),
                             rng.split(),
                             plainBackendAddresses);
-            discovery.servePlain(number, plain::list);
+            discovery.addBaselineProxy(number, baseline::setActiveBackends);
             nodeRef[0] =
                     new Node(
                             number,
                             null,
-                            new Caller(
+                            new ProxyClient(
                                     loop,
                                     ledger,
                                     buffer,
                                     number,
-                                    () -> nodeRef[0].serving ? plain.address() : null,
+                                    () -> nodeRef[0].serving ? baseline.address() : null,
                                     scenario.sabotage,
                                     rng.split()),
                             tier == 0);
         } else {
-            discovery.serve(number, backendAddresses);
+            discovery.addProxy(number, backendAddresses);
             long seed = rng.nextLong();
             Host[] hostRef = new Host[1];
             ProxyConfig.PeerSettings[] peerSettings = new ProxyConfig.PeerSettings[1];
@@ -343,7 +343,7 @@
                                             hostAndPort(hostRef[0].address()),
                                             hostAndPort(discovery.address(number)),
                                             seed + start,
-                                            discovery.whole(number),
+                                            discovery.fullListJson(number),
                                             tier,
                                             fleet,
                                             scenario.proxies,
@@ -370,7 +370,7 @@
                     new Node(
                             number,
                             host,
-                            new Caller(
+                            new ProxyClient(
                                     loop,
                                     ledger,
                                     buffer,
@@ -412,7 +412,7 @@
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
             realAddress = (InetSocketAddress) free.getLocalSocketAddress();
         }
-        peerNet.listens(number, realAddress);
+        peerNet.setProxyAddress(number, realAddress);
         return new ProxyConfig.PeerSettings(
                 hostAndPort(host.managementAddress()), hostAndPort(realAddress), peers, number);
     }
@@ -541,7 +541,7 @@
         loop.at(
                 loadStart,
                 () -> {
-                    loop.late().reset();
+                    loop.lateness().reset();
                     if (watcher != null) {
                         watcher.reset();
                     }
@@ -590,7 +590,7 @@
                         .mapToLong(Scenario.CategoryPlan::expiry)
                         .max()
                         .orElse(0);
-        if (clients.allOver()
+        if (clients.isDone()
                 || loop.now() > loadStart + scenario.length + longest + 1_000_000_000L) {
             finish();
         } else {
@@ -599,7 +599,7 @@
     }
 
     private void finish() {
-        clients.end();
+        clients.stop();
         loop.stop();
     }
 
@@ -620,10 +620,10 @@
                 node.host.close();
             }
         }
-        nodes.forEach(node -> node.caller.close());
+        nodes.forEach(node -> node.client.close());
         for (Backend backend : backends.values()) {
-            backend.died = () -> {};
-            backend.die(false);
+            backend.onProcessEnd = () -> {};
+            backend.endProcess(false);
         }
         loop.close();
         try (java.util.stream.Stream<java.nio.file.Path> files = Files.walk(folder)) {
@@ -656,25 +656,31 @@
                                 b ->
                                         applyUntil(
                                                 end,
-                                                () -> b.slow(entry.amount()),
-                                                () -> b.slow(1)));
+                                                () -> b.setSlowdown(entry.amount()),
+                                                () -> b.setSlowdown(1)));
                 case "errors" ->
                         targets.forEach(
                                 b ->
                                         applyUntil(
                                                 end,
-                                                () -> b.errors = entry.amount(),
-                                                () -> b.errors = 0));
+                                                () -> b.errorProbability = entry.amount(),
+                                                () -> b.errorProbability = 0));
                 case "pause" ->
                         targets.forEach(
-                                b -> applyUntil(end, () -> b.pause(true), () -> b.pause(false)));
+                                b ->
+                                        applyUntil(
+                                                end,
+                                                () -> b.setPaused(true),
+                                                () -> b.setPaused(false)));
                 case "delay" ->
                         targets.forEach(
                                 b ->
                                         applyUntil(
                                                 end,
-                                                () -> b.path.delay = (long) (entry.amount() * 1e6),
-                                                () -> b.path.delay = 0));
+                                                () ->
+                                                        b.path.delayNanos =
+                                                                (long) (entry.amount() * 1e6),
+                                                () -> b.path.delayNanos = 0));
                 case "throttle" ->
                         targets.forEach(
                                 b ->
@@ -689,27 +695,28 @@
                                 b ->
                                         applyUntil(
                                                 end,
-                                                () -> b.path.resets = entry.amount(),
-                                                () -> b.path.resets = 0));
+                                                () -> b.path.resetProbability = entry.amount(),
+                                                () -> b.path.resetProbability = 0));
                 case "splits" ->
                         targets.forEach(
                                 b ->
                                         applyUntil(
                                                 end,
-                                                () -> b.path.splits = entry.amount(),
-                                                () -> b.path.splits = 0));
+                                                () -> b.path.splitProbability = entry.amount(),
+                                                () -> b.path.splitProbability = 0));
                 case "garble" ->
                         targets.forEach(
                                 b ->
                                         applyUntil(
                                                 end,
-                                                () -> b.path.garbles = entry.amount(),
-                                                () -> b.path.garbles = 0));
+                                                () -> b.path.corruptionProbability = entry.amount(),
+                                                () -> b.path.corruptionProbability = 0));
                 case "cut" ->
                         targets.forEach(
                                 b -> applyUntil(end, () -> cut(b, true), () -> cut(b, false)));
                 case "crash" ->
-                        targets.forEach(b -> applyUntil(end, () -> b.die(false), () -> restart(b)));
+                        targets.forEach(
+                                b -> applyUntil(end, () -> b.endProcess(false), () -> restart(b)));
                 case "drain" -> targets.forEach(b -> drain(b, entry));
                 case "proxy-kill" -> proxyKill(nodes.get(entry.proxy()), end);
                 case "proxy-term" -> proxyTerm(nodes.get(entry.proxy()), entry.length());
@@ -744,21 +751,26 @@
         for (Discovery discovery : discoveries) {
             switch (entry.kind()) {
                 case "discovery-down" -> {
-                    discovery.down(true);
-                    loop.at(end, () -> runOrFail(() -> discovery.down(false)));
+                    discovery.setDown(true);
+                    loop.at(end, () -> runOrFail(() -> discovery.setDown(false)));
                 }
                 case "discovery-slow" ->
                         applyUntil(
                                 end,
-                                () -> discovery.slow((long) (entry.amount() * 1e6)),
-                                () -> discovery.slow(0));
+                                () -> discovery.setDelay((long) (entry.amount() * 1e6)),
+                                () -> discovery.setDelay(0));
                 case "discovery-silent" ->
                         applyUntil(
-                                end, () -> discovery.silent(true), () -> discovery.silent(false));
+                                end,
+                                () -> discovery.setSilent(true),
+                                () -> discovery.setSilent(false));
                 case "discovery-stale" ->
-                        applyUntil(end, () -> discovery.stale(true), () -> discovery.stale(false));
+                        applyUntil(
+                                end,
+                                () -> discovery.setStale(true),
+                                () -> discovery.setStale(false));
                 default -> {
-                    discovery.move();
+                    discovery.moveToNewAddresses();
                     nodes.stream()
                             .filter(n -> n.host != null && n.serving)
                             .forEach(
@@ -793,11 +805,11 @@
     }
 
     private void cut(Backend backend, boolean off) {
-        runOrFail(() -> backend.cut(off));
+        runOrFail(() -> backend.setCutOff(off));
     }
 
     private void restart(Backend backend) {
-        if (backend.life != Backend.Life.DOWN) {
+        if (backend.processState != Backend.ProcessState.DOWN) {
             return;
         }
         Node ownProxy = ownProxies.get(backend.id);
@@ -811,11 +823,11 @@
                                                     Integer.parseInt(
                                                             backend.id.substring(
                                                                     1, backend.id.indexOf('b'))))
-                                            .restarted(backend);
+                                            .onBackendRestarted(backend);
                                 });
         if (ownProxy == null || ownProxy.host == null) {
             if (ownProxy != null) {
-                ownProxy.caller.dying(false);
+                ownProxy.client.setProxyUnavailable(false);
                 ownProxy.serving = true;
             }
             restartBackend.run();
@@ -825,7 +837,7 @@
                         start(ownProxy);
                         loop.post(
                                 () -> {
-                                    ownProxy.caller.dying(false);
+                                    ownProxy.client.setProxyUnavailable(false);
                                     restartBackend.run();
                                 });
                         return null;
@@ -836,14 +848,14 @@
     private void drain(Backend backend, Timeline.Entry entry) {
         Discovery discovery =
                 discoveries.get(Integer.parseInt(backend.id.substring(1, backend.id.indexOf('b'))));
-        discovery.set(backend, Discovery.Health.LEAVING);
+        discovery.setHealth(backend, Discovery.Health.LEAVING);
         long leavesAt = loop.now() + (long) entry.amount();
         loop.at(
                 leavesAt,
                 () -> {
-                    discovery.set(backend, Discovery.Health.LEFT);
-                    if (backend.life == Backend.Life.UP) {
-                        backend.die(false);
+                    discovery.setHealth(backend, Discovery.Health.LEFT);
+                    if (backend.processState == Backend.ProcessState.UP) {
+                        backend.endProcess(false);
                     }
                 });
         loop.at(
@@ -894,12 +906,12 @@
     }
 
     private void setSuspended(Node node, boolean suspended) {
-        node.caller.dying(suspended);
+        node.client.setProxyUnavailable(suspended);
         if (suspended) {
-            clients.gone(node.number, loop.now() + scenario.clients.notice());
+            clients.markUnavailable(node.number, loop.now() + scenario.clients.notice());
         } else {
             ledger.stoppedUntil(node.number, loop.now());
-            clients.back(node.number);
+            clients.markAvailable(node.number);
         }
         if (judge != null && node.firstTier) {
             if (suspended) {
@@ -994,12 +1006,12 @@
         PeerPaths paths = peerNet.paths();
         double amount = active ? entry.amount() : 0;
         switch (entry.kind()) {
-            case "peer-loss" -> paths.loss(from, to, amount);
-            case "peer-double" -> paths.twice(from, to, amount);
-            case "peer-garble" -> paths.garble(from, to, amount);
-            case "peer-delay" -> paths.delay(from, to, (long) (amount * 1e6));
+            case "peer-loss" -> paths.setLoss(from, to, amount);
+            case "peer-double" -> paths.setDuplication(from, to, amount);
+            case "peer-garble" -> paths.setCorruption(from, to, amount);
+            case "peer-delay" -> paths.setMaxDelay(from, to, (long) (amount * 1e6));
             default -> {
-                paths.cut(from, to, active);
+                paths.setCut(from, to, active);
                 judge.way(from, to, !paths.isCut(from, to));
             }
         }
@@ -1011,7 +1023,7 @@
         if (judge != null && node.firstTier) {
             judge.down(node.number, loop.now());
         }
-        node.caller.dying(true);
+        node.client.setProxyUnavailable(true);
         ledger.startedAnew(node.number);
         if (node.host != null) {
             runInBackground(
@@ -1024,15 +1036,15 @@
 
     private void proxyKill(Node node, long end) {
         kill(node);
-        clients.gone(node.number, loop.now() + scenario.clients.notice());
+        clients.markUnavailable(node.number, loop.now() + scenario.clients.notice());
         loop.at(end, () -> startAgain(node));
     }
 
     private void proxyTerm(Node node, long downNanos) {
-        clients.gone(node.number, loop.now() + FRONT_AFTER_TERM_NANOS);
+        clients.markUnavailable(node.number, loop.now() + FRONT_AFTER_TERM_NANOS);
         if (node.host == null) {
             // A baseline has no process: the front only stops using it for a while.
-            loop.after(downNanos, () -> clients.back(node.number));
+            loop.after(downNanos, () -> clients.markAvailable(node.number));
             return;
         }
         runInBackground(
@@ -1061,7 +1073,11 @@
                     node.host.endBySignals(
                             series,
                             killAfterMillis(),
-                            () -> loop.post(() -> node.caller.leaves(FRONT_AFTER_TERM_NANOS)));
+                            () ->
+                                    loop.post(
+                                            () ->
+                                                    node.client.onProxyTerminating(
+                                                            FRONT_AFTER_TERM_NANOS)));
                     loop.post(
                             () -> {
                                 node.serving = false;
@@ -1078,7 +1094,7 @@
         runInBackground(
                 () -> {
                     start(node);
-                    loop.post(node.caller::restarted);
+                    loop.post(node.client::onProxyRestarted);
                     if (series.termsNextWhenReady()) {
                         proxyRestart(node, SignalSeries.TERM, downNanos);
                     }
@@ -1100,9 +1116,10 @@
     }
 
     private void proxyCrowd(Node node, long end, int connections) {
-        Crowd crowd = new Crowd(loop, buffer, () -> node.serving ? node.host.address() : null);
-        crowd.gather(connections);
-        loop.at(end, crowd::disperse);
+        IdleConnections idle =
+                new IdleConnections(loop, buffer, () -> node.serving ? node.host.address() : null);
+        idle.openAll(connections);
+        loop.at(end, idle::closeAll);
     }
 
     private void startAgain(Node node) {
@@ -1111,8 +1128,8 @@
                     start(node);
                     loop.post(
                             () -> {
-                                node.caller.dying(false);
-                                clients.back(node.number);
+                                node.client.setProxyUnavailable(false);
+                                clients.markAvailable(node.number);
                             });
                     return null;
                 });
@@ -1141,11 +1158,11 @@
         figures.put("unanswered", (double) ledger.diedWithProxy());
         figures.put("retried", (double) clients.retried());
         figures.put("sends_per_item", ledger.sends() / Math.max(1.0, (double) clients.sent()));
-        figures.put("behind_ms", loop.late().getValueAtPercentile(99.9) / 1_000.0);
+        figures.put("behind_ms", loop.lateness().getValueAtPercentile(99.9) / 1_000.0);
         if (judge != null) {
             judge.figures(loop.now(), figures);
-            figures.put("peer_bytes_s", (double) peerNet.worstSecond());
-            figures.put("peer_mean_s", peerNet.mean(loop.now()));
+            figures.put("peer_bytes_s", (double) peerNet.maxBytesPerSecond());
+            figures.put("peer_mean_s", peerNet.meanBytesPerSecond(loop.now()));
             figures.put("watch_ms", watcher.worstMs());
         }
         return figures;
@@ -1193,6 +1210,6 @@
 
     /** Returns how late the tasks of the stand-ins ran, in microseconds. */
     org.HdrHistogram.Histogram late() {
-        return loop.late();
+        return loop.lateness();
     }
 }
--- a/src/main/java/cottonlock/lab/scale/ControlStandIn.java
+++ b/src/main/java/cottonlock/lab/scale/ControlStandIn.java
@@ -1,6 +1,6 @@
 package cottonlock.lab.scale;
 
-import cottonlock.lab.Loop;
+import cottonlock.lab.EventLoop;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -56,7 +56,7 @@
         long maxConnectionBytes;
     }
 
-    private final class Connection implements Loop.Ready {
+    private final class Connection implements EventLoop.ReadyHandler {
         final SocketChannel channel;
         final Traffic traffic;
         final StringBuilder request = new StringBuilder();
@@ -75,7 +75,7 @@
         }
 
         @Override
-        public void ready(SelectionKey ready) {
+        public void onReady(SelectionKey ready) {
             try {
                 if (ready.isReadable()) {
                     read();
@@ -181,7 +181,7 @@
         }
     }
 
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final ByteBuffer buffer = ByteBuffer.allocate(16 << 10);
 
     /** Minimum time between two answered calls, in nanoseconds. */
@@ -376,8 +376,8 @@
                     t.completeLists = 0;
                     t.maxConnectionBytes = 0;
                 });
-        System.out.println("late " + second + " " + loop.late().getValueAtPercentile(99.9));
-        loop.late().reset();
+        System.out.println("late " + second + " " + loop.lateness().getValueAtPercentile(99.9));
+        loop.lateness().reset();
         loop.after(NANOS_PER_SECOND - System.nanoTime() % NANOS_PER_SECOND, this::reportSecond);
     }
 
--- a/src/test/java/cottonlock/lab/LabTest.java
+++ b/src/test/java/cottonlock/lab/LabTest.java
@@ -254,19 +254,20 @@
     /** Connection attempts to a blocked address time out, and succeed after it is opened again. */
     @Example
     void connectionsTimeOutWhileTheAddressIsBlocked() throws Exception {
-        Loop loop = new Loop();
-        Conn.Owner owner =
-                new Conn.Owner() {
+        EventLoop loop = new EventLoop();
+        Connection.Owner owner =
+                new Connection.Owner() {
                     @Override
-                    public void came(Conn conn, byte[] bytes, int length) {
+                    public void onBytes(Connection conn, byte[] bytes, int length) {
                         conn.write(java.util.Arrays.copyOf(bytes, length));
                     }
 
                     @Override
-                    public void ended(Conn conn, boolean byReset) {}
+                    public void onClosed(Connection conn, boolean byReset) {}
                 };
-        Door door =
-                new Door(loop, Conn.sharedBuffer(), owner, new cottonlock.lab.Path(null), 0, null);
+        Listener listener =
+                new Listener(
+                        loop, Connection.sharedBuffer(), owner, new NetworkPath(null), 0, null);
         Thread thread =
                 new Thread(
                         () -> {
@@ -277,36 +278,36 @@
                             }
                         });
         thread.start();
-        assertTrue(canConnect(door));
+        assertTrue(canConnect(listener));
         loop.post(
                 () -> {
                     try {
-                        door.wallUp();
+                        listener.blackhole();
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
                 });
         Thread.sleep(100);
-        assertTrue(!canConnect(door), "a connection attempt to a blocked address times out");
+        assertTrue(!canConnect(listener), "a connection attempt to a blocked address times out");
         loop.post(
                 () -> {
                     try {
-                        door.open();
+                        listener.startListening();
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
                 });
         Thread.sleep(100);
-        assertTrue(canConnect(door));
+        assertTrue(canConnect(listener));
         loop.stop();
         thread.join();
-        door.shut();
+        listener.stopListening();
         loop.close();
     }
 
-    private static boolean canConnect(Door door) throws IOException {
+    private static boolean canConnect(Listener listener) throws IOException {
         try (java.net.Socket socket = new java.net.Socket()) {
-            socket.connect(door.address(), 300);
+            socket.connect(listener.address(), 300);
             return true;
         } catch (java.net.SocketTimeoutException e) {
             return false;
--- a/src/test/java/cottonlock/lab/ScenarioTest.java
+++ b/src/test/java/cottonlock/lab/ScenarioTest.java
@@ -189,8 +189,8 @@
                         9L);
         List<Arrivals.Arrival> all =
                 Arrivals.draw(9, s.length, 2, s.tenants, s.categories, s.clients, s.bursts);
-        long calm = all.stream().filter(a -> a.at() < 50e9).count();
-        long burst = all.stream().filter(a -> a.at() >= 50e9 && a.at() < 75e9).count();
+        long calm = all.stream().filter(a -> a.atNanos() < 50e9).count();
+        long burst = all.stream().filter(a -> a.atNanos() >= 50e9 && a.atNanos() < 75e9).count();
         // Poisson arrivals: within five standard deviations.
         assertTrue(
                 Math.abs(calm - 5_000) < 5 * Math.sqrt(5_000), calm + " in 50 s at 100 a second");
@@ -208,7 +208,7 @@
         assertEquals(
                 List.of(1_000_000L, 2_500_000L, 1_999_000_000L),
                 Arrivals.draw(9, s.length, 2, s.tenants, s.categories, s.clients, s.bursts).stream()
-                        .map(Arrivals.Arrival::at)
+                        .map(Arrivals.Arrival::atNanos)
                         .toList());
     }
 
@@ -222,23 +222,23 @@
             String body = "\r\n\r\n".repeat(random.nextInt(3)) + "x".repeat(random.nextInt(50));
             bodies.add(body);
             bytes.write(
-                    HttpIn.answer(
+                    HttpMessageParser.encodeResponse(
                             200, random.nextBoolean() ? "A" : null, "b", body.getBytes(UTF_8)));
         }
-        HttpIn in = new HttpIn();
+        HttpMessageParser parser = new HttpMessageParser();
         List<String> read = new ArrayList<>();
         byte[] all = bytes.toByteArray();
         for (int from = 0; from < all.length; ) {
             int to = Math.min(all.length, from + 1 + random.nextInt(40));
             byte[] piece = java.util.Arrays.copyOfRange(all, from, to);
-            in.add(piece, piece.length);
-            for (HttpIn.Message m = in.next(); m != null; m = in.next()) {
+            parser.add(piece, piece.length);
+            for (HttpMessageParser.Message m = parser.next(); m != null; m = parser.next()) {
                 read.add(new String(m.body(), UTF_8));
             }
             from = to;
         }
         assertEquals(bodies, read);
-        assertTrue(in.atRest());
+        assertTrue(parser.isIdle());
     }
 
     /**
--- a/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
+++ b/src/test/java/cottonlock/proxy/RolloutProcessesTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.lab.ControlMachine;
-import cottonlock.lab.ControlMachine.Trouble;
+import cottonlock.lab.ControlServer;
+import cottonlock.lab.ControlServer.Fault;
 import cottonlock.proxy.control.ConfigurationVersionDigest;
 import cottonlock.proxy.control.ProxyConfiguration;
 import cottonlock.proxy.http.BufferPool;
@@ -32,7 +32,7 @@
 class RolloutProcessesTest extends ProxyFixture {
     private static final long MAX_ROLLOUT_NANOS = 10_000_000_000L;
 
-    private final List<ControlMachine> control = new ArrayList<>();
+    private final List<ControlServer> control = new ArrayList<>();
     private final List<Instance> instances = new ArrayList<>();
     private String base;
     private String content;
@@ -165,7 +165,7 @@
     private StandIn start(int machines, int processes) throws Exception {
         StandIn backend = new StandIn(request -> OK);
         for (int i = 0; i < machines; i++) {
-            ControlMachine machine = new ControlMachine(200);
+            ControlServer machine = new ControlServer(200);
             control.add(machine);
             open.add(machine);
         }
@@ -217,7 +217,7 @@
         control.get(0).kill();
         publish(2, settingsWithClass("thrice"));
         awaitVersionEverywhere(2);
-        for (ControlMachine c : control) {
+        for (ControlServer c : control) {
             c.kill();
         }
         Instance first = instances.get(0);
@@ -237,7 +237,7 @@
                 second.metric("configuration_version"),
                 "without a stored version, the file is in force");
         assertEquals(404, second.status("thrice"));
-        for (ControlMachine c : control) {
+        for (ControlServer c : control) {
             c.start();
         }
         publish(3, settingsWithClass("fourth"));
@@ -249,8 +249,8 @@
         start(3, 3);
         publish(1, settingsWithClass("twice"));
         awaitVersionEverywhere(1);
-        control.get(0).trouble(Trouble.BEHIND);
-        control.get(1).trouble(Trouble.BEHIND);
+        control.get(0).setFault(Fault.STALE);
+        control.get(1).setFault(Fault.STALE);
         publish(2, settingsWithClass("thrice"));
         awaitVersionEverywhere(2);
         awaitWithinRolloutTime(
@@ -258,7 +258,7 @@
         // Only servers with lower versions are left, as after a restore from an old copy: each
         // proxy
         // keeps its version.
-        ControlMachine old = control.get(2);
+        ControlServer old = control.get(2);
         old.kill();
         for (Instance i : instances) {
             awaitWithinRolloutTime(
@@ -292,8 +292,8 @@
         awaitVersionEverywhere(3);
         assertEquals(200, instances.get(0).status("twice"));
         // Two of three servers send truncated versions: the third one provides the version.
-        control.get(0).trouble(Trouble.HALF);
-        control.get(1).trouble(Trouble.BROKEN_OFF);
+        control.get(0).setFault(Fault.HALF_SETTINGS);
+        control.get(1).setFault(Fault.TRUNCATED_LINE);
         publish(4, settingsWithClass("fourth"));
         awaitVersionEverywhere(4);
         for (Instance i : instances) {
@@ -304,7 +304,7 @@
                     "a truncated version is not rejected, but ignored");
         }
         // Another base: a change of tenants needs new processes, which each proxy logs.
-        control.forEach(c -> c.trouble(Trouble.NONE));
+        control.forEach(c -> c.setFault(Fault.NONE));
         String otherTenants = settingsWithClass("fifth").replace("\"acme\"", "\"amce\"");
         String otherBase =
                 ConfigurationVersionDigest.ofBase(
@@ -323,7 +323,7 @@
 
     private Path file;
 
-    private void startInThisProcess(Path folder, ControlMachine... machines) throws IOException {
+    private void startInThisProcess(Path folder, ControlServer... machines) throws IOException {
         StandIn backend = new StandIn(request -> OK);
         file = config(configuration(backend).replace("{\"listen\"", "{\"name\":\"p\",\"listen\""));
         String text = Files.readString(file);
@@ -335,7 +335,7 @@
                 ConfigurationVersionDigest.ofBase(
                         ProxyConfiguration.settings((JsonObject) JsonReader.read(content)));
         List<String> addresses = new ArrayList<>();
-        for (ControlMachine m : machines) {
+        for (ControlServer m : machines) {
             addresses.add(m.address());
             open.add(m);
         }
@@ -359,7 +359,7 @@
 
     @Example
     void versionFromControlTakesPrecedenceOverTheFile() throws Exception {
-        ControlMachine machine = new ControlMachine(200);
+        ControlServer machine = new ControlServer(200);
         startInThisProcess(Files.createTempDirectory("rollout"), machine);
         Files.writeString(file, Files.readString(file).replace("\"once\"", "\"byfile\""));
         proxy.reload();
@@ -379,34 +379,36 @@
 
     @Example
     void overloadedControlServersAreCalledAgainInTime() throws Exception {
-        ControlMachine one = new ControlMachine(200);
-        ControlMachine other = new ControlMachine(200);
-        one.trouble(Trouble.OVERLOADED);
-        other.trouble(Trouble.OVERLOADED);
+        ControlServer one = new ControlServer(200);
+        ControlServer other = new ControlServer(200);
+        one.setFault(Fault.OVERLOADED);
+        other.setFault(Fault.OVERLOADED);
         startInThisProcess(null, one, other);
         awaitWithinRolloutTime(
-                () -> one.worstSecond() > 0 && other.worstSecond() > 0, "both are called");
-        other.trouble(Trouble.NONE);
+                () -> one.maxCallsPerSecond() > 0 && other.maxCallsPerSecond() > 0,
+                "both are called");
+        other.setFault(Fault.NONE);
         other.publish("s", 1, base, settingsWithClass("twice"));
         awaitWithinRolloutTime(
                 () -> status(call(request("twice", "n" + System.nanoTime(), "", "body"))) == 200,
                 "in force");
         assertTrue(
-                one.worstSecond() <= 4 && other.worstSecond() <= 4, "the rate of calls is limited");
+                one.maxCallsPerSecond() <= 4 && other.maxCallsPerSecond() <= 4,
+                "the rate of calls is limited");
     }
 
     /** A version whose application has ended three processes is not applied by a fourth. */
     @Example
     void versionThatEndsProcessesIsNotAppliedForever() throws Exception {
         Path folder = Files.createTempDirectory("rollout");
-        ControlMachine machine = new ControlMachine(200);
+        ControlServer machine = new ControlServer(200);
         startInThisProcess(folder, machine);
         String fatalSettings = settingsWithClass("poison");
         Path stored = folder.resolve("cottonlock-p-127.0.0.1_0.configuration");
         Files.writeString(
                 stored,
                 "cottonlock configuration 1\ntries 1."
-                        + ControlMachine.digest(fatalSettings)
+                        + ControlServer.digest(fatalSettings)
                         + " 3\n");
         machine.publish("s", 1, base, fatalSettings);
         awaitWithinRolloutTime(
--- a/src/test/java/cottonlock/proxy/control/ConfigurationVersionParserTest.java
+++ b/src/test/java/cottonlock/proxy/control/ConfigurationVersionParserTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cottonlock.lab.ControlMachine;
+import cottonlock.lab.ControlServer;
 import cottonlock.proxy.io.JsonReader;
 import cottonlock.proxy.io.JsonValue.JsonObject;
 import cottonlock.setup.InvalidSettingsException;
@@ -43,13 +43,13 @@
     }
 
     private static String line(String settings) {
-        return line(43, ControlMachine.digest(settings), base(SETTINGS), settings);
+        return line(43, ControlServer.digest(settings), base(SETTINGS), settings);
     }
 
     @Example
     void completeVersionIsParsed() {
         ConfigurationVersionMessage complete = ConfigurationVersionParser.parse(line(SETTINGS));
-        assertEquals("43." + ControlMachine.digest(SETTINGS), complete.version().toString());
+        assertEquals("43." + ControlServer.digest(SETTINGS), complete.version().toString());
         assertEquals(3, validated(complete, base(SETTINGS)).count("Limits.MaxHandOffs", 0));
         ConfigurationVersionMessage announcement =
                 ConfigurationVersionParser.parse("{\"seq\":43,\"digest\":\"00000000000000ff\"}");
@@ -136,7 +136,7 @@
                 ConfigurationVersionParser.parse(
                         line(
                                 43,
-                                ControlMachine.digest(otherSettings),
+                                ControlServer.digest(otherSettings),
                                 base(otherSettings),
                                 otherSettings));
         InvalidSettingsException fault =
