--- a/src/main/java/cottonlock/lab/Chart.java
+++ b/src/main/java/cottonlock/lab/Chart.java
@@ -10,10 +10,10 @@
 public final class Chart {
     private static final int WIDTH = 860;
     private static final int HEIGHT = 190;
-    private static final int LEFT = 56;
-    private static final int BOTTOM = 26;
-    private static final int TOP = 10;
-    private static final int RIGHT = 12;
+    private static final int LEFT_MARGIN = 56;
+    private static final int BOTTOM_MARGIN = 26;
+    private static final int TOP_MARGIN = 10;
+    private static final int RIGHT_MARGIN = 12;
 
     /**
      * Told apart also by people who see few colours, and in grey by their order (Okabe and Ito).
@@ -41,7 +41,7 @@
     private final List<Mark> marks;
 
     /** A span of seconds that is marked behind the lines, with words for whoever points at it. */
-    public record Mark(double from, double to, String words) {}
+    public record Mark(double from, double to, String label) {}
 
     Chart(String title, String unit, double[] xs, String xUnit, List<Timeline.Entry> faults) {
         this(
@@ -76,15 +76,15 @@
 
     /** The chart as it stands in a page. */
     public String svg() {
-        double top = 0;
+        double maxY = 0;
         for (Line line : lines) {
             for (double v : line.values) {
-                top = Math.max(top, v);
+                maxY = Math.max(maxY, v);
             }
         }
-        top = round(top);
-        double low = xs.length == 0 ? 0 : Math.min(0, xs[0]);
-        double high = xs.length == 0 ? 1 : Math.max(low + 1e-9, xs[xs.length - 1]);
+        maxY = roundUp(maxY);
+        double minX = xs.length == 0 ? 0 : Math.min(0, xs[0]);
+        double maxX = xs.length == 0 ? 1 : Math.max(minX + 1e-9, xs[xs.length - 1]);
         StringBuilder s =
                 new StringBuilder("<figure><figcaption>")
                         .append(text(title))
@@ -98,51 +98,51 @@
                         .append(text(title))
                         .append("\">\n");
         for (Mark mark : marks) {
-            double from = x(Math.min(high, mark.from), low, high);
-            double to = x(Math.min(high, mark.to), low, high);
+            double from = x(Math.min(maxX, mark.from), minX, maxX);
+            double to = x(Math.min(maxX, mark.to), minX, maxX);
             s.append(
                     String.format(
                             Locale.ROOT,
                             "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" "
                                     + "class=\"fault\"><title>%s</title></rect>\n",
                             from,
-                            TOP,
+                            TOP_MARGIN,
                             Math.max(1, to - from),
-                            HEIGHT - TOP - BOTTOM,
-                            text(mark.words)));
+                            HEIGHT - TOP_MARGIN - BOTTOM_MARGIN,
+                            text(mark.label)));
         }
         for (int i = 0; i <= 4; i++) {
-            double y = y(top * i / 4, top);
+            double y = y(maxY * i / 4, maxY);
             s.append(
                     String.format(
                             Locale.ROOT,
                             "<line x1=\"%d\" x2=\"%d\" y1=\"%.1f\" y2=\"%.1f\" class=\"grid\"/>"
                                     + "<text x=\"%d\" y=\"%.1f\" text-anchor=\"end\">%s</text>\n",
-                            LEFT,
-                            WIDTH - RIGHT,
+                            LEFT_MARGIN,
+                            WIDTH - RIGHT_MARGIN,
                             y,
                             y,
-                            LEFT - 6,
+                            LEFT_MARGIN - 6,
                             y + 4,
-                            number(top * i / 4)));
+                            formatNumber(maxY * i / 4)));
         }
-        double step = Math.max(round((high - low) / 12), high - low > 5 ? 1 : 0);
-        for (double at = Math.ceil(low / step) * step; at <= high * 1.0000001; at += step) {
+        double step = Math.max(roundUp((maxX - minX) / 12), maxX - minX > 5 ? 1 : 0);
+        for (double tick = Math.ceil(minX / step) * step; tick <= maxX * 1.0000001; tick += step) {
             s.append(
                     String.format(
                             Locale.ROOT,
                             "<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\">%s</text>\n",
-                            x(at, low, high),
+                            x(tick, minX, maxX),
                             HEIGHT - 8,
-                            number(at) + (at == 0 ? "" : " " + xUnit)));
+                            formatNumber(tick) + (tick == 0 ? "" : " " + xUnit)));
         }
         for (int i = 0; i < lines.size(); i++) {
             s.append(
-                    path(
+                    linePath(
                             lines.get(i).values,
-                            low,
-                            high,
-                            top,
+                            minX,
+                            maxX,
+                            maxY,
                             COLOURS[i % COLOURS.length],
                             i >= COLOURS.length));
         }
@@ -157,8 +157,8 @@
         return s.append("</p></figure>\n").toString();
     }
 
-    private String path(
-            double[] values, double low, double high, double top, String colour, boolean dashed) {
+    private String linePath(
+            double[] values, double minX, double maxX, double maxY, String colour, boolean dashed) {
         StringBuilder d = new StringBuilder();
         boolean gap = true;
         for (int i = 0; i < Math.min(values.length, xs.length); i++) {
@@ -171,8 +171,8 @@
                             Locale.ROOT,
                             "%s%.1f %.1f",
                             gap ? "M" : "L",
-                            x(xs[i], low, high),
-                            y(values[i], top)));
+                            x(xs[i], minX, maxX),
+                            y(values[i], maxY)));
             gap = false;
         }
         return "<path d=\""
@@ -184,29 +184,31 @@
                 + "/>\n";
     }
 
-    private static double x(double at, double low, double high) {
-        return LEFT + (WIDTH - LEFT - RIGHT) * (at - low) / (high - low);
+    private static double x(double tick, double minX, double maxX) {
+        return LEFT_MARGIN + (WIDTH - LEFT_MARGIN - RIGHT_MARGIN) * (tick - minX) / (maxX - minX);
     }
 
-    private static double y(double value, double top) {
-        return HEIGHT - BOTTOM - (HEIGHT - TOP - BOTTOM) * Math.min(1, value / top);
+    private static double y(double value, double maxY) {
+        return HEIGHT
+                - BOTTOM_MARGIN
+                - (HEIGHT - TOP_MARGIN - BOTTOM_MARGIN) * Math.min(1, value / maxY);
     }
 
     /** The next of 1, 2, 5, 10, ... above. */
-    private static double round(double top) {
-        if (top <= 0) {
+    private static double roundUp(double maxY) {
+        if (maxY <= 0) {
             return 1;
         }
-        double ten = Math.pow(10, Math.floor(Math.log10(top)));
+        double powerOfTen = Math.pow(10, Math.floor(Math.log10(maxY)));
         for (double step : new double[] {1, 1.2, 1.5, 2, 3, 4, 5, 6, 8}) {
-            if (top <= step * ten * 1.0000001) {
-                return step * ten;
+            if (maxY <= step * powerOfTen * 1.0000001) {
+                return step * powerOfTen;
             }
         }
-        return 10 * ten;
+        return 10 * powerOfTen;
     }
 
-    private static String number(double value) {
+    private static String formatNumber(double value) {
         return value == Math.rint(value)
                 ? Long.toString((long) value)
                 : String.format(Locale.ROOT, Math.abs(value) < 10 ? "%.2f" : "%.1f", value);
--- a/src/main/java/cottonlock/lab/Ledger.java
+++ b/src/main/java/cottonlock/lab/Ledger.java
@@ -18,7 +18,7 @@
     /**
      * Lines kept of each kind of breach: the first ones tell the cause, the count tells the rest.
      */
-    private static final int LINES = 20;
+    private static final int MAX_LINES_PER_RULE = 20;
 
     /** The four rules. */
     enum Rule {
@@ -33,49 +33,49 @@
         final String chain;
         final String category;
         final int proxy;
-        final long until;
-        boolean over;
+        final long expiresAt;
+        boolean concluded;
 
         /** When nothing more may be sent for it; far off while it is owed. */
-        long overAt = Long.MAX_VALUE / 2;
+        long concludedAt = Long.MAX_VALUE / 2;
 
-        Entry(String chain, String category, int proxy, long until) {
+        Entry(String chain, String category, int proxy, long expiresAt) {
             this.chain = chain;
             this.category = category;
             this.proxy = proxy;
-            this.until = until;
+            this.expiresAt = expiresAt;
         }
     }
 
     /** What has had an effect: where and when first. */
     private record Effect(String room, long at) {}
 
-    private final long grace;
-    private final long drain;
-    private final Map<String, Entry> items = new HashMap<>();
+    private final long graceNanos;
+    private final long drainNanos;
+    private final Map<String, Entry> requests = new HashMap<>();
     private final Map<String, Effect> effects = new HashMap<>();
-    private final Map<String, Integer> made = new HashMap<>();
-    private final Map<String, Long> told = new HashMap<>();
+    private final Map<String, Integer> producedBodies = new HashMap<>();
+    private final Map<String, Long> drainAnnouncedAt = new HashMap<>();
 
     /**
      * Until when a proxy's process was stopped from outside: what it owed then it could not give.
      */
-    private final Map<Integer, Long> stopped = new HashMap<>();
+    private final Map<Integer, Long> resumedAt = new HashMap<>();
 
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
-    private final Map<String, Integer> twice = new java.util.TreeMap<>();
+    private final Map<String, Integer> doubleEffects = new java.util.TreeMap<>();
     private final List<String> lines = new ArrayList<>();
-    private int unanswered;
+    private int unansweredOfKilledProxies;
     private long sends;
 
-    Ledger(long grace, long drain) {
-        this.grace = grace;
-        this.drain = drain;
+    Ledger(long graceNanos, long drainNanos) {
+        this.graceNanos = graceNanos;
+        this.drainNanos = drainNanos;
     }
 
     private void breach(Rule rule, long now, String text) {
         int n = counts.merge(rule, 1, Integer::sum);
-        if (n <= LINES) {
+        if (n <= MAX_LINES_PER_RULE) {
             lines.add(
                     String.format(
                             Locale.ROOT,
@@ -92,20 +92,21 @@
      * @param chain what all sends share that may have one effect together: a client's retry after a
      *     deferral belongs to it, one after a write-off is its client's own risk and begins another
      */
-    void sent(String id, String chain, String category, int proxy, long until) {
-        items.put(id, new Entry(chain, category, proxy, until));
+    void sent(String id, String chain, String category, int proxy, long expiresAt) {
+        requests.put(id, new Entry(chain, category, proxy, expiresAt));
     }
 
     /** A whole answer has come; finished ones must be what a backend made for this request. */
     void answered(long now, String id, boolean finished, int body) {
-        Entry e = items.get(id);
-        if (e.over) {
+        Entry e = requests.get(id);
+        if (e.concluded) {
             breach(Rule.LOST, now, id + " got a second answer");
             return;
         }
-        e.over = true;
-        e.overAt = now;
-        if (now > e.until + grace && e.until > stopped.getOrDefault(e.proxy, Long.MIN_VALUE)) {
+        e.concluded = true;
+        e.concludedAt = now;
+        if (now > e.expiresAt + graceNanos
+                && e.expiresAt > resumedAt.getOrDefault(e.proxy, Long.MIN_VALUE)) {
             breach(
                     Rule.LOST,
                     now,
@@ -113,18 +114,18 @@
                             Locale.ROOT,
                             "%s was answered %.1f ms after its expiry",
                             id,
-                            (now - e.until) / 1e6));
-        } else if (finished && made.getOrDefault(id, body + 1) != body) {
+                            (now - e.expiresAt) / 1e6));
+        } else if (finished && producedBodies.getOrDefault(id, body + 1) != body) {
             breach(Rule.LOST, now, id + " was served with what no backend made for it");
         }
     }
 
     /** Its connection ended, or its time passed, with no whole answer. */
     void unanswered(long now, String id, String how) {
-        Entry e = items.get(id);
-        if (!e.over) {
-            e.over = true;
-            e.overAt = now;
+        Entry e = requests.get(id);
+        if (!e.concluded) {
+            e.concluded = true;
+            e.concludedAt = now;
             breach(Rule.LOST, now, id + " of " + e.category + " at n" + e.proxy + ": " + how);
         }
     }
@@ -140,19 +141,19 @@
 
     /** Its client has left, or its proxy was killed: nothing is owed any more. */
     void excused(long now, String id, boolean proxyDied) {
-        Entry e = items.get(id);
-        if (!e.over) {
-            e.over = true;
-            e.overAt = proxyDied ? Long.MAX_VALUE / 2 : now;
-            unanswered += proxyDied ? 1 : 0;
+        Entry e = requests.get(id);
+        if (!e.concluded) {
+            e.concluded = true;
+            e.concludedAt = proxyDied ? Long.MAX_VALUE / 2 : now;
+            unansweredOfKilledProxies += proxyDied ? 1 : 0;
         }
     }
 
     /** The first byte of an attempt came at a backend at one time, its last one at another. */
     void received(long firstByte, long now, String id, String backend, int proxy) {
         sends++;
-        Long since = told.get(proxy + " " + backend);
-        if (since != null && firstByte > since + drain + grace) {
+        Long announcedAt = drainAnnouncedAt.get(proxy + " " + backend);
+        if (announcedAt != null && firstByte > announcedAt + drainNanos + graceNanos) {
             breach(
                     Rule.DRAINS,
                     now,
@@ -161,10 +162,10 @@
                             "%s went to %s %.0f ms after n%d was told",
                             id,
                             backend,
-                            (firstByte - since) / 1e6,
+                            (firstByte - announcedAt) / 1e6,
                             proxy));
         }
-        Entry e = items.get(id);
+        Entry e = requests.get(id);
         if (e == null) {
             breach(
                     Rule.LOST,
@@ -173,8 +174,9 @@
             return;
         }
         // What waited in a stopped process's sockets bears no time: it can't know how old it is.
-        boolean waited = e.until <= stopped.getOrDefault(e.proxy, Long.MIN_VALUE);
-        if (firstByte > Math.min(e.overAt, e.until) + grace && !waited) {
+        boolean expiredWhileStopped =
+                e.expiresAt <= resumedAt.getOrDefault(e.proxy, Long.MIN_VALUE);
+        if (firstByte > Math.min(e.concludedAt, e.expiresAt) + graceNanos && !expiredWhileStopped) {
             breach(
                     Rule.LOST,
                     now,
@@ -183,19 +185,19 @@
                             "%s was sent on to %s %.1f ms after it was over",
                             id,
                             backend,
-                            (firstByte - Math.min(e.overAt, e.until)) / 1e6));
+                            (firstByte - Math.min(e.concludedAt, e.expiresAt)) / 1e6));
         }
     }
 
     /** A backend begins to carry it out, not having known it for a repeat. */
     void effect(long now, String id, String repeat, String room) {
-        Entry e = items.get(id);
+        Entry e = requests.get(id);
         if (e == null || repeat.equals("safe")) {
             return;
         }
         Effect first = effects.putIfAbsent(e.chain, new Effect(room, now));
         if (first != null) {
-            twice.merge(e.category + " in " + room, 1, Integer::sum);
+            doubleEffects.merge(e.category + " in " + room, 1, Integer::sum);
             breach(
                     Rule.TWICE,
                     now,
@@ -211,34 +213,34 @@
     }
 
     /** A backend has made this answer for a request; a further attempt of it is answered alike. */
-    void made(String id, int body) {
-        made.put(id, body);
+    void responseProduced(String id, int body) {
+        producedBodies.put(id, body);
     }
 
     /**
      * A proxy was told, or counts as told, that a backend drains or is gone; the first time counts.
      */
-    void told(long now, int proxy, String backend) {
-        told.putIfAbsent(proxy + " " + backend, now);
+    void drainAnnounced(long now, int proxy, String backend) {
+        drainAnnouncedAt.putIfAbsent(proxy + " " + backend, now);
     }
 
     /** A proxy was told that it is back. */
-    void toldBack(int proxy, String backend) {
-        told.remove(proxy + " " + backend);
+    void drainRevoked(int proxy, String backend) {
+        drainAnnouncedAt.remove(proxy + " " + backend);
     }
 
     /** A proxy starts anew, and knows nothing of what it was told. */
-    void startedAnew(int proxy) {
-        told.keySet().removeIf(key -> key.startsWith(proxy + " "));
+    void proxyRestarted(int proxy) {
+        drainAnnouncedAt.keySet().removeIf(key -> key.startsWith(proxy + " "));
     }
 
     /** A proxy's process was stopped, and goes on now. */
-    void stoppedUntil(int proxy, long now) {
-        stopped.put(proxy, now + grace);
+    void proxyResumed(int proxy, long now) {
+        resumedAt.put(proxy, now + graceNanos);
     }
 
     /** A cold backend was pushed over. */
-    void fell(long now, String backend) {
+    void coldBackendOverloaded(long now, String backend) {
         breach(Rule.COLD, now, backend + " was pushed over while cold");
     }
 
@@ -247,8 +249,8 @@
     }
 
     /** Those whose proxy was killed while it owed them an answer. */
-    int diedWithProxy() {
-        return unanswered;
+    int unansweredOfKilledProxies() {
+        return unansweredOfKilledProxies;
     }
 
     /** Attempts that have reached a backend. */
@@ -257,8 +259,8 @@
     }
 
     /** Breaches of "no effect twice" by category and room. */
-    Map<String, Integer> twiceBy() {
-        return twice;
+    Map<String, Integer> doubleEffectsByCategory() {
+        return doubleEffects;
     }
 
     List<String> lines() {
--- a/src/main/java/cottonlock/lab/MembersJudge.java
+++ b/src/main/java/cottonlock/lab/MembersJudge.java
@@ -18,22 +18,22 @@
 @Deterministic
 final class MembersJudge {
     /** Lines kept for people. */
-    private static final int LINES = 20;
+    private static final int MAX_LINES = 20;
 
     private static final long NEVER = Long.MAX_VALUE / 4;
 
     /** Nanoseconds: a failure noticed again so near is the same one. */
-    private static final long SAME = 1_000_000_000L;
+    private static final long SAME_FAILURE_NANOS = 1_000_000_000L;
 
     /**
      * Nanoseconds without an untrue view after which all agree: each is asked some ten times a
      * second.
      */
-    private static final long QUIET = 400_000_000L;
+    private static final long AGREED_AFTER_NANOS = 400_000_000L;
 
     /** What one proxy says of another. */
-    record Seen(String state, long life, long sinceMs) {
-        boolean lives() {
+    record MemberReport(String state, long incarnation, long sinceMs) {
+        boolean isLive() {
             return state.equals("alive") || state.equals("suspect") || state.equals("joining");
         }
     }
@@ -42,12 +42,12 @@
     private static final class Death {
         final int proxy;
         final long at;
-        long first = -1;
-        long all = -1;
-        final Set<Integer> know = new HashSet<>();
+        long firstNoticedAfter = -1;
+        long allNoticedAfter = -1;
+        final Set<Integer> noticedBy = new HashSet<>();
 
         /** When it was back; -1: it was not. */
-        long back = -1;
+        long backAt = -1;
 
         Death(int proxy, long at) {
             this.proxy = proxy;
@@ -58,17 +58,17 @@
     private final String[] names;
 
     /** Since when each has been there without a break; NEVER: it is not. */
-    private final long[] there;
+    private final long[] upSince;
 
     /** Since when each pair has had a way, if by detours, without a break. */
-    private final long[][] connected;
+    private final long[][] connectedSince;
 
     private final boolean[][] cut;
-    private final long settled;
+    private final long settleNanos;
     private final List<Death> deaths = new ArrayList<>();
     private final Map<String, Long> failures = new TreeMap<>();
     private final List<String> lines = new ArrayList<>();
-    private final Map<Long, Integer> untrueBy = new TreeMap<>();
+    private final Map<Long, Integer> wrongViewsBySecond = new TreeMap<>();
     private final boolean[] sampled;
 
     /**
@@ -77,56 +77,58 @@
      */
     private long changedAt;
 
-    private boolean better = true;
-    private long untrueAt = -1;
+    private boolean improved = true;
+    private long lastWrongViewAt = -1;
 
     /**
      * The longest that views took to be true again after something had come back, and after a loss.
      */
-    private long agreed;
+    private long longestAgreement;
 
-    private long apart;
+    private long longestDisagreement;
     private int falseFailed;
 
     /**
      * Settled: for how long one must have been there and in reach for its failure to be a false
      * one.
      */
-    MembersJudge(List<String> names, long settled) {
+    MembersJudge(List<String> names, long settleNanos) {
         this.names = names.toArray(String[]::new);
-        this.settled = settled;
+        this.settleNanos = settleNanos;
         int n = this.names.length;
-        there = new long[n];
-        Arrays.fill(there, NEVER);
-        connected = new long[n][n];
+        upSince = new long[n];
+        Arrays.fill(upSince, NEVER);
+        connectedSince = new long[n][n];
         cut = new boolean[n][n];
         sampled = new boolean[n];
     }
 
     /** Something has been changed from outside, which views may take a while to follow. */
-    private void changed(long now, boolean forTheBetter) {
-        if (now - Math.max(changedAt, untrueAt) > QUIET) {
-            settle();
+    private void truthChanged(long now, boolean improvement) {
+        if (now - Math.max(changedAt, lastWrongViewAt) > AGREED_AFTER_NANOS) {
+            recordConvergence();
         }
-        better = now == changedAt ? better && forTheBetter : forTheBetter;
+        improved = now == changedAt ? improved && improvement : improvement;
         changedAt = now;
     }
 
     /** All views have been true for a while: what they took to become so counts. */
-    private void settle() {
-        long took = Math.max(0, untrueAt - changedAt);
-        agreed = better ? Math.max(agreed, took) : agreed;
-        apart = better ? apart : Math.max(apart, took);
+    private void recordConvergence() {
+        long convergenceNanos = Math.max(0, lastWrongViewAt - changedAt);
+        longestAgreement =
+                improved ? Math.max(longestAgreement, convergenceNanos) : longestAgreement;
+        longestDisagreement =
+                improved ? longestDisagreement : Math.max(longestDisagreement, convergenceNanos);
     }
 
     /** A proxy serves from now on. */
     void up(int proxy, long now) {
-        there[proxy] = now;
+        upSince[proxy] = now;
         sampled[proxy] = false;
-        changed(now, true);
+        truthChanged(now, true);
         for (Death death : deaths) {
-            if (death.proxy == proxy && death.back < 0) {
-                death.back = now;
+            if (death.proxy == proxy && death.backAt < 0) {
+                death.backAt = now;
             }
         }
     }
@@ -135,58 +137,58 @@
      * Another process serves for a proxy, and may not know the others yet; to these nothing has
      * happened.
      */
-    void replaced(long now) {
-        changed(now, true);
+    void processReplaced(long now) {
+        truthChanged(now, true);
     }
 
     /** A proxy is gone, by its own word or without one, or serves nobody. */
     void down(int proxy, long now) {
-        if (there[proxy] != NEVER) {
-            there[proxy] = NEVER;
+        if (upSince[proxy] != NEVER) {
+            upSince[proxy] = NEVER;
             deaths.add(new Death(proxy, now));
         }
-        changed(now, false);
+        truthChanged(now, false);
     }
 
     /** Whether anything gets through from one to the other; counts from {@link #reach} on. */
-    void way(int from, int to, boolean open) {
+    void setPathOpen(int from, int to, boolean open) {
         cut[from][to] = !open;
     }
 
     /** Ways have been changed: who can reach whom, if by detours. */
-    void reach(long now, boolean forTheBetter) {
-        changed(now, forTheBetter);
+    void updateReachability(long now, boolean improvement) {
+        truthChanged(now, improvement);
         int n = names.length;
         int[] group = new int[n];
         Arrays.fill(group, -1);
         for (int i = 0; i < n; i++) {
             if (group[i] < 0) {
-                spread(i, i, group);
+                assignGroup(i, i, group);
             }
         }
         for (int i = 0; i < n; i++) {
             for (int j = 0; j < n; j++) {
                 if (group[i] != group[j]) {
-                    connected[i][j] = NEVER;
-                } else if (connected[i][j] == NEVER) {
-                    connected[i][j] = now;
+                    connectedSince[i][j] = NEVER;
+                } else if (connectedSince[i][j] == NEVER) {
+                    connectedSince[i][j] = now;
                 }
             }
         }
     }
 
-    private void spread(int from, int number, int[] group) {
+    private void assignGroup(int from, int number, int[] group) {
         group[from] = number;
         for (int to = 0; to < names.length; to++) {
             if (group[to] < 0 && !cut[from][to] && !cut[to][from]) {
-                spread(to, number, group);
+                assignGroup(to, number, group);
             }
         }
     }
 
     /** A proxy has said what it holds of the others. */
-    void sample(int viewer, long now, Map<String, Seen> view) {
-        if (there[viewer] == NEVER || now < there[viewer]) {
+    void sample(int viewer, long now, Map<String, MemberReport> view) {
+        if (upSince[viewer] == NEVER || now < upSince[viewer]) {
             return;
         }
         sampled[viewer] = true;
@@ -195,55 +197,56 @@
             if (p == viewer) {
                 continue;
             }
-            Seen seen = view.get(names[p]);
-            boolean held = seen != null && seen.lives();
-            boolean real = there[p] != NEVER && connected[viewer][p] != NEVER;
-            wrong += held != real ? 1 : 0;
+            MemberReport seen = view.get(names[p]);
+            boolean believedLive = seen != null && seen.isLive();
+            boolean reachable = upSince[p] != NEVER && connectedSince[viewer][p] != NEVER;
+            wrong += believedLive != reachable ? 1 : 0;
             if (seen != null && seen.state().equals("failed")) {
-                failed(viewer, p, now - seen.sinceMs() * 1_000_000L, seen);
+                recordFailure(viewer, p, now - seen.sinceMs() * 1_000_000L, seen);
             }
-            if (!held) {
-                knows(viewer, p, now);
+            if (!believedLive) {
+                recordNoticed(viewer, p, now);
             }
         }
         if (wrong > 0) {
-            untrueAt = Math.max(untrueAt, now);
-            untrueBy.merge(now / 1_000_000_000L, 1, Integer::sum);
+            lastWrongViewAt = Math.max(lastWrongViewAt, now);
+            wrongViewsBySecond.merge(now / 1_000_000_000L, 1, Integer::sum);
         }
     }
 
-    private void knows(int viewer, int proxy, long now) {
+    private void recordNoticed(int viewer, int proxy, long now) {
         for (Death death : deaths) {
-            if (death.proxy == proxy && death.back < 0 && now >= death.at) {
-                if (death.first < 0) {
-                    death.first = now - death.at;
+            if (death.proxy == proxy && death.backAt < 0 && now >= death.at) {
+                if (death.firstNoticedAfter < 0) {
+                    death.firstNoticedAfter = now - death.at;
                 }
-                death.know.add(viewer);
+                death.noticedBy.add(viewer);
                 boolean all = true;
                 for (int p = 0; p < names.length; p++) {
                     all &=
                             p == proxy
-                                    || there[p] == NEVER
-                                    || connected[viewer][p] == NEVER
-                                    || death.know.contains(p);
+                                    || upSince[p] == NEVER
+                                    || connectedSince[viewer][p] == NEVER
+                                    || death.noticedBy.contains(p);
                 }
-                if (all && death.all < 0) {
-                    death.all = now - death.at;
+                if (all && death.allNoticedAfter < 0) {
+                    death.allNoticedAfter = now - death.at;
                 }
             }
         }
     }
 
-    private void failed(int viewer, int proxy, long at, Seen seen) {
-        String key = viewer + " " + proxy + " " + seen.life();
+    private void recordFailure(int viewer, int proxy, long at, MemberReport seen) {
+        String key = viewer + " " + proxy + " " + seen.incarnation();
         Long before = failures.put(key, at);
-        if (before != null && Math.abs(before - at) < SAME) {
+        if (before != null && Math.abs(before - at) < SAME_FAILURE_NANOS) {
             return;
         }
-        boolean there = this.there[proxy] <= at - settled && this.there[viewer] <= at - settled;
-        if (there && connected[viewer][proxy] <= at - settled) {
+        boolean bothUp =
+                this.upSince[proxy] <= at - settleNanos && this.upSince[viewer] <= at - settleNanos;
+        if (bothUp && connectedSince[viewer][proxy] <= at - settleNanos) {
             falseFailed++;
-            if (lines.size() < LINES) {
+            if (lines.size() < MAX_LINES) {
                 lines.add(
                         String.format(
                                 Locale.ROOT,
@@ -257,8 +260,8 @@
     }
 
     /** Views that were untrue, by the second. */
-    int untrue(long second) {
-        return untrueBy.getOrDefault(second, 0);
+    int wrongViews(long second) {
+        return wrongViewsBySecond.getOrDefault(second, 0);
     }
 
     /** Adds the figures of the verdict; what was never found counts as found at the end. */
@@ -266,25 +269,28 @@
         long found = 0;
         long all = 0;
         for (Death d : deaths) {
-            long lasted = (d.back < 0 ? end : d.back) - d.at;
+            long downNanos = (d.backAt < 0 ? end : d.backAt) - d.at;
             // One that was back before it had to be known was not there to be found.
-            if (d.first >= 0 || d.back < 0 || lasted >= settled) {
-                found = Math.max(found, d.first >= 0 ? d.first : lasted);
+            if (d.firstNoticedAfter >= 0 || d.backAt < 0 || downNanos >= settleNanos) {
+                found = Math.max(found, d.firstNoticedAfter >= 0 ? d.firstNoticedAfter : downNanos);
             }
-            if (d.all >= 0 || d.back < 0 || lasted >= settled) {
-                all = Math.max(all, d.all >= 0 ? d.all : lasted);
+            if (d.allNoticedAfter >= 0 || d.backAt < 0 || downNanos >= settleNanos) {
+                all = Math.max(all, d.allNoticedAfter >= 0 ? d.allNoticedAfter : downNanos);
             }
         }
         f.put("found_ms", found / 1e6);
         f.put("found_all_ms", all / 1e6);
         f.put("false_failed", (double) falseFailed);
-        settle();
+        recordConvergence();
         // However it began, the last state must have been agreed on.
-        f.put("agree_ms", Math.max(agreed, better ? 0 : Math.max(0, untrueAt - changedAt)) / 1e6);
-        f.put("apart_ms", apart / 1e6);
+        f.put(
+                "agree_ms",
+                Math.max(longestAgreement, improved ? 0 : Math.max(0, lastWrongViewAt - changedAt))
+                        / 1e6);
+        f.put("apart_ms", longestDisagreement / 1e6);
         int unheard = 0;
         for (int p = 0; p < names.length; p++) {
-            unheard += there[p] != NEVER && !sampled[p] ? 1 : 0;
+            unheard += upSince[p] != NEVER && !sampled[p] ? 1 : 0;
         }
         f.put("unheard", (double) unheard);
     }
--- a/src/main/java/cottonlock/lab/MembersRegions.java
+++ b/src/main/java/cottonlock/lab/MembersRegions.java
@@ -23,36 +23,37 @@
  */
 final class MembersRegions implements RegionsStudy.Gauge {
     /** Readings of the processor's clock by which its own cost is found. */
-    private static final int READINGS = 200_000;
+    private static final int CLOCK_READINGS = 200_000;
 
     /**
      * Collections after which the heap counts as tidied: the first may leave what the second frees.
      */
-    private static final int COLLECTIONS = 2;
+    private static final int GARBAGE_COLLECTIONS = 2;
 
-    private static final List<String> APART = List.of("seconds_virtual", "datagrams_print");
+    private static final List<String> TOP_LEVEL_FIGURES =
+            List.of("seconds_virtual", "datagrams_print");
 
     private final Topology topology;
-    private final int quiet;
-    private final int apart;
-    private final int known;
+    private final int quietSeconds;
+    private final int apartSeconds;
+    private final int knownAddresses;
     private final MembershipProtocolConfig rules;
     private final PrintStream out;
-    private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-    private long reading = -1;
+    private final ThreadMXBean threadBean = ManagementFactory.getThreadMXBean();
+    private long readingNanos = -1;
 
     /** Known: addresses that each member is told; 0: all. */
     MembersRegions(
             Topology topology,
-            int quiet,
-            int apart,
-            int known,
+            int quietSeconds,
+            int apartSeconds,
+            int knownAddresses,
             MembershipProtocolConfig rules,
             PrintStream out) {
         this.topology = topology;
-        this.quiet = quiet;
-        this.apart = apart;
-        this.known = known;
+        this.quietSeconds = quietSeconds;
+        this.apartSeconds = apartSeconds;
+        this.knownAddresses = knownAddresses;
         this.rules = rules;
         this.out = out;
     }
@@ -74,30 +75,30 @@
                         + " --seeds "
                         + seed
                         + " --quiet "
-                        + quiet
+                        + quietSeconds
                         + " --apart "
-                        + apart
-                        + (known > 0 ? " --known " + known : "");
+                        + apartSeconds
+                        + (knownAddresses > 0 ? " --known " + knownAddresses : "");
         out.println(command);
-        long from = System.nanoTime();
-        RegionsStudy.Play play =
-                new RegionsStudy.Play(
+        long startedAt = System.nanoTime();
+        RegionsStudy.Parameters parameters =
+                new RegionsStudy.Parameters(
                         seed,
                         size,
                         topology,
-                        quiet,
-                        apart,
-                        known > 0 ? Math.min(known, size) : size);
+                        quietSeconds,
+                        apartSeconds,
+                        knownAddresses > 0 ? Math.min(knownAddresses, size) : size);
         if (folder != null) {
             Files.createDirectories(folder);
         }
         String commit = commit();
-        RegionsStudy.of(
-                play,
+        RegionsStudy.run(
+                parameters,
                 rules,
                 this,
                 (name, figures) -> {
-                    long seconds = (System.nanoTime() - from) / 1_000_000_000;
+                    long seconds = (System.nanoTime() - startedAt) / 1_000_000_000;
                     out.printf("  %6d s  %s=%d%n", seconds, name, figures.get(name));
                     out.flush();
                     // As it goes on: what a play that is cut off has measured is measured.
@@ -105,7 +106,7 @@
                         try {
                             write(
                                     folder.resolve("members-" + size + "-" + seed + ".json"),
-                                    play,
+                                    parameters,
                                     command,
                                     commit,
                                     seconds,
@@ -119,7 +120,7 @@
 
     private void write(
             Path file,
-            RegionsStudy.Play play,
+            RegionsStudy.Parameters parameters,
             String command,
             String commit,
             long seconds,
@@ -130,8 +131,8 @@
             json.useDefaultPrettyPrinter();
             json.writeStartObject();
             json.writeStringField("kind", "members");
-            json.writeNumberField("size", play.size());
-            json.writeNumberField("seed", play.seed());
+            json.writeNumberField("size", parameters.size());
+            json.writeNumberField("seed", parameters.seed());
             json.writeNumberField("regions", topology.regions());
             json.writeNumberField("zones", topology.zones());
             json.writeStringField("command", command);
@@ -142,7 +143,7 @@
                     "datagrams_print", Long.toHexString(figures.get("datagrams_print")));
             json.writeObjectFieldStart("figures");
             for (Map.Entry<String, Long> figure : figures.entrySet()) {
-                if (!APART.contains(figure.getKey())) {
+                if (!TOP_LEVEL_FIGURES.contains(figure.getKey())) {
                     json.writeNumberField(figure.getKey(), figure.getValue());
                 }
             }
@@ -171,27 +172,27 @@
     }
 
     @Override
-    public LongSupplier processor() {
-        return threads::getCurrentThreadCpuTime;
+    public LongSupplier cpuClock() {
+        return threadBean::getCurrentThreadCpuTime;
     }
 
     @Override
-    public long reading() {
-        if (reading < 0) {
+    public long readingNanos() {
+        if (readingNanos < 0) {
             for (int round = 0; round < 2; round++) {
-                long from = threads.getCurrentThreadCpuTime();
-                for (int i = 0; i < READINGS; i++) {
-                    threads.getCurrentThreadCpuTime();
+                long startedAt = threadBean.getCurrentThreadCpuTime();
+                for (int i = 0; i < CLOCK_READINGS; i++) {
+                    threadBean.getCurrentThreadCpuTime();
                 }
-                reading = (threads.getCurrentThreadCpuTime() - from) / READINGS;
+                readingNanos = (threadBean.getCurrentThreadCpuTime() - startedAt) / CLOCK_READINGS;
             }
         }
-        return reading;
+        return readingNanos;
     }
 
     @Override
-    public long heap() {
-        for (int i = 0; i < COLLECTIONS; i++) {
+    public long heapBytes() {
+        for (int i = 0; i < GARBAGE_COLLECTIONS; i++) {
             System.gc();
         }
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
--- a/src/main/java/cottonlock/lab/MembersStudy.java
+++ b/src/main/java/cottonlock/lab/MembersStudy.java
@@ -13,7 +13,7 @@
  * plots.
  */
 final class MembersStudy {
-    private static final String AXIS = "log10 of the size";
+    private static final String X_AXIS_UNIT = "log10 of the size";
 
     private final List<Integer> sizes;
     private final List<Double> losses;
@@ -27,7 +27,7 @@
     }
 
     /** Plays each, and prints a line for it as soon as it is known. */
-    void play(long seed, int deaths, int quiet, PrintStream out) {
+    void play(long seed, int deathCount, int quietSeconds, PrintStream out) {
         out.println(
                 "size  loss  first knows, ms  all know, ms   false failures    bytes/s     joined "
                         + " heal");
@@ -36,23 +36,23 @@
                         + " ms");
         for (double loss : losses) {
             for (int size : sizes) {
-                Study.Row r = Study.of(seed, size, loss, deaths, quiet, rules);
+                Study.Row r = Study.run(seed, size, loss, deathCount, quietSeconds, rules);
                 rows.add(r);
                 out.printf(
                         Locale.ROOT,
                         "%4d  %4.2f  %6d %6d    %6d %6d  %7.1f %7.2f  %5d %5d  %6d  %6d%n",
                         size,
                         loss,
-                        r.first(),
-                        r.worstFirst(),
-                        r.all(),
-                        r.worstAll(),
-                        r.falseHour(),
+                        r.firstMillis(),
+                        r.worstFirstMillis(),
+                        r.allMillis(),
+                        r.worstAllMillis(),
+                        r.falseFailuresPerHour(),
                         r.hours(),
-                        r.mean(),
-                        r.worst(),
-                        r.joined(),
-                        r.heal());
+                        r.meanBytes(),
+                        r.worstBytes(),
+                        r.joinedMillis(),
+                        r.healedMillis());
             }
         }
     }
@@ -62,12 +62,12 @@
         // SWIM: a first probe after e / (e - 1) periods in the mean. Lifeguard: a doubt that enough
         // confirm
         // lasts its shortest time.
-        double probe = Math.E / (Math.E - 1) * rules.periodTicks() / 10;
+        double firstProbeMillis = Math.E / (Math.E - 1) * rules.periodTicks() / 10;
         double[] published =
                 sizes.stream()
                         .mapToDouble(
                                 n ->
-                                        probe
+                                        firstProbeMillis
                                                 + rules.suspicionMultiplier()
                                                         * Math.max(1, Math.log10(n))
                                                         * rules.periodTicks()
@@ -78,18 +78,22 @@
                 + Page.STYLE
                 + "</head><body><h1>Proxies that know one "
                 + "another, in virtual time</h1>\n"
-                + chart("The first knows of a death", "ms, median", Study.Row::first)
+                + chart("The first knows of a death", "ms, median", Study.Row::firstMillis)
                         .line("SWIM and Lifeguard, by their formulas", published)
                         .svg()
-                + chart("All know of a death", "ms, median", Study.Row::all).svg()
-                + chart("Sent by one member", "bytes a second, mean", Study.Row::mean).svg()
-                + chart("A split is healed", "ms until all views are right", Study.Row::heal).svg()
+                + chart("All know of a death", "ms, median", Study.Row::allMillis).svg()
+                + chart("Sent by one member", "bytes a second, mean", Study.Row::meanBytes).svg()
+                + chart(
+                                "A split is healed",
+                                "ms until all views are right",
+                                Study.Row::healedMillis)
+                        .svg()
                 + "</body></html>\n";
     }
 
     private Chart chart(String title, String unit, ToDoubleFunction<Study.Row> value) {
         double[] xs = sizes.stream().mapToDouble(Math::log10).toArray();
-        Chart chart = new Chart(title, unit, xs, AXIS, List.of());
+        Chart chart = new Chart(title, unit, xs, X_AXIS_UNIT, List.of());
         for (double loss : losses) {
             chart.line(
                     Math.round(loss * 100) + "% lost",
--- a/src/main/java/cottonlock/lab/MembersWatch.java
+++ b/src/main/java/cottonlock/lab/MembersWatch.java
@@ -14,24 +14,26 @@
 /** Asks each proxy again and again what it holds of the others, on a thread for each. */
 final class MembersWatch {
     /** Milliseconds between two questions to one proxy: a fifth of the usual period. */
-    private static final int BETWEEN = 100;
+    private static final int POLL_INTERVAL_MILLIS = 100;
 
-    private static final int PATIENCE = 1_000;
+    private static final int TIMEOUT_MILLIS = 1_000;
 
     private final List<Thread> threads = new ArrayList<>();
 
     /** Asks at an address; answers go to whom they are for, on the watch's threads. */
-    void watch(Supplier<InetSocketAddress> address, Consumer<Map<String, MembersJudge.Seen>> told) {
+    void watch(
+            Supplier<InetSocketAddress> address,
+            Consumer<Map<String, MembersJudge.MemberReport>> onView) {
         Thread thread =
                 new Thread(
                         null,
                         () -> {
                             try {
                                 while (true) {
-                                    Thread.sleep(BETWEEN);
-                                    String text = ask(address.get(), "MEMBERS");
-                                    if (text != null && text.startsWith("view=")) {
-                                        told.accept(read(text));
+                                    Thread.sleep(POLL_INTERVAL_MILLIS);
+                                    String reply = ask(address.get(), "MEMBERS");
+                                    if (reply != null && reply.startsWith("view=")) {
+                                        onView.accept(parseView(reply));
                                     }
                                 }
                             } catch (InterruptedException e) {
@@ -46,32 +48,33 @@
     }
 
     /** One call of an operator's; null where nobody answers. */
-    static String ask(InetSocketAddress address, String call) {
+    static String ask(InetSocketAddress address, String command) {
         try (Socket socket = new Socket()) {
-            socket.connect(address, PATIENCE);
-            socket.setSoTimeout(PATIENCE);
-            socket.getOutputStream().write((call + "\n").getBytes(StandardCharsets.ISO_8859_1));
+            socket.connect(address, TIMEOUT_MILLIS);
+            socket.setSoTimeout(TIMEOUT_MILLIS);
+            socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.ISO_8859_1));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         } catch (IOException e) {
             return null;
         }
     }
 
-    private static Map<String, MembersJudge.Seen> read(String text) {
-        Map<String, MembersJudge.Seen> view = new TreeMap<>();
-        for (String line : text.split("\n", 0)) {
-            String[] words = line.split(" ", 0);
-            if (words.length >= 6 && words[3].startsWith("life=")) {
+    private static Map<String, MembersJudge.MemberReport> parseView(String reply) {
+        Map<String, MembersJudge.MemberReport> view = new TreeMap<>();
+        for (String line : reply.split("\n", 0)) {
+            String[] fields = line.split(" ", 0);
+            if (fields.length >= 6 && fields[3].startsWith("life=")) {
                 view.put(
-                        words[0],
-                        new MembersJudge.Seen(words[1], number(words[3]), number(words[5])));
+                        fields[0],
+                        new MembersJudge.MemberReport(
+                                fields[1], parseNumber(fields[3]), parseNumber(fields[5])));
             }
         }
         return view;
     }
 
-    private static long number(String word) {
-        return Long.parseLong(word.substring(word.indexOf('=') + 1));
+    private static long parseNumber(String field) {
+        return Long.parseLong(field.substring(field.indexOf('=') + 1));
     }
 
     void close() {
--- a/src/main/java/cottonlock/lab/Page.java
+++ b/src/main/java/cottonlock/lab/Page.java
@@ -12,7 +12,7 @@
  */
 public final class Page {
     /** Backends in one plot: more lines than this can't be told apart, the busiest are shown. */
-    private static final int MOST_LINES = 12;
+    private static final int MAX_LINES = 12;
 
     /** How pages of the lab look. */
     public static final String STYLE =
@@ -84,7 +84,7 @@
         }
         cards(page, verdict);
         page.append(
-                over(
+                countsChart(
                         seconds,
                         "Answers",
                         "a second, when they came",
@@ -103,9 +103,9 @@
                                 "ms, from when it was due to be sent",
                                 seconds,
                                 faults)
-                        .line("median", each(seconds, s -> series.latency(s, 50)))
-                        .line("90%", each(seconds, s -> series.latency(s, 90)))
-                        .line("99%", each(seconds, s -> series.latency(s, 99)))
+                        .line("median", perSecond(seconds, s -> series.latency(s, 50)))
+                        .line("90%", perSecond(seconds, s -> series.latency(s, 90)))
+                        .line("99%", perSecond(seconds, s -> series.latency(s, 99)))
                         .svg());
         Chart tenants =
                 chart(
@@ -113,10 +113,11 @@
                         "part of the credit earned, by when it was due",
                         seconds,
                         faults);
-        for (int t = 0; t < Math.min(MOST_LINES, scenario.tenants.size()); t++) {
+        for (int t = 0; t < Math.min(MAX_LINES, scenario.tenants.size()); t++) {
             int tenant = t;
             tenants.line(
-                    scenario.tenants.get(t).name(), each(seconds, s -> series.service(tenant, s)));
+                    scenario.tenants.get(t).name(),
+                    perSecond(seconds, s -> series.service(tenant, s)));
         }
         page.append(tenants.svg());
         backends(page, series, seconds, faults);
@@ -139,7 +140,7 @@
             page.append("<div")
                     .append(bad ? " class=\"bad\"" : "")
                     .append("><b>")
-                    .append(verdict.shown(key))
+                    .append(verdict.format(key))
                     .append("</b><small>")
                     .append(key.replace("_ms", " ms").replace('_', ' '))
                     .append("</small></div>");
@@ -149,10 +150,10 @@
 
     private static Chart chart(
             String title, String unit, int seconds, List<Timeline.Entry> faults) {
-        return new Chart(title, unit, each(seconds, s -> s + 0.5), "s", faults);
+        return new Chart(title, unit, perSecond(seconds, s -> s + 0.5), "s", faults);
     }
 
-    private static double[] each(int seconds, IntToDoubleFunction value) {
+    private static double[] perSecond(int seconds, IntToDoubleFunction value) {
         double[] values = new double[seconds];
         for (int s = 0; s < seconds; s++) {
             values[s] = value.applyAsDouble(s);
@@ -160,7 +161,7 @@
         return values;
     }
 
-    private static String over(
+    private static String countsChart(
             int seconds,
             String title,
             String unit,
@@ -171,14 +172,15 @@
         for (Series.Count count : counts) {
             chart.line(
                     count.name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                    each(seconds, s -> series.line(count).at(s)));
+                    perSecond(seconds, s -> series.line(count).at(s)));
         }
         return chart.svg();
     }
 
     private static void backends(
             StringBuilder page, Series series, int seconds, List<Timeline.Entry> faults) {
-        Map<String, List<Map.Entry<String, Series.Work>>> tiers = new java.util.TreeMap<>();
+        Map<String, List<Map.Entry<String, Series.BackendCounts>>> tiers =
+                new java.util.TreeMap<>();
         series.backends()
                 .entrySet()
                 .forEach(
@@ -188,49 +190,49 @@
                                                 t -> new ArrayList<>())
                                         .add(e));
         tiers.forEach(
-                (tier, works) -> {
-                    works.sort(
+                (tier, backends) -> {
+                    backends.sort(
                             java.util.Comparator.comparingDouble(
-                                            (Map.Entry<String, Series.Work> e) ->
+                                            (Map.Entry<String, Series.BackendCounts> e) ->
                                                     -total(e.getValue().received, seconds))
                                     .thenComparing(Map.Entry::getKey));
-                    int shown = Math.min(MOST_LINES, works.size());
-                    String which =
-                            works.size() > shown
-                                    ? ", the " + shown + " busiest of " + works.size()
+                    int shown = Math.min(MAX_LINES, backends.size());
+                    String selection =
+                            backends.size() > shown
+                                    ? ", the " + shown + " busiest of " + backends.size()
                                     : "";
                     Chart received =
                             chart(
                                     "Attempts that reached backends of tier " + tier,
-                                    "a second" + which,
+                                    "a second" + selection,
                                     seconds,
                                     faults);
-                    works.stream()
+                    backends.stream()
                             .limit(shown)
                             .sorted(Map.Entry.comparingByKey())
                             .forEach(
                                     e ->
                                             received.line(
                                                     e.getKey(),
-                                                    each(
+                                                    perSecond(
                                                             seconds,
                                                             s -> e.getValue().received.at(s))));
                     page.append(received.svg());
-                    if (works.stream().anyMatch(e -> total(e.getValue().refused, seconds) > 0)) {
+                    if (backends.stream().anyMatch(e -> total(e.getValue().refused, seconds) > 0)) {
                         Chart refused =
                                 chart(
                                         "Turned away by full backends of tier " + tier,
-                                        "a second" + which,
+                                        "a second" + selection,
                                         seconds,
                                         faults);
-                        works.stream()
+                        backends.stream()
                                 .limit(shown)
                                 .sorted(Map.Entry.comparingByKey())
                                 .forEach(
                                         e ->
                                                 refused.line(
                                                         e.getKey(),
-                                                        each(
+                                                        perSecond(
                                                                 seconds,
                                                                 s -> e.getValue().refused.at(s))));
                         page.append(refused.svg());
--- a/src/main/java/cottonlock/lab/Report.java
+++ b/src/main/java/cottonlock/lab/Report.java
@@ -27,11 +27,13 @@
 
     static void write(Path folder, Experiment run, Verdict verdict) throws IOException {
         Files.createDirectories(folder);
-        json(folder.resolve("report.json"), run, verdict);
+        writeJson(folder.resolve("report.json"), run, verdict);
         Files.writeString(folder.resolve("report.html"), Page.of(run, verdict));
-        schedule(folder.resolve("schedule.tsv"), run.schedule(), run.timeline());
+        writeSchedule(folder.resolve("schedule.tsv"), run.schedule(), run.timeline());
         List<String> lines = new ArrayList<>(run.ledger().lines());
-        run.ledger().twiceBy().forEach((where, n) -> lines.add("twice: " + n + " of " + where));
+        run.ledger()
+                .doubleEffectsByCategory()
+                .forEach((where, n) -> lines.add("twice: " + n + " of " + where));
         Files.write(folder.resolve("ledger.txt"), lines);
         for (Map.Entry<String, String> log : run.logs().entrySet()) {
             Files.writeString(folder.resolve(log.getKey() + ".log"), log.getValue());
@@ -39,7 +41,8 @@
     }
 
     /** What the seed alone decides: alike, byte by byte, in every run of it. */
-    static void schedule(Path file, List<Arrivals.Arrival> arrivals, List<Timeline.Entry> faults)
+    static void writeSchedule(
+            Path file, List<Arrivals.Arrival> arrivals, List<Timeline.Entry> faults)
             throws IOException {
         try (Writer out = Files.newBufferedWriter(file, StandardCharsets.UTF_8)) {
             out.write("# fault: at_ms\tfor_ms\tkind\tbackends\tproxy\tamount\n");
@@ -53,7 +56,7 @@
         }
     }
 
-    private static void json(Path file, Experiment run, Verdict verdict) throws IOException {
+    private static void writeJson(Path file, Experiment run, Verdict verdict) throws IOException {
         Scenario scenario = run.scenario();
         Series series = run.series();
         int seconds = (int) (scenario.length / 1_000_000_000L);
@@ -71,7 +74,7 @@
             json.writeObjectFieldStart("figures");
             for (String key : verdict.keys) {
                 json.writeFieldName(key);
-                json.writeRawValue(verdict.shown(key));
+                json.writeRawValue(verdict.format(key));
             }
             json.writeEndObject();
             json.writeArrayFieldStart("broken");
@@ -145,11 +148,11 @@
             }
             json.writeEndObject();
             json.writeObjectFieldStart("backends");
-            for (Map.Entry<String, Series.Work> backend : series.backends().entrySet()) {
+            for (Map.Entry<String, Series.BackendCounts> backend : series.backends().entrySet()) {
                 json.writeObjectFieldStart(backend.getKey());
-                line(json, "received", backend.getValue().received, seconds);
-                line(json, "done", backend.getValue().done, seconds);
-                line(json, "refused", backend.getValue().refused, seconds);
+                writeLine(json, "received", backend.getValue().received, seconds);
+                writeLine(json, "done", backend.getValue().done, seconds);
+                writeLine(json, "refused", backend.getValue().refused, seconds);
                 json.writeEndObject();
             }
             json.writeEndObject();
@@ -157,7 +160,7 @@
         }
     }
 
-    private static void line(JsonGenerator json, String name, Series.Line line, int seconds)
+    private static void writeLine(JsonGenerator json, String name, Series.Line line, int seconds)
             throws IOException {
         json.writeArrayFieldStart(name);
         for (int s = 0; s < seconds; s++) {
--- a/src/main/java/cottonlock/lab/RolloutReport.java
+++ b/src/main/java/cottonlock/lab/RolloutReport.java
@@ -20,7 +20,7 @@
  */
 final class RolloutReport {
     /** Milliseconds in which a change is to be in force. */
-    private static final long PROMISED = 10_000;
+    private static final long MAX_IN_FORCE_MILLIS = 10_000;
 
     private final PrintStream out;
     private final String commit;
@@ -35,7 +35,7 @@
 
     /** Plays all; whether each case kept to what is promised. */
     boolean play(List<Integer> sizes, List<Long> seeds) throws IOException {
-        boolean kept = true;
+        boolean promiseKept = true;
         out.println(
                 " size  seed  case            in force, ms: half   99%    all  calls/s  bytes/s "
                         + " back  harmed  differ");
@@ -43,21 +43,21 @@
             for (long seed : seeds) {
                 RolloutStudy study = new RolloutStudy(size, seed, RolloutVariants.DEFAULT);
                 Outcome quiet = study.quiet();
-                kept &= tell(size, seed, "quiet", quiet);
+                promiseKept &= printCase(size, seed, "quiet", quiet);
                 Map<String, Outcome> events = new LinkedHashMap<>();
                 study.cases().forEach((name, play) -> events.put(name, play.get()));
                 for (Map.Entry<String, Outcome> event : events.entrySet()) {
-                    kept &= tell(size, seed, event.getKey(), event.getValue());
+                    promiseKept &= printCase(size, seed, event.getKey(), event.getValue());
                 }
                 if (folder != null) {
                     write(size, seed, quiet, events);
                 }
             }
         }
-        return kept;
+        return promiseKept;
     }
 
-    private boolean tell(int size, long seed, String name, Outcome o) {
+    private boolean printCase(int size, long seed, String name, Outcome o) {
         out.printf(
                 Locale.ROOT,
                 "%5d  %4d  %-15s  %16d %5d %6d  %7d  %7d  %4d  %6d  %6d  %s%n",
@@ -73,7 +73,9 @@
                 o.harmed(),
                 o.differ(),
                 o.more());
-        return o.all() >= 0 && o.all() <= PROMISED && o.back() + o.harmed() + o.differ() == 0;
+        return o.all() >= 0
+                && o.all() <= MAX_IN_FORCE_MILLIS
+                && o.back() + o.harmed() + o.differ() == 0;
     }
 
     private void write(int size, long seed, Outcome quiet, Map<String, Outcome> events)
--- a/src/main/java/cottonlock/lab/Series.java
+++ b/src/main/java/cottonlock/lab/Series.java
@@ -10,7 +10,7 @@
 /** What was measured, by second of the run: answers by kind, latency, each tenant, each backend. */
 final class Series {
     /** Microseconds: longer than any expiry that a scenario may have. */
-    private static final long LONGEST = 3_600_000_000L;
+    private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
 
     /** The kinds of answers and what else is counted each second, in the order of the report. */
     enum Count {
@@ -41,7 +41,7 @@
     }
 
     /** What one backend did. */
-    static final class Work {
+    static final class BackendCounts {
         final Line received = new Line();
         final Line done = new Line();
         final Line refused = new Line();
@@ -52,17 +52,17 @@
     private final Line offered = new Line();
     private final Line[] tenantEarned;
     private final Line[] tenantOffered;
-    private final Map<String, Work> backends = new LinkedHashMap<>();
+    private final Map<String, BackendCounts> backends = new LinkedHashMap<>();
 
     /** Microseconds from when a request was due to be sent to its answer, if it was finished. */
-    final Histogram latency = new Histogram(LONGEST, 3);
+    final Histogram latency = new Histogram(MAX_LATENCY_MICROS, 3);
 
     private final List<Histogram> perSecond = new ArrayList<>();
     private final Histogram[] perCategory;
 
     Series(int tenants, int categories) {
-        for (Count what : Count.values()) {
-            counts.put(what, new Line());
+        for (Count kind : Count.values()) {
+            counts.put(kind, new Line());
         }
         tenantEarned = new Line[tenants];
         tenantOffered = new Line[tenants];
@@ -72,7 +72,7 @@
         }
         perCategory = new Histogram[categories];
         for (int c = 0; c < categories; c++) {
-            perCategory[c] = new Histogram(LONGEST, 2);
+            perCategory[c] = new Histogram(MAX_LATENCY_MICROS, 2);
         }
     }
 
@@ -80,8 +80,8 @@
         return (int) (Math.max(0, now) / 1_000_000_000L);
     }
 
-    void count(Count what, long now) {
-        counts.get(what).add(second(now), 1);
+    void count(Count kind, long now) {
+        counts.get(kind).add(second(now), 1);
     }
 
     /** A request's credit, in thousandths, by the second in which it was due to be sent. */
@@ -94,7 +94,7 @@
     }
 
     void finished(int category, long due, long now) {
-        long micros = Math.min(LONGEST, Math.max(0, now - due) / 1_000);
+        long micros = Math.min(MAX_LATENCY_MICROS, Math.max(0, now - due) / 1_000);
         latency.recordValue(micros);
         perCategory[category].recordValue(micros);
         int s = second(due);
@@ -102,57 +102,57 @@
             perSecond.add(null);
         }
         if (perSecond.get(s) == null) {
-            perSecond.set(s, new Histogram(LONGEST, 2));
+            perSecond.set(s, new Histogram(MAX_LATENCY_MICROS, 2));
         }
         perSecond.get(s).recordValue(micros);
     }
 
-    private Work work(String backend) {
-        return backends.computeIfAbsent(backend, b -> new Work());
+    private BackendCounts backendCounts(String backend) {
+        return backends.computeIfAbsent(backend, b -> new BackendCounts());
     }
 
     void received(String backend, long now) {
-        work(backend).received.add(second(now), 1);
+        backendCounts(backend).received.add(second(now), 1);
     }
 
     void done(String backend, long now) {
-        work(backend).done.add(second(now), 1);
+        backendCounts(backend).done.add(second(now), 1);
     }
 
     void refused(String backend, long now) {
-        work(backend).refused.add(second(now), 1);
+        backendCounts(backend).refused.add(second(now), 1);
     }
 
-    long total(Count what) {
+    long total(Count kind) {
         long total = 0;
-        Line line = counts.get(what);
+        Line line = counts.get(kind);
         for (int s = 0; s < line.length; s++) {
             total += line.at(s);
         }
         return total;
     }
 
-    Line line(Count what) {
-        return counts.get(what);
+    Line line(Count kind) {
+        return counts.get(kind);
     }
 
     /** The part of the credit that a second, or with -1 all, earned; 1 where none was offered. */
     double service(int second) {
-        return part(earned, offered, second);
+        return earnedShare(earned, offered, second);
     }
 
     double service(int tenant, int second) {
-        return part(tenantEarned[tenant], tenantOffered[tenant], second);
+        return earnedShare(tenantEarned[tenant], tenantOffered[tenant], second);
     }
 
-    private static double part(Line earned, Line offered, int second) {
-        double all = 0;
-        double got = 0;
+    private static double earnedShare(Line earned, Line offered, int second) {
+        double sum = 0;
+        double earnedSum = 0;
         for (int s = Math.max(0, second); s < (second < 0 ? offered.length : second + 1); s++) {
-            all += offered.at(s);
-            got += earned.at(s);
+            sum += offered.at(s);
+            earnedSum += earned.at(s);
         }
-        return all <= 0 ? 1 : got / all;
+        return sum <= 0 ? 1 : earnedSum / sum;
     }
 
     /**
@@ -165,16 +165,16 @@
 
     /** All that was due from a second on, in microseconds. */
     Histogram from(int second) {
-        Histogram all = new Histogram(LONGEST, 3);
-        perSecond.stream().skip(second).filter(java.util.Objects::nonNull).forEach(all::add);
-        return all;
+        Histogram sum = new Histogram(MAX_LATENCY_MICROS, 3);
+        perSecond.stream().skip(second).filter(java.util.Objects::nonNull).forEach(sum::add);
+        return sum;
     }
 
     Histogram category(int category) {
         return perCategory[category];
     }
 
-    Map<String, Work> backends() {
+    Map<String, BackendCounts> backends() {
         return backends;
     }
 }
--- a/src/main/java/cottonlock/lab/Verdict.java
+++ b/src/main/java/cottonlock/lab/Verdict.java
@@ -34,7 +34,7 @@
                     "behind_ms");
 
     /** Further ones, where the proxies know one another. */
-    static final List<String> MEMBERS =
+    static final List<String> MEMBERSHIP_KEYS =
             List.of(
                     "found_ms",
                     "found_all_ms",
@@ -46,8 +46,10 @@
                     "unheard",
                     "watch_ms");
 
-    private static final List<String> DECIMAL = List.of("service", "worst_s", "sends_per_item");
-    private static final List<String> TENTHS = List.of("p50_ms", "p99_ms", "behind_ms", "watch_ms");
+    private static final List<String> THREE_DECIMAL_KEYS =
+            List.of("service", "worst_s", "sends_per_item");
+    private static final List<String> ONE_DECIMAL_KEYS =
+            List.of("p50_ms", "p99_ms", "behind_ms", "watch_ms");
 
     /** The four rules: a breach of one fails any scenario. */
     private static final List<String> RULES = List.of("lost", "twice", "drains", "cold");
@@ -81,10 +83,10 @@
             double watchLimitMs) {
         this.figures.putAll(figures);
         KEYS.forEach(keys::add);
-        MEMBERS.stream().filter(figures::containsKey).forEach(keys::add);
+        MEMBERSHIP_KEYS.stream().filter(figures::containsKey).forEach(keys::add);
         for (String rule : RULES) {
             if (figures.get(rule) > 0) {
-                broken.add("rule " + rule + ": " + shown(rule) + " breaches");
+                broken.add("rule " + rule + ": " + format(rule) + " breaches");
             }
         }
         for (Scenario.Bound bound : bounds) {
@@ -95,7 +97,7 @@
                                 + " "
                                 + bound.text()
                                 + ", found "
-                                + shown(bound.key()));
+                                + format(bound.key()));
             }
         }
         if (figures.get("behind_ms") > lateLimitMs) {
@@ -105,7 +107,7 @@
                             Locale.ROOT,
                             "the machine ran late by %s ms (99.9%% of all tasks), "
                                     + "%.0f ms are the limit: no verdict",
-                            shown("behind_ms"),
+                            format("behind_ms"),
                             lateLimitMs));
             kind = Kind.NONE;
         } else if (figures.getOrDefault("watch_ms", 0.0) > watchLimitMs) {
@@ -115,7 +117,7 @@
                             Locale.ROOT,
                             "a process that only watches the clock woke %s ms late, "
                                     + "%.0f ms are the limit: no verdict",
-                            shown("watch_ms"),
+                            format("watch_ms"),
                             watchLimitMs));
             kind = Kind.NONE;
         } else {
@@ -123,12 +125,12 @@
         }
     }
 
-    String shown(String key) {
+    String format(String key) {
         double value = figures.get(key);
-        if (DECIMAL.contains(key)) {
+        if (THREE_DECIMAL_KEYS.contains(key)) {
             return String.format(Locale.ROOT, "%.3f", value);
         }
-        return TENTHS.contains(key)
+        return ONE_DECIMAL_KEYS.contains(key)
                 ? String.format(Locale.ROOT, "%.1f", value)
                 : Long.toString((long) value);
     }
@@ -136,7 +138,7 @@
     /** The last line on standard output. */
     String line() {
         StringBuilder line = new StringBuilder("verdict: ").append(word());
-        keys.forEach(key -> line.append(' ').append(key).append('=').append(shown(key)));
+        keys.forEach(key -> line.append(' ').append(key).append('=').append(format(key)));
         return line.toString();
     }
 
--- a/src/test/java/cottonlock/lab/LedgerTest.java
+++ b/src/test/java/cottonlock/lab/LedgerTest.java
@@ -39,7 +39,7 @@
         take("a", 1_000 * MS);
         ledger.received(MS, 2 * MS, "a", "b0", 0);
         ledger.effect(2 * MS, "a", "unsafe", "x");
-        ledger.made("a", 7);
+        ledger.responseProduced("a", 7);
         ledger.answered(1_040 * MS, "a", true, 7);
         take("gone", 10 * MS);
         ledger.excused(5 * MS, "gone", false);
@@ -52,7 +52,7 @@
         ledger.unanswered(5, take("ended", 10), "its connection ended");
         ledger.answered(1_051 * MS, take("late", 1_000 * MS), false, 0);
         ledger.answered(1, take("invented", 1_000 * MS), true, 3);
-        ledger.made(take("mixed up", 1_000 * MS), 4);
+        ledger.responseProduced(take("mixed up", 1_000 * MS), 4);
         ledger.answered(2, "mixed up", true, 5);
         ledger.answered(1, take("two answers", 1_000 * MS), false, 0);
         ledger.answered(2, "two answers", false, 0);
@@ -64,7 +64,7 @@
         ledger.excused(1, take("killed", 10), true);
         ledger.unanswered(2, "killed", "again");
         counts(7, 0, 0, 0);
-        assertEquals(1, ledger.diedWithProxy());
+        assertEquals(1, ledger.unansweredOfKilledProxies());
     }
 
     @Example
@@ -83,20 +83,20 @@
         ledger.sent("retry", "order", "order", 1, 1_000 * MS);
         ledger.effect(4, "retry", "keyed", "y");
         counts(0, 2, 0, 0);
-        assertEquals(Map.of("quote in x", 1, "order in y", 1), ledger.twiceBy());
+        assertEquals(Map.of("quote in x", 1, "order in y", 1), ledger.doubleEffectsByCategory());
     }
 
     @Example
     void aDrainCountsFromWhenThisProxyWasTold() {
         take("a", 10_000 * MS);
-        ledger.told(1_000 * MS, 0, "b0");
-        ledger.told(2_000 * MS, 0, "b0");
+        ledger.drainAnnounced(1_000 * MS, 0, "b0");
+        ledger.drainAnnounced(2_000 * MS, 0, "b0");
         ledger.received(2_550 * MS, 2_551 * MS, "a", "b0", 0);
         ledger.received(2_551 * MS, 2_552 * MS, "a", "b0", 1);
         counts(0, 0, 0, 0);
         ledger.received(2_551 * MS, 2_552 * MS, "a", "b0", 0);
         counts(0, 0, 1, 0);
-        ledger.toldBack(0, "b0");
+        ledger.drainRevoked(0, "b0");
         ledger.received(9_000 * MS, 9_001 * MS, "a", "b0", 0);
         counts(0, 0, 1, 0);
     }
--- a/src/test/java/cottonlock/lab/RegionsStudyTest.java
+++ b/src/test/java/cottonlock/lab/RegionsStudyTest.java
@@ -19,29 +19,29 @@
      * Of all datagrams of the fleet below, as the program played it before its tables were kept by
      * index.
      */
-    private static final long RECORDED = 1_696_335_539_377_993_399L;
+    private static final long EXPECTED_FINGERPRINT = 1_696_335_539_377_993_399L;
 
     /** Measures nothing: figures then hang on virtual time alone. */
     private static final class NoGauge implements RegionsStudy.Gauge {
         @Override
-        public LongSupplier processor() {
+        public LongSupplier cpuClock() {
             return () -> 0;
         }
 
         @Override
-        public long reading() {
+        public long readingNanos() {
             return 0;
         }
 
         @Override
-        public long heap() {
+        public long heapBytes() {
             return 0;
         }
     }
 
-    private static Map<String, Long> play(long seed, int size, int quiet, int apart) {
-        return RegionsStudy.of(
-                new RegionsStudy.Play(seed, size, TOPOLOGY, quiet, apart, size),
+    private static Map<String, Long> play(long seed, int size, int quietSeconds, int apartSeconds) {
+        return RegionsStudy.run(
+                new RegionsStudy.Parameters(seed, size, TOPOLOGY, quietSeconds, apartSeconds, size),
                 MembershipProtocolConfig.DEFAULTS,
                 new NoGauge(),
                 (name, figures) -> {});
@@ -81,10 +81,10 @@
                             "regions_healed_ms",
                             17_000)
                     .forEach(
-                            (name, most) ->
+                            (name, maxMillis) ->
                                     assertTrue(
-                                            figures.get(name) <= most,
-                                            name + " over " + most + ": " + figures));
+                                            figures.get(name) <= maxMillis,
+                                            name + " over " + maxMillis + ": " + figures));
         }
     }
 
@@ -92,8 +92,8 @@
     @Example
     void oneSeedIsOneWorld() {
         Map<String, Long> once = play(1, 24, 20, 60);
-        assertEquals(RECORDED, once.get("datagrams_print"));
+        assertEquals(EXPECTED_FINGERPRINT, once.get("datagrams_print"));
         assertEquals(once, play(1, 24, 20, 60));
-        assertNotEquals(RECORDED, play(2, 24, 20, 60).get("datagrams_print"));
+        assertNotEquals(EXPECTED_FINGERPRINT, play(2, 24, 20, 60).get("datagrams_print"));
     }
 }
