--- a/src/main/java/cottonlock/lab/rollout/ControlModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ControlModel.java
@@ -19,26 +19,26 @@
      * Tenths of a millisecond: a call that is answered, one that is turned away, one line to one
      * watch.
      */
-    private static final long CALL = 50;
+    private static final long CALL_TICKS = 50;
 
-    private static final long AWAY = 5;
-    private static final double LINE = 0.5;
+    private static final long REFUSAL_TICKS = 5;
+    private static final double LINE_TICKS = 0.5;
 
     /** So much may wait before calls are turned away. */
-    private static final long WAITS = 2_000;
+    private static final long MAX_BACKLOG_TICKS = 2_000;
 
-    private static final long BEAT = 20_000;
-    private static final long SECOND = 10_000;
+    private static final long HEARTBEAT_TICKS = 20_000;
+    private static final long TICKS_PER_SECOND = 10_000;
 
     /** The other side of a connection. */
     interface Caller {
         int zone();
 
         /** A version with its content, or without where the call named it; null: an empty line. */
-        void line(ConfigurationVersion version, boolean whole);
+        void onLine(ConfigurationVersion version, boolean withContent);
 
         /** The connection has ended, or was refused. */
-        void ended();
+        void onEnded();
     }
 
     final int number;
@@ -46,63 +46,63 @@
     private final World world;
     private final Links links;
     private final Set<Caller> watches = new LinkedHashSet<>();
-    private ConfigurationVersion held = ConfigurationVersion.NONE;
+    private ConfigurationVersion heldVersion = ConfigurationVersion.NONE;
     private boolean down;
     private boolean frozen;
-    private boolean halved;
-    private long factor = 1;
+    private boolean truncating;
+    private long slowdown = 1;
     private long busyUntil;
-    private long second = -1;
-    private int inSecond;
+    private long currentSecond = -1;
+    private int callsInSecond;
 
     /** The most calls of any second since it was last asked. */
-    private int worst;
+    private int maxCallsInSecond;
 
     ControlModel(int number, int zone, World world, Links links) {
         this.number = number;
         this.zone = zone;
         this.world = world;
         this.links = links;
-        world.at(world.chance().nextLong(BEAT), this::beat);
+        world.at(world.chance().nextLong(HEARTBEAT_TICKS), this::sendHeartbeats);
     }
 
-    ConfigurationVersion held() {
-        return held;
+    ConfigurationVersion heldVersion() {
+        return heldVersion;
     }
 
     /** It hears of a version; one that lies behind does not. */
-    void hear(ConfigurationVersion version) {
-        if (!down && !frozen && version.compareTo(held) > 0) {
-            held = version;
+    void announce(ConfigurationVersion version) {
+        if (!down && !frozen && version.compareTo(heldVersion) > 0) {
+            heldVersion = version;
             for (Caller watch : watches) {
-                tell(watch, version, true, Math.max(1, (long) (LINE * factor)));
+                sendVersion(watch, version, true, Math.max(1, (long) (LINE_TICKS * slowdown)));
             }
         }
     }
 
     /** Lies behind: it hears nothing new. */
-    void freeze(boolean on) {
+    void setFrozen(boolean on) {
         frozen = on;
     }
 
     /** Tells half of each version: what it tells has not the digest that is told with it. */
-    void halve(boolean on) {
-        halved = on;
+    void setTruncating(boolean on) {
+        truncating = on;
     }
 
-    boolean halves() {
-        return halved;
+    boolean isTruncating() {
+        return truncating;
     }
 
     /** All that it does takes so many times longer. */
-    void slow(long times) {
-        factor = times;
+    void setSlowdown(long times) {
+        slowdown = times;
     }
 
-    void down(boolean off) {
+    void setDown(boolean off) {
         down = off;
         if (off) {
-            drop();
+            dropWatches();
         }
     }
 
@@ -111,73 +111,74 @@
     }
 
     /** Ends all its watches. */
-    void drop() {
+    void dropWatches() {
         List<Caller> all = new ArrayList<>(watches);
         watches.clear();
-        all.forEach(w -> links.carry(zone, w.zone(), w::ended, w::ended));
+        all.forEach(w -> links.carry(zone, w.zone(), w::onEnded, w::onEnded));
     }
 
     /**
      * A call has come, for a watch that names what it has, or for the number of what is held here.
      */
-    void called(Caller caller, ConfigurationVersion has, boolean watch) {
+    void onCall(Caller caller, ConfigurationVersion has, boolean watch) {
         long now = world.now();
-        if (now / SECOND != second) {
-            second = now / SECOND;
-            inSecond = 0;
+        if (now / TICKS_PER_SECOND != currentSecond) {
+            currentSecond = now / TICKS_PER_SECOND;
+            callsInSecond = 0;
         }
-        worst = Math.max(worst, ++inSecond);
-        if (down || busyUntil - now > WAITS) {
+        maxCallsInSecond = Math.max(maxCallsInSecond, ++callsInSecond);
+        if (down || busyUntil - now > MAX_BACKLOG_TICKS) {
             if (!down) {
-                busyUntil += AWAY * factor;
+                busyUntil += REFUSAL_TICKS * slowdown;
             }
-            links.carry(zone, caller.zone(), caller::ended, caller::ended);
+            links.carry(zone, caller.zone(), caller::onEnded, caller::onEnded);
             return;
         }
-        busyUntil = Math.max(now, busyUntil) + CALL * factor;
+        busyUntil = Math.max(now, busyUntil) + CALL_TICKS * slowdown;
         world.at(
                 busyUntil,
                 () -> {
                     if (down) {
-                        links.carry(zone, caller.zone(), caller::ended, caller::ended);
+                        links.carry(zone, caller.zone(), caller::onEnded, caller::onEnded);
                         return;
                     }
                     if (watch) {
                         watches.add(caller);
                     }
-                    tell(caller, held, watch && held.compareTo(has) > 0, 0);
+                    sendVersion(caller, heldVersion, watch && heldVersion.compareTo(has) > 0, 0);
                 });
     }
 
-    private void tell(Caller caller, ConfigurationVersion version, boolean whole, long work) {
-        busyUntil = Math.max(world.now(), busyUntil) + work;
+    private void sendVersion(
+            Caller caller, ConfigurationVersion version, boolean withContent, long workTicks) {
+        busyUntil = Math.max(world.now(), busyUntil) + workTicks;
         world.at(
-                work == 0 ? world.now() : busyUntil,
+                workTicks == 0 ? world.now() : busyUntil,
                 () ->
                         links.carry(
                                 zone,
                                 caller.zone(),
-                                () -> caller.line(version, whole),
-                                () -> left(caller)));
+                                () -> caller.onLine(version, withContent),
+                                () -> removeWatch(caller)));
     }
 
     /** A caller has closed its connection, or can't be reached. */
-    void left(Caller caller) {
+    void removeWatch(Caller caller) {
         watches.remove(caller);
     }
 
-    private void beat() {
+    private void sendHeartbeats() {
         for (Caller watch : List.copyOf(watches)) {
             if (!links.cut(zone, watch.zone())) {
-                watch.line(null, false);
+                watch.onLine(null, false);
             }
         }
-        world.at(world.now() + BEAT, this::beat);
+        world.at(world.now() + HEARTBEAT_TICKS, this::sendHeartbeats);
     }
 
-    int worstSecond() {
-        int most = worst;
-        worst = 0;
-        return most;
+    int takeMaxCallsPerSecond() {
+        int max = maxCallsInSecond;
+        maxCallsInSecond = 0;
+        return max;
     }
 }
--- a/src/main/java/cottonlock/lab/rollout/Deployment.java
+++ b/src/main/java/cottonlock/lab/rollout/Deployment.java
@@ -18,18 +18,18 @@
  */
 @Deterministic
 final class Deployment {
-    static final long SECOND = 10_000;
+    static final long TICKS_PER_SECOND = 10_000;
     static final int REGIONS = 2;
     static final int ZONES = 7;
     static final int CONTROL = 17;
 
     /** Bytes of a version's line: settings of some twenty request classes. */
-    private static final int CONTENT = 4_096;
+    private static final int VERSION_BYTES = 4_096;
 
     /** Until another control machine has what was published: from, and up to so much more. */
-    private static final long REPLICATED = 100;
+    private static final long MIN_REPLICATION_TICKS = 100;
 
-    private static final long REPLICATED_MORE = 1_900;
+    private static final long REPLICATION_SPREAD_TICKS = 1_900;
 
     final World world;
     final Links links;
@@ -37,48 +37,48 @@
     final List<ProxyModel> proxies = new ArrayList<>();
 
     /** Versions that can't be used, by whoever tries them. */
-    final Set<ConfigurationVersion> poison = new HashSet<>();
+    final Set<ConfigurationVersion> unusableVersions = new HashSet<>();
 
     private ConfigurationVersion target;
-    private long since;
+    private long targetSetAt;
 
     /** How long each proxy took until it held the target; -1: it does not yet. */
-    private long[] took;
+    private long[] ticksToTarget;
 
     private long[] startedAt;
 
-    Deployment(int size, long seed, RolloutVariants habits) {
+    Deployment(int size, long seed, RolloutVariants variants) {
         world = new World(seed);
         links = new Links(world, REGIONS);
         for (int i = 0; i < CONTROL; i++) {
             control.add(new ControlModel(i, i % ZONES, world, links));
             int number = i;
-            world.at(world.chance().nextLong(SECOND), () -> agree(number));
+            world.at(world.chance().nextLong(TICKS_PER_SECOND), () -> reconcile(number));
         }
-        took = new long[size];
+        ticksToTarget = new long[size];
         startedAt = new long[size];
         ProxyModel.Content content =
                 new ProxyModel.Content() {
                     @Override
                     public String fault(ConfigurationVersion version) {
-                        return poison.contains(version) ? "cannot be used" : null;
+                        return unusableVersions.contains(version) ? "cannot be used" : null;
                     }
 
                     @Override
                     public int bytes(ConfigurationVersion version) {
-                        return CONTENT;
+                        return VERSION_BYTES;
                     }
                 };
         for (int i = 0; i < size; i++) {
             int zone = i % ZONES;
             List<ControlModel> nearFirst = new ArrayList<>();
-            List<String> near = new ArrayList<>();
-            List<String> far = new ArrayList<>();
-            for (boolean same : new boolean[] {true, false}) {
+            List<String> nearServers = new ArrayList<>();
+            List<String> farServers = new ArrayList<>();
+            for (boolean sameRegion : new boolean[] {true, false}) {
                 for (ControlModel c : control) {
-                    if (links.region(c.zone) == links.region(zone) == same) {
+                    if (links.region(c.zone) == links.region(zone) == sameRegion) {
                         nearFirst.add(c);
-                        (same ? near : far).add("c" + c.number);
+                        (sameRegion ? nearServers : farServers).add("c" + c.number);
                     }
                 }
             }
@@ -91,22 +91,22 @@
                             nearFirst,
                             new RolloutConfig(
                                     "s",
-                                    near,
-                                    far,
+                                    nearServers,
+                                    farServers,
                                     RolloutConfig.DEFAULT_CALL_TIMEOUT_TICKS,
                                     RolloutConfig.DEFAULT_COMPARISON_INTERVAL_TICKS,
                                     RolloutConfig.DEFAULT_MAX_RETRY_DELAY_TICKS),
                             content,
-                            habits,
-                            () -> changed(number)));
+                            variants,
+                            () -> onVersionChanged(number)));
         }
         for (int i = 0; i < size; i++) {
             start(i);
         }
         publish(0, new ConfigurationVersion(1, 1));
-        world.until(world.now() + 20 * SECOND);
-        worstCalls();
-        worstBytes();
+        world.until(world.now() + 20 * TICKS_PER_SECOND);
+        takeMaxCallsPerSecond();
+        takeMaxBytesPerSecond();
     }
 
     void start(int proxy) {
@@ -115,14 +115,14 @@
     }
 
     /** Each second one other machine is asked for what was missed. */
-    private void agree(int number) {
+    private void reconcile(int number) {
         ControlModel one = control.get(number);
         int drawn = world.chance().nextInt(CONTROL - 1);
         ControlModel other = control.get(drawn >= number ? drawn + 1 : drawn);
         if (!one.isDown() && !other.isDown() && !links.cut(one.zone, other.zone)) {
-            one.hear(other.held());
+            one.announce(other.heldVersion());
         }
-        world.at(world.now() + SECOND, () -> agree(number));
+        world.at(world.now() + TICKS_PER_SECOND, () -> reconcile(number));
     }
 
     /**
@@ -130,18 +130,20 @@
      */
     void publish(int at, ConfigurationVersion version) {
         expect(version);
-        tell(at, version);
+        announce(at, version);
     }
 
     /** Published, but not the one that is waited for. */
-    void tell(int at, ConfigurationVersion version) {
+    void announce(int at, ConfigurationVersion version) {
         ControlModel origin = control.get(at);
-        origin.hear(version);
+        origin.announce(version);
         for (ControlModel other : control) {
             if (other != origin && !links.cut(origin.zone, other.zone)) {
                 world.at(
-                        world.now() + REPLICATED + world.chance().nextLong(REPLICATED_MORE),
-                        () -> other.hear(version));
+                        world.now()
+                                + MIN_REPLICATION_TICKS
+                                + world.chance().nextLong(REPLICATION_SPREAD_TICKS),
+                        () -> other.announce(version));
             }
         }
     }
@@ -149,32 +151,34 @@
     /** Times count from now on, until a proxy holds this version. */
     void expect(ConfigurationVersion version) {
         target = version;
-        since = world.now();
-        Arrays.fill(took, -1);
-        for (int i = 0; i < took.length; i++) {
-            changed(i);
+        targetSetAt = world.now();
+        Arrays.fill(ticksToTarget, -1);
+        for (int i = 0; i < ticksToTarget.length; i++) {
+            onVersionChanged(i);
         }
     }
 
-    private void changed(int proxy) {
-        if (target != null && took[proxy] < 0 && proxies.get(proxy).inForce().equals(target)) {
-            took[proxy] = world.now() - Math.max(since, startedAt[proxy]);
+    private void onVersionChanged(int proxy) {
+        if (target != null
+                && ticksToTarget[proxy] < 0
+                && proxies.get(proxy).inForce().equals(target)) {
+            ticksToTarget[proxy] = world.now() - Math.max(targetSetAt, startedAt[proxy]);
         }
     }
 
     /** Goes on until these proxies hold the target or so much time is over; their times, sorted. */
-    List<Long> times(long most, List<Integer> of) {
-        long until = world.now() + most;
-        while (world.now() < until && of.stream().anyMatch(i -> took[i] < 0)) {
-            world.until(Math.min(until, world.now() + SECOND / 10));
+    List<Long> awaitTarget(long maxTicks, List<Integer> proxyNumbers) {
+        long until = world.now() + maxTicks;
+        while (world.now() < until && proxyNumbers.stream().anyMatch(i -> ticksToTarget[i] < 0)) {
+            world.until(Math.min(until, world.now() + TICKS_PER_SECOND / 10));
         }
         List<Long> times = new ArrayList<>();
-        of.forEach(i -> times.add(took[i]));
+        proxyNumbers.forEach(i -> times.add(ticksToTarget[i]));
         Collections.sort(times);
         return times;
     }
 
-    List<Integer> all() {
+    List<Integer> allProxies() {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < proxies.size(); i++) {
             all.add(i);
@@ -183,24 +187,26 @@
     }
 
     List<Integer> inRegion(int region) {
-        return all().stream().filter(i -> links.region(proxies.get(i).zone) == region).toList();
+        return allProxies().stream()
+                .filter(i -> links.region(proxies.get(i).zone) == region)
+                .toList();
     }
 
     /** The most calls of any second at any control machine since it was last asked. */
-    int worstCalls() {
-        int worst = 0;
+    int takeMaxCallsPerSecond() {
+        int max = 0;
         for (ControlModel c : control) {
-            worst = Math.max(worst, c.worstSecond());
+            max = Math.max(max, c.takeMaxCallsPerSecond());
         }
-        return worst;
+        return max;
     }
 
     /** The most bytes of any second at any proxy since it was last asked. */
-    long worstBytes() {
-        long worst = 0;
+    long takeMaxBytesPerSecond() {
+        long max = 0;
         for (ProxyModel p : proxies) {
-            worst = Math.max(worst, p.worstSecond());
+            max = Math.max(max, p.takeMaxBytesPerSecond());
         }
-        return worst;
+        return max;
     }
 }
--- a/src/main/java/cottonlock/lab/rollout/ProxyModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ProxyModel.java
@@ -19,7 +19,7 @@
  */
 @Deterministic
 final class ProxyModel {
-    private static final long SECOND = 10_000;
+    private static final long TICKS_PER_SECOND = 10_000;
 
     /**
      * Bytes, those of TCP and IP among them, sent and received: a connection's begin and end with
@@ -28,7 +28,7 @@
     private static final int CALL_BYTES = 7 * 40 + 170 + 70;
 
     private static final int LINE_BYTES = 80 + 75;
-    private static final int BEAT_BYTES = 80 + 6;
+    private static final int HEARTBEAT_BYTES = 80 + 6;
 
     /** What a version does where it is tried. */
     interface Content {
@@ -41,67 +41,67 @@
     final int zone;
     private final World world;
     private final Links links;
-    private final List<ControlModel> near;
-    private final RolloutConfig plan;
+    private final List<ControlModel> controlServers;
+    private final RolloutConfig config;
     private final Content content;
-    private final RolloutVariants habits;
-    private final SplittableRandom chance;
+    private final RolloutVariants variants;
+    private final SplittableRandom random;
 
     /** Called at each change of what is in force. */
-    private final Runnable changed;
+    private final Runnable onChange;
 
     private ConfigurationRollout rollout;
 
     /** On its disk. */
-    private ConfigurationVersion kept = ConfigurationVersion.NONE;
+    private ConfigurationVersion storedVersion = ConfigurationVersion.NONE;
 
     private ConfigurationVersion inForce = ConfigurationVersion.NONE;
     private boolean alive;
     private boolean paused;
     private Connection watch;
-    private Connection compare;
-    private long lineAt;
-    private long looksAt = Long.MAX_VALUE;
-    private final List<Runnable> heldBack = new ArrayList<>();
-    private int life;
-    private int wentBack;
-    private ConfigurationVersion highest = ConfigurationVersion.NONE;
-    private boolean harmed;
-    private int judged;
+    private Connection comparison;
+    private long lastLineAt;
+    private long nextCheckAt = Long.MAX_VALUE;
+    private final List<Runnable> deferredTasks = new ArrayList<>();
+    private int startCount;
+    private int wentBackCount;
+    private ConfigurationVersion highestVersion = ConfigurationVersion.NONE;
+    private boolean unusableInForce;
+    private int validatedCount;
     private long bytes;
-    private long second;
-    private long inSecond;
-    private long worst;
+    private long currentSecond;
+    private long bytesInSecond;
+    private long maxBytesInSecond;
 
     ProxyModel(
             int zone,
             World world,
             Links links,
             List<ControlModel> nearFirst,
-            RolloutConfig plan,
+            RolloutConfig config,
             Content content,
-            RolloutVariants habits,
-            Runnable changed) {
+            RolloutVariants variants,
+            Runnable onChange) {
         this.zone = zone;
         this.world = world;
         this.links = links;
-        this.near = nearFirst;
-        this.plan = plan;
+        this.controlServers = nearFirst;
+        this.config = config;
         this.content = content;
-        this.habits = habits;
-        this.chance = world.chance().split();
-        this.changed = changed;
+        this.variants = variants;
+        this.random = world.chance().split();
+        this.onChange = onChange;
     }
 
     /** One connection to a control machine; what comes after it was left counts for nothing. */
     private final class Connection implements ControlModel.Caller {
-        final ControlModel machine;
+        final ControlModel server;
         final int number;
         final boolean watches;
-        boolean over;
+        boolean closed;
 
         Connection(int number, boolean watches) {
-            this.machine = near.get(number);
+            this.server = controlServers.get(number);
             this.number = number;
             this.watches = watches;
         }
@@ -112,81 +112,81 @@
         }
 
         void open(long limit) {
-            count(CALL_BYTES);
+            countBytes(CALL_BYTES);
             ConfigurationVersion has = rollout.requestedFrom();
             // A first packet is sent again after a second, beyond any limit here.
-            if (!links.cut(zone, machine.zone)) {
+            if (!links.cut(zone, server.zone)) {
                 world.at(
-                        world.now() + 3 * links.delay(zone, machine.zone),
-                        () -> machine.called(this, has, watches));
+                        world.now() + 3 * links.delay(zone, server.zone),
+                        () -> server.onCall(this, has, watches));
             }
             world.at(
                     world.now() + limit,
                     () -> {
-                        if (!over && (!watches || lineAt < 0)) {
-                            ended();
+                        if (!closed && (!watches || lastLineAt < 0)) {
+                            onEnded();
                         }
                     });
         }
 
         @Override
-        public void line(ConfigurationVersion version, boolean whole) {
-            inOrder(
+        public void onLine(ConfigurationVersion version, boolean withContent) {
+            runInOrder(
                     this,
                     () -> {
-                        if (over || (watches && version == null && lineAt < 0)) {
+                        if (closed || (watches && version == null && lastLineAt < 0)) {
                             return;
                         }
-                        count(
+                        countBytes(
                                 version == null
-                                        ? BEAT_BYTES
-                                        : LINE_BYTES + (whole ? content.bytes(version) : 0));
-                        if (whole && machine.halves() && habits.validates()) {
+                                        ? HEARTBEAT_BYTES
+                                        : LINE_BYTES + (withContent ? content.bytes(version) : 0));
+                        if (withContent && server.isTruncating() && variants.validates()) {
                             // What is told is not what its digest names: no version at all.
-                            ended();
+                            onEnded();
                             return;
                         }
                         if (watches) {
-                            lineAt = world.now();
-                            silentFrom(lineAt);
+                            lastLineAt = world.now();
+                            scheduleSilenceCheck(lastLineAt);
                         }
                         if (version != null && watches) {
-                            heard(version, whole, machine.halves());
+                            versionReceived(version, withContent, server.isTruncating());
                         } else if (version != null) {
                             rollout.comparisonAnswered(world.now(), number, version);
                         }
                         if (watches) {
-                            between();
+                            checkServers();
                         } else {
                             close();
                         }
                     });
         }
 
-        private void silentFrom(long at) {
-            long silence = habits.silenceTimeoutTicks(ConfigurationRollout.SILENCE_TIMEOUT_TICKS);
+        private void scheduleSilenceCheck(long at) {
+            long silence = variants.silenceTimeoutTicks(ConfigurationRollout.SILENCE_TIMEOUT_TICKS);
             world.at(
                     at + silence,
                     () ->
-                            inOrder(
+                            runInOrder(
                                     this,
                                     () -> {
-                                        if (!over && lineAt == at) {
-                                            ended();
+                                        if (!closed && lastLineAt == at) {
+                                            onEnded();
                                         }
                                     }));
         }
 
         @Override
-        public void ended() {
-            inOrder(
+        public void onEnded() {
+            runInOrder(
                     this,
                     () -> {
-                        if (!over) {
+                        if (!closed) {
                             close();
                             if (watches) {
                                 rollout.watchFailed(world.now());
-                                dial();
+                                openWatch();
                             } else {
                                 rollout.comparisonFailed();
                             }
@@ -195,24 +195,24 @@
         }
 
         void close() {
-            over = true;
-            machine.left(this);
+            closed = true;
+            server.removeWatch(this);
             if (!watches) {
-                compare = null;
-                release();
-                between();
+                comparison = null;
+                runDeferredTasks();
+                checkServers();
             }
         }
     }
 
     /** Its thread does nothing while it is stopped, and reads no watch during a comparison. */
-    private void inOrder(Connection on, Runnable task) {
-        int now = life;
-        if (paused || (compare != null && on.watches)) {
-            heldBack.add(
+    private void runInOrder(Connection on, Runnable task) {
+        int now = startCount;
+        if (paused || (comparison != null && on.watches)) {
+            deferredTasks.add(
                     () -> {
-                        if (life == now) {
-                            inOrder(on, task);
+                        if (startCount == now) {
+                            runInOrder(on, task);
                         }
                     });
         } else if (alive) {
@@ -220,107 +220,110 @@
         }
     }
 
-    private void release() {
-        List<Runnable> all = List.copyOf(heldBack);
-        heldBack.clear();
+    private void runDeferredTasks() {
+        List<Runnable> all = List.copyOf(deferredTasks);
+        deferredTasks.clear();
         all.forEach(Runnable::run);
     }
 
-    private void heard(ConfigurationVersion version, boolean whole, boolean half) {
-        if (!rollout.versionAnnounced(world.now(), version) || !whole) {
+    private void versionReceived(
+            ConfigurationVersion version, boolean withContent, boolean truncated) {
+        if (!rollout.versionAnnounced(world.now(), version) || !withContent) {
             return;
         }
-        judged++;
-        String fault = half ? "half of it" : content.fault(version);
-        if (fault != null && habits.validates()) {
+        validatedCount++;
+        String fault = truncated ? "half of it" : content.fault(version);
+        if (fault != null && variants.validates()) {
             rollout.rejected(version);
             return;
         }
-        harmed |= fault != null;
+        unusableInForce |= fault != null;
         rollout.applied(version);
         inForce = version;
-        kept = habits.persists() ? version : kept;
-        note();
+        storedVersion = variants.persists() ? version : storedVersion;
+        recordVersion();
     }
 
-    private void note() {
-        if (inForce.compareTo(highest) < 0) {
-            wentBack++;
+    private void recordVersion() {
+        if (inForce.compareTo(highestVersion) < 0) {
+            wentBackCount++;
         } else {
-            highest = inForce;
+            highestVersion = inForce;
         }
-        changed.run();
+        onChange.run();
     }
 
-    private void between() {
-        if (watch == null || watch.over) {
+    private void checkServers() {
+        if (watch == null || watch.closed) {
             return;
         }
         if (rollout.shouldMigrate(world.now())) {
             watch.close();
             rollout.watchMigrated(world.now());
-            dial();
+            openWatch();
             return;
         }
-        int other = compare == null ? rollout.nextComparison(world.now()) : -1;
+        int other = comparison == null ? rollout.nextComparison(world.now()) : -1;
         if (other >= 0) {
-            compare = new Connection(other, false);
-            compare.open(plan.callTimeoutTicks());
+            comparison = new Connection(other, false);
+            comparison.open(config.callTimeoutTicks());
             return;
         }
         Connection mine = watch;
         long at = rollout.nextCheckAtTicks();
-        if (at > world.now() && at < looksAt) {
-            looksAt = at;
+        if (at > world.now() && at < nextCheckAt) {
+            nextCheckAt = at;
             world.at(
                     at,
                     () ->
-                            inOrder(
+                            runInOrder(
                                     mine,
                                     () -> {
-                                        looksAt = Long.MAX_VALUE;
+                                        nextCheckAt = Long.MAX_VALUE;
                                         if (watch == mine) {
-                                            between();
+                                            checkServers();
                                         }
                                     }));
         }
     }
 
-    private void dial() {
-        looksAt = Long.MAX_VALUE;
+    private void openWatch() {
+        nextCheckAt = Long.MAX_VALUE;
         WatchAttempt call = rollout.nextWatch(world.now());
-        lineAt = -1;
+        lastLineAt = -1;
         Connection mine = new Connection(call.server(), true);
         watch = mine;
-        int now = life;
+        int now = startCount;
         world.at(
                 call.startAtTicks(),
                 () -> {
-                    if (life == now) {
-                        inOrder(mine, () -> mine.open(call.timeoutTicks()));
+                    if (startCount == now) {
+                        runInOrder(mine, () -> mine.open(call.timeoutTicks()));
                     }
                 });
     }
 
     void start() {
         alive = true;
-        life++;
-        heldBack.clear();
-        inForce = kept;
-        rollout = new ConfigurationRollout(world.now(), plan, kept, chance.split(), habits);
-        note();
-        dial();
+        startCount++;
+        deferredTasks.clear();
+        inForce = storedVersion;
+        rollout =
+                new ConfigurationRollout(
+                        world.now(), config, storedVersion, random.split(), variants);
+        recordVersion();
+        openWatch();
     }
 
     /** Its process ends; what it has on its disk stays. */
     void kill() {
         alive = false;
-        life++;
+        startCount++;
         if (watch != null) {
             watch.close();
         }
-        if (compare != null) {
-            compare.close();
+        if (comparison != null) {
+            comparison.close();
         }
     }
 
@@ -328,52 +331,52 @@
     void pause(boolean stop) {
         paused = stop;
         if (stop) {
-            watch.machine.left(watch);
+            watch.server.removeWatch(watch);
         } else {
-            release();
+            runDeferredTasks();
         }
     }
 
-    private void count(int more) {
-        if (world.now() / SECOND != second) {
-            second = world.now() / SECOND;
-            inSecond = 0;
+    private void countBytes(int more) {
+        if (world.now() / TICKS_PER_SECOND != currentSecond) {
+            currentSecond = world.now() / TICKS_PER_SECOND;
+            bytesInSecond = 0;
         }
-        inSecond += more;
+        bytesInSecond += more;
         bytes += more;
-        worst = Math.max(worst, inSecond);
+        maxBytesInSecond = Math.max(maxBytesInSecond, bytesInSecond);
     }
 
     ConfigurationVersion inForce() {
         return inForce;
     }
 
-    RolloutStatus figures() {
+    RolloutStatus status() {
         return rollout.status();
     }
 
     /** How often it held less than it had held before. */
-    int wentBack() {
-        return wentBack;
+    int wentBackCount() {
+        return wentBackCount;
     }
 
     /** Whether a version came into force that can't be used. */
-    boolean harmed() {
-        return harmed;
+    boolean hadUnusableInForce() {
+        return unusableInForce;
     }
 
     /** How many versions were judged. */
-    int judged() {
-        return judged;
+    int validatedCount() {
+        return validatedCount;
     }
 
     long bytes() {
         return bytes;
     }
 
-    long worstSecond() {
-        long most = worst;
-        worst = 0;
-        return most;
+    long takeMaxBytesPerSecond() {
+        long max = maxBytesInSecond;
+        maxBytesInSecond = 0;
+        return max;
     }
 }
--- a/src/main/java/cottonlock/lab/rollout/RolloutStudy.java
+++ b/src/main/java/cottonlock/lab/rollout/RolloutStudy.java
@@ -18,34 +18,34 @@
 
     public static final int REGIONS = Deployment.REGIONS;
     public static final int ZONES = Deployment.ZONES;
-    private static final long SECOND = Deployment.SECOND;
+    private static final long TICKS_PER_SECOND = Deployment.TICKS_PER_SECOND;
 
     /** What is not in force by then counts as never. */
-    private static final long MOST = 60 * SECOND;
+    private static final long MAX_WAIT_TICKS = 60 * TICKS_PER_SECOND;
 
     /**
      * Changes between which the figures of quiet days are taken, and how far they are apart: 2,100
      * a day.
      */
-    private static final int CHANGES = 5;
+    private static final int QUIET_CHANGES = 5;
 
-    private static final long APART = 41 * SECOND;
+    private static final long CHANGE_INTERVAL_TICKS = 41 * TICKS_PER_SECOND;
 
     /** What an hour's stop costs does not hang on the size of the fleet around it. */
-    private static final int AROUND_A_STOP = 100;
+    private static final int MAX_SIZE_WITH_STOPPED_PROXIES = 100;
 
     private final int size;
     private final long seed;
-    private final RolloutVariants habits;
+    private final RolloutVariants variants;
 
     /**
      * Of a deployment of that size; habits are {@link RolloutVariants#USUAL} unless a test plays
      * others.
      */
-    public RolloutStudy(int size, long seed, RolloutVariants habits) {
+    public RolloutStudy(int size, long seed, RolloutVariants variants) {
         this.size = size;
         this.seed = seed;
-        this.habits = habits;
+        this.variants = variants;
     }
 
     /**
@@ -89,7 +89,7 @@
     }
 
     private Deployment deployment() {
-        return new Deployment(size, seed, habits);
+        return new Deployment(size, seed, variants);
     }
 
     private static ConfigurationVersion version(long number) {
@@ -102,15 +102,16 @@
         List<Long> times = new ArrayList<>();
         long before = d.proxies.stream().mapToLong(ProxyModel::bytes).sum();
         long from = d.world.now();
-        for (int i = 0; i < CHANGES; i++) {
+        for (int i = 0; i < QUIET_CHANGES; i++) {
             long at = d.world.now();
             d.publish(d.world.chance().nextInt(CONTROL), version(2 + i));
-            times.addAll(d.times(MOST, d.all()));
-            d.world.until(at + APART);
+            times.addAll(d.awaitTarget(MAX_WAIT_TICKS, d.allProxies()));
+            d.world.until(at + CHANGE_INTERVAL_TICKS);
         }
         long bytes = d.proxies.stream().mapToLong(ProxyModel::bytes).sum() - before;
         Collections.sort(times);
-        return outcome(d, times, Map.of("mean", bytes * SECOND / (d.world.now() - from) / size));
+        return outcome(
+                d, times, Map.of("mean", bytes * TICKS_PER_SECOND / (d.world.now() - from) / size));
     }
 
     /**
@@ -121,41 +122,46 @@
         Deployment d = deployment();
         d.links.split(true);
         d.publish(0, version(2));
-        List<Long> times = d.times(MOST, d.inRegion(0));
-        d.world.until(d.world.now() + 10 * SECOND);
+        List<Long> times = d.awaitTarget(MAX_WAIT_TICKS, d.inRegion(0));
+        d.world.until(d.world.now() + 10 * TICKS_PER_SECOND);
         d.links.split(false);
         d.expect(version(2));
-        List<Long> healed = d.times(MOST, d.all());
-        return outcome(d, times, Map.of("healed_ms_all", last(healed)));
+        List<Long> healed = d.awaitTarget(MAX_WAIT_TICKS, d.allProxies());
+        return outcome(d, times, Map.of("healed_ms_all", lastMillis(healed)));
     }
 
     /** Two changes get one number on two sides of a split; times count from the heal. */
     Outcome crossing() {
         Deployment d = deployment();
         d.links.split(true);
-        d.world.until(d.world.now() + 5 * SECOND);
-        d.tell(0, new ConfigurationVersion(2, 5));
-        d.tell(1, new ConfigurationVersion(2, -3));
-        d.world.until(d.world.now() + 20 * SECOND);
+        d.world.until(d.world.now() + 5 * TICKS_PER_SECOND);
+        d.announce(0, new ConfigurationVersion(2, 5));
+        d.announce(1, new ConfigurationVersion(2, -3));
+        d.world.until(d.world.now() + 20 * TICKS_PER_SECOND);
         long sides = d.proxies.stream().map(ProxyModel::inForce).distinct().count();
         d.links.split(false);
         d.expect(new ConfigurationVersion(2, -3));
-        return outcome(d, d.times(MOST, d.all()), Map.of("versions_while_split", sides));
+        return outcome(
+                d,
+                d.awaitTarget(MAX_WAIT_TICKS, d.allProxies()),
+                Map.of("versions_while_split", sides));
     }
 
     /** Five proxies stand still for an hour of changes; times count from when they go on. */
     Outcome stopped() {
-        Deployment d = new Deployment(Math.min(size, AROUND_A_STOP), seed, habits);
-        List<Integer> five = d.all().subList(0, 5);
+        Deployment d =
+                new Deployment(Math.min(size, MAX_SIZE_WITH_STOPPED_PROXIES), seed, variants);
+        List<Integer> five = d.allProxies().subList(0, 5);
         five.forEach(i -> d.proxies.get(i).pause(true));
-        int changes = (int) (3_600 * SECOND / APART);
+        int changes = (int) (3_600 * TICKS_PER_SECOND / CHANGE_INTERVAL_TICKS);
         for (int i = 0; i < changes; i++) {
             d.publish(d.world.chance().nextInt(CONTROL), version(2 + i));
-            d.world.until(d.world.now() + APART);
+            d.world.until(d.world.now() + CHANGE_INTERVAL_TICKS);
         }
         d.expect(version(1 + changes));
         five.forEach(i -> d.proxies.get(i).pause(false));
-        return outcome(d, d.times(MOST, five), Map.of("changes_missed", (long) changes));
+        return outcome(
+                d, d.awaitTarget(MAX_WAIT_TICKS, five), Map.of("changes_missed", (long) changes));
     }
 
     /**
@@ -165,18 +171,19 @@
     Outcome flappingZone() {
         Deployment d = deployment();
         int zone = 2;
-        long end = d.world.now() + 60 * SECOND;
-        d.links.flap(zone, 6 * SECOND, SECOND, end);
-        d.world.until(d.world.now() + 20 * SECOND);
+        long end = d.world.now() + 60 * TICKS_PER_SECOND;
+        d.links.flap(zone, 6 * TICKS_PER_SECOND, TICKS_PER_SECOND, end);
+        d.world.until(d.world.now() + 20 * TICKS_PER_SECOND);
         d.publish(0, version(2));
         List<Integer> outside =
-                d.all().stream().filter(i -> d.proxies.get(i).zone != zone).toList();
-        List<Long> others = d.times(MOST, outside);
-        List<Integer> inside = d.all().stream().filter(i -> d.proxies.get(i).zone == zone).toList();
-        long within = last(d.times(end - d.world.now(), inside));
+                d.allProxies().stream().filter(i -> d.proxies.get(i).zone != zone).toList();
+        List<Long> others = d.awaitTarget(MAX_WAIT_TICKS, outside);
+        List<Integer> inside =
+                d.allProxies().stream().filter(i -> d.proxies.get(i).zone == zone).toList();
+        long within = lastMillis(d.awaitTarget(end - d.world.now(), inside));
         d.world.until(end);
         d.publish(0, version(3));
-        long after = last(d.times(MOST, d.all()));
+        long after = lastMillis(d.awaitTarget(MAX_WAIT_TICKS, d.allProxies()));
         return outcome(d, others, Map.of("inside_ms_all", within, "after_ms_all", after));
     }
 
@@ -186,56 +193,59 @@
      */
     Outcome controlDown() {
         Deployment d = deployment();
-        d.control.forEach(c -> c.down(true));
-        d.world.until(d.world.now() + 600 * SECOND);
+        d.control.forEach(c -> c.setDown(true));
+        d.world.until(d.world.now() + 600 * TICKS_PER_SECOND);
         long kept =
                 d.proxies.stream()
                         .filter(p -> p.inForce().equals(new ConfigurationVersion(1, 1)))
                         .count();
-        long down = d.worstCalls();
-        d.control.forEach(c -> c.down(false));
+        long down = d.takeMaxCallsPerSecond();
+        d.control.forEach(c -> c.setDown(false));
         d.publish(0, version(2));
-        List<Long> times = d.times(MOST, d.all());
+        List<Long> times = d.awaitTarget(MAX_WAIT_TICKS, d.allProxies());
         return outcome(d, times, Map.of("kept", kept, "calls_s_while_down", down));
     }
 
     /** One control machine hears of nothing new any more. */
     Outcome behind() {
         Deployment d = deployment();
-        d.control.get(3).freeze(true);
+        d.control.get(3).setFrozen(true);
         d.publish(0, version(2));
-        List<Long> times = d.times(MOST, d.all());
-        d.world.until(d.world.now() + 20 * SECOND);
+        List<Long> times = d.awaitTarget(MAX_WAIT_TICKS, d.allProxies());
+        d.world.until(d.world.now() + 20 * TICKS_PER_SECOND);
         d.publish(0, version(3));
-        return outcome(d, times, Map.of("next_ms_all", last(d.times(MOST, d.all()))));
+        return outcome(
+                d,
+                times,
+                Map.of("next_ms_all", lastMillis(d.awaitTarget(MAX_WAIT_TICKS, d.allProxies()))));
     }
 
     /** One control machine tells half of each version. */
     Outcome half() {
         Deployment d = deployment();
-        d.control.get(3).halve(true);
+        d.control.get(3).setTruncating(true);
         d.publish(0, version(2));
-        return outcome(d, d.times(MOST, d.all()), Map.of());
+        return outcome(d, d.awaitTarget(MAX_WAIT_TICKS, d.allProxies()), Map.of());
     }
 
     /** A version that can't be used is refused by all; a rollback follows, and its times count. */
     Outcome poison() {
         Deployment d = deployment();
-        d.poison.add(version(2));
-        int judged = d.proxies.stream().mapToInt(ProxyModel::judged).sum();
-        d.tell(0, version(2));
-        d.world.until(d.world.now() + 20 * SECOND);
-        long refused = d.proxies.stream().mapToLong(p -> p.figures().rejectedCount()).sum();
+        d.unusableVersions.add(version(2));
+        int validated = d.proxies.stream().mapToInt(ProxyModel::validatedCount).sum();
+        d.announce(0, version(2));
+        d.world.until(d.world.now() + 20 * TICKS_PER_SECOND);
+        long refused = d.proxies.stream().mapToLong(p -> p.status().rejectedCount()).sum();
         long kept =
                 d.proxies.stream()
                         .filter(p -> p.inForce().equals(new ConfigurationVersion(1, 1)))
                         .count();
-        judged = d.proxies.stream().mapToInt(ProxyModel::judged).sum() - judged;
+        validated = d.proxies.stream().mapToInt(ProxyModel::validatedCount).sum() - validated;
         d.publish(0, version(3));
         return outcome(
                 d,
-                d.times(MOST, d.all()),
-                Map.of("refused", refused, "kept", kept, "judged", (long) judged));
+                d.awaitTarget(MAX_WAIT_TICKS, d.allProxies()),
+                Map.of("refused", refused, "kept", kept, "judged", (long) validated));
     }
 
     /**
@@ -248,19 +258,19 @@
         for (int i = 0; i < 350; i++) {
             int which = d.world.chance().nextInt(size);
             d.world.at(
-                    from + i * 60L * SECOND / 350,
+                    from + i * 60L * TICKS_PER_SECOND / 350,
                     () -> {
                         d.proxies.get(which).kill();
                         d.start(which);
                     });
         }
-        d.world.until(from + 10 * SECOND);
-        d.control.forEach(c -> c.down(true));
-        d.world.until(from + 30 * SECOND);
-        d.control.forEach(c -> c.down(false));
+        d.world.until(from + 10 * TICKS_PER_SECOND);
+        d.control.forEach(c -> c.setDown(true));
+        d.world.until(from + 30 * TICKS_PER_SECOND);
+        d.control.forEach(c -> c.setDown(false));
         d.publish(0, version(2));
-        List<Long> times = d.times(MOST, d.all());
-        d.world.until(from + 70 * SECOND);
+        List<Long> times = d.awaitTarget(MAX_WAIT_TICKS, d.allProxies());
+        d.world.until(from + 70 * TICKS_PER_SECOND);
         return outcome(d, times, Map.of());
     }
 
@@ -270,13 +280,13 @@
      */
     Outcome overload() {
         Deployment d = deployment();
-        d.control.forEach(c -> c.slow(4));
-        d.control.forEach(ControlModel::drop);
+        d.control.forEach(c -> c.setSlowdown(4));
+        d.control.forEach(ControlModel::dropWatches);
         d.publish(0, version(2));
-        return outcome(d, d.times(MOST, d.all()), Map.of());
+        return outcome(d, d.awaitTarget(MAX_WAIT_TICKS, d.allProxies()), Map.of());
     }
 
-    private static long last(List<Long> sorted) {
+    private static long lastMillis(List<Long> sorted) {
         // One that never came stands first.
         return sorted.get(0) < 0 ? -1 : sorted.get(sorted.size() - 1) / 10;
     }
@@ -293,10 +303,10 @@
                 sorted.get(n / 2) / 10,
                 sorted.get((n * 99 - 1) / 100) / 10,
                 sorted.get(n - 1) / 10,
-                d.worstCalls(),
-                d.worstBytes(),
-                d.proxies.stream().mapToInt(ProxyModel::wentBack).sum(),
-                (int) d.proxies.stream().filter(ProxyModel::harmed).count(),
+                d.takeMaxCallsPerSecond(),
+                d.takeMaxBytesPerSecond(),
+                d.proxies.stream().mapToInt(ProxyModel::wentBackCount).sum(),
+                (int) d.proxies.stream().filter(ProxyModel::hadUnusableInForce).count(),
                 (int) (d.proxies.size() - same),
                 new java.util.TreeMap<>(more));
     }
--- a/src/main/java/cottonlock/lab/soak/Soak.java
+++ b/src/main/java/cottonlock/lab/soak/Soak.java
@@ -116,20 +116,20 @@
     private String describe(long seed, SoakPlan plan, int status, ByteArrayOutputStream text) {
         String[] lines = text.toString(StandardCharsets.UTF_8).strip().split("\n", 0);
         String verdict = lines[lines.length - 1];
-        StringBuilder told =
+        StringBuilder report =
                 new StringBuilder("seed " + seed + ": " + plan.summary() + ": " + verdict + "\n");
         if (status != PASS) {
             for (int i = 0; i < lines.length - 1; i++) {
-                told.append("  ").append(lines[i]).append('\n');
+                report.append("  ").append(lines[i]).append('\n');
             }
-            told.append("  kept in ").append(folder.resolve("seed-" + seed)).append('\n');
-            told.append("  again: java -jar target/cottonlock.jar lab soak --seeds ")
+            report.append("  kept in ").append(folder.resolve("seed-" + seed)).append('\n');
+            report.append("  again: java -jar target/cottonlock.jar lab soak --seeds ")
                     .append(seed)
                     .append(" --out ")
                     .append(folder)
                     .append('\n');
         }
-        return told.toString();
+        return report.toString();
     }
 
     private static void delete(Path folder) throws IOException {
--- a/src/main/java/cottonlock/lab/soak/SoakPlan.java
+++ b/src/main/java/cottonlock/lab/soak/SoakPlan.java
@@ -18,14 +18,14 @@
                     "term_just_after_ready");
 
     /** More connections than a proxy of the soak has descriptors for. */
-    private static final int CROWD_CONNECTIONS = 150;
+    private static final int IDLE_CONNECTIONS = 150;
 
     private static final double TROUBLE_BEFORE_SECONDS = 0.4;
     private static final double TROUBLE_SECONDS = 2.8;
     private static final double FIRST_RESTART_SECONDS = 1;
     private static final double SECOND_RESTART_SECONDS = 5.2;
     private static final double RESTART_SPREAD_SECONDS = 0.6;
-    private static final double AWAY_SECONDS = 0.3;
+    private static final double DOWN_SECONDS = 0.3;
 
     /** What goes wrong beside a restart. */
     private enum Trouble {
@@ -62,7 +62,7 @@
         fault(
                 "proxy-restart",
                 at,
-                AWAY_SECONDS,
+                DOWN_SECONDS,
                 "proxy = " + proxy + "\nseries = \"" + series + '"');
         trouble(trouble, proxy, at - TROUBLE_BEFORE_SECONDS);
         summary.append(summary.length() == 0 ? "" : "; ")
@@ -78,7 +78,7 @@
                             "proxy-crowd",
                             at,
                             TROUBLE_SECONDS,
-                            "proxy = " + proxy + "\nconnections = " + CROWD_CONNECTIONS);
+                            "proxy = " + proxy + "\nconnections = " + IDLE_CONNECTIONS);
             case BACKENDS_HANG -> fault("pause", at, TROUBLE_SECONDS, "count = 2");
             case DISCOVERY_DOWN -> fault("discovery-down", at, TROUBLE_SECONDS, "");
             case WATCHES_SILENT -> fault("discovery-silent", at, TROUBLE_SECONDS, "");
--- a/src/main/java/cottonlock/lab/world/Fleet.java
+++ b/src/main/java/cottonlock/lab/world/Fleet.java
@@ -27,26 +27,26 @@
 @Deterministic
 public final class Fleet {
     /** Datagrams that a paused process's socket holds: some 200 KB as the kernel counts them. */
-    private static final int HELD = 256;
+    private static final int MAX_QUEUED_DATAGRAMS = 256;
 
-    private static final long SECOND = 10_000;
+    private static final long TICKS_PER_SECOND = 10_000;
 
     /**
      * Periods within which a change from outside may still lead to a failure that is none by then.
      */
-    private static final int SETTLED = 14;
+    private static final int SETTLE_PERIODS = 14;
 
     /**
      * One in so many nodes is metered: reading the processor's clock takes as long as a datagram.
      */
-    private static final int METERED = 8;
+    private static final int METERED_INTERVAL = 8;
 
     /** One called another failed, which lived and could be reached. */
-    public record False(long at, String viewer, String who, String reason) {}
+    public record FalseFailure(long at, String viewer, String member, String reason) {}
 
     /** Makes the machine of one process; tests put other ones in its place. */
-    public interface Maker {
-        Membership make(
+    public interface MembershipFactory {
+        Membership create(
                 MembershipProtocolConfig rules,
                 MembershipActions actions,
                 LocalMember self,
@@ -65,12 +65,12 @@
         private boolean hung;
         private long changedAt;
         private long hungSince;
-        private long clock;
-        private int start;
-        private final Deque<Runnable> held = new ArrayDeque<>();
-        private boolean late;
-        private long bytes;
-        private long second;
+        private long clockOffset;
+        private int startCount;
+        private final Deque<Runnable> queuedDatagrams = new ArrayDeque<>();
+        private boolean timerMissed;
+        private long bytesInSecond;
+        private long currentSecond;
         public long worstSecond;
         public long sent;
 
@@ -83,96 +83,96 @@
         private void send(String to, byte[] datagram) {
             // What the world does with a datagram is no cost of the process.
             meter(false);
-            carry(to, datagram);
+            transmit(to, datagram);
             meter(true);
         }
 
         /** The processor's clock is read where the process begins, and again where it is done. */
-        private void meter(boolean begins) {
-            if (clockOfProcessor != null && number % METERED == 0) {
-                long time = clockOfProcessor.getAsLong();
-                spent += begins ? -time : time;
-                readings++;
+        private void meter(boolean starting) {
+            if (cpuClock != null && number % METERED_INTERVAL == 0) {
+                long time = cpuClock.getAsLong();
+                cpuNanos += starting ? -time : time;
+                clockReadings++;
             }
         }
 
-        private void carry(String to, byte[] datagram) {
-            long s = world.now() / SECOND;
-            bytes = s == second ? bytes + datagram.length : datagram.length;
-            second = s;
-            worstSecond = Math.max(worstSecond, bytes);
+        private void transmit(String to, byte[] datagram) {
+            long s = world.now() / TICKS_PER_SECOND;
+            bytesInSecond = s == currentSecond ? bytesInSecond + datagram.length : datagram.length;
+            currentSecond = s;
+            worstSecond = Math.max(worstSecond, bytesInSecond);
             sent += datagram.length;
             int other = Integer.parseInt(to.substring(to.indexOf(':') + 1)) - 10_000;
             if (other >= 0 && other < nodes.size()) {
-                world.send(number, other, datagram, b -> nodes.get(other).arrives(address, b));
+                world.send(number, other, datagram, b -> nodes.get(other).receive(address, b));
             }
         }
 
-        void arrives(String from, byte[] datagram) {
+        void receive(String from, byte[] datagram) {
             if (!up) {
                 return;
             }
             if (paused) {
-                if (held.size() < HELD) {
-                    held.add(() -> arrives(from, datagram));
+                if (queuedDatagrams.size() < MAX_QUEUED_DATAGRAMS) {
+                    queuedDatagrams.add(() -> receive(from, datagram));
                 }
                 return;
             }
-            int life = start;
-            progress();
+            int startNumber = startCount;
+            reportProgress();
             meter(true);
             long time = machine.datagramReceived(world.now(), from, datagram, datagram.length);
             meter(false);
-            wakeAt(time, life);
+            scheduleTimer(time, startNumber);
         }
 
-        private void progress() {
+        private void reportProgress() {
             machine.workerProgressedAt(hung ? hungSince : world.now());
         }
 
-        private long planned;
+        private long plannedTimerAt;
 
-        private void wakeAt(long time, int life) {
-            if (time != planned) {
-                planned = time;
-                world.at(time, () -> wake(time, life));
+        private void scheduleTimer(long time, int startNumber) {
+            if (time != plannedTimerAt) {
+                plannedTimerAt = time;
+                world.at(time, () -> onTimer(time, startNumber));
             }
         }
 
-        private void wake(long time, int life) {
-            if (!up || life != start || time != planned) {
+        private void onTimer(long time, int startNumber) {
+            if (!up || startNumber != startCount || time != plannedTimerAt) {
                 return;
             }
             if (paused) {
                 // Once it goes on, what has queued up is read first.
-                late = true;
+                timerMissed = true;
                 return;
             }
-            planned = -1;
-            progress();
+            plannedTimerAt = -1;
+            reportProgress();
             meter(true);
             long next = machine.timerFired(world.now());
             meter(false);
-            wakeAt(next, life);
+            scheduleTimer(next, startNumber);
         }
 
         /** A process starts, with a clock that is off by so much. */
-        public void start(long clockOff) {
+        public void start(long clockOffset) {
             up = true;
             changedAt = world.now();
             paused = false;
             hung = false;
-            held.clear();
-            late = false;
-            clock = clockOff;
-            int life = ++start;
+            queuedDatagrams.clear();
+            timerMissed = false;
+            this.clockOffset = clockOffset;
+            int startNumber = ++startCount;
             machine =
-                    maker.make(
+                    factory.create(
                             rules,
                             new MembershipActions() {
                                 @Override
                                 public void send(String address, byte[] datagram) {
-                                    if (life == start) {
+                                    if (startNumber == startCount) {
                                         Node.this.send(address, datagram);
                                     }
                                 }
@@ -180,13 +180,13 @@
                                 @Override
                                 public void memberStateChanged(
                                         String who, MemberState state, String reason) {
-                                    Node other = named(who);
+                                    Node other = nodeNamed(who);
                                     if (state == MemberState.FAILED
                                             && other != null
                                             && other != Node.this
                                             && reachable(Node.this, other.number)) {
                                         falseFailures.add(
-                                                new False(world.now(), name, who, reason));
+                                                new FalseFailure(world.now(), name, who, reason));
                                     }
                                 }
                             },
@@ -194,16 +194,16 @@
                                     name,
                                     address,
                                     contacts,
-                                    closed,
-                                    1_700_000_000_000L + (world.now() + clock) / 10),
+                                    membersAreFixed,
+                                    1_700_000_000_000L + (world.now() + this.clockOffset) / 10),
                             0,
                             new SplittableRandom(world.chance().nextLong()));
-            progress();
-            planned = -1;
+            reportProgress();
+            plannedTimerAt = -1;
             meter(true);
             long time = machine.start(world.now());
             meter(false);
-            wakeAt(time, life);
+            scheduleTimer(time, startNumber);
         }
 
         public void kill() {
@@ -212,27 +212,27 @@
 
         /** It ends by its own word, and answers for a second more. */
         public void leave() {
-            int life = start;
-            wakeAt(machine.leave(world.now()), life);
-            world.at(world.now() + SECOND, () -> up &= life != start);
+            int startNumber = startCount;
+            scheduleTimer(machine.leave(world.now()), startNumber);
+            world.at(world.now() + TICKS_PER_SECOND, () -> up &= startNumber != startCount);
         }
 
         public void pause(long length) {
             paused = true;
             changedAt = world.now() + length;
-            int life = start;
+            int startNumber = startCount;
             world.at(
                     world.now() + length,
                     () -> {
-                        if (life == start) {
+                        if (startNumber == startCount) {
                             paused = false;
-                            List<Runnable> queue = new ArrayList<>(held);
-                            held.clear();
+                            List<Runnable> queue = new ArrayList<>(queuedDatagrams);
+                            queuedDatagrams.clear();
                             queue.forEach(Runnable::run);
-                            if (late) {
-                                late = false;
-                                planned = -1;
-                                wakeAt(world.now(), life);
+                            if (timerMissed) {
+                                timerMissed = false;
+                                plannedTimerAt = -1;
+                                scheduleTimer(world.now(), startNumber);
                             }
                         }
                     });
@@ -242,8 +242,8 @@
             hung = true;
             changedAt = world.now() + length;
             hungSince = world.now();
-            int life = start;
-            world.at(world.now() + length, () -> hung &= life != start);
+            int startNumber = startCount;
+            world.at(world.now() + length, () -> hung &= startNumber != startCount);
         }
 
         public MembershipView view() {
@@ -255,13 +255,13 @@
     public final List<Node> nodes = new ArrayList<>();
 
     /** Who called whom failed while it lived and could be reached. */
-    public final List<False> falseFailures = new ArrayList<>();
+    public final List<FalseFailure> falseFailures = new ArrayList<>();
 
     private final MembershipProtocolConfig rules;
-    private final Maker maker;
+    private final MembershipFactory factory;
     private final List<String> contacts = new ArrayList<>();
     private final Map<String, Node> byName = new HashMap<>();
-    private final boolean closed;
+    private final boolean membersAreFixed;
 
     /** The side of each node while the fleet is split, and when that was last changed. */
     private final int[] sides;
@@ -270,32 +270,37 @@
     private long splitAt;
 
     /** Whether a failure told within one side of a split counts as a false one, too. */
-    private boolean judgesSides;
+    private boolean judgesWithinSides;
 
-    private long settled;
+    private long settleTicks;
 
     /** Whose view was not right when all were last asked: it is asked first. */
-    private int lastWrong;
+    private int lastWrongNode;
 
-    private LongSupplier clockOfProcessor;
-    private long spent;
-    private long readings;
+    private LongSupplier cpuClock;
+    private long cpuNanos;
+    private long clockReadings;
 
-    public Fleet(World world, int size, MembershipProtocolConfig rules, Maker maker) {
-        this(world, size, rules, maker, size);
+    public Fleet(World world, int size, MembershipProtocolConfig rules, MembershipFactory factory) {
+        this(world, size, rules, factory, size);
     }
 
     /**
      * Known: how many addresses each is told, evenly spread; where they are all, it takes no
      * other's.
      */
-    public Fleet(World world, int size, MembershipProtocolConfig rules, Maker maker, int known) {
+    public Fleet(
+            World world,
+            int size,
+            MembershipProtocolConfig rules,
+            MembershipFactory factory,
+            int known) {
         this.world = world;
         this.rules = rules;
-        this.maker = maker;
+        this.factory = factory;
         sides = new int[size];
-        settled = SETTLED * rules.periodTicks();
-        closed = known >= size;
+        settleTicks = SETTLE_PERIODS * rules.periodTicks();
+        membersAreFixed = known >= size;
         for (int i = 0; i < size; i++) {
             nodes.add(new Node(i));
             byName.put(nodes.get(i).name, nodes.get(i));
@@ -317,7 +322,7 @@
     }
 
     /** A node; null for a name that no datagram but a spoilt one can bear. */
-    private Node named(String name) {
+    private Node nodeNamed(String name) {
         return byName.get(name);
     }
 
@@ -327,35 +332,35 @@
      * @param clock the processor time of this thread, in nanoseconds
      */
     public void meter(LongSupplier clock) {
-        clockOfProcessor = clock;
-        spent = 0;
-        readings = 0;
+        cpuClock = clock;
+        cpuNanos = 0;
+        clockReadings = 0;
     }
 
     /**
      * Nanoseconds that the metered nodes have spent since the meter was set, and how many these
      * are.
      */
-    public long spent() {
-        return spent;
+    public long cpuNanos() {
+        return cpuNanos;
     }
 
     /** How often the processor's clock was read for it. */
-    public long readings() {
-        return readings;
+    public long clockReadings() {
+        return clockReadings;
     }
 
-    public int metered() {
-        return (nodes.size() + METERED - 1) / METERED;
+    public int meteredCount() {
+        return (nodes.size() + METERED_INTERVAL - 1) / METERED_INTERVAL;
     }
 
     /** Splits it: node i is on side {@code i % groups}; one group is none. */
     public void split(int groups) {
-        sides(i -> i % groups);
+        setSides(i -> i % groups);
     }
 
     /** Splits it into sides, each whole in itself; all on one side is none. */
-    public void sides(IntUnaryOperator side) {
+    public void setSides(IntUnaryOperator side) {
         split = false;
         for (int i = 0; i < sides.length; i++) {
             sides[i] = side.applyAsInt(i);
@@ -369,13 +374,13 @@
      * Judges failures told within each side of a split, too, once the longest doubt there has
      * ended.
      */
-    public void judgeSides() {
-        judgesSides = true;
+    public void judgeWithinSides() {
+        judgesWithinSides = true;
         double longest =
                 rules.suspicionMultiplier()
                         * rules.maxSuspicionMultiplier()
                         * Math.max(1, Math.log10(nodes.size()));
-        settled = Math.max(SETTLED, Math.round(longest) + 2) * rules.periodTicks();
+        settleTicks = Math.max(SETTLE_PERIODS, Math.round(longest) + 2) * rules.periodTicks();
     }
 
     /**
@@ -383,55 +388,55 @@
      * errs.
      */
     public boolean reachable(int number) {
-        return !split && settled(nodes.get(number));
+        return !split && isSettled(nodes.get(number));
     }
 
     private boolean reachable(Node viewer, int number) {
-        return (split && judgesSides)
+        return (split && judgesWithinSides)
                 ? sides[viewer.number] == sides[number]
-                        && settled(nodes.get(number))
-                        && settled(viewer)
+                        && isSettled(nodes.get(number))
+                        && isSettled(viewer)
                 : reachable(number);
     }
 
-    private boolean settled(Node n) {
+    private boolean isSettled(Node n) {
         return n.up
                 && !n.paused
                 && !n.hung
-                && world.now() - Math.max(n.changedAt, splitAt) > settled;
+                && world.now() - Math.max(n.changedAt, splitAt) > settleTicks;
     }
 
     /**
      * How many were called failed wrongly, from an entry on; by several within half a minute is
      * once.
      */
-    public int wronged(int from) {
+    public int wrongedCount(int from) {
         Set<String> wronged = new TreeSet<>();
-        for (False f : falseFailures.subList(from, falseFailures.size())) {
-            wronged.add(f.who + " " + f.at / (30 * SECOND));
+        for (FalseFailure f : falseFailures.subList(from, falseFailures.size())) {
+            wronged.add(f.member + " " + f.at / (30 * TICKS_PER_SECOND));
         }
         return wronged.size();
     }
 
     /** Whether this node's view has every live process that it can reach, and none that is gone. */
-    public boolean right(Node node) {
-        int there = 0;
+    public boolean isViewCorrect(Node node) {
+        int present = 0;
         for (Node other : nodes) {
-            there += other != node && isThere(node, other) ? 1 : 0;
+            present += other != node && isPresent(node, other) ? 1 : 0;
         }
-        if (node.machine.liveOthers() != there) {
+        if (node.machine.liveOthers() != present) {
             return false;
         }
         for (Node other : nodes) {
             MemberState state = other == node ? null : node.machine.stateOf(other.name);
-            if (other != node && (state != null && state.isLive()) != isThere(node, other)) {
+            if (other != node && (state != null && state.isLive()) != isPresent(node, other)) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean isThere(Node node, Node other) {
+    private boolean isPresent(Node node, Node other) {
         return other.up
                 && !other.hung
                 && !other.paused
@@ -444,28 +449,30 @@
     }
 
     /** Whether the views of these nodes are right. */
-    public boolean agree(IntPredicate whose) {
+    public boolean agree(IntPredicate selected) {
         // Per side: how many are there, and the digest of a view that was found right. Another view
         // with the
         // same digest has the same members, and need not be compared one by one.
-        Map<Integer, Integer> there = new HashMap<>();
-        Map<Integer, Long> right = new HashMap<>();
+        Map<Integer, Integer> present = new HashMap<>();
+        Map<Integer, Long> correctDigests = new HashMap<>();
         for (Node n : nodes) {
-            there.merge(sides[n.number], n.up && !n.hung && !n.paused ? 1 : 0, Integer::sum);
+            present.merge(sides[n.number], n.up && !n.hung && !n.paused ? 1 : 0, Integer::sum);
         }
         for (int i = 0; i < nodes.size(); i++) {
-            Node n = nodes.get((lastWrong + i) % nodes.size());
-            if (!n.up || n.paused || !whose.test(n.number)) {
+            Node n = nodes.get((lastWrongNode + i) % nodes.size());
+            if (!n.up || n.paused || !selected.test(n.number)) {
                 continue;
             }
             int side = sides[n.number];
-            boolean wrong = n.machine.liveOthers() != there.get(side) - (n.hung ? 0 : 1);
-            if (!wrong && (right.get(side) == null || right.get(side) != n.machine.digest())) {
-                wrong = !right(n);
-                right.put(side, n.machine.digest());
+            boolean wrong = n.machine.liveOthers() != present.get(side) - (n.hung ? 0 : 1);
+            if (!wrong
+                    && (correctDigests.get(side) == null
+                            || correctDigests.get(side) != n.machine.digest())) {
+                wrong = !isViewCorrect(n);
+                correctDigests.put(side, n.machine.digest());
             }
             if (wrong) {
-                lastWrong = n.number;
+                lastWrongNode = n.number;
                 return false;
             }
         }
@@ -473,15 +480,15 @@
     }
 
     /** Goes on until all views are right; returns the time it took, or -1 after {@code most}. */
-    public long untilAgreed(long most) {
-        return untilAgreed(i -> true, most);
+    public long untilAgreed(long maxTicks) {
+        return untilAgreed(i -> true, maxTicks);
     }
 
     /** The same for the views of some. */
-    public long untilAgreed(IntPredicate whose, long most) {
+    public long untilAgreed(IntPredicate selected, long maxTicks) {
         long from = world.now();
-        while (world.now() - from <= most) {
-            if (agree(whose)) {
+        while (world.now() - from <= maxTicks) {
+            if (agree(selected)) {
                 return world.now() - from;
             }
             world.until(world.now() + 500);
@@ -490,19 +497,19 @@
     }
 
     /** Goes on until one, or all, of the living hold a node for gone; -1 after {@code most}. */
-    public long untilFailed(Node dead, boolean all, long most) {
+    public long untilFailed(Node dead, boolean all, long maxTicks) {
         long from = world.now();
-        while (world.now() - from <= most) {
-            int know = 0;
-            int there = 0;
+        while (world.now() - from <= maxTicks) {
+            int noticed = 0;
+            int present = 0;
             for (Node n : nodes) {
                 if (n.up && n != dead && !n.paused) {
                     MemberState state = n.machine.stateOf(dead.name);
-                    there++;
-                    know += state == null || !state.isLive() ? 1 : 0;
+                    present++;
+                    noticed += state == null || !state.isLive() ? 1 : 0;
                 }
             }
-            if (all ? know == there : know > 0) {
+            if (all ? noticed == present : noticed > 0) {
                 return world.now() - from;
             }
             world.until(world.now() + 500);
--- a/src/main/java/cottonlock/lab/world/RegionsStudy.java
+++ b/src/main/java/cottonlock/lab/world/RegionsStudy.java
@@ -17,36 +17,36 @@
  */
 @Deterministic
 public final class RegionsStudy {
-    private static final long SECOND = 10_000;
+    private static final long TICKS_PER_SECOND = 10_000;
 
     /** Seconds after which views that are not right yet count as never so. */
-    private static final long MOST = 900 * SECOND;
+    private static final long MAX_WAIT_TICKS = 900 * TICKS_PER_SECOND;
 
     /** One member in so many stands in the rack that dies. */
-    private static final int RACK = 50;
+    private static final int MEMBERS_PER_RACK_MEMBER = 50;
 
     /**
      * Restarts within a minute: of a fleet of 3,000 at work, and of a smaller one no more than
      * half.
      */
-    private static final int RESTARTS = 350;
+    private static final int MAX_RESTARTS = 350;
 
     /** A process that leaves is back after this: a second to end and one to start. */
-    private static final long BACK = 2 * SECOND;
+    private static final long RESTART_TICKS = 2 * TICKS_PER_SECOND;
 
     /** Seconds that an agreed fleet is left alone between two faults. */
-    private static final long REST = 20 * SECOND;
+    private static final long PAUSE_TICKS = 20 * TICKS_PER_SECOND;
 
     /** What is measured outside of virtual time. */
     public interface Gauge {
         /** The processor time of this thread in nanoseconds; each reading has a cost of its own. */
-        LongSupplier processor();
+        LongSupplier cpuClock();
 
         /** Nanoseconds that one reading adds to what lies between two. */
-        long reading();
+        long readingNanos();
 
         /** Bytes in use on the heap after it has been tidied. */
-        long heap();
+        long heapBytes();
     }
 
     /**
@@ -57,27 +57,39 @@
      *     off; at least a minute for the zone
      * @param known addresses that each member is told; the size: all
      */
-    public record Play(long seed, int size, Topology topology, int quiet, int apart, int known) {}
-
-    private final Play play;
+    public record Parameters(
+            long seed,
+            int size,
+            Topology topology,
+            int quietSeconds,
+            int apartSeconds,
+            int knownAddresses) {}
+
+    private final Parameters parameters;
     private final World world;
     private final Fleet fleet;
     private final Gauge gauge;
-    private final BiConsumer<String, Map<String, Long>> told;
+    private final BiConsumer<String, Map<String, Long>> onFigure;
     private final Map<String, Long> figures = new LinkedHashMap<>();
 
     private RegionsStudy(
-            Play play,
+            Parameters parameters,
             MembershipProtocolConfig rules,
             Gauge gauge,
-            BiConsumer<String, Map<String, Long>> told) {
-        this.play = play;
+            BiConsumer<String, Map<String, Long>> onFigure) {
+        this.parameters = parameters;
         this.gauge = gauge;
-        this.told = told;
-        world = new World(play.seed());
-        world.delay(play.topology());
-        fleet = new Fleet(world, play.size(), rules, Membership::new, play.known());
-        fleet.judgeSides();
+        this.onFigure = onFigure;
+        world = new World(parameters.seed());
+        world.delay(parameters.topology());
+        fleet =
+                new Fleet(
+                        world,
+                        parameters.size(),
+                        rules,
+                        Membership::new,
+                        parameters.knownAddresses());
+        fleet.judgeWithinSides();
     }
 
     /**
@@ -85,22 +97,22 @@
      *
      * @return figures by name, in milliseconds, bytes and microseconds; -1 where it never was
      */
-    public static Map<String, Long> of(
-            Play play,
+    public static Map<String, Long> run(
+            Parameters parameters,
             MembershipProtocolConfig rules,
             Gauge gauge,
-            BiConsumer<String, Map<String, Long>> told) {
-        return new RegionsStudy(play, rules, gauge, told).play();
+            BiConsumer<String, Map<String, Long>> onFigure) {
+        return new RegionsStudy(parameters, rules, gauge, onFigure).play();
     }
 
     private Map<String, Long> play() {
-        long empty = gauge.heap();
-        start();
-        quiet(empty);
-        rack();
-        zone();
-        regions();
-        restarts();
+        long emptyHeapBytes = gauge.heapBytes();
+        startAll();
+        quietStretch(emptyHeapBytes);
+        loseRack();
+        cutZoneOff();
+        splitRegions();
+        restartMany();
         return figures;
     }
 
@@ -109,106 +121,112 @@
         figures.put(
                 "bytes_s_worst",
                 fleet.nodes.stream().mapToLong(n -> n.worstSecond).max().orElse(0));
-        figures.put("false_failed", (long) fleet.wronged(0));
-        figures.put("seconds_virtual", world.now() / SECOND);
-        figures.put("datagrams_print", world.print());
-        told.accept(name, figures);
+        figures.put("false_failed", (long) fleet.wrongedCount(0));
+        figures.put("seconds_virtual", world.now() / TICKS_PER_SECOND);
+        figures.put("datagrams_print", world.fingerprint());
+        onFigure.accept(name, figures);
     }
 
     /** Milliseconds until all views are right, from a moment on. */
-    private void agreed(String name, long from) {
-        long took = fleet.untilAgreed(MOST);
+    private void awaitAgreement(String name, long from) {
+        long took = fleet.untilAgreed(MAX_WAIT_TICKS);
         figure(name, took < 0 ? -1 : (world.now() - from) / 10);
     }
 
-    private void start() {
-        meter();
-        fleet.startAll(SECOND);
-        world.until(SECOND + 1);
-        agreed("joined_ms", 0);
-        metered("cpu_us_per_s_joining", world.now());
-        world.until(world.now() + REST);
+    private void startAll() {
+        startMeter();
+        fleet.startAll(TICKS_PER_SECOND);
+        world.until(TICKS_PER_SECOND + 1);
+        awaitAgreement("joined_ms", 0);
+        recordCpu("cpu_us_per_s_joining", world.now());
+        world.until(world.now() + PAUSE_TICKS);
     }
 
-    private void quiet(long empty) {
+    private void quietStretch(long emptyHeapBytes) {
         long[] sent = fleet.nodes.stream().mapToLong(n -> n.sent).toArray();
-        meter();
-        world.until(world.now() + play.quiet() * SECOND);
-        metered("cpu_us_per_s", play.quiet() * SECOND);
+        startMeter();
+        world.until(world.now() + parameters.quietSeconds() * TICKS_PER_SECOND);
+        recordCpu("cpu_us_per_s", parameters.quietSeconds() * TICKS_PER_SECOND);
         long all = 0;
         for (Fleet.Node n : fleet.nodes) {
             all += n.sent - sent[n.number];
         }
-        figure("bytes_s_mean", all / play.size() / play.quiet());
-        figure("heap_bytes", (gauge.heap() - empty) / play.size());
+        figure("bytes_s_mean", all / parameters.size() / parameters.quietSeconds());
+        figure("heap_bytes", (gauge.heapBytes() - emptyHeapBytes) / parameters.size());
     }
 
-    private void meter() {
-        fleet.meter(gauge.processor());
+    private void startMeter() {
+        fleet.meter(gauge.cpuClock());
     }
 
     /**
      * Microseconds of processor time a second of one member, over so many tenths of a millisecond.
      */
-    private void metered(String name, long time) {
-        long nanos = fleet.spent() - fleet.readings() / 2 * gauge.reading();
-        figure(name, Math.max(0, nanos) * SECOND / 1_000 / fleet.metered() / time);
+    private void recordCpu(String name, long time) {
+        long nanos = fleet.cpuNanos() - fleet.clockReadings() / 2 * gauge.readingNanos();
+        figure(name, Math.max(0, nanos) * TICKS_PER_SECOND / 1_000 / fleet.meteredCount() / time);
         fleet.meter(null);
     }
 
-    private void rack() {
+    private void loseRack() {
         List<Fleet.Node> dead = new ArrayList<>();
         for (int i = 0;
-                dead.size() < Math.max(1, play.size() / RACK);
-                i += play.topology().zones()) {
+                dead.size() < Math.max(1, parameters.size() / MEMBERS_PER_RACK_MEMBER);
+                i += parameters.topology().zones()) {
             dead.add(fleet.nodes.get(i));
         }
         dead.forEach(Fleet.Node::kill);
-        agreed("rack_found_ms", world.now());
-        world.until(world.now() + REST);
+        awaitAgreement("rack_found_ms", world.now());
+        world.until(world.now() + PAUSE_TICKS);
         dead.forEach(n -> n.start(0));
-        agreed("rack_back_ms", world.now());
-        world.until(world.now() + REST);
+        awaitAgreement("rack_back_ms", world.now());
+        world.until(world.now() + PAUSE_TICKS);
     }
 
-    private void zone() {
-        fleet.sides(i -> play.topology().zone(i) == 0 ? 1 : 0);
+    private void cutZoneOff() {
+        fleet.setSides(i -> parameters.topology().zone(i) == 0 ? 1 : 0);
         long from = world.now();
-        long found = fleet.untilAgreed(i -> play.topology().zone(i) != 0, MOST);
+        long found = fleet.untilAgreed(i -> parameters.topology().zone(i) != 0, MAX_WAIT_TICKS);
         figure("zone_found_ms", found < 0 ? -1 : found / 10);
-        agreed("zone_lost_ms", from);
-        world.until(Math.max(world.now(), from + Math.max(60, play.apart() / 10) * SECOND));
-        fleet.sides(i -> 0);
-        agreed("zone_healed_ms", world.now());
-        world.until(world.now() + REST);
+        awaitAgreement("zone_lost_ms", from);
+        world.until(
+                Math.max(
+                        world.now(),
+                        from + Math.max(60, parameters.apartSeconds() / 10) * TICKS_PER_SECOND));
+        fleet.setSides(i -> 0);
+        awaitAgreement("zone_healed_ms", world.now());
+        world.until(world.now() + PAUSE_TICKS);
     }
 
-    private void regions() {
-        if (play.topology().regions() < 2) {
+    private void splitRegions() {
+        if (parameters.topology().regions() < 2) {
             return;
         }
-        fleet.sides(play.topology()::region);
+        fleet.setSides(parameters.topology()::region);
         long from = world.now();
-        agreed("regions_apart_ms", from);
-        meter();
+        awaitAgreement("regions_apart_ms", from);
+        startMeter();
         long since = world.now();
-        world.until(Math.max(world.now() + SECOND, from + play.apart() * SECOND));
-        metered("cpu_us_per_s_apart", world.now() - since);
-        fleet.sides(i -> 0);
-        agreed("regions_healed_ms", world.now());
-        world.until(world.now() + REST);
+        world.until(
+                Math.max(
+                        world.now() + TICKS_PER_SECOND,
+                        from + parameters.apartSeconds() * TICKS_PER_SECOND));
+        recordCpu("cpu_us_per_s_apart", world.now() - since);
+        fleet.setSides(i -> 0);
+        awaitAgreement("regions_healed_ms", world.now());
+        world.until(world.now() + PAUSE_TICKS);
     }
 
-    private void restarts() {
-        int most = Math.min(RESTARTS, play.size() / 2);
+    private void restartMany() {
+        int restartCount = Math.min(MAX_RESTARTS, parameters.size() / 2);
         long from = world.now();
-        for (int i = 0; i < most; i++) {
+        for (int i = 0; i < restartCount; i++) {
             Fleet.Node n = fleet.nodes.get(i * 2);
-            long at = from + i * 60L * SECOND / most;
+            long at = from + i * 60L * TICKS_PER_SECOND / restartCount;
             world.at(at, n::leave);
-            world.at(at + BACK, () -> n.start(0));
+            world.at(at + RESTART_TICKS, () -> n.start(0));
         }
-        world.until(from + 60 * SECOND + BACK);
-        agreed("restarts_agree_ms", world.now());
+        world.until(from + 60 * TICKS_PER_SECOND + RESTART_TICKS);
+        awaitAgreement("restarts_agree_ms", world.now());
     }
 }
--- a/src/main/java/cottonlock/lab/world/Study.java
+++ b/src/main/java/cottonlock/lab/world/Study.java
@@ -12,8 +12,8 @@
  */
 @Deterministic
 public final class Study {
-    private static final long SECOND = 10_000;
-    private static final long MOST = 120 * SECOND;
+    private static final long TICKS_PER_SECOND = 10_000;
+    private static final long MAX_WAIT_TICKS = 120 * TICKS_PER_SECOND;
 
     /**
      * What was found; times in milliseconds, -1 where it never was.
@@ -30,16 +30,16 @@
     public record Row(
             int size,
             double loss,
-            long first,
-            long worstFirst,
-            long all,
-            long worstAll,
-            double falseHour,
+            long firstMillis,
+            long worstFirstMillis,
+            long allMillis,
+            long worstAllMillis,
+            double falseFailuresPerHour,
             double hours,
-            long mean,
-            long worst,
-            long joined,
-            long heal) {}
+            long meanBytes,
+            long worstBytes,
+            long joinedMillis,
+            long healedMillis) {}
 
     private Study() {}
 
@@ -49,63 +49,66 @@
      * @param deaths how many are killed, one after the other
      * @param quiet seconds without a fault, for false failures and bytes
      */
-    public static Row of(
+    public static Row run(
             long seed,
             int size,
             double loss,
-            int deaths,
-            int quiet,
+            int deathCount,
+            int quietSeconds,
             MembershipProtocolConfig rules) {
         World world = new World(seed);
         Fleet fleet = new Fleet(world, size, rules);
         // As between machines of one room: a millisecond or so.
         world.delay(2, 10);
         world.trouble(loss, 0, 0);
-        fleet.startAll(SECOND);
-        world.until(SECOND + 1);
-        long joined = fleet.untilAgreed(MOST);
-        world.until(world.now() + 10 * SECOND);
+        fleet.startAll(TICKS_PER_SECOND);
+        world.until(TICKS_PER_SECOND + 1);
+        long joinTicks = fleet.untilAgreed(MAX_WAIT_TICKS);
+        world.until(world.now() + 10 * TICKS_PER_SECOND);
         long sent = fleet.nodes.stream().mapToLong(n -> n.sent).sum();
-        int wrong = fleet.falseFailures.size();
-        world.until(world.now() + quiet * SECOND);
-        long mean =
+        int failuresBefore = fleet.falseFailures.size();
+        world.until(world.now() + quietSeconds * TICKS_PER_SECOND);
+        long meanBytes =
                 (fleet.nodes.stream().mapToLong(n -> n.sent).sum() - sent)
                         / size
-                        / Math.max(1, quiet);
-        double hours = quiet / 3600.0;
-        double falseHour = fleet.wronged(wrong) / hours;
+                        / Math.max(1, quietSeconds);
+        double hours = quietSeconds / 3600.0;
+        double falseFailuresPerHour = fleet.wrongedCount(failuresBefore) / hours;
         List<Long> first = new ArrayList<>();
         List<Long> all = new ArrayList<>();
-        for (int d = 0; d < deaths; d++) {
+        for (int d = 0; d < deathCount; d++) {
             Fleet.Node dead = fleet.nodes.get(world.chance().nextInt(size));
             dead.kill();
-            long one = fleet.untilFailed(dead, false, MOST);
-            long rest = fleet.untilFailed(dead, true, MOST);
-            first.add(one < 0 ? MOST : one);
-            all.add(one < 0 || rest < 0 ? MOST : one + rest);
+            long firstTicks = fleet.untilFailed(dead, false, MAX_WAIT_TICKS);
+            long remainingTicks = fleet.untilFailed(dead, true, MAX_WAIT_TICKS);
+            first.add(firstTicks < 0 ? MAX_WAIT_TICKS : firstTicks);
+            all.add(
+                    firstTicks < 0 || remainingTicks < 0
+                            ? MAX_WAIT_TICKS
+                            : firstTicks + remainingTicks);
             dead.start(0);
-            world.until(world.now() + 10 * SECOND);
-            fleet.untilAgreed(MOST);
+            world.until(world.now() + 10 * TICKS_PER_SECOND);
+            fleet.untilAgreed(MAX_WAIT_TICKS);
         }
         fleet.split(2);
-        world.until(world.now() + 40 * SECOND);
+        world.until(world.now() + 40 * TICKS_PER_SECOND);
         fleet.split(1);
-        long heal = fleet.untilAgreed(MOST);
+        long healTicks = fleet.untilAgreed(MAX_WAIT_TICKS);
         Collections.sort(first);
         Collections.sort(all);
-        long worst = fleet.nodes.stream().mapToLong(n -> n.worstSecond).max().orElse(0);
+        long worstBytes = fleet.nodes.stream().mapToLong(n -> n.worstSecond).max().orElse(0);
         return new Row(
                 size,
                 loss,
-                first.get(deaths / 2) / 10,
-                first.get(deaths - 1) / 10,
-                all.get(deaths / 2) / 10,
-                all.get(deaths - 1) / 10,
-                falseHour,
+                first.get(deathCount / 2) / 10,
+                first.get(deathCount - 1) / 10,
+                all.get(deathCount / 2) / 10,
+                all.get(deathCount - 1) / 10,
+                falseFailuresPerHour,
                 hours,
-                mean,
-                worst,
-                joined < 0 ? -1 : joined / 10,
-                heal < 0 ? -1 : heal / 10);
+                meanBytes,
+                worstBytes,
+                joinTicks < 0 ? -1 : joinTicks / 10,
+                healTicks < 0 ? -1 : healTicks / 10);
     }
 }
--- a/src/main/java/cottonlock/lab/world/Topology.java
+++ b/src/main/java/cottonlock/lab/world/Topology.java
@@ -15,9 +15,9 @@
      * Tenths of a millisecond one way: across a room, a town and a continent, and what each varies
      * by.
      */
-    private static final int[] LEAST = {2, 5, 300};
+    private static final int[] MIN_TICKS = {2, 5, 300};
 
-    private static final int[] SPREAD = {4, 10, 50};
+    private static final int[] SPREAD_TICKS = {4, 10, 50};
 
     /** The zone of a place, from 0 on. */
     public int zone(int place) {
@@ -34,12 +34,12 @@
     }
 
     @Override
-    public long least(int from, int to) {
-        return LEAST[distance(from, to)];
+    public long minTicks(int from, int to) {
+        return MIN_TICKS[distance(from, to)];
     }
 
     @Override
-    public long spread(int from, int to) {
-        return SPREAD[distance(from, to)];
+    public long spreadTicks(int from, int to) {
+        return SPREAD_TICKS[distance(from, to)];
     }
 }
--- a/src/main/java/cottonlock/lab/world/World.java
+++ b/src/main/java/cottonlock/lab/world/World.java
@@ -20,13 +20,13 @@
     /** How long datagrams between two places take, in tenths of a millisecond. */
     public interface Delay {
         /** The shortest. */
-        long least(int from, int to);
+        long minTicks(int from, int to);
 
         /** Evenly drawn up to so much more. */
-        long spread(int from, int to);
+        long spreadTicks(int from, int to);
     }
 
-    private record Task(long at, long order, Runnable run) implements Comparable<Task> {
+    private record Task(long at, long order, Runnable action) implements Comparable<Task> {
         @Override
         public int compareTo(Task other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
@@ -36,14 +36,14 @@
     private final PriorityQueue<Task> tasks = new PriorityQueue<>();
     private final SplittableRandom chance;
     private long now;
-    private long orders;
-    private double loss;
-    private double twice;
-    private double spoilt;
-    private Delay delay = even(2, 8);
+    private long nextOrder;
+    private double lossProbability;
+    private double duplicationProbability;
+    private double corruptionProbability;
+    private Delay delay = uniform(2, 8);
     private Cut cut = (from, to) -> false;
-    private final CRC32 sum = new CRC32();
-    private long print;
+    private final CRC32 checksum = new CRC32();
+    private long fingerprint;
 
     public World(long seed) {
         chance = new SplittableRandom(seed);
@@ -60,34 +60,34 @@
 
     /** The parts of datagrams that are lost, that come twice, and of which a byte is changed. */
     public void trouble(double lost, double doubled, double changed) {
-        loss = lost;
-        twice = doubled;
-        spoilt = changed;
+        lossProbability = lost;
+        duplicationProbability = doubled;
+        corruptionProbability = changed;
     }
 
     /**
      * How long a datagram takes: this at least, and evenly drawn up to so much more, so some
      * overtake.
      */
-    public void delay(long shortest, long upTo) {
-        delay = even(shortest, upTo);
+    public void delay(long minTicks, long spreadTicks) {
+        delay = uniform(minTicks, spreadTicks);
     }
 
     /** The same, by pair of places. */
-    public void delay(Delay byPair) {
-        delay = byPair;
+    public void delay(Delay newDelay) {
+        delay = newDelay;
     }
 
-    private static Delay even(long shortest, long upTo) {
+    private static Delay uniform(long minTicks, long spreadTicks) {
         return new Delay() {
             @Override
-            public long least(int from, int to) {
-                return shortest;
+            public long minTicks(int from, int to) {
+                return minTicks;
             }
 
             @Override
-            public long spread(int from, int to) {
-                return upTo;
+            public long spreadTicks(int from, int to) {
+                return spreadTicks;
             }
         };
     }
@@ -96,42 +96,45 @@
      * Of all datagrams so far, with their times and ways, byte by byte: two worlds alike have the
      * same.
      */
-    public long print() {
-        return print;
+    public long fingerprint() {
+        return fingerprint;
     }
 
-    public void cut(Cut which) {
-        cut = which;
+    public void cut(Cut newCut) {
+        cut = newCut;
     }
 
     /** Runs a task at a time, now at the earliest. */
     public void at(long time, Runnable task) {
-        tasks.add(new Task(Math.max(now, time), orders++, task));
+        tasks.add(new Task(Math.max(now, time), nextOrder++, task));
     }
 
     /** Sends a datagram; {@code arrives} is given it when it comes, once, twice or never. */
     public void send(
             int from, int to, byte[] datagram, java.util.function.Consumer<byte[]> arrives) {
-        sum.reset();
-        sum.update(datagram, 0, datagram.length);
-        print = (print * 31 + now) * 31 + ((long) from << 44 ^ (long) to << 32 ^ sum.getValue());
+        checksum.reset();
+        checksum.update(datagram, 0, datagram.length);
+        fingerprint =
+                (fingerprint * 31 + now) * 31
+                        + ((long) from << 44 ^ (long) to << 32 ^ checksum.getValue());
         if (cut.cuts(from, to)) {
             return;
         }
-        int copies = twice > 0 && chance.nextDouble() < twice ? 2 : 1;
+        int copies =
+                duplicationProbability > 0 && chance.nextDouble() < duplicationProbability ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            if (loss > 0 && chance.nextDouble() < loss) {
+            if (lossProbability > 0 && chance.nextDouble() < lossProbability) {
                 continue;
             }
             byte[] bytes = datagram;
-            if (spoilt > 0 && chance.nextDouble() < spoilt) {
+            if (corruptionProbability > 0 && chance.nextDouble() < corruptionProbability) {
                 bytes = datagram.clone();
                 bytes[chance.nextInt(bytes.length)] ^= (byte) (1 + chance.nextInt(255));
             }
             byte[] carried = bytes;
-            long spread = delay.spread(from, to);
+            long spread = delay.spreadTicks(from, to);
             at(
-                    now + delay.least(from, to) + (spread > 0 ? chance.nextLong(spread + 1) : 0),
+                    now + delay.minTicks(from, to) + (spread > 0 ? chance.nextLong(spread + 1) : 0),
                     () -> {
                         if (!cut.cuts(from, to)) {
                             arrives.accept(carried);
@@ -145,7 +148,7 @@
         while (!tasks.isEmpty() && tasks.peek().at <= time) {
             Task task = tasks.poll();
             now = task.at;
-            task.run.run();
+            task.action.run();
         }
         now = time;
     }
--- a/src/test/java/cottonlock/lab/soak/SoakTest.java
+++ b/src/test/java/cottonlock/lab/soak/SoakTest.java
@@ -28,13 +28,13 @@
 
     private static void assertPass(long firstSeed, long lastSeed) throws Exception {
         Path folder = Files.createTempDirectory("soak");
-        ByteArrayOutputStream told = new ByteArrayOutputStream();
-        PrintStream out = new PrintStream(told, true, UTF_8);
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        PrintStream out = new PrintStream(output, true, UTF_8);
         int status = NO_VERDICT;
         for (int plays = 0; status == NO_VERDICT && plays < MAX_PLAYS; plays++) {
             status = new Soak(SCENARIO, folder, out).play(firstSeed, lastSeed, 2);
         }
-        assertEquals(0, status, told.toString(UTF_8));
+        assertEquals(0, status, output.toString(UTF_8));
     }
 
     @Example
