--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -284,7 +284,7 @@
             ledger.effect(now, job.id, job.category.repeat(), "elsewhere");
         }
         if (model.pushedOver(now, job.work)) {
-            ledger.fell(now, id);
+            ledger.coldBackendOverloaded(now, id);
             die(true);
             return;
         }
@@ -388,7 +388,7 @@
         if (status == 200) {
             byte[] body =
                     (job.id + " " + job.category.name()).getBytes(StandardCharsets.ISO_8859_1);
-            ledger.made(job.id, Arrays.hashCode(body));
+            ledger.responseProduced(job.id, Arrays.hashCode(body));
             series.done(id, loop.now());
             answer(job, 200, null, body);
         } else {
--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -261,9 +261,9 @@
     private void note(Watch watch, Collection<Line> told) {
         for (Line l : told) {
             if (l.shown == Health.ACTIVE) {
-                ledger.toldBack(watch.proxy, l.backend.id);
+                ledger.drainRevoked(watch.proxy, l.backend.id);
             } else {
-                ledger.told(loop.now(), watch.proxy, l.backend.id);
+                ledger.drainAnnounced(loop.now(), watch.proxy, l.backend.id);
             }
         }
     }
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -836,9 +836,9 @@
         runInBackground(
                 () -> {
                     try {
-                        loop.post(() -> judge.replaced(loop.now()));
+                        loop.post(() -> judge.processReplaced(loop.now()));
                         node.host.replace(node.starts++);
-                        loop.post(() -> judge.replaced(loop.now()));
+                        loop.post(() -> judge.processReplaced(loop.now()));
                     } catch (IOException e) {
                         fault = String.valueOf(e.getMessage());
                         loop.post(this::finish);
@@ -863,7 +863,7 @@
         if (still) {
             clients.gone(node.number, loop.now() + scenario.clients.notice());
         } else {
-            ledger.stoppedUntil(node.number, loop.now());
+            ledger.proxyResumed(node.number, loop.now());
             clients.back(node.number);
         }
         if (judge != null && node.first) {
@@ -877,7 +877,7 @@
 
     /** It gets only a part of a core: stopped for most of each {@link #SLICE}. */
     private void proxyStarve(Node node, long end, double part) {
-        ledger.stoppedUntil(node.number, end);
+        ledger.proxyResumed(node.number, end);
         starveSlice(node, end, part);
     }
 
@@ -940,7 +940,7 @@
                 }
             }
         }
-        judge.reach(loop.now(), !begins);
+        judge.updateReachability(loop.now(), !begins);
     }
 
     private static int group(List<List<Integer>> groups, int proxy) {
@@ -962,7 +962,7 @@
             case "peer-delay" -> paths.delay(from, to, (long) (amount * 1e6));
             default -> {
                 paths.cut(from, to, begins);
-                judge.way(from, to, !paths.isCut(from, to));
+                judge.setPathOpen(from, to, !paths.isCut(from, to));
             }
         }
     }
@@ -974,7 +974,7 @@
             judge.down(node.number, loop.now());
         }
         node.caller.dying(true);
-        ledger.startedAnew(node.number);
+        ledger.proxyRestarted(node.number);
         if (node.host != null) {
             runInBackground(
                     () -> {
@@ -1006,7 +1006,7 @@
                                 if (judge != null && node.first) {
                                     judge.down(node.number, loop.now());
                                 }
-                                ledger.startedAnew(node.number);
+                                ledger.proxyRestarted(node.number);
                                 loop.after(away, () -> back(node));
                             });
                     return null;
@@ -1027,7 +1027,7 @@
                     loop.post(
                             () -> {
                                 node.serving = false;
-                                ledger.startedAnew(node.number);
+                                ledger.proxyRestarted(node.number);
                                 loop.after(away, () -> backAfterRestart(node, series, away));
                             });
                     return null;
@@ -1095,7 +1095,7 @@
             worst = Math.min(worst, series.service(s));
         }
         f.put("worst_s", worst);
-        f.put("unanswered", (double) ledger.diedWithProxy());
+        f.put("unanswered", (double) ledger.unansweredOfKilledProxies());
         f.put("retried", (double) clients.retried());
         f.put("sends_per_item", ledger.sends() / Math.max(1.0, (double) clients.sent()));
         f.put("behind_ms", loop.late().getValueAtPercentile(99.9) / 1_000.0);
--- a/src/main/java/cottonlock/lab/Lab.java
+++ b/src/main/java/cottonlock/lab/Lab.java
@@ -168,7 +168,7 @@
             TreeMap<String, Double> rest = new TreeMap<>(a.figures());
             rest.putAll(b.figures());
             List<String> keys = new ArrayList<>(Verdict.KEYS);
-            Verdict.MEMBERS.stream().filter(rest::containsKey).forEach(keys::add);
+            Verdict.MEMBERSHIP_KEYS.stream().filter(rest::containsKey).forEach(keys::add);
             rest.keySet().stream().filter(k -> !keys.contains(k)).forEach(keys::add);
             for (String key : keys) {
                 Double left = a.figures().get(key);
--- a/src/main/java/cottonlock/lab/Scenario.java
+++ b/src/main/java/cottonlock/lab/Scenario.java
@@ -690,13 +690,15 @@
         String number = text.substring(operator.length());
         if (operator.isEmpty() || !number.matches("-?[0-9]{1,12}(\\.[0-9]{1,9})?")) {
             f.addFault(key, "expected a bound such as \">= 0.98\", \"<= 50\" or \"= 0\"");
-        } else if (!Verdict.KEYS.contains(key) && !Verdict.MEMBERS.contains(key)) {
+        } else if (!Verdict.KEYS.contains(key) && !Verdict.MEMBERSHIP_KEYS.contains(key)) {
             f.addFault(
                     key,
                     "the verdict has no such figure; it has "
                             + String.join(", ", Verdict.KEYS)
-                            + (knowing == null ? "" : ", " + String.join(", ", Verdict.MEMBERS)));
-        } else if (knowing != null || !Verdict.MEMBERS.contains(key)) {
+                            + (knowing == null
+                                    ? ""
+                                    : ", " + String.join(", ", Verdict.MEMBERSHIP_KEYS)));
+        } else if (knowing != null || !Verdict.MEMBERSHIP_KEYS.contains(key)) {
             bounds.add(
                     new Bound(key, operator, Double.parseDouble(number), operator + " " + number));
         }
--- a/src/test/java/cottonlock/lab/ScenarioTest.java
+++ b/src/test/java/cottonlock/lab/ScenarioTest.java
@@ -162,7 +162,7 @@
     private static byte[] schedule(String text, long seed) throws Exception {
         Scenario s = Scenario.read(file(text), List.of(), seed);
         Path out = Files.createTempFile("schedule", ".tsv");
-        Report.schedule(
+        Report.writeSchedule(
                 out,
                 Arrivals.draw(
                         s.seed,
