--- a/src/main/java/cottonlock/lab/Ledger.java
+++ b/src/main/java/cottonlock/lab/Ledger.java
@@ -48,7 +48,7 @@
     }
 
     /** What has had an effect: where and when first. */
-    private record Effect(String room, long at) {}
+    private record Effect(String zone, long at) {}
 
     private final long graceNanos;
     private final long drainNanos;
@@ -60,7 +60,7 @@
     /**
      * Until when a proxy's process was stopped from outside: what it owed then it could not give.
      */
-    private final Map<Integer, Long> resumedAt = new HashMap<>();
+    private final Map<Integer, Long> suspendedUntil = new HashMap<>();
 
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
     private final Map<String, Integer> doubleEffects = new java.util.TreeMap<>();
@@ -106,7 +106,7 @@
         e.concluded = true;
         e.concludedAt = now;
         if (now > e.expiresAt + graceNanos
-                && e.expiresAt > resumedAt.getOrDefault(e.proxy, Long.MIN_VALUE)) {
+                && e.expiresAt > suspendedUntil.getOrDefault(e.proxy, Long.MIN_VALUE)) {
             breach(
                     Rule.LOST,
                     now,
@@ -175,7 +175,7 @@
         }
         // What waited in a stopped process's sockets bears no time: it can't know how old it is.
         boolean expiredWhileStopped =
-                e.expiresAt <= resumedAt.getOrDefault(e.proxy, Long.MIN_VALUE);
+                e.expiresAt <= suspendedUntil.getOrDefault(e.proxy, Long.MIN_VALUE);
         if (firstByte > Math.min(e.concludedAt, e.expiresAt) + graceNanos && !expiredWhileStopped) {
             breach(
                     Rule.LOST,
@@ -190,14 +190,14 @@
     }
 
     /** A backend begins to carry it out, not having known it for a repeat. */
-    void effect(long now, String id, String repeat, String room) {
+    void effect(long now, String id, String repeat, String zone) {
         Entry e = requests.get(id);
         if (e == null || repeat.equals("safe")) {
             return;
         }
-        Effect first = effects.putIfAbsent(e.chain, new Effect(room, now));
+        Effect first = effects.putIfAbsent(e.chain, new Effect(zone, now));
         if (first != null) {
-            doubleEffects.merge(e.category + " in " + room, 1, Integer::sum);
+            doubleEffects.merge(e.category + " in " + zone, 1, Integer::sum);
             breach(
                     Rule.TWICE,
                     now,
@@ -206,9 +206,9 @@
                             "%s of %s ran in room %s, and %.0f ms before in %s",
                             id,
                             e.category,
-                            room,
+                            zone,
                             (now - first.at) / 1e6,
-                            first.room));
+                            first.zone));
         }
     }
 
@@ -235,8 +235,8 @@
     }
 
     /** A proxy's process was stopped, and goes on now. */
-    void proxyResumed(int proxy, long now) {
-        resumedAt.put(proxy, now + graceNanos);
+    void proxySuspendedUntil(int proxy, long end) {
+        suspendedUntil.put(proxy, end + graceNanos);
     }
 
     /** A cold backend was pushed over. */
--- a/src/main/java/cottonlock/lab/MembersJudge.java
+++ b/src/main/java/cottonlock/lab/MembersJudge.java
@@ -32,7 +32,7 @@
     private static final long AGREED_AFTER_NANOS = 400_000_000L;
 
     /** What one proxy says of another. */
-    record MemberReport(String state, long incarnation, long sinceMs) {
+    record MemberReport(String state, long generation, long sinceMs) {
         boolean isLive() {
             return state.equals("alive") || state.equals("suspect") || state.equals("joining");
         }
@@ -237,7 +237,7 @@
     }
 
     private void recordFailure(int viewer, int proxy, long at, MemberReport seen) {
-        String key = viewer + " " + proxy + " " + seen.incarnation();
+        String key = viewer + " " + proxy + " " + seen.generation();
         Long before = failures.put(key, at);
         if (before != null && Math.abs(before - at) < SAME_FAILURE_NANOS) {
             return;
