--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -863,7 +863,7 @@
         if (still) {
             clients.gone(node.number, loop.now() + scenario.clients.notice());
         } else {
-            ledger.proxyResumed(node.number, loop.now());
+            ledger.proxySuspendedUntil(node.number, loop.now());
             clients.back(node.number);
         }
         if (judge != null && node.first) {
@@ -877,7 +877,7 @@
 
     /** It gets only a part of a core: stopped for most of each {@link #SLICE}. */
     private void proxyStarve(Node node, long end, double part) {
-        ledger.proxyResumed(node.number, end);
+        ledger.proxySuspendedUntil(node.number, end);
         starveSlice(node, end, part);
     }
 
