--- a/src/main/java/cottonlock/lab/Chart.java
+++ b/src/main/java/cottonlock/lab/Chart.java
@@ -4,9 +4,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/**
- * A line chart over the seconds of a run as inline SVG, with the faults marked behind the lines.
- */
+/** A line chart as inline SVG, with time spans such as faults marked behind the lines. */
 public final class Chart {
     private static final int WIDTH = 860;
     private static final int HEIGHT = 190;
@@ -16,13 +14,14 @@
     private static final int RIGHT_MARGIN = 12;
 
     /**
-     * Told apart also by people who see few colours, and in grey by their order (Okabe and Ito).
+     * The palette of Okabe and Ito: distinguishable with colour vision deficiency, and in greyscale
+     * by brightness.
      */
     private static final String[] COLOURS = {
         "#0072b2", "#d55e00", "#009e73", "#cc79a7", "#e69f00", "#56b4e9", "#555555"
     };
 
-    /** One line: its values by place along the x axis; a negative one is a gap. */
+    /** One line: a value for each position on the x axis; a negative value is a gap. */
     private static final class Line {
         private final String name;
         private final double[] values;
@@ -40,7 +39,7 @@
     private final List<Line> lines = new ArrayList<>();
     private final List<Mark> marks;
 
-    /** A span of seconds that is marked behind the lines, with words for whoever points at it. */
+    /** A time span in seconds that is marked behind the lines; the label is shown as a tooltip. */
     public record Mark(double from, double to, String label) {}
 
     Chart(String title, String unit, double[] xs, String xUnit, List<Timeline.Entry> faults) {
@@ -59,7 +58,11 @@
                         .toList());
     }
 
-    /** A chart over these places along its x axis. */
+    /**
+     * Creates a chart without lines.
+     *
+     * @param xs positions on the x axis, in ascending order
+     */
     public Chart(double[] xs, String title, String unit, String xUnit, List<Mark> marks) {
         this.title = title;
         this.unit = unit;
@@ -68,13 +71,13 @@
         this.marks = marks;
     }
 
-    /** One more line: a value for each place, a negative one is a gap. */
+    /** Adds a line: a value for each position on the x axis; a negative value is a gap. */
     public Chart line(String name, double[] values) {
         lines.add(new Line(name, values));
         return this;
     }
 
-    /** The chart as it stands in a page. */
+    /** Returns the chart as an HTML figure. */
     public String svg() {
         double maxY = 0;
         for (Line line : lines) {
@@ -194,7 +197,7 @@
                 - (HEIGHT - TOP_MARGIN - BOTTOM_MARGIN) * Math.min(1, value / maxY);
     }
 
-    /** The next of 1, 2, 5, 10, ... above. */
+    /** Rounds up to the next 1, 1.2, 1.5, 2, 3, 4, 5, 6 or 8 times a power of ten. */
     private static double roundUp(double maxY) {
         if (maxY <= 0) {
             return 1;
@@ -214,7 +217,7 @@
                 : String.format(Locale.ROOT, Math.abs(value) < 10 ? "%.2f" : "%.1f", value);
     }
 
-    /** Text for a page. */
+    /** Escapes text for HTML. */
     public static String text(String raw) {
         return raw.replace("&", "&amp;")
                 .replace("<", "&lt;")
--- a/src/main/java/cottonlock/lab/Ledger.java
+++ b/src/main/java/cottonlock/lab/Ledger.java
@@ -9,18 +9,22 @@
 import java.util.Map;
 
 /**
- * Sees every message that the stand-ins send and receive, and counts breaches of the four rules by
- * itself: what a proxy says of itself does not come here. It holds the rules' figures and nothing
- * of how proxies decide. Times are nanoseconds.
+ * Records every message that the lab's clients and backends send and receive, and counts breaches
+ * of the four rules from these records alone: nothing that a proxy reports about itself is used.
+ * Knows the limits of the rules, but nothing of how proxies decide. Times are in nanoseconds.
  */
 @Deterministic
 final class Ledger {
     /**
-     * Lines kept of each kind of breach: the first ones tell the cause, the count tells the rest.
+     * Breaches of each rule that are described in a line: the first ones show the cause, further
+     * ones are only counted.
      */
     private static final int MAX_LINES_PER_RULE = 20;
 
-    /** The four rules. */
+    /**
+     * The four rules: no request is lost, none takes effect twice, draining backends get no new
+     * attempts, and no cold backend is overloaded.
+     */
     enum Rule {
         LOST,
         TWICE,
@@ -28,7 +32,7 @@
         COLD
     }
 
-    /** One request as its sender knows it. */
+    /** One request as its client knows it. */
     private static final class Entry {
         final String chain;
         final String category;
@@ -36,7 +40,10 @@
         final long expiresAt;
         boolean concluded;
 
-        /** When nothing more may be sent for it; far off while it is owed. */
+        /**
+         * From when on no attempt may be sent for the request; far in the future while it is
+         * pending.
+         */
         long concludedAt = Long.MAX_VALUE / 2;
 
         Entry(String chain, String category, int proxy, long expiresAt) {
@@ -47,7 +54,7 @@
         }
     }
 
-    /** What has had an effect: where and when first. */
+    /** The first effect of a chain of requests: the zone and the time. */
     private record Effect(String zone, long at) {}
 
     private final long graceNanos;
@@ -58,7 +65,8 @@
     private final Map<String, Long> drainAnnouncedAt = new HashMap<>();
 
     /**
-     * Until when a proxy's process was stopped from outside: what it owed then it could not give.
+     * The end of each proxy's latest suspension, plus the grace period: the process could not
+     * answer requests that expired before.
      */
     private final Map<Integer, Long> suspendedUntil = new HashMap<>();
 
@@ -87,16 +95,20 @@
     }
 
     /**
-     * A request's last byte has been written to a proxy.
+     * Records that the last byte of a request has been written to a proxy.
      *
-     * @param chain what all sends share that may have one effect together: a client's retry after a
-     *     deferral belongs to it, one after a write-off is its client's own risk and begins another
+     * @param chain identifies requests that may have only one effect between them: a client's retry
+     *     of a rejected request belongs to the chain of that request; its retry of a failed one is
+     *     at the client's own risk and starts a new chain
      */
     void sent(String id, String chain, String category, int proxy, long expiresAt) {
         requests.put(id, new Entry(chain, category, proxy, expiresAt));
     }
 
-    /** A whole answer has come; finished ones must be what a backend made for this request. */
+    /**
+     * Records a complete response. A completed one must be what a backend produced for this
+     * request.
+     */
     void answered(long now, String id, boolean finished, int body) {
         Entry e = requests.get(id);
         if (e.concluded) {
@@ -120,7 +132,7 @@
         }
     }
 
-    /** Its connection ended, or its time passed, with no whole answer. */
+    /** Records that the connection ended, or the request expired, without a complete response. */
     void unanswered(long now, String id, String how) {
         Entry e = requests.get(id);
         if (!e.concluded) {
@@ -131,7 +143,8 @@
     }
 
     /**
-     * A new connection did not come up although the proxy's front may still send there.
+     * Records that a new connection was not established although the load balancer in front of the
+     * proxies may still send to this proxy.
      *
      * @param what the request and the times of the connection
      */
@@ -139,7 +152,10 @@
         breach(Rule.LOST, now, "n" + proxy + " refused a new connection: " + what);
     }
 
-    /** Its client has left, or its proxy was killed: nothing is owed any more. */
+    /**
+     * Records that no response is due any more: the client has disconnected, or the proxy was
+     * killed.
+     */
     void excused(long now, String id, boolean proxyDied) {
         Entry e = requests.get(id);
         if (!e.concluded) {
@@ -149,7 +165,12 @@
         }
     }
 
-    /** The first byte of an attempt came at a backend at one time, its last one at another. */
+    /**
+     * Records an attempt at a backend.
+     *
+     * @param firstByte when its first byte arrived
+     * @param now when its last byte arrived
+     */
     void received(long firstByte, long now, String id, String backend, int proxy) {
         sends++;
         Long announcedAt = drainAnnouncedAt.get(proxy + " " + backend);
@@ -173,7 +194,8 @@
                     "an attempt of " + id + ", which no client sent, came to " + backend);
             return;
         }
-        // What waited in a stopped process's sockets bears no time: it can't know how old it is.
+        // A request that waited in the sockets of a suspended process carries no time stamp: the
+        // process can't tell that it has expired.
         boolean expiredWhileStopped =
                 e.expiresAt <= suspendedUntil.getOrDefault(e.proxy, Long.MIN_VALUE);
         if (firstByte > Math.min(e.concludedAt, e.expiresAt) + graceNanos && !expiredWhileStopped) {
@@ -189,7 +211,9 @@
         }
     }
 
-    /** A backend begins to carry it out, not having known it for a repeat. */
+    /**
+     * Records that a backend starts to execute a request that it did not recognise as a repetition.
+     */
     void effect(long now, String id, String repeat, String zone) {
         Entry e = requests.get(id);
         if (e == null || repeat.equals("safe")) {
@@ -212,34 +236,38 @@
         }
     }
 
-    /** A backend has made this answer for a request; a further attempt of it is answered alike. */
+    /**
+     * Records the response body that a backend produced for a request; further attempts of the
+     * request get the same one.
+     */
     void responseProduced(String id, int body) {
         producedBodies.put(id, body);
     }
 
     /**
-     * A proxy was told, or counts as told, that a backend drains or is gone; the first time counts.
+     * Records that a proxy was informed, or counts as informed, that a backend is draining or gone.
+     * Only the first time counts.
      */
     void drainAnnounced(long now, int proxy, String backend) {
         drainAnnouncedAt.putIfAbsent(proxy + " " + backend, now);
     }
 
-    /** A proxy was told that it is back. */
+    /** Records that a proxy was informed that a backend is active again. */
     void drainRevoked(int proxy, String backend) {
         drainAnnouncedAt.remove(proxy + " " + backend);
     }
 
-    /** A proxy starts anew, and knows nothing of what it was told. */
+    /** Records that a proxy restarts, and so no longer knows which backends are draining. */
     void proxyRestarted(int proxy) {
         drainAnnouncedAt.keySet().removeIf(key -> key.startsWith(proxy + " "));
     }
 
-    /** A proxy's process was stopped, and goes on now. */
+    /** Records that a proxy's process is suspended, at times or all the time, until {@code end}. */
     void proxySuspendedUntil(int proxy, long end) {
         suspendedUntil.put(proxy, end + graceNanos);
     }
 
-    /** A cold backend was pushed over. */
+    /** Records that a backend that was still warming up collapsed under its load. */
     void coldBackendOverloaded(long now, String backend) {
         breach(Rule.COLD, now, backend + " was pushed over while cold");
     }
@@ -248,17 +276,17 @@
         return counts.getOrDefault(rule, 0);
     }
 
-    /** Those whose proxy was killed while it owed them an answer. */
+    /** Requests that were pending at a proxy when it was killed. */
     int unansweredOfKilledProxies() {
         return unansweredOfKilledProxies;
     }
 
-    /** Attempts that have reached a backend. */
+    /** The number of attempts that have reached a backend. */
     long sends() {
         return sends;
     }
 
-    /** Breaches of "no effect twice" by category and room. */
+    /** Counts requests that took effect twice, by category and zone. */
     Map<String, Integer> doubleEffectsByCategory() {
         return doubleEffects;
     }
--- a/src/main/java/cottonlock/lab/MembersJudge.java
+++ b/src/main/java/cottonlock/lab/MembersJudge.java
@@ -11,34 +11,34 @@
 import java.util.TreeMap;
 
 /**
- * Holds what proxies believe of one another against what is true: who lives, and who can reach
- * whom. It is told the truth by whoever makes it, and samples of each proxy's view. Times are
- * nanoseconds.
+ * Compares the proxies' views of the membership with the truth: which proxies are up and which can
+ * reach each other. The experiment reports each change that it makes, and samples of each proxy's
+ * view. Times are in nanoseconds.
  */
 @Deterministic
 final class MembersJudge {
-    /** Lines kept for people. */
+    /** False failures that are described in a line; further ones are only counted. */
     private static final int MAX_LINES = 20;
 
     private static final long NEVER = Long.MAX_VALUE / 4;
 
-    /** Nanoseconds: a failure noticed again so near is the same one. */
+    /** Two reports of a failure whose times differ by less are about the same failure. */
     private static final long SAME_FAILURE_NANOS = 1_000_000_000L;
 
     /**
-     * Nanoseconds without an untrue view after which all agree: each is asked some ten times a
-     * second.
+     * Time without a wrong view after which all views count as right; each proxy is polled about
+     * ten times a second.
      */
     private static final long AGREED_AFTER_NANOS = 400_000_000L;
 
-    /** What one proxy says of another. */
+    /** What one proxy reports about another. */
     record MemberReport(String state, long generation, long sinceMs) {
         boolean isLive() {
             return state.equals("alive") || state.equals("suspect") || state.equals("joining");
         }
     }
 
-    /** A proxy that went down, and when that was known. */
+    /** A proxy that went down, and how long the others took to notice; -1 where they have not. */
     private static final class Death {
         final int proxy;
         final long at;
@@ -46,7 +46,7 @@
         long allNoticedAfter = -1;
         final Set<Integer> noticedBy = new HashSet<>();
 
-        /** When it was back; -1: it was not. */
+        /** When it was up again; -1 if it was not. */
         long backAt = -1;
 
         Death(int proxy, long at) {
@@ -57,10 +57,12 @@
 
     private final String[] names;
 
-    /** Since when each has been there without a break; NEVER: it is not. */
+    /**
+     * Since when each proxy has been up without interruption; {@link #NEVER} for one that is down.
+     */
     private final long[] upSince;
 
-    /** Since when each pair has had a way, if by detours, without a break. */
+    /** Since when each pair has been connected without interruption, directly or through others. */
     private final long[][] connectedSince;
 
     private final boolean[][] cut;
@@ -72,25 +74,27 @@
     private final boolean[] sampled;
 
     /**
-     * The last change of what is true, whether it was for the better, and the last untrue view
-     * after it.
+     * The time of the latest change from outside; {@link #improved} and {@link #lastWrongViewAt}
+     * belong to it: whether it brought proxies or paths back, and when a wrong view was last seen.
      */
     private long changedAt;
 
     private boolean improved = true;
     private long lastWrongViewAt = -1;
 
-    /**
-     * The longest that views took to be true again after something had come back, and after a loss.
-     */
+    /** The longest that views took to be right again after proxies or paths were back. */
     private long longestAgreement;
 
+    /** The longest that views took to be right again after a loss. */
     private long longestDisagreement;
+
     private int falseFailed;
 
     /**
-     * Settled: for how long one must have been there and in reach for its failure to be a false
-     * one.
+     * Creates a judge.
+     *
+     * @param settleNanos for how long a proxy must have been up and reachable before a report of
+     *     its failure counts as false
      */
     MembersJudge(List<String> names, long settleNanos) {
         this.names = names.toArray(String[]::new);
@@ -103,7 +107,7 @@
         sampled = new boolean[n];
     }
 
-    /** Something has been changed from outside, which views may take a while to follow. */
+    /** Records a change from outside that the views may take a while to follow. */
     private void truthChanged(long now, boolean improvement) {
         if (now - Math.max(changedAt, lastWrongViewAt) > AGREED_AFTER_NANOS) {
             recordConvergence();
@@ -112,7 +116,7 @@
         changedAt = now;
     }
 
-    /** All views have been true for a while: what they took to become so counts. */
+    /** Takes the time that the views needed to be right after the latest change into the maxima. */
     private void recordConvergence() {
         long convergenceNanos = Math.max(0, lastWrongViewAt - changedAt);
         longestAgreement =
@@ -121,7 +125,7 @@
                 improved ? longestDisagreement : Math.max(longestDisagreement, convergenceNanos);
     }
 
-    /** A proxy serves from now on. */
+    /** Records that a proxy serves from now on. */
     void up(int proxy, long now) {
         upSince[proxy] = now;
         sampled[proxy] = false;
@@ -134,14 +138,14 @@
     }
 
     /**
-     * Another process serves for a proxy, and may not know the others yet; to these nothing has
-     * happened.
+     * Records a process hand-over: the new process may not know the other members yet, while to
+     * these nothing has changed.
      */
     void processReplaced(long now) {
         truthChanged(now, true);
     }
 
-    /** A proxy is gone, by its own word or without one, or serves nobody. */
+    /** Records that a proxy has left, has died, or serves no requests. */
     void down(int proxy, long now) {
         if (upSince[proxy] != NEVER) {
             upSince[proxy] = NEVER;
@@ -150,12 +154,18 @@
         truthChanged(now, false);
     }
 
-    /** Whether anything gets through from one to the other; counts from {@link #reach} on. */
+    /**
+     * Sets whether messages from one proxy reach the other; takes effect with {@link
+     * #updateReachability}.
+     */
     void setPathOpen(int from, int to, boolean open) {
         cut[from][to] = !open;
     }
 
-    /** Ways have been changed: who can reach whom, if by detours. */
+    /**
+     * Recomputes which proxies can reach each other, directly or through others, after changes of
+     * paths.
+     */
     void updateReachability(long now, boolean improvement) {
         truthChanged(now, improvement);
         int n = names.length;
@@ -186,7 +196,7 @@
         }
     }
 
-    /** A proxy has said what it holds of the others. */
+    /** Takes a sample of a proxy's view. */
     void sample(int viewer, long now, Map<String, MemberReport> view) {
         if (upSince[viewer] == NEVER || now < upSince[viewer]) {
             return;
@@ -259,18 +269,20 @@
         }
     }
 
-    /** Views that were untrue, by the second. */
+    /** The number of wrong views that were seen in a second of the run. */
     int wrongViews(long second) {
         return wrongViewsBySecond.getOrDefault(second, 0);
     }
 
-    /** Adds the figures of the verdict; what was never found counts as found at the end. */
+    /**
+     * Adds the figures of the verdict. A death that was never noticed counts as noticed at the end.
+     */
     void figures(long end, Map<String, Double> f) {
         long found = 0;
         long all = 0;
         for (Death d : deaths) {
             long downNanos = (d.backAt < 0 ? end : d.backAt) - d.at;
-            // One that was back before it had to be known was not there to be found.
+            // A proxy that was up again before the others had to notice does not count.
             if (d.firstNoticedAfter >= 0 || d.backAt < 0 || downNanos >= settleNanos) {
                 found = Math.max(found, d.firstNoticedAfter >= 0 ? d.firstNoticedAfter : downNanos);
             }
@@ -282,7 +294,7 @@
         f.put("found_all_ms", all / 1e6);
         f.put("false_failed", (double) falseFailed);
         recordConvergence();
-        // However it began, the last state must have been agreed on.
+        // The views must agree at the end, whatever kind of change came last.
         f.put(
                 "agree_ms",
                 Math.max(longestAgreement, improved ? 0 : Math.max(0, lastWrongViewAt - changedAt))
--- a/src/main/java/cottonlock/lab/MembersRegions.java
+++ b/src/main/java/cottonlock/lab/MembersRegions.java
@@ -18,15 +18,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * Fleets over regions and zones in virtual time, for each size and seed: lines as played, and
- * files.
+ * Simulates fleets over regions and zones in virtual time: prints each figure as soon as it is
+ * known, and writes result files.
  */
 final class MembersRegions implements RegionsStudy.Gauge {
-    /** Readings of the processor's clock by which its own cost is found. */
+    /** Readings of the CPU clock by which the cost of one reading is measured. */
     private static final int CLOCK_READINGS = 200_000;
 
     /**
-     * Collections after which the heap counts as tidied: the first may leave what the second frees.
+     * Garbage collections before the heap is measured: the second one may free what the first one
+     * left.
      */
     private static final int GARBAGE_COLLECTIONS = 2;
 
@@ -42,7 +43,13 @@
     private final ThreadMXBean threadBean = ManagementFactory.getThreadMXBean();
     private long readingNanos = -1;
 
-    /** Known: addresses that each member is told; 0: all. */
+    /**
+     * Creates a study.
+     *
+     * @param quietSeconds length of the phase without faults
+     * @param apartSeconds for how long regions are split
+     * @param knownAddresses contact addresses that each member knows; 0 for all
+     */
     MembersRegions(
             Topology topology,
             int quietSeconds,
@@ -59,10 +66,10 @@
     }
 
     /**
-     * Plays one.
+     * Runs one simulation.
      *
-     * @param folder where {@code members-SIZE-SEED.json} goes; null: nowhere
-     * @throws IOException where that can't be written
+     * @param folder where {@code members-SIZE-SEED.json} is written; null for no file
+     * @throws IOException if the file can't be written
      */
     void play(int size, long seed, Path folder) throws IOException {
         String command =
@@ -101,7 +108,8 @@
                     long seconds = (System.nanoTime() - startedAt) / 1_000_000_000;
                     out.printf("  %6d s  %s=%d%n", seconds, name, figures.get(name));
                     out.flush();
-                    // As it goes on: what a play that is cut off has measured is measured.
+                    // The file is rewritten after each figure, so that an interrupted run keeps the
+                    // figures it has.
                     if (folder != null) {
                         try {
                             write(
@@ -153,7 +161,7 @@
         }
     }
 
-    /** The state of the sources that this was built from, where it is run beside them. */
+    /** The commit of the sources, if the program runs in their directory. */
     private static String commit() {
         try {
             Process git =
--- a/src/main/java/cottonlock/lab/MembersStudy.java
+++ b/src/main/java/cottonlock/lab/MembersStudy.java
@@ -9,8 +9,8 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * What knowing one another costs and brings, for each size and loss: as a table, and as a page of
- * plots.
+ * Measures the cost and the benefit of the membership protocol in virtual time for each size and
+ * packet loss, as a table and as a page of charts.
  */
 final class MembersStudy {
     private static final String X_AXIS_UNIT = "log10 of the size";
@@ -26,7 +26,7 @@
         this.rules = rules;
     }
 
-    /** Plays each, and prints a line for it as soon as it is known. */
+    /** Simulates each combination and prints its line as soon as it is known. */
     void play(long seed, int deathCount, int quietSeconds, PrintStream out) {
         out.println(
                 "size  loss  first knows, ms  all know, ms   false failures    bytes/s     joined "
@@ -57,11 +57,14 @@
         }
     }
 
-    /** The plots, beside what the published formulas give for the same periods. */
+    /**
+     * Returns the page of charts, with the values that the published formulas give for the same
+     * protocol periods.
+     */
     String page() {
-        // SWIM: a first probe after e / (e - 1) periods in the mean. Lifeguard: a doubt that enough
-        // confirm
-        // lasts its shortest time.
+        // SWIM: the first probe comes after e / (e - 1) periods on average. Lifeguard: a suspicion
+        // with enough
+        // confirmations lasts the shortest suspicion time.
         double firstProbeMillis = Math.E / (Math.E - 1) * rules.periodTicks() / 10;
         double[] published =
                 sizes.stream()
--- a/src/main/java/cottonlock/lab/MembersWatch.java
+++ b/src/main/java/cottonlock/lab/MembersWatch.java
@@ -11,16 +11,18 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Asks each proxy again and again what it holds of the others, on a thread for each. */
+/**
+ * Polls each proxy's view of the membership through its management interface, on a thread for each.
+ */
 final class MembersWatch {
-    /** Milliseconds between two questions to one proxy: a fifth of the usual period. */
+    /** The pause between two calls to one proxy: a fifth of the default protocol period. */
     private static final int POLL_INTERVAL_MILLIS = 100;
 
     private static final int TIMEOUT_MILLIS = 1_000;
 
     private final List<Thread> threads = new ArrayList<>();
 
-    /** Asks at an address; answers go to whom they are for, on the watch's threads. */
+    /** Starts to poll an address. Views are passed on by the polling thread. */
     void watch(
             Supplier<InetSocketAddress> address,
             Consumer<Map<String, MembersJudge.MemberReport>> onView) {
@@ -47,7 +49,7 @@
         thread.start();
     }
 
-    /** One call of an operator's; null where nobody answers. */
+    /** Sends one management command; returns null if there is no reply. */
     static String ask(InetSocketAddress address, String command) {
         try (Socket socket = new Socket()) {
             socket.connect(address, TIMEOUT_MILLIS);
--- a/src/main/java/cottonlock/lab/Page.java
+++ b/src/main/java/cottonlock/lab/Page.java
@@ -7,14 +7,14 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * One page with all of a run: the verdict, the faults and plots over time; it opens without a
+ * Writes one HTML page about a run: the verdict, the faults and charts over time. It needs no
  * network.
  */
 public final class Page {
-    /** Backends in one plot: more lines than this can't be told apart, the busiest are shown. */
+    /** Lines in one chart: more can't be distinguished. Of the backends the busiest are shown. */
     private static final int MAX_LINES = 12;
 
-    /** How pages of the lab look. */
+    /** The style sheet of all pages of the lab. */
     public static final String STYLE =
             """
             <style>
@@ -39,7 +39,7 @@
             </style>
             """;
 
-    /** How they begin. */
+    /** The start of all pages of the lab. */
     public static final String HEAD =
             "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">";
 
--- a/src/main/java/cottonlock/lab/Report.java
+++ b/src/main/java/cottonlock/lab/Report.java
@@ -15,10 +15,13 @@
 import java.util.Map;
 
 /**
- * Writes what a run came to into a folder: report.json, report.html, schedule.tsv and ledger.txt.
+ * Writes the results of a run into a folder: report.json, report.html, schedule.tsv and ledger.txt.
  */
 final class Report {
-    /** Of report.json: a reader refuses a newer one, and fields are only added within one. */
+    /**
+     * The format version of report.json. A reader refuses newer versions; within a version fields
+     * are only added.
+     */
     static final int VERSION = 1;
 
     private static final double[] PERCENTILES = {50, 90, 99, 99.9};
@@ -40,7 +43,10 @@
         }
     }
 
-    /** What the seed alone decides: alike, byte by byte, in every run of it. */
+    /**
+     * Writes the schedule that the seed determines: byte for byte the same in every run of the
+     * seed.
+     */
     static void writeSchedule(
             Path file, List<Arrivals.Arrival> arrivals, List<Timeline.Entry> faults)
             throws IOException {
@@ -97,7 +103,8 @@
                 json.writeEndObject();
             }
             json.writeEndArray();
-            // When compiling and first connections are over: what a figure of the usual needs.
+            // The second half of the run, when JIT compilation and first connections no longer
+            // distort the figures.
             org.HdrHistogram.Histogram steady = series.from(seconds / 2);
             json.writeObjectFieldStart("steady");
             json.writeNumberField("from_s", seconds / 2);
@@ -169,7 +176,7 @@
         json.writeEndArray();
     }
 
-    /** What a comparison needs of a report. */
+    /** The parts of a report that a comparison uses. */
     record Summary(
             String file,
             String scenario,
@@ -178,7 +185,7 @@
             String verdict,
             Map<String, Double> figures) {}
 
-    /** Reads a report, or a folder with one, written by this version or an older one. */
+    /** Reads a report, or the report in a folder, of this format version or an older one. */
     static Summary read(Path path) throws IOException {
         Path file = Files.isDirectory(path) ? path.resolve("report.json") : path;
         Map<String, Double> figures = new LinkedHashMap<>();
--- a/src/main/java/cottonlock/lab/RolloutReport.java
+++ b/src/main/java/cottonlock/lab/RolloutReport.java
@@ -15,25 +15,34 @@
 import java.util.Map;
 
 /**
- * How changes of the settings come into force, by size and seed: a line for each case, and a file
- * of all.
+ * Simulates rollouts of configuration versions for each size and seed, prints a line for each case,
+ * and writes a file with all of them.
  */
 final class RolloutReport {
-    /** Milliseconds in which a change is to be in force. */
+    /** The time within which a new version must be in force at all proxies. */
     private static final long MAX_IN_FORCE_MILLIS = 10_000;
 
     private final PrintStream out;
     private final String commit;
     private final Path folder;
 
-    /** Folder null: no file is written. */
+    /**
+     * Creates a report.
+     *
+     * @param folder where files are written; null for no files
+     */
     RolloutReport(PrintStream out, String commit, Path folder) {
         this.out = out;
         this.commit = commit;
         this.folder = folder;
     }
 
-    /** Plays all; whether each case kept to what is promised. */
+    /**
+     * Simulates all cases.
+     *
+     * @return whether each case was in force in time at all proxies, and none went back, was harmed
+     *     or differs
+     */
     boolean play(List<Integer> sizes, List<Long> seeds) throws IOException {
         boolean promiseKept = true;
         out.println(
--- a/src/main/java/cottonlock/lab/Series.java
+++ b/src/main/java/cottonlock/lab/Series.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** What was measured, by second of the run: answers by kind, latency, each tenant, each backend. */
+/** The measurements of a run by second: responses by kind, latency, tenants and backends. */
 final class Series {
-    /** Microseconds: longer than any expiry that a scenario may have. */
+    /** Longer than any expiry that a scenario may have. */
     private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
 
-    /** The kinds of answers and what else is counted each second, in the order of the report. */
+    /** What is counted each second, mostly kinds of responses, in the order of the report. */
     enum Count {
         DUE,
         FINISHED,
@@ -22,7 +22,7 @@
         NO_ANSWER
     }
 
-    /** Counts of each second; they grow as the run goes on. */
+    /** A count for each second; grows with the run. */
     static final class Line {
         private long[] counts = new long[16];
         private int length;
@@ -40,7 +40,7 @@
         }
     }
 
-    /** What one backend did. */
+    /** The attempts at one backend: received, completed and rejected. */
     static final class BackendCounts {
         final Line received = new Line();
         final Line done = new Line();
@@ -54,7 +54,7 @@
     private final Line[] tenantOffered;
     private final Map<String, BackendCounts> backends = new LinkedHashMap<>();
 
-    /** Microseconds from when a request was due to be sent to its answer, if it was finished. */
+    /** Latency of completed requests in microseconds, from when they were due to be sent. */
     final Histogram latency = new Histogram(MAX_LATENCY_MICROS, 3);
 
     private final List<Histogram> perSecond = new ArrayList<>();
@@ -84,7 +84,10 @@
         counts.get(kind).add(second(now), 1);
     }
 
-    /** A request's credit, in thousandths, by the second in which it was due to be sent. */
+    /**
+     * Adds a request's credit to the second in which it was due to be sent. Credit is kept in
+     * thousandths.
+     */
     void credit(int tenant, long due, double offeredCredit, double earnedCredit) {
         int s = second(due);
         offered.add(s, Math.round(1_000 * offeredCredit));
@@ -136,7 +139,10 @@
         return counts.get(kind);
     }
 
-    /** The part of the credit that a second, or with -1 all, earned; 1 where none was offered. */
+    /**
+     * The share of the offered credit that was earned, in a second or, with -1, in the whole run; 1
+     * if none was offered.
+     */
     double service(int second) {
         return earnedShare(earned, offered, second);
     }
@@ -156,14 +162,15 @@
     }
 
     /**
-     * A percentile of a second's finished requests in milliseconds; negative where there are none.
+     * A latency percentile of the requests that were due in a second and completed, in
+     * milliseconds; negative if there are none.
      */
     double latency(int second, double percentile) {
         Histogram h = second < perSecond.size() ? perSecond.get(second) : null;
         return h == null ? -1 : h.getValueAtPercentile(percentile) / 1_000.0;
     }
 
-    /** All that was due from a second on, in microseconds. */
+    /** The latencies of completed requests that were due from a second on, in microseconds. */
     Histogram from(int second) {
         Histogram sum = new Histogram(MAX_LATENCY_MICROS, 3);
         perSecond.stream().skip(second).filter(java.util.Objects::nonNull).forEach(sum::add);
--- a/src/main/java/cottonlock/lab/Verdict.java
+++ b/src/main/java/cottonlock/lab/Verdict.java
@@ -7,12 +7,15 @@
 import java.util.TreeMap;
 
 /**
- * What a run comes to: figures by name, and each breach of a rule or a bound as a line. Pure: it is
- * told figures and judges them.
+ * The result of a run: figures by name, and a line for each breach of a rule or an expected bound.
+ * Depends on its arguments alone.
  */
 @cottonlock.core.Deterministic
 final class Verdict {
-    /** The figures in the order of the line; all but the decimal ones are counts. */
+    /**
+     * The keys in the order of the verdict line. Figures are whole numbers unless a list below
+     * names their decimals.
+     */
     static final List<String> KEYS =
             List.of(
                     "service",
@@ -33,7 +36,7 @@
                     "sends_per_item",
                     "behind_ms");
 
-    /** Further ones, where the proxies know one another. */
+    /** The further keys of scenarios with membership. */
     static final List<String> MEMBERSHIP_KEYS =
             List.of(
                     "found_ms",
@@ -51,10 +54,12 @@
     private static final List<String> ONE_DECIMAL_KEYS =
             List.of("p50_ms", "p99_ms", "behind_ms", "watch_ms");
 
-    /** The four rules: a breach of one fails any scenario. */
+    /** The four rules: a breach of any of them fails a scenario. */
     private static final List<String> RULES = List.of("lost", "twice", "drains", "cold");
 
-    /** Whether the run shows anything, and what. */
+    /**
+     * The kinds of verdicts, with their exit status; a run on a machine that was too slow has none.
+     */
     enum Kind {
         PASS(0),
         FAIL(1),
@@ -70,12 +75,12 @@
     final Map<String, Double> figures = new TreeMap<>();
     final List<String> broken = new ArrayList<>();
 
-    /** The figures in the order of the line. */
+    /** The keys of this run in the order of the verdict line. */
     final List<String> keys = new ArrayList<>();
 
     final Kind kind;
 
-    /** Judges the figures; a run on a machine that was late by more than a limit has no verdict. */
+    /** Judges the figures. A run on a machine that was late by more than a limit has no verdict. */
     Verdict(
             Map<String, Double> figures,
             List<Scenario.Bound> bounds,
@@ -135,7 +140,7 @@
                 : Long.toString((long) value);
     }
 
-    /** The last line on standard output. */
+    /** Returns the verdict line, the last one on standard output. */
     String line() {
         StringBuilder line = new StringBuilder("verdict: ").append(word());
         keys.forEach(key -> line.append(' ').append(key).append('=').append(format(key)));
