--- a/src/main/java/cottonlock/lab/world/Fleet.java
+++ b/src/main/java/cottonlock/lab/world/Fleet.java
@@ -21,30 +21,35 @@
 import java.util.function.LongSupplier;
 
 /**
- * Processes that know one another, in a world: started, killed, paused, hung and cut off from
- * outside, and judged by what is true of them.
+ * A simulated fleet of processes that run the membership protocol in a {@link World}. Tests and
+ * studies start, kill, pause, hang and partition them, and compare their views with the truth.
  */
 @Deterministic
 public final class Fleet {
-    /** Datagrams that a paused process's socket holds: some 200 KB as the kernel counts them. */
+    /**
+     * The datagrams that the socket of a paused process buffers: about 200 KB by the kernel's
+     * accounting.
+     */
     private static final int MAX_QUEUED_DATAGRAMS = 256;
 
     private static final long TICKS_PER_SECOND = 10_000;
 
     /**
-     * Periods within which a change from outside may still lead to a failure that is none by then.
+     * Protocol periods after a change from outside within which reports of failures may still be
+     * due to the state before it.
      */
     private static final int SETTLE_PERIODS = 14;
 
     /**
-     * One in so many nodes is metered: reading the processor's clock takes as long as a datagram.
+     * CPU time is measured at every eighth node only: reading the CPU clock takes as long as
+     * handling a datagram.
      */
     private static final int METERED_INTERVAL = 8;
 
-    /** One called another failed, which lived and could be reached. */
+    /** A viewer called another member failed although that member was up and reachable. */
     public record FalseFailure(long at, String viewer, String member, String reason) {}
 
-    /** Makes the machine of one process; tests put other ones in its place. */
+    /** Creates the membership state machine of one process; tests provide variants. */
     public interface MembershipFactory {
         Membership create(
                 MembershipProtocolConfig rules,
@@ -54,7 +59,7 @@
                 SplittableRandom random);
     }
 
-    /** One proxy, over its lives. */
+    /** One proxy, over all its restarts. */
     public final class Node {
         final int number;
         public final String name;
@@ -81,13 +86,16 @@
         }
 
         private void send(String to, byte[] datagram) {
-            // What the world does with a datagram is no cost of the process.
+            // The simulated network's CPU time does not count for the process.
             meter(false);
             transmit(to, datagram);
             meter(true);
         }
 
-        /** The processor's clock is read where the process begins, and again where it is done. */
+        /**
+         * Measures CPU time: the clock is read when the process starts to work and again when it is
+         * done.
+         */
         private void meter(boolean starting) {
             if (cpuClock != null && number % METERED_INTERVAL == 0) {
                 long time = cpuClock.getAsLong();
@@ -144,7 +152,7 @@
                 return;
             }
             if (paused) {
-                // Once it goes on, what has queued up is read first.
+                // On resumption queued datagrams are handled before the timer.
                 timerMissed = true;
                 return;
             }
@@ -156,7 +164,7 @@
             scheduleTimer(next, startNumber);
         }
 
-        /** A process starts, with a clock that is off by so much. */
+        /** Starts a process whose clock is off by {@code clockOffset} ticks. */
         public void start(long clockOffset) {
             up = true;
             changedAt = world.now();
@@ -210,7 +218,7 @@
             up = false;
         }
 
-        /** It ends by its own word, and answers for a second more. */
+        /** Leaves the membership, and ends a second later; until then the process still answers. */
         public void leave() {
             int startNumber = startCount;
             scheduleTimer(machine.leave(world.now()), startNumber);
@@ -254,7 +262,7 @@
     public final World world;
     public final List<Node> nodes = new ArrayList<>();
 
-    /** Who called whom failed while it lived and could be reached. */
+    /** All false failures so far. */
     public final List<FalseFailure> falseFailures = new ArrayList<>();
 
     private final MembershipProtocolConfig rules;
@@ -263,18 +271,20 @@
     private final Map<String, Node> byName = new HashMap<>();
     private final boolean membersAreFixed;
 
-    /** The side of each node while the fleet is split, and when that was last changed. */
+    /** The side of each node while the fleet is split. */
     private final int[] sides;
 
     private boolean split;
+
+    /** When the sides were last changed. */
     private long splitAt;
 
-    /** Whether a failure told within one side of a split counts as a false one, too. */
+    /** Whether failures that are reported within one side of a split count as false ones, too. */
     private boolean judgesWithinSides;
 
     private long settleTicks;
 
-    /** Whose view was not right when all were last asked: it is asked first. */
+    /** The node whose view was wrong in the last comparison: the next one starts with it. */
     private int lastWrongNode;
 
     private LongSupplier cpuClock;
@@ -286,8 +296,10 @@
     }
 
     /**
-     * Known: how many addresses each is told, evenly spread; where they are all, it takes no
-     * other's.
+     * Creates a fleet.
+     *
+     * @param known number of evenly spread contact addresses that each member knows; if these are
+     *     all members, no other address is accepted
      */
     public Fleet(
             World world,
@@ -314,22 +326,22 @@
         this(world, size, rules, Membership::new);
     }
 
-    /** All start within a time. */
+    /** Starts all nodes at random times within so many ticks. */
     public void startAll(long within) {
         for (Node node : nodes) {
             world.at(world.now() + world.chance().nextLong(within + 1), () -> node.start(0));
         }
     }
 
-    /** A node; null for a name that no datagram but a spoilt one can bear. */
+    /** Finds a node by name; null for a name that only a corrupted datagram can contain. */
     private Node nodeNamed(String name) {
         return byName.get(name);
     }
 
     /**
-     * Meters one in eight nodes from now on.
+     * Measures the CPU time of every eighth node from now on.
      *
-     * @param clock the processor time of this thread, in nanoseconds
+     * @param clock the CPU time of this thread, in nanoseconds
      */
     public void meter(LongSupplier clock) {
         cpuClock = clock;
@@ -337,15 +349,12 @@
         clockReadings = 0;
     }
 
-    /**
-     * Nanoseconds that the metered nodes have spent since the meter was set, and how many these
-     * are.
-     */
+    /** CPU time in nanoseconds that the measured nodes have used since {@link #meter}. */
     public long cpuNanos() {
         return cpuNanos;
     }
 
-    /** How often the processor's clock was read for it. */
+    /** How often the CPU clock was read since {@link #meter}. */
     public long clockReadings() {
         return clockReadings;
     }
@@ -354,12 +363,15 @@
         return (nodes.size() + METERED_INTERVAL - 1) / METERED_INTERVAL;
     }
 
-    /** Splits it: node i is on side {@code i % groups}; one group is none. */
+    /** Splits the fleet: node i is on side {@code i % groups}. One group ends the split. */
     public void split(int groups) {
         setSides(i -> i % groups);
     }
 
-    /** Splits it into sides, each whole in itself; all on one side is none. */
+    /**
+     * Splits the fleet into sides, each fully connected within itself. All nodes on one side end
+     * the split.
+     */
     public void setSides(IntUnaryOperator side) {
         split = false;
         for (int i = 0; i < sides.length; i++) {
@@ -371,8 +383,8 @@
     }
 
     /**
-     * Judges failures told within each side of a split, too, once the longest doubt there has
-     * ended.
+     * Also counts false failures within each side of a split, from when the longest suspicion on
+     * that side has ended.
      */
     public void judgeWithinSides() {
         judgesWithinSides = true;
@@ -384,8 +396,8 @@
     }
 
     /**
-     * Whether a node has lived, served and been in reach of all for a while: who calls it failed
-     * errs.
+     * Whether a node has been up, serving and reachable by all for so long that calling it failed
+     * is wrong.
      */
     public boolean reachable(int number) {
         return !split && isSettled(nodes.get(number));
@@ -407,8 +419,8 @@
     }
 
     /**
-     * How many were called failed wrongly, from an entry on; by several within half a minute is
-     * once.
+     * Counts the members that were wrongly called failed, from an entry of {@link #falseFailures}
+     * on. Several reports about a member within the same half minute count once.
      */
     public int wrongedCount(int from) {
         Set<String> wronged = new TreeSet<>();
@@ -418,7 +430,7 @@
         return wronged.size();
     }
 
-    /** Whether this node's view has every live process that it can reach, and none that is gone. */
+    /** Whether this node's view has every live process that it can reach, and no other. */
     public boolean isViewCorrect(Node node) {
         int present = 0;
         for (Node other : nodes) {
@@ -443,16 +455,16 @@
                 && sides[other.number] == sides[node.number];
     }
 
-    /** Whether all views are right, and so alike. */
+    /** Whether all views are right, and therefore the same. */
     public boolean agree() {
         return agree(i -> true);
     }
 
     /** Whether the views of these nodes are right. */
     public boolean agree(IntPredicate selected) {
-        // Per side: how many are there, and the digest of a view that was found right. Another view
-        // with the
-        // same digest has the same members, and need not be compared one by one.
+        // Per side: the number of processes, and the digest of a view that was found right. Another
+        // view with the
+        // same digest has the same members and need not be compared in full.
         Map<Integer, Integer> present = new HashMap<>();
         Map<Integer, Long> correctDigests = new HashMap<>();
         for (Node n : nodes) {
@@ -479,12 +491,14 @@
         return true;
     }
 
-    /** Goes on until all views are right; returns the time it took, or -1 after {@code most}. */
+    /**
+     * Runs until all views are right; returns the ticks that took, or -1 after {@code maxTicks}.
+     */
     public long untilAgreed(long maxTicks) {
         return untilAgreed(i -> true, maxTicks);
     }
 
-    /** The same for the views of some. */
+    /** Runs until the views of the selected nodes are right; returns the ticks that took, or -1. */
     public long untilAgreed(IntPredicate selected, long maxTicks) {
         long from = world.now();
         while (world.now() - from <= maxTicks) {
@@ -496,7 +510,10 @@
         return -1;
     }
 
-    /** Goes on until one, or all, of the living hold a node for gone; -1 after {@code most}. */
+    /**
+     * Runs until one, or all, of the live nodes consider a node gone; returns the ticks that took,
+     * or -1 after {@code maxTicks}.
+     */
     public long untilFailed(Node dead, boolean all, long maxTicks) {
         long from = world.now();
         while (world.now() - from <= maxTicks) {
--- a/src/main/java/cottonlock/lab/world/RegionsStudy.java
+++ b/src/main/java/cottonlock/lab/world/RegionsStudy.java
@@ -11,51 +11,51 @@
 import java.util.function.LongSupplier;
 
 /**
- * A fleet over regions and zones in virtual time: all start within a second; a quiet stretch; a
- * rack dies and is back; a zone is cut off and back; regions are apart and meet again; many restart
- * within a minute.
+ * Simulates a fleet over regions and zones in virtual time: all members start within a second; a
+ * phase without faults; a rack fails and comes up again; a zone is partitioned and heals; regions
+ * are partitioned and heal; many members restart within a minute.
  */
 @Deterministic
 public final class RegionsStudy {
     private static final long TICKS_PER_SECOND = 10_000;
 
-    /** Seconds after which views that are not right yet count as never so. */
+    /** Views that are not right after this time count as never right. */
     private static final long MAX_WAIT_TICKS = 900 * TICKS_PER_SECOND;
 
-    /** One member in so many stands in the rack that dies. */
+    /** One member in fifty is in the rack that fails. */
     private static final int MEMBERS_PER_RACK_MEMBER = 50;
 
     /**
-     * Restarts within a minute: of a fleet of 3,000 at work, and of a smaller one no more than
-     * half.
+     * Restarts within a minute, as in a fleet of 3,000 in production; in a smaller fleet at most
+     * half of the members.
      */
     private static final int MAX_RESTARTS = 350;
 
-    /** A process that leaves is back after this: a second to end and one to start. */
+    /** From when a process leaves until its successor starts: a second to end and one to start. */
     private static final long RESTART_TICKS = 2 * TICKS_PER_SECOND;
 
-    /** Seconds that an agreed fleet is left alone between two faults. */
+    /** The pause between two phases after the views have converged. */
     private static final long PAUSE_TICKS = 20 * TICKS_PER_SECOND;
 
-    /** What is measured outside of virtual time. */
+    /** Measures what virtual time does not show: CPU time and heap. */
     public interface Gauge {
-        /** The processor time of this thread in nanoseconds; each reading has a cost of its own. */
+        /** The CPU time of this thread in nanoseconds; each reading has a cost of its own. */
         LongSupplier cpuClock();
 
-        /** Nanoseconds that one reading adds to what lies between two. */
+        /** The nanoseconds that a reading adds to the measured time. */
         long readingNanos();
 
-        /** Bytes in use on the heap after it has been tidied. */
+        /** Bytes in use on the heap after garbage collection. */
         long heapBytes();
     }
 
     /**
-     * What is played.
+     * The parameters of a simulation.
      *
-     * @param quiet seconds of the quiet stretch
-     * @param apart seconds for which regions, and before that a zone for a tenth of them, are cut
-     *     off; at least a minute for the zone
-     * @param known addresses that each member is told; the size: all
+     * @param quietSeconds length of the phase without faults
+     * @param apartSeconds for how long regions are partitioned; a zone is partitioned for a tenth
+     *     of it, at least a minute
+     * @param knownAddresses contact addresses that each member knows; equal to the size for all
      */
     public record Parameters(
             long seed,
@@ -93,9 +93,10 @@
     }
 
     /**
-     * Plays it; all figures so far are told whenever there is one more.
+     * Runs the simulation; passes on all figures so far whenever one is added.
      *
-     * @return figures by name, in milliseconds, bytes and microseconds; -1 where it never was
+     * @return figures by name, in milliseconds, bytes and microseconds; -1 where an event never
+     *     happened
      */
     public static Map<String, Long> run(
             Parameters parameters,
@@ -127,7 +128,7 @@
         onFigure.accept(name, figures);
     }
 
-    /** Milliseconds until all views are right, from a moment on. */
+    /** Runs until all views are right, and records the milliseconds since {@code from}. */
     private void awaitAgreement(String name, long from) {
         long took = fleet.untilAgreed(MAX_WAIT_TICKS);
         figure(name, took < 0 ? -1 : (world.now() - from) / 10);
@@ -160,7 +161,8 @@
     }
 
     /**
-     * Microseconds of processor time a second of one member, over so many tenths of a millisecond.
+     * Records the CPU time of one member in microseconds per second, measured over {@code time}
+     * ticks.
      */
     private void recordCpu(String name, long time) {
         long nanos = fleet.cpuNanos() - fleet.clockReadings() / 2 * gauge.readingNanos();
--- a/src/main/java/cottonlock/lab/world/Study.java
+++ b/src/main/java/cottonlock/lab/world/Study.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * What knowing one another costs and brings at one size and loss, in virtual time: deaths found one
- * after the other, a quiet stretch, a split into halves and its heal.
+ * Measures the membership protocol at one fleet size and packet loss in virtual time: a phase
+ * without faults, deaths one after the other, and a split into halves that heals.
  */
 @Deterministic
 public final class Study {
@@ -16,16 +16,18 @@
     private static final long MAX_WAIT_TICKS = 120 * TICKS_PER_SECOND;
 
     /**
-     * What was found; times in milliseconds, -1 where it never was.
+     * The results; times in milliseconds, -1 where an event never happened.
      *
-     * @param first until the first knows of a death: median and worst
-     * @param all until all know
-     * @param falseHour members that lived and were called failed, for each hour of the whole
-     *     fleet's
-     * @param hours over how long that was counted
-     * @param mean bytes a second of one member in the mean
-     * @param worst the most bytes of any member in a second
-     * @param heal from the end of a split into halves until all views are right
+     * @param firstMillis until the first member noticed a death, median
+     * @param worstFirstMillis the same, worst
+     * @param allMillis until all members noticed a death, median
+     * @param worstAllMillis the same, worst
+     * @param falseFailuresPerHour live members of the whole fleet that were called failed, per hour
+     * @param hours for how long these were counted
+     * @param meanBytes sent by one member per second, on average
+     * @param worstBytes the most that any member sent in a second
+     * @param joinedMillis from the start until all views were right
+     * @param healedMillis from the end of the split until all views were right
      */
     public record Row(
             int size,
@@ -44,10 +46,11 @@
     private Study() {}
 
     /**
-     * Plays it.
+     * Runs the simulation.
      *
-     * @param deaths how many are killed, one after the other
-     * @param quiet seconds without a fault, for false failures and bytes
+     * @param deathCount how many members are killed, one after the other
+     * @param quietSeconds length of the phase without faults in which false failures and bytes are
+     *     counted
      */
     public static Row run(
             long seed,
@@ -58,7 +61,7 @@
             MembershipProtocolConfig rules) {
         World world = new World(seed);
         Fleet fleet = new Fleet(world, size, rules);
-        // As between machines of one room: a millisecond or so.
+        // As between machines of one data centre: about a millisecond.
         world.delay(2, 10);
         world.trouble(loss, 0, 0);
         fleet.startAll(TICKS_PER_SECOND);
--- a/src/main/java/cottonlock/lab/world/Topology.java
+++ b/src/main/java/cottonlock/lab/world/Topology.java
@@ -3,28 +3,25 @@
 import cottonlock.core.Deterministic;
 
 /**
- * Which zone and region each numbered place is in: zones take places in turn, regions take zones in
- * order.
+ * Assigns numbered nodes to zones in turn, and zones to regions in blocks.
  *
- * @param regions 1 at least
- * @param zones over all regions; as many as regions at least
+ * @param regions at least 1
+ * @param zones over all regions; at least as many as regions
  */
 @Deterministic
 public record Topology(int regions, int zones) implements World.Delay {
-    /**
-     * Tenths of a millisecond one way: across a room, a town and a continent, and what each varies
-     * by.
-     */
+    /** One-way delay within a zone, between the zones of a region, and between regions. */
     private static final int[] MIN_TICKS = {2, 5, 300};
 
+    /** The largest extra delay for each of these distances. */
     private static final int[] SPREAD_TICKS = {4, 10, 50};
 
-    /** The zone of a place, from 0 on. */
+    /** The zone of a node, from 0 on. */
     public int zone(int place) {
         return place % zones;
     }
 
-    /** The region of a place, from 0 on. */
+    /** The region of a node, from 0 on. */
     public int region(int place) {
         return zone(place) * regions / zones;
     }
--- a/src/main/java/cottonlock/lab/world/World.java
+++ b/src/main/java/cottonlock/lab/world/World.java
@@ -6,23 +6,23 @@
 import java.util.zip.CRC32;
 
 /**
- * Virtual time, and the way of datagrams between numbered places: what is lost, late, doubled or
- * spoilt, and what is cut. Times are tenths of a millisecond. Tasks of one moment run in the order
- * of their setting.
+ * Virtual time, and a simulated network between numbered nodes that loses, delays, duplicates and
+ * corrupts datagrams and can be partitioned. Times are in ticks of 0.1 ms. Tasks that are due at
+ * the same time run in the order in which they were scheduled.
  */
 @Deterministic
 public final class World {
-    /** Whether nothing gets through from one place to another. */
+    /** Decides whether all datagrams from one node to another are dropped. */
     public interface Cut {
         boolean cuts(int from, int to);
     }
 
-    /** How long datagrams between two places take, in tenths of a millisecond. */
+    /** How long datagrams between two nodes take, in ticks. */
     public interface Delay {
-        /** The shortest. */
+        /** The shortest delay. */
         long minTicks(int from, int to);
 
-        /** Evenly drawn up to so much more. */
+        /** The largest extra delay; it is drawn uniformly. */
         long spreadTicks(int from, int to);
     }
 
@@ -53,12 +53,12 @@
         return now;
     }
 
-    /** Chance for whoever lives in this world. */
+    /** The random numbers of everything in this world. */
     public SplittableRandom chance() {
         return chance;
     }
 
-    /** The parts of datagrams that are lost, that come twice, and of which a byte is changed. */
+    /** Sets the probabilities that a datagram is lost, is duplicated, or has a byte changed. */
     public void trouble(double lost, double doubled, double changed) {
         lossProbability = lost;
         duplicationProbability = doubled;
@@ -66,14 +66,14 @@
     }
 
     /**
-     * How long a datagram takes: this at least, and evenly drawn up to so much more, so some
-     * overtake.
+     * Sets the delay of all datagrams: a minimum, and an extra delay that is drawn uniformly up to
+     * a maximum, so that some datagrams overtake others.
      */
     public void delay(long minTicks, long spreadTicks) {
         delay = uniform(minTicks, spreadTicks);
     }
 
-    /** The same, by pair of places. */
+    /** Sets the delay for each pair of nodes. */
     public void delay(Delay newDelay) {
         delay = newDelay;
     }
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Of all datagrams so far, with their times and ways, byte by byte: two worlds alike have the
-     * same.
+     * A hash of all datagrams so far with their times, senders and receivers: equal simulations
+     * have equal fingerprints.
      */
     public long fingerprint() {
         return fingerprint;
@@ -104,12 +104,12 @@
         cut = newCut;
     }
 
-    /** Runs a task at a time, now at the earliest. */
+    /** Schedules a task for a time, at the earliest now. */
     public void at(long time, Runnable task) {
         tasks.add(new Task(Math.max(now, time), nextOrder++, task));
     }
 
-    /** Sends a datagram; {@code arrives} is given it when it comes, once, twice or never. */
+    /** Sends a datagram; {@code arrives} receives it once, twice or never. */
     public void send(
             int from, int to, byte[] datagram, java.util.function.Consumer<byte[]> arrives) {
         checksum.reset();
@@ -143,7 +143,7 @@
         }
     }
 
-    /** Goes on until a time; what is set for later stays. */
+    /** Runs all tasks that are due by a time, which then is the current time. */
     public void until(long time) {
         while (!tasks.isEmpty() && tasks.peek().at <= time) {
             Task task = tasks.poll();
--- a/src/main/java/cottonlock/lab/world/package-info.java
+++ b/src/main/java/cottonlock/lab/world/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Fleets in virtual time: the classes that decide, as they serve, on a clock and a network that one
- * seed decides. No sockets, no threads; one seed gives one run.
+ * Simulated fleets in virtual time: the production decision classes on a simulated clock and
+ * network. No sockets, no threads; a seed determines the whole run.
  */
 package cottonlock.lab.world;
