--- a/src/main/java/cottonlock/lab/rollout/ControlModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ControlModel.java
@@ -9,35 +9,38 @@
 import java.util.Set;
 
 /**
- * A control machine in virtual time: it tells the highest version that it knows, to watches as it
- * comes and to each call. It does one thing after the other; a call for which too much waits is
- * turned away. How long each takes is assumed, not measured.
+ * A simulated control server: announces the highest configuration version that it knows to its
+ * watches, and answers calls with it. It handles one thing at a time and refuses calls while its
+ * backlog is too long. The service times are assumed, not measured.
  */
 @Deterministic
 final class ControlModel {
-    /**
-     * Tenths of a millisecond: a call that is answered, one that is turned away, one line to one
-     * watch.
-     */
+    /** Service time of an answered call. */
     private static final long CALL_TICKS = 50;
 
+    /** Service time of a refused call. */
     private static final long REFUSAL_TICKS = 5;
+
+    /** Service time of one line to one watch. */
     private static final double LINE_TICKS = 0.5;
 
-    /** So much may wait before calls are turned away. */
+    /** Calls are refused while the backlog of work is longer than this. */
     private static final long MAX_BACKLOG_TICKS = 2_000;
 
     private static final long HEARTBEAT_TICKS = 20_000;
     private static final long TICKS_PER_SECOND = 10_000;
 
-    /** The other side of a connection. */
+    /** The calling side of a connection. */
     interface Caller {
         int zone();
 
-        /** A version with its content, or without where the call named it; null: an empty line. */
+        /**
+         * A line has arrived: a version with its content, or without content if the caller has it
+         * already; null for an empty line, a heartbeat.
+         */
         void onLine(ConfigurationVersion version, boolean withContent);
 
-        /** The connection has ended, or was refused. */
+        /** The connection has ended or was refused. */
         void onEnded();
     }
 
@@ -55,7 +58,7 @@
     private long currentSecond = -1;
     private int callsInSecond;
 
-    /** The most calls of any second since it was last asked. */
+    /** The most calls in any second since {@link #takeMaxCallsPerSecond}. */
     private int maxCallsInSecond;
 
     ControlModel(int number, int zone, World world, Links links) {
@@ -70,7 +73,7 @@
         return heldVersion;
     }
 
-    /** It hears of a version; one that lies behind does not. */
+    /** Takes over a version that is published, unless the server is frozen or down. */
     void announce(ConfigurationVersion version) {
         if (!down && !frozen && version.compareTo(heldVersion) > 0) {
             heldVersion = version;
@@ -80,12 +83,15 @@
         }
     }
 
-    /** Lies behind: it hears nothing new. */
+    /** Sets whether the server learns of no new versions. */
     void setFrozen(boolean on) {
         frozen = on;
     }
 
-    /** Tells half of each version: what it tells has not the digest that is told with it. */
+    /**
+     * Sets whether the server sends only half of each version's content, which then does not match
+     * its digest.
+     */
     void setTruncating(boolean on) {
         truncating = on;
     }
@@ -94,7 +100,7 @@
         return truncating;
     }
 
-    /** All that it does takes so many times longer. */
+    /** Multiplies all service times. */
     void setSlowdown(long times) {
         slowdown = times;
     }
@@ -110,7 +116,7 @@
         return down;
     }
 
-    /** Ends all its watches. */
+    /** Ends all watches. */
     void dropWatches() {
         List<Caller> all = new ArrayList<>(watches);
         watches.clear();
@@ -118,7 +124,8 @@
     }
 
     /**
-     * A call has come, for a watch that names what it has, or for the number of what is held here.
+     * Handles a call: either a watch, which names the version that the caller has, or a request for
+     * the version held here.
      */
     void onCall(Caller caller, ConfigurationVersion has, boolean watch) {
         long now = world.now();
@@ -162,7 +169,7 @@
                                 () -> removeWatch(caller)));
     }
 
-    /** A caller has closed its connection, or can't be reached. */
+    /** Removes a caller that has closed its connection or can't be reached. */
     void removeWatch(Caller caller) {
         watches.remove(caller);
     }
--- a/src/main/java/cottonlock/lab/rollout/Deployment.java
+++ b/src/main/java/cottonlock/lab/rollout/Deployment.java
@@ -13,8 +13,9 @@
 import java.util.Set;
 
 /**
- * Proxies and control machines over zones and regions, in virtual time. Control machines tell one
- * another what is published: each at once, and each second one that is drawn, for what was missed.
+ * Simulated proxies and control servers over zones and regions. A published version is sent to all
+ * control servers at once; each second every control server also asks a random other one for what
+ * it missed.
  */
 @Deterministic
 final class Deployment {
@@ -23,12 +24,13 @@
     static final int ZONES = 7;
     static final int CONTROL = 17;
 
-    /** Bytes of a version's line: settings of some twenty request classes. */
+    /** Size of a version's content: settings of about twenty request classes. */
     private static final int VERSION_BYTES = 4_096;
 
-    /** Until another control machine has what was published: from, and up to so much more. */
+    /** The shortest time until a published version reaches another control server. */
     private static final long MIN_REPLICATION_TICKS = 100;
 
+    /** The largest extra replication time; it is drawn uniformly. */
     private static final long REPLICATION_SPREAD_TICKS = 1_900;
 
     final World world;
@@ -36,13 +38,13 @@
     final List<ControlModel> control = new ArrayList<>();
     final List<ProxyModel> proxies = new ArrayList<>();
 
-    /** Versions that can't be used, by whoever tries them. */
+    /** Versions that fail validation at every proxy. */
     final Set<ConfigurationVersion> unusableVersions = new HashSet<>();
 
     private ConfigurationVersion target;
     private long targetSetAt;
 
-    /** How long each proxy took until it held the target; -1: it does not yet. */
+    /** How long each proxy took to bring the target version into force; -1 if it has not yet. */
     private long[] ticksToTarget;
 
     private long[] startedAt;
@@ -114,7 +116,7 @@
         proxies.get(proxy).start();
     }
 
-    /** Each second one other machine is asked for what was missed. */
+    /** Asks a random other control server for what was missed; repeats every second. */
     private void reconcile(int number) {
         ControlModel one = control.get(number);
         int drawn = world.chance().nextInt(CONTROL - 1);
@@ -125,15 +127,13 @@
         world.at(world.now() + TICKS_PER_SECOND, () -> reconcile(number));
     }
 
-    /**
-     * A version is published at a control machine; from now on it is the one that is waited for.
-     */
+    /** Publishes a version at a control server and makes it the target. */
     void publish(int at, ConfigurationVersion version) {
         expect(version);
         announce(at, version);
     }
 
-    /** Published, but not the one that is waited for. */
+    /** Publishes a version without making it the target. */
     void announce(int at, ConfigurationVersion version) {
         ControlModel origin = control.get(at);
         origin.announce(version);
@@ -148,7 +148,7 @@
         }
     }
 
-    /** Times count from now on, until a proxy holds this version. */
+    /** Makes a version the target: measures from now on when it comes into force at each proxy. */
     void expect(ConfigurationVersion version) {
         target = version;
         targetSetAt = world.now();
@@ -166,7 +166,10 @@
         }
     }
 
-    /** Goes on until these proxies hold the target or so much time is over; their times, sorted. */
+    /**
+     * Runs until these proxies hold the target, at most {@code maxTicks}; returns their times,
+     * sorted.
+     */
     List<Long> awaitTarget(long maxTicks, List<Integer> proxyNumbers) {
         long until = world.now() + maxTicks;
         while (world.now() < until && proxyNumbers.stream().anyMatch(i -> ticksToTarget[i] < 0)) {
@@ -192,7 +195,9 @@
                 .toList();
     }
 
-    /** The most calls of any second at any control machine since it was last asked. */
+    /**
+     * The most calls in any second at any control server since the previous call of this method.
+     */
     int takeMaxCallsPerSecond() {
         int max = 0;
         for (ControlModel c : control) {
@@ -201,7 +206,7 @@
         return max;
     }
 
-    /** The most bytes of any second at any proxy since it was last asked. */
+    /** The most bytes in any second at any proxy since the previous call of this method. */
     long takeMaxBytesPerSecond() {
         long max = 0;
         for (ProxyModel p : proxies) {
--- a/src/main/java/cottonlock/lab/rollout/Links.java
+++ b/src/main/java/cottonlock/lab/rollout/Links.java
@@ -4,21 +4,23 @@
 import cottonlock.lab.world.World;
 
 /**
- * The ways between zones, in virtual time: how long a message takes, and what is cut. A message is
- * one of a connection that stands: while its way is cut it is sent again, and comes when the cut
- * ends.
+ * The simulated network between zones: delays and partitions. Messages belong to established
+ * connections: while a path is cut they are retransmitted, and arrive after the cut has ended.
  */
 @Deterministic
 final class Links {
-    /** Tenths of a millisecond between two sendings of what was not acknowledged. */
+    /** Interval of retransmissions. */
     private static final long RETRANSMIT_TICKS = 3_000;
 
-    /** So long a side goes on sending before it gives its connection up. */
+    /** How long a side retransmits before it gives up its connection. */
     private static final long GIVE_UP_TICKS = 150_000;
 
-    /** Within a zone, between zones, and between regions, one way, and how much more by chance. */
+    /**
+     * The shortest one-way delay within a zone, between the zones of a region, and between regions.
+     */
     private static final long[] MIN_DELAY_TICKS = {2, 5, 300};
 
+    /** The extra delay is drawn uniformly below this. */
     private static final long DELAY_SPREAD_TICKS = 10;
 
     private final World world;
@@ -34,12 +36,12 @@
         this.regions = regions;
     }
 
-    /** Cuts the regions from one another, or joins them again. */
+    /** Partitions the regions from each other, or heals the partition. */
     void split(boolean apart) {
         split = apart;
     }
 
-    /** A zone is reached only in the first part of each period, until a time. */
+    /** Makes a zone reachable only in the first {@code upTicks} of each period, until a time. */
     void flap(int zone, long periodTicks, long upTicks, long until) {
         flappingZone = zone;
         flapPeriodTicks = periodTicks;
@@ -62,7 +64,7 @@
         return minDelayTicks + world.chance().nextLong(DELAY_SPREAD_TICKS);
     }
 
-    /** Carries a message; {@code lost} is run where the connection is given up. */
+    /** Delivers a message; {@code lost} runs instead if the connection is given up. */
     void carry(int from, int to, Runnable arrives, Runnable lost) {
         carry(from, to, world.now() + GIVE_UP_TICKS, arrives, lost);
     }
--- a/src/main/java/cottonlock/lab/rollout/ProxyModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ProxyModel.java
@@ -13,26 +13,29 @@
 import java.util.SplittableRandom;
 
 /**
- * A proxy in virtual time: {@link ConfigurationRollout} as it serves, carried as {@code
- * cottonlock.proxy.control.RolloutActor} does on sockets: one thread, one watch, and a second
- * connection during a comparison.
+ * A simulated proxy: the production {@link ConfigurationRollout}, driven as {@code
+ * cottonlock.proxy.control.RolloutActor} drives it on sockets: with one thread, one watch, and a
+ * second connection during a comparison.
  */
 @Deterministic
 final class ProxyModel {
     private static final long TICKS_PER_SECOND = 10_000;
 
     /**
-     * Bytes, those of TCP and IP among them, sent and received: a connection's begin and end with
-     * the call and the answer's head; a line that tells a number; an empty line.
+     * Bytes sent and received for a call, with TCP and IP headers: connection set-up and close, the
+     * call, and the head of the response.
      */
     private static final int CALL_BYTES = 7 * 40 + 170 + 70;
 
+    /** Bytes for a line with a version's number, with headers and acknowledgement. */
     private static final int LINE_BYTES = 80 + 75;
+
+    /** Bytes for an empty line, with headers and acknowledgement. */
     private static final int HEARTBEAT_BYTES = 80 + 6;
 
-    /** What a version does where it is tried. */
+    /** The validity and the size of versions. */
     interface Content {
-        /** Why a version can't be used; null: it can. */
+        /** Why a version can't be used; null if it can. */
         String fault(ConfigurationVersion version);
 
         int bytes(ConfigurationVersion version);
@@ -47,12 +50,12 @@
     private final RolloutVariants variants;
     private final SplittableRandom random;
 
-    /** Called at each change of what is in force. */
+    /** Called whenever the version in force may have changed. */
     private final Runnable onChange;
 
     private ConfigurationRollout rollout;
 
-    /** On its disk. */
+    /** The version on disk; survives a restart. */
     private ConfigurationVersion storedVersion = ConfigurationVersion.NONE;
 
     private ConfigurationVersion inForce = ConfigurationVersion.NONE;
@@ -93,7 +96,7 @@
         this.onChange = onChange;
     }
 
-    /** One connection to a control machine; what comes after it was left counts for nothing. */
+    /** One connection to a control server. Whatever arrives after it is closed is ignored. */
     private final class Connection implements ControlModel.Caller {
         final ControlModel server;
         final int number;
@@ -114,7 +117,7 @@
         void open(long limit) {
             countBytes(CALL_BYTES);
             ConfigurationVersion has = rollout.requestedFrom();
-            // A first packet is sent again after a second, beyond any limit here.
+            // A lost SYN is retransmitted after a second, which is beyond any timeout here.
             if (!links.cut(zone, server.zone)) {
                 world.at(
                         world.now() + 3 * links.delay(zone, server.zone),
@@ -142,7 +145,7 @@
                                         ? HEARTBEAT_BYTES
                                         : LINE_BYTES + (withContent ? content.bytes(version) : 0));
                         if (withContent && server.isTruncating() && variants.validates()) {
-                            // What is told is not what its digest names: no version at all.
+                            // The content does not match its digest, so this is not a version.
                             onEnded();
                             return;
                         }
@@ -205,7 +208,10 @@
         }
     }
 
-    /** Its thread does nothing while it is stopped, and reads no watch during a comparison. */
+    /**
+     * Runs a task, or defers it: a paused process does nothing, and the watch is not read during a
+     * comparison.
+     */
     private void runInOrder(Connection on, Runnable task) {
         int now = startCount;
         if (paused || (comparison != null && on.watches)) {
@@ -315,7 +321,7 @@
         openWatch();
     }
 
-    /** Its process ends; what it has on its disk stays. */
+    /** Kills the process; the version on disk stays. */
     void kill() {
         alive = false;
         startCount++;
@@ -327,7 +333,7 @@
         }
     }
 
-    /** Stopped for a time: when it wakes, all between have forgotten its connection. */
+    /** Suspends or resumes the process. On suspension the control server drops the watch. */
     void pause(boolean stop) {
         paused = stop;
         if (stop) {
@@ -355,17 +361,17 @@
         return rollout.status();
     }
 
-    /** How often it held less than it had held before. */
+    /** How often a version came into force that is lower than an earlier one. */
     int wentBackCount() {
         return wentBackCount;
     }
 
-    /** Whether a version came into force that can't be used. */
+    /** Whether a version that can't be used ever came into force. */
     boolean hadUnusableInForce() {
         return unusableInForce;
     }
 
-    /** How many versions were judged. */
+    /** How many versions were validated. */
     int validatedCount() {
         return validatedCount;
     }
--- a/src/main/java/cottonlock/lab/rollout/RolloutStudy.java
+++ b/src/main/java/cottonlock/lab/rollout/RolloutStudy.java
@@ -10,28 +10,32 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** Plays what a change of the settings costs, and each hard case, in virtual time. */
+/**
+ * Simulates rollouts of configuration versions in virtual time: without faults, and in each fault
+ * case.
+ */
 @Deterministic
 public final class RolloutStudy {
-    /** Control machines, regions and zones of each deployment. */
+    /** The number of control servers of each deployment. */
     public static final int CONTROL = Deployment.CONTROL;
 
     public static final int REGIONS = Deployment.REGIONS;
     public static final int ZONES = Deployment.ZONES;
     private static final long TICKS_PER_SECOND = Deployment.TICKS_PER_SECOND;
 
-    /** What is not in force by then counts as never. */
+    /** A version that is not in force after this time counts as never in force. */
     private static final long MAX_WAIT_TICKS = 60 * TICKS_PER_SECOND;
 
-    /**
-     * Changes between which the figures of quiet days are taken, and how far they are apart: 2,100
-     * a day.
-     */
+    /** Versions that are published in the case without faults. */
     private static final int QUIET_CHANGES = 5;
 
+    /** Between two versions: 2,100 a day. */
     private static final long CHANGE_INTERVAL_TICKS = 41 * TICKS_PER_SECOND;
 
-    /** What an hour's stop costs does not hang on the size of the fleet around it. */
+    /**
+     * The largest fleet in the case of proxies that are suspended for an hour: their cost does not
+     * depend on its size.
+     */
     private static final int MAX_SIZE_WITH_STOPPED_PROXIES = 100;
 
     private final int size;
@@ -39,8 +43,8 @@
     private final RolloutVariants variants;
 
     /**
-     * Of a deployment of that size; habits are {@link RolloutVariants#USUAL} unless a test plays
-     * others.
+     * Creates a study of a deployment with {@code size} proxies; variants other than {@link
+     * RolloutVariants#DEFAULT} are for tests.
      */
     public RolloutStudy(int size, long seed, RolloutVariants variants) {
         this.size = size;
@@ -49,16 +53,16 @@
     }
 
     /**
-     * What came of one case. Times are milliseconds, -1 where it never came so far.
+     * The result of one case. Times are in milliseconds, -1 if that point was never reached.
      *
-     * @param half until the version was in force at half of those it is asked of
-     * @param most at 99 of 100
-     * @param all at all
-     * @param calls the most calls of a second at one control machine
-     * @param bytes the most bytes of a second of one proxy, sent and received
-     * @param back how often a proxy held less than it had held before
-     * @param harmed proxies at which a version came into force that can't be used
-     * @param differ proxies that hold another version than most, at the end
+     * @param half until the version was in force at half of the proxies that are measured
+     * @param most the same for 99%
+     * @param all the same for all
+     * @param calls the most calls in a second at one control server
+     * @param bytes the most bytes that one proxy sent and received in a second
+     * @param back how often a version came into force at a proxy that is lower than an earlier one
+     * @param harmed proxies at which a version that can't be used came into force
+     * @param differ proxies that hold another version than most do at the end
      * @param more further figures of this case
      */
     public record Outcome(
@@ -72,7 +76,7 @@
             int differ,
             Map<String, Long> more) {}
 
-    /** All hard cases, by name, in the order of docs/rollout.md. */
+    /** All fault cases by name, in the order of docs/rollout.md. */
     public Map<String, Supplier<Outcome>> cases() {
         Map<String, Supplier<Outcome>> cases = new LinkedHashMap<>();
         cases.put("region_split", this::regionSplit);
@@ -96,7 +100,7 @@
         return new ConfigurationVersion(number, number * 0x9E3779B97F4A7C15L);
     }
 
-    /** Changes on quiet days; with {@code mean}: bytes a second of one proxy. */
+    /** Versions without faults; {@code mean} is the mean bytes per second of one proxy. */
     public Outcome quiet() {
         Deployment d = deployment();
         List<Long> times = new ArrayList<>();
@@ -115,8 +119,8 @@
     }
 
     /**
-     * A change in the moment in which the regions lose each other; the other one has it after the
-     * heal.
+     * A version is published when the regions are partitioned; the other region gets it after the
+     * partition has healed.
      */
     Outcome regionSplit() {
         Deployment d = deployment();
@@ -130,7 +134,10 @@
         return outcome(d, times, Map.of("healed_ms_all", lastMillis(healed)));
     }
 
-    /** Two changes get one number on two sides of a split; times count from the heal. */
+    /**
+     * Two versions with the same number are published on two sides of a partition; times count from
+     * its end.
+     */
     Outcome crossing() {
         Deployment d = deployment();
         d.links.split(true);
@@ -147,7 +154,7 @@
                 Map.of("versions_while_split", sides));
     }
 
-    /** Five proxies stand still for an hour of changes; times count from when they go on. */
+    /** Five proxies are suspended for an hour of versions; times count from their resumption. */
     Outcome stopped() {
         Deployment d =
                 new Deployment(Math.min(size, MAX_SIZE_WITH_STOPPED_PROXIES), seed, variants);
@@ -165,8 +172,8 @@
     }
 
     /**
-     * A zone is cut off for most of each six seconds, for a minute, and a change comes in the
-     * middle.
+     * For a minute a zone is reachable only in the first of every six seconds; a version is
+     * published in the middle.
      */
     Outcome flappingZone() {
         Deployment d = deployment();
@@ -188,8 +195,8 @@
     }
 
     /**
-     * All of control is down for ten minutes and back at once, with a change; times count from
-     * then.
+     * All control servers are down for ten minutes and start together; a version is published then,
+     * and times count from then.
      */
     Outcome controlDown() {
         Deployment d = deployment();
@@ -206,7 +213,7 @@
         return outcome(d, times, Map.of("kept", kept, "calls_s_while_down", down));
     }
 
-    /** One control machine hears of nothing new any more. */
+    /** One control server learns of no new versions. */
     Outcome behind() {
         Deployment d = deployment();
         d.control.get(3).setFrozen(true);
@@ -220,7 +227,7 @@
                 Map.of("next_ms_all", lastMillis(d.awaitTarget(MAX_WAIT_TICKS, d.allProxies()))));
     }
 
-    /** One control machine tells half of each version. */
+    /** One control server sends half of each version's content. */
     Outcome half() {
         Deployment d = deployment();
         d.control.get(3).setTruncating(true);
@@ -228,7 +235,10 @@
         return outcome(d, d.awaitTarget(MAX_WAIT_TICKS, d.allProxies()), Map.of());
     }
 
-    /** A version that can't be used is refused by all; a rollback follows, and its times count. */
+    /**
+     * All proxies reject a version that can't be used; another version replaces it, and times count
+     * for that one.
+     */
     Outcome poison() {
         Deployment d = deployment();
         d.unusableVersions.add(version(2));
@@ -249,8 +259,8 @@
     }
 
     /**
-     * 350 restarts within a minute, while control is lost for a part of it; a change comes in the
-     * middle.
+     * 350 restarts within a minute; all control servers are down for 20 s of it, and a version is
+     * published when they start again.
      */
     Outcome restarts() {
         Deployment d = deployment();
@@ -274,10 +284,7 @@
         return outcome(d, times, Map.of());
     }
 
-    /**
-     * Control machines take four times as long over everything, and have just dropped all their
-     * watches.
-     */
+    /** Control servers are four times as slow and have just dropped all their watches. */
     Outcome overload() {
         Deployment d = deployment();
         d.control.forEach(c -> c.setSlowdown(4));
@@ -287,7 +294,7 @@
     }
 
     private static long lastMillis(List<Long> sorted) {
-        // One that never came stands first.
+        // A time of -1, never, sorts first.
         return sorted.get(0) < 0 ? -1 : sorted.get(sorted.size() - 1) / 10;
     }
 
--- a/src/main/java/cottonlock/lab/rollout/package-info.java
+++ b/src/main/java/cottonlock/lab/rollout/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Fleets of the classes that decide how a change of the settings comes into force, in virtual time:
- * control machines, zones and regions, and each hard case of docs/rollout.md.
+ * Simulates rollouts of configuration versions in virtual time, with the production decision
+ * classes: control servers, zones and regions, and each fault case of docs/rollout.md.
  */
 package cottonlock.lab.rollout;
