--- a/src/main/java/cottonlock/lab/soak/Soak.java
+++ b/src/main/java/cottonlock/lab/soak/Soak.java
@@ -18,7 +18,7 @@
 import java.util.stream.Stream;
 
 /**
- * Plays seeds of the soak and prints a line for each. The reports and logs of a seed that did not
+ * Runs seeds of the soak and prints a line for each. The reports and logs of a seed that did not
  * pass are kept in the folder {@code seed-N}.
  */
 public final class Soak {
@@ -32,11 +32,11 @@
     private final PrintStream out;
 
     /**
-     * A soak.
+     * Creates a soak.
      *
      * @param scenario the scenario to which each seed's faults are added
      * @param folder where a seed that did not pass leaves its reports and logs
-     * @param out takes the lines
+     * @param out receives the lines
      */
     public Soak(Path scenario, Path folder, PrintStream out) {
         this.scenario = scenario;
@@ -44,11 +44,11 @@
         this.out = out;
     }
 
-    /** What became of one seed: the exit status of its run, and its lines. */
+    /** The result of one seed: the exit status of its run, and its lines. */
     private record Outcome(int status, String text) {}
 
     /**
-     * Plays the seeds, so many at a time, and prints their lines in order.
+     * Runs the seeds, {@code parallel} at a time, and prints their lines in order.
      *
      * @return 0 if all passed; 1 if one failed; 2 if the scenario can't be used; 3 if none failed,
      *     but the machine ran late in one, so that it has no verdict
--- a/src/main/java/cottonlock/lab/soak/SoakPlan.java
+++ b/src/main/java/cottonlock/lab/soak/SoakPlan.java
@@ -5,8 +5,8 @@
 import java.util.SplittableRandom;
 
 /**
- * What one seed of the soak plays: two proxies are restarted one after the other, each by a series
- * of signals and beside a trouble. The seed alone decides.
+ * The faults of one seed of the soak: two proxies are restarted one after the other, each by a
+ * series of signals and beside another fault. The seed alone determines them.
  */
 final class SoakPlan {
     private static final List<String> SERIES =
@@ -50,7 +50,7 @@
         return faults.toString();
     }
 
-    /** The series and troubles in a few words. */
+    /** A summary of the series and the faults beside them. */
     String summary() {
         return summary.toString();
     }
--- a/src/test/java/cottonlock/lab/LedgerTest.java
+++ b/src/test/java/cottonlock/lab/LedgerTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** The lab's judgements, on scripts whose breaches are known. */
+/** Feeds the ledger, the verdict and the backend model with sequences whose breaches are known. */
 class LedgerTest {
     private static final long MS = 1_000_000L;
     private final Ledger ledger = new Ledger(50 * MS, 1_500 * MS);
@@ -35,7 +35,7 @@
     }
 
     @Example
-    void aCleanLifeBreaksNothing() {
+    void requestsWithoutFaultsBreakNoRule() {
         take("a", 1_000 * MS);
         ledger.received(MS, 2 * MS, "a", "b0", 0);
         ledger.effect(2 * MS, "a", "unsafe", "x");
@@ -48,7 +48,7 @@
     }
 
     @Example
-    void eachKindOfLossIsSeen() {
+    void eachKindOfLossIsCounted() {
         ledger.unanswered(5, take("ended", 10), "its connection ended");
         ledger.answered(1_051 * MS, take("late", 1_000 * MS), false, 0);
         ledger.answered(1, take("invented", 1_000 * MS), true, 3);
@@ -60,7 +60,7 @@
         ledger.received(151 * MS, 152 * MS, "sent after", "b0", 0);
         ledger.received(1, 2, "never sent", "b0", 0);
         counts(7, 0, 0, 0);
-        // Its proxy was killed: not lost, but no answer either.
+        // A request whose proxy was killed is unanswered, but does not count as lost.
         ledger.excused(1, take("killed", 10), true);
         ledger.unanswered(2, "killed", "again");
         counts(7, 0, 0, 0);
@@ -68,7 +68,7 @@
     }
 
     @Example
-    void aSecondEffectIsSeenWhereverItHappens() {
+    void aSecondEffectIsCountedInAnyZone() {
         take("safe", 1_000 * MS);
         ledger.effect(1, "safe", "safe", "x");
         ledger.effect(2, "safe", "safe", "y");
@@ -76,8 +76,8 @@
         take("once", 1_000 * MS);
         ledger.effect(1, "once", "unsafe", "x");
         ledger.effect(2, "once", "unsafe", "x");
-        // A client's retry after a deferral, under a new id: the deferral said that it does no
-        // harm.
+        // A client's retry of a rejected request under a new ID: the rejection said that a retry is
+        // safe.
         ledger.sent("first", "order", "order", 0, 1_000 * MS);
         ledger.effect(3, "first", "keyed", "x");
         ledger.sent("retry", "order", "order", 1, 1_000 * MS);
@@ -87,7 +87,7 @@
     }
 
     @Example
-    void aDrainCountsFromWhenThisProxyWasTold() {
+    void aDrainCountsFromItsAnnouncementToTheProxy() {
         take("a", 10_000 * MS);
         ledger.drainAnnounced(1_000 * MS, 0, "b0");
         ledger.drainAnnounced(2_000 * MS, 0, "b0");
@@ -102,7 +102,7 @@
     }
 
     @Example
-    void aVerdictNamesEachBreachAndABusyMachineGivesNone() {
+    void aVerdictNamesEachBreachAndALateMachineHasNone() {
         Map<String, Double> figures = new TreeMap<>();
         Verdict.KEYS.forEach(key -> figures.put(key, 0.0));
         figures.put("service", 0.5);
@@ -127,10 +127,10 @@
     }
 
     /**
-     * Cores and queue hold what they say, whatever comes when; work is neither made up nor dropped.
+     * A backend model never exceeds its cores and its queue, and neither invents nor drops work.
      */
     @Property(seed = "20261201", tries = 100)
-    void aBackendHoldsWhatItSays(@ForAll long seed) {
+    void aBackendNeverExceedsItsCoresAndQueue(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         int cores = 1 + random.nextInt(4);
         int queue = random.nextInt(5);
@@ -160,14 +160,15 @@
     }
 
     @Example
-    void aColdBackendFallsWhenPushedBeyondItsMultipleAndAWarmOneNever() {
+    void onlyAColdBackendCollapsesUnderLoadBeyondItsMultiple() {
         BackendModel<Integer> model = new BackendModel<>(2, 1, 10, 0.5, 10_000, 3, 1_000);
         assertFalse(model.pushedOver(0, 1e9), "long ago started: warm");
         model.start(100_000);
         assertEquals(0.5, model.warmth(100_000));
         assertEquals(0.75, model.warmth(105_000));
-        // Two cores at half for 1,000, three times over: 3,000 of work is the most, give or take
-        // the warming.
+        // Two cores at half speed do 1,000 of work in the window of 1,000; three times that makes
+        // the backend collapse, a
+        // little more while it warms up.
         int sent = 0;
         long now = 100_000;
         while (!model.pushedOver(now, 100)) {
--- a/src/test/java/cottonlock/lab/MembersProcessesTest.java
+++ b/src/test/java/cottonlock/lab/MembersProcessesTest.java
@@ -11,10 +11,9 @@
 import net.jqwik.api.Example;
 
 /**
- * Five processes of the program that know one another, and faults between them; what they believe
- * is held against what is true. A defence that is switched off must show. Bounds are told in
- * periods, of a quarter of a second, with room to spare; a machine that was late has no verdict,
- * and is asked again.
+ * Membership of five real processes under faults: their views are compared with the truth. With a
+ * safeguard switched off a bound must be exceeded. Bounds are several protocol periods of 250 ms,
+ * with a margin. A run on a machine that was late has no verdict and is repeated.
  */
 class MembersProcessesTest {
     private static final String FIVE =
@@ -68,10 +67,11 @@
     }
 
     /**
-     * Killed, hung, stopped, cut apart and cut in one direction: found in time, and found again.
+     * Processes that are killed, hung, suspended, partitioned, or cut off in one direction are
+     * detected in time, and recover.
      */
     @Example
-    void whoIsGoneIsFoundAndWhoIsBackIsFoundAgain() throws Exception {
+    void lostMembersAreDetectedAndRejoin() throws Exception {
         int status =
                 run(
                         FIVE
@@ -96,9 +96,12 @@
         assertTrue(figure("found_all_ms") > 500, "deaths were there to be found: " + out);
     }
 
-    /** Halves that have called each other failed meet again only where the failed are called on. */
+    /**
+     * After a split, halves that have called each other failed merge only if failed members are
+     * still contacted.
+     */
     @Example
-    void halvesDoNotMeetWhereNobodyCallsTheFailed() throws Exception {
+    void halvesDoNotMergeIfFailedMembersAreNotContacted() throws Exception {
         assertEquals(
                 1,
                 run(
@@ -110,9 +113,9 @@
         assertTrue(figure("agree_ms") > 3_000, out.toString(UTF_8));
     }
 
-    /** A module that stands still is not found by whether its process answers. */
+    /** A stalled load balancer is not detected by whether its process answers. */
     @Example
-    void aHungModuleIsNotFoundByAnswersAlone() throws Exception {
+    void aStalledLoadBalancerIsNotDetectedByAnswersAlone() throws Exception {
         assertEquals(
                 1,
                 run(
--- a/src/test/java/cottonlock/lab/RegionsStudyTest.java
+++ b/src/test/java/cottonlock/lab/RegionsStudyTest.java
@@ -16,12 +16,12 @@
     private static final Topology TOPOLOGY = new Topology(2, 7);
 
     /**
-     * Of all datagrams of the fleet below, as the program played it before its tables were kept by
-     * index.
+     * The fingerprint of all datagrams of the simulation below, recorded before the program's
+     * tables were indexed by number.
      */
     private static final long EXPECTED_FINGERPRINT = 1_696_335_539_377_993_399L;
 
-    /** Measures nothing: figures then hang on virtual time alone. */
+    /** Measures nothing, so that figures depend on virtual time alone. */
     private static final class NoGauge implements RegionsStudy.Gauge {
         @Override
         public LongSupplier cpuClock() {
@@ -48,11 +48,11 @@
     }
 
     /**
-     * A rack, a zone and a region are lost and back, and half are restarted. With {@code
-     * -DargLine=-Dcottonlock.members=3000} the fleet is as large; that takes long.
+     * A rack, a zone and a region fail and recover, and half of the members restart. With {@code
+     * -DargLine=-Dcottonlock.members=3000} the fleet has 3,000 members; that takes long.
      */
     @Example
-    void racksZonesAndRegionsAreLostAndBack() {
+    void racksZonesAndRegionsFailAndRecover() {
         int size = Integer.getInteger("cottonlock.members", 100);
         Map<String, Long> figures = play(1, size, 10, 60);
         figures.forEach(
@@ -66,7 +66,7 @@
                         <= MembershipProtocolConfig.DEFAULTS.maxBytesPerSecond(),
                 figures.toString());
         if (size <= 100) {
-            // What docs/membership.md gives for this size, and as much again.
+            // Twice the times that docs/membership.md gives for this size.
             Map.of(
                             "joined_ms",
                             15_000,
@@ -88,9 +88,9 @@
         }
     }
 
-    /** What only makes it faster leaves each datagram of a seed as it was, byte by byte. */
+    /** Optimisations must leave each datagram of a seed the same, byte for byte. */
     @Example
-    void oneSeedIsOneWorld() {
+    void aSeedDeterminesEachDatagram() {
         Map<String, Long> once = play(1, 24, 20, 60);
         assertEquals(EXPECTED_FINGERPRINT, once.get("datagrams_print"));
         assertEquals(once, play(1, 24, 20, 60));
--- a/src/test/java/cottonlock/lab/soak/SoakTest.java
+++ b/src/test/java/cottonlock/lab/soak/SoakTest.java
@@ -10,11 +10,11 @@
 import java.nio.file.Path;
 import net.jqwik.api.Example;
 
-/** Guards against requests that are lost, or run twice, in restarts of real processes. */
+/** Guards against requests that are lost or executed twice during restarts of real processes. */
 class SoakTest {
     private static final Path SCENARIO = Path.of("scenarios", "soak.toml");
 
-    /** A play on a machine that was late shows nothing. */
+    /** A run on a machine that was late has no verdict and is repeated. */
     private static final int NO_VERDICT = 3;
 
     private static final int MAX_PLAYS = 3;
@@ -38,7 +38,7 @@
     }
 
     @Example
-    void theSeedAloneDecides() {
+    void theSeedAloneDeterminesThePlan() {
         assertEquals(new SoakPlan(7).toToml(), new SoakPlan(7).toToml());
         assertNotEquals(new SoakPlan(7).toToml(), new SoakPlan(8).toToml());
     }
