--- a/src/main/java/cottonlock/lab/MembersJudge.java
+++ b/src/main/java/cottonlock/lab/MembersJudge.java
@@ -83,10 +83,10 @@
     private long lastWrongViewAt = -1;
 
     /** The longest that views took to be right again after proxies or paths were back. */
-    private long longestAgreement;
+    private long maxConvergenceAfterRecovery;
 
     /** The longest that views took to be right again after a loss. */
-    private long longestDisagreement;
+    private long maxConvergenceAfterLoss;
 
     private int falseFailed;
 
@@ -119,10 +119,10 @@
     /** Takes the time that the views needed to be right after the latest change into the maxima. */
     private void recordConvergence() {
         long convergenceNanos = Math.max(0, lastWrongViewAt - changedAt);
-        longestAgreement =
-                improved ? Math.max(longestAgreement, convergenceNanos) : longestAgreement;
-        longestDisagreement =
-                improved ? longestDisagreement : Math.max(longestDisagreement, convergenceNanos);
+        maxConvergenceAfterRecovery =
+                improved ? Math.max(maxConvergenceAfterRecovery, convergenceNanos) : maxConvergenceAfterRecovery;
+        maxConvergenceAfterLoss =
+                improved ? maxConvergenceAfterLoss : Math.max(maxConvergenceAfterLoss, convergenceNanos);
     }
 
     /** Records that a proxy serves from now on. */
@@ -297,9 +297,9 @@
         // The views must agree at the end, whatever kind of change came last.
         f.put(
                 "agree_ms",
-                Math.max(longestAgreement, improved ? 0 : Math.max(0, lastWrongViewAt - changedAt))
+                Math.max(maxConvergenceAfterRecovery, improved ? 0 : Math.max(0, lastWrongViewAt - changedAt))
                         / 1e6);
-        f.put("apart_ms", longestDisagreement / 1e6);
+        f.put("apart_ms", maxConvergenceAfterLoss / 1e6);
         int unheard = 0;
         for (int p = 0; p < names.length; p++) {
             unheard += upSince[p] != NEVER && !sampled[p] ? 1 : 0;
--- a/src/main/java/cottonlock/lab/rollout/ControlModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ControlModel.java
@@ -74,7 +74,7 @@
     }
 
     /** Takes over a version that is published, unless the server is frozen or down. */
-    void announce(ConfigurationVersion version) {
+    void receiveVersion(ConfigurationVersion version) {
         if (!down && !frozen && version.compareTo(heldVersion) > 0) {
             heldVersion = version;
             for (Caller watch : watches) {
--- a/src/main/java/cottonlock/lab/rollout/Deployment.java
+++ b/src/main/java/cottonlock/lab/rollout/Deployment.java
@@ -122,7 +122,7 @@
         int drawn = world.chance().nextInt(CONTROL - 1);
         ControlModel other = control.get(drawn >= number ? drawn + 1 : drawn);
         if (!one.isDown() && !other.isDown() && !links.cut(one.zone, other.zone)) {
-            one.announce(other.heldVersion());
+            one.receiveVersion(other.heldVersion());
         }
         world.at(world.now() + TICKS_PER_SECOND, () -> reconcile(number));
     }
@@ -136,14 +136,14 @@
     /** Publishes a version without making it the target. */
     void announce(int at, ConfigurationVersion version) {
         ControlModel origin = control.get(at);
-        origin.announce(version);
+        origin.receiveVersion(version);
         for (ControlModel other : control) {
             if (other != origin && !links.cut(origin.zone, other.zone)) {
                 world.at(
                         world.now()
                                 + MIN_REPLICATION_TICKS
                                 + world.chance().nextLong(REPLICATION_SPREAD_TICKS),
-                        () -> other.announce(version));
+                        () -> other.receiveVersion(version));
             }
         }
     }
--- a/src/main/java/cottonlock/lab/world/RegionsStudy.java
+++ b/src/main/java/cottonlock/lab/world/RegionsStudy.java
@@ -22,8 +22,8 @@
     /** Views that are not right after this time count as never right. */
     private static final long MAX_WAIT_TICKS = 900 * TICKS_PER_SECOND;
 
-    /** One member in fifty is in the rack that fails. */
-    private static final int MEMBERS_PER_RACK_MEMBER = 50;
+    /** The fleet is spread over so many racks, one of which fails. */
+    private static final int RACK_COUNT = 50;
 
     /**
      * Restarts within a minute, as in a fleet of 3,000 in production; in a smaller fleet at most
@@ -173,7 +173,7 @@
     private void loseRack() {
         List<Fleet.Node> dead = new ArrayList<>();
         for (int i = 0;
-                dead.size() < Math.max(1, parameters.size() / MEMBERS_PER_RACK_MEMBER);
+                dead.size() < Math.max(1, parameters.size() / RACK_COUNT);
                 i += parameters.topology().zones()) {
             dead.add(fleet.nodes.get(i));
         }
