--- a/src/main/java/cottonlock/lab/MembersJudge.java
+++ b/src/main/java/cottonlock/lab/MembersJudge.java
@@ -120,9 +120,13 @@
     private void recordConvergence() {
         long convergenceNanos = Math.max(0, lastWrongViewAt - changedAt);
         maxConvergenceAfterRecovery =
-                improved ? Math.max(maxConvergenceAfterRecovery, convergenceNanos) : maxConvergenceAfterRecovery;
+                improved
+                        ? Math.max(maxConvergenceAfterRecovery, convergenceNanos)
+                        : maxConvergenceAfterRecovery;
         maxConvergenceAfterLoss =
-                improved ? maxConvergenceAfterLoss : Math.max(maxConvergenceAfterLoss, convergenceNanos);
+                improved
+                        ? maxConvergenceAfterLoss
+                        : Math.max(maxConvergenceAfterLoss, convergenceNanos);
     }
 
     /** Records that a proxy serves from now on. */
@@ -297,7 +301,9 @@
         // The views must agree at the end, whatever kind of change came last.
         f.put(
                 "agree_ms",
-                Math.max(maxConvergenceAfterRecovery, improved ? 0 : Math.max(0, lastWrongViewAt - changedAt))
+                Math.max(
+                                maxConvergenceAfterRecovery,
+                                improved ? 0 : Math.max(0, lastWrongViewAt - changedAt))
                         / 1e6);
         f.put("apart_ms", maxConvergenceAfterLoss / 1e6);
         int unheard = 0;
--- a/src/main/java/cottonlock/lab/rollout/ControlModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ControlModel.java
@@ -35,8 +35,8 @@
         int zone();
 
         /**
-         * A line has arrived: a version with its content, or without content if the caller has it
-         * already; null for an empty line, a heartbeat.
+         * A line has arrived: a version, or null for an empty line, a heartbeat. Its content is
+         * missing where the call asked for the number only, or named this version or a higher one.
          */
         void onLine(ConfigurationVersion version, boolean withContent);
 
@@ -105,6 +105,7 @@
         slowdown = times;
     }
 
+    /** Stops the server, which ends all watches, or starts it again. */
     void setDown(boolean off) {
         down = off;
         if (off) {
@@ -156,6 +157,7 @@
                 });
     }
 
+    /** Sends a version to a caller after some ticks of work, which add to the backlog. */
     private void sendVersion(
             Caller caller, ConfigurationVersion version, boolean withContent, long workTicks) {
         busyUntil = Math.max(world.now(), busyUntil) + workTicks;
@@ -183,6 +185,7 @@
         world.at(world.now() + HEARTBEAT_TICKS, this::sendHeartbeats);
     }
 
+    /** Returns the most calls in any second since the previous call of this method. */
     int takeMaxCallsPerSecond() {
         int max = maxCallsInSecond;
         maxCallsInSecond = 0;
--- a/src/main/java/cottonlock/lab/rollout/Deployment.java
+++ b/src/main/java/cottonlock/lab/rollout/Deployment.java
@@ -30,7 +30,7 @@
     /** The shortest time until a published version reaches another control server. */
     private static final long MIN_REPLICATION_TICKS = 100;
 
-    /** The largest extra replication time; it is drawn uniformly. */
+    /** The extra replication time is drawn uniformly below this. */
     private static final long REPLICATION_SPREAD_TICKS = 1_900;
 
     final World world;
--- a/src/main/java/cottonlock/lab/rollout/ProxyModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ProxyModel.java
@@ -166,6 +166,7 @@
                     });
         }
 
+        /** Ends the watch unless another line arrives within the silence timeout. */
         private void scheduleSilenceCheck(long at) {
             long silence = variants.silenceTimeoutTicks(ConfigurationRollout.SILENCE_TIMEOUT_TICKS);
             world.at(
@@ -232,6 +233,7 @@
         all.forEach(Runnable::run);
     }
 
+    /** Validates an announced version and brings it into force. */
     private void versionReceived(
             ConfigurationVersion version, boolean withContent, boolean truncated) {
         if (!rollout.versionAnnounced(world.now(), version) || !withContent) {
@@ -250,6 +252,7 @@
         recordVersion();
     }
 
+    /** Updates the records after a version has come into force. */
     private void recordVersion() {
         if (inForce.compareTo(highestVersion) < 0) {
             wentBackCount++;
@@ -259,6 +262,7 @@
         onChange.run();
     }
 
+    /** Migrates the watch or starts a comparison if one is due; else schedules the next check. */
     private void checkServers() {
         if (watch == null || watch.closed) {
             return;
@@ -380,6 +384,7 @@
         return bytes;
     }
 
+    /** Returns the most bytes in any second since the previous call of this method. */
     long takeMaxBytesPerSecond() {
         long max = maxBytesInSecond;
         maxBytesInSecond = 0;
