--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -291,7 +291,7 @@
             ledger.effect(now, job.id, job.category.repeat(), "elsewhere");
         }
         if (model.isOverloadedCold(now, job.work)) {
-            ledger.fell(now, id);
+            ledger.coldBackendOverloaded(now, id);
             endProcess(true);
             return;
         }
@@ -395,7 +395,7 @@
         if (status == 200) {
             byte[] body =
                     (job.id + " " + job.category.name()).getBytes(StandardCharsets.ISO_8859_1);
-            ledger.made(job.id, Arrays.hashCode(body));
+            ledger.responseProduced(job.id, Arrays.hashCode(body));
             series.done(id, loop.now());
             sendResponse(job, 200, null, body);
         } else {
--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -270,9 +270,9 @@
     private void recordNotified(Watch watch, Collection<Entry> recipient) {
         for (Entry entry : recipient) {
             if (entry.published == Health.ACTIVE) {
-                ledger.toldBack(watch.proxy, entry.backend.id);
+                ledger.drainRevoked(watch.proxy, entry.backend.id);
             } else {
-                ledger.told(loop.now(), watch.proxy, entry.backend.id);
+                ledger.drainAnnounced(loop.now(), watch.proxy, entry.backend.id);
             }
         }
     }
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -883,9 +883,9 @@
         runInBackground(
                 () -> {
                     try {
-                        loop.post(() -> judge.replaced(loop.now()));
+                        loop.post(() -> judge.processReplaced(loop.now()));
                         node.host.replace(node.starts++);
-                        loop.post(() -> judge.replaced(loop.now()));
+                        loop.post(() -> judge.processReplaced(loop.now()));
                     } catch (IOException e) {
                         failure = String.valueOf(e.getMessage());
                         loop.post(this::finish);
@@ -910,7 +910,7 @@
         if (suspended) {
             clients.markUnavailable(node.number, loop.now() + scenario.clients.notice());
         } else {
-            ledger.stoppedUntil(node.number, loop.now());
+            ledger.proxySuspendedUntil(node.number, loop.now());
             clients.markAvailable(node.number);
         }
         if (judge != null && node.firstTier) {
@@ -924,7 +924,7 @@
 
     /** Gives the process only a share of a core, by stopping it for the rest of each slice. */
     private void proxyStarve(Node node, long end, double cpuShare) {
-        ledger.stoppedUntil(node.number, end);
+        ledger.proxySuspendedUntil(node.number, end);
         starveSlice(node, end, cpuShare);
     }
 
@@ -990,7 +990,7 @@
                 }
             }
         }
-        judge.reach(loop.now(), !active);
+        judge.updateReachability(loop.now(), !active);
     }
 
     private static int groupOf(List<List<Integer>> groups, int proxy) {
@@ -1012,7 +1012,7 @@
             case "peer-delay" -> paths.setMaxDelay(from, to, (long) (amount * 1e6));
             default -> {
                 paths.setCut(from, to, active);
-                judge.way(from, to, !paths.isCut(from, to));
+                judge.setPathOpen(from, to, !paths.isCut(from, to));
             }
         }
     }
@@ -1024,7 +1024,7 @@
             judge.down(node.number, loop.now());
         }
         node.client.setProxyUnavailable(true);
-        ledger.startedAnew(node.number);
+        ledger.proxyRestarted(node.number);
         if (node.host != null) {
             runInBackground(
                     () -> {
@@ -1056,7 +1056,7 @@
                                 if (judge != null && node.firstTier) {
                                     judge.down(node.number, loop.now());
                                 }
-                                ledger.startedAnew(node.number);
+                                ledger.proxyRestarted(node.number);
                                 loop.after(downNanos, () -> startAgain(node));
                             });
                     return null;
@@ -1081,7 +1081,7 @@
                     loop.post(
                             () -> {
                                 node.serving = false;
-                                ledger.startedAnew(node.number);
+                                ledger.proxyRestarted(node.number);
                                 loop.after(
                                         downNanos,
                                         () -> startAfterRestart(node, series, downNanos));
@@ -1155,7 +1155,7 @@
             worst = Math.min(worst, series.service(s));
         }
         figures.put("worst_s", worst);
-        figures.put("unanswered", (double) ledger.diedWithProxy());
+        figures.put("unanswered", (double) ledger.unansweredOfKilledProxies());
         figures.put("retried", (double) clients.retried());
         figures.put("sends_per_item", ledger.sends() / Math.max(1.0, (double) clients.sent()));
         figures.put("behind_ms", loop.lateness().getValueAtPercentile(99.9) / 1_000.0);
--- a/src/main/java/cottonlock/lab/Ledger.java
+++ b/src/main/java/cottonlock/lab/Ledger.java
@@ -9,18 +9,22 @@
 import java.util.Map;
 
 /**
- * Sees every message that the stand-ins send and receive, and counts breaches of the four rules by
- * itself: what a proxy says of itself does not come here. It holds the rules' figures and nothing
- * of how proxies decide. Times are nanoseconds.
+ * Records every message that the lab's clients and backends send and receive, and counts breaches
+ * of the four rules from these records alone: nothing that a proxy reports about itself is used.
+ * Knows the limits of the rules, but nothing of how proxies decide. Times are in nanoseconds.
  */
 @Deterministic
 final class Ledger {
     /**
-     * Lines kept of each kind of breach: the first ones tell the cause, the count tells the rest.
+     * Breaches of each rule that are described in a line: the first ones show the cause, further
+     * ones are only counted.
      */
-    private static final int LINES = 20;
+    private static final int MAX_LINES_PER_RULE = 20;
 
-    /** The four rules. */
+    /**
+     * The four rules: no request is lost, none takes effect twice, draining backends get no new
+     * attempts, and no cold backend is overloaded.
+     */
     enum Rule {
         LOST,
         TWICE,
@@ -28,54 +32,58 @@
         COLD
     }
 
-    /** One request as its sender knows it. */
+    /** One request as its client knows it. */
     private static final class Entry {
         final String chain;
         final String category;
         final int proxy;
-        final long until;
-        boolean over;
+        final long expiresAt;
+        boolean concluded;
 
-        /** When nothing more may be sent for it; far off while it is owed. */
-        long overAt = Long.MAX_VALUE / 2;
+        /**
+         * From when on no attempt may be sent for the request; far in the future while it is
+         * pending.
+         */
+        long concludedAt = Long.MAX_VALUE / 2;
 
-        Entry(String chain, String category, int proxy, long until) {
+        Entry(String chain, String category, int proxy, long expiresAt) {
             this.chain = chain;
             this.category = category;
             this.proxy = proxy;
-            this.until = until;
+            this.expiresAt = expiresAt;
         }
     }
 
-    /** What has had an effect: where and when first. */
-    private record Effect(String room, long at) {}
+    /** The first effect of a chain of requests: the zone and the time. */
+    private record Effect(String zone, long at) {}
 
-    private final long grace;
-    private final long drain;
-    private final Map<String, Entry> items = new HashMap<>();
+    private final long graceNanos;
+    private final long drainNanos;
+    private final Map<String, Entry> requests = new HashMap<>();
     private final Map<String, Effect> effects = new HashMap<>();
-    private final Map<String, Integer> made = new HashMap<>();
-    private final Map<String, Long> told = new HashMap<>();
+    private final Map<String, Integer> producedBodies = new HashMap<>();
+    private final Map<String, Long> drainAnnouncedAt = new HashMap<>();
 
     /**
-     * Until when a proxy's process was stopped from outside: what it owed then it could not give.
+     * The end of each proxy's latest suspension, plus the grace period: the process could not
+     * answer requests that expired before.
      */
-    private final Map<Integer, Long> stopped = new HashMap<>();
+    private final Map<Integer, Long> suspendedUntil = new HashMap<>();
 
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
-    private final Map<String, Integer> twice = new java.util.TreeMap<>();
+    private final Map<String, Integer> doubleEffects = new java.util.TreeMap<>();
     private final List<String> lines = new ArrayList<>();
-    private int unanswered;
+    private int unansweredOfKilledProxies;
     private long sends;
 
-    Ledger(long grace, long drain) {
-        this.grace = grace;
-        this.drain = drain;
+    Ledger(long graceNanos, long drainNanos) {
+        this.graceNanos = graceNanos;
+        this.drainNanos = drainNanos;
     }
 
     private void breach(Rule rule, long now, String text) {
         int n = counts.merge(rule, 1, Integer::sum);
-        if (n <= LINES) {
+        if (n <= MAX_LINES_PER_RULE) {
             lines.add(
                     String.format(
                             Locale.ROOT,
@@ -87,25 +95,30 @@
     }
 
     /**
-     * A request's last byte has been written to a proxy.
+     * Records that the last byte of a request has been written to a proxy.
      *
-     * @param chain what all sends share that may have one effect together: a client's retry after a
-     *     deferral belongs to it, one after a write-off is its client's own risk and begins another
+     * @param chain identifies requests that may have only one effect between them: a client's retry
+     *     of a rejected request belongs to the chain of that request; its retry of a failed one is
+     *     at the client's own risk and starts a new chain
      */
-    void sent(String id, String chain, String category, int proxy, long until) {
-        items.put(id, new Entry(chain, category, proxy, until));
+    void sent(String id, String chain, String category, int proxy, long expiresAt) {
+        requests.put(id, new Entry(chain, category, proxy, expiresAt));
     }
 
-    /** A whole answer has come; finished ones must be what a backend made for this request. */
+    /**
+     * Records a complete response. A completed one must be what a backend produced for this
+     * request.
+     */
     void answered(long now, String id, boolean finished, int body) {
-        Entry e = items.get(id);
-        if (e.over) {
+        Entry e = requests.get(id);
+        if (e.concluded) {
             breach(Rule.LOST, now, id + " got a second answer");
             return;
         }
-        e.over = true;
-        e.overAt = now;
-        if (now > e.until + grace && e.until > stopped.getOrDefault(e.proxy, Long.MIN_VALUE)) {
+        e.concluded = true;
+        e.concludedAt = now;
+        if (now > e.expiresAt + graceNanos
+                && e.expiresAt > suspendedUntil.getOrDefault(e.proxy, Long.MIN_VALUE)) {
             breach(
                     Rule.LOST,
                     now,
@@ -113,24 +126,25 @@
                             Locale.ROOT,
                             "%s was answered %.1f ms after its expiry",
                             id,
-                            (now - e.until) / 1e6));
-        } else if (finished && made.getOrDefault(id, body + 1) != body) {
+                            (now - e.expiresAt) / 1e6));
+        } else if (finished && producedBodies.getOrDefault(id, body + 1) != body) {
             breach(Rule.LOST, now, id + " was served with what no backend made for it");
         }
     }
 
-    /** Its connection ended, or its time passed, with no whole answer. */
+    /** Records that the connection ended, or the request expired, without a complete response. */
     void unanswered(long now, String id, String how) {
-        Entry e = items.get(id);
-        if (!e.over) {
-            e.over = true;
-            e.overAt = now;
+        Entry e = requests.get(id);
+        if (!e.concluded) {
+            e.concluded = true;
+            e.concludedAt = now;
             breach(Rule.LOST, now, id + " of " + e.category + " at n" + e.proxy + ": " + how);
         }
     }
 
     /**
-     * A new connection did not come up although the proxy's front may still send there.
+     * Records that a new connection was not established although the load balancer in front of the
+     * proxies may still send to this proxy.
      *
      * @param what the request and the times of the connection
      */
@@ -138,21 +152,29 @@
         breach(Rule.LOST, now, "n" + proxy + " refused a new connection: " + what);
     }
 
-    /** Its client has left, or its proxy was killed: nothing is owed any more. */
+    /**
+     * Records that no response is due any more: the client has disconnected, or the proxy was
+     * killed.
+     */
     void excused(long now, String id, boolean proxyDied) {
-        Entry e = items.get(id);
-        if (!e.over) {
-            e.over = true;
-            e.overAt = proxyDied ? Long.MAX_VALUE / 2 : now;
-            unanswered += proxyDied ? 1 : 0;
+        Entry e = requests.get(id);
+        if (!e.concluded) {
+            e.concluded = true;
+            e.concludedAt = proxyDied ? Long.MAX_VALUE / 2 : now;
+            unansweredOfKilledProxies += proxyDied ? 1 : 0;
         }
     }
 
-    /** The first byte of an attempt came at a backend at one time, its last one at another. */
+    /**
+     * Records an attempt at a backend.
+     *
+     * @param firstByte when its first byte arrived
+     * @param now when its last byte arrived
+     */
     void received(long firstByte, long now, String id, String backend, int proxy) {
         sends++;
-        Long since = told.get(proxy + " " + backend);
-        if (since != null && firstByte > since + drain + grace) {
+        Long announcedAt = drainAnnouncedAt.get(proxy + " " + backend);
+        if (announcedAt != null && firstByte > announcedAt + drainNanos + graceNanos) {
             breach(
                     Rule.DRAINS,
                     now,
@@ -161,10 +183,10 @@
                             "%s went to %s %.0f ms after n%d was told",
                             id,
                             backend,
-                            (firstByte - since) / 1e6,
+                            (firstByte - announcedAt) / 1e6,
                             proxy));
         }
-        Entry e = items.get(id);
+        Entry e = requests.get(id);
         if (e == null) {
             breach(
                     Rule.LOST,
@@ -172,9 +194,11 @@
                     "an attempt of " + id + ", which no client sent, came to " + backend);
             return;
         }
-        // What waited in a stopped process's sockets bears no time: it can't know how old it is.
-        boolean waited = e.until <= stopped.getOrDefault(e.proxy, Long.MIN_VALUE);
-        if (firstByte > Math.min(e.overAt, e.until) + grace && !waited) {
+        // A request that waited in the sockets of a suspended process carries no time stamp: the
+        // process can't tell that it has expired.
+        boolean expiredWhileStopped =
+                e.expiresAt <= suspendedUntil.getOrDefault(e.proxy, Long.MIN_VALUE);
+        if (firstByte > Math.min(e.concludedAt, e.expiresAt) + graceNanos && !expiredWhileStopped) {
             breach(
                     Rule.LOST,
                     now,
@@ -183,19 +207,21 @@
                             "%s was sent on to %s %.1f ms after it was over",
                             id,
                             backend,
-                            (firstByte - Math.min(e.overAt, e.until)) / 1e6));
+                            (firstByte - Math.min(e.concludedAt, e.expiresAt)) / 1e6));
         }
     }
 
-    /** A backend begins to carry it out, not having known it for a repeat. */
-    void effect(long now, String id, String repeat, String room) {
-        Entry e = items.get(id);
+    /**
+     * Records that a backend starts to execute a request that it did not recognise as a repetition.
+     */
+    void effect(long now, String id, String repeat, String zone) {
+        Entry e = requests.get(id);
         if (e == null || repeat.equals("safe")) {
             return;
         }
-        Effect first = effects.putIfAbsent(e.chain, new Effect(room, now));
+        Effect first = effects.putIfAbsent(e.chain, new Effect(zone, now));
         if (first != null) {
-            twice.merge(e.category + " in " + room, 1, Integer::sum);
+            doubleEffects.merge(e.category + " in " + zone, 1, Integer::sum);
             breach(
                     Rule.TWICE,
                     now,
@@ -204,41 +230,45 @@
                             "%s of %s ran in room %s, and %.0f ms before in %s",
                             id,
                             e.category,
-                            room,
+                            zone,
                             (now - first.at) / 1e6,
-                            first.room));
+                            first.zone));
         }
     }
 
-    /** A backend has made this answer for a request; a further attempt of it is answered alike. */
-    void made(String id, int body) {
-        made.put(id, body);
+    /**
+     * Records the response body that a backend produced for a request; further attempts of the
+     * request get the same one.
+     */
+    void responseProduced(String id, int body) {
+        producedBodies.put(id, body);
     }
 
     /**
-     * A proxy was told, or counts as told, that a backend drains or is gone; the first time counts.
+     * Records that a proxy was informed, or counts as informed, that a backend is draining or gone.
+     * Only the first time counts.
      */
-    void told(long now, int proxy, String backend) {
-        told.putIfAbsent(proxy + " " + backend, now);
+    void drainAnnounced(long now, int proxy, String backend) {
+        drainAnnouncedAt.putIfAbsent(proxy + " " + backend, now);
     }
 
-    /** A proxy was told that it is back. */
-    void toldBack(int proxy, String backend) {
-        told.remove(proxy + " " + backend);
+    /** Records that a proxy was informed that a backend is active again. */
+    void drainRevoked(int proxy, String backend) {
+        drainAnnouncedAt.remove(proxy + " " + backend);
     }
 
-    /** A proxy starts anew, and knows nothing of what it was told. */
-    void startedAnew(int proxy) {
-        told.keySet().removeIf(key -> key.startsWith(proxy + " "));
+    /** Records that a proxy restarts, and so no longer knows which backends are draining. */
+    void proxyRestarted(int proxy) {
+        drainAnnouncedAt.keySet().removeIf(key -> key.startsWith(proxy + " "));
     }
 
-    /** A proxy's process was stopped, and goes on now. */
-    void stoppedUntil(int proxy, long now) {
-        stopped.put(proxy, now + grace);
+    /** Records that a proxy's process is suspended, at times or all the time, until {@code end}. */
+    void proxySuspendedUntil(int proxy, long end) {
+        suspendedUntil.put(proxy, end + graceNanos);
     }
 
-    /** A cold backend was pushed over. */
-    void fell(long now, String backend) {
+    /** Records that a backend that was still warming up collapsed under its load. */
+    void coldBackendOverloaded(long now, String backend) {
         breach(Rule.COLD, now, backend + " was pushed over while cold");
     }
 
@@ -246,19 +276,19 @@
         return counts.getOrDefault(rule, 0);
     }
 
-    /** Those whose proxy was killed while it owed them an answer. */
-    int diedWithProxy() {
-        return unanswered;
+    /** Requests that were pending at a proxy when it was killed. */
+    int unansweredOfKilledProxies() {
+        return unansweredOfKilledProxies;
     }
 
-    /** Attempts that have reached a backend. */
+    /** The number of attempts that have reached a backend. */
     long sends() {
         return sends;
     }
 
-    /** Breaches of "no effect twice" by category and room. */
-    Map<String, Integer> twiceBy() {
-        return twice;
+    /** Counts requests that took effect twice, by category and zone. */
+    Map<String, Integer> doubleEffectsByCategory() {
+        return doubleEffects;
     }
 
     List<String> lines() {
--- a/src/main/java/cottonlock/lab/MembersRegions.java
+++ b/src/main/java/cottonlock/lab/MembersRegions.java
@@ -18,50 +18,58 @@
 import java.util.function.LongSupplier;
 
 /**
- * Fleets over regions and zones in virtual time, for each size and seed: lines as played, and
- * files.
+ * Simulates fleets over regions and zones in virtual time: prints each figure as soon as it is
+ * known, and writes result files.
  */
 final class MembersRegions implements RegionsStudy.Gauge {
-    /** Readings of the processor's clock by which its own cost is found. */
-    private static final int READINGS = 200_000;
+    /** Readings of the CPU clock by which the cost of one reading is measured. */
+    private static final int CLOCK_READINGS = 200_000;
 
     /**
-     * Collections after which the heap counts as tidied: the first may leave what the second frees.
+     * Garbage collections before the heap is measured: the second one may free what the first one
+     * left.
      */
-    private static final int COLLECTIONS = 2;
+    private static final int GARBAGE_COLLECTIONS = 2;
 
-    private static final List<String> APART = List.of("seconds_virtual", "datagrams_print");
+    private static final List<String> TOP_LEVEL_FIGURES =
+            List.of("seconds_virtual", "datagrams_print");
 
     private final Topology topology;
-    private final int quiet;
-    private final int apart;
-    private final int known;
+    private final int quietSeconds;
+    private final int apartSeconds;
+    private final int knownAddresses;
     private final MembershipProtocolConfig rules;
     private final PrintStream out;
-    private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-    private long reading = -1;
+    private final ThreadMXBean threadBean = ManagementFactory.getThreadMXBean();
+    private long readingNanos = -1;
 
-    /** Known: addresses that each member is told; 0: all. */
+    /**
+     * Creates a study.
+     *
+     * @param quietSeconds length of the phase without faults
+     * @param apartSeconds for how long regions are split
+     * @param knownAddresses contact addresses that each member knows; 0 for all
+     */
     MembersRegions(
             Topology topology,
-            int quiet,
-            int apart,
-            int known,
+            int quietSeconds,
+            int apartSeconds,
+            int knownAddresses,
             MembershipProtocolConfig rules,
             PrintStream out) {
         this.topology = topology;
-        this.quiet = quiet;
-        this.apart = apart;
-        this.known = known;
+        this.quietSeconds = quietSeconds;
+        this.apartSeconds = apartSeconds;
+        this.knownAddresses = knownAddresses;
         this.rules = rules;
         this.out = out;
     }
 
     /**
-     * Plays one.
+     * Runs one simulation.
      *
-     * @param folder where {@code members-SIZE-SEED.json} goes; null: nowhere
-     * @throws IOException where that can't be written
+     * @param folder where {@code members-SIZE-SEED.json} is written; null for no file
+     * @throws IOException if the file can't be written
      */
     void play(int size, long seed, Path folder) throws IOException {
         String command =
@@ -74,38 +82,39 @@
                         + " --seeds "
                         + seed
                         + " --quiet "
-                        + quiet
+                        + quietSeconds
                         + " --apart "
-                        + apart
-                        + (known > 0 ? " --known " + known : "");
+                        + apartSeconds
+                        + (knownAddresses > 0 ? " --known " + knownAddresses : "");
         out.println(command);
-        long from = System.nanoTime();
-        RegionsStudy.Play play =
-                new RegionsStudy.Play(
+        long startedAt = System.nanoTime();
+        RegionsStudy.Parameters parameters =
+                new RegionsStudy.Parameters(
                         seed,
                         size,
                         topology,
-                        quiet,
-                        apart,
-                        known > 0 ? Math.min(known, size) : size);
+                        quietSeconds,
+                        apartSeconds,
+                        knownAddresses > 0 ? Math.min(knownAddresses, size) : size);
         if (folder != null) {
             Files.createDirectories(folder);
         }
         String commit = commit();
-        RegionsStudy.of(
-                play,
+        RegionsStudy.run(
+                parameters,
                 rules,
                 this,
                 (name, figures) -> {
-                    long seconds = (System.nanoTime() - from) / 1_000_000_000;
+                    long seconds = (System.nanoTime() - startedAt) / 1_000_000_000;
                     out.printf("  %6d s  %s=%d%n", seconds, name, figures.get(name));
                     out.flush();
-                    // As it goes on: what a play that is cut off has measured is measured.
+                    // The file is rewritten after each figure, so that an interrupted run keeps the
+                    // figures it has.
                     if (folder != null) {
                         try {
                             write(
                                     folder.resolve("members-" + size + "-" + seed + ".json"),
-                                    play,
+                                    parameters,
                                     command,
                                     commit,
                                     seconds,
@@ -119,7 +128,7 @@
 
     private void write(
             Path file,
-            RegionsStudy.Play play,
+            RegionsStudy.Parameters parameters,
             String command,
             String commit,
             long seconds,
@@ -130,8 +139,8 @@
             json.useDefaultPrettyPrinter();
             json.writeStartObject();
             json.writeStringField("kind", "members");
-            json.writeNumberField("size", play.size());
-            json.writeNumberField("seed", play.seed());
+            json.writeNumberField("size", parameters.size());
+            json.writeNumberField("seed", parameters.seed());
             json.writeNumberField("regions", topology.regions());
             json.writeNumberField("zones", topology.zones());
             json.writeStringField("command", command);
@@ -142,7 +151,7 @@
                     "datagrams_print", Long.toHexString(figures.get("datagrams_print")));
             json.writeObjectFieldStart("figures");
             for (Map.Entry<String, Long> figure : figures.entrySet()) {
-                if (!APART.contains(figure.getKey())) {
+                if (!TOP_LEVEL_FIGURES.contains(figure.getKey())) {
                     json.writeNumberField(figure.getKey(), figure.getValue());
                 }
             }
@@ -152,7 +161,7 @@
         }
     }
 
-    /** The state of the sources that this was built from, where it is run beside them. */
+    /** The commit of the sources, if the program runs in their directory. */
     private static String commit() {
         try {
             Process git =
@@ -171,27 +180,27 @@
     }
 
     @Override
-    public LongSupplier processor() {
-        return threads::getCurrentThreadCpuTime;
+    public LongSupplier cpuClock() {
+        return threadBean::getCurrentThreadCpuTime;
     }
 
     @Override
-    public long reading() {
-        if (reading < 0) {
+    public long readingNanos() {
+        if (readingNanos < 0) {
             for (int round = 0; round < 2; round++) {
-                long from = threads.getCurrentThreadCpuTime();
-                for (int i = 0; i < READINGS; i++) {
-                    threads.getCurrentThreadCpuTime();
+                long startedAt = threadBean.getCurrentThreadCpuTime();
+                for (int i = 0; i < CLOCK_READINGS; i++) {
+                    threadBean.getCurrentThreadCpuTime();
                 }
-                reading = (threads.getCurrentThreadCpuTime() - from) / READINGS;
+                readingNanos = (threadBean.getCurrentThreadCpuTime() - startedAt) / CLOCK_READINGS;
             }
         }
-        return reading;
+        return readingNanos;
     }
 
     @Override
-    public long heap() {
-        for (int i = 0; i < COLLECTIONS; i++) {
+    public long heapBytes() {
+        for (int i = 0; i < GARBAGE_COLLECTIONS; i++) {
             System.gc();
         }
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
--- a/src/main/java/cottonlock/lab/MembersWatch.java
+++ b/src/main/java/cottonlock/lab/MembersWatch.java
@@ -11,27 +11,31 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Asks each proxy again and again what it holds of the others, on a thread for each. */
+/**
+ * Polls each proxy's view of the membership through its management interface, on a thread for each.
+ */
 final class MembersWatch {
-    /** Milliseconds between two questions to one proxy: a fifth of the usual period. */
-    private static final int BETWEEN = 100;
+    /** The pause between two calls to one proxy: a fifth of the default protocol period. */
+    private static final int POLL_INTERVAL_MILLIS = 100;
 
-    private static final int PATIENCE = 1_000;
+    private static final int TIMEOUT_MILLIS = 1_000;
 
     private final List<Thread> threads = new ArrayList<>();
 
-    /** Asks at an address; answers go to whom they are for, on the watch's threads. */
-    void watch(Supplier<InetSocketAddress> address, Consumer<Map<String, MembersJudge.Seen>> told) {
+    /** Starts to poll an address. Views are passed on by the polling thread. */
+    void watch(
+            Supplier<InetSocketAddress> address,
+            Consumer<Map<String, MembersJudge.MemberReport>> onView) {
         Thread thread =
                 new Thread(
                         null,
                         () -> {
                             try {
                                 while (true) {
-                                    Thread.sleep(BETWEEN);
-                                    String text = ask(address.get(), "MEMBERS");
-                                    if (text != null && text.startsWith("view=")) {
-                                        told.accept(read(text));
+                                    Thread.sleep(POLL_INTERVAL_MILLIS);
+                                    String reply = ask(address.get(), "MEMBERS");
+                                    if (reply != null && reply.startsWith("view=")) {
+                                        onView.accept(parseView(reply));
                                     }
                                 }
                             } catch (InterruptedException e) {
@@ -45,33 +49,34 @@
         thread.start();
     }
 
-    /** One call of an operator's; null where nobody answers. */
-    static String ask(InetSocketAddress address, String call) {
+    /** Sends one management command; returns null if there is no reply. */
+    static String ask(InetSocketAddress address, String command) {
         try (Socket socket = new Socket()) {
-            socket.connect(address, PATIENCE);
-            socket.setSoTimeout(PATIENCE);
-            socket.getOutputStream().write((call + "\n").getBytes(StandardCharsets.ISO_8859_1));
+            socket.connect(address, TIMEOUT_MILLIS);
+            socket.setSoTimeout(TIMEOUT_MILLIS);
+            socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.ISO_8859_1));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         } catch (IOException e) {
             return null;
         }
     }
 
-    private static Map<String, MembersJudge.Seen> read(String text) {
-        Map<String, MembersJudge.Seen> view = new TreeMap<>();
-        for (String line : text.split("\n", 0)) {
-            String[] words = line.split(" ", 0);
-            if (words.length >= 6 && words[3].startsWith("life=")) {
+    private static Map<String, MembersJudge.MemberReport> parseView(String reply) {
+        Map<String, MembersJudge.MemberReport> view = new TreeMap<>();
+        for (String line : reply.split("\n", 0)) {
+            String[] fields = line.split(" ", 0);
+            if (fields.length >= 6 && fields[3].startsWith("life=")) {
                 view.put(
-                        words[0],
-                        new MembersJudge.Seen(words[1], number(words[3]), number(words[5])));
+                        fields[0],
+                        new MembersJudge.MemberReport(
+                                fields[1], parseNumber(fields[3]), parseNumber(fields[5])));
             }
         }
         return view;
     }
 
-    private static long number(String word) {
-        return Long.parseLong(word.substring(word.indexOf('=') + 1));
+    private static long parseNumber(String field) {
+        return Long.parseLong(field.substring(field.indexOf('=') + 1));
     }
 
     void close() {
--- a/src/main/java/cottonlock/lab/Report.java
+++ b/src/main/java/cottonlock/lab/Report.java
@@ -15,10 +15,13 @@
 import java.util.Map;
 
 /**
- * Writes what a run came to into a folder: report.json, report.html, schedule.tsv and ledger.txt.
+ * Writes the results of a run into a folder: report.json, report.html, schedule.tsv and ledger.txt.
  */
 final class Report {
-    /** Of report.json: a reader refuses a newer one, and fields are only added within one. */
+    /**
+     * The format version of report.json. A reader refuses newer versions; within a version fields
+     * are only added.
+     */
     static final int VERSION = 1;
 
     private static final double[] PERCENTILES = {50, 90, 99, 99.9};
@@ -27,19 +30,25 @@
 
     static void write(Path folder, Experiment run, Verdict verdict) throws IOException {
         Files.createDirectories(folder);
-        json(folder.resolve("report.json"), run, verdict);
+        writeJson(folder.resolve("report.json"), run, verdict);
         Files.writeString(folder.resolve("report.html"), Page.of(run, verdict));
-        schedule(folder.resolve("schedule.tsv"), run.schedule(), run.timeline());
+        writeSchedule(folder.resolve("schedule.tsv"), run.schedule(), run.timeline());
         List<String> lines = new ArrayList<>(run.ledger().lines());
-        run.ledger().twiceBy().forEach((where, n) -> lines.add("twice: " + n + " of " + where));
+        run.ledger()
+                .doubleEffectsByCategory()
+                .forEach((where, n) -> lines.add("twice: " + n + " of " + where));
         Files.write(folder.resolve("ledger.txt"), lines);
         for (Map.Entry<String, String> log : run.logs().entrySet()) {
             Files.writeString(folder.resolve(log.getKey() + ".log"), log.getValue());
         }
     }
 
-    /** What the seed alone decides: alike, byte by byte, in every run of it. */
-    static void schedule(Path file, List<Arrivals.Arrival> arrivals, List<Timeline.Entry> faults)
+    /**
+     * Writes the schedule that the seed determines: byte for byte the same in every run of the
+     * seed.
+     */
+    static void writeSchedule(
+            Path file, List<Arrivals.Arrival> arrivals, List<Timeline.Entry> faults)
             throws IOException {
         try (Writer out = Files.newBufferedWriter(file, StandardCharsets.UTF_8)) {
             out.write("# fault: at_ms\tfor_ms\tkind\tbackends\tproxy\tamount\n");
@@ -53,7 +62,7 @@
         }
     }
 
-    private static void json(Path file, Experiment run, Verdict verdict) throws IOException {
+    private static void writeJson(Path file, Experiment run, Verdict verdict) throws IOException {
         Scenario scenario = run.scenario();
         Series series = run.series();
         int seconds = (int) (scenario.length / 1_000_000_000L);
@@ -71,7 +80,7 @@
             json.writeObjectFieldStart("figures");
             for (String key : verdict.keys) {
                 json.writeFieldName(key);
-                json.writeRawValue(verdict.shown(key));
+                json.writeRawValue(verdict.format(key));
             }
             json.writeEndObject();
             json.writeArrayFieldStart("broken");
@@ -94,7 +103,8 @@
                 json.writeEndObject();
             }
             json.writeEndArray();
-            // When compiling and first connections are over: what a figure of the usual needs.
+            // The second half of the run, when JIT compilation and first connections no longer
+            // distort the figures.
             org.HdrHistogram.Histogram steady = series.from(seconds / 2);
             json.writeObjectFieldStart("steady");
             json.writeNumberField("from_s", seconds / 2);
@@ -145,11 +155,11 @@
             }
             json.writeEndObject();
             json.writeObjectFieldStart("backends");
-            for (Map.Entry<String, Series.Work> backend : series.backends().entrySet()) {
+            for (Map.Entry<String, Series.BackendCounts> backend : series.backends().entrySet()) {
                 json.writeObjectFieldStart(backend.getKey());
-                line(json, "received", backend.getValue().received, seconds);
-                line(json, "done", backend.getValue().done, seconds);
-                line(json, "refused", backend.getValue().refused, seconds);
+                writeLine(json, "received", backend.getValue().received, seconds);
+                writeLine(json, "done", backend.getValue().done, seconds);
+                writeLine(json, "refused", backend.getValue().refused, seconds);
                 json.writeEndObject();
             }
             json.writeEndObject();
@@ -157,7 +167,7 @@
         }
     }
 
-    private static void line(JsonGenerator json, String name, Series.Line line, int seconds)
+    private static void writeLine(JsonGenerator json, String name, Series.Line line, int seconds)
             throws IOException {
         json.writeArrayFieldStart(name);
         for (int s = 0; s < seconds; s++) {
@@ -166,7 +176,7 @@
         json.writeEndArray();
     }
 
-    /** What a comparison needs of a report. */
+    /** The parts of a report that a comparison uses. */
     record Summary(
             String file,
             String scenario,
@@ -175,7 +185,7 @@
             String verdict,
             Map<String, Double> figures) {}
 
-    /** Reads a report, or a folder with one, written by this version or an older one. */
+    /** Reads a report, or the report in a folder, of this format version or an older one. */
     static Summary read(Path path) throws IOException {
         Path file = Files.isDirectory(path) ? path.resolve("report.json") : path;
         Map<String, Double> figures = new LinkedHashMap<>();
--- a/src/main/java/cottonlock/lab/RolloutReport.java
+++ b/src/main/java/cottonlock/lab/RolloutReport.java
@@ -15,27 +15,36 @@
 import java.util.Map;
 
 /**
- * How changes of the settings come into force, by size and seed: a line for each case, and a file
- * of all.
+ * Simulates rollouts of configuration versions for each size and seed, prints a line for each case,
+ * and writes a file with all of them.
  */
 final class RolloutReport {
-    /** Milliseconds in which a change is to be in force. */
-    private static final long PROMISED = 10_000;
+    /** The time within which a new version must be in force at all proxies. */
+    private static final long MAX_IN_FORCE_MILLIS = 10_000;
 
     private final PrintStream out;
     private final String commit;
     private final Path folder;
 
-    /** Folder null: no file is written. */
+    /**
+     * Creates a report.
+     *
+     * @param folder where files are written; null for no files
+     */
     RolloutReport(PrintStream out, String commit, Path folder) {
         this.out = out;
         this.commit = commit;
         this.folder = folder;
     }
 
-    /** Plays all; whether each case kept to what is promised. */
+    /**
+     * Simulates all cases.
+     *
+     * @return whether each case was in force in time at all proxies, and none went back, was harmed
+     *     or differs
+     */
     boolean play(List<Integer> sizes, List<Long> seeds) throws IOException {
-        boolean kept = true;
+        boolean promiseKept = true;
         out.println(
                 " size  seed  case            in force, ms: half   99%    all  calls/s  bytes/s "
                         + " back  harmed  differ");
@@ -43,21 +52,21 @@
             for (long seed : seeds) {
                 RolloutStudy study = new RolloutStudy(size, seed, RolloutVariants.DEFAULT);
                 Outcome quiet = study.quiet();
-                kept &= tell(size, seed, "quiet", quiet);
+                promiseKept &= printCase(size, seed, "quiet", quiet);
                 Map<String, Outcome> events = new LinkedHashMap<>();
                 study.cases().forEach((name, play) -> events.put(name, play.get()));
                 for (Map.Entry<String, Outcome> event : events.entrySet()) {
-                    kept &= tell(size, seed, event.getKey(), event.getValue());
+                    promiseKept &= printCase(size, seed, event.getKey(), event.getValue());
                 }
                 if (folder != null) {
                     write(size, seed, quiet, events);
                 }
             }
         }
-        return kept;
+        return promiseKept;
     }
 
-    private boolean tell(int size, long seed, String name, Outcome o) {
+    private boolean printCase(int size, long seed, String name, Outcome o) {
         out.printf(
                 Locale.ROOT,
                 "%5d  %4d  %-15s  %16d %5d %6d  %7d  %7d  %4d  %6d  %6d  %s%n",
@@ -73,7 +82,9 @@
                 o.harmed(),
                 o.differ(),
                 o.more());
-        return o.all() >= 0 && o.all() <= PROMISED && o.back() + o.harmed() + o.differ() == 0;
+        return o.all() >= 0
+                && o.all() <= MAX_IN_FORCE_MILLIS
+                && o.back() + o.harmed() + o.differ() == 0;
     }
 
     private void write(int size, long seed, Outcome quiet, Map<String, Outcome> events)
--- a/src/main/java/cottonlock/lab/Scenario.java
+++ b/src/main/java/cottonlock/lab/Scenario.java
@@ -739,15 +739,15 @@
         String number = text.substring(operator.length());
         if (operator.isEmpty() || !number.matches("-?[0-9]{1,12}(\\.[0-9]{1,9})?")) {
             f.addFault(key, "expected a bound such as \">= 0.98\", \"<= 50\" or \"= 0\"");
-        } else if (!Verdict.KEYS.contains(key) && !Verdict.MEMBERS.contains(key)) {
+        } else if (!Verdict.KEYS.contains(key) && !Verdict.MEMBERSHIP_KEYS.contains(key)) {
             f.addFault(
                     key,
                     "unknown figure of the verdict; known figures: "
                             + String.join(", ", Verdict.KEYS)
                             + (membership == null
                                     ? ""
-                                    : ", " + String.join(", ", Verdict.MEMBERS)));
-        } else if (membership != null || !Verdict.MEMBERS.contains(key)) {
+                                    : ", " + String.join(", ", Verdict.MEMBERSHIP_KEYS)));
+        } else if (membership != null || !Verdict.MEMBERSHIP_KEYS.contains(key)) {
             bounds.add(
                     new Bound(key, operator, Double.parseDouble(number), operator + " " + number));
         }
--- a/src/main/java/cottonlock/lab/Verdict.java
+++ b/src/main/java/cottonlock/lab/Verdict.java
@@ -7,12 +7,15 @@
 import java.util.TreeMap;
 
 /**
- * What a run comes to: figures by name, and each breach of a rule or a bound as a line. Pure: it is
- * told figures and judges them.
+ * The result of a run: figures by name, and a line for each breach of a rule or an expected bound.
+ * Depends on its arguments alone.
  */
 @cottonlock.core.Deterministic
 final class Verdict {
-    /** The figures in the order of the line; all but the decimal ones are counts. */
+    /**
+     * The keys in the order of the verdict line. Figures are whole numbers unless a list below
+     * names their decimals.
+     */
     static final List<String> KEYS =
             List.of(
                     "service",
@@ -33,8 +36,8 @@
                     "sends_per_item",
                     "behind_ms");
 
-    /** Further ones, where the proxies know one another. */
-    static final List<String> MEMBERS =
+    /** The further keys of scenarios with membership. */
+    static final List<String> MEMBERSHIP_KEYS =
             List.of(
                     "found_ms",
                     "found_all_ms",
@@ -46,13 +49,17 @@
                     "unheard",
                     "watch_ms");
 
-    private static final List<String> DECIMAL = List.of("service", "worst_s", "sends_per_item");
-    private static final List<String> TENTHS = List.of("p50_ms", "p99_ms", "behind_ms", "watch_ms");
+    private static final List<String> THREE_DECIMAL_KEYS =
+            List.of("service", "worst_s", "sends_per_item");
+    private static final List<String> ONE_DECIMAL_KEYS =
+            List.of("p50_ms", "p99_ms", "behind_ms", "watch_ms");
 
-    /** The four rules: a breach of one fails any scenario. */
+    /** The four rules: a breach of any of them fails a scenario. */
     private static final List<String> RULES = List.of("lost", "twice", "drains", "cold");
 
-    /** Whether the run shows anything, and what. */
+    /**
+     * The kinds of verdicts, with their exit status; a run on a machine that was too slow has none.
+     */
     enum Kind {
         PASS(0),
         FAIL(1),
@@ -68,12 +75,12 @@
     final Map<String, Double> figures = new TreeMap<>();
     final List<String> broken = new ArrayList<>();
 
-    /** The figures in the order of the line. */
+    /** The keys of this run in the order of the verdict line. */
     final List<String> keys = new ArrayList<>();
 
     final Kind kind;
 
-    /** Judges the figures; a run on a machine that was late by more than a limit has no verdict. */
+    /** Judges the figures. A run on a machine that was late by more than a limit has no verdict. */
     Verdict(
             Map<String, Double> figures,
             List<Scenario.Bound> bounds,
@@ -81,10 +88,10 @@
             double watchLimitMs) {
         this.figures.putAll(figures);
         KEYS.forEach(keys::add);
-        MEMBERS.stream().filter(figures::containsKey).forEach(keys::add);
+        MEMBERSHIP_KEYS.stream().filter(figures::containsKey).forEach(keys::add);
         for (String rule : RULES) {
             if (figures.get(rule) > 0) {
-                broken.add("rule " + rule + ": " + shown(rule) + " breaches");
+                broken.add("rule " + rule + ": " + format(rule) + " breaches");
             }
         }
         for (Scenario.Bound bound : bounds) {
@@ -95,7 +102,7 @@
                                 + " "
                                 + bound.text()
                                 + ", found "
-                                + shown(bound.key()));
+                                + format(bound.key()));
             }
         }
         if (figures.get("behind_ms") > lateLimitMs) {
@@ -105,7 +112,7 @@
                             Locale.ROOT,
                             "the machine ran late by %s ms (99.9%% of all tasks), "
                                     + "%.0f ms are the limit: no verdict",
-                            shown("behind_ms"),
+                            format("behind_ms"),
                             lateLimitMs));
             kind = Kind.NONE;
         } else if (figures.getOrDefault("watch_ms", 0.0) > watchLimitMs) {
@@ -115,7 +122,7 @@
                             Locale.ROOT,
                             "a process that only watches the clock woke %s ms late, "
                                     + "%.0f ms are the limit: no verdict",
-                            shown("watch_ms"),
+                            format("watch_ms"),
                             watchLimitMs));
             kind = Kind.NONE;
         } else {
@@ -123,20 +130,20 @@
         }
     }
 
-    String shown(String key) {
+    String format(String key) {
         double value = figures.get(key);
-        if (DECIMAL.contains(key)) {
+        if (THREE_DECIMAL_KEYS.contains(key)) {
             return String.format(Locale.ROOT, "%.3f", value);
         }
-        return TENTHS.contains(key)
+        return ONE_DECIMAL_KEYS.contains(key)
                 ? String.format(Locale.ROOT, "%.1f", value)
                 : Long.toString((long) value);
     }
 
-    /** The last line on standard output. */
+    /** Returns the verdict line, the last one on standard output. */
     String line() {
         StringBuilder line = new StringBuilder("verdict: ").append(word());
-        keys.forEach(key -> line.append(' ').append(key).append('=').append(shown(key)));
+        keys.forEach(key -> line.append(' ').append(key).append('=').append(format(key)));
         return line.toString();
     }
 
--- a/src/main/java/cottonlock/lab/rollout/ControlModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ControlModel.java
@@ -9,36 +9,39 @@
 import java.util.Set;
 
 /**
- * A control machine in virtual time: it tells the highest version that it knows, to watches as it
- * comes and to each call. It does one thing after the other; a call for which too much waits is
- * turned away. How long each takes is assumed, not measured.
+ * A simulated control server: announces the highest configuration version that it knows to its
+ * watches, and answers calls with it. It handles one thing at a time and refuses calls while its
+ * backlog is too long. The service times are assumed, not measured.
  */
 @Deterministic
 final class ControlModel {
-    /**
-     * Tenths of a millisecond: a call that is answered, one that is turned away, one line to one
-     * watch.
-     */
-    private static final long CALL = 50;
+    /** Service time of an answered call. */
+    private static final long CALL_TICKS = 50;
+
+    /** Service time of a refused call. */
+    private static final long REFUSAL_TICKS = 5;
 
-    private static final long AWAY = 5;
-    private static final double LINE = 0.5;
+    /** Service time of one line to one watch. */
+    private static final double LINE_TICKS = 0.5;
 
-    /** So much may wait before calls are turned away. */
-    private static final long WAITS = 2_000;
+    /** Calls are refused while the backlog of work is longer than this. */
+    private static final long MAX_BACKLOG_TICKS = 2_000;
 
-    private static final long BEAT = 20_000;
-    private static final long SECOND = 10_000;
+    private static final long HEARTBEAT_TICKS = 20_000;
+    private static final long TICKS_PER_SECOND = 10_000;
 
-    /** The other side of a connection. */
+    /** The calling side of a connection. */
     interface Caller {
         int zone();
 
-        /** A version with its content, or without where the call named it; null: an empty line. */
-        void line(ConfigurationVersion version, boolean whole);
+        /**
+         * A line has arrived: a version, or null for an empty line, a heartbeat. Its content is
+         * missing where the call asked for the number only, or named this version or a higher one.
+         */
+        void onLine(ConfigurationVersion version, boolean withContent);
 
-        /** The connection has ended, or was refused. */
-        void ended();
+        /** The connection has ended or was refused. */
+        void onEnded();
     }
 
     final int number;
@@ -46,63 +49,67 @@
     private final World world;
     private final Links links;
     private final Set<Caller> watches = new LinkedHashSet<>();
-    private ConfigurationVersion held = ConfigurationVersion.NONE;
+    private ConfigurationVersion heldVersion = ConfigurationVersion.NONE;
     private boolean down;
     private boolean frozen;
-    private boolean halved;
-    private long factor = 1;
+    private boolean truncating;
+    private long slowdown = 1;
     private long busyUntil;
-    private long second = -1;
-    private int inSecond;
+    private long currentSecond = -1;
+    private int callsInSecond;
 
-    /** The most calls of any second since it was last asked. */
-    private int worst;
+    /** The most calls in any second since {@link #takeMaxCallsPerSecond}. */
+    private int maxCallsInSecond;
 
     ControlModel(int number, int zone, World world, Links links) {
         this.number = number;
         this.zone = zone;
         this.world = world;
         this.links = links;
-        world.at(world.chance().nextLong(BEAT), this::beat);
+        world.at(world.chance().nextLong(HEARTBEAT_TICKS), this::sendHeartbeats);
     }
 
-    ConfigurationVersion held() {
-        return held;
+    ConfigurationVersion heldVersion() {
+        return heldVersion;
     }
 
-    /** It hears of a version; one that lies behind does not. */
-    void hear(ConfigurationVersion version) {
-        if (!down && !frozen && version.compareTo(held) > 0) {
-            held = version;
+    /** Takes over a version that is published, unless the server is frozen or down. */
+    void receiveVersion(ConfigurationVersion version) {
+        if (!down && !frozen && version.compareTo(heldVersion) > 0) {
+            heldVersion = version;
             for (Caller watch : watches) {
-                tell(watch, version, true, Math.max(1, (long) (LINE * factor)));
+                sendVersion(watch, version, true, Math.max(1, (long) (LINE_TICKS * slowdown)));
             }
         }
     }
 
-    /** Lies behind: it hears nothing new. */
-    void freeze(boolean on) {
+    /** Sets whether the server learns of no new versions. */
+    void setFrozen(boolean on) {
         frozen = on;
     }
 
-    /** Tells half of each version: what it tells has not the digest that is told with it. */
-    void halve(boolean on) {
-        halved = on;
+    /**
+     * Sets whether the server sends only half of each version's content, which then does not match
+     * its digest.
+     */
+    void setTruncating(boolean on) {
+        truncating = on;
     }
 
-    boolean halves() {
-        return halved;
+    boolean isTruncating() {
+        return truncating;
     }
 
-    /** All that it does takes so many times longer. */
-    void slow(long times) {
-        factor = times;
+    /** Multiplies all service times. */
+    void setSlowdown(long times) {
+        slowdown = times;
     }
 
-    void down(boolean off) {
+    /** Stops the server, which ends all watches, or starts it again. */
+    void setDown(boolean off) {
         down = off;
         if (off) {
-            drop();
+            dropWatches();
         }
     }
 
@@ -110,74 +117,78 @@
         return down;
     }
 
-    /** Ends all its watches. */
-    void drop() {
+    /** Ends all watches. */
+    void dropWatches() {
         List<Caller> all = new ArrayList<>(watches);
         watches.clear();
-        all.forEach(w -> links.carry(zone, w.zone(), w::ended, w::ended));
+        all.forEach(w -> links.carry(zone, w.zone(), w::onEnded, w::onEnded));
     }
 
     /**
-     * A call has come, for a watch that names what it has, or for the number of what is held here.
+     * Handles a call: either a watch, which names the version that the caller has, or a request for
+     * the version held here.
      */
-    void called(Caller caller, ConfigurationVersion has, boolean watch) {
+    void onCall(Caller caller, ConfigurationVersion has, boolean watch) {
         long now = world.now();
-        if (now / SECOND != second) {
-            second = now / SECOND;
-            inSecond = 0;
+        if (now / TICKS_PER_SECOND != currentSecond) {
+            currentSecond = now / TICKS_PER_SECOND;
+            callsInSecond = 0;
         }
-        worst = Math.max(worst, ++inSecond);
-        if (down || busyUntil - now > WAITS) {
+        maxCallsInSecond = Math.max(maxCallsInSecond, ++callsInSecond);
+        if (down || busyUntil - now > MAX_BACKLOG_TICKS) {
             if (!down) {
-                busyUntil += AWAY * factor;
+                busyUntil += REFUSAL_TICKS * slowdown;
             }
-            links.carry(zone, caller.zone(), caller::ended, caller::ended);
+            links.carry(zone, caller.zone(), caller::onEnded, caller::onEnded);
             return;
         }
-        busyUntil = Math.max(now, busyUntil) + CALL * factor;
+        busyUntil = Math.max(now, busyUntil) + CALL_TICKS * slowdown;
         world.at(
                 busyUntil,
                 () -> {
                     if (down) {
-                        links.carry(zone, caller.zone(), caller::ended, caller::ended);
+                        links.carry(zone, caller.zone(), caller::onEnded, caller::onEnded);
                         return;
                     }
                     if (watch) {
                         watches.add(caller);
                     }
-                    tell(caller, held, watch && held.compareTo(has) > 0, 0);
+                    sendVersion(caller, heldVersion, watch && heldVersion.compareTo(has) > 0, 0);
                 });
     }
 
-    private void tell(Caller caller, ConfigurationVersion version, boolean whole, long work) {
-        busyUntil = Math.max(world.now(), busyUntil) + work;
+    /** Sends a version to a caller after some ticks of work, which add to the backlog. */
+    private void sendVersion(
+            Caller caller, ConfigurationVersion version, boolean withContent, long workTicks) {
+        busyUntil = Math.max(world.now(), busyUntil) + workTicks;
         world.at(
-                work == 0 ? world.now() : busyUntil,
+                workTicks == 0 ? world.now() : busyUntil,
                 () ->
                         links.carry(
                                 zone,
                                 caller.zone(),
-                                () -> caller.line(version, whole),
-                                () -> left(caller)));
+                                () -> caller.onLine(version, withContent),
+                                () -> removeWatch(caller)));
     }
 
-    /** A caller has closed its connection, or can't be reached. */
-    void left(Caller caller) {
+    /** Removes a caller that has closed its connection or can't be reached. */
+    void removeWatch(Caller caller) {
         watches.remove(caller);
     }
 
-    private void beat() {
+    private void sendHeartbeats() {
         for (Caller watch : List.copyOf(watches)) {
             if (!links.cut(zone, watch.zone())) {
-                watch.line(null, false);
+                watch.onLine(null, false);
             }
         }
-        world.at(world.now() + BEAT, this::beat);
+        world.at(world.now() + HEARTBEAT_TICKS, this::sendHeartbeats);
     }
 
-    int worstSecond() {
-        int most = worst;
-        worst = 0;
-        return most;
+    /** Returns the most calls in any second since the previous call of this method. */
+    int takeMaxCallsPerSecond() {
+        int max = maxCallsInSecond;
+        maxCallsInSecond = 0;
+        return max;
     }
 }
--- a/src/main/java/cottonlock/lab/world/World.java
+++ b/src/main/java/cottonlock/lab/world/World.java
@@ -6,27 +6,27 @@
 import java.util.zip.CRC32;
 
 /**
- * Virtual time, and the way of datagrams between numbered places: what is lost, late, doubled or
- * spoilt, and what is cut. Times are tenths of a millisecond. Tasks of one moment run in the order
- * of their setting.
+ * Virtual time, and a simulated network between numbered nodes that loses, delays, duplicates and
+ * corrupts datagrams and can be partitioned. Times are in ticks of 0.1 ms. Tasks that are due at
+ * the same time run in the order in which they were scheduled.
  */
 @Deterministic
 public final class World {
-    /** Whether nothing gets through from one place to another. */
+    /** Decides whether all datagrams from one node to another are dropped. */
     public interface Cut {
         boolean cuts(int from, int to);
     }
 
-    /** How long datagrams between two places take, in tenths of a millisecond. */
+    /** How long datagrams between two nodes take, in ticks. */
     public interface Delay {
-        /** The shortest. */
-        long least(int from, int to);
+        /** The shortest delay. */
+        long minTicks(int from, int to);
 
-        /** Evenly drawn up to so much more. */
-        long spread(int from, int to);
+        /** The largest extra delay; it is drawn uniformly. */
+        long spreadTicks(int from, int to);
     }
 
-    private record Task(long at, long order, Runnable run) implements Comparable<Task> {
+    private record Task(long at, long order, Runnable action) implements Comparable<Task> {
         @Override
         public int compareTo(Task other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
@@ -36,14 +36,14 @@
     private final PriorityQueue<Task> tasks = new PriorityQueue<>();
     private final SplittableRandom chance;
     private long now;
-    private long orders;
-    private double loss;
-    private double twice;
-    private double spoilt;
-    private Delay delay = even(2, 8);
+    private long nextOrder;
+    private double lossProbability;
+    private double duplicationProbability;
+    private double corruptionProbability;
+    private Delay delay = uniform(2, 8);
     private Cut cut = (from, to) -> false;
-    private final CRC32 sum = new CRC32();
-    private long print;
+    private final CRC32 checksum = new CRC32();
+    private long fingerprint;
 
     public World(long seed) {
         chance = new SplittableRandom(seed);
@@ -53,85 +53,88 @@
         return now;
     }
 
-    /** Chance for whoever lives in this world. */
+    /** The random numbers of everything in this world. */
     public SplittableRandom chance() {
         return chance;
     }
 
-    /** The parts of datagrams that are lost, that come twice, and of which a byte is changed. */
+    /** Sets the probabilities that a datagram is lost, is duplicated, or has a byte changed. */
     public void trouble(double lost, double doubled, double changed) {
-        loss = lost;
-        twice = doubled;
-        spoilt = changed;
+        lossProbability = lost;
+        duplicationProbability = doubled;
+        corruptionProbability = changed;
     }
 
     /**
-     * How long a datagram takes: this at least, and evenly drawn up to so much more, so some
-     * overtake.
+     * Sets the delay of all datagrams: a minimum, and an extra delay that is drawn uniformly up to
+     * a maximum, so that some datagrams overtake others.
      */
-    public void delay(long shortest, long upTo) {
-        delay = even(shortest, upTo);
+    public void delay(long minTicks, long spreadTicks) {
+        delay = uniform(minTicks, spreadTicks);
     }
 
-    /** The same, by pair of places. */
-    public void delay(Delay byPair) {
-        delay = byPair;
+    /** Sets the delay for each pair of nodes. */
+    public void delay(Delay newDelay) {
+        delay = newDelay;
     }
 
-    private static Delay even(long shortest, long upTo) {
+    private static Delay uniform(long minTicks, long spreadTicks) {
         return new Delay() {
             @Override
-            public long least(int from, int to) {
-                return shortest;
+            public long minTicks(int from, int to) {
+                return minTicks;
             }
 
             @Override
-            public long spread(int from, int to) {
-                return upTo;
+            public long spreadTicks(int from, int to) {
+                return spreadTicks;
             }
         };
     }
 
     /**
-     * Of all datagrams so far, with their times and ways, byte by byte: two worlds alike have the
-     * same.
+     * A hash of all datagrams so far with their times, senders and receivers: equal simulations
+     * have equal fingerprints.
      */
-    public long print() {
-        return print;
+    public long fingerprint() {
+        return fingerprint;
     }
 
-    public void cut(Cut which) {
-        cut = which;
+    public void cut(Cut newCut) {
+        cut = newCut;
     }
 
-    /** Runs a task at a time, now at the earliest. */
+    /** Schedules a task for a time, at the earliest now. */
     public void at(long time, Runnable task) {
-        tasks.add(new Task(Math.max(now, time), orders++, task));
+        tasks.add(new Task(Math.max(now, time), nextOrder++, task));
     }
 
-    /** Sends a datagram; {@code arrives} is given it when it comes, once, twice or never. */
+    /** Sends a datagram; {@code arrives} receives it once, twice or never. */
     public void send(
             int from, int to, byte[] datagram, java.util.function.Consumer<byte[]> arrives) {
-        sum.reset();
-        sum.update(datagram, 0, datagram.length);
-        print = (print * 31 + now) * 31 + ((long) from << 44 ^ (long) to << 32 ^ sum.getValue());
+        checksum.reset();
+        checksum.update(datagram, 0, datagram.length);
+        fingerprint =
+                (fingerprint * 31 + now) * 31
+                        + ((long) from << 44 ^ (long) to << 32 ^ checksum.getValue());
         if (cut.cuts(from, to)) {
             return;
         }
-        int copies = twice > 0 && chance.nextDouble() < twice ? 2 : 1;
+        int copies =
+                duplicationProbability > 0 && chance.nextDouble() < duplicationProbability ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            if (loss > 0 && chance.nextDouble() < loss) {
+            if (lossProbability > 0 && chance.nextDouble() < lossProbability) {
                 continue;
             }
             byte[] bytes = datagram;
-            if (spoilt > 0 && chance.nextDouble() < spoilt) {
+            if (corruptionProbability > 0 && chance.nextDouble() < corruptionProbability) {
                 bytes = datagram.clone();
                 bytes[chance.nextInt(bytes.length)] ^= (byte) (1 + chance.nextInt(255));
             }
             byte[] carried = bytes;
-            long spread = delay.spread(from, to);
+            long spread = delay.spreadTicks(from, to);
             at(
-                    now + delay.least(from, to) + (spread > 0 ? chance.nextLong(spread + 1) : 0),
+                    now + delay.minTicks(from, to) + (spread > 0 ? chance.nextLong(spread + 1) : 0),
                     () -> {
                         if (!cut.cuts(from, to)) {
                             arrives.accept(carried);
@@ -140,12 +143,12 @@
         }
     }
 
-    /** Goes on until a time; what is set for later stays. */
+    /** Runs all tasks that are due by a time, which then is the current time. */
     public void until(long time) {
         while (!tasks.isEmpty() && tasks.peek().at <= time) {
             Task task = tasks.poll();
             now = task.at;
-            task.run.run();
+            task.action.run();
         }
         now = time;
     }
--- a/src/test/java/cottonlock/lab/soak/SoakTest.java
+++ b/src/test/java/cottonlock/lab/soak/SoakTest.java
@@ -10,11 +10,11 @@
 import java.nio.file.Path;
 import net.jqwik.api.Example;
 
-/** Guards against requests that are lost, or run twice, in restarts of real processes. */
+/** Guards against requests that are lost or executed twice during restarts of real processes. */
 class SoakTest {
     private static final Path SCENARIO = Path.of("scenarios", "soak.toml");
 
-    /** A play on a machine that was late shows nothing. */
+    /** A run on a machine that was late has no verdict and is repeated. */
     private static final int NO_VERDICT = 3;
 
     private static final int MAX_PLAYS = 3;
@@ -28,17 +28,17 @@
 
     private static void assertPass(long firstSeed, long lastSeed) throws Exception {
         Path folder = Files.createTempDirectory("soak");
-        ByteArrayOutputStream told = new ByteArrayOutputStream();
-        PrintStream out = new PrintStream(told, true, UTF_8);
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        PrintStream out = new PrintStream(output, true, UTF_8);
         int status = NO_VERDICT;
         for (int plays = 0; status == NO_VERDICT && plays < MAX_PLAYS; plays++) {
             status = new Soak(SCENARIO, folder, out).play(firstSeed, lastSeed, 2);
         }
-        assertEquals(0, status, told.toString(UTF_8));
+        assertEquals(0, status, output.toString(UTF_8));
     }
 
     @Example
-    void theSeedAloneDecides() {
+    void theSeedAloneDeterminesThePlan() {
         assertEquals(new SoakPlan(7).toToml(), new SoakPlan(7).toToml());
         assertNotEquals(new SoakPlan(7).toToml(), new SoakPlan(8).toToml());
     }
