--- a/src/main/java/cottonlock/decision/admission/ConcurrencyLimit.java
+++ b/src/main/java/cottonlock/decision/admission/ConcurrencyLimit.java
@@ -8,7 +8,10 @@
  * than in calm times, plus a margin for random variation. Owned by the load balancer's thread.
  */
 final class ConcurrencyLimit {
-    /** Requests in flight per backend that are always permitted, however high the latency. */
+    /**
+     * Requests in flight per backend, of all load balancers together, that are always permitted,
+     * however high the latency.
+     */
     private static final double MIN_CONCURRENCY_PER_BACKEND = 4;
 
     /** The same for requests over their tenant's quota. */
--- a/src/main/java/cottonlock/decision/admission/LatencyStatistics.java
+++ b/src/main/java/cottonlock/decision/admission/LatencyStatistics.java
@@ -25,7 +25,10 @@
     /** The minimum number of completed requests from which a calm latency is taken. */
     private static final int MIN_COMPLETED_FOR_CALM = 20;
 
-    /** The increase of the mean logarithm of the latency that shows pressure: about a fifth. */
+    /**
+     * The increase of the mean natural logarithm of the latency that shows pressure: the latency is
+     * about a fifth higher.
+     */
     private static final double PRESSURE_LOG_INCREASE = 0.2;
 
     /** Logarithms are summed as integers, in thousandths. */
--- a/src/main/java/cottonlock/decision/api/DeploymentTopology.java
+++ b/src/main/java/cottonlock/decision/api/DeploymentTopology.java
@@ -8,8 +8,9 @@
  * @param ownIndex the index of this one among them, from 0
  * @param evenlyLoaded whether all carry about the same load; false where each client has a load
  *     balancer of its own
- * @param connectionBreakEvenTicks for each backend, the idle time after which a connection has cost
- *     as much as opening a new one; 0 where idle connections cost nothing
+ * @param connectionBreakEvenTicks the idle time, per ready backend, after which a connection has
+ *     cost as much as opening a new one: it is multiplied by the number of ready backends; 0 where
+ *     idle connections cost nothing
  * @param peerMessagesAllowed whether load balancers may send messages to each other
  * @param endpointListPolled whether load balancers must subscribe to the endpoint list themselves
  * @param maxPollIntervalTicks the maximum time between two polls of the endpoint list
--- a/src/main/java/cottonlock/decision/api/RejectionReason.java
+++ b/src/main/java/cottonlock/decision/api/RejectionReason.java
@@ -19,7 +19,7 @@
     CONNECT_FAILED,
     /** The backend of the last attempt rejected it. */
     REJECTED_BY_BACKEND,
-    /** The last attempt may have been executed, its response was lost, and it is not retried. */
+    /** The last attempt may have been executed, has no successful response and is not retried. */
     RESPONSE_LOST;
 
     /** The reason for ending a request whose last attempt ended with this outcome. */
--- a/src/main/java/cottonlock/decision/backend/LaneLoad.java
+++ b/src/main/java/cottonlock/decision/backend/LaneLoad.java
@@ -15,7 +15,10 @@
      */
     private static final double MAX_BACKENDS_PER_LOAD_BALANCER = 2;
 
-    /** Attempts in flight per backend up to which no lane counts as crowded. */
+    /**
+     * Attempts in flight per backend up to which no lane counts as crowded, where the load
+     * balancers carry similar load.
+     */
     private static final double UNCROWDED_IN_FLIGHT_PER_BACKEND = 2;
 
     /**
--- a/src/main/java/cottonlock/decision/backend/OutlierDetector.java
+++ b/src/main/java/cottonlock/decision/backend/OutlierDetector.java
@@ -9,8 +9,8 @@
 
 /**
  * Rates backends by the outcomes of attempts, by slow responses and by silence. A suspected backend
- * still gets some requests, decided by a draw from its estimated probability of success, so that
- * its recovery is noticed. Owned by the load balancer's thread.
+ * still gets some requests, decided by a random draw of its probability of success, so that its
+ * recovery is noticed. Owned by the load balancer's thread.
  */
 public final class OutlierDetector {
     /**
@@ -51,7 +51,7 @@
     /** A suspected backend gets a request if the drawn probability of success is above this. */
     private static final double MIN_SUCCESS_PROBABILITY = 0.5;
 
-    /** The resolution of logarithms of latencies, which are kept as integers: units per 1. */
+    /** The scale of logarithms of latencies, which are kept as integers, in thousandths. */
     private static final int LOG_UNITS = 1_000;
 
     /** The series number for means that have a single series. */
@@ -195,7 +195,8 @@
 
     /**
      * How strongly a backend is suspected: the greater of its recent and its consecutive failures,
-     * and its silence. Below 1 it is not suspected.
+     * plus the part of its silence score above {@link #MIN_SUSPICIOUS_SILENCE}. Below 1 it is not
+     * suspected.
      */
     double suspicionScore(Backend backend, long nowTicks) {
         long failures =
