--- a/src/main/java/cottonlock/setup/LoadBalancerFactory.java
+++ b/src/main/java/cottonlock/setup/LoadBalancerFactory.java
@@ -153,9 +153,9 @@
     }
 
     /**
-     * For each backend, the time after which an idle connection has cost as much as a new one. The
-     * handshake fee applies to handshakes per request, with as many requests as the quotas allow. 0
-     * where idle connections cost nothing.
+     * The idle time, per ready backend, after which a connection has cost as much as a new one. The
+     * handshake fee applies to handshakes per request, so it is divided by the request rate, which
+     * is assumed to be the sum of all quotas. 0 where idle connections cost nothing.
      */
     private double readConnectionBreakEvenTicks() {
         double connectionFee = readFee("Fees.Connection");
--- a/src/main/java/cottonlock/setup/MembershipProtocolConfig.java
+++ b/src/main/java/cottonlock/setup/MembershipProtocolConfig.java
@@ -25,8 +25,8 @@
  * @param deadMemberRetentionTicks how long a member that has failed or left is remembered
  * @param maxBytesPerSecond the maximum number of bytes sent in any second, without UDP and IP
  *     headers
- * @param maxLocalHealthScore the maximum of a member's local health score, by which its timeouts
- *     are extended; with 0 they are never extended
+ * @param maxLocalHealthScore the maximum of a member's local health score; its probe period and
+ *     answer timeout are multiplied by 1 plus the score, so that 0 never extends them
  * @param joinTimeoutTicks how long a joining member waits for an answer before it assumes that it
  *     is the first member
  * @param contactIntervalPeriods the number of periods between two attempts to reach an address at
--- a/src/main/java/cottonlock/simulator/EndpointListReader.java
+++ b/src/main/java/cottonlock/simulator/EndpointListReader.java
@@ -11,7 +11,7 @@
 final class EndpointListReader {
     private static final int BUFFER_COUNT = 16;
 
-    /** The exclusive upper bound of numbers in the protocol. */
+    /** The exclusive upper bound of the length of a list and of zones, machine kinds and cells. */
     private static final int NUMBER_LIMIT = Integer.MAX_VALUE;
 
     /** The capacity weight of an endpoint for which the list gives none. */
