--- a/src/main/java/cottonlock/membership/AntiEntropy.java
+++ b/src/main/java/cottonlock/membership/AntiEntropy.java
@@ -20,9 +20,7 @@
     /** Maximum pages sent for one request; the rest of a large view takes further requests. */
     private static final int MAX_PAGES = 4;
 
-    /**
-     * New updates received between two exchanges from which on the pause is reset to its minimum.
-     */
+    /** Minimum new updates between two exchanges with which the pause is reset to one period. */
     private static final int MIN_PRODUCTIVE_UPDATES = 2;
 
     private static final int MAX_PAUSE_PERIODS = 8;
@@ -52,7 +50,7 @@
     /** Pause between two exchanges, in periods. */
     private int pausePeriods = 1;
 
-    /** New updates received in pages and answers since the last exchange started. */
+    /** New updates received in pages and update messages since the last exchange started. */
     private int newUpdatesReceived;
 
     AntiEntropy(MembershipContext context) {
@@ -86,7 +84,7 @@
         return isJoining() ? 0 : config.periodTicks();
     }
 
-    /** Counts updates of a page, or of the answer to one, that were new here. */
+    /** Counts updates of a page or of an update message that were new here. */
     void countNewUpdates(int count) {
         newUpdatesReceived += count;
     }
--- a/src/main/java/cottonlock/membership/ContactScheduler.java
+++ b/src/main/java/cottonlock/membership/ContactScheduler.java
@@ -7,10 +7,10 @@
 import java.util.SplittableRandom;
 
 /**
- * Sends the datagrams that are not probes of known members. Which ones depends on the state of this
- * process: pings to addresses at which an unknown or failed member may be found, pings to find out
- * whether a later process of the same name still runs, or announcements that this process leaves.
- * Confined to the thread of its {@link Membership}.
+ * Sends periodic datagrams other than probes and anti-entropy. Which ones depends on the state of
+ * this process: pings to addresses at which an unknown or failed member may be found, pings to find
+ * out whether a later process of the same name still runs, or announcements that this process
+ * leaves. Confined to the thread of its {@link Membership}.
  */
 @Deterministic
 final class ContactScheduler {
--- a/src/main/java/cottonlock/membership/MemberUpdate.java
+++ b/src/main/java/cottonlock/membership/MemberUpdate.java
@@ -57,8 +57,9 @@
     }
 
     /**
-     * The update's contribution to the digest of a view, which is the sum of these: equal views
-     * have equal sums. Suspicion does not affect it, because suspicions start and end often.
+     * The update's contribution to the digest of a view, which is the sum of these: views with
+     * equal sums count as equal. Suspicion does not affect it, because suspicions start and end
+     * often.
      */
     long digest() {
         long nameAndIncarnation =
--- a/src/main/java/cottonlock/membership/Membership.java
+++ b/src/main/java/cottonlock/membership/Membership.java
@@ -207,7 +207,7 @@
         return dueAtTicks;
     }
 
-    /** Called at the start of each event: detects a stall of this process. */
+    /** Called first for each datagram and each timer event: detects a stall of this process. */
     private void detectStall(long nowTicks) {
         sender.setStall(workerProgress.stallTicks(nowTicks));
         if (nowTicks > dueAtTicks + MAX_TIMER_DELAY_TICKS) {
--- a/src/main/java/cottonlock/membership/MembershipMetric.java
+++ b/src/main/java/cottonlock/membership/MembershipMetric.java
@@ -38,7 +38,7 @@
         this.label = label;
     }
 
-    /** The metric's name in management replies and in the metrics file. */
+    /** The metric's name in the replies to MEMBERS, and within its key in the metrics. */
     public String label() {
         return label;
     }
--- a/src/main/java/cottonlock/membership/MembershipReport.java
+++ b/src/main/java/cottonlock/membership/MembershipReport.java
@@ -3,7 +3,7 @@
 import cottonlock.core.Ticks;
 import java.util.Locale;
 
-/** Formats a {@link MembershipView} for the management command MEMBERS and for the metrics file. */
+/** Formats a {@link MembershipView} for the management command MEMBERS and for the metrics. */
 final class MembershipReport {
     private MembershipReport() {}
 
@@ -62,9 +62,7 @@
         return state.name().toLowerCase(Locale.ROOT);
     }
 
-    /**
-     * Converts ticks to milliseconds; -1 for a negative number, which means that there is no time.
-     */
+    /** Converts ticks to milliseconds; -1 for a negative number, which stands for no duration. */
     private static long millisOrNone(long ticks) {
         return ticks < 0 ? -1 : Ticks.toMillis(ticks);
     }
--- a/src/main/java/cottonlock/membership/MembershipService.java
+++ b/src/main/java/cottonlock/membership/MembershipService.java
@@ -253,7 +253,7 @@
         return MembershipReport.statusLines(view(), nowTicks);
     }
 
-    /** Fields of the metrics file's JSON object, each preceded by a comma. */
+    /** Fields of the metrics' JSON object, each preceded by a comma. */
     public String metricsJson() {
         return MembershipReport.metricsJson(view());
     }
--- a/src/main/java/cottonlock/membership/MembershipView.java
+++ b/src/main/java/cottonlock/membership/MembershipView.java
@@ -7,7 +7,7 @@
  * One process's view of the membership at one point in time.
  *
  * @param members all known members, this process first
- * @param digest digest of the live members; equal views have equal digests
+ * @param digest digest of the live members; views with equal digests count as equal
  * @param localHealthScore how unreliable this process considers its own observations; 0: reliable
  * @param workerStalled whether this process's worker has made no progress for too long
  * @param metrics the protocol's counters
--- a/src/main/java/cottonlock/membership/UpdateBroadcastQueue.java
+++ b/src/main/java/cottonlock/membership/UpdateBroadcastQueue.java
@@ -89,7 +89,8 @@
      * Fills a datagram with updates.
      *
      * @param transmitLimit maximum number of transmissions of each update
-     * @param excludedName name of a member whose update is not added; empty: none
+     * @param excludedName name of the receiver, whose update is not added: any accusation against
+     *     it is already in the datagram; empty if the receiver is not known
      */
     void fill(DatagramWriter out, int transmitLimit, String excludedName) {
         boolean hasSpace = true;
