--- a/src/main/java/cottonlock/proxy/BackendActor.java
+++ b/src/main/java/cottonlock/proxy/BackendActor.java
@@ -253,8 +253,8 @@
     }
 
     /**
-     * Closes idle connections because they cost more than they are worth. Called by the load
-     * balancer's thread.
+     * Closes the idle connections, because the load balancer finds that they cost more than they
+     * save, or because the backend was ejected manually. Called by the load balancer's thread.
      */
     void closeIdleConnections() {
         offerIfStarted(
@@ -363,8 +363,8 @@
             attempt.settle(AttemptOutcome.CONNECT_FAILED);
             return;
         }
-        // Checked only at intervals, some connections had exceeded the idle timeout when they were
-        // used, and were reset.
+        // When expired connections were closed only at intervals, some were used after the
+        // backend's idle timeout, and were reset.
         closeExpiredIdle();
         if (!keepAlive.isReuseAllowed()) {
             idleConnections.forEach(BackendConnection::closeNow);
--- a/src/main/java/cottonlock/proxy/BackendConnection.java
+++ b/src/main/java/cottonlock/proxy/BackendConnection.java
@@ -19,7 +19,7 @@
 
 /**
  * A connection to a backend. Its thread connects, sends the first attempt and reads; later attempts
- * are sent by the backend's actor.
+ * are sent by the backend's actor or, if their body is long, by a worker thread.
  */
 final class BackendConnection implements Runnable {
     /**
--- a/src/main/java/cottonlock/proxy/ClientConnection.java
+++ b/src/main/java/cottonlock/proxy/ClientConnection.java
@@ -368,7 +368,10 @@
         }
     }
 
-    /** Writes the final response to the open request. Called by the thread that has claimed it. */
+    /**
+     * Writes the final response to the open request, which must have been claimed. Called at most
+     * once for each request, by any thread.
+     */
     void sendResponse(
             ClientRequest request,
             int status,
@@ -463,7 +466,7 @@
         Sockets.close(socket);
     }
 
-    /** Ends the connection after its next response, however late that request comes. */
+    /** Ends the connection after its next response, however late the request for it arrives. */
     synchronized void closeAfterNextResponse() {
         closeAfterResponse = true;
     }
--- a/src/main/java/cottonlock/proxy/ClientListener.java
+++ b/src/main/java/cottonlock/proxy/ClientListener.java
@@ -37,8 +37,9 @@
     private static final long SLOT_CHECK_MILLIS = 5;
 
     /**
-     * Milliseconds between checks whether the listener drains, and then of a queue that may be
-     * empty.
+     * Timeout of accept in milliseconds, after which the listener checks whether it is to drain.
+     * While it drains, {@code LAST_ACCEPT_TIMEOUT_MILLIS} applies, after which the queue is taken
+     * to be empty.
      */
     private static final int ACCEPT_TIMEOUT_MILLIS = 100;
 
@@ -162,9 +163,11 @@
     }
 
     /**
-     * Evicts the connection that matters least. A client that sends part of a request and then
-     * nothing must not block others, and many clients that only check the proxy's health must not
-     * displace those that send requests, however long these are idle.
+     * Evicts one of the connections without an open request: an idle one before one that reads a
+     * request, then one that has never submitted a request before one that has, then the one that
+     * has been inactive longest. A client that sends part of a request and then nothing must not
+     * block others, and many clients that only check the proxy's health must not displace those
+     * that send requests, however long these are idle.
      */
     private void evictOne() {
         clients.stream()
--- a/src/main/java/cottonlock/proxy/LoadBalancerActor.java
+++ b/src/main/java/cottonlock/proxy/LoadBalancerActor.java
@@ -40,15 +40,15 @@
     private static final int MAILBOX_CAPACITY = 4_096;
 
     /**
-     * Ticks after which a timer call that failed is retried: rarely enough to cause no noticeable
-     * load.
+     * Ticks of 0.1 ms after which a timer call that failed is retried: rarely enough to cause no
+     * noticeable load.
      */
     private static final long TIMER_RETRY_TICKS = 1_000;
 
     /**
-     * Ticks after a client was last observed within which an attempt may still start. An attempt
-     * that starts more than 100 ms after the client has left counts as a fault, and the write takes
-     * part of that time.
+     * Ticks of 0.1 ms after a client was last observed within which an attempt may still start. An
+     * attempt that starts more than 100 ms after the client has left counts as a fault, and the
+     * write takes part of that time.
      */
     private static final long CLIENT_OBSERVED_TICKS = 800;
 
--- a/src/main/java/cottonlock/proxy/Proxy.java
+++ b/src/main/java/cottonlock/proxy/Proxy.java
@@ -316,8 +316,8 @@
         }
         threads.add(Sockets.start("listener", listener));
         if (sharesPorts) {
-            // Before the load balancer had processed the list, ids that it contains were reported
-            // as unknown.
+            // Management commands are accepted only after the load balancer has processed the list:
+            // earlier ones were refused for an unknown backend although the list contained it.
             loadBalancer.awaitProcessed();
             management =
                     new ManagementServer(
--- a/src/main/java/cottonlock/proxy/RequestValidator.java
+++ b/src/main/java/cottonlock/proxy/RequestValidator.java
@@ -11,7 +11,7 @@
 
 /** Validates clients' requests and assigns their deadlines. */
 final class RequestValidator {
-    /** Ticks reserved for passing the response on: a few milliseconds on a busy CPU. */
+    /** Ticks of 0.1 ms reserved for passing the response on: a few milliseconds on a busy CPU. */
     private static final long DEADLINE_RESERVE_TICKS = 100;
 
     private final TickClock clock;
--- a/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
+++ b/src/main/java/cottonlock/proxy/ShadowLoadBalancer.java
@@ -21,12 +21,12 @@
  * never the service.
  */
 final class ShadowLoadBalancer implements LoadBalancerActions {
-    /** Ticks between two lines in the log. */
+    /** Ticks of 0.1 ms between two lines in the log. */
     private static final long LOG_INTERVAL_TICKS = 100_000;
 
     /**
      * How its first decision about a request compares with the real one; {@code WOULD_CLOSE} counts
-     * idle connections that it would close.
+     * how often it would close the idle connections of a backend.
      */
     enum Kind {
         ALIKE,
@@ -125,10 +125,10 @@
     }
 
     /**
-     * Compares the first decisions: the real load balancer has started an attempt, or has answered
-     * the request.
+     * Compares the first decisions, once the real load balancer has started the first attempt or
+     * the request has ended without one. Later calls for the same request have no effect.
      *
-     * @param backend the backend of the real attempt; null if the request was answered
+     * @param backend the backend of the real attempt; null if the request has ended
      */
     void compareFirstDecision(long number, String backend) {
         ShadowRequest request = requests.get(number);
--- a/src/main/java/cottonlock/proxy/control/ProxyConfiguration.java
+++ b/src/main/java/cottonlock/proxy/control/ProxyConfiguration.java
@@ -82,7 +82,8 @@
 
     /**
      * Checks that a proxy with these settings could serve requests: there are request classes,
-     * their names are unique, and their times and the limit of attempts are positive.
+     * their names are unique and not empty, and their latency objectives, their expiries and the
+     * limit of attempts are positive.
      *
      * @throws InvalidSettingsException if it could not
      */
