--- a/src/main/java/cottonlock/admin/ManagementServer.java
+++ b/src/main/java/cottonlock/admin/ManagementServer.java
@@ -19,7 +19,10 @@
  * answered within a second while the request path is overloaded.
  */
 public final class ManagementServer implements Runnable, AutoCloseable {
-    /** Maximum number of open connections; each takes a file descriptor and a thread. */
+    /**
+     * Number of open connections from which a new one waits for a slot; each takes a file
+     * descriptor and a thread.
+     */
     public static final int MAX_CONNECTIONS = 12;
 
     /**
@@ -34,7 +37,10 @@
 
     private static final int ACCEPT_RETRY_DELAY_MILLIS = 20;
 
-    /** Maximum wait of a new connection for a slot while no other connection is idle. */
+    /**
+     * Maximum wait of a new connection for a slot while no other connection is idle; after it, the
+     * connection is served although {@link #MAX_CONNECTIONS} are open.
+     */
     private static final long MAX_SLOT_WAIT_MILLIS = 100;
 
     private static final long SLOT_CHECK_INTERVAL_MILLIS = 2;
--- a/src/main/java/cottonlock/config/Addresses.java
+++ b/src/main/java/cottonlock/config/Addresses.java
@@ -7,8 +7,8 @@
     private Addresses() {}
 
     /**
-     * Returns a list of numeric addresses with ports; empty if the key is missing. Other texts are
-     * added to the table's faults.
+     * Returns a list of numeric addresses with ports; empty if the key is missing. Any other string
+     * in the list is added to the table's faults, but stays in the result.
      */
     static List<String> read(Fields table, String key) {
         List<String> addresses = table.texts(key, List.of());
