--- a/src/main/java/cottonlock/lab/Backend.java
+++ b/src/main/java/cottonlock/lab/Backend.java
@@ -19,7 +19,10 @@
 final class Backend implements Connection.Owner {
     private static final byte[] EMPTY_BODY = new byte[0];
 
-    /** The state of the backend's process. An overloaded one has crashed and isn't restarted. */
+    /**
+     * The state of the backend's process. An overloaded one crashed while it was cold, and stays
+     * down unless a later crash fault hits it and restarts it at its end.
+     */
     enum ProcessState {
         UP,
         DOWN,
--- a/src/main/java/cottonlock/lab/Experiment.java
+++ b/src/main/java/cottonlock/lab/Experiment.java
@@ -1183,7 +1183,10 @@
         return logs;
     }
 
-    /** Compares the proxies' views of one another with the truth; null without membership. */
+    /**
+     * Returns the judge that compares the proxies' views of one another with the truth; null
+     * without membership.
+     */
     MembersJudge judge() {
         return judge;
     }
--- a/src/main/java/cottonlock/lab/MembersJudge.java
+++ b/src/main/java/cottonlock/lab/MembersJudge.java
@@ -279,7 +279,8 @@
     }
 
     /**
-     * Adds the figures of the verdict. A death that was never noticed counts as noticed at the end.
+     * Adds the figures of the verdict. A death that was never noticed counts as noticed when the
+     * proxy was up again, or else at the end of the run.
      */
     void figures(long end, Map<String, Double> f) {
         long found = 0;
--- a/src/main/java/cottonlock/lab/Timeline.java
+++ b/src/main/java/cottonlock/lab/Timeline.java
@@ -14,7 +14,7 @@
  */
 @Deterministic
 final class Timeline {
-    /** Nanoseconds for which a rolling deployment drains each backend before it ends. */
+    /** Nanoseconds for which a rolling deployment drains each backend before it is stopped. */
     private static final long DRAIN_NANOS = 2_000_000_000L;
 
     /** Nanoseconds for which a backend is then down, before the deployment continues. */
