--- a/src/main/java/cottonlock/lab/Chart.java
+++ b/src/main/java/cottonlock/lab/Chart.java
@@ -14,8 +14,9 @@
     private static final int RIGHT_MARGIN = 12;
 
     /**
-     * The palette of Okabe and Ito: distinguishable with colour vision deficiency, and in greyscale
-     * by brightness.
+     * The palette of Okabe and Ito and a grey: distinguishable with colour vision deficiency. The
+     * first five get brighter in this order, for greyscale; the fifth and sixth are about equally
+     * bright.
      */
     private static final String[] COLOURS = {
         "#0072b2", "#d55e00", "#009e73", "#cc79a7", "#e69f00", "#56b4e9", "#555555"
