--- a/src/main/java/cottonlock/lab/scale/CapacityPage.java
+++ b/src/main/java/cottonlock/lab/scale/CapacityPage.java
@@ -405,7 +405,7 @@
         return results.isEmpty() ? NOT_MEASURED : table.toString();
     }
 
-    /** The measured figures of all needs by size, each the mean over the runs that are usable. */
+    /** The measured figures of the needs of a kind by size, each the mean over usable runs. */
     private String measuredTable(List<ResultFile> from, String kind) {
         List<ResultFile> selected =
                 from.stream().filter(r -> r.kind().equals(kind) && r.hasUsableFigures()).toList();
--- a/src/main/java/cottonlock/lab/scale/ProxyMeasure.java
+++ b/src/main/java/cottonlock/lab/scale/ProxyMeasure.java
@@ -21,8 +21,8 @@
  * list: memory, threads, start time, processor time, and the bytes of a complete list on the wire.
  * First no calls are sent through it, to measure the list alone. Then calls arrive at random times
  * at the rate of the operators' design, and their cost is measured too. Discovery is simulated: it
- * sends the complete list once and then heartbeats as the real one does; {@link Calls} simulates
- * backends and clients.
+ * sends the complete list once and then heartbeats as the real one does; {@link LoadGenerator}
+ * simulates backends and clients.
  */
 final class ProxyMeasure {
     /**
--- a/src/main/java/cottonlock/lab/scale/ScaleFile.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleFile.java
@@ -52,7 +52,10 @@
     final Day day;
     final List<String> events;
 
-    /** Time limit for all proxies to hold the first list, in nanoseconds. */
+    /**
+     * Time limit for all proxies to hold the first list, and for their membership views to be
+     * complete, in nanoseconds.
+     */
     final long settleTimeoutNanos;
 
     /** Time limit for a change to be in force, in nanoseconds. */
--- a/src/main/java/cottonlock/lab/scale/ScaleRun.java
+++ b/src/main/java/cottonlock/lab/scale/ScaleRun.java
@@ -615,8 +615,8 @@
     }
 
     /**
-     * Waits until all child processes have reported a second: one that is short of processor time
-     * reports late.
+     * Waits until all child processes have reported a second, or until the time limit of a change
+     * is over: a process that is short of processor time reports late.
      */
     private void awaitReports(long second) throws InterruptedException {
         List<ChildProcess> reporters = new ArrayList<>(proxyHosts);
