--- a/src/main/java/cottonlock/lab/rollout/ControlModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ControlModel.java
@@ -73,7 +73,10 @@
         return heldVersion;
     }
 
-    /** Takes over a version that is published, unless the server is frozen or down. */
+    /**
+     * Takes over a version that is higher than the one held and sends it to all watches, unless the
+     * server is frozen or down.
+     */
     void receiveVersion(ConfigurationVersion version) {
         if (!down && !frozen && version.compareTo(heldVersion) > 0) {
             heldVersion = version;
--- a/src/main/java/cottonlock/lab/rollout/ProxyModel.java
+++ b/src/main/java/cottonlock/lab/rollout/ProxyModel.java
@@ -337,7 +337,10 @@
         }
     }
 
-    /** Suspends or resumes the process. On suspension the control server drops the watch. */
+    /**
+     * Suspends or resumes the process. On suspension the control server drops the watch: by the
+     * time the process resumes, the network has lost the state of its connection.
+     */
     void pause(boolean stop) {
         paused = stop;
         if (stop) {
--- a/src/main/java/cottonlock/lab/rollout/RolloutStudy.java
+++ b/src/main/java/cottonlock/lab/rollout/RolloutStudy.java
@@ -173,7 +173,7 @@
 
     /**
      * For a minute a zone is reachable only in the first of every six seconds; a version is
-     * published in the middle.
+     * published 20 s after its start, and another at its end.
      */
     Outcome flappingZone() {
         Deployment d = deployment();
--- a/src/main/java/cottonlock/lab/world/RegionsStudy.java
+++ b/src/main/java/cottonlock/lab/world/RegionsStudy.java
@@ -42,7 +42,7 @@
         /** The CPU time of this thread in nanoseconds; each reading has a cost of its own. */
         LongSupplier cpuClock();
 
-        /** The nanoseconds that a reading adds to the measured time. */
+        /** The nanoseconds that reading the clock adds to the time between two readings. */
         long readingNanos();
 
         /** Bytes in use on the heap after garbage collection. */
--- a/src/main/java/cottonlock/lab/world/Study.java
+++ b/src/main/java/cottonlock/lab/world/Study.java
@@ -16,7 +16,8 @@
     private static final long MAX_WAIT_TICKS = 120 * TICKS_PER_SECOND;
 
     /**
-     * The results; times in milliseconds, -1 where an event never happened.
+     * The results; times in milliseconds. A death that is not noticed within the time limit counts
+     * with that limit; joining and healing are -1 if the views did not become right in time.
      *
      * @param firstMillis until the first member noticed a death, median
      * @param worstFirstMillis the same, worst
