--- a/src/main/java/cottonlock/lab/soak/SoakPlan.java
+++ b/src/main/java/cottonlock/lab/soak/SoakPlan.java
@@ -6,7 +6,7 @@
 
 /**
  * The faults of one seed of the soak: two proxies are restarted one after the other, each by a
- * series of signals and beside another fault. The seed alone determines them.
+ * series of signals and either alone or beside another fault. The seed alone determines them.
  */
 final class SoakPlan {
     private static final List<String> SERIES =
