--- a/src/main/java/cottonlock/lab/Discovery.java
+++ b/src/main/java/cottonlock/lab/Discovery.java
@@ -267,8 +267,8 @@
         recordNotified(watch, entries.values());
     }
 
-    private void recordNotified(Watch watch, Collection<Entry> recipient) {
-        for (Entry entry : recipient) {
+    private void recordNotified(Watch watch, Collection<Entry> announced) {
+        for (Entry entry : announced) {
             if (entry.published == Health.ACTIVE) {
                 ledger.drainRevoked(watch.proxy, entry.backend.id);
             } else {
